--- a/cmd/streamcleat/bench.go
+++ b/cmd/streamcleat/bench.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"streamcleat/drill"
+	"streamcleat/internal/scenario"
 )
 
 func benchCommand() *cobra.Command {
@@ -36,11 +36,11 @@
 		Short: "The way through a front end beside the same client straight at stand-in workers",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			list, err := drill.Bench(cmd.Context(), conns, events)
+			list, err := scenario.Bench(cmd.Context(), conns, events)
 			if err != nil {
 				return err
 			}
-			return rows(asJSON, list, func(r drill.BenchRow) string {
+			return rows(asJSON, list, func(r scenario.BenchRow) string {
 				return fmt.Sprintf("%3d connections: %.2f of the direct events a second; p50 %.2f times, p99 %.2f times the direct one "+
 					"(%.0f against %.0f a second, p50 %.2f against %.2f ms, p99 %.2f against %.2f ms)", r.Connections, r.RateRatio,
 					r.P50Ratio, r.P99Ratio, r.Front.Rate, r.Direct.Rate, r.Front.P50, r.Direct.P50, r.Front.P99, r.Direct.P99)
@@ -62,11 +62,11 @@
 		Short: "What it costs to keep notes of at-most-once events on disk, with and without group commit",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			list, err := drill.BenchKeeping(cmd.Context(), conns, events)
+			list, err := scenario.BenchKeeping(cmd.Context(), conns, events)
 			if err != nil {
 				return err
 			}
-			return rows(asJSON, list, func(r drill.KeepRow) string {
+			return rows(asJSON, list, func(r scenario.KeepRow) string {
 				return fmt.Sprintf("%3d connections, %-24s %.2f of the events a second without a store (%.0f), p50 %.2f ms, %.2f syncs and %.2f notes an event, heap %.0f MB",
 					r.Connections, r.Way+":", r.RateRatio, r.Rate, r.P50, r.SyncsAnEvent, r.NotesAnEvent, r.HeapMegabytes)
 			})
@@ -86,11 +86,11 @@
 		Short: "How long a restart takes with so many events kept",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			list, err := drill.BenchRecovery(cmd.Context(), sizes)
+			list, err := scenario.BenchRecovery(cmd.Context(), sizes)
 			if err != nil {
 				return err
 			}
-			return rows(asJSON, list, func(r drill.RecoveryRow) string {
+			return rows(asJSON, list, func(r scenario.RecoveryRow) string {
 				return fmt.Sprintf("%8d events, %4d MB: state read in %.2f s, taken up in %.2f s, %.1f us an event", r.Events, r.Bytes>>20,
 					r.Open, r.Restore, r.PerEvent)
 			})
--- a/cmd/streamcleat/box_test.go
+++ b/cmd/streamcleat/box_test.go
@@ -20,17 +20,17 @@
 	"github.com/charmbracelet/x/vt"
 	"github.com/creack/pty"
 
-	"streamcleat/referee"
-	"streamcleat/standin"
-	"streamcleat/timers"
+	"streamcleat/internal/fakes"
+	"streamcleat/internal/invariants"
+	"streamcleat/internal/schedule"
 )
 
 // site is a box with stand-in workers, driven by terminals only.
 type site struct {
 	t       *testing.T
 	dir     string
-	tape    *referee.Tape
-	workers []*standin.Worker
+	tape    *invariants.Tape
+	workers []*fakes.Worker
 	front   string
 
 	mu      sync.Mutex
@@ -48,11 +48,11 @@
 }
 
 func newSite(t *testing.T, workers int) *site {
-	s := &site{t: t, dir: t.TempDir(), tape: referee.NewTape(), front: freeAddr(t), answers: map[string][]int{}}
-	fns := standin.Catalogue(6, 0.03, 5)
-	store, memory := standin.NewStore(4, 16), standin.NewMemory(60)
+	s := &site{t: t, dir: t.TempDir(), tape: invariants.NewTape(), front: freeAddr(t), answers: map[string][]int{}}
+	fns := fakes.Catalogue(6, 0.03, 5)
+	store, memory := fakes.NewStore(4, 16), fakes.NewMemory(60)
 	for i := range workers {
-		w, err := standin.NewWorker(standin.Spec{Name: fmt.Sprintf("wk-%d", i), Kind: "std", Cores: 2, Speed: 1, Memory: 8000, Queue: 64,
+		w, err := fakes.NewWorker(fakes.Spec{Name: fmt.Sprintf("wk-%d", i), Kind: "std", Cores: 2, Speed: 1, Memory: 8000, Queue: 64,
 			LoadsAtOnce: 4, Keep: 20, ColdShare: 0.5, WarmWithin: 1, FallFactor: 5, FallWindow: 1, MeanWork: 0.03, Functions: fns,
 			Store: store, Drops: memory, Keyed: map[string]bool{"till-entry": true}, Tape: s.tape, Seed: uint64(i)})
 		if err != nil {
@@ -61,7 +61,7 @@
 		t.Cleanup(w.Close)
 		s.workers = append(s.workers, w)
 	}
-	if _, err := standin.NewList(filepath.Join(s.dir, "workers.json"), s.tape, s.workers); err != nil {
+	if _, err := fakes.NewList(filepath.Join(s.dir, "workers.json"), s.tape, s.workers); err != nil {
 		t.Fatal(err)
 	}
 	s.write("crontab", "0 0 1 1 * price-reset shop-001 minato %{\"reset\":1}\n")
@@ -206,8 +206,8 @@
 func (s *site) send(kind, id, function string) {
 	const wait = 3 * time.Second
 	for try := 0; try < 60; try++ {
-		c := &timers.Client{Source: "/sale", Fronts: []string{s.front}, HTTP: &http.Client{}, MaxAge: wait, Trying: s.note}
-		o := c.Fire(context.Background(), timers.Firing{Entry: &timers.Entry{Type: kind, Function: function}, ID: id})
+		c := &schedule.Client{Source: "/sale", Fronts: []string{s.front}, HTTP: &http.Client{}, MaxAge: wait, Trying: s.note}
+		o := c.Fire(context.Background(), schedule.Firing{Entry: &schedule.Entry{Type: kind, Function: function}, ID: id})
 		s.mu.Lock()
 		s.answers[id] = append(s.answers[id], o.Status)
 		s.mu.Unlock()
@@ -219,29 +219,29 @@
 	s.t.Errorf("%s: no final answer", id)
 }
 
-func (s *site) note(f timers.Firing, _ string, left time.Duration) func(int, string, error) {
-	r := referee.Record{Kind: referee.Asked, Event: "/sale#" + f.ID, Type: f.Entry.Type, Front: "box-1", Call: s.tape.Call(), Wait: left.Seconds()}
+func (s *site) note(f schedule.Firing, _ string, left time.Duration) func(int, string, error) {
+	r := invariants.Record{Kind: invariants.Asked, Event: "/sale#" + f.ID, Type: f.Entry.Type, Front: "box-1", Call: s.tape.Call(), Wait: left.Seconds()}
 	s.tape.Add(r)
 	return func(status int, digest string, err error) {
 		r.Digest = digest
 		r.Status = status
 		switch {
 		case status == 0: // the box was stopped or killed by the script
-			r.Kind = referee.Lost
+			r.Kind = invariants.Lost
 		case status == 200:
-			r.Kind, r.Outcome = referee.Answered, referee.Handled
+			r.Kind, r.Outcome = invariants.Answered, invariants.Handled
 		case status == 503:
-			r.Kind, r.Outcome = referee.Answered, referee.Deferred
+			r.Kind, r.Outcome = invariants.Answered, invariants.Deferred
 		default:
-			r.Kind, r.Outcome = referee.Answered, referee.DeadLettered
+			r.Kind, r.Outcome = invariants.Answered, invariants.DeadLettered
 		}
 		s.tape.Add(r)
 	}
 }
 
-func (s *site) judge() referee.Verdict {
+func (s *site) judge() invariants.Verdict {
 	s.t.Helper()
-	v := referee.Judge(referee.Rules{Effect: map[string]string{"shop-event": "redeliverable", "till-entry": "keyed", "price-reset": "at-most-once"},
+	v := invariants.Judge(invariants.Rules{Effect: map[string]string{"shop-event": "redeliverable", "till-entry": "keyed", "price-reset": "at-most-once"},
 		Remembered: map[string]float64{"till-entry": 60}, DrainGrace: 0.5, Grace: 0.15}, s.tape.Records())
 	if v.Broken > 0 {
 		s.t.Errorf("%d rules broken: %v", v.Broken, v.Faults)
--- a/cmd/streamcleat/crossing_test.go
+++ b/cmd/streamcleat/crossing_test.go
@@ -18,14 +18,14 @@
 	"testing"
 	"time"
 
-	"streamcleat/frontend"
-	"streamcleat/platform"
+	"streamcleat/internal/platform"
+	"streamcleat/internal/proxy"
 )
 
 // stall holds the event loop until the function it returns is called: what comes meanwhile is found in one turn.
 func (h *hall) stall() (release func()) {
 	in, out := make(chan struct{}), make(chan struct{})
-	h.front.On(func(*frontend.Front) { close(in); <-out })
+	h.front.On(func(*proxy.Front) { close(in); <-out })
 	<-in
 	release = sync.OnceFunc(func() { close(out) })
 	h.t.Cleanup(release) // also after a test that failed
--- a/cmd/streamcleat/drill.go
+++ b/cmd/streamcleat/drill.go
@@ -11,8 +11,8 @@
 
 	"github.com/spf13/cobra"
 
-	"streamcleat/drill"
-	"streamcleat/referee"
+	"streamcleat/internal/invariants"
+	"streamcleat/internal/scenario"
 )
 
 func drillCommand() *cobra.Command {
@@ -28,8 +28,8 @@
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if list {
-				for _, n := range drill.Scripts() {
-					s, err := drill.Builtin(n)
+				for _, n := range scenario.Scripts() {
+					s, err := scenario.Builtin(n)
 					if err != nil {
 						return err
 					}
@@ -37,15 +37,15 @@
 				}
 				return nil
 			}
-			var script *drill.Script
+			var script *scenario.Script
 			var err error
 			if file != "" {
 				var data []byte
 				if data, err = os.ReadFile(file); err == nil {
-					script, err = drill.ParseScript(data, file)
+					script, err = scenario.ParseScript(data, file)
 				}
 			} else {
-				script, err = drill.Builtin(name)
+				script, err = scenario.Builtin(name)
 			}
 			if err != nil {
 				return exit{2, err}
@@ -56,7 +56,7 @@
 			}
 			failed := 0
 			for s := seed; s < seed+uint64(max(seeds, 1)); s++ {
-				report, records, err := drill.Run(cmd.Context(), script, s, log)
+				report, records, err := scenario.Run(cmd.Context(), script, s, log)
 				if err != nil {
 					return err
 				}
@@ -96,19 +96,19 @@
 	return cmd
 }
 
-func writeRecords(path string, records []referee.Record) error {
+func writeRecords(path string, records []invariants.Record) error {
 	f, err := os.Create(path)
 	if err != nil {
 		return err
 	}
-	if err := referee.Write(f, records); err != nil {
+	if err := invariants.Write(f, records); err != nil {
 		f.Close()
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	return f.Close()
 }
 
-func printReport(r *drill.Report) {
+func printReport(r *scenario.Report) {
 	verdict := "all five rules held"
 	if r.Broken > 0 {
 		verdict = fmt.Sprintf("%d of five rules BROKEN", r.Broken)
@@ -143,7 +143,7 @@
 		Short: "Judge a record of what passed on the sockets by rules from a JSON file",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			var rules referee.Rules
+			var rules invariants.Rules
 			data, err := os.ReadFile(rulesFile)
 			if err == nil {
 				err = json.Unmarshal(data, &rules)
@@ -156,11 +156,11 @@
 				return exit{2, err}
 			}
 			defer f.Close()
-			records, err := referee.Read(f)
+			records, err := invariants.Read(f)
 			if err != nil {
 				return exit{2, fmt.Errorf("%s: %w", args[0], err)}
 			}
-			v := referee.Judge(rules, records)
+			v := invariants.Judge(rules, records)
 			enc := json.NewEncoder(os.Stdout)
 			enc.SetIndent("", "  ")
 			if err := enc.Encode(v); err != nil {
--- a/cmd/streamcleat/handler.go
+++ b/cmd/streamcleat/handler.go
@@ -16,11 +16,11 @@
 	"github.com/opencontainers/go-digest"
 	"github.com/spf13/cobra"
 
-	"streamcleat/appliance"
-	"streamcleat/console"
-	"streamcleat/handlers"
-	"streamcleat/handlers/source"
-	"streamcleat/handlers/trust"
+	"streamcleat/internal/appliance"
+	"streamcleat/internal/console"
+	"streamcleat/internal/registry"
+	"streamcleat/internal/registry/oci"
+	"streamcleat/internal/registry/signing"
 )
 
 // handlerCommand holds what is done to the registry of functions.
@@ -33,7 +33,7 @@
 
 func handlerList() *cobra.Command {
 	return shown("list", "Functions with their versions and aliases", cobra.NoArgs, func(c *console.Client, _ []string) (any, func() string, error) {
-		var list []handlers.View
+		var list []registry.View
 		err := c.Get("registry", &list)
 		return list, func() string { return console.Table(console.RegistryRows(list)) }, err
 	})
@@ -41,7 +41,7 @@
 
 func handlerTrail() *cobra.Command {
 	return shown("trail", "Who changed what when", cobra.NoArgs, func(c *console.Client, _ []string) (any, func() string, error) {
-		var list []handlers.Entry
+		var list []registry.Entry
 		err := c.Get("trail", &list)
 		return list, func() string { return console.Table(console.TrailRows(list)) }, err
 	})
@@ -50,16 +50,16 @@
 func handlerShow() *cobra.Command {
 	return shown("show FUNCTION", "One function with its versions, aliases and rollouts", cobra.ExactArgs(1),
 		func(c *console.Client, args []string) (any, func() string, error) {
-			var list []handlers.View
+			var list []registry.View
 			if err := c.Get("registry", &list); err != nil {
 				return nil, nil, err
 			}
 			for _, f := range list {
 				if f.Function == args[0] {
-					return f, func() string { return console.Table(console.RegistryRows([]handlers.View{f})) }, nil
+					return f, func() string { return console.Table(console.RegistryRows([]registry.View{f})) }, nil
 				}
 			}
-			return nil, nil, fmt.Errorf("function %s: %w", args[0], handlers.ErrUnknown)
+			return nil, nil, fmt.Errorf("function %s: %w", args[0], registry.ErrUnknown)
 		})
 }
 
@@ -92,14 +92,14 @@
 }
 
 // named is the version that a reference names at the box.
-func named(c *console.Client, ref string) (handlers.Version, error) {
-	var list []handlers.View
+func named(c *console.Client, ref string) (registry.Version, error) {
+	var list []registry.View
 	if err := c.Get("registry", &list); err != nil {
-		return handlers.Version{}, err
+		return registry.Version{}, err
 	}
-	r, err := handlers.ParseRef(ref)
+	r, err := registry.ParseRef(ref)
 	if err != nil {
-		return handlers.Version{}, err
+		return registry.Version{}, err
 	}
 	for _, f := range list {
 		for _, v := range f.Versions {
@@ -108,11 +108,11 @@
 			}
 		}
 	}
-	return handlers.Version{}, fmt.Errorf("%s: %w", ref, handlers.ErrUnknown)
+	return registry.Version{}, fmt.Errorf("%s: %w", ref, registry.ErrUnknown)
 }
 
 func handlerPublish() *cobra.Command {
-	var v handlers.Version
+	var v registry.Version
 	var from, user string
 	var signatures []string
 	cmd := &cobra.Command{Use: "publish FUNCTION:VERSION", Short: "Add a version; versions never change", Args: cobra.ExactArgs(1)}
@@ -143,13 +143,13 @@
 			if err != nil {
 				return appliance.Change{}, err
 			}
-			return appliance.Change{Entry: handlers.Entry{Publish: &found}, Signatures: append(envelopes, more...)}, nil
+			return appliance.Change{Entry: registry.Entry{Publish: &found}, Signatures: append(envelopes, more...)}, nil
 		}
 		v.Function, v.Name = name, version
 		if v.Digest, err = manifest(); err != nil {
 			return appliance.Change{}, err
 		}
-		return appliance.Change{Entry: handlers.Entry{Publish: &v}, Signatures: envelopes}, nil
+		return appliance.Change{Entry: registry.Entry{Publish: &v}, Signatures: envelopes}, nil
 	})
 }
 
@@ -176,17 +176,17 @@
 }
 
 // resolve asks an OCI registry for a version and for what vouches for it; what it reads on the way is not kept.
-func resolve(from, user, function, tag string) (v handlers.Version, signatures [][]byte, err error) {
+func resolve(from, user, function, tag string) (v registry.Version, signatures [][]byte, err error) {
 	dir, err := os.MkdirTemp("", "handler")
 	if err != nil {
 		return v, nil, err
 	}
 	defer os.RemoveAll(dir)
-	folder, err := source.OpenFolder(dir, 64<<20)
+	folder, err := oci.OpenFolder(dir, 64<<20)
 	if err != nil {
 		return v, nil, err
 	}
-	c, err := source.NewClient(from, user, os.Getenv("STREAMCLEAT_REGISTRY_SECRET"), folder)
+	c, err := oci.NewClient(from, user, os.Getenv("STREAMCLEAT_REGISTRY_SECRET"), folder)
 	if err != nil {
 		return v, nil, exit{2, err}
 	}
@@ -225,7 +225,7 @@
 		if id == "" {
 			id = strings.TrimSuffix(filepath.Base(key), ".pem")
 		}
-		envelope, err := trust.Sign(id, private, name, version, d)
+		envelope, err := signing.Sign(id, private, name, version, d)
 		if err != nil {
 			return exit{2, err}
 		}
@@ -246,7 +246,7 @@
 			if _, err := rand.Read(seed); err != nil {
 				return err
 			}
-			private, k, err := trust.NewKey(args[0], seed)
+			private, k, err := signing.NewKey(args[0], seed)
 			if err != nil {
 				return exit{2, err}
 			}
@@ -262,7 +262,7 @@
 			}
 			enc := json.NewEncoder(os.Stdout)
 			enc.SetIndent("", "  ")
-			return enc.Encode(trust.Ring{Need: 1, Keys: []trust.Key{k}})
+			return enc.Encode(signing.Ring{Need: 1, Keys: []signing.Key{k}})
 		}}
 }
 
@@ -277,7 +277,7 @@
 		if _, err := os.Stat(dir); err != nil {
 			return err
 		}
-		folder, err := source.OpenFolder(dir, math.MaxInt64)
+		folder, err := oci.OpenFolder(dir, math.MaxInt64)
 		if err != nil {
 			return err
 		}
@@ -313,15 +313,15 @@
 	f.Int64Var(&most, "most", 4096, "MB that the folder may hold; the longest unused goes first")
 	cmd.MarkFlagRequired("from")
 	cmd.RunE = func(cmd *cobra.Command, args []string) error {
-		ref, err := handlers.ParseRef(args[0])
+		ref, err := registry.ParseRef(args[0])
 		if err != nil || ref.Digest == "" {
 			return exit{2, fmt.Errorf("%q is not FUNCTION@DIGEST", args[0])}
 		}
-		folder, err := source.OpenFolder(dir, most<<20)
+		folder, err := oci.OpenFolder(dir, most<<20)
 		if err != nil {
 			return err
 		}
-		c, err := source.NewClient(from, user, os.Getenv("STREAMCLEAT_REGISTRY_SECRET"), folder)
+		c, err := oci.NewClient(from, user, os.Getenv("STREAMCLEAT_REGISTRY_SECRET"), folder)
 		if err != nil {
 			return exit{2, err}
 		}
@@ -340,11 +340,11 @@
 	cmd := &cobra.Command{Use: "alias FUNCTION:ALIAS [VERSION]", Short: "Make an alias name a version at once", Args: cobra.RangeArgs(1, 2)}
 	cmd.Flags().BoolVar(&remove, "remove", false, "remove the alias")
 	return change(cmd, func(c *console.Client, args []string) (appliance.Change, error) {
-		r, err := handlers.ParseRef(args[0])
+		r, err := registry.ParseRef(args[0])
 		if err != nil {
 			return appliance.Change{}, exit{2, err}
 		}
-		m := &handlers.Move{Function: r.Function, Alias: r.Tag}
+		m := &registry.Move{Function: r.Function, Alias: r.Tag}
 		if !remove {
 			if len(args) < 2 {
 				return appliance.Change{}, exit{2, fmt.Errorf("which version is %s to name?", args[0])}
@@ -355,12 +355,12 @@
 			}
 			m.Digest = v.Digest
 		}
-		return appliance.Change{Entry: handlers.Entry{Move: m}}, nil
+		return appliance.Change{Entry: registry.Entry{Move: m}}, nil
 	})
 }
 
 func handlerRoll() *cobra.Command {
-	var ro handlers.Rollout
+	var ro registry.Rollout
 	cmd := &cobra.Command{Use: "roll FUNCTION:ALIAS VERSION", Short: "Take an alias to a version by shares or tenants; it goes back by itself when answers get worse",
 		Args: cobra.ExactArgs(2)}
 	f := cmd.Flags()
@@ -370,7 +370,7 @@
 	f.Float64Var(&ro.MostBad, "most-bad", 0.05, "share of bad answers, beyond that of the old version, at which it goes back")
 	f.StringSliceVar(&ro.Tenants, "tenants", nil, "tenants whose events get the new version at once")
 	return change(cmd, func(c *console.Client, args []string) (appliance.Change, error) {
-		r, err := handlers.ParseRef(args[0])
+		r, err := registry.ParseRef(args[0])
 		if err != nil {
 			return appliance.Change{}, exit{2, err}
 		}
@@ -379,7 +379,7 @@
 			return appliance.Change{}, err
 		}
 		ro.Function, ro.Alias, ro.To = r.Function, r.Tag, v.Digest
-		return appliance.Change{Entry: handlers.Entry{Rollout: &ro}}, nil
+		return appliance.Change{Entry: registry.Entry{Rollout: &ro}}, nil
 	})
 }
 
@@ -387,7 +387,7 @@
 	var r appliance.Release
 	cmd := &cobra.Command{Use: "release VERSION", Short: "Take many functions to a version, each alias moving when a copy stands", Args: cobra.ExactArgs(1)}
 	f := cmd.Flags()
-	f.StringVar(&r.Alias, "alias", handlers.Current, "alias that moves")
+	f.StringVar(&r.Alias, "alias", registry.Current, "alias that moves")
 	f.StringSliceVar(&r.Functions, "functions", nil, "functions; none: all that have the version")
 	f.IntVar(&r.Loads, "loads", 4, "loads at a time")
 	return change(cmd, func(_ *console.Client, args []string) (appliance.Change, error) {
@@ -399,7 +399,7 @@
 func handlerBack() *cobra.Command {
 	cmd := &cobra.Command{Use: "back FUNCTION:ALIAS", Short: "Take an alias back to what it named before", Args: cobra.ExactArgs(1)}
 	return change(cmd, func(_ *console.Client, args []string) (appliance.Change, error) {
-		r, err := handlers.ParseRef(args[0])
+		r, err := registry.ParseRef(args[0])
 		if err != nil {
 			return appliance.Change{}, exit{2, err}
 		}
@@ -418,7 +418,7 @@
 		if err != nil {
 			return appliance.Change{}, err
 		}
-		return appliance.Change{Entry: handlers.Entry{Withdraw: v.Function + "@" + string(v.Digest)}}, nil
+		return appliance.Change{Entry: registry.Entry{Withdraw: v.Function + "@" + string(v.Digest)}}, nil
 	})
 }
 
--- a/cmd/streamcleat/handler_test.go
+++ b/cmd/streamcleat/handler_test.go
@@ -6,12 +6,12 @@
 	"strings"
 	"testing"
 
-	"streamcleat/standin"
+	"streamcleat/internal/fakes"
 )
 
 // The registry's commands against a running box and a stand-in registry.
 func TestHandlerCommands(t *testing.T) {
-	r := standin.NewRegistry("", "")
+	r := fakes.NewRegistry("", "")
 	t.Cleanup(r.Close)
 	layer := []byte("the function")
 	d := r.Push("shop-001", map[string]string{"org.streamcleat.lanes": "2"}, [][]byte{layer}, "1.0")
--- a/cmd/streamcleat/node.go
+++ b/cmd/streamcleat/node.go
@@ -16,14 +16,14 @@
 	"github.com/spf13/cobra"
 
 	"streamcleat/control"
-	"streamcleat/frontend"
-	"streamcleat/gateway"
-	"streamcleat/netloop"
-	"streamcleat/platform"
-	"streamcleat/platform/backends"
-	"streamcleat/platform/clients"
-	"streamcleat/telemetry"
-	"streamcleat/workers"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/eventloop"
+	"streamcleat/internal/platform"
+	"streamcleat/internal/platform/downstream"
+	platformupstream "streamcleat/internal/platform/upstream"
+	"streamcleat/internal/proxy"
+	"streamcleat/internal/telemetry"
+	"streamcleat/internal/upstream"
 )
 
 func nodeCommand() *cobra.Command {
@@ -84,8 +84,8 @@
 // running is one front end of the platform in service.
 type running struct {
 	machine *platform.Machine
-	server  *netloop.Server
-	watch   *netloop.Follower
+	server  *eventloop.Server
+	watch   *eventloop.Follower
 	ready   atomic.Bool // what clients are told that ask whether to come
 	log     *slog.Logger
 }
@@ -95,7 +95,7 @@
 	dep := m.Terms.Deployment()
 	n := &running{machine: m, log: log}
 	limits := clientLimits(m, dep, n.ready.Load)
-	set := netloop.Settings{Listen: m.Listen, PeerListen: m.PeerListen, Peers: m.Peers, PeersAll: m.PeersAll}
+	set := eventloop.Settings{Listen: m.Listen, PeerListen: m.PeerListen, Peers: m.Peers, PeersAll: m.PeersAll}
 	if m.PeerListen != "" && m.Terms.Me < len(m.Peers) {
 		set.Self = m.Peers[m.Terms.Me]
 	}
@@ -103,37 +103,37 @@
 	// are closed as soon as they are accepted: 374 of 384 were seen in use with 24.
 	spare := 24 + m.Sockets/16
 	toWorkers := (m.Sockets - spare) / 3
-	set.Settings = frontend.Settings{Name: m.Name, MostConns: m.Sockets - spare - toWorkers, Evict: true, Log: log,
-		Core: gateway.Settings{Deployment: dep, Margin: 0.015, OrderLimit: m.Terms.Domain.OrderTimeoutMs / 1000,
+	set.Settings = proxy.Settings{Name: m.Name, MostConns: m.Sockets - spare - toWorkers, Evict: true, Log: log,
+		Core: dispatch.Settings{Deployment: dep, Margin: 0.015, OrderLimit: m.Terms.Domain.OrderTimeoutMs / 1000,
 			// A quarter of the memory for bodies of events that are open.
-			MostOpen: min(m.Terms.Caps.MaxOpen, int(m.MemoryMB*(1<<20)/4/(clients.BodyMost+4096))),
+			MostOpen: min(m.Terms.Caps.MaxOpen, int(m.MemoryMB*(1<<20)/4/(downstream.BodyMost+4096))),
 			Seed:     m.Seed, GiveUp: true, Untraced: true},
-		NewSession: func(t frontend.Taker, now float64) frontend.Session { return clients.NewSession(limits, t, now) },
-		NewPool: func(w frontend.Wire, s workers.Sink) frontend.Backends {
-			return backends.NewPool(backends.Limits{Dial: m.Terms.Caps.DialTimeoutMs / 1000,
+		NewSession: func(t proxy.Taker, now float64) proxy.Session { return downstream.NewSession(limits, t, now) },
+		NewPool: func(w proxy.Wire, s upstream.Sink) proxy.Backends {
+			return platformupstream.NewPool(platformupstream.Limits{Dial: m.Terms.Caps.DialTimeoutMs / 1000,
 				Idle: m.Terms.Caps.IdleCloseMs / 1000 * 0.6, Most: toWorkers, Each: max(toWorkers/20, 2),
-				Streams: max(m.Terms.Caps.MaxStreams, 1), Key: clients.KeyField}, w, s)
+				Streams: max(m.Terms.Caps.MaxStreams, 1), Key: downstream.KeyField}, w, s)
 		},
 	}
 	// An eighth of the memory for answers that clients leave unread, on all connections together.
 	set.Front.Unread = max(int(m.MemoryMB*(1<<20)/8)/set.MostConns, 64<<10)
 	set.Pool.Dial = m.Terms.Caps.DialTimeoutMs / 1000
-	offset := netloop.Now() - float64(time.Now().UnixNano())/1e9
+	offset := eventloop.Now() - float64(time.Now().UnixNano())/1e9
 	journal := m.Known
 	// The list of the start is in force before a client's first byte is read: nothing waits for the watch.
-	set.First = func(f *frontend.Front) {
+	set.First = func(f *proxy.Front) {
 		f.TakeList(journal.Listed(offset))
 		n.ready.Store(true)
 	}
 	var err error
-	if n.server, err = netloop.Start(set); err != nil {
+	if n.server, err = eventloop.Start(set); err != nil {
 		return nil, err
 	}
-	n.watch = netloop.Follow(m.Journal, journalSilent, journal.Hello, func(line []byte) error {
+	n.watch = eventloop.Follow(m.Journal, journalSilent, journal.Hello, func(line []byte) error {
 		changed, err := journal.Line(line)
 		if changed {
 			list := journal.Listed(offset)
-			n.server.On(func(f *frontend.Front) { f.TakeList(list) })
+			n.server.On(func(f *proxy.Front) { f.TakeList(list) })
 		}
 		return err
 	}, log)
@@ -174,7 +174,7 @@
 			look = t.C
 		case <-look:
 			over := false
-			err := n.server.Front(func(f *frontend.Front) {
+			err := n.server.Front(func(f *proxy.Front) {
 				switch life.At(time.Since(told).Seconds(), platform.Left{Open: !f.Quiet(), Unread: f.Unread()}) {
 				case platform.GoingAway:
 					f.NoMore()
@@ -198,7 +198,7 @@
 }
 
 // clientLimits are what requests may name: what the deployment does, and figures that some machine could bear.
-func clientLimits(m *platform.Machine, dep *control.Deployment, ready func() bool) *clients.Limits {
+func clientLimits(m *platform.Machine, dep *control.Deployment, ready func() bool) *downstream.Limits {
 	age := map[string]float64{}
 	for _, t := range dep.EventTypes {
 		age[t.Name] = t.MaxAge
@@ -207,7 +207,7 @@
 	for _, t := range dep.Tenants {
 		tenants[string(t.Name)] = true
 	}
-	return &clients.Limits{Open: 32, First: 2.5, Arrival: 2, Idle: 5,
+	return &downstream.Limits{Open: 32, First: 2.5, Arrival: 2, Idle: 5,
 		MaxAge:   func(eventType string) float64 { return age[eventType] },
 		Tenant:   func(name string) bool { return len(tenants) == 0 || tenants[name] },
 		Ready:    ready,
--- a/cmd/streamcleat/node_test.go
+++ b/cmd/streamcleat/node_test.go
@@ -13,15 +13,15 @@
 	"testing"
 	"time"
 
-	"streamcleat/netloop"
-	"streamcleat/platform"
+	"streamcleat/internal/eventloop"
+	"streamcleat/internal/platform"
 )
 
 // hall is a front end of the platform with a stand-in worker and a stand-in journal service, each on loopback.
 type hall struct {
 	t       *testing.T
 	node    *running
-	front   *netloop.Server
+	front   *eventloop.Server
 	machine *platform.Machine
 	worker  net.Listener
 	spoil   atomic.Bool // the worker's answers carry a wrong check
--- a/cmd/streamcleat/operate.go
+++ b/cmd/streamcleat/operate.go
@@ -12,9 +12,9 @@
 
 	"github.com/spf13/cobra"
 
-	"streamcleat/appliance"
-	"streamcleat/config"
-	"streamcleat/console"
+	"streamcleat/internal/appliance"
+	"streamcleat/internal/config"
+	"streamcleat/internal/console"
 )
 
 // operateCommands look at a running box and give it orders. Each screen of the console has one.
--- a/cmd/streamcleat/serve.go
+++ b/cmd/streamcleat/serve.go
@@ -9,9 +9,9 @@
 
 	"github.com/spf13/cobra"
 
-	"streamcleat/appliance"
-	"streamcleat/config"
-	"streamcleat/timers"
+	"streamcleat/internal/appliance"
+	"streamcleat/internal/config"
+	"streamcleat/internal/schedule"
 )
 
 func serveCommand() *cobra.Command {
@@ -62,13 +62,13 @@
 	})
 }
 
-func readCrontab(path string) ([]timers.Entry, error) {
+func readCrontab(path string) ([]schedule.Entry, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, exit{2, fmt.Errorf("crontab: %w", err)}
 	}
 	defer file.Close()
-	entries, err := timers.Parse(file, path)
+	entries, err := schedule.Parse(file, path)
 	if err != nil {
 		return nil, exit{2, err}
 	}
--- a/cmd/streamcleat/sim.go
+++ b/cmd/streamcleat/sim.go
@@ -12,9 +12,9 @@
 
 	"github.com/spf13/cobra"
 
-	"streamcleat/console"
-	"streamcleat/referee"
-	"streamcleat/sim"
+	"streamcleat/internal/console"
+	"streamcleat/internal/invariants"
+	"streamcleat/internal/simulation"
 )
 
 // simCommand runs the program in simulated worlds.
@@ -33,9 +33,9 @@
 		if at < 1 || n < 1 {
 			return exit{2, fmt.Errorf("--seeds and --at-once must be above 0")}
 		}
-		sum := sim.NewSummary(name)
+		sum := simulation.NewSummary(name)
 		enc := json.NewEncoder(os.Stdout)
-		err := sim.Sweep(cmd.Context(), name, from, n, at, func(r *sim.Report) {
+		err := simulation.Sweep(cmd.Context(), name, from, n, at, func(r *simulation.Report) {
 			sum.Add(r)
 			if asJSON {
 				enc.Encode(r)
@@ -59,9 +59,9 @@
 }
 
 // scripted is the script of a seed, or of a file.
-func scripted(profile, arg string) (*sim.Script, error) {
+func scripted(profile, arg string) (*simulation.Script, error) {
 	if seed, err := strconv.ParseUint(arg, 10, 64); err == nil {
-		s, err := sim.Generate(profile, seed)
+		s, err := simulation.Generate(profile, seed)
 		if err != nil {
 			return nil, exit{2, err}
 		}
@@ -71,7 +71,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s, err := sim.ReadScript(data)
+	s, err := simulation.ReadScript(data)
 	if err != nil {
 		return nil, exit{2, fmt.Errorf("%s: %w", arg, err)}
 	}
@@ -106,7 +106,7 @@
 		}
 		digest, broke := "", false
 		for i := range max(times, 1) {
-			r, records, err := sim.Play(s, told)
+			r, records, err := simulation.Play(s, told)
 			if err != nil {
 				return err
 			}
@@ -125,7 +125,7 @@
 				if err != nil {
 					return err
 				}
-				if err := referee.Write(f, records); err != nil {
+				if err := invariants.Write(f, records); err != nil {
 					return err
 				}
 				if err := f.Close(); err != nil {
@@ -152,7 +152,7 @@
 		if err != nil {
 			return err
 		}
-		small, r, runs, err := sim.Shrink(s)
+		small, r, runs, err := simulation.Shrink(s)
 		if err != nil {
 			return err
 		}
@@ -173,7 +173,7 @@
 func simProfiles() *cobra.Command {
 	return &cobra.Command{Use: "profiles", Short: "What profiles there are", Args: cobra.NoArgs, RunE: func(*cobra.Command, []string) error {
 		rows := [][]string{{"PROFILE", "ABOUT"}}
-		names, abouts := sim.Profiles()
+		names, abouts := simulation.Profiles()
 		for i := range names {
 			rows = append(rows, []string{names[i], abouts[i]})
 		}
@@ -191,7 +191,7 @@
 		if depth < 1 || most < 1 {
 			return exit{2, fmt.Errorf("--depth and --states must be above 0")}
 		}
-		x := sim.Explore(depth, most)
+		x := simulation.Explore(depth, most)
 		enc := json.NewEncoder(os.Stdout)
 		enc.SetIndent("", "  ")
 		if err := enc.Encode(x); err != nil {
--- a/cmd/streamcleat/sites_test.go
+++ b/cmd/streamcleat/sites_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"streamcleat/gateway"
-	"streamcleat/platform"
-	"streamcleat/platform/clients"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/platform"
+	"streamcleat/internal/platform/downstream"
 )
 
 // settings of the two variants in deploy/sites, as a front end of theirs is told them.
@@ -29,8 +29,8 @@
 // asked counts the events that a session takes.
 type asked struct{ n int }
 
-func (a *asked) Take(uint64, gateway.Ask) { a.n++ }
-func (a *asked) HungUp(uint64)            {}
+func (a *asked) Take(uint64, dispatch.Ask) { a.n++ }
+func (a *asked) HungUp(uint64)             {}
 
 // Names and limits come from the document alone: each variant takes its own and refuses the other's and the site's.
 func TestNothingIsFittedToOneSite(t *testing.T) {
@@ -55,7 +55,7 @@
 			frame = []byte(strings.NewReplacer("\x00\x04call", string(rune(0))+string(rune(len(a.eventType)))+a.eventType,
 				"\x00\x041500", fmt.Sprintf("\x00\x04%d", a.ms), "\x00\x04acme", string(rune(0))+string(rune(len(a.tenant)))+a.tenant).Replace(string(frame)))
 			frame[3] = byte(len(frame) - 4)
-			s := clients.NewSession(limits, took, 1)
+			s := downstream.NewSession(limits, took, 1)
 			s.Feed(1, time.Time{}, frame)
 			if want := a.site == site; took.n == 1 != want {
 				t.Errorf("%s, request %d (%s of %s): taken %d times; %q", site, i, a.eventType, a.tenant, took.n, s.Output())
@@ -68,8 +68,8 @@
 func TestNoNameOfASiteIsInTheProgram(t *testing.T) {
 	names := regexp.MustCompile(`tomakomai|shop-event|kitaboshi|minato|bureau-mr|handler-workers|std-5c|eco-5c|berth|tram-signs`)
 	read := 0
-	for _, dir := range []string{"control", "deployment", "platform", "frontend", "netloop", "gateway", "workers", "cmd/streamcleat", "cmd/wirehost",
-		"wire", "telemetry"} {
+	for _, dir := range []string{"control", "internal/deployment", "internal/platform", "internal/proxy", "internal/eventloop", "internal/dispatch",
+		"internal/upstream", "cmd/streamcleat", "cmd/simadapter", "internal/simadapter", "internal/telemetry"} {
 		err := filepath.WalkDir(filepath.Join("..", "..", dir), func(path string, d os.DirEntry, err error) error {
 			if err != nil || d.IsDir() || strings.HasSuffix(path, "_test.go") || filepath.Ext(path) != ".go" {
 				return err
--- a/cmd/streamcleat/standin.go
+++ b/cmd/streamcleat/standin.go
@@ -9,9 +9,9 @@
 
 	"github.com/spf13/cobra"
 
-	"streamcleat/config"
-	"streamcleat/standin"
-	"streamcleat/timers"
+	"streamcleat/internal/config"
+	"streamcleat/internal/fakes"
+	"streamcleat/internal/schedule"
 )
 
 func standinCommand() *cobra.Command {
@@ -35,18 +35,18 @@
 			if n < 1 || n > 200 || functions < 1 {
 				return exit{2, fmt.Errorf("--count must be 1 to 200 and --functions at least 1")}
 			}
-			store := standin.NewStore(n, 4*n)
-			catalogue := standin.Catalogue(functions, 0.04, seed)
-			var all []*standin.Worker
+			store := fakes.NewStore(n, 4*n)
+			catalogue := fakes.Catalogue(functions, 0.04, seed)
+			var all []*fakes.Worker
 			for i := range n {
 				addr := "127.0.0.1:0"
 				if address != "" && n == 1 {
 					addr = address
 				}
-				w, err := standin.NewWorker(standin.Spec{Name: fmt.Sprintf("wk-%02d", i), Addr: addr, Kind: "std", Cores: cores,
+				w, err := fakes.NewWorker(fakes.Spec{Name: fmt.Sprintf("wk-%02d", i), Addr: addr, Kind: "std", Cores: cores,
 					Speed: 1, Memory: 8000, Queue: 64, LoadsAtOnce: 4, Keep: 9, ColdShare: 0.29, WarmWithin: 16, FallFactor: 2.5,
 					FallWindow: 1.5, LoadsOnEvent: onEvent, MeanWork: 0.04, Functions: catalogue, Store: store,
-					Drops: standin.NewMemory(60), Keyed: map[string]bool{"till-entry": true}, Seed: seed + uint64(i)})
+					Drops: fakes.NewMemory(60), Keyed: map[string]bool{"till-entry": true}, Seed: seed + uint64(i)})
 				if err != nil {
 					return err
 				}
@@ -55,7 +55,7 @@
 				fmt.Printf("worker %s listens on %s\n", w.Name(), w.Addr())
 			}
 			if list != "" {
-				if _, err := standin.NewList(list, nil, all); err != nil {
+				if _, err := fakes.NewList(list, nil, all); err != nil {
 					return err
 				}
 			}
@@ -88,14 +88,14 @@
 			if err != nil {
 				return err
 			}
-			c := &timers.Client{Source: source, Fronts: fronts, Repeat: repeat, MaxAge: 4 * time.Second,
+			c := &schedule.Client{Source: source, Fronts: fronts, Repeat: repeat, MaxAge: 4 * time.Second,
 				Log:  config.Default().Logger(os.Stderr),
 				HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
 			if once { // every entry now, for the minute that it last was due
 				failed := 0
 				for i := range entries {
 					now := time.Now().Truncate(time.Minute)
-					f := timers.Firing{Entry: &entries[i], Due: now, ID: timers.ID(&entries[i], now)}
+					f := schedule.Firing{Entry: &entries[i], Due: now, ID: schedule.ID(&entries[i], now)}
 					o := c.Fire(context.WithoutCancel(cmd.Context()), f)
 					fmt.Printf("%s status %d after %.0f ms\n", f.ID, o.Status, o.Took.Seconds()*1000)
 					if o.Status != http.StatusOK {
@@ -107,7 +107,7 @@
 				}
 				return nil
 			}
-			c.Run(cmd.Context(), timers.NewPlan(entries, time.Now()), time.Now, time.Until)
+			c.Run(cmd.Context(), schedule.NewPlan(entries, time.Now()), time.Now, time.Until)
 			return nil
 		},
 	}
--- a/appliance/api.go
+++ b/internal/appliance/api.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"streamcleat/control"
-	"streamcleat/gateway"
-	"streamcleat/timers"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/schedule"
 )
 
 // writer is the console that gives orders now; others are told of it.
@@ -88,21 +88,21 @@
 
 // Event is one event, open or lately ended.
 type Event struct {
-	ID       string         `json:"id"`
-	Source   string         `json:"source"`
-	Type     string         `json:"type"`
-	Function string         `json:"function"`
-	Tenant   string         `json:"tenant,omitempty"`
-	Open     bool           `json:"open"`
-	Outcome  string         `json:"outcome,omitempty"`
-	Cause    string         `json:"cause,omitempty"`
-	Worker   string         `json:"worker,omitempty"`
-	Launches int            `json:"launches"`
-	Ago      float64        `json:"ago_s"`            // since it came in
-	Took     float64        `json:"took_s,omitempty"` // to its end
-	Left     float64        `json:"left_s,omitempty"` // of its client's time
-	Steps    []gateway.Step `json:"steps,omitempty"`
-	Front    string         `json:"front_end"`
+	ID       string          `json:"id"`
+	Source   string          `json:"source"`
+	Type     string          `json:"type"`
+	Function string          `json:"function"`
+	Tenant   string          `json:"tenant,omitempty"`
+	Open     bool            `json:"open"`
+	Outcome  string          `json:"outcome,omitempty"`
+	Cause    string          `json:"cause,omitempty"`
+	Worker   string          `json:"worker,omitempty"`
+	Launches int             `json:"launches"`
+	Ago      float64         `json:"ago_s"`            // since it came in
+	Took     float64         `json:"took_s,omitempty"` // to its end
+	Left     float64         `json:"left_s,omitempty"` // of its client's time
+	Steps    []dispatch.Step `json:"steps,omitempty"`
+	Front    string          `json:"front_end"`
 }
 
 // Timer is one entry of the crontab.
@@ -340,7 +340,7 @@
 
 func (b *Box) timerOrder(o Order) (string, error) {
 	b.mu.Lock()
-	var entry *timers.Entry
+	var entry *schedule.Entry
 	var names []string
 	for i := range b.list {
 		if key := b.list[i].Key(); key == o.Target || strings.Contains(key, o.Target) && o.Target != "" {
@@ -370,8 +370,8 @@
 	}
 	b.mu.Unlock()
 	due := time.Now().Truncate(time.Minute)
-	f := timers.Firing{Entry: entry, Due: due, ID: timers.ID(entry, due)}
-	if err := b.fire([]timers.Firing{f}); err != nil {
+	f := schedule.Firing{Entry: entry, Due: due, ID: schedule.ID(entry, due)}
+	if err := b.fire([]schedule.Firing{f}); err != nil {
 		return "", err
 	}
 	return "fired " + f.ID, nil
@@ -431,7 +431,7 @@
 	at := map[string]int{}
 	for _, f := range b.serving() {
 		ordered := f.Drained()
-		f.Do(func(c *gateway.Core) {
+		f.Do(func(c *dispatch.Core) {
 			views, _ := c.Believed()
 			for _, v := range views {
 				i, known := at[string(v.ID)]
@@ -465,7 +465,7 @@
 	list := []Handler{}
 	at := map[string]int{}
 	for _, f := range b.serving() {
-		f.Do(func(c *gateway.Core) {
+		f.Do(func(c *dispatch.Core) {
 			_, views := c.Believed()
 			for _, v := range views {
 				i, known := at[string(v.ID)]
@@ -495,7 +495,7 @@
 func (b *Box) events(most int) []Event {
 	var list []Event
 	for _, f := range b.serving() {
-		f.Do(func(c *gateway.Core) {
+		f.Do(func(c *dispatch.Core) {
 			for _, t := range c.Open() {
 				list = append(list, shown(&t, f.Addr()))
 			}
@@ -522,9 +522,9 @@
 
 func (b *Box) explain(id string) (any, error) {
 	for _, f := range b.serving() {
-		var t gateway.Trace
+		var t dispatch.Trace
 		found := false
-		f.Do(func(c *gateway.Core) { t, found = c.Explain(id) })
+		f.Do(func(c *dispatch.Core) { t, found = c.Explain(id) })
 		if found {
 			e := shown(&t, f.Addr())
 			e.Steps = t.Steps
@@ -534,7 +534,7 @@
 	return nil, refusal{http.StatusNotFound, fmt.Sprintf("no event %q is open or ended lately", id)}
 }
 
-func shown(t *gateway.Trace, front string) Event {
+func shown(t *dispatch.Trace, front string) Event {
 	now := netNow()
 	e := Event{ID: t.Identity.ID, Source: t.Identity.Source, Type: t.Type, Function: t.Function, Tenant: t.Tenant, Open: t.Open,
 		Ago: now - t.Began, Front: front}
--- a/appliance/box.go
+++ b/internal/appliance/box.go
@@ -15,13 +15,13 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"streamcleat/config"
-	"streamcleat/durable"
-	"streamcleat/frontend"
-	"streamcleat/gateway"
-	"streamcleat/netloop"
-	"streamcleat/telemetry"
-	"streamcleat/timers"
+	"streamcleat/internal/config"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/eventloop"
+	"streamcleat/internal/proxy"
+	"streamcleat/internal/schedule"
+	"streamcleat/internal/storage"
+	"streamcleat/internal/telemetry"
 )
 
 // Box is one running process. It carries out what Life, Chores and the timers' plan decide.
@@ -30,25 +30,25 @@
 	log     *slog.Logger
 	began   time.Time
 	moves   chan move
-	fronts  []*netloop.Server
-	byAddr  map[string]*netloop.Server
+	fronts  []*eventloop.Server
+	byAddr  map[string]*eventloop.Server
 	addrs   []string
-	store   *durable.Store
-	found   *durable.Found
+	store   *storage.Store
+	found   *storage.Found
 	teller  *telemetry.Teller
 	closers []func() error
 	ready   func(addrs []string)
 	hushed  func() error // closes the console's socket
 	err     error
 
-	reg registry
+	reg functionRegistry
 
 	mu     sync.Mutex
 	life   Life
 	chores *Chores
-	plan   *timers.Plan
+	plan   *schedule.Plan
 	tab    []byte // the crontab's text
-	list   []timers.Entry
+	list   []schedule.Entry
 	held   map[string]bool      // timer entries that a console holds
 	fired  map[string]time.Time // by entry: the last minute fired for
 	hold   bool                 // no timer fires
@@ -101,8 +101,8 @@
 // Run runs a box until it is stopped; ctx ending asks it to stop in order, and hurry makes it stop now. ready is
 // called with the front ends' addresses once it serves; it may be nil.
 func Run(ctx context.Context, cfg *config.Config, log *slog.Logger, hurry <-chan struct{}, ready func([]string)) error {
-	b := &Box{cfg: cfg, log: log, began: time.Now(), moves: make(chan move, 64), byAddr: map[string]*netloop.Server{},
-		held: map[string]bool{}, fired: map[string]time.Time{}, hold: true, ready: ready, found: &durable.Found{Fresh: true}}
+	b := &Box{cfg: cfg, log: log, began: time.Now(), moves: make(chan move, 64), byAddr: map[string]*eventloop.Server{},
+		held: map[string]bool{}, fired: map[string]time.Time{}, hold: true, ready: ready, found: &storage.Found{Fresh: true}}
 	b.ended.latency = hdrhistogram.New(1, 60_000_000, 2)
 	stop := make(chan struct{})
 	defer close(stop)
@@ -236,8 +236,8 @@
 func (b *Box) open() {
 	if b.cfg.State != nil {
 		var err error
-		b.store, b.found, err = durable.OpenStore(b.cfg.Path(b.cfg.State.Dir),
-			durable.Options{Remember: b.cfg.Limits.Remember, Log: b.log})
+		b.store, b.found, err = storage.OpenStore(b.cfg.Path(b.cfg.State.Dir),
+			storage.Options{Remember: b.cfg.Limits.Remember, Log: b.log})
 		if err != nil {
 			b.fail(err)
 			return
@@ -338,7 +338,7 @@
 		}
 		core := c.Core(rand.Uint64())
 		core.Bind, core.MayRun = b.bind, b.reg.mayRun
-		set := netloop.Settings{Listen: addr, WorkersFile: c.Path(c.Workers.File), Settings: frontend.Settings{Name: name, Core: core,
+		set := eventloop.Settings{Listen: addr, WorkersFile: c.Path(c.Workers.File), Settings: proxy.Settings{Name: name, Core: core,
 			Pool: c.Pool(name), Front: c.Front(), MostConns: c.Limits.Connections, Log: b.log, Kept: b.found.Events, Known: b.found.Known,
 			Ended: b.note, KeepWithin: c.Limits.Margin / 2}}
 		if b.store != nil {
@@ -352,7 +352,7 @@
 				}
 			}
 		}
-		f, err := netloop.Start(set)
+		f, err := eventloop.Start(set)
 		if err != nil {
 			return err
 		}
@@ -385,7 +385,7 @@
 	if b.plan != nil && bytes.Equal(data, b.tab) {
 		return nil
 	}
-	list, err := timers.Parse(bytes.NewReader(data), path)
+	list, err := schedule.Parse(bytes.NewReader(data), path)
 	if err != nil {
 		return err
 	}
@@ -396,7 +396,7 @@
 	}
 	// An entry that is new plans from now; one that stays goes on from its last minute.
 	b.tab, b.list = data, list
-	b.plan = timers.Resume(list, b.fired, time.Now())
+	b.plan = schedule.Resume(list, b.fired, time.Now())
 	return nil
 }
 
@@ -415,7 +415,7 @@
 	all := true
 	for _, f := range b.serving() {
 		one := false
-		err := f.Do(func(c *gateway.Core) {
+		err := f.Do(func(c *dispatch.Core) {
 			_, functions := c.Believed()
 			for _, x := range functions {
 				one = one || string(x.ID) == id && len(x.Warm) > 0
@@ -454,11 +454,11 @@
 	b.mu.Unlock()
 	span := time.Duration(b.cfg.Workers.KeepWarm / 2 * float64(time.Second))
 	orders := 0
-	for _, f := range timers.Soon(list, time.Now(), span) {
+	for _, f := range schedule.Soon(list, time.Now(), span) {
 		if held[f.Entry.Key()] {
 			continue
 		}
-		ordered, err := b.byAddr[timers.Ranked(b.addrs, f.ID)[0]].Ahead(f.Entry.Type, f.Entry.Function)
+		ordered, err := b.byAddr[schedule.Ranked(b.addrs, f.ID)[0]].Ahead(f.Entry.Type, f.Entry.Function)
 		if err != nil {
 			return err
 		}
@@ -474,20 +474,20 @@
 
 // take begins an event of the box itself at the front end that a timer client of the same crontab would ask. A
 // deferred one is tried again until its time is over.
-func (b *Box) take(ask gateway.Ask, until time.Time, tries int) {
-	front := b.byAddr[timers.Ranked(b.addrs, ask.ID)[0]]
-	err := front.Take(ask, func(a gateway.Answer) {
+func (b *Box) take(ask dispatch.Ask, until time.Time, tries int) {
+	front := b.byAddr[schedule.Ranked(b.addrs, ask.ID)[0]]
+	err := front.Take(ask, func(a dispatch.Answer) {
 		switch {
-		case a.Cause == gateway.Stopping && a.Kind == gateway.Deferred: // it goes on at the restart
+		case a.Cause == dispatch.Stopping && a.Kind == dispatch.Deferred: // it goes on at the restart
 			return
-		case a.Kind == gateway.Deferred:
-			pause, again := timers.Again(until, time.Now(), tries, time.Duration(a.Pause*float64(time.Second)))
+		case a.Kind == dispatch.Deferred:
+			pause, again := schedule.Again(until, time.Now(), tries, time.Duration(a.Pause*float64(time.Second)))
 			if again {
 				time.AfterFunc(pause, func() { b.take(ask, until, tries+1) })
 				return
 			}
 		}
-		if a.Kind != gateway.Handled {
+		if a.Kind != dispatch.Handled {
 			b.log.Error("a timer's event was not handled", "event", ask.Identity.String(), "outcome", a.Kind.String(), "cause",
 				a.Cause.String(), "tries", tries)
 		}
@@ -509,11 +509,11 @@
 	for {
 		b.mu.Lock()
 		stopped, plan := b.hold, b.plan
-		var due []timers.Firing
+		var due []schedule.Firing
 		if !stopped {
 			due = plan.Due(time.Now())
 		}
-		var fire []timers.Firing
+		var fire []schedule.Firing
 		for _, f := range due {
 			if b.held[f.Entry.Key()] {
 				b.log.Info("not fired: the entry is held", "event", f.ID)
@@ -546,10 +546,10 @@
 	return "/timers/" + b.cfg.Name
 }
 
-func (b *Box) fire(list []timers.Firing) error {
-	var notes []durable.Firing
+func (b *Box) fire(list []schedule.Firing) error {
+	var notes []storage.Firing
 	for _, f := range list {
-		notes = append(notes, durable.Firing{Entry: f.Entry.Key(), Due: f.Due, Until: f.Until(), Ask: ask(b.source(), f)})
+		notes = append(notes, storage.Firing{Entry: f.Entry.Key(), Due: f.Due, Until: f.Until(), Ask: ask(b.source(), f)})
 	}
 	if b.store != nil {
 		if err := b.store.Fired(notes); err != nil {
@@ -567,35 +567,35 @@
 	return nil
 }
 
-func ask(source string, f timers.Firing) gateway.Ask {
+func ask(source string, f schedule.Firing) dispatch.Ask {
 	e := f.Entry
-	fields := []gateway.Field{{Name: "ce-specversion", Value: "1.0"}, {Name: "ce-source", Value: source},
+	fields := []dispatch.Field{{Name: "ce-specversion", Value: "1.0"}, {Name: "ce-source", Value: source},
 		{Name: "ce-id", Value: f.ID}, {Name: "ce-type", Value: e.Type}, {Name: "ce-time", Value: f.Due.UTC().Format(time.RFC3339)},
 		{Name: "ce-function", Value: e.Function}}
 	if e.Tenant != "" {
-		fields = append(fields, gateway.Field{Name: "ce-tenant", Value: e.Tenant})
+		fields = append(fields, dispatch.Field{Name: "ce-tenant", Value: e.Tenant})
 	}
 	if len(e.Data) > 0 {
-		fields = append(fields, gateway.Field{Name: "Content-Type", Value: "application/json"})
+		fields = append(fields, dispatch.Field{Name: "Content-Type", Value: "application/json"})
 	}
-	return gateway.Ask{Identity: gateway.Identity{Source: source, ID: f.ID}, Type: e.Type, Tenant: e.Tenant,
+	return dispatch.Ask{Identity: dispatch.Identity{Source: source, ID: f.ID}, Type: e.Type, Tenant: e.Tenant,
 		Function: e.Function, Wait: e.Wait.Seconds(), Fields: fields, Body: e.Data}
 }
 
 // note takes each ended event, on its front end's loop.
-func (b *Box) note(a gateway.Answer, t *gateway.Trace) {
+func (b *Box) note(a dispatch.Answer, t *dispatch.Trace) {
 	b.teller.Ended(a, t)
 	b.reg.seen(a)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := &b.ended.now
 	switch a.Kind {
-	case gateway.Handled:
+	case dispatch.Handled:
 		s.Handled++
 		b.ended.latency.RecordValue(max(int64(a.After*1e6), 1))
-	case gateway.Deferred:
+	case dispatch.Deferred:
 		s.Deferred++
-	case gateway.DeadLettered:
+	case dispatch.DeadLettered:
 		s.DeadLettered++
 	}
 }
@@ -635,10 +635,10 @@
 	return float64(open) / float64(max(b.cfg.Limits.Open*len(b.cfg.Listen), 1))
 }
 
-func (b *Box) serving() []*netloop.Server {
+func (b *Box) serving() []*eventloop.Server {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return append([]*netloop.Server(nil), b.fronts...)
+	return append([]*eventloop.Server(nil), b.fronts...)
 }
 
 func (b *Box) slice() {
@@ -673,7 +673,7 @@
 			err = b.prepare(at.Add(time.Duration(budget * float64(time.Second))))
 		}
 	case "tick":
-		var known []gateway.Known
+		var known []dispatch.Known
 		for _, f := range b.serving() {
 			known = append(known, f.Knows()...)
 		}
@@ -714,4 +714,4 @@
 	return g
 }
 
-func netNow() float64 { return netloop.Now() }
+func netNow() float64 { return eventloop.Now() }
--- a/appliance/box_test.go
+++ b/internal/appliance/box_test.go
@@ -15,17 +15,17 @@
 	"testing"
 	"time"
 
-	"streamcleat/config"
-	"streamcleat/referee"
-	"streamcleat/standin"
-	"streamcleat/timers"
+	"streamcleat/internal/config"
+	"streamcleat/internal/fakes"
+	"streamcleat/internal/invariants"
+	"streamcleat/internal/schedule"
 )
 
 // running is a box in this process, with stand-in workers.
 type running struct {
 	t       *testing.T
 	dir     string
-	workers []*standin.Worker
+	workers []*fakes.Worker
 	addr    string
 	addrs   []string
 	listen  string // two front ends where it says so
@@ -57,12 +57,12 @@
 	return newRunningWith(t, n, crontab, nil)
 }
 
-func newRunningWith(t *testing.T, n int, crontab string, tape *referee.Tape) *running {
+func newRunningWith(t *testing.T, n int, crontab string, tape *invariants.Tape) *running {
 	r := &running{t: t, dir: t.TempDir()}
-	fns := []standin.Function{{Name: "tally", Memory: 100, Lanes: 4, Fetch: 0.02, Begin: 0.01, Work: 0.03}}
+	fns := []fakes.Function{{Name: "tally", Memory: 100, Lanes: 4, Fetch: 0.02, Begin: 0.01, Work: 0.03}}
 	for i := range n {
-		w, err := standin.NewWorker(standin.Spec{Name: fmt.Sprintf("wk-%d", i), Cores: 4, Speed: 1, Memory: 1000, Queue: 50, LoadsAtOnce: 4,
-			Keep: 20, Functions: fns, Store: standin.NewStore(8, 32), MeanWork: 0.03, Seed: uint64(i),
+		w, err := fakes.NewWorker(fakes.Spec{Name: fmt.Sprintf("wk-%d", i), Cores: 4, Speed: 1, Memory: 1000, Queue: 50, LoadsAtOnce: 4,
+			Keep: 20, Functions: fns, Store: fakes.NewStore(8, 32), MeanWork: 0.03, Seed: uint64(i),
 			Tape: tape})
 		if err != nil {
 			t.Fatal(err)
@@ -70,7 +70,7 @@
 		t.Cleanup(w.Close)
 		r.workers = append(r.workers, w)
 	}
-	if _, err := standin.NewList(filepath.Join(r.dir, "workers.json"), tape, r.workers); err != nil {
+	if _, err := fakes.NewList(filepath.Join(r.dir, "workers.json"), tape, r.workers); err != nil {
 		t.Fatal(err)
 	}
 	if err := os.WriteFile(filepath.Join(r.dir, "crontab"), []byte(crontab), 0o644); err != nil {
@@ -158,9 +158,9 @@
 	return resp.StatusCode, string(data)
 }
 
-func (r *running) fire(kind, id string) timers.Outcome {
-	c := &timers.Client{Source: "/t", Fronts: []string{r.addr}, HTTP: &http.Client{Transport: &http.Transport{}}, MaxAge: 1500 * time.Millisecond}
-	return c.Fire(context.Background(), timers.Firing{Entry: &timers.Entry{Type: kind, Function: "tally"}, ID: id})
+func (r *running) fire(kind, id string) schedule.Outcome {
+	c := &schedule.Client{Source: "/t", Fronts: []string{r.addr}, HTTP: &http.Client{Transport: &http.Transport{}}, MaxAge: 1500 * time.Millisecond}
+	return c.Fire(context.Background(), schedule.Firing{Entry: &schedule.Entry{Type: kind, Function: "tally"}, ID: id})
 }
 
 func (r *running) wait(what string, is func() bool) {
@@ -181,7 +181,7 @@
 	if o := r.fire("again", "warm"); o.Status != 200 {
 		t.Fatal(o)
 	}
-	r.workers[0].Inject(standin.Fault{Kind: "hang"})
+	r.workers[0].Inject(fakes.Fault{Kind: "hang"})
 	for _, entry := range []string{"again/tally", "once/tally"} {
 		if status, said := r.order(`{"order":"fire","target":"` + entry + `","console":"a"}`); status != 200 {
 			t.Fatal(said)
@@ -195,7 +195,7 @@
 	if !r.log.has("a timer's event was not handled") || !r.log.has("outcome=dead-lettered") {
 		t.Error("what may have run and must not run again was not reported")
 	}
-	r.workers[0].Inject(standin.Fault{Kind: "hang", For: 1e-9})
+	r.workers[0].Inject(fakes.Fault{Kind: "hang", For: 1e-9})
 	r.start()
 	r.wait("the redeliverable one is handled", func() bool { return r.status().Totals["handled"] == 1 })
 	if r.log.has("once/tally") {
@@ -263,8 +263,8 @@
 		r := newRunning(t, 1, "")
 		r.start()
 		r.fire("again", "warm")
-		r.workers[0].Inject(standin.Fault{Kind: "stall", For: 0.6})
-		out := make(chan timers.Outcome)
+		r.workers[0].Inject(fakes.Fault{Kind: "stall", For: 0.6})
+		out := make(chan schedule.Outcome)
 		go func() { out <- r.fire("again", "open") }()
 		r.wait("it is out", func() bool { return r.status().Out == 1 })
 		r.stop()
--- a/appliance/campaign_test.go
+++ b/internal/appliance/campaign_test.go
@@ -13,21 +13,21 @@
 	"github.com/cockroachdb/pebble/v2/vfs/errorfs"
 
 	"streamcleat/control"
-	"streamcleat/durable"
-	"streamcleat/gateway"
-	"streamcleat/timers"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/schedule"
+	"streamcleat/internal/storage"
 )
 
 var campaignSeeds = flag.Int("campaign", 2, "seeds of the crash campaign, each with every write")
 
 // outsideWorld is what a killed box can't take back: what workers did and what clients heard.
 type outsideWorld struct {
-	ran     map[gateway.Identity]int
-	known   map[gateway.Identity]bool // keyed events that the workers remember
-	types   map[gateway.Identity]string
-	final   map[gateway.Identity]gateway.Kind
-	minutes map[gateway.Identity]bool // timer minutes that came due
-	lost    map[gateway.Identity]bool // reported as dead-lettered
+	ran     map[dispatch.Identity]int
+	known   map[dispatch.Identity]bool // keyed events that the workers remember
+	types   map[dispatch.Identity]string
+	final   map[dispatch.Identity]dispatch.Kind
+	minutes map[dispatch.Identity]bool // timer minutes that came due
+	lost    map[dispatch.Identity]bool // reported as dead-lettered
 	twice   string
 	flights []flight  // launches that have left: a worker runs them though the box that sent them is dead
 	reached time.Time // up to here a plan was asked
@@ -41,7 +41,7 @@
 
 type flight struct {
 	from *boxLife
-	x    gateway.Launch
+	x    dispatch.Launch
 }
 
 // boxLife is one process of the box, down to the order of its writes: the real core, plan and store, on a disk that can
@@ -49,25 +49,25 @@
 type boxLife struct {
 	w      *outsideWorld
 	dead   *atomic.Bool
-	store  *durable.Store
-	core   *gateway.Core
-	plan   *timers.Plan
+	store  *storage.Store
+	core   *dispatch.Core
+	plan   *schedule.Plan
 	m      *machineClock // the machine's clock
-	askers map[gateway.Asker]gateway.Identity
-	own    map[gateway.Identity]bool
-	next   gateway.Asker
-	notes  []gateway.Note
+	askers map[dispatch.Asker]dispatch.Identity
+	own    map[dispatch.Identity]bool
+	next   dispatch.Asker
+	notes  []dispatch.Note
 	after  []func()
-	asks   map[gateway.Identity]gateway.Ask
-	again  []gateway.Ask // of the box's own, deferred
-	orders []gateway.Order
+	asks   map[dispatch.Identity]dispatch.Ask
+	again  []dispatch.Ask // of the box's own, deferred
+	orders []dispatch.Order
 }
 
-func (l *boxLife) Answer(to gateway.Asker, a gateway.Answer) {
+func (l *boxLife) Answer(to dispatch.Asker, a dispatch.Answer) {
 	id := l.askers[to]
 	tell := func() {
-		if a.Kind != gateway.Deferred {
-			if was, ok := l.w.final[id]; ok && was == gateway.Handled && a.Kind != gateway.Handled {
+		if a.Kind != dispatch.Deferred {
+			if was, ok := l.w.final[id]; ok && was == dispatch.Handled && a.Kind != dispatch.Handled {
 				l.w.twice = fmt.Sprintf("%v: %s after it was handled", id, a.Kind)
 			}
 			l.w.final[id] = a.Kind
@@ -84,7 +84,7 @@
 		tell()
 	}
 }
-func (l *boxLife) Launch(x gateway.Launch) {
+func (l *boxLife) Launch(x dispatch.Launch) {
 	send := func() { l.w.flights = append(l.w.flights, flight{l, x}) }
 	if x.Firm {
 		l.after = append(l.after, send)
@@ -92,13 +92,13 @@
 		send()
 	}
 }
-func (l *boxLife) Load(o gateway.Order)                 { l.orders = append(l.orders, o) }
-func (l *boxLife) Abandon(uint64)                       {}
-func (l *boxLife) Withdraw(uint64) bool                 { return false }
-func (l *boxLife) Tell([]byte)                          {}
-func (l *boxLife) Keep(n gateway.Note)                  { l.notes = append(l.notes, n) }
-func (l *boxLife) Ended(gateway.Answer, *gateway.Trace) {}
-func (l *boxLife) now() float64                         { return 1000 + l.m.now() }
+func (l *boxLife) Load(o dispatch.Order)                  { l.orders = append(l.orders, o) }
+func (l *boxLife) Abandon(uint64)                         {}
+func (l *boxLife) Withdraw(uint64) bool                   { return false }
+func (l *boxLife) Tell([]byte)                            {}
+func (l *boxLife) Keep(n dispatch.Note)                   { l.notes = append(l.notes, n) }
+func (l *boxLife) Ended(dispatch.Answer, *dispatch.Trace) {}
+func (l *boxLife) now() float64                           { return 1000 + l.m.now() }
 func wallOf(m float64) time.Time {
 	return time.Unix(1_800_000_000, 0).Add(time.Duration(m * float64(time.Second)))
 }
@@ -126,7 +126,7 @@
 	}
 }
 
-func (l *boxLife) take(ask gateway.Ask) {
+func (l *boxLife) take(ask dispatch.Ask) {
 	if l.dead.Load() {
 		return
 	}
@@ -163,19 +163,19 @@
 		switch {
 		case f.from != l || l.dead.Load(): // nobody is there to hear of it
 		case rng.IntN(6) == 0:
-			l.core.Launched(l.now(), x.Job, gateway.Reply{Result: control.Broken})
+			l.core.Launched(l.now(), x.Job, dispatch.Reply{Result: control.Broken})
 		default:
-			l.core.Launched(l.now(), x.Job, gateway.Reply{Result: control.Handled, Body: []byte("ok")})
+			l.core.Launched(l.now(), x.Job, dispatch.Reply{Result: control.Handled, Body: []byte("ok")})
 		}
 		l.settle()
 	}
 }
 
-func begin(t *testing.T, w *outsideWorld, fs vfs.FS, m *machineClock, dead *atomic.Bool, entries []timers.Entry, from time.Time) *boxLife {
-	l := &boxLife{w: w, dead: dead, m: m, askers: map[gateway.Asker]gateway.Identity{}, own: map[gateway.Identity]bool{},
-		asks: map[gateway.Identity]gateway.Ask{}}
-	store, found, err := durable.OpenStore("state", durable.Options{FS: fs, Remember: 600,
-		Clock: func() durable.Stamp { return durable.Stamp{Boot: "a", Up: m.now()} }})
+func begin(t *testing.T, w *outsideWorld, fs vfs.FS, m *machineClock, dead *atomic.Bool, entries []schedule.Entry, from time.Time) *boxLife {
+	l := &boxLife{w: w, dead: dead, m: m, askers: map[dispatch.Asker]dispatch.Identity{}, own: map[dispatch.Identity]bool{},
+		asks: map[dispatch.Identity]dispatch.Ask{}}
+	store, found, err := storage.OpenStore("state", storage.Options{FS: fs, Remember: 600,
+		Clock: func() storage.Stamp { return storage.Stamp{Boot: "a", Up: m.now()} }})
 	if err != nil {
 		if dead.Load() {
 			return nil
@@ -187,13 +187,13 @@
 		ColdShare: 0.3, WarmWithin: 10, FallFactor: 2.5, FallWindow: 1.5, EventTypes: []control.EventType{{Name: "again", TargetTime: 2, MaxAge: 4},
 			{Name: "keyed", TargetTime: 2, MaxAge: 4, Repeat: control.Keyed, Remembered: 300},
 			{Name: "once", TargetTime: 2, MaxAge: 4, Repeat: control.AtMostOnce}}}
-	l.core = gateway.New(gateway.Settings{Deployment: dep, Functions: func(string) gateway.Function { return gateway.Function{Lanes: 8} },
+	l.core = dispatch.New(dispatch.Settings{Deployment: dep, Functions: func(string) dispatch.Function { return dispatch.Function{Lanes: 8} },
 		Margin: 0.05, OrderLimit: 5, MostOpen: 1000, Remember: 600, RememberMost: 1 << 20, Seed: 9}, l, l.now())
 	for _, a := range l.core.Restore(l.now(), found.Events) {
 		w.lost[a.Identity] = true
 	}
 	l.core.Workers(l.now(), true, []control.Worker{{ID: "wk-a", Size: 1}, {ID: "wk-b", Size: 1}})
-	l.plan = timers.Resume(entries, found.Fired, from)
+	l.plan = schedule.Resume(entries, found.Fired, from)
 	for _, o := range found.Own {
 		l.own[o.Ask.Identity] = true
 		l.take(o.Ask)
@@ -202,7 +202,7 @@
 }
 
 // step is a minute of the box: what is due fires, clients ask, time passes, the workers work.
-func (l *boxLife) step(rng *rand.Rand, clients []gateway.Ask) {
+func (l *boxLife) step(rng *rand.Rand, clients []dispatch.Ask) {
 	l.m.add(60)
 	l.fire()
 	for _, c := range clients {
@@ -224,13 +224,13 @@
 	if l.w.reached = wallOf(l.m.now()); l.dead.Load() {
 		return
 	}
-	var fire []durable.Firing
+	var fire []storage.Firing
 	for _, f := range l.plan.Due(wallOf(l.m.now())) {
 		a := ask("/own", f)
 		l.w.types[a.Identity] = a.Type
 		l.w.minutes[a.Identity] = true
 		l.own[a.Identity] = true
-		fire = append(fire, durable.Firing{Entry: f.Entry.Key(), Due: f.Due, Until: f.Until(), Ask: a})
+		fire = append(fire, storage.Firing{Entry: f.Entry.Key(), Due: f.Due, Until: f.Until(), Ask: a})
 	}
 	if len(fire) > 0 && l.store.Fired(fire) == nil && !l.dead.Load() {
 		for _, f := range fire {
@@ -241,12 +241,12 @@
 
 // campaign kills the box at one write and starts it again; it returns how many writes the whole run makes.
 func campaign(t *testing.T, at int64, seed uint64) int64 {
-	entries, err := timers.Parse(strings.NewReader("MISFIRE=all\n* * * * * again f\n* * * * * keyed f\n* * * * * once f\n"), "tab")
+	entries, err := schedule.Parse(strings.NewReader("MISFIRE=all\n* * * * * again f\n* * * * * keyed f\n* * * * * once f\n"), "tab")
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &outsideWorld{ran: map[gateway.Identity]int{}, known: map[gateway.Identity]bool{}, types: map[gateway.Identity]string{},
-		final: map[gateway.Identity]gateway.Kind{}, minutes: map[gateway.Identity]bool{}, lost: map[gateway.Identity]bool{}}
+	w := &outsideWorld{ran: map[dispatch.Identity]int{}, known: map[dispatch.Identity]bool{}, types: map[dispatch.Identity]string{},
+		final: map[dispatch.Identity]dispatch.Kind{}, minutes: map[dispatch.Identity]bool{}, lost: map[dispatch.Identity]bool{}}
 	rng := rand.New(rand.NewPCG(seed, 11))
 	mem := vfs.NewCrashableMem()
 	var writes atomic.Int64
@@ -262,9 +262,9 @@
 	m := &machineClock{}
 	from := wallOf(0)
 	box := begin(t, w, fs, m, &dead, entries, from)
-	var clients []gateway.Ask
+	var clients []dispatch.Ask
 	for i := range 12 {
-		clients = append(clients, gateway.Ask{Identity: gateway.Identity{Source: "/till", ID: fmt.Sprint(i)}, Function: "f",
+		clients = append(clients, dispatch.Ask{Identity: dispatch.Identity{Source: "/till", ID: fmt.Sprint(i)}, Function: "f",
 			Type: []string{"again", "keyed", "once"}[i%3]})
 	}
 	revive := func() {
@@ -312,11 +312,11 @@
 	// No minute may be missing, also one that came due while the box was down.
 	for minute := from.Truncate(time.Minute).Add(time.Minute); !minute.After(w.reached); minute = minute.Add(time.Minute) {
 		for i := range entries {
-			id := gateway.Identity{Source: "/own", ID: timers.ID(&entries[i], minute)}
+			id := dispatch.Identity{Source: "/own", ID: schedule.ID(&entries[i], minute)}
 			if _, done := w.final[id]; !w.minutes[id] && w.ran[id] == 0 && !done {
 				t.Fatalf("%s: minute %v never fired", where, id)
 			}
-			if w.ran[id] == 0 && w.final[id] != gateway.DeadLettered {
+			if w.ran[id] == 0 && w.final[id] != dispatch.DeadLettered {
 				t.Fatalf("%s: minute %v never ran, and nobody was told: final %v", where, id, w.final)
 			}
 		}
--- a/appliance/registry.go
+++ b/internal/appliance/registry.go
@@ -14,24 +14,24 @@
 	lru "github.com/hashicorp/golang-lru/v2"
 	"github.com/opencontainers/go-digest"
 
-	"streamcleat/durable"
-	"streamcleat/gateway"
-	"streamcleat/handlers"
-	"streamcleat/handlers/trust"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/registry"
+	"streamcleat/internal/registry/signing"
+	"streamcleat/internal/storage"
 )
 
-// registry is the box's registry of functions, shared by its front ends; its audit trail is on disk before a change
+// functionRegistry is the box's registry of functions, shared by its front ends; its audit trail is on disk before a change
 // is in force.
-type registry struct {
+type functionRegistry struct {
 	mu    sync.Mutex
-	reg   *handlers.Registry
-	store *durable.Store
+	reg   *registry.Registry
+	store *storage.Store
 	asked map[string]int  // events by function since the start
-	pacer *handlers.Pacer // a release under way; a restart ends it where it is
+	pacer *registry.Pacer // a release under way; a restart ends it where it is
 	who   string          // who began it
-	ring  *trust.Ring     // nil: nobody has to vouch for versions
+	ring  *signing.Ring   // nil: nobody has to vouch for versions
 	keys  []byte          // the ring's text
-	bound *lru.Cache[gateway.Identity, gateway.Binding]
+	bound *lru.Cache[dispatch.Identity, dispatch.Binding]
 }
 
 // mostBound is how many events' bindings the box remembers for all of its front ends: a repeat that comes to another
@@ -48,7 +48,7 @@
 
 // Change is what a console asks of the registry: an entry, or to go back.
 type Change struct {
-	handlers.Entry
+	registry.Entry
 	Release    *Release `json:"release,omitempty"`
 	Signatures [][]byte `json:"signatures,omitempty"` // envelopes that vouch for what is published
 	Back       *struct {
@@ -57,14 +57,14 @@
 	} `json:"back,omitempty"`
 }
 
-func (g *registry) open(store *durable.Store, trail [][]byte) error {
-	g.reg, g.store, g.asked = handlers.New(), store, map[string]int{}
+func (g *functionRegistry) open(store *storage.Store, trail [][]byte) error {
+	g.reg, g.store, g.asked = registry.New(), store, map[string]int{}
 	var err error
-	if g.bound, err = lru.New[gateway.Identity, gateway.Binding](mostBound); err != nil {
+	if g.bound, err = lru.New[dispatch.Identity, dispatch.Binding](mostBound); err != nil {
 		return err
 	}
 	for i, data := range trail {
-		var e handlers.Entry
+		var e registry.Entry
 		err := json.Unmarshal(data, &e)
 		if err == nil {
 			err = g.reg.Apply(e)
@@ -77,7 +77,7 @@
 }
 
 // apply makes a change and keeps it; where it can't be kept it is taken back.
-func (g *registry) apply(e handlers.Entry) error {
+func (g *functionRegistry) apply(e registry.Entry) error {
 	if err := g.reg.Apply(e); err != nil {
 		return err
 	}
@@ -91,7 +91,7 @@
 	if err == nil {
 		return nil
 	}
-	before := handlers.New()
+	before := registry.New()
 	for _, old := range g.reg.Trail[:len(g.reg.Trail)-1] {
 		if again := before.Apply(old); again != nil {
 			return errors.Join(err, again)
@@ -101,7 +101,7 @@
 	return fmt.Errorf("the change can't be kept and is not made: %w", err)
 }
 
-func (g *registry) change(c Change) (string, error) {
+func (g *functionRegistry) change(c Change) (string, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	e := c.Entry
@@ -145,7 +145,7 @@
 
 // rekey takes the ring of keys anew where its file changed, and withdraws what only revoked keys vouched for. A faulty
 // file leaves the last ring in force.
-func (g *registry) rekey(path string, log *slog.Logger) error {
+func (g *functionRegistry) rekey(path string, log *slog.Logger) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return fmt.Errorf("keys: %w", err)
@@ -155,7 +155,7 @@
 	if g.ring != nil && bytes.Equal(data, g.keys) {
 		return nil
 	}
-	ring, err := trust.ReadRing(data)
+	ring, err := signing.ReadRing(data)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
@@ -166,7 +166,7 @@
 				continue
 			}
 			why := "none in force vouches for it; it was published by " + strings.Join(v.Signed, ", ")
-			e := handlers.Entry{At: float64(time.Now().UnixNano()) / 1e9, Who: "keys", Withdraw: v.Function + "@" + string(v.Digest), Why: why}
+			e := registry.Entry{At: float64(time.Now().UnixNano()) / 1e9, Who: "keys", Withdraw: v.Function + "@" + string(v.Digest), Why: why}
 			if err := g.apply(e); err != nil {
 				return err
 			}
@@ -178,7 +178,7 @@
 }
 
 // begin plans a release. Only one goes on at a time.
-func (g *registry) begin(r Release, who string) (string, error) {
+func (g *functionRegistry) begin(r Release, who string) (string, error) {
 	if g.pacer != nil {
 		return "", fmt.Errorf("a release by %s is under way", g.who)
 	}
@@ -188,32 +188,32 @@
 			names = append(names, f.Function)
 		}
 	}
-	var list []handlers.Going
+	var list []registry.Going
 	for _, name := range names {
 		v, err := g.reg.Find(name + ":" + r.Tag)
 		switch {
-		case errors.Is(err, handlers.ErrUnknown) && len(r.Functions) == 0:
+		case errors.Is(err, registry.ErrUnknown) && len(r.Functions) == 0:
 			continue
 		case err != nil:
 			return "", err
 		case v.Withdrawn:
-			return "", fmt.Errorf("%s:%s: %w", name, r.Tag, handlers.ErrWithdrawn)
+			return "", fmt.Errorf("%s:%s: %w", name, r.Tag, registry.ErrWithdrawn)
 		}
 		if now, err := g.reg.Find(name + ":" + r.Alias); err == nil && now.Digest == v.Digest {
 			continue
 		}
-		list = append(list, handlers.Going{Function: name, To: v.Digest, Use: float64(g.asked[name]), Load: v.Load})
+		list = append(list, registry.Going{Function: name, To: v.Digest, Use: float64(g.asked[name]), Load: v.Load})
 	}
 	if len(list) == 0 {
 		return "", fmt.Errorf("no function goes to %s by that: none has the version, or all have it already", r.Tag)
 	}
-	g.pacer, g.who = handlers.NewPacer(r.Alias, r.Loads, list), who
+	g.pacer, g.who = registry.NewPacer(r.Alias, r.Loads, list), who
 	return fmt.Sprintf("%d functions go to %s, the most asked for first, %d loads at a time", len(list), r.Tag, max(r.Loads, 1)), nil
 }
 
 // step takes a release on. order asks every front end to have a version loaded, stands tells whether all believe that
 // a copy does.
-func (g *registry) step(now float64, log *slog.Logger, order func(ref string) error, stands func(id string) bool) error {
+func (g *functionRegistry) step(now float64, log *slog.Logger, order func(ref string) error, stands func(id string) bool) error {
 	g.mu.Lock()
 	p := g.pacer
 	g.mu.Unlock()
@@ -232,7 +232,7 @@
 		}
 		if m, due := p.Stands(x.Function, now); due {
 			g.mu.Lock()
-			err := g.apply(handlers.Entry{At: float64(time.Now().UnixNano()) / 1e9, Who: g.who, Move: &m, Why: "release"})
+			err := g.apply(registry.Entry{At: float64(time.Now().UnixNano()) / 1e9, Who: g.who, Move: &m, Why: "release"})
 			g.mu.Unlock()
 			if err != nil { // withdrawn meanwhile: the others go on
 				log.Error("release: an alias does not move", "function", x.Function, "error", err)
@@ -249,7 +249,7 @@
 }
 
 // judge moves rollouts on, or back.
-func (g *registry) judge(log *slog.Logger) error {
+func (g *functionRegistry) judge(log *slog.Logger) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, e := range g.reg.Judge(float64(time.Now().UnixNano()) / 1e9) {
@@ -265,14 +265,14 @@
 	return nil
 }
 
-func (g *registry) list() []handlers.View {
+func (g *functionRegistry) list() []registry.View {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return append([]handlers.View{}, g.reg.List()...)
+	return append([]registry.View{}, g.reg.List()...)
 }
 
 // coming are the versions that rollouts are going to, as references.
-func (g *registry) coming() (list []string) {
+func (g *functionRegistry) coming() (list []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, f := range g.reg.List() {
@@ -283,28 +283,28 @@
 	return list
 }
 
-func (g *registry) trail() []handlers.Entry {
+func (g *functionRegistry) trail() []registry.Entry {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return append([]handlers.Entry{}, g.reg.Trail...)
+	return append([]registry.Entry{}, g.reg.Trail...)
 }
 
-func (g *registry) mayRun(b gateway.Binding) bool {
+func (g *functionRegistry) mayRun(b dispatch.Binding) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	ref, err := handlers.ParseRef(b.ID)
+	ref, err := registry.ParseRef(b.ID)
 	return err == nil && g.reg.May(ref.Function, ref.Digest)
 }
 
 // seen counts an answer for rollouts. A version is to blame for errors, for loads that fail and for a wrong digest,
 // not for a worker that hangs or a fleet without room.
-func (g *registry) seen(a gateway.Answer) {
-	ref, err := handlers.ParseRef(a.Binding.ID)
+func (g *functionRegistry) seen(a dispatch.Answer) {
+	ref, err := registry.ParseRef(a.Binding.ID)
 	if a.Binding.ID == "" || err != nil {
 		return
 	}
-	bad := a.Cause == gateway.WorkerFailed || a.Cause == gateway.LoadFailed || a.Cause == gateway.WrongDigest
-	if a.Kind != gateway.Handled && !bad {
+	bad := a.Cause == dispatch.WorkerFailed || a.Cause == dispatch.LoadFailed || a.Cause == dispatch.WrongDigest
+	if a.Kind != dispatch.Handled && !bad {
 		return
 	}
 	g.mu.Lock()
@@ -315,23 +315,23 @@
 
 // bind settles the version of an event. A function that the registry does not know, named without a tag or digest,
 // has no versions and runs as workers have it.
-func (b *Box) bind(ask *gateway.Ask) (gateway.Binding, gateway.Function, error) {
+func (b *Box) bind(ask *dispatch.Ask) (dispatch.Binding, dispatch.Function, error) {
 	none := b.cfg.Function(ask.Function)
 	b.reg.mu.Lock()
 	defer b.reg.mu.Unlock()
 	text := ask.Function
 	if was, ok := b.reg.bound.Get(ask.Identity); ok {
-		if ref, err := handlers.ParseRef(text); err == nil && ref.Function == was.Function && b.reg.reg.May(was.Function, digest.Digest(was.Digest)) {
+		if ref, err := registry.ParseRef(text); err == nil && ref.Function == was.Function && b.reg.reg.May(was.Function, digest.Digest(was.Digest)) {
 			text = was.ID
 		}
 	}
 	bound, err := b.reg.reg.Bind(text, ask.Type, ask.Tenant, ask.Identity.String())
 	if err != nil {
-		ref, perr := handlers.ParseRef(ask.Function)
-		if perr != nil || errors.Is(err, handlers.ErrUnknown) && !b.reg.reg.Knows(ref.Function) && ref.Tag == handlers.Current && ref.Digest == "" {
-			return gateway.Binding{}, none, nil
+		ref, perr := registry.ParseRef(ask.Function)
+		if perr != nil || errors.Is(err, registry.ErrUnknown) && !b.reg.reg.Knows(ref.Function) && ref.Tag == registry.Current && ref.Digest == "" {
+			return dispatch.Binding{}, none, nil
 		}
-		return gateway.Binding{}, none, err
+		return dispatch.Binding{}, none, err
 	}
 	fn := b.cfg.Function(bound.Function)
 	if bound.Lanes > 0 {
@@ -343,7 +343,7 @@
 	if bound.Load > 0 {
 		fn.Load = bound.Load
 	}
-	out := gateway.Binding{ID: bound.ID(), Function: bound.Function, Version: bound.Name, Digest: string(bound.Digest)}
+	out := dispatch.Binding{ID: bound.ID(), Function: bound.Function, Version: bound.Name, Digest: string(bound.Digest)}
 	b.reg.bound.Add(ask.Identity, out)
 	return out, fn, nil
 }
--- a/appliance/registry_test.go
+++ b/internal/appliance/registry_test.go
@@ -18,12 +18,12 @@
 
 	"github.com/opencontainers/go-digest"
 
-	"streamcleat/durable"
-	"streamcleat/handlers"
-	"streamcleat/handlers/trust"
-	"streamcleat/referee"
-	"streamcleat/standin"
-	"streamcleat/timers"
+	"streamcleat/internal/fakes"
+	"streamcleat/internal/invariants"
+	"streamcleat/internal/registry"
+	"streamcleat/internal/registry/signing"
+	"streamcleat/internal/schedule"
+	"streamcleat/internal/storage"
 )
 
 func version(n int) (string, digest.Digest) {
@@ -54,20 +54,20 @@
 }
 
 // ask sends one event and notes it for the referee.
-func (r *running) ask(tape *referee.Tape, kind, function, id string) timers.Outcome {
-	c := &timers.Client{Source: "/t", Fronts: []string{r.addr}, HTTP: &http.Client{Transport: &http.Transport{}}, MaxAge: 1500 * time.Millisecond}
-	rec := referee.Record{Kind: referee.Asked, Event: "/t#" + id, Type: kind, Call: tape.Call(), Wait: 1.5}
+func (r *running) ask(tape *invariants.Tape, kind, function, id string) schedule.Outcome {
+	c := &schedule.Client{Source: "/t", Fronts: []string{r.addr}, HTTP: &http.Client{Transport: &http.Transport{}}, MaxAge: 1500 * time.Millisecond}
+	rec := invariants.Record{Kind: invariants.Asked, Event: "/t#" + id, Type: kind, Call: tape.Call(), Wait: 1.5}
 	tape.Add(rec)
-	o := c.Fire(context.Background(), timers.Firing{Entry: &timers.Entry{Type: kind, Function: function}, ID: id})
-	rec.Kind, rec.Status, rec.Digest = referee.Answered, o.Status, o.Digest
-	rec.Outcome = map[int]string{200: referee.Handled, 503: referee.Deferred, 502: referee.DeadLettered, 504: referee.DeadLettered}[o.Status]
+	o := c.Fire(context.Background(), schedule.Firing{Entry: &schedule.Entry{Type: kind, Function: function}, ID: id})
+	rec.Kind, rec.Status, rec.Digest = invariants.Answered, o.Status, o.Digest
+	rec.Outcome = map[int]string{200: invariants.Handled, 503: invariants.Deferred, 502: invariants.DeadLettered, 504: invariants.DeadLettered}[o.Status]
 	tape.Add(rec)
 	return o
 }
 
 // Fifty moves of an alias under steady load: every answer names the version that ran its event, also a repeat's.
 func TestFiftyAliasMovesUnderLoad(t *testing.T) {
-	tape := referee.NewTape()
+	tape := invariants.NewTape()
 	r := newRunningWith(t, 3, "", tape)
 	r.start()
 	for n := range 4 {
@@ -101,7 +101,7 @@
 	}
 	stop()
 	clients.Wait()
-	v := referee.Judge(referee.Rules{Effect: map[string]string{"again": "redeliverable", "once": "at-most-once"}, Grace: 0.15}, tape.Records())
+	v := invariants.Judge(invariants.Rules{Effect: map[string]string{"again": "redeliverable", "once": "at-most-once"}, Grace: 0.15}, tape.Records())
 	if v.Broken > 0 || v.Handled < 200 || len(versions) < 4 {
 		t.Errorf("%d versions answered, %v; %+v", len(versions), status, v)
 	}
@@ -109,7 +109,7 @@
 }
 
 func TestWrongDigestsNeverRunAndAreNeverAnswered(t *testing.T) {
-	tape := referee.NewTape()
+	tape := invariants.NewTape()
 	r := newRunningWith(t, 1, "", tape)
 	r.start()
 	r.publish(0)
@@ -120,7 +120,7 @@
 		t.Fatalf("%+v", o)
 	}
 	// The store hands out something else: the worker throws it away, the event never runs.
-	r.workers[0].Inject(standin.Fault{Kind: "wrong-digest"})
+	r.workers[0].Inject(fakes.Fault{Kind: "wrong-digest"})
 	r.alias(1)
 	if o := r.ask(tape, "once", "tally", "thrown-away"); o.Status != 503 {
 		t.Errorf("with a copy that can't be loaded: status %d", o.Status)
@@ -130,8 +130,8 @@
 		t.Errorf("%+v", o)
 	}
 	// A worker that proves another version than it was asked for: its answer is not handed on.
-	r.workers[0].Inject(standin.Fault{Kind: "wrong-digest", For: 1e-9})
-	r.workers[0].Inject(standin.Fault{Kind: "liar"})
+	r.workers[0].Inject(fakes.Fault{Kind: "wrong-digest", For: 1e-9})
+	r.workers[0].Inject(fakes.Fault{Kind: "liar"})
 	if o := r.ask(tape, "once", "tally", "lied"); o.Status != 502 {
 		t.Errorf("a lying worker: status %d", o.Status)
 	}
@@ -142,18 +142,18 @@
 		t.Error("a pinned digest is not known")
 	}
 	for _, rec := range tape.Records() {
-		if rec.Kind == referee.Ran && rec.Event == "/t#thrown-away" {
+		if rec.Kind == invariants.Ran && rec.Event == "/t#thrown-away" {
 			t.Error("a mismatched copy ran")
 		}
 	}
-	if v := referee.Judge(referee.Rules{Effect: map[string]string{"again": "redeliverable", "once": "at-most-once"}, Grace: 0.15}, tape.Records()); v.Versions > 0 || v.RanTwice > 0 {
+	if v := invariants.Judge(invariants.Rules{Effect: map[string]string{"again": "redeliverable", "once": "at-most-once"}, Grace: 0.15}, tape.Records()); v.Versions > 0 || v.RanTwice > 0 {
 		t.Errorf("%v", v.Faults)
 	}
 }
 
 // A restart in mid-rollout goes on with it, and a version that fails goes back by itself.
 func TestRolloutOverARestartAndBack(t *testing.T) {
-	tape := referee.NewTape()
+	tape := invariants.NewTape()
 	r := newRunningWith(t, 2, "", tape)
 	r.start()
 	r.publish(0)
@@ -176,13 +176,13 @@
 	if again := r.ask(tape, "once", "tally", "kept"); again.Status != first.Status || again.Digest != first.Digest {
 		t.Errorf("a repeat after the restart: %+v, first %+v", again, first)
 	}
-	var list []handlers.View
+	var list []registry.View
 	r.get("registry", &list)
 	if len(list) != 1 || len(list[0].Rollouts) != 1 || len(list[0].Versions) != 2 {
 		t.Fatalf("%+v", list)
 	}
 	for _, w := range r.workers { // the new version fails wherever it runs
-		w.Inject(standin.Fault{Kind: "errors-of", Digest: string(d1)})
+		w.Inject(fakes.Fault{Kind: "errors-of", Digest: string(d1)})
 	}
 	n := 0
 	r.wait("the rollout went back", func() bool {
@@ -192,7 +192,7 @@
 		r.get("registry", &list)
 		return len(list[0].Rollouts) == 0 && list[0].Aliases["current"] == d0
 	})
-	var trail []handlers.Entry
+	var trail []registry.Entry
 	r.get("trail", &trail)
 	if last := trail[len(trail)-1]; last.Who != "rollout" || !strings.Contains(last.Why, "bad") {
 		t.Errorf("%+v", last)
@@ -202,7 +202,7 @@
 // A release moves each alias only when a copy of the new version stands; a second one has to wait, and nothing is
 // asked to move twice.
 func TestPacedRelease(t *testing.T) {
-	tape := referee.NewTape()
+	tape := invariants.NewTape()
 	r := newRunningWith(t, 2, "", tape)
 	r.start()
 	r.publish(0)
@@ -213,7 +213,7 @@
 	}
 	r.change(`{"who":"test","release":{"alias":"current","tag":"1.1","loads":2}}`)
 	_, d1 := version(1)
-	var list []handlers.View
+	var list []registry.View
 	r.wait("the alias moved", func() bool {
 		list = nil
 		r.get("registry", &list)
@@ -225,7 +225,7 @@
 	}
 	ordered := 0
 	for _, rec := range tape.Records() {
-		if rec.Kind == referee.Ordered {
+		if rec.Kind == invariants.Ordered {
 			ordered++
 		}
 	}
@@ -237,10 +237,10 @@
 // With a ring of keys only what they vouch for is published; what a revoked key vouched for is withdrawn, and what a
 // retired one did stays.
 func TestKeysVouchForVersions(t *testing.T) {
-	tape := referee.NewTape()
+	tape := invariants.NewTape()
 	r := newRunningWith(t, 1, "", tape)
 	r.more = `"handlers":{"keys":"keys.json"},`
-	ring := trust.Ring{Need: 1}
+	ring := signing.Ring{Need: 1}
 	private := map[string][]byte{}
 	write := func() {
 		data, _ := json.Marshal(ring)
@@ -251,7 +251,7 @@
 	for i, id := range []string{"first", "second"} {
 		seed := make([]byte, 32)
 		seed[0] = byte(i)
-		p, k, err := trust.NewKey(id, seed)
+		p, k, err := signing.NewKey(id, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -261,9 +261,9 @@
 	r.start()
 	publish := func(n int, by string) int {
 		name, d := version(n)
-		ch := Change{Entry: handlers.Entry{Who: "test", Publish: &handlers.Version{Function: "tally", Name: name, Digest: d, Signed: []string{"first"}}}}
+		ch := Change{Entry: registry.Entry{Who: "test", Publish: &registry.Version{Function: "tally", Name: name, Digest: d, Signed: []string{"first"}}}}
 		if by != "" {
-			e, err := trust.Sign(by, private[by], "tally", name, d)
+			e, err := signing.Sign(by, private[by], "tally", name, d)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -293,7 +293,7 @@
 	write()
 	_, d1 := version(1)
 	r.wait("the alias left the version of the revoked key", func() bool {
-		var list []handlers.View
+		var list []registry.View
 		r.get("registry", &list)
 		return list[0].Aliases["current"] == d1 && list[0].Versions[0].Withdrawn && !list[0].Versions[1].Withdrawn
 	})
@@ -307,7 +307,7 @@
 
 // A repeat that comes to the other front end keeps the version of its first try.
 func TestRepeatAtTheOtherFrontEndKeepsItsVersion(t *testing.T) {
-	tape := referee.NewTape()
+	tape := invariants.NewTape()
 	r := newRunningWith(t, 2, "", tape)
 	r.listen = `["127.0.0.1:0","localhost:0"]`
 	r.start()
@@ -328,33 +328,33 @@
 // A revocation that can't be carried out for the disk is not taken for done.
 func TestRevocationIsTriedAgain(t *testing.T) {
 	dir := t.TempDir()
-	private, k, err := trust.NewKey("only", make([]byte, 32))
+	private, k, err := signing.NewKey("only", make([]byte, 32))
 	if err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(dir, "keys.json")
 	write := func() {
-		data, _ := json.Marshal(trust.Ring{Need: 1, Keys: []trust.Key{k}})
+		data, _ := json.Marshal(signing.Ring{Need: 1, Keys: []signing.Key{k}})
 		if err := os.WriteFile(path, data, 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
 	write()
-	store, _, err := durable.OpenStore(filepath.Join(dir, "state"), durable.Options{Remember: 60})
+	store, _, err := storage.OpenStore(filepath.Join(dir, "state"), storage.Options{Remember: 60})
 	if err != nil {
 		t.Fatal(err)
 	}
 	log := slog.New(slog.DiscardHandler)
-	var g registry
+	var g functionRegistry
 	if err := errors.Join(g.open(store, nil), g.rekey(path, log)); err != nil {
 		t.Fatal(err)
 	}
 	name, d := version(0)
-	e, err := trust.Sign("only", private, "tally", name, d)
+	e, err := signing.Sign("only", private, "tally", name, d)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := g.change(Change{Entry: handlers.Entry{Who: "test", Publish: &handlers.Version{Function: "tally", Name: name, Digest: d}},
+	if _, err := g.change(Change{Entry: registry.Entry{Who: "test", Publish: &registry.Version{Function: "tally", Name: name, Digest: d}},
 		Signatures: [][]byte{e}}); err != nil {
 		t.Fatal(err)
 	}
--- a/config/config.go
+++ b/internal/config/config.go
@@ -21,10 +21,10 @@
 	"golang.org/x/text/message"
 
 	"streamcleat/control"
-	fronthttp "streamcleat/front/http"
-	"streamcleat/gateway"
-	"streamcleat/h1"
-	"streamcleat/workers"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/http1"
+	fronthttp "streamcleat/internal/ingress/http"
+	"streamcleat/internal/upstream"
 )
 
 // Schema is the JSON Schema (2020-12) of the configuration.
@@ -374,26 +374,26 @@
 }
 
 // Function is what is known of a function by its name.
-func (c *Config) Function(name string) gateway.Function {
+func (c *Config) Function(name string) dispatch.Function {
 	for _, fn := range c.Functions {
 		if ok, _ := path.Match(fn.Match, name); ok {
-			return gateway.Function{Lanes: max(fn.Lanes, 1), Memory: fn.Memory, Load: fn.Load}
+			return dispatch.Function{Lanes: max(fn.Lanes, 1), Memory: fn.Memory, Load: fn.Load}
 		}
 	}
-	return gateway.Function{Lanes: 1}
+	return dispatch.Function{Lanes: 1}
 }
 
 // Core is what the gateway's core reads.
-func (c *Config) Core(seed uint64) gateway.Settings {
-	return gateway.Settings{Deployment: c.Deployment(), Functions: c.Function, Margin: c.Limits.Margin,
+func (c *Config) Core(seed uint64) dispatch.Settings {
+	return dispatch.Settings{Deployment: c.Deployment(), Functions: c.Function, Margin: c.Limits.Margin,
 		OrderLimit: c.Workers.OrderLimit, MostOpen: c.Limits.Open, Remember: c.Limits.Remember,
 		RememberMost: c.Limits.RememberBytes, Seed: seed}
 }
 
 // Pool is what bounds the connections to workers.
-func (c *Config) Pool(via string) workers.Limits {
-	return workers.Limits{Dial: c.Workers.Dial, Idle: c.Workers.Idle, Most: c.Workers.Connections, Via: via,
-		Message: h1.Limits{Head: c.Limits.Head, Body: max(c.Limits.Body, 1<<20)}}
+func (c *Config) Pool(via string) upstream.Limits {
+	return upstream.Limits{Dial: c.Workers.Dial, Idle: c.Workers.Idle, Most: c.Workers.Connections, Via: via,
+		Message: http1.Limits{Head: c.Limits.Head, Body: max(c.Limits.Body, 1<<20)}}
 }
 
 func (c *Config) maxAge(eventType string) float64 {
@@ -408,6 +408,6 @@
 // Front is what bounds client connections.
 func (c *Config) Front() fronthttp.Limits {
 	l := c.Limits
-	return fronthttp.Limits{Message: h1.Limits{Head: l.Head, Body: l.Body}, Pipeline: l.Pipeline, Arrival: l.Arrival,
+	return fronthttp.Limits{Message: http1.Limits{Head: l.Head, Body: l.Body}, Pipeline: l.Pipeline, Arrival: l.Arrival,
 		Idle: l.Idle, Unread: l.Unread, MaxAge: c.maxAge}
 }
--- a/console/client.go
+++ b/internal/console/client.go
@@ -14,7 +14,7 @@
 	"net/url"
 	"time"
 
-	"streamcleat/appliance"
+	"streamcleat/internal/appliance"
 )
 
 // Client speaks to a box.
--- a/console/tables.go
+++ b/internal/console/tables.go
@@ -8,8 +8,8 @@
 	"text/tabwriter"
 	"time"
 
-	"streamcleat/appliance"
-	registry "streamcleat/handlers"
+	"streamcleat/internal/appliance"
+	registry "streamcleat/internal/registry"
 )
 
 // bars are the heights of a sparkline.
--- a/console/tui.go
+++ b/internal/console/tui.go
@@ -10,7 +10,7 @@
 	tea "charm.land/bubbletea/v2"
 	"charm.land/lipgloss/v2"
 
-	"streamcleat/appliance"
+	"streamcleat/internal/appliance"
 )
 
 const every = 500 * time.Millisecond // pause between looks at the box
--- a/gateway/host.go
+++ b/internal/dispatch/host.go
@@ -1,4 +1,4 @@
-package gateway
+package dispatch
 
 import "streamcleat/control"
 
--- a/gateway/types.go
+++ b/internal/dispatch/types.go
@@ -1,8 +1,8 @@
-// Package gateway is the core that hosts one control.Router: it holds what is open (events and who asked for
+// Package dispatch is the core that hosts one control.Router: it holds what is open (events and who asked for
 // them, launches, load orders, timers), joins repeats to their event and gives each asker one final answer. It
 // has no socket, no clock and no chance of its own: it is called with the time and what came in, and calls out
 // through Outside. Where an event runs is decided in control and nowhere here.
-package gateway
+package dispatch
 
 import "streamcleat/control"
 
--- a/netloop/follow.go
+++ b/internal/eventloop/follow.go
@@ -1,4 +1,4 @@
-package netloop
+package eventloop
 
 import (
 	"bufio"
--- a/netloop/host.go
+++ b/internal/eventloop/host.go
@@ -1,4 +1,4 @@
-package netloop
+package eventloop
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 
 	"github.com/panjf2000/gnet/v2"
 
-	"streamcleat/workers"
+	"streamcleat/internal/upstream"
 )
 
 // host is what the front end stands on: this process's clock, its event loop and its sockets.
@@ -34,7 +34,7 @@
 }
 
 // Dial connects off the loop, so that a worker that does not answer holds nobody up.
-func (h *host) Dial(no workers.Conn, addr string) {
+func (h *host) Dial(no upstream.Conn, addr string) {
 	s := (*Server)(h)
 	limit := time.Duration(s.set.Pool.Dial * float64(time.Second))
 	go func() {
--- a/netloop/server.go
+++ b/internal/eventloop/server.go
@@ -1,7 +1,7 @@
-// Package netloop has the program's only real sockets and its only real clock: gnet event loops that carry bytes
+// Package eventloop has the program's only real sockets and its only real clock: gnet event loops that carry bytes
 // between clients, a front end, workers and the other front ends. One Server runs one frontend.Front: all it has lives
 // on one event loop, so nothing in it is locked. It decides nothing.
-package netloop
+package eventloop
 
 import (
 	"bytes"
@@ -20,14 +20,14 @@
 	"golang.org/x/sys/unix"
 
 	"streamcleat/control"
-	"streamcleat/frontend"
-	"streamcleat/gateway"
-	"streamcleat/workers"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/proxy"
+	"streamcleat/internal/upstream"
 )
 
 // Settings of one front end's sockets.
 type Settings struct {
-	frontend.Settings
+	proxy.Settings
 	Listen      string // host:port for clients; port 0 takes a free one
 	PeerListen  string // host:port for other front ends' datagrams, "" for none
 	Peers       []string
@@ -35,7 +35,7 @@
 	PeersAll    string // one address that reaches all other front ends; "": each of Peers is told by itself
 	Self        string // this front end's own address among Peers. Where it is set, datagrams leave from
 	// PeerListen, and are taken from Peers alone
-	First func(*frontend.Front) // called on the event loop before anything that came in; may be nil
+	First func(*proxy.Front) // called on the event loop before anything that came in; may be nil
 
 	knockAfter <-chan struct{} // holds back the program's own first connection; nil: at once
 }
@@ -54,8 +54,8 @@
 type link struct {
 	c      gnet.Conn
 	loop   gnet.EventLoop
-	client *frontend.Client
-	no     workers.Conn // to a worker
+	client *proxy.Client
+	no     upstream.Conn // to a worker
 }
 
 func (l *link) Write(data []byte) { l.c.Write(data) }
@@ -92,8 +92,8 @@
 	begun    chan struct{}
 	entering chan struct{} // connections to workers that hold two descriptors while the loop takes them over
 	finished chan error
-	front    *frontend.Front
-	lost     []gateway.Answer
+	front    *proxy.Front
+	lost     []dispatch.Answer
 	timer    *time.Timer
 	udp      *net.UDPConn
 	peers    []netip.AddrPort        // that are told
@@ -218,7 +218,7 @@
 }
 
 // Lost are events of an earlier process that may have run and must not run again; nobody was told how they ended.
-func (s *Server) Lost() []gateway.Answer { return s.lost }
+func (s *Server) Lost() []dispatch.Answer { return s.lost }
 
 // Addr is where clients connect.
 func (s *Server) Addr() string { return s.set.Listen }
@@ -257,7 +257,7 @@
 func (s *Server) begin(loop gnet.EventLoop) {
 	s.loop = loop
 	s.timer = time.AfterFunc(time.Hour, func() { s.post(func() { s.front.Tick() }) })
-	s.front = frontend.New(s.set.Settings, (*host)(s))
+	s.front = proxy.New(s.set.Settings, (*host)(s))
 	s.lost = s.front.Lost()
 	if s.set.First != nil {
 		s.set.First(s.front)
@@ -278,7 +278,7 @@
 func (s *Server) post(f func()) error { return s.loop.Execute(context.Background(), runnable(f)) }
 
 // do runs f on the event loop and waits for it; an error tells that the loop has ended.
-func (s *Server) do(f func(*frontend.Front)) error {
+func (s *Server) do(f func(*proxy.Front)) error {
 	done := make(chan struct{})
 	if err := s.post(func() { defer close(done); f(s.front); s.front.Settle() }); err != nil {
 		return err
@@ -293,15 +293,15 @@
 }
 
 // Do runs f with the core, likewise.
-func (s *Server) Do(f func(*gateway.Core)) error {
-	return s.do(func(x *frontend.Front) { f(x.Core()) })
+func (s *Server) Do(f func(*dispatch.Core)) error {
+	return s.do(func(x *proxy.Front) { f(x.Core()) })
 }
 
 // Front runs f with the front end, likewise.
-func (s *Server) Front(f func(*frontend.Front)) error { return s.do(f) }
+func (s *Server) Front(f func(*proxy.Front)) error { return s.do(f) }
 
 // On runs f with the front end on the event loop, soon.
-func (s *Server) On(f func(*frontend.Front)) error { return s.post(func() { f(s.front) }) }
+func (s *Server) On(f func(*proxy.Front)) error { return s.post(func() { f(s.front) }) }
 
 // hear reads the datagrams of the front ends that are known.
 func (s *Server) hear() {
@@ -325,8 +325,8 @@
 }
 
 // Counts are the core's totals and the number of connections to clients and workers.
-func (s *Server) Counts() (n gateway.Counts, clients, backends int, err error) {
-	err = s.do(func(f *frontend.Front) {
+func (s *Server) Counts() (n dispatch.Counts, clients, backends int, err error) {
+	err = s.do(func(f *proxy.Front) {
 		n = f.Core().Counts()
 		clients, backends = f.Conns()
 	})
@@ -334,7 +334,7 @@
 }
 
 // Take takes an event from within the process; answer is called on the loop, exactly once.
-func (s *Server) Take(ask gateway.Ask, answer func(gateway.Answer)) error {
+func (s *Server) Take(ask dispatch.Ask, answer func(dispatch.Answer)) error {
 	return s.post(func() { s.front.Take(ask, answer) })
 }
 
@@ -386,7 +386,7 @@
 }
 
 func (s *Server) sweepLoop() {
-	t := time.NewTicker(time.Duration(frontend.SweepEvery * float64(time.Second)))
+	t := time.NewTicker(time.Duration(proxy.SweepEvery * float64(time.Second)))
 	defer t.Stop()
 	for range t.C {
 		if s.post(s.front.Sweep) != nil {
@@ -409,33 +409,33 @@
 }
 
 // Knows is what this front end believes of copies.
-func (s *Server) Knows() (list []gateway.Known) {
-	s.do(func(f *frontend.Front) { list = f.Knows() })
+func (s *Server) Knows() (list []dispatch.Known) {
+	s.do(func(f *proxy.Front) { list = f.Knows() })
 	return
 }
 
 // Drain makes a worker drain, or returns it to what the list says, whatever the list says meanwhile. It tells whether
 // the list names the worker.
 func (s *Server) Drain(id control.WorkerID, drain bool) (known bool, err error) {
-	err = s.do(func(f *frontend.Front) { known = f.Drain(id, drain) })
+	err = s.do(func(f *proxy.Front) { known = f.Drain(id, drain) })
 	return
 }
 
 // Drained are the workers that an order drains.
 func (s *Server) Drained() (list []string) {
-	s.do(func(f *frontend.Front) { list = f.Drained() })
+	s.do(func(f *proxy.Front) { list = f.Drained() })
 	return
 }
 
 // Ahead has a copy of a function loaded that will be asked for soon; it tells whether the decisions ordered one.
 func (s *Server) Ahead(eventType, fn string) (ordered bool, err error) {
-	err = s.do(func(f *frontend.Front) { ordered = f.Ahead(eventType, fn) })
+	err = s.do(func(f *proxy.Front) { ordered = f.Ahead(eventType, fn) })
 	return
 }
 
 // Unload asks every worker that is believed to hold a function to let its idle copies go, and tells how many.
 func (s *Server) Unload(fn string) (asked int, err error) {
-	err = s.do(func(f *frontend.Front) { asked = f.Unload(fn) })
+	err = s.do(func(f *proxy.Front) { asked = f.Unload(fn) })
 	return
 }
 
@@ -447,13 +447,13 @@
 }
 
 // Close takes no more connections and events; what is open goes on. Stop follows.
-func (s *Server) Close() error { return s.do((*frontend.Front).CloseDoors) }
+func (s *Server) Close() error { return s.do((*proxy.Front).CloseDoors) }
 
 // until waits for something to be so, looking every 10 ms.
-func (s *Server) until(patience time.Duration, so func(*frontend.Front) bool) {
+func (s *Server) until(patience time.Duration, so func(*proxy.Front) bool) {
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		yes := false
-		if s.do(func(f *frontend.Front) { yes = so(f) }) != nil || yes {
+		if s.do(func(f *proxy.Front) { yes = so(f) }) != nil || yes {
 			return
 		}
 	}
@@ -465,10 +465,10 @@
 	}
 	if s.loop != nil && s.front != nil {
 		s.Close()
-		s.until(patience, func(f *frontend.Front) bool { return f.Core().Quiet() })
-		s.do((*frontend.Front).Finish)
-		s.until(5*time.Second, (*frontend.Front).Kept)
-		s.do((*frontend.Front).Hang)
+		s.until(patience, func(f *proxy.Front) bool { return f.Core().Quiet() })
+		s.do((*proxy.Front).Finish)
+		s.until(5*time.Second, (*proxy.Front).Kept)
+		s.do((*proxy.Front).Hang)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
--- a/netloop/server_test.go
+++ b/internal/eventloop/server_test.go
@@ -1,4 +1,4 @@
-package netloop_test
+package eventloop_test
 
 import (
 	"bufio"
@@ -15,30 +15,30 @@
 	"testing"
 	"time"
 
-	"streamcleat/config"
-	"streamcleat/frontend"
-	"streamcleat/netloop"
-	"streamcleat/referee"
-	"streamcleat/standin"
-	"streamcleat/timers"
+	"streamcleat/internal/config"
+	"streamcleat/internal/eventloop"
+	"streamcleat/internal/fakes"
+	"streamcleat/internal/invariants"
+	"streamcleat/internal/proxy"
+	"streamcleat/internal/schedule"
 )
 
 // room is a front end with stand-in workers on loopback.
 type room struct {
 	t       *testing.T
-	tape    *referee.Tape
-	workers []*standin.Worker
-	list    *standin.List
+	tape    *invariants.Tape
+	workers []*fakes.Worker
+	list    *fakes.List
 	path    string
-	front   *netloop.Server
+	front   *eventloop.Server
 }
 
 func newRoom(t *testing.T, n int, limits string) *room {
-	r := &room{t: t, tape: referee.NewTape(), path: filepath.Join(t.TempDir(), "workers.json")}
-	fns := []standin.Function{{Name: "tally", Memory: 100, Lanes: 4, Fetch: 0.02, Begin: 0.01, Work: 0.05}}
-	store, memory := standin.NewStore(8, 32), standin.NewMemory(30)
+	r := &room{t: t, tape: invariants.NewTape(), path: filepath.Join(t.TempDir(), "workers.json")}
+	fns := []fakes.Function{{Name: "tally", Memory: 100, Lanes: 4, Fetch: 0.02, Begin: 0.01, Work: 0.05}}
+	store, memory := fakes.NewStore(8, 32), fakes.NewMemory(30)
 	for i := range n {
-		w, err := standin.NewWorker(standin.Spec{Name: fmt.Sprintf("wk-%d", i), Cores: 4, Speed: 1, Memory: 1000, Queue: 50, LoadsAtOnce: 4,
+		w, err := fakes.NewWorker(fakes.Spec{Name: fmt.Sprintf("wk-%d", i), Cores: 4, Speed: 1, Memory: 1000, Queue: 50, LoadsAtOnce: 4,
 			Keep: 20, ColdShare: 0.5, WarmWithin: 1, FallFactor: 5, FallWindow: 1, MeanWork: 0.05, Functions: fns, Store: store,
 			Drops: memory, Keyed: map[string]bool{"keyed": true}, Tape: r.tape, Seed: uint64(i)})
 		if err != nil {
@@ -48,7 +48,7 @@
 		r.workers = append(r.workers, w)
 	}
 	var err error
-	if r.list, err = standin.NewList(r.path, r.tape, r.workers); err != nil {
+	if r.list, err = fakes.NewList(r.path, r.tape, r.workers); err != nil {
 		t.Fatal(err)
 	}
 	c, err := config.Parse([]byte(`{"event_types":[{"name":"again","target_time_s":0.5,"max_age_s":1.2},
@@ -58,7 +58,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.front, err = netloop.Start(netloop.Settings{Listen: "127.0.0.1:0", WorkersFile: r.path, Settings: frontend.Settings{
+	r.front, err = eventloop.Start(eventloop.Settings{Listen: "127.0.0.1:0", WorkersFile: r.path, Settings: proxy.Settings{
 		Name: "front", Core: c.Core(1), Pool: c.Pool("front"), Front: c.Front(), MostConns: c.Limits.Connections}})
 	if err != nil {
 		t.Fatal(err)
@@ -67,17 +67,17 @@
 	return r
 }
 
-func (r *room) client(repeat int) *timers.Client {
-	return &timers.Client{Source: "/t", Fronts: []string{r.front.Addr()}, HTTP: &http.Client{Transport: &http.Transport{}},
+func (r *room) client(repeat int) *schedule.Client {
+	return &schedule.Client{Source: "/t", Fronts: []string{r.front.Addr()}, HTTP: &http.Client{Transport: &http.Transport{}},
 		MaxAge: 1200 * time.Millisecond, Repeat: repeat}
 }
 
-func (r *room) fire(kind, id string) timers.Outcome {
-	return r.client(0).Fire(context.Background(), timers.Firing{Entry: &timers.Entry{Type: kind, Function: "tally"}, ID: id})
+func (r *room) fire(kind, id string) schedule.Outcome {
+	return r.client(0).Fire(context.Background(), schedule.Firing{Entry: &schedule.Entry{Type: kind, Function: "tally"}, ID: id})
 }
 
 // count tells how many records of a kind there are of an event, "" for any.
-func (r *room) count(kind referee.Kind, event string) (n int) {
+func (r *room) count(kind invariants.Kind, event string) (n int) {
 	for _, rec := range r.tape.Records() {
 		if rec.Kind == kind && (event == "" || rec.Event == "/t#"+event) {
 			n++
@@ -120,7 +120,7 @@
 	for _, kind := range []string{"again", "keyed", "once"} {
 		r := newRoom(t, 3, "")
 		var wait sync.WaitGroup
-		outs := make([]timers.Outcome, 3)
+		outs := make([]schedule.Outcome, 3)
 		for i, lag := range []time.Duration{0, 0, 700 * time.Millisecond} {
 			wait.Add(1)
 			go func() { defer wait.Done(); time.Sleep(lag); outs[i] = r.fire(kind, "minute") }()
@@ -135,7 +135,7 @@
 				replays++
 			}
 		}
-		if n := r.count(referee.Launched, "minute"); n != 1 || replays != 2 {
+		if n := r.count(invariants.Launched, "minute"); n != 1 || replays != 2 {
 			t.Errorf("%s: %d launches, %d replays", kind, n, replays)
 		}
 	}
@@ -147,14 +147,14 @@
 		t.Fatal(o)
 	}
 	for _, w := range r.workers {
-		w.Inject(standin.Fault{Kind: "hang"})
+		w.Inject(fakes.Fault{Kind: "hang"})
 	}
 	for kind, want := range map[string]int{"again": 503, "keyed": 503, "once": 504} {
 		o := r.fire(kind, kind)
 		if o.Status != want || o.Took < 900*time.Millisecond || o.Took > 1190*time.Millisecond {
 			t.Errorf("%s: status %d after %v", kind, o.Status, o.Took)
 		}
-		if n := r.count(referee.Launched, kind); n != 1 {
+		if n := r.count(invariants.Launched, kind); n != 1 {
 			t.Errorf("%s: %d launches", kind, n)
 		}
 	}
@@ -163,16 +163,16 @@
 
 func TestResetsByKindOfEvent(t *testing.T) {
 	for _, c := range []struct {
-		fault  standin.Fault
+		fault  fakes.Fault
 		kind   string
 		status int
 		runs   int
 	}{
-		{standin.Fault{Kind: "cut", Bytes: 40}, "again", 200, 2}, // may have run, and may run again
-		{standin.Fault{Kind: "cut", Bytes: 40}, "keyed", 200, 1}, // the workers drop the repeat
-		{standin.Fault{Kind: "cut", Bytes: 40}, "once", 502, 1},
-		{standin.Fault{Kind: "reset"}, "again", 200, 1},
-		{standin.Fault{Kind: "reset"}, "once", 502, 0}, // it never ran, but nobody can know
+		{fakes.Fault{Kind: "cut", Bytes: 40}, "again", 200, 2}, // may have run, and may run again
+		{fakes.Fault{Kind: "cut", Bytes: 40}, "keyed", 200, 1}, // the workers drop the repeat
+		{fakes.Fault{Kind: "cut", Bytes: 40}, "once", 502, 1},
+		{fakes.Fault{Kind: "reset"}, "again", 200, 1},
+		{fakes.Fault{Kind: "reset"}, "once", 502, 0}, // it never ran, but nobody can know
 	} {
 		r := newRoom(t, 2, "")
 		if o := r.fire("again", "warm"); o.Status != 200 {
@@ -181,9 +181,9 @@
 		for _, w := range r.workers { // whoever is warm fails until it is taken back
 			w.Inject(c.fault)
 		}
-		done := make(chan timers.Outcome)
+		done := make(chan schedule.Outcome)
 		go func() { done <- r.fire(c.kind, "e") }()
-		for r.count(referee.Ended, "e") == 0 {
+		for r.count(invariants.Ended, "e") == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		for _, w := range r.workers {
@@ -194,7 +194,7 @@
 		if o := <-done; o.Status != c.status && !(c.status == 200 && o.Status == 503) {
 			t.Errorf("%s, %s: status %d, want %d", c.fault.Kind, c.kind, o.Status, c.status)
 		}
-		if n := r.count(referee.Ran, "e"); c.kind != "again" && n > c.runs {
+		if n := r.count(invariants.Ran, "e"); c.kind != "again" && n > c.runs {
 			t.Errorf("%s, %s: ran %d times, want %d", c.fault.Kind, c.kind, n, c.runs)
 		}
 	}
@@ -209,7 +209,7 @@
 	warm := r.tape.Records()
 	var at string
 	for _, rec := range warm {
-		if rec.Kind == referee.Launched {
+		if rec.Kind == invariants.Launched {
 			at = rec.Worker
 		}
 	}
@@ -221,8 +221,8 @@
 	for _, kind := range []string{"again", "keyed", "once"} {
 		// The first goes over the kept connection, whose end the front end has seen; all get to the other worker.
 		time.Sleep(20 * time.Millisecond)
-		if o := r.fire(kind, kind); o.Status != 200 || r.count(referee.Ran, kind) != 1 {
-			t.Errorf("%s: status %d, ran %d times", kind, o.Status, r.count(referee.Ran, kind))
+		if o := r.fire(kind, kind); o.Status != 200 || r.count(invariants.Ran, kind) != 1 {
+			t.Errorf("%s: status %d, ran %d times", kind, o.Status, r.count(invariants.Ran, kind))
 		}
 	}
 }
@@ -232,12 +232,12 @@
 	r.fire("again", "warm")
 	c, _ := r.dial()
 	io.WriteString(c, event("once", "e", ""))
-	for r.count(referee.Ran, "e") == 0 {
+	for r.count(invariants.Ran, "e") == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	c.Close()
-	if o := r.fire("once", "e"); o.Status != 200 || r.count(referee.Ran, "e") != 1 {
-		t.Errorf("status %d, ran %d times", o.Status, r.count(referee.Ran, "e"))
+	if o := r.fire("once", "e"); o.Status != 200 || r.count(invariants.Ran, "e") != 1 {
+		t.Errorf("status %d, ran %d times", o.Status, r.count(invariants.Ran, "e"))
 	}
 }
 
@@ -273,7 +273,7 @@
 	}
 	r.list.Set(r.workers[0], "serving")
 	wait.Wait()
-	v := referee.Judge(referee.Rules{DrainGrace: 0.5, Grace: 0.1}, r.tape.Records())
+	v := invariants.Judge(invariants.Rules{DrainGrace: 0.5, Grace: 0.1}, r.tape.Records())
 	if v.AfterDrain > 0 || v.AtOnce > 0 || bad > 0 || v.Launches < 50 {
 		t.Errorf("%d answers were neither handled nor deferred; %+v", bad, v)
 	}
@@ -350,12 +350,12 @@
 func TestStopAnswersWhatIsOpen(t *testing.T) {
 	r := newRoom(t, 1, "")
 	r.fire("again", "warm")
-	r.workers[0].Inject(standin.Fault{Kind: "hang"})
-	outs := make(chan timers.Outcome, 2)
+	r.workers[0].Inject(fakes.Fault{Kind: "hang"})
+	outs := make(chan schedule.Outcome, 2)
 	for _, kind := range []string{"again", "once"} {
 		go func() { outs <- r.fire(kind, kind) }()
 	}
-	for r.count(referee.Launched, "again")+r.count(referee.Launched, "once") < 2 {
+	for r.count(invariants.Launched, "again")+r.count(invariants.Launched, "once") < 2 {
 		time.Sleep(time.Millisecond)
 	}
 	if err := r.front.Stop(100 * time.Millisecond); err != nil {
@@ -373,7 +373,7 @@
 
 func TestAddressInUse(t *testing.T) {
 	r := newRoom(t, 1, "")
-	_, err := netloop.Start(netloop.Settings{Listen: r.front.Addr()})
+	_, err := eventloop.Start(eventloop.Settings{Listen: r.front.Addr()})
 	if err == nil || !strings.Contains(err.Error(), r.front.Addr()) {
 		t.Error(err)
 	}
--- a/netloop/start_test.go
+++ b/internal/eventloop/start_test.go
@@ -1,4 +1,4 @@
-package netloop
+package eventloop
 
 import (
 	"errors"
@@ -10,10 +10,10 @@
 	"time"
 
 	"streamcleat/control"
-	fronthttp "streamcleat/front/http"
-	"streamcleat/frontend"
-	"streamcleat/gateway"
-	"streamcleat/h1"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/http1"
+	fronthttp "streamcleat/internal/ingress/http"
+	"streamcleat/internal/proxy"
 )
 
 // A client whose connection is the very first is served as any other, and what must be known to serve it is.
@@ -24,9 +24,9 @@
 	}
 	first, hold, started := make(chan struct{}), make(chan struct{}), make(chan *Server)
 	go func() {
-		s, err := Start(Settings{Listen: addr, Settings: frontend.Settings{Name: "f", MostConns: 4,
-			Front: fronthttp.Limits{Message: h1.Limits{Head: 1000}}, Core: gateway.Settings{Deployment: &control.Deployment{FrontEnds: 1}}}, knockAfter: hold,
-			First: func(*frontend.Front) { close(first) }})
+		s, err := Start(Settings{Listen: addr, Settings: proxy.Settings{Name: "f", MostConns: 4,
+			Front: fronthttp.Limits{Message: http1.Limits{Head: 1000}}, Core: dispatch.Settings{Deployment: &control.Deployment{FrontEnds: 1}}}, knockAfter: hold,
+			First: func(*proxy.Front) { close(first) }})
 		if err != nil {
 			t.Error(err)
 		}
--- a/standin/list.go
+++ b/internal/fakes/list.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"encoding/json"
@@ -7,14 +7,14 @@
 
 	"github.com/google/renameio/v2"
 
-	"streamcleat/referee"
+	"streamcleat/internal/invariants"
 )
 
 // List is the list of workers as a file in the form of Prometheus file service discovery.
 type List struct {
 	mu    sync.Mutex
 	path  string
-	tape  *referee.Tape
+	tape  *invariants.Tape
 	lines []Line
 }
 
@@ -25,7 +25,7 @@
 }
 
 // NewList writes the list for the first time.
-func NewList(path string, tape *referee.Tape, workers []*Worker) (*List, error) {
+func NewList(path string, tape *invariants.Tape, workers []*Worker) (*List, error) {
 	l := &List{path: path, tape: tape}
 	for _, w := range workers {
 		l.lines = append(l.lines, Line{w, "serving"})
@@ -52,7 +52,7 @@
 	if phase != "gone" {
 		l.lines = append(l.lines, Line{w, phase})
 	}
-	l.tape.Add(referee.Record{Kind: referee.Told, Worker: w.Name(), Phase: phase, Born: born})
+	l.tape.Add(invariants.Record{Kind: invariants.Told, Worker: w.Name(), Phase: phase, Born: born})
 	return l.write()
 }
 
--- a/standin/registry.go
+++ b/internal/fakes/registry.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"encoding/json"
--- a/standin/worker.go
+++ b/internal/fakes/worker.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"encoding/json"
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"streamcleat/referee"
+	"streamcleat/internal/invariants"
 )
 
 // Spec is what a worker is. Times are seconds.
@@ -38,7 +38,7 @@
 	Store        *Store
 	Drops        *Memory         // repeats of keyed events
 	Keyed        map[string]bool // event types whose repeats are dropped
-	Tape         *referee.Tape
+	Tape         *invariants.Tape
 	Seed         uint64
 }
 
@@ -154,7 +154,7 @@
 	go w.http.Serve(l)
 	go w.lapse(w.stop)
 	if cold {
-		w.spec.Tape.Add(referee.Record{Kind: referee.Born, Worker: w.spec.Name})
+		w.spec.Tape.Add(invariants.Record{Kind: invariants.Born, Worker: w.spec.Name})
 	}
 	return nil
 }
@@ -272,7 +272,7 @@
 	if float64(len(w.pushes)-2)*w.spec.MeanWork <= w.spec.FallFactor*can {
 		return false
 	}
-	w.spec.Tape.Add(referee.Record{Kind: referee.Down, Worker: w.spec.Name})
+	w.spec.Tape.Add(invariants.Record{Kind: invariants.Down, Worker: w.spec.Name})
 	w.crash()
 	return true
 }
@@ -289,15 +289,15 @@
 	id := decoded(r.Header.Get("Ce-Source")) + "#" + decoded(r.Header.Get("Ce-Id"))
 	kind := decoded(r.Header.Get("Ce-Type"))
 	asked := strings.Trim(r.Header.Get("If-Match"), `"`)
-	rec := referee.Record{Worker: w.spec.Name, Event: id, Type: kind, Function: r.PathValue("f"), Front: front(r),
+	rec := invariants.Record{Worker: w.spec.Name, Event: id, Type: kind, Function: r.PathValue("f"), Front: front(r),
 		Call: w.spec.Tape.Call(), Digest: asked}
-	note := func(k referee.Kind, status int) {
+	note := func(k invariants.Kind, status int) {
 		rec.Kind, rec.Status = k, status
 		w.spec.Tape.Add(rec)
 	}
-	note(referee.Launched, 0)
+	note(invariants.Launched, 0)
 	status := 0
-	defer func() { note(referee.Ended, status) }()
+	defer func() { note(invariants.Ended, status) }()
 	if err != nil {
 		abort()
 	}
@@ -365,7 +365,7 @@
 	first := !w.spec.Keyed[kind] || w.spec.Drops == nil || w.spec.Drops.First(id)
 	if first {
 		rec.Digest = t.c.digest
-		note(referee.Ran, 0)
+		note(invariants.Ran, 0)
 	}
 	w.mu.Lock()
 	took := t.c.fn.Work / w.spec.Speed / w.warmth() * (0.7 + 0.6*w.rng.Float64())
@@ -662,7 +662,7 @@
 	said.Parameters.Copies = 1
 	json.NewDecoder(io.LimitReader(r.Body, 1<<16)).Decode(&said)
 	want := said.Parameters.Copies
-	w.spec.Tape.Add(referee.Record{Kind: referee.Ordered, Worker: w.spec.Name, Front: front(r),
+	w.spec.Tape.Add(invariants.Record{Kind: invariants.Ordered, Worker: w.spec.Name, Front: front(r),
 		Function: r.PathValue("f"), Copies: want})
 	w.mu.Lock()
 	c, _ := w.find(r.PathValue("f"), said.Parameters.Digest)
--- a/standin/world.go
+++ b/internal/fakes/world.go
@@ -1,7 +1,7 @@
-// Package standin holds what the program meets in tests and drills: workers, the function store they share, and
+// Package fakes holds what the program meets in tests and drills: workers, the function store they share, and
 // the list of workers. They speak the published protocols on loopback and go wrong on order. Each notes what
 // passed on its sockets for the referee.
-package standin
+package fakes
 
 import (
 	"errors"
--- a/h1/h1.go
+++ b/internal/http1/h1.go
@@ -1,6 +1,6 @@
-// Package h1 frames HTTP/1.1 messages (RFC 9112): it finds where each message of a byte stream ends and
+// Package http1 frames HTTP/1.1 messages (RFC 9112): it finds where each message of a byte stream ends and
 // hands it out whole. It holds no socket and no clock; the front's codec and the workers' codec feed it.
-package h1
+package http1
 
 import (
 	"bufio"
--- a/h1/h1_test.go
+++ b/internal/http1/h1_test.go
@@ -1,4 +1,4 @@
-package h1
+package http1
 
 import (
 	"bufio"
--- a/front/http/event.go
+++ b/internal/ingress/http/event.go
@@ -16,8 +16,8 @@
 	cloudevents "github.com/cloudevents/sdk-go/v2/event"
 	cehttp "github.com/cloudevents/sdk-go/v2/protocol/http"
 
-	"streamcleat/gateway"
-	"streamcleat/h1"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/http1"
 )
 
 // Extension attributes that the front reads. expirytime is the documented extension of that name; the other two
@@ -38,8 +38,8 @@
 
 // readEvent understands a request as one CloudEvent in binary or structured mode (CloudEvents 1.0, HTTP binding
 // 3.1 and 3.2). wall is the time at which the request was whole.
-func readEvent(m *h1.Message, wall time.Time) (gateway.Ask, *fault) {
-	var ask gateway.Ask
+func readEvent(m *http1.Message, wall time.Time) (dispatch.Ask, *fault) {
+	var ask dispatch.Ask
 	media, _, _ := strings.Cut(m.Header.Get("Content-Type"), ";")
 	media = strings.ToLower(strings.TrimSpace(media))
 	structured := strings.HasPrefix(media, "application/cloudevents")
@@ -74,7 +74,7 @@
 	if err := e.Validate(); err != nil {
 		return ask, &fault{400, "invalid-event", named(err)}
 	}
-	ask.Identity = gateway.Identity{Source: e.Source(), ID: e.ID()}
+	ask.Identity = dispatch.Identity{Source: e.Source(), ID: e.ID()}
 	ask.Type = e.Type()
 	extensions := e.Extensions()
 	text := func(name string) string {
@@ -106,7 +106,7 @@
 
 // patience is how long the client waits, in seconds: the lesser of what Prefer: wait (RFC 7240) and the attribute
 // expirytime tell, 0 where neither does, and below 0 where that time is past.
-func patience(m *h1.Message, expiry string, wall time.Time) (float64, *fault) {
+func patience(m *http1.Message, expiry string, wall time.Time) (float64, *fault) {
 	wait := 0.0
 	for _, line := range m.Header.Values("Prefer") {
 		for _, pref := range strings.Split(line, ",") {
@@ -155,20 +155,20 @@
 }
 
 // binary writes an event's context attributes as ce- fields, in a fixed order, whichever mode it came in.
-func binary(e *cloudevents.Event, extensions map[string]any) []gateway.Field {
-	fields := []gateway.Field{{Name: "ce-specversion", Value: "1.0"}, {Name: "ce-source", Value: quote(e.Source())},
+func binary(e *cloudevents.Event, extensions map[string]any) []dispatch.Field {
+	fields := []dispatch.Field{{Name: "ce-specversion", Value: "1.0"}, {Name: "ce-source", Value: quote(e.Source())},
 		{Name: "ce-id", Value: quote(e.ID())}, {Name: "ce-type", Value: quote(e.Type())}}
 	if v := e.Subject(); v != "" {
-		fields = append(fields, gateway.Field{Name: "ce-subject", Value: quote(v)})
+		fields = append(fields, dispatch.Field{Name: "ce-subject", Value: quote(v)})
 	}
 	if v := e.Time(); !v.IsZero() {
-		fields = append(fields, gateway.Field{Name: "ce-time", Value: v.Format(time.RFC3339Nano)})
+		fields = append(fields, dispatch.Field{Name: "ce-time", Value: v.Format(time.RFC3339Nano)})
 	}
 	if v := e.DataSchema(); v != "" {
-		fields = append(fields, gateway.Field{Name: "ce-dataschema", Value: quote(v)})
+		fields = append(fields, dispatch.Field{Name: "ce-dataschema", Value: quote(v)})
 	}
 	if v := e.DataContentType(); v != "" {
-		fields = append(fields, gateway.Field{Name: "Content-Type", Value: quote(v)})
+		fields = append(fields, dispatch.Field{Name: "Content-Type", Value: quote(v)})
 	}
 	names := make([]string, 0, len(extensions))
 	for name := range extensions {
@@ -176,7 +176,7 @@
 	}
 	sort.Strings(names)
 	for _, name := range names {
-		fields = append(fields, gateway.Field{Name: "ce-" + name, Value: quote(fmt.Sprint(extensions[name]))})
+		fields = append(fields, dispatch.Field{Name: "ce-" + name, Value: quote(fmt.Sprint(extensions[name]))})
 	}
 	return fields
 }
--- a/front/http/session.go
+++ b/internal/ingress/http/session.go
@@ -13,13 +13,13 @@
 	"time"
 
 	"streamcleat/control"
-	"streamcleat/gateway"
-	"streamcleat/h1"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/http1"
 )
 
 // Limits of one client connection; times in seconds.
 type Limits struct {
-	Message  h1.Limits
+	Message  http1.Limits
 	Pipeline int                            // requests of a connection that may wait for their answers at once
 	Arrival  float64                        // a request must be whole so long after its first byte
 	Idle     float64                        // a connection without a request is closed after this
@@ -30,7 +30,7 @@
 // Taker takes events on behalf of a session.
 type Taker interface {
 	// Take is answered by Session.Answer with the same slot, be it before Take returns.
-	Take(slot uint64, ask gateway.Ask)
+	Take(slot uint64, ask dispatch.Ask)
 	// HungUp tells that nobody waits for the slot any more.
 	HungUp(slot uint64)
 }
@@ -39,7 +39,7 @@
 type slot struct {
 	no    uint64
 	due   float64 // when its client stops waiting, if it is an event; else 0
-	ask   *gateway.Ask
+	ask   *dispatch.Ask
 	out   []byte // the answer, once there is one
 	last  bool   // the connection closes behind it
 	taken bool
@@ -48,7 +48,7 @@
 // Session is one client connection.
 type Session struct {
 	limits Limits
-	in     *h1.Framer
+	in     *http1.Framer
 	taker  Taker
 	name   string // of this front end, for Proxy-Status
 	slots  []*slot
@@ -62,7 +62,7 @@
 
 // NewSession begins a connection at the time now.
 func NewSession(l Limits, name string, taker Taker, now float64) *Session {
-	return &Session{limits: l, in: h1.NewRequests(l.Message), taker: taker, name: name, quiet: now}
+	return &Session{limits: l, in: http1.NewRequests(l.Message), taker: taker, name: name, quiet: now}
 }
 
 // Feed takes bytes from the client. wall is the time of day, against which an expirytime is read.
@@ -102,7 +102,7 @@
 func (s *Session) refuse(err error) {
 	status := 400
 	var why string
-	if f, ok := err.(*h1.Fault); ok {
+	if f, ok := err.(*http1.Fault); ok {
 		status, why = f.Status, f.Why
 	} else {
 		why = err.Error()
@@ -119,7 +119,7 @@
 	return sl
 }
 
-func (s *Session) request(now float64, wall time.Time, m *h1.Message) {
+func (s *Session) request(now float64, wall time.Time, m *http1.Message) {
 	waiting := len(s.slots)
 	sl := s.push()
 	if sl.last = m.Close; m.Close {
@@ -135,7 +135,7 @@
 		return
 	case m.Method != "POST":
 		sl.out = s.problem(405, "method", fmt.Sprintf("method %.20q: events come by POST", m.Method),
-			[]gateway.Field{{Name: "Allow", Value: "POST"}}, nil, sl.last)
+			[]dispatch.Field{{Name: "Allow", Value: "POST"}}, nil, sl.last)
 		return
 	}
 	ask, f := readEvent(m, wall)
@@ -144,7 +144,7 @@
 		sl.out = s.problem(f.status, f.kind, f.detail, nil, nil, sl.last)
 	case waiting >= s.limits.Pipeline:
 		sl.out = s.problem(429, "pipeline", fmt.Sprintf("over %d requests of this connection wait", s.limits.Pipeline),
-			[]gateway.Field{{Name: "Retry-After", Value: "1"}}, nil, sl.last)
+			[]dispatch.Field{{Name: "Retry-After", Value: "1"}}, nil, sl.last)
 	default:
 		wait := s.limits.MaxAge(ask.Type)
 		if ask.Wait == 0 || ask.Wait > wait {
@@ -185,7 +185,7 @@
 				} else {
 					ask.Wait = left
 				}
-				sl.ask = &gateway.Ask{Identity: ask.Identity}
+				sl.ask = &dispatch.Ask{Identity: ask.Identity}
 				s.taker.Take(sl.no, ask)
 				progress = true
 			}
@@ -195,7 +195,7 @@
 }
 
 // Answer is the final answer to a slot.
-func (s *Session) Answer(now float64, no uint64, a gateway.Answer) {
+func (s *Session) Answer(now float64, no uint64, a dispatch.Answer) {
 	for _, sl := range s.slots {
 		if sl.no == no && sl.out == nil {
 			sl.out = s.final(a, sl.last)
@@ -254,7 +254,7 @@
 	switch {
 	case s.closed || s.gone:
 	case !s.in.Idle() && now-s.began > s.limits.Arrival:
-		s.refuse(&h1.Fault{Status: 408, Why: fmt.Sprintf("the request was not whole after %v s", s.limits.Arrival)})
+		s.refuse(&http1.Fault{Status: 408, Why: fmt.Sprintf("the request was not whole after %v s", s.limits.Arrival)})
 		s.advance(now)
 	case s.in.Idle() && len(s.slots) == 0 && now-s.quiet > s.limits.Idle:
 		s.closed = true
@@ -262,7 +262,7 @@
 	return s.out.Len() > 0 || s.Done()
 }
 
-func (s *Session) render(status int, fields []gateway.Field, body []byte, last bool) []byte {
+func (s *Session) render(status int, fields []dispatch.Field, body []byte, last bool) []byte {
 	var b bytes.Buffer
 	b.Grow(160 + len(body))
 	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n", status, nethttp.StatusText(status), len(body))
@@ -281,14 +281,14 @@
 }
 
 // problem is an answer with problem details (RFC 9457).
-func (s *Session) problem(status int, kind, detail string, fields []gateway.Field, more map[string]any, last bool) []byte {
+func (s *Session) problem(status int, kind, detail string, fields []dispatch.Field, more map[string]any, last bool) []byte {
 	details := map[string]any{"type": "urn:streamcleat:problem:" + kind, "title": nethttp.StatusText(status),
 		"status": status, "detail": detail}
 	for k, v := range more {
 		details[k] = v
 	}
 	body, _ := json.Marshal(details)
-	return s.render(status, append([]gateway.Field{{Name: "Content-Type", Value: "application/problem+json"}}, fields...),
+	return s.render(status, append([]dispatch.Field{{Name: "Content-Type", Value: "application/problem+json"}}, fields...),
 		append(body, '\n'), last)
 }
 
@@ -296,35 +296,35 @@
 	control.JoinedLoad: "joined"}
 
 // proxyErrors are the error types of RFC 9209 2.3 for the causes that have one.
-var proxyErrors = map[gateway.Cause]string{
-	gateway.TimeUp: "http_response_timeout", gateway.WorkerBroke: "connection_terminated",
-	gateway.WorkerGone: "destination_unavailable", gateway.WorkerFull: "connection_limit_reached",
-	gateway.NoRoom: "destination_unavailable", gateway.WorkerFailed: "http_protocol_error",
-	gateway.LoadFailed: "destination_not_found",
+var proxyErrors = map[dispatch.Cause]string{
+	dispatch.TimeUp: "http_response_timeout", dispatch.WorkerBroke: "connection_terminated",
+	dispatch.WorkerGone: "destination_unavailable", dispatch.WorkerFull: "connection_limit_reached",
+	dispatch.NoRoom: "destination_unavailable", dispatch.WorkerFailed: "http_protocol_error",
+	dispatch.LoadFailed: "destination_not_found",
 }
 
 // final writes a final answer: 200 handled; 503 with Retry-After deferred; 502 or 504 dead-lettered.
-func (s *Session) final(a gateway.Answer, last bool) []byte {
+func (s *Session) final(a dispatch.Answer, last bool) []byte {
 	timing := fmt.Sprintf("total;dur=%.1f", a.After*1000)
-	if w, ok := warmths[a.Warmth]; ok && a.Kind == gateway.Handled {
+	if w, ok := warmths[a.Warmth]; ok && a.Kind == dispatch.Handled {
 		timing = w + ", " + timing
 	}
-	fields := []gateway.Field{{Name: "Server-Timing", Value: timing}}
+	fields := []dispatch.Field{{Name: "Server-Timing", Value: timing}}
 	if b := a.Binding; b.ID != "" { // which version it was, whatever became of it
 		fields[0].Value = fmt.Sprintf("%s, version;desc=%q", timing, b.Version)
-		fields = append(fields, gateway.Field{Name: "Docker-Content-Digest", Value: b.Digest})
+		fields = append(fields, dispatch.Field{Name: "Docker-Content-Digest", Value: b.Digest})
 	}
 	if a.Repeat {
-		fields = append(fields, gateway.Field{Name: "Idempotent-Replayed", Value: "true"})
+		fields = append(fields, dispatch.Field{Name: "Idempotent-Replayed", Value: "true"})
 	}
-	if a.Kind == gateway.Handled {
+	if a.Kind == dispatch.Handled {
 		return s.render(200, append(fields, a.Fields...), a.Body, last)
 	}
 	status := fmt.Sprintf("%s; details=%q", s.name, a.Cause)
 	if e := proxyErrors[a.Cause]; e != "" {
 		status = fmt.Sprintf("%s; error=%s; details=%q", s.name, e, a.Cause)
 	}
-	fields = append(fields, gateway.Field{Name: "Proxy-Status", Value: status})
+	fields = append(fields, dispatch.Field{Name: "Proxy-Status", Value: status})
 	more := map[string]any{"cause": a.Cause.String(), "outcome": a.Kind.String(), "launches": a.Launches,
 		"event": map[string]string{"source": a.Identity.Source, "id": a.Identity.ID}}
 	if a.Worker != "" {
@@ -332,15 +332,15 @@
 	}
 	code, detail := 502, "The event was given up; nothing is promised of what it did."
 	switch {
-	case a.Kind == gateway.Deferred:
+	case a.Kind == dispatch.Deferred:
 		code, detail = 503, "The event was not handled; sending it again is harmless."
 		more["retry-after"] = a.Pause
-		fields = append(fields, gateway.Field{Name: "Retry-After", Value: strconv.Itoa(int(math.Ceil(a.Pause)))})
-	case a.Cause == gateway.TimeUp:
+		fields = append(fields, dispatch.Field{Name: "Retry-After", Value: strconv.Itoa(int(math.Ceil(a.Pause)))})
+	case a.Cause == dispatch.TimeUp:
 		code = 504
-	case a.Cause == gateway.NoVersion:
+	case a.Cause == dispatch.NoVersion:
 		code, detail = 422, fmt.Sprintf("The reference %.100q names no version that may run events of type %.100q.", a.FunctionID, a.EventType)
-	case a.Cause == gateway.Unknown: // never taken: the sender's fault
+	case a.Cause == dispatch.Unknown: // never taken: the sender's fault
 		code, detail = 422, fmt.Sprintf("The configuration names no event type %.100q.", a.EventType)
 	}
 	return s.problem(code, a.Kind.String(), detail, fields, more, last)
--- a/front/http/session_test.go
+++ b/internal/ingress/http/session_test.go
@@ -8,12 +8,12 @@
 	"time"
 
 	"streamcleat/control"
-	"streamcleat/gateway"
-	"streamcleat/h1"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/http1"
 )
 
 var (
-	limits = Limits{Message: h1.Limits{Head: 2000, Body: 500}, Pipeline: 4, Arrival: 2, Idle: 10, Unread: 1 << 16,
+	limits = Limits{Message: http1.Limits{Head: 2000, Body: 500}, Pipeline: 4, Arrival: 2, Idle: 10, Unread: 1 << 16,
 		MaxAge: func(string) float64 { return 5 }}
 	wall = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 )
@@ -21,23 +21,23 @@
 // till is the core's side of a session: it notes what was taken.
 type till struct {
 	s     *Session
-	asks  map[uint64]gateway.Ask
+	asks  map[uint64]dispatch.Ask
 	order []uint64
 	left  []uint64
 	now   bool // answer within Take
 }
 
-func (k *till) Take(slot uint64, ask gateway.Ask) {
+func (k *till) Take(slot uint64, ask dispatch.Ask) {
 	k.asks[slot] = ask
 	k.order = append(k.order, slot)
 	if k.now {
-		k.s.Answer(0, slot, gateway.Answer{Kind: gateway.Handled, Body: []byte(ask.ID)})
+		k.s.Answer(0, slot, dispatch.Answer{Kind: dispatch.Handled, Body: []byte(ask.ID)})
 	}
 }
 func (k *till) HungUp(slot uint64) { k.left = append(k.left, slot) }
 
 func newTill() *till {
-	k := &till{asks: map[uint64]gateway.Ask{}}
+	k := &till{asks: map[uint64]dispatch.Ask{}}
 	k.s = NewSession(limits, "front-1", k, 0)
 	return k
 }
@@ -52,7 +52,7 @@
 	return string(k.s.Output())
 }
 
-func (k *till) answer(slot uint64, a gateway.Answer) string {
+func (k *till) answer(slot uint64, a dispatch.Answer) string {
 	k.s.Answer(1, slot, a)
 	k.s.Advance(1)
 	return string(k.s.Output())
@@ -126,18 +126,18 @@
 
 func TestFinalAnswers(t *testing.T) {
 	for _, c := range []struct {
-		a    gateway.Answer
+		a    dispatch.Answer
 		want []string
 	}{
-		{gateway.Answer{Kind: gateway.Handled, Warmth: control.FoundWarm, Body: []byte("hi"),
-			Fields: []gateway.Field{{Name: "Content-Type", Value: "text/plain"}}}, []string{"200 OK", "Server-Timing: warm", "text/plain", "\r\n\r\nhi"}},
-		{gateway.Answer{Kind: gateway.Handled, Repeat: true}, []string{"200 OK", "Idempotent-Replayed: true"}},
-		{gateway.Answer{Kind: gateway.Deferred, Cause: gateway.NoRoom, Pause: 0.25}, []string{"503 ", "Retry-After: 1\r\n",
+		{dispatch.Answer{Kind: dispatch.Handled, Warmth: control.FoundWarm, Body: []byte("hi"),
+			Fields: []dispatch.Field{{Name: "Content-Type", Value: "text/plain"}}}, []string{"200 OK", "Server-Timing: warm", "text/plain", "\r\n\r\nhi"}},
+		{dispatch.Answer{Kind: dispatch.Handled, Repeat: true}, []string{"200 OK", "Idempotent-Replayed: true"}},
+		{dispatch.Answer{Kind: dispatch.Deferred, Cause: dispatch.NoRoom, Pause: 0.25}, []string{"503 ", "Retry-After: 1\r\n",
 			`"retry-after":0.25`, "destination_unavailable", `"outcome":"deferred"`}},
-		{gateway.Answer{Kind: gateway.DeadLettered, Cause: gateway.WorkerBroke, Worker: "wk-a", Launches: 1}, []string{"502 ",
+		{dispatch.Answer{Kind: dispatch.DeadLettered, Cause: dispatch.WorkerBroke, Worker: "wk-a", Launches: 1}, []string{"502 ",
 			"Proxy-Status: front-1; error=connection_terminated", `"worker":"wk-a"`, `"launches":1`}},
-		{gateway.Answer{Kind: gateway.DeadLettered, Cause: gateway.TimeUp}, []string{"504 ", "http_response_timeout"}},
-		{gateway.Answer{Kind: gateway.DeadLettered, Cause: gateway.Unknown, EventType: "odd"}, []string{"422 ", "odd"}},
+		{dispatch.Answer{Kind: dispatch.DeadLettered, Cause: dispatch.TimeUp}, []string{"504 ", "http_response_timeout"}},
+		{dispatch.Answer{Kind: dispatch.DeadLettered, Cause: dispatch.Unknown, EventType: "odd"}, []string{"422 ", "odd"}},
 	} {
 		k := newTill()
 		k.feed(0, event("1", "", ""))
@@ -153,8 +153,8 @@
 	}
 }
 
-func body(n int) gateway.Answer {
-	return gateway.Answer{Kind: gateway.Handled, Body: fmt.Appendf(nil, "<%d>", n)}
+func body(n int) dispatch.Answer {
+	return dispatch.Answer{Kind: dispatch.Handled, Body: fmt.Appendf(nil, "<%d>", n)}
 }
 
 func TestPipelineAnswersInOrder(t *testing.T) {
--- a/referee/judge_test.go
+++ b/internal/invariants/judge_test.go
@@ -1,4 +1,4 @@
-package referee
+package invariants
 
 import (
 	"bytes"
--- a/referee/record.go
+++ b/internal/invariants/record.go
@@ -1,6 +1,6 @@
-// Package referee judges the five rules from what passed on the sockets of clients and workers, as the stand-ins at
+// Package invariants judges the five rules from what passed on the sockets of clients and workers, as the stand-ins at
 // both ends recorded it. It knows nothing of how the program decides and shares no code with it.
-package referee
+package invariants
 
 import (
 	"bufio"
--- a/platform/clients/frames.go
+++ b/internal/platform/downstream/frames.go
@@ -1,6 +1,6 @@
-// Package clients is the client side of the platform's protocol: its frames, and what one connection says and is told.
+// Package downstream is the client side of the platform's protocol: its frames, and what one connection says and is told.
 // It has no socket and no clock. frontend carries a Session's bytes and hands its events to the core.
-package clients
+package downstream
 
 import (
 	"encoding/binary"
--- a/platform/clients/session.go
+++ b/internal/platform/downstream/session.go
@@ -1,4 +1,4 @@
-package clients
+package downstream
 
 import (
 	"bytes"
@@ -10,13 +10,13 @@
 	"strings"
 	"time"
 
-	"streamcleat/gateway"
+	"streamcleat/internal/dispatch"
 )
 
 // Taker takes events on behalf of a session.
 type Taker interface {
 	// Take is answered by Session.Answer with the same slot, be it before Take returns.
-	Take(slot uint64, ask gateway.Ask)
+	Take(slot uint64, ask dispatch.Ask)
 	// HungUp tells that nobody waits for the slot any more.
 	HungUp(slot uint64)
 }
@@ -146,7 +146,7 @@
 }
 
 // read turns a request's payload into an event; an error names the field that is at fault.
-func (l *Limits) read(payload []byte) (ask gateway.Ask, err error) {
+func (l *Limits) read(payload []byte) (ask dispatch.Ask, err error) {
 	fields, body, err := readFields(payload)
 	if err != nil {
 		return ask, fmt.Errorf("request: %w", err)
@@ -174,7 +174,7 @@
 			if len(f.Value) > keyMost || strings.ContainsFunc(f.Value, func(c rune) bool { return c <= ' ' || c > '~' || c == ',' || c == '=' }) {
 				err = fmt.Errorf("%s: %.40q is not a key of up to %d characters without comma, equals sign and spaces", f.Name, f.Value, keyMost)
 			}
-			ask.Fields = []gateway.Field{{Name: f.Name, Value: f.Value}}
+			ask.Fields = []dispatch.Field{{Name: f.Name, Value: f.Value}}
 		}
 		if err != nil {
 			return ask, err
@@ -201,7 +201,7 @@
 	return ask, err
 }
 
-func (l *Limits) stated(text string) (f gateway.Function, err error) {
+func (l *Limits) stated(text string) (f dispatch.Function, err error) {
 	for text != "" && err == nil {
 		var pair string
 		pair, text, _ = strings.Cut(text, ";")
@@ -250,7 +250,7 @@
 }
 
 // Answer is the final answer to a request.
-func (s *Session) Answer(now float64, slot uint64, a gateway.Answer) {
+func (s *Session) Answer(now float64, slot uint64, a dispatch.Answer) {
 	stream := uint32(slot)
 	if s.gone || !s.open[stream] {
 		return
@@ -258,9 +258,9 @@
 	delete(s.open, stream)
 	s.quiet = now
 	switch a.Kind {
-	case gateway.Handled:
+	case dispatch.Handled:
 		s.out = putAnswer(s.out, answer, stream, codeServed, nil, a.Body)
-	case gateway.Deferred:
+	case dispatch.Deferred:
 		var fields []Field
 		if ms := math.Round(a.Pause * 1000); ms > 0 {
 			fields = []Field{{"holdoff", strconv.FormatFloat(ms, 'f', 0, 64)}}
--- a/platform/clients/session_test.go
+++ b/internal/platform/downstream/session_test.go
@@ -1,4 +1,4 @@
-package clients
+package downstream
 
 import (
 	"bytes"
@@ -9,20 +9,20 @@
 	"testing"
 	"time"
 
-	"streamcleat/gateway"
+	"streamcleat/internal/dispatch"
 )
 
 // desk notes what a session takes and answers nothing by itself.
 type desk struct {
-	asks map[uint64]gateway.Ask
+	asks map[uint64]dispatch.Ask
 	left []uint64
 }
 
-func (d *desk) Take(slot uint64, ask gateway.Ask) { d.asks[slot] = ask }
-func (d *desk) HungUp(slot uint64)                { d.left = append(d.left, slot) }
+func (d *desk) Take(slot uint64, ask dispatch.Ask) { d.asks[slot] = ask }
+func (d *desk) HungUp(slot uint64)                 { d.left = append(d.left, slot) }
 
 func open() (*Session, *desk) {
-	d := &desk{asks: map[uint64]gateway.Ask{}}
+	d := &desk{asks: map[uint64]dispatch.Ask{}}
 	return NewSession(&Limits{Open: 3, First: 2, Arrival: 1, Idle: 5, MaxAge: func(t string) float64 {
 		return map[string]float64{"call": 4}[t]
 	}, Tenant: func(n string) bool { return n == "acme" }, Ready: func() bool { return len(d.asks) == 0 },
@@ -86,7 +86,7 @@
 		s.Feed(0, time.Time{}, in[cut:])
 		a := d.asks[1]
 		if len(d.asks) != 2 || a.ID != "9b1f03aa5c7e2d41" || a.Type != "call" || a.Tenant != "acme" || a.Function != "7f3a9c21e0b4d655" ||
-			a.Wait != 1.5 || a.Stated != (gateway.Function{Lanes: 2, Memory: 512, Load: 0.64}) || string(a.Body) != "body\x00" || !a.Alone {
+			a.Wait != 1.5 || a.Stated != (dispatch.Function{Lanes: 2, Memory: 512, Load: 0.64}) || string(a.Body) != "body\x00" || !a.Alone {
 			t.Fatalf("cut at %d: %+v", cut, d.asks)
 		}
 	}
@@ -121,7 +121,7 @@
 			t.Errorf("%s: %q", name, got)
 		}
 		for slot := range d.asks { // what was open is answered before the end
-			s.Answer(0, slot, gateway.Answer{Kind: gateway.Handled, Body: []byte("x")})
+			s.Answer(0, slot, dispatch.Answer{Kind: dispatch.Handled, Body: []byte("x")})
 		}
 		if _, free := s.Free(); !s.Done() || !free || len(s.in.buf) > 0 {
 			t.Errorf("%s: done %v, free %v, %d bytes are kept", name, s.Done(), free, len(s.in.buf))
@@ -155,10 +155,10 @@
 		s.Feed(0, time.Time{}, ask(stream, ""))
 	}
 	s.Feed(0, time.Time{}, slices.Concat(bare(takeBack, 2, ""), bare(takeBack, 99, ""), bare(askReady, 8, "\x00")))
-	s.Answer(0, 3, gateway.Answer{Kind: gateway.Deferred, Pause: 0.25, Cause: gateway.NoRoom})
-	s.Answer(0, 2, gateway.Answer{Kind: gateway.Handled}) // taken back: nobody is owed it
-	s.Answer(0, 1, gateway.Answer{Kind: gateway.Handled, Body: []byte("b")})
-	s.Answer(0, 1, gateway.Answer{Kind: gateway.DeadLettered}) // one answer only
+	s.Answer(0, 3, dispatch.Answer{Kind: dispatch.Deferred, Pause: 0.25, Cause: dispatch.NoRoom})
+	s.Answer(0, 2, dispatch.Answer{Kind: dispatch.Handled}) // taken back: nobody is owed it
+	s.Answer(0, 1, dispatch.Answer{Kind: dispatch.Handled, Body: []byte("b")})
+	s.Answer(0, 1, dispatch.Answer{Kind: dispatch.DeadLettered}) // one answer only
 	s.Drain()
 	s.Drain()
 	want := []string{"5/7/0 ", "2/4/8 stream: 3 requests are open on this connection", "5/8/8 ", "2/3/8 holdoff=250 no-room", "2/1/0 b", "6/0"}
@@ -193,7 +193,7 @@
 	if _, free := busy.Free(); free || len(d.asks) != 1 {
 		t.Error("an open event makes a connection not free")
 	}
-	busy.Answer(100, 1, gateway.Answer{})
+	busy.Answer(100, 1, dispatch.Answer{})
 	if since, free := busy.Free(); !free || since != 100 {
 		t.Error("an answered connection is not free")
 	}
--- a/platform/journal.go
+++ b/internal/platform/journal.go
@@ -8,7 +8,7 @@
 	"net/netip"
 
 	"streamcleat/control"
-	"streamcleat/workers"
+	"streamcleat/internal/upstream"
 )
 
 // Journal is the list of workers as the journal service's numbered events make it.
@@ -132,8 +132,8 @@
 
 // Listed is the list in force. Starts of workers become the caller's clock by offset, which is added to Unix seconds and
 // must stay the same: a worker whose start changes counts as one that began anew.
-func (j *Journal) Listed(offset float64) *workers.Listed {
-	list := &workers.Listed{Address: make(map[control.WorkerID]string, len(j.hosts))}
+func (j *Journal) Listed(offset float64) *upstream.Listed {
+	list := &upstream.Listed{Address: make(map[control.WorkerID]string, len(j.hosts))}
 	for _, h := range j.hosts {
 		wk := control.Worker{ID: control.WorkerID(h.Host), Zone: control.ZoneID(h.Site), Kind: control.KindID(h.Class),
 			Cell: h.Block, Size: 1}
--- a/platform/platform.go
+++ b/internal/platform/platform.go
@@ -11,7 +11,7 @@
 	"net/netip"
 	"strconv"
 
-	"streamcleat/deployment"
+	"streamcleat/internal/deployment"
 )
 
 // Machine is what one front end is told at its start and at each reload.
--- a/platform/backends/frames.go
+++ b/internal/platform/upstream/frames.go
@@ -1,6 +1,6 @@
-// Package backends is the worker side of the platform's protocol: its frames, and the connections that carry launches,
+// Package upstream is the worker side of the platform's protocol: its frames, and the connections that carry launches,
 // give-ups and load orders. It has no socket and no clock; it speaks to the core as workers.Pool does.
-package backends
+package upstream
 
 import (
 	"encoding/binary"
--- a/platform/backends/pool.go
+++ b/internal/platform/upstream/pool.go
@@ -1,4 +1,4 @@
-package backends
+package upstream
 
 import (
 	"errors"
@@ -8,8 +8,8 @@
 	"strconv"
 
 	"streamcleat/control"
-	"streamcleat/gateway"
-	"streamcleat/workers"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/upstream"
 )
 
 // Limits of the connections to workers; times in seconds.
@@ -24,8 +24,8 @@
 
 // Wire carries the pool's bytes. It must not call back into the pool before a method returns.
 type Wire interface {
-	workers.Wire
-	Unsent(c workers.Conn) int // bytes that were written and have not left
+	upstream.Wire
+	Unsent(c upstream.Conn) int // bytes that were written and have not left
 }
 
 type job struct {
@@ -43,7 +43,7 @@
 const usedMost = 32
 
 type conn struct {
-	no    workers.Conn
+	no    upstream.Conn
 	wk    control.WorkerID
 	up    bool
 	jobs  map[uint64]*job // by id; before it is up, those that wait
@@ -60,12 +60,12 @@
 type Pool struct {
 	limits Limits
 	wire   Wire
-	sink   workers.Sink
-	next   workers.Conn
-	list   *workers.Listed
+	sink   upstream.Sink
+	next   upstream.Conn
+	list   *upstream.Listed
 	born   map[control.WorkerID]float64
 	open   map[control.WorkerID]bool // in the list and serving
-	conns  map[workers.Conn]*conn
+	conns  map[upstream.Conn]*conn
 	of     map[control.WorkerID][]*conn // in the order they were dialed
 	jobs   map[uint64]*job
 	failed []*job // could not be sent, told at the next Flush
@@ -73,9 +73,9 @@
 }
 
 // NewPool makes a pool without workers.
-func NewPool(l Limits, wire Wire, sink workers.Sink) *Pool {
-	return &Pool{limits: l, wire: wire, sink: sink, list: &workers.Listed{}, born: map[control.WorkerID]float64{},
-		open: map[control.WorkerID]bool{}, conns: map[workers.Conn]*conn{}, of: map[control.WorkerID][]*conn{},
+func NewPool(l Limits, wire Wire, sink upstream.Sink) *Pool {
+	return &Pool{limits: l, wire: wire, sink: sink, list: &upstream.Listed{}, born: map[control.WorkerID]float64{},
+		open: map[control.WorkerID]bool{}, conns: map[upstream.Conn]*conn{}, of: map[control.WorkerID][]*conn{},
 		jobs: map[uint64]*job{}}
 }
 
@@ -85,7 +85,7 @@
 // List takes the list of workers. What waits for a connection to one that drains, is gone or began anew is given back
 // as never sent; connections without launches are closed, others once theirs have ended. Connections belong to a
 // worker and not to its address, which another may take.
-func (p *Pool) List(list *workers.Listed) {
+func (p *Pool) List(list *upstream.Listed) {
 	open, born := map[control.WorkerID]bool{}, map[control.WorkerID]float64{}
 	for _, wk := range list.Workers {
 		open[wk.ID], born[wk.ID] = wk.Phase == control.Serving, wk.Born
@@ -113,7 +113,7 @@
 }
 
 // Launch sends a launch. Its id at the worker is the event's own.
-func (p *Pool) Launch(now float64, l gateway.Launch) {
+func (p *Pool) Launch(now float64, l dispatch.Launch) {
 	id, err := strconv.ParseUint(l.Identity.ID, 16, 64)
 	j := &job{no: l.Job, id: id, wk: l.Worker, startAt: now}
 	if err != nil {
@@ -133,7 +133,7 @@
 
 // Load sends a load order, or with no copies wanted an order to unload idle ones, which is not
 // answered, and is dropped where no connection is up.
-func (p *Pool) Load(now float64, o gateway.Order) {
+func (p *Pool) Load(now float64, o dispatch.Order) {
 	if o.Copies <= 0 {
 		fn, err := strconv.ParseUint(o.Function, 16, 64)
 		if c := p.pick(now, o.Worker, 0); err == nil && c != nil && c.up {
@@ -213,12 +213,12 @@
 		list := p.failed
 		p.failed = nil
 		for _, j := range list {
-			p.end(j, gateway.Reply{Result: control.Unreachable}, 0)
+			p.end(j, dispatch.Reply{Result: control.Unreachable}, 0)
 		}
 	}
 }
 
-func (p *Pool) end(j *job, r gateway.Reply, copies int) {
+func (p *Pool) end(j *job, r dispatch.Reply, copies int) {
 	if p.jobs[j.no] != j {
 		return
 	}
@@ -231,7 +231,7 @@
 }
 
 // Dialed tells how a dial ended.
-func (p *Pool) Dialed(now float64, no workers.Conn, err error) {
+func (p *Pool) Dialed(now float64, no upstream.Conn, err error) {
 	c := p.conns[no]
 	switch {
 	case c == nil && err == nil:
@@ -274,9 +274,9 @@
 	clear(c.jobs)
 	for _, j := range jobs {
 		if j.sent {
-			p.end(j, gateway.Reply{Result: control.Broken}, 0)
+			p.end(j, dispatch.Reply{Result: control.Broken}, 0)
 		} else {
-			p.end(j, gateway.Reply{Result: control.Unreachable}, 0)
+			p.end(j, dispatch.Reply{Result: control.Unreachable}, 0)
 		}
 	}
 }
@@ -329,7 +329,7 @@
 }
 
 // Data takes bytes from a worker.
-func (p *Pool) Data(now float64, no workers.Conn, data []byte) {
+func (p *Pool) Data(now float64, no upstream.Conn, data []byte) {
 	c := p.conns[no]
 	if c == nil || !c.up {
 		return
@@ -366,9 +366,9 @@
 	delete(c.jobs, f.id)
 	c.ended(f.id)
 	if j.load {
-		p.end(j, gateway.Reply{Result: res}, whole(f.fields, "slots_up"))
+		p.end(j, dispatch.Reply{Result: res}, whole(f.fields, "slots_up"))
 	} else {
-		r := gateway.Reply{Result: res, Warmth: warmths[value(f.fields, "detail")]}
+		r := dispatch.Reply{Result: res, Warmth: warmths[value(f.fields, "detail")]}
 		if f.code == ansOK {
 			r.Body = slices.Clone(f.body)
 		}
@@ -380,7 +380,7 @@
 }
 
 // Closed tells that a connection closed or broke. What was cut off in mid-answer is worth nothing.
-func (p *Pool) Closed(now float64, no workers.Conn) {
+func (p *Pool) Closed(now float64, no upstream.Conn) {
 	if c := p.conns[no]; c != nil {
 		p.drop(c)
 		p.lose(c)
--- a/platform/backends/pool_test.go
+++ b/internal/platform/upstream/pool_test.go
@@ -1,4 +1,4 @@
-package backends
+package upstream
 
 import (
 	"bytes"
@@ -8,8 +8,8 @@
 	"testing"
 
 	"streamcleat/control"
-	"streamcleat/gateway"
-	"streamcleat/workers"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/upstream"
 )
 
 // net notes what a pool does on its connections, and what it tells.
@@ -17,18 +17,18 @@
 	t      *testing.T
 	p      *Pool
 	dialed []string
-	sent   map[workers.Conn][]byte
-	closed []workers.Conn
-	unsent map[workers.Conn]int
+	sent   map[upstream.Conn][]byte
+	closed []upstream.Conn
+	unsent map[upstream.Conn]int
 	told   []string
 	bodies []string
 }
 
-func (n *net) Dial(c workers.Conn, addr string)  { n.dialed = append(n.dialed, addr) }
-func (n *net) Write(c workers.Conn, data []byte) { n.sent[c] = append(n.sent[c], data...) }
-func (n *net) Close(c workers.Conn)              { n.closed = append(n.closed, c) }
-func (n *net) Unsent(c workers.Conn) int         { return n.unsent[c] }
-func (n *net) Launched(job uint64, r gateway.Reply) {
+func (n *net) Dial(c upstream.Conn, addr string)  { n.dialed = append(n.dialed, addr) }
+func (n *net) Write(c upstream.Conn, data []byte) { n.sent[c] = append(n.sent[c], data...) }
+func (n *net) Close(c upstream.Conn)              { n.closed = append(n.closed, c) }
+func (n *net) Unsent(c upstream.Conn) int         { return n.unsent[c] }
+func (n *net) Launched(job uint64, r dispatch.Reply) {
 	n.told = append(n.told, fmt.Sprintf("%d:%d/%d", job, r.Result, r.Warmth))
 	n.bodies = append(n.bodies, string(r.Body))
 }
@@ -37,7 +37,7 @@
 }
 
 // codes are the commands written to a connection.
-func (n *net) codes(c workers.Conn) (list []byte) {
+func (n *net) codes(c upstream.Conn) (list []byte) {
 	for b := n.sent[c]; len(b) > 0; {
 		size := headSize + int(b[2])<<8 + int(b[3]) + int(b[6])<<8 + int(b[7]) + checkSize
 		list, b = append(list, b[1]), b[size:]
@@ -57,8 +57,8 @@
 	n.told = nil
 }
 
-func list(workersOf map[string]string, phase control.Phase, born float64) *workers.Listed {
-	l := &workers.Listed{Address: map[control.WorkerID]string{}}
+func list(workersOf map[string]string, phase control.Phase, born float64) *upstream.Listed {
+	l := &upstream.Listed{Address: map[control.WorkerID]string{}}
 	for id, addr := range workersOf {
 		l.Workers = append(l.Workers, control.Worker{ID: control.WorkerID(id), Phase: phase, Born: born})
 		l.Address[control.WorkerID(id)] = addr
@@ -67,15 +67,15 @@
 }
 
 func newNet(t *testing.T, each, streams int) *net {
-	n := &net{t: t, sent: map[workers.Conn][]byte{}, unsent: map[workers.Conn]int{}}
+	n := &net{t: t, sent: map[upstream.Conn][]byte{}, unsent: map[upstream.Conn]int{}}
 	n.p = NewPool(Limits{Dial: 0.25, Idle: 10, Most: 8, Each: each, Streams: streams}, n, n)
 	n.p.List(list(map[string]string{"a": "x:1"}, control.Serving, 0))
 	return n
 }
 
 func (n *net) launch(job uint64, wk string) {
-	n.p.Launch(0, gateway.Launch{Job: job, Worker: control.WorkerID(wk), Function: "7f3a9c21e0b4d655", Type: "call", Limit: 1.5,
-		Identity: gateway.Identity{ID: fmt.Sprintf("%016x", job)}, Body: []byte("in")})
+	n.p.Launch(0, dispatch.Launch{Job: job, Worker: control.WorkerID(wk), Function: "7f3a9c21e0b4d655", Type: "call", Limit: 1.5,
+		Identity: dispatch.Identity{ID: fmt.Sprintf("%016x", job)}, Body: []byte("in")})
 }
 
 // back is an answer as a worker sends it.
@@ -130,7 +130,7 @@
 			n.p.Closed(0, 1)
 		} else {
 			n.p.Data(0, 1, append(in, back(ansOK, 2, "", "not to be trusted")...))
-			if !slices.Equal(n.closed, []workers.Conn{1}) {
+			if !slices.Equal(n.closed, []upstream.Conn{1}) {
 				t.Errorf("%s: closed %v", name, n.closed)
 			}
 		}
@@ -182,7 +182,7 @@
 	n.p.List(drain) // told while the launch waits for its connection
 	n.p.Dialed(0, 1, nil)
 	n.launch(2, "a")
-	n.p.Load(0, gateway.Order{Job: 3, Worker: "a", Function: "7f3a9c21e0b4d655", Copies: 1})
+	n.p.Load(0, dispatch.Order{Job: 3, Worker: "a", Function: "7f3a9c21e0b4d655", Copies: 1})
 	n.expect("1:6/0", "2:6/0", "load 3:6 0")
 	if len(n.sent[1]) > 0 {
 		t.Errorf("sent %v to a draining worker", n.codes(1))
@@ -194,7 +194,7 @@
 	n.p.List(drain)
 	n.p.Data(0, 1, back(ansOK, 1, "detail=hit", ""))
 	n.expect("1:0/1")
-	if !slices.Equal(n.closed, []workers.Conn{1}) {
+	if !slices.Equal(n.closed, []upstream.Conn{1}) {
 		t.Error("a connection to a draining worker is kept")
 	}
 
@@ -212,14 +212,14 @@
 	}
 	n.p.Abandon(0, 2)
 	n.expect("3:3/0")
-	if !slices.Equal(n.closed, []workers.Conn{1}) || slices.Contains(n.codes(1), cmdGiveUp) {
+	if !slices.Equal(n.closed, []upstream.Conn{1}) || slices.Contains(n.codes(1), cmdGiveUp) {
 		t.Error("the rest of it may still leave")
 	}
 }
 
 // A new worker may take the address of one that is gone, and one may begin anew under its own name.
 func TestConnectionsBelongToAWorker(t *testing.T) {
-	for name, next := range map[string]*workers.Listed{"address": list(map[string]string{"b": "x:1"}, control.Serving, 0),
+	for name, next := range map[string]*upstream.Listed{"address": list(map[string]string{"b": "x:1"}, control.Serving, 0),
 		"began anew": list(map[string]string{"a": "x:1"}, control.Serving, 9)} {
 		n := newNet(t, 1, 32)
 		n.launch(1, "a")
@@ -237,10 +237,10 @@
 
 func TestOrdersAndTime(t *testing.T) {
 	n := newNet(t, 1, 32)
-	n.p.Load(0, gateway.Order{Job: 1, Worker: "a", Function: "7f3a9c21e0b4d655", Copies: 2})
+	n.p.Load(0, dispatch.Order{Job: 1, Worker: "a", Function: "7f3a9c21e0b4d655", Copies: 2})
 	n.p.Dialed(0, 1, nil)
 	n.p.Data(0, 1, back(ansFull, n.p.orders|1<<63, "slots_up=1", ""))
-	n.p.Load(0, gateway.Order{Worker: "a", Function: "7f3a9c21e0b4d655"})
+	n.p.Load(0, dispatch.Order{Worker: "a", Function: "7f3a9c21e0b4d655"})
 	if got := n.codes(1); !slices.Equal(got, []byte{cmdHold, cmdUnload}) {
 		t.Errorf("commands %v", got)
 	}
--- a/frontend/front.go
+++ b/internal/proxy/front.go
@@ -1,8 +1,8 @@
-// Package frontend is one front end without its sockets and its clock: the clients' sessions, the core, the
+// Package proxy is one front end without its sockets and its clock: the clients' sessions, the core, the
 // connections to workers, the list of workers, and what waits for the disk. It is called on one goroutine, with what
 // came in, and calls out through Host. netloop gives it real sockets; sim gives it a world of its own. Where an event
 // runs is decided in control and nowhere here.
-package frontend
+package proxy
 
 import (
 	"context"
@@ -14,35 +14,35 @@
 	"time"
 
 	"streamcleat/control"
-	fronthttp "streamcleat/front/http"
-	"streamcleat/gateway"
-	"streamcleat/workers"
+	"streamcleat/internal/dispatch"
+	fronthttp "streamcleat/internal/ingress/http"
+	"streamcleat/internal/upstream"
 )
 
 // Settings of one front end. Times are seconds.
 type Settings struct {
 	Name       string // for Proxy-Status and logs
 	Cluster    string // datagrams of another cluster are dropped
-	Core       gateway.Settings
-	Pool       workers.Limits
+	Core       dispatch.Settings
+	Pool       upstream.Limits
 	Front      fronthttp.Limits
-	MostConns  int                                   // client connections; past it new ones are closed
-	Evict      bool                                  // the client connection idle longest goes instead
-	NewSession func(t Taker, now float64) Session    // a client's connection; nil: the HTTP front
-	NewPool    func(w Wire, s workers.Sink) Backends // connections to workers; nil: Open Inference Protocol
+	MostConns  int                                    // client connections; past it new ones are closed
+	Evict      bool                                   // the client connection idle longest goes instead
+	NewSession func(t Taker, now float64) Session     // a client's connection; nil: the HTTP front
+	NewPool    func(w Wire, s upstream.Sink) Backends // connections to workers; nil: Open Inference Protocol
 	Log        *slog.Logger
-	Keeper     Keeper                               // keeps what must outlive the process; nil: nothing does
-	KeepWithin float64                              // an answer waits no longer than this for its note
-	Kept       []gateway.Kept                       // what an earlier process noted
-	Known      []gateway.Known                      // copies that it believed in, with their ages at the start
-	Ended      func(gateway.Answer, *gateway.Trace) // called on the loop for each ended event; may be nil
+	Keeper     Keeper                                 // keeps what must outlive the process; nil: nothing does
+	KeepWithin float64                                // an answer waits no longer than this for its note
+	Kept       []dispatch.Kept                        // what an earlier process noted
+	Known      []dispatch.Known                       // copies that it believed in, with their ages at the start
+	Ended      func(dispatch.Answer, *dispatch.Trace) // called on the loop for each ended event; may be nil
 }
 
 // Keeper keeps notes on disk.
 type Keeper interface {
 	// Commit keeps notes and then calls done once, from any goroutine. A Front has one commit out at a time; what is
 	// noted meanwhile goes into the next.
-	Commit(notes []gateway.Note, done func(error))
+	Commit(notes []dispatch.Note, done func(error))
 }
 
 // Taker takes events on behalf of a session.
@@ -51,32 +51,32 @@
 // Session is what one client connection says and is told, in whatever protocol. It has no socket and no clock.
 type Session interface {
 	Feed(now float64, wall time.Time, data []byte)
-	Answer(now float64, slot uint64, a gateway.Answer) // the final answer to what Taker.Take took
-	Advance(now float64)                               // after answers came
-	Output() []byte                                    // what is to be sent
-	Done() bool                                        // the connection is to be closed once all output is sent
-	Tick(now float64) bool                             // tells whether there is output, or an end, since
-	Drain()                                            // no more events; those that wait are answered
-	Gone()                                             // the client left
-	Free() (since float64, free bool)                  // nothing is open or half read, and since when
+	Answer(now float64, slot uint64, a dispatch.Answer) // the final answer to what Taker.Take took
+	Advance(now float64)                                // after answers came
+	Output() []byte                                     // what is to be sent
+	Done() bool                                         // the connection is to be closed once all output is sent
+	Tick(now float64) bool                              // tells whether there is output, or an end, since
+	Drain()                                             // no more events; those that wait are answered
+	Gone()                                              // the client left
+	Free() (since float64, free bool)                   // nothing is open or half read, and since when
 }
 
 // Wire carries the bytes of Backends.
 type Wire interface {
-	workers.Wire
-	Unsent(c workers.Conn) int // bytes that were written and have not left
+	upstream.Wire
+	Unsent(c upstream.Conn) int // bytes that were written and have not left
 }
 
 // Backends are the connections to workers, in whatever protocol. It has no socket and no clock.
 type Backends interface {
-	List(list *workers.Listed)
-	Launch(now float64, l gateway.Launch)
-	Load(now float64, o gateway.Order)
+	List(list *upstream.Listed)
+	Launch(now float64, l dispatch.Launch)
+	Load(now float64, o dispatch.Order)
 	Withdraw(job uint64) bool
 	Abandon(now float64, job uint64)
-	Dialed(now float64, c workers.Conn, err error)
-	Data(now float64, c workers.Conn, data []byte)
-	Closed(now float64, c workers.Conn)
+	Dialed(now float64, c upstream.Conn, err error)
+	Data(now float64, c upstream.Conn, data []byte)
+	Closed(now float64, c upstream.Conn)
 	Tick(now float64)
 	Pending() bool
 	Flush()
@@ -91,9 +91,9 @@
 	Wall() time.Time // time of day; it may jump
 	Wake(at float64) // Tick is wanted then; an earlier wish is void
 	After(seconds float64, f func())
-	Post(f func())                     // runs f on the front end's goroutine, soon; from any goroutine
-	Dial(no workers.Conn, addr string) // Dialed follows, at once or later
-	Tell(datagram []byte)              // to every other front end; a datagram may be lost
+	Post(f func())                      // runs f on the front end's goroutine, soon; from any goroutine
+	Dial(no upstream.Conn, addr string) // Dialed follows, at once or later
+	Tell(datagram []byte)               // to every other front end; a datagram may be lost
 }
 
 // Conn is one connection as the host has it. Close is final: nothing is told of it after.
@@ -113,7 +113,7 @@
 	c       Conn
 	at      int // in the list of clients
 	session Session
-	slots   map[uint64]gateway.Asker
+	slots   map[uint64]dispatch.Asker
 	dirty   bool
 	leaving bool    // our side is to be closed behind its last answer
 	shut    float64 // when our side was closed; 0 before
@@ -123,7 +123,7 @@
 
 // op is something that the pool asked to be done on a connection.
 type op struct {
-	conn  workers.Conn
+	conn  upstream.Conn
 	data  []byte
 	close bool
 }
@@ -138,25 +138,25 @@
 	set      Settings
 	host     Host
 	log      *slog.Logger
-	core     *gateway.Core
+	core     *dispatch.Core
 	pool     Backends
-	listed   *workers.Listed              // as the file has it
+	listed   *upstream.Listed             // as the file has it
 	offset   float64                      // from Unix seconds to the host's clock, when it was read
 	stated   map[control.WorkerID]float64 // when workers started, in Unix seconds as the file has it
 	readAt   float64                      // on the host's clock
-	list     *workers.Listed              // in force
+	list     *upstream.Listed             // in force
 	drained  map[control.WorkerID]bool    // by order
 	unload   uint64                       // numbers of unload orders, from the top down
 	clients  []*Client
-	backends map[workers.Conn]Conn
-	askers   map[gateway.Asker]source
-	inside   map[gateway.Asker]func(gateway.Answer) // askers within the process
-	asker    gateway.Asker
+	backends map[upstream.Conn]Conn
+	askers   map[dispatch.Asker]source
+	inside   map[dispatch.Asker]func(dispatch.Answer) // askers within the process
+	asker    dispatch.Asker
 	ops      []op
 	keep     keep
 	refused  []uint64 // launches whose notes can't be taken
 	waited   []held   // launches of events that waited, until their clients' input is read
-	lost     []gateway.Answer
+	lost     []dispatch.Answer
 	born     float64 // on the clock
 	dirty    []*Client
 	settling bool
@@ -178,19 +178,19 @@
 	if set.Log == nil {
 		set.Log = slog.New(slog.DiscardHandler)
 	}
-	f := &Front{set: set, host: host, log: set.Log, backends: map[workers.Conn]Conn{}, askers: map[gateway.Asker]source{},
-		inside: map[gateway.Asker]func(gateway.Answer){}, drained: map[control.WorkerID]bool{}, born: host.Now()}
+	f := &Front{set: set, host: host, log: set.Log, backends: map[upstream.Conn]Conn{}, askers: map[dispatch.Asker]source{},
+		inside: map[dispatch.Asker]func(dispatch.Answer){}, drained: map[control.WorkerID]bool{}, born: host.Now()}
 	copy(f.header[:], "SCL1")
 	sum := crc32.ChecksumIEEE([]byte(set.Cluster))
 	f.header[4], f.header[5], f.header[6], f.header[7] = byte(sum), byte(sum>>8), byte(sum>>16), byte(sum>>24)
 	if f.set.NewPool == nil {
-		f.set.NewPool = func(w Wire, s workers.Sink) Backends { return workers.NewPool(set.Pool, w, s) }
+		f.set.NewPool = func(w Wire, s upstream.Sink) Backends { return upstream.NewPool(set.Pool, w, s) }
 	}
 	if f.set.NewSession == nil {
 		f.set.NewSession = func(t Taker, now float64) Session { return fronthttp.NewSession(set.Front, set.Name, t, now) }
 	}
 	f.pool = f.set.NewPool((*wire)(f), (*sink)(f))
-	f.core = gateway.New(set.Core, (*outside)(f), f.born)
+	f.core = dispatch.New(set.Core, (*outside)(f), f.born)
 	f.lost = f.core.Restore(f.born, set.Kept)
 	f.set.Kept = nil
 	f.arm()
@@ -198,16 +198,16 @@
 }
 
 // Lost are events of an earlier process that may have run and must not run again; nobody was told how they ended.
-func (f *Front) Lost() []gateway.Answer { return f.lost }
+func (f *Front) Lost() []dispatch.Answer { return f.lost }
 
 // Core is the front end's core; whoever changes it calls Settle.
-func (f *Front) Core() *gateway.Core { return f.core }
+func (f *Front) Core() *dispatch.Core { return f.core }
 
 // Conns are the connections to clients and workers.
 func (f *Front) Conns() (clients, backends int) { return len(f.clients), f.pool.Conns() }
 
 // Take takes an event from within the process; answer is called exactly once, on the front end's goroutine.
-func (f *Front) Take(ask gateway.Ask, answer func(gateway.Answer)) {
+func (f *Front) Take(ask dispatch.Ask, answer func(dispatch.Answer)) {
 	f.asker++
 	f.inside[f.asker] = answer
 	f.core.Take(f.host.Now(), f.asker, ask)
@@ -241,7 +241,7 @@
 		refused := f.refused
 		f.refused = nil
 		for _, job := range refused {
-			f.core.Launched(f.host.Now(), job, gateway.Reply{Result: control.NeverSent})
+			f.core.Launched(f.host.Now(), job, dispatch.Reply{Result: control.NeverSent})
 		}
 		f.commit()
 		ops := f.ops
@@ -345,7 +345,7 @@
 	if f.draining || len(f.clients) >= f.set.MostConns && !f.evict() {
 		return nil
 	}
-	cl := &Client{c: c, at: len(f.clients), slots: map[uint64]gateway.Asker{}}
+	cl := &Client{c: c, at: len(f.clients), slots: map[uint64]dispatch.Asker{}}
 	cl.session = f.set.NewSession(&taker{f, cl}, f.host.Now())
 	f.clients = append(f.clients, cl)
 	return cl
@@ -422,7 +422,7 @@
 }
 
 // Dialed tells how a dial ended: with a connection or an error.
-func (f *Front) Dialed(no workers.Conn, c Conn, err error) {
+func (f *Front) Dialed(no upstream.Conn, c Conn, err error) {
 	if err == nil {
 		f.backends[no] = c
 	}
@@ -431,7 +431,7 @@
 }
 
 // FromWorker takes bytes from a worker.
-func (f *Front) FromWorker(no workers.Conn, data []byte) {
+func (f *Front) FromWorker(no upstream.Conn, data []byte) {
 	if f.backends[no] == nil {
 		return
 	}
@@ -440,7 +440,7 @@
 }
 
 // WorkerGone tells that a connection to a worker closed or broke.
-func (f *Front) WorkerGone(no workers.Conn) {
+func (f *Front) WorkerGone(no upstream.Conn) {
 	if f.backends[no] == nil {
 		return
 	}
@@ -572,7 +572,7 @@
 	cl *Client
 }
 
-func (t *taker) Take(slot uint64, ask gateway.Ask) {
+func (t *taker) Take(slot uint64, ask dispatch.Ask) {
 	f := t.f
 	f.asker++
 	f.askers[f.asker] = source{t.cl, slot}
@@ -591,7 +591,7 @@
 // outside carries out what the core asks for.
 type outside Front
 
-func (o *outside) Answer(to gateway.Asker, a gateway.Answer) {
+func (o *outside) Answer(to dispatch.Asker, a dispatch.Answer) {
 	f := (*Front)(o)
 	switch k := &f.keep; { // its note waits for the next commit, or is in the one that is out, or is kept
 	case !a.Firm || f.set.Keeper == nil || f.full():
@@ -605,7 +605,7 @@
 	}
 }
 
-func (f *Front) answer(to gateway.Asker, a gateway.Answer) {
+func (f *Front) answer(to dispatch.Asker, a dispatch.Answer) {
 	if tell := f.inside[to]; tell != nil {
 		delete(f.inside, to)
 		tell(a)
@@ -621,7 +621,7 @@
 	f.mark(src.cl)
 }
 
-func (o *outside) Launch(l gateway.Launch) {
+func (o *outside) Launch(l dispatch.Launch) {
 	if l.Firm && o.set.Keeper != nil {
 		if (*Front)(o).full() {
 			o.refused = append(o.refused, l.Job)
@@ -637,7 +637,7 @@
 	o.pool.Launch(o.host.Now(), l)
 }
 
-func (o *outside) Load(order gateway.Order) { o.pool.Load(o.host.Now(), order) }
+func (o *outside) Load(order dispatch.Order) { o.pool.Load(o.host.Now(), order) }
 
 func (o *outside) Abandon(job uint64) {
 	abandon(job, o.keep.held, o.keep.out, o.waited)
@@ -648,7 +648,7 @@
 	return abandon(job, o.keep.held, o.keep.out, o.waited) || o.pool.Withdraw(job)
 }
 
-func (o *outside) Keep(n gateway.Note) {
+func (o *outside) Keep(n dispatch.Note) {
 	switch {
 	case o.set.Keeper == nil:
 	case !(*Front)(o).full():
@@ -663,13 +663,13 @@
 	o.host.Tell(append(append(make([]byte, 0, 8+len(message)), o.header[:]...), message...))
 }
 
-func (o *outside) Ended(a gateway.Answer, t *gateway.Trace) {
+func (o *outside) Ended(a dispatch.Answer, t *dispatch.Trace) {
 	if o.set.Ended != nil {
 		o.set.Ended(a, t)
 	}
-	if o.log.Enabled(context.Background(), slog.LevelDebug) || a.Kind != gateway.Handled {
+	if o.log.Enabled(context.Background(), slog.LevelDebug) || a.Kind != dispatch.Handled {
 		level := o.log.Debug
-		if a.Kind != gateway.Handled {
+		if a.Kind != dispatch.Handled {
 			level = o.log.Info
 		}
 		level("event ended", "event", a.Identity.String(), "outcome", a.Kind.String(), "cause", a.Cause.String(),
@@ -680,7 +680,7 @@
 // sink takes what workers answered.
 type sink Front
 
-func (k *sink) Launched(job uint64, r gateway.Reply) { k.core.Launched(k.host.Now(), job, r) }
+func (k *sink) Launched(job uint64, r dispatch.Reply) { k.core.Launched(k.host.Now(), job, r) }
 
 func (k *sink) Loaded(job uint64, res control.Result, copies int) {
 	k.core.Loaded(k.host.Now(), job, res, copies)
@@ -689,18 +689,18 @@
 // wire carries the pool's bytes. Writes and closes wait until the pool's call is over.
 type wire Front
 
-func (w *wire) Write(c workers.Conn, data []byte) { w.ops = append(w.ops, op{conn: c, data: data}) }
+func (w *wire) Write(c upstream.Conn, data []byte) { w.ops = append(w.ops, op{conn: c, data: data}) }
 
-func (w *wire) Close(c workers.Conn) { w.ops = append(w.ops, op{conn: c, close: true}) }
+func (w *wire) Close(c upstream.Conn) { w.ops = append(w.ops, op{conn: c, close: true}) }
 
-func (w *wire) Unsent(c workers.Conn) int {
+func (w *wire) Unsent(c upstream.Conn) int {
 	if b := w.backends[c]; b != nil {
 		return b.Unsent()
 	}
 	return 0
 }
 
-func (w *wire) Dial(no workers.Conn, addr string) { w.host.Dial(no, addr) }
+func (w *wire) Dial(no upstream.Conn, addr string) { w.host.Dial(no, addr) }
 
 // Drained are the workers that an order drains.
 func (f *Front) Drained() (list []string) {
--- a/frontend/keep.go
+++ b/internal/proxy/keep.go
@@ -1,25 +1,25 @@
-package frontend
+package proxy
 
 import (
 	"slices"
 
 	"streamcleat/control"
-	"streamcleat/gateway"
+	"streamcleat/internal/dispatch"
 )
 
 // held is a launch or an answer that waits: until the note of it is on disk, or a launch until what its client sent is
 // read.
 type held struct {
-	launch *gateway.Launch
-	answer gateway.Answer
-	to     gateway.Asker
+	launch *dispatch.Launch
+	answer dispatch.Answer
+	to     dispatch.Asker
 	gone   bool
 	at     float64 // when it began to wait
 }
 
 // keep gathers notes while a commit is out, so that one sync serves all that came meanwhile.
 type keep struct {
-	notes []gateway.Note
+	notes []dispatch.Note
 	held  []held // behind the notes that are not committed yet
 	out   []held // behind the commit that is out
 	busy  bool   // a commit is out
@@ -71,7 +71,7 @@
 		case h.launch == nil:
 			f.answer(h.to, h.answer)
 		case err != nil:
-			f.core.Launched(f.host.Now(), h.launch.Job, gateway.Reply{Result: control.NeverSent})
+			f.core.Launched(f.host.Now(), h.launch.Job, dispatch.Reply{Result: control.NeverSent})
 		default:
 			f.pool.Launch(f.host.Now(), *h.launch)
 		}
@@ -80,7 +80,7 @@
 }
 
 // hold makes an answer wait for its note.
-func (f *Front) hold(list *[]held, to gateway.Asker, a gateway.Answer) {
+func (f *Front) hold(list *[]held, to dispatch.Asker, a dispatch.Answer) {
 	*list = append(*list, held{answer: a, to: to, at: f.host.Now()})
 	if f.set.KeepWithin > 0 && !f.keep.timed {
 		f.keep.timed = true
--- a/frontend/list.go
+++ b/internal/proxy/list.go
@@ -1,17 +1,17 @@
-package frontend
+package proxy
 
 import (
 	"slices"
 
 	"streamcleat/control"
-	"streamcleat/gateway"
-	"streamcleat/workers"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/upstream"
 )
 
 // ReadList takes the text of the worker list. A faulty one leaves the last good one in force.
 func (f *Front) ReadList(data []byte) error {
 	f.offset = f.host.Now() - float64(f.host.Wall().UnixNano())/1e9
-	list, err := workers.ReadList(data, f.offset)
+	list, err := upstream.ReadList(data, f.offset)
 	if err != nil {
 		return err
 	}
@@ -22,7 +22,7 @@
 }
 
 // TakeList puts a list of workers in force as it is. Their starts are on the host's clock.
-func (f *Front) TakeList(list *workers.Listed) {
+func (f *Front) TakeList(list *upstream.Listed) {
 	f.listed = list
 	f.relist()
 }
@@ -30,7 +30,7 @@
 // steady settles when workers started. The file tells it by a time of day, and the machines' clocks differ and are set:
 // a worker started anew only where the file says another time than before, whatever the clock here does; then it did so
 // after the last reading that said the old one, however long ago that time seems to be. Nothing started in the future.
-func (f *Front) steady(list *workers.Listed) {
+func (f *Front) steady(list *upstream.Listed) {
 	now := f.host.Now()
 	was := make(map[control.WorkerID]int, len(list.Workers))
 	if f.listed != nil {
@@ -62,13 +62,13 @@
 	if f.listed == nil {
 		return
 	}
-	list := &workers.Listed{Workers: slices.Clone(f.listed.Workers), Address: f.listed.Address}
+	list := &upstream.Listed{Workers: slices.Clone(f.listed.Workers), Address: f.listed.Address}
 	for i := range list.Workers {
 		if f.drained[list.Workers[i].ID] {
 			list.Workers[i].Phase = control.Draining
 		}
 	}
-	change := workers.Change(f.list, list)
+	change := upstream.Change(f.list, list)
 	f.list = list
 	f.pool.List(list)
 	if len(change) > 0 {
@@ -95,7 +95,7 @@
 func (f *Front) started(id control.WorkerID) float64 { return f.stated[id] }
 
 // Knows is what this front end believes of copies.
-func (f *Front) Knows() []gateway.Known { return f.core.Knows(f.started) }
+func (f *Front) Knows() []dispatch.Known { return f.core.Knows(f.started) }
 
 // Drain makes a worker drain, or returns it to what the list says, whatever the list says meanwhile. It tells whether
 // the list names the worker.
@@ -128,7 +128,7 @@
 		}
 		for _, wk := range x.Warm {
 			f.unload--
-			f.pool.Load(f.host.Now(), gateway.Order{Job: f.unload, Worker: wk, Function: fn})
+			f.pool.Load(f.host.Now(), dispatch.Order{Job: f.unload, Worker: wk, Function: fn})
 			asked++
 		}
 	}
--- a/frontend/list_test.go
+++ b/internal/proxy/list_test.go
@@ -1,4 +1,4 @@
-package frontend
+package proxy
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"time"
 
 	"streamcleat/control"
-	"streamcleat/gateway"
-	"streamcleat/workers"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/upstream"
 )
 
 // desk is a host whose clocks the test sets.
@@ -40,14 +40,14 @@
 func (d *desk) After(s float64, f func()) {
 	d.later, d.due = append(d.later, f), append(d.due, d.now+s)
 }
-func (d *desk) Post(func())               {}
-func (d *desk) Dial(workers.Conn, string) { d.dialed++ }
-func (d *desk) Tell([]byte)               {}
+func (d *desk) Post(func())                {}
+func (d *desk) Dial(upstream.Conn, string) { d.dialed++ }
+func (d *desk) Tell([]byte)                {}
 
 // Times of day in the list never make a worker seem older or newer than it can be, however the clock here is set.
 func TestStartsOfWorkersUnderAWrongClock(t *testing.T) {
 	d := &desk{now: 1000}
-	f := New(Settings{Core: gateway.Settings{Deployment: &control.Deployment{FrontEnds: 1, MaxLaunches: 2, RoundGap: 0.004}, MostOpen: 10, RememberMost: 1}}, d)
+	f := New(Settings{Core: dispatch.Settings{Deployment: &control.Deployment{FrontEnds: 1, MaxLaunches: 2, RoundGap: 0.004}, MostOpen: 10, RememberMost: 1}}, d)
 	read := func(started float64) float64 {
 		t.Helper()
 		label := ""
--- a/handlers/source/client.go
+++ b/internal/registry/oci/client.go
@@ -1,4 +1,4 @@
-package source
+package oci
 
 import (
 	"context"
@@ -18,8 +18,8 @@
 	"oras.land/oras-go/v2/registry/remote/auth"
 	"oras.land/oras-go/v2/registry/remote/retry"
 
-	"streamcleat/handlers"
-	"streamcleat/handlers/trust"
+	"streamcleat/internal/registry"
+	"streamcleat/internal/registry/signing"
 )
 
 // Annotations of a manifest that carry what the front end needs to know.
@@ -93,9 +93,9 @@
 
 // Resolve reads what a tag names now. The manifest is read by the digest that the tag resolved to, so that a tag that
 // moves between the two reads gives one version or the other, never half of each.
-func (c *Client) Resolve(ctx context.Context, function, tag string) (handlers.Version, error) {
-	fail := func(err error) (handlers.Version, error) {
-		return handlers.Version{}, fmt.Errorf("%s:%s: %w", function, tag, err)
+func (c *Client) Resolve(ctx context.Context, function, tag string) (registry.Version, error) {
+	fail := func(err error) (registry.Version, error) {
+		return registry.Version{}, fmt.Errorf("%s:%s: %w", function, tag, err)
 	}
 	repo, err := c.repository(function)
 	if err != nil {
@@ -109,7 +109,7 @@
 	if err != nil {
 		return fail(err)
 	}
-	v := handlers.Version{Function: function, Name: tag, Digest: desc.Digest}
+	v := registry.Version{Function: function, Name: tag, Digest: desc.Digest}
 	if name := m.Annotations[ocispec.AnnotationVersion]; name != "" {
 		v.Name = name
 	}
@@ -189,7 +189,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s@%s: %w", function, d, err)
 	}
-	err = repo.Referrers(ctx, subject, trust.PayloadType, func(found []ocispec.Descriptor) error {
+	err = repo.Referrers(ctx, subject, signing.PayloadType, func(found []ocispec.Descriptor) error {
 		for _, ref := range found {
 			if len(list) >= mostSignatures {
 				return nil
@@ -199,7 +199,7 @@
 				return err
 			}
 			for _, l := range m.Layers {
-				if l.MediaType != trust.EnvelopeType || l.Size > signatureMost {
+				if l.MediaType != signing.EnvelopeType || l.Size > signatureMost {
 					continue
 				}
 				data, err := c.read(ctx, func() ([]byte, error) {
--- a/handlers/source/folder.go
+++ b/internal/registry/oci/folder.go
@@ -1,4 +1,4 @@
-package source
+package oci
 
 import (
 	"errors"
--- a/handlers/source/keep.go
+++ b/internal/registry/oci/keep.go
@@ -1,7 +1,7 @@
-// Package source reads versions of functions from a registry that speaks the OCI distribution specification, and keeps
+// Package oci reads versions of functions from a registry that speaks the OCI distribution specification, and keeps
 // content by digest in a bounded folder. keep.go decides without I/O what stays and what is looked at; folder.go has
 // the disk, client.go the network.
-package source
+package oci
 
 import (
 	"slices"
--- a/handlers/source/source_test.go
+++ b/internal/registry/oci/source_test.go
@@ -1,4 +1,4 @@
-package source
+package oci
 
 import (
 	"bytes"
@@ -16,11 +16,11 @@
 	"github.com/opencontainers/go-digest"
 	"pgregory.net/rapid"
 
-	"streamcleat/handlers/trust"
-	"streamcleat/standin"
+	"streamcleat/internal/fakes"
+	"streamcleat/internal/registry/signing"
 )
 
-func at(t *testing.T, r *standin.Registry, most int64) (*Client, *Folder) {
+func at(t *testing.T, r *fakes.Registry, most int64) (*Client, *Folder) {
 	t.Helper()
 	f, err := OpenFolder(t.TempDir(), most)
 	if err != nil {
@@ -33,8 +33,8 @@
 	return c, f
 }
 
-func registry(t *testing.T) *standin.Registry {
-	r := standin.NewRegistry("till", "secret")
+func startRegistry(t *testing.T) *fakes.Registry {
+	r := fakes.NewRegistry("till", "secret")
 	t.Cleanup(r.Close)
 	return r
 }
@@ -42,7 +42,7 @@
 var layer = bytes.Repeat([]byte("layer"), 2000)
 
 func TestVersionsComeWithWhatTheFrontEndNeeds(t *testing.T) {
-	r := registry(t)
+	r := startRegistry(t)
 	d := r.Push("shops/tally", map[string]string{"org.opencontainers.image.version": "1.4.0", annotateLanes: "2", annotateMemory: "400",
 		annotateLoad: "0.7", annotateTypes: "shop-event,till-entry"}, [][]byte{layer}, "current")
 	c, _ := at(t, r, 1<<20)
@@ -79,7 +79,7 @@
 		{"unavailable", 0, 0, 2, 503, true},
 		{"broken for good", 0, 0, 1000, 500, false},
 	} {
-		r := registry(t)
+		r := startRegistry(t)
 		d := r.Push("shops/tally", nil, [][]byte{layer}, "current")
 		client, folder := at(t, r, 1<<20)
 		r.Break(c.cut, c.wrong, c.fail, c.status)
@@ -97,7 +97,7 @@
 
 // Tokens that expire in the middle of a pull are asked for anew.
 func TestExpiringTokens(t *testing.T) {
-	r := registry(t)
+	r := startRegistry(t)
 	r.Tokens(2)
 	d := r.Push("shops/tally", nil, [][]byte{layer, []byte("a"), []byte("b"), []byte("c")}, "current")
 	c, _ := at(t, r, 1<<20)
@@ -110,7 +110,7 @@
 }
 
 func TestLayersAreFetchedOnceAndShared(t *testing.T) {
-	r := registry(t)
+	r := startRegistry(t)
 	a := r.Push("shops/tally", map[string]string{"v": "1"}, [][]byte{layer, []byte("one")})
 	b := r.Push("shops/tally", map[string]string{"v": "2"}, [][]byte{layer, []byte("two")})
 	c, f := at(t, r, 1<<20)
@@ -242,15 +242,15 @@
 }
 
 func TestReferrersOfAVersion(t *testing.T) {
-	r := registry(t)
+	r := startRegistry(t)
 	d := r.Push("shops/tally", nil, [][]byte{layer}, "current")
 	c, _ := at(t, r, 1<<20)
 	if list, err := c.Signatures(context.Background(), "tally", d); err != nil || len(list) != 0 {
 		t.Error(list, err)
 	}
-	r.Attach(d, trust.PayloadType, trust.EnvelopeType, []byte("envelope"))
-	r.Attach(d, trust.PayloadType, "text/plain", []byte("something else"))
-	r.Attach(d, "application/vnd.other", trust.EnvelopeType, []byte("another artifact"))
+	r.Attach(d, signing.PayloadType, signing.EnvelopeType, []byte("envelope"))
+	r.Attach(d, signing.PayloadType, "text/plain", []byte("something else"))
+	r.Attach(d, "application/vnd.other", signing.EnvelopeType, []byte("another artifact"))
 	if list, err := c.Signatures(context.Background(), "tally", d); err != nil || len(list) != 1 || string(list[0]) != "envelope" {
 		t.Errorf("%q %v", list, err)
 	}
@@ -263,7 +263,7 @@
 // Ten minutes without registry, on a virtual clock: each pull gives up in bounded time, what is held serves, and the
 // first pull after it succeeds.
 func TestTenMinutesWithoutRegistry(t *testing.T) {
-	r := registry(t)
+	r := startRegistry(t)
 	d, next := r.Push("shops/tally", map[string]string{"v": "1"}, [][]byte{layer}), r.Push("shops/tally", map[string]string{"v": "2"}, [][]byte{[]byte("two")})
 	c, _ := at(t, r, 1<<20)
 	synctest.Test(t, func(t *testing.T) {
--- a/handlers/pace_test.go
+++ b/internal/registry/pace_test.go
@@ -1,4 +1,4 @@
-package handlers
+package registry
 
 import (
 	"fmt"
--- a/handlers/registry.go
+++ b/internal/registry/registry.go
@@ -1,7 +1,7 @@
-// Package handlers knows the functions: their immutable versions by digest, the aliases that name one of them, and
+// Package registry knows the functions: their immutable versions by digest, the aliases that name one of them, and
 // how a release goes from one to the next. It decides which digest an event is bound to. It has no I/O, no clock
 // and no chance: changes come as entries of an audit trail, and the same trail always makes the same registry.
-package handlers
+package registry
 
 import (
 	"errors"
--- a/handlers/trust/ring.go
+++ b/internal/registry/signing/ring.go
@@ -1,9 +1,9 @@
-// Package trust decides which versions of functions are vouched for: signatures in DSSE envelopes over in-toto
+// Package signing decides which versions of functions are vouched for: signatures in DSSE envelopes over in-toto
 // statements, by keys that come, go and are revoked. It has no I/O and no clock.
 //
 // Sources: https://github.com/secure-systems-lab/dsse (envelope, pre-authentication encoding),
 // https://github.com/in-toto/attestation (Statement v1).
-package trust
+package signing
 
 import (
 	"bytes"
--- a/handlers/trust/ring_test.go
+++ b/internal/registry/signing/ring_test.go
@@ -1,4 +1,4 @@
-package trust
+package signing
 
 import (
 	"bytes"
--- a/drill/bench.go
+++ b/internal/scenario/bench.go
@@ -1,4 +1,4 @@
-package drill
+package scenario
 
 import (
 	"context"
@@ -15,9 +15,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"streamcleat/config"
-	"streamcleat/frontend"
-	"streamcleat/netloop"
+	"streamcleat/internal/config"
+	"streamcleat/internal/eventloop"
+	"streamcleat/internal/proxy"
 )
 
 // Side is one side of a comparison: events a second, and latencies in ms.
@@ -59,7 +59,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f, err := netloop.Start(netloop.Settings{Listen: "127.0.0.1:0", WorkersFile: list, Settings: frontend.Settings{Name: "front", Core: c.Core(1),
+	f, err := eventloop.Start(eventloop.Settings{Listen: "127.0.0.1:0", WorkersFile: list, Settings: proxy.Settings{Name: "front", Core: c.Core(1),
 		Pool: c.Pool("front"), Front: c.Front(), MostConns: 1000}})
 	if err != nil {
 		return nil, err
--- a/drill/bench_state.go
+++ b/internal/scenario/bench_state.go
@@ -1,4 +1,4 @@
-package drill
+package scenario
 
 import (
 	"context"
@@ -8,11 +8,11 @@
 	"runtime"
 	"time"
 
-	"streamcleat/config"
-	"streamcleat/durable"
-	"streamcleat/frontend"
-	"streamcleat/gateway"
-	"streamcleat/netloop"
+	"streamcleat/internal/config"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/eventloop"
+	"streamcleat/internal/proxy"
+	"streamcleat/internal/storage"
 )
 
 // KeepRow compares the ways of keeping notes on disk for events that must not run twice.
@@ -28,13 +28,13 @@
 }
 
 // one commits each note by itself, and waits for the disk each time: what group commit is compared with.
-type oneByOne struct{ store *durable.Store }
+type oneByOne struct{ store *storage.Store }
 
-func (o oneByOne) Commit(notes []gateway.Note, done func(error)) {
+func (o oneByOne) Commit(notes []dispatch.Note, done func(error)) {
 	go func() {
 		for _, n := range notes {
 			ended := make(chan error, 1)
-			o.store.Commit([]gateway.Note{n}, func(err error) { ended <- err })
+			o.store.Commit([]dispatch.Note{n}, func(err error) { ended <- err })
 			if err := <-ended; err != nil {
 				done(err)
 				return
@@ -66,12 +66,12 @@
 	for _, n := range conns {
 		none := 0.0
 		for way, name := range []string{"no store", "a sync for each note", "group commit", "no waiting for the disk"} {
-			set := netloop.Settings{Listen: "127.0.0.1:0", WorkersFile: list, Settings: frontend.Settings{Name: "front", Core: c.Core(1),
+			set := eventloop.Settings{Listen: "127.0.0.1:0", WorkersFile: list, Settings: proxy.Settings{Name: "front", Core: c.Core(1),
 				Pool: c.Pool("front"), Front: c.Front(), MostConns: 1000}}
-			var store *durable.Store
+			var store *storage.Store
 			if way > 0 {
 				folder := filepath.Join(dir, fmt.Sprintf("state-%d-%d", n, way))
-				if store, _, err = durable.OpenStore(folder, durable.Options{Remember: 600, NoSync: way == 3}); err != nil {
+				if store, _, err = storage.OpenStore(folder, storage.Options{Remember: 600, NoSync: way == 3}); err != nil {
 					return nil, err
 				}
 				set.Keeper = store
@@ -79,7 +79,7 @@
 					set.Keeper = oneByOne{store}
 				}
 			}
-			f, err := netloop.Start(set)
+			f, err := eventloop.Start(set)
 			if err != nil {
 				return nil, err
 			}
@@ -137,15 +137,15 @@
 	var rows []RecoveryRow
 	for _, n := range sizes {
 		folder := filepath.Join(dir, fmt.Sprint(n))
-		opt := durable.Options{Remember: 1e6, NoSync: true}
-		store, _, err := durable.OpenStore(folder, opt)
+		opt := storage.Options{Remember: 1e6, NoSync: true}
+		store, _, err := storage.OpenStore(folder, opt)
 		if err != nil {
 			return nil, err
 		}
-		var notes []gateway.Note
+		var notes []dispatch.Note
 		for i := range n {
-			notes = append(notes, gateway.Note{Kind: gateway.NoteEnded, MayRun: true, Answer: gateway.Answer{EventType: "price-reset",
-				Identity: gateway.Identity{Source: "/till", ID: fmt.Sprint(i)}, Body: []byte(`{"model_name":"tally","outputs":[]}`)}})
+			notes = append(notes, dispatch.Note{Kind: dispatch.NoteEnded, MayRun: true, Answer: dispatch.Answer{EventType: "price-reset",
+				Identity: dispatch.Identity{Source: "/till", ID: fmt.Sprint(i)}, Body: []byte(`{"model_name":"tally","outputs":[]}`)}})
 			if len(notes) == 1000 || i == n-1 {
 				ended := make(chan error, 1)
 				store.Commit(notes, func(err error) { ended <- err })
@@ -162,13 +162,13 @@
 			return nil, err
 		}
 		at := time.Now()
-		store, found, err := durable.OpenStore(folder, opt)
+		store, found, err := storage.OpenStore(folder, opt)
 		if err != nil {
 			return nil, err
 		}
 		row := RecoveryRow{Events: len(found.Events), Bytes: store.Size(), Open: time.Since(at).Seconds()}
 		at = time.Now()
-		core := gateway.New(c.Core(1), nothing{}, 0)
+		core := dispatch.New(c.Core(1), nothing{}, 0)
 		core.Restore(0, found.Events)
 		row.Restore = time.Since(at).Seconds()
 		row.PerEvent = (row.Open + row.Restore) / float64(max(row.Events, 1)) * 1e6
@@ -186,11 +186,11 @@
 // nothing is an outside on which nothing happens.
 type nothing struct{}
 
-func (nothing) Answer(gateway.Asker, gateway.Answer) {}
-func (nothing) Launch(gateway.Launch)                {}
-func (nothing) Load(gateway.Order)                   {}
-func (nothing) Abandon(uint64)                       {}
-func (nothing) Withdraw(uint64) bool                 { return false }
-func (nothing) Tell([]byte)                          {}
-func (nothing) Keep(gateway.Note)                    {}
-func (nothing) Ended(gateway.Answer, *gateway.Trace) {}
+func (nothing) Answer(dispatch.Asker, dispatch.Answer) {}
+func (nothing) Launch(dispatch.Launch)                 {}
+func (nothing) Load(dispatch.Order)                    {}
+func (nothing) Abandon(uint64)                         {}
+func (nothing) Withdraw(uint64) bool                   { return false }
+func (nothing) Tell([]byte)                            {}
+func (nothing) Keep(dispatch.Note)                     {}
+func (nothing) Ended(dispatch.Answer, *dispatch.Trace) {}
--- a/drill/drill_test.go
+++ b/internal/scenario/drill_test.go
@@ -1,4 +1,4 @@
-package drill
+package scenario
 
 import (
 	"context"
--- a/drill/release.go
+++ b/internal/scenario/release.go
@@ -1,4 +1,4 @@
-package drill
+package scenario
 
 import (
 	"context"
@@ -11,30 +11,30 @@
 	"github.com/opencontainers/go-digest"
 
 	"streamcleat/control"
-	"streamcleat/gateway"
-	"streamcleat/handlers"
-	"streamcleat/standin"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/fakes"
+	"streamcleat/internal/registry"
 )
 
 // versions gives each front end a registry of its own, as boxes have: a move reaches one after the other.
 type versions struct {
 	mu   sync.Mutex
-	regs []*handlers.Registry
+	regs []*registry.Registry
 }
 
-func newVersions(functions []standin.Function, fronts int) (*versions, error) {
+func newVersions(functions []fakes.Function, fronts int) (*versions, error) {
 	v := &versions{}
 	for range fronts {
-		r := handlers.New()
+		r := registry.New()
 		for _, f := range functions {
 			for _, name := range []string{"1", "2"} {
 				d := digest.FromString(f.Name + ":" + name)
-				if err := r.Apply(handlers.Entry{Publish: &handlers.Version{Function: f.Name, Name: name, Digest: d, Lanes: f.Lanes,
+				if err := r.Apply(registry.Entry{Publish: &registry.Version{Function: f.Name, Name: name, Digest: d, Lanes: f.Lanes,
 					Memory: f.Memory, Load: f.Fetch + f.Begin}}); err != nil {
 					return nil, err
 				}
 			}
-			if err := r.Apply(handlers.Entry{Move: &handlers.Move{Function: f.Name, Alias: handlers.Current, Digest: digest.FromString(f.Name + ":1")}}); err != nil {
+			if err := r.Apply(registry.Entry{Move: &registry.Move{Function: f.Name, Alias: registry.Current, Digest: digest.FromString(f.Name + ":1")}}); err != nil {
 				return nil, err
 			}
 		}
@@ -43,20 +43,20 @@
 	return v, nil
 }
 
-func (v *versions) bind(front int, figures func(string) gateway.Function) func(*gateway.Ask) (gateway.Binding, gateway.Function, error) {
-	return func(ask *gateway.Ask) (gateway.Binding, gateway.Function, error) {
+func (v *versions) bind(front int, figures func(string) dispatch.Function) func(*dispatch.Ask) (dispatch.Binding, dispatch.Function, error) {
+	return func(ask *dispatch.Ask) (dispatch.Binding, dispatch.Function, error) {
 		v.mu.Lock()
 		defer v.mu.Unlock()
 		b, err := v.regs[front].Bind(ask.Function, ask.Type, ask.Tenant, ask.Identity.String())
 		if err != nil {
-			return gateway.Binding{}, gateway.Function{}, err
+			return dispatch.Binding{}, dispatch.Function{}, err
 		}
-		return gateway.Binding{ID: b.ID(), Function: b.Function, Version: b.Name, Digest: string(b.Digest)}, figures(b.Function), nil
+		return dispatch.Binding{ID: b.ID(), Function: b.Function, Version: b.Name, Digest: string(b.Digest)}, figures(b.Function), nil
 	}
 }
 
-func (v *versions) mayRun(front int) func(gateway.Binding) bool {
-	return func(b gateway.Binding) bool {
+func (v *versions) mayRun(front int) func(dispatch.Binding) bool {
+	return func(b dispatch.Binding) bool {
 		v.mu.Lock()
 		defer v.mu.Unlock()
 		return v.regs[front].May(b.Function, digest.Digest(b.Digest))
@@ -64,10 +64,10 @@
 }
 
 // move reaches the front ends one after the other.
-func (v *versions) move(m handlers.Move) error {
+func (v *versions) move(m registry.Move) error {
 	for i := range v.regs {
 		v.mu.Lock()
-		err := v.regs[i].Apply(handlers.Entry{Move: &m})
+		err := v.regs[i].Apply(registry.Entry{Move: &m})
 		v.mu.Unlock()
 		if err != nil {
 			return err
@@ -84,20 +84,20 @@
 	if d.reg == nil {
 		return errors.New("the script says nothing of versions")
 	}
-	var list []handlers.Going
+	var list []registry.Going
 	for _, i := range rng.Perm(d.script.Functions)[:int(t.Part*float64(d.script.Functions))] {
 		f := d.functions[i] // the catalogue's order is that of popularity
-		list = append(list, handlers.Going{Function: f.Name, To: digest.FromString(f.Name + ":2"), Use: -float64(i), Load: f.Fetch + f.Begin})
+		list = append(list, registry.Going{Function: f.Name, To: digest.FromString(f.Name + ":2"), Use: -float64(i), Load: f.Fetch + f.Begin})
 	}
 	if t.Kind == "release-at-once" {
 		for _, g := range list {
-			if err := d.reg.move(handlers.Move{Function: g.Function, Alias: handlers.Current, Digest: g.To}); err != nil {
+			if err := d.reg.move(registry.Move{Function: g.Function, Alias: registry.Current, Digest: g.To}); err != nil {
 				return err
 			}
 		}
 		return nil
 	}
-	p := handlers.NewPacer(handlers.Current, releaseLoads, list)
+	p := registry.NewPacer(registry.Current, releaseLoads, list)
 	for {
 		now := d.tape.Now()
 		for _, g := range p.Next(now) {
@@ -132,7 +132,7 @@
 func (d *day) stands(id string) bool {
 	all := true
 	for _, f := range d.fronts {
-		err := f.Do(func(c *gateway.Core) {
+		err := f.Do(func(c *dispatch.Core) {
 			_, functions := c.Believed()
 			one := false
 			for _, x := range functions {
