--- a/drill/run.go
+++ b/internal/scenario/run.go
@@ -1,4 +1,4 @@
-package drill
+package scenario
 
 import (
 	"context"
@@ -17,20 +17,20 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"streamcleat/config"
-	"streamcleat/frontend"
-	"streamcleat/gateway"
-	"streamcleat/netloop"
-	"streamcleat/referee"
-	"streamcleat/standin"
-	"streamcleat/timers"
+	"streamcleat/internal/config"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/eventloop"
+	"streamcleat/internal/fakes"
+	"streamcleat/internal/invariants"
+	"streamcleat/internal/proxy"
+	"streamcleat/internal/schedule"
 )
 
 // Report is what one day came to.
 type Report struct {
 	Script string `json:"script"`
 	Seed   uint64 `json:"seed"`
-	referee.Verdict
+	invariants.Verdict
 	Worst    float64            `json:"worst_2s"` // the same within the worst two seconds
 	InTime   float64            `json:"in_time"`  // share of firings handled within the target time, repeats with their first try
 	Firings  int                `json:"firings"`
@@ -63,20 +63,20 @@
 	seed      uint64
 	rng       *rand.Rand
 	log       *slog.Logger
-	tape      *referee.Tape
+	tape      *invariants.Tape
 	dir       string
-	functions []standin.Function
-	store     *standin.Store
-	memory    *standin.Memory
-	list      *standin.List
+	functions []fakes.Function
+	store     *fakes.Store
+	memory    *fakes.Memory
+	list      *fakes.List
 	reg       *versions
-	fronts    []*netloop.Server
+	fronts    []*eventloop.Server
 	addrs     []string
-	rules     referee.Rules
+	rules     invariants.Rules
 
 	mu       sync.Mutex
-	workers  []*standin.Worker
-	all      []*standin.Worker
+	workers  []*fakes.Worker
+	all      []*fakes.Worker
 	next     int
 	failures []string
 	causes   map[string]int
@@ -92,7 +92,7 @@
 }
 
 // Run plays a script. Everything it starts is ended when it returns.
-func Run(ctx context.Context, s *Script, seed uint64, log *slog.Logger) (*Report, []referee.Record, error) {
+func Run(ctx context.Context, s *Script, seed uint64, log *slog.Logger) (*Report, []invariants.Record, error) {
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
 	}
@@ -101,8 +101,8 @@
 		return nil, nil, err
 	}
 	defer os.RemoveAll(dir)
-	d := &day{script: s, seed: seed, rng: rand.New(rand.NewPCG(seed, 0xd411)), log: log, tape: referee.NewTape(), dir: dir,
-		store: standin.NewStore(s.Workers, s.Workers*4), memory: standin.NewMemory(remembered), causes: map[string]int{}, stretch: map[int][2]int{},
+	d := &day{script: s, seed: seed, rng: rand.New(rand.NewPCG(seed, 0xd411)), log: log, tape: invariants.NewTape(), dir: dir,
+		store: fakes.NewStore(s.Workers, s.Workers*4), memory: fakes.NewMemory(remembered), causes: map[string]int{}, stretch: map[int][2]int{},
 		latency: hdrhistogram.New(1, 60_000_000, 3)}
 	d.boost.Store(100)
 	defer d.close()
@@ -127,7 +127,7 @@
 	}
 	d.fronts = nil
 	records := d.tape.Records()
-	r.Verdict = referee.Judge(d.rules, records)
+	r.Verdict = invariants.Judge(d.rules, records)
 	if d.firings > 0 {
 		r.InTime = float64(d.inTime) / float64(d.firings)
 	}
@@ -160,7 +160,7 @@
 	}
 }
 
-func (d *day) worker(cold bool) (*standin.Worker, error) {
+func (d *day) worker(cold bool) (*fakes.Worker, error) {
 	d.mu.Lock()
 	no := d.next
 	d.next++
@@ -174,7 +174,7 @@
 		mean += f.Work / float64(len(d.functions))
 	}
 	name := fmt.Sprintf("wk-%02d", no)
-	w, err := standin.NewWorker(standin.Spec{Name: name, Kind: kind, Cores: d.script.Cores, Speed: speed, Memory: 8000,
+	w, err := fakes.NewWorker(fakes.Spec{Name: name, Kind: kind, Cores: d.script.Cores, Speed: speed, Memory: 8000,
 		Queue: 64, LoadsAtOnce: 4, Keep: keepWarm + 0.5, ColdShare: coldShare, WarmWithin: warmWithin, FallFactor: fallFactor,
 		FallWindow: fallWindow, LoadsOnEvent: d.script.OnEvent, MeanWork: mean, Functions: d.functions, Store: d.store,
 		Drops: d.memory, Keyed: map[string]bool{"till-entry": true}, Tape: d.tape, Seed: d.seed + uint64(no)})
@@ -195,8 +195,8 @@
 func (d *day) open() error {
 	s := d.script
 	// Some functions are asked for by nobody until they turn hot.
-	d.functions = standin.Catalogue(s.Functions+3, s.Work, d.seed)
-	d.rules = referee.Rules{Effect: map[string]string{"shop-event": "redeliverable", "till-entry": "keyed",
+	d.functions = fakes.Catalogue(s.Functions+3, s.Work, d.seed)
+	d.rules = invariants.Rules{Effect: map[string]string{"shop-event": "redeliverable", "till-entry": "keyed",
 		"price-reset": "at-most-once"}, Remembered: map[string]float64{"till-entry": remembered}, Capacity: map[string]float64{},
 		DrainGrace: drainGrace, ColdShare: coldShare, WarmWithin: warmWithin, FallFactor: fallFactor, FallWindow: fallWindow,
 		LoadWindow: s.Ration[0], LoadFree: s.Ration[1], LoadShare: s.Ration[2], Grace: 0.1}
@@ -209,7 +209,7 @@
 	}
 	path := filepath.Join(d.dir, "workers.json")
 	var err error
-	if d.list, err = standin.NewList(path, d.tape, d.workers); err != nil {
+	if d.list, err = fakes.NewList(path, d.tape, d.workers); err != nil {
 		return err
 	}
 	return d.openFronts(path)
@@ -258,9 +258,9 @@
 			core.Bind, core.MayRun = d.reg.bind(i, c.Function), d.reg.mayRun(i)
 		}
 		name := fmt.Sprintf("front-%d", i)
-		set := netloop.Settings{Listen: c.Listen[0], WorkersFile: path, Settings: frontend.Settings{Name: name, Cluster: "drill", Core: core,
-			Pool: c.Pool(name), Front: c.Front(), MostConns: c.Limits.Connections, Log: d.log, Ended: func(a gateway.Answer, _ *gateway.Trace) {
-				if a.Kind != gateway.Handled {
+		set := eventloop.Settings{Listen: c.Listen[0], WorkersFile: path, Settings: proxy.Settings{Name: name, Cluster: "drill", Core: core,
+			Pool: c.Pool(name), Front: c.Front(), MostConns: c.Limits.Connections, Log: d.log, Ended: func(a dispatch.Answer, _ *dispatch.Trace) {
+				if a.Kind != dispatch.Handled {
 					d.mu.Lock()
 					d.causes[a.Cause.String()]++
 					d.mu.Unlock()
@@ -274,7 +274,7 @@
 				}
 			}
 		}
-		f, err := netloop.Start(set)
+		f, err := eventloop.Start(set)
 		if err != nil {
 			return err
 		}
@@ -322,12 +322,12 @@
 }
 
 // client is a CloudEvents client whose tries the tape records.
-func (d *day) client(source string, repeats int) *timers.Client {
-	return &timers.Client{Source: source, Fronts: d.addrs, HTTP: &http.Client{Transport: &http.Transport{
+func (d *day) client(source string, repeats int) *schedule.Client {
+	return &schedule.Client{Source: source, Fronts: d.addrs, HTTP: &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second}}, MaxAge: time.Duration(maxAge * float64(time.Second)),
 		Repeat: repeats, Once: map[string]bool{"price-reset": true},
-		Trying: func(f timers.Firing, front string, left time.Duration) func(int, string, error) {
-			r := referee.Record{Kind: referee.Asked, Event: source + "#" + f.ID, Type: f.Entry.Type, Function: f.Entry.Function,
+		Trying: func(f schedule.Firing, front string, left time.Duration) func(int, string, error) {
+			r := invariants.Record{Kind: invariants.Asked, Event: source + "#" + f.ID, Type: f.Entry.Type, Function: f.Entry.Function,
 				Front: d.front(front), Call: d.tape.Call(), Wait: left.Seconds()}
 			d.tape.Add(r)
 			return func(status int, digest string, err error) {
@@ -337,15 +337,15 @@
 				}
 				switch {
 				case status == 0 && errors.Is(err, context.Canceled):
-					r.Kind = referee.Left
+					r.Kind = invariants.Left
 				case status == 0 && errors.Is(err, context.DeadlineExceeded):
 					return // nobody answered in time: the referee finds no answer
 				case status == 0:
-					r.Kind = referee.Answered
-					r.Outcome = referee.Refused
+					r.Kind = invariants.Answered
+					r.Outcome = invariants.Refused
 					d.fail("%s: %v", r.Event, err)
 				default:
-					r.Kind, r.Outcome = referee.Answered, outcome(status)
+					r.Kind, r.Outcome = invariants.Answered, outcome(status)
 				}
 				d.tape.Add(r)
 			}
@@ -364,16 +364,16 @@
 func outcome(status int) string {
 	switch status {
 	case 200:
-		return referee.Handled
+		return invariants.Handled
 	case 503, 429:
-		return referee.Deferred
+		return invariants.Deferred
 	case 502, 504:
-		return referee.DeadLettered
+		return invariants.DeadLettered
 	}
-	return referee.Refused
+	return invariants.Refused
 }
 
-func (d *day) ended(o timers.Outcome) {
+func (d *day) ended(o schedule.Outcome) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.firings++
@@ -390,7 +390,7 @@
 			d.inTime++
 		}
 	}
-	if outcome(o.Status) == referee.Refused && o.Status != 0 {
+	if outcome(o.Status) == invariants.Refused && o.Status != 0 {
 		d.failures = append(d.failures, fmt.Sprintf("%s: status %d", o.ID, o.Status))
 	}
 }
@@ -421,9 +421,9 @@
 		if rng.Int64N(1000) < d.hot.Load() {
 			fn = d.functions[s.Functions+rng.IntN(3)].Name
 		}
-		e := &timers.Entry{Type: kind, Function: fn, Tenant: []string{"kitaboshi-wear", "minato-shoes"}[rng.IntN(2)],
+		e := &schedule.Entry{Type: kind, Function: fn, Tenant: []string{"kitaboshi-wear", "minato-shoes"}[rng.IntN(2)],
 			Data: []byte(`{"count":1}`)}
-		f := timers.Firing{Entry: e, Due: time.Now(), ID: fmt.Sprintf("e-%d", no)}
+		f := schedule.Firing{Entry: e, Due: time.Now(), ID: fmt.Sprintf("e-%d", no)}
 		leave := rng.Int64N(1000) < d.leaving.Load()
 		after := time.Duration(rng.Int64N(int64(60 * time.Millisecond)))
 		out.Add(1)
@@ -469,7 +469,7 @@
 			}
 		}
 	}
-	entries, err := timers.Parse(strings.NewReader(unique(tab.String())), "drill")
+	entries, err := schedule.Parse(strings.NewReader(unique(tab.String())), "drill")
 	if err != nil {
 		d.fail("crontab: %v", err)
 		return
@@ -487,17 +487,17 @@
 		go d.ahead(ctx, entries, clock)
 	}
 	c := d.client("/timers/drill", s.Repeats)
-	plan := timers.NewPlan(entries, clock())
+	plan := schedule.NewPlan(entries, clock())
 	c.Ended = d.ended
 	c.Run(ctx, plan, clock, until)
 }
 
 // ahead has functions loaded whose timers are due soon, as the box does.
-func (d *day) ahead(ctx context.Context, entries []timers.Entry, clock func() time.Time) {
+func (d *day) ahead(ctx context.Context, entries []schedule.Entry, clock func() time.Time) {
 	span := time.Duration(d.script.Ahead / d.script.Minute * float64(time.Minute))
 	for d.sleep(ctx, 0.1) {
-		for _, f := range timers.Soon(entries, clock(), span) {
-			front := timers.Ranked(d.addrs, f.ID)[0]
+		for _, f := range schedule.Soon(entries, clock(), span) {
+			front := schedule.Ranked(d.addrs, f.ID)[0]
 			for i, a := range d.addrs {
 				if a == front {
 					if _, err := d.fronts[i].Ahead(f.Entry.Type, f.Entry.Function); err != nil {
--- a/drill/script.go
+++ b/internal/scenario/script.go
@@ -1,6 +1,6 @@
-// Package drill plays scripted bad days through the real front ends on loopback, against the project's stand-ins,
+// Package scenario plays scripted bad days through the real front ends on loopback, against the project's stand-ins,
 // and lets the referee judge what passed on the sockets.
-package drill
+package scenario
 
 import (
 	"bytes"
--- a/drill/trouble.go
+++ b/internal/scenario/trouble.go
@@ -1,4 +1,4 @@
-package drill
+package scenario
 
 import (
 	"context"
@@ -8,22 +8,22 @@
 	"sync"
 	"time"
 
-	"streamcleat/standin"
+	"streamcleat/internal/fakes"
 )
 
 // part picks a share of the workers in service, one at least.
-func (d *day) part(share float64, rng *rand.Rand) []*standin.Worker {
+func (d *day) part(share float64, rng *rand.Rand) []*fakes.Worker {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	n := max(int(math.Round(share*float64(len(d.workers)))), 1)
-	var list []*standin.Worker
+	var list []*fakes.Worker
 	for _, i := range rng.Perm(len(d.workers))[:min(n, len(d.workers))] {
 		list = append(list, d.workers[i])
 	}
 	return list
 }
 
-func (d *day) swap(old, fresh *standin.Worker) {
+func (d *day) swap(old, fresh *fakes.Worker) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for i, w := range d.workers {
@@ -46,7 +46,7 @@
 	switch t.Kind {
 	case "hang", "lose", "errors", "slow", "stall", "reset", "cut", "late-reports":
 		for _, w := range d.part(t.Part, rng) {
-			if err := w.Inject(standin.Fault{Kind: t.Kind, For: t.For, Part: t.Hit, Times: t.Times, Bytes: t.Bytes}); err != nil {
+			if err := w.Inject(fakes.Fault{Kind: t.Kind, For: t.For, Part: t.Hit, Times: t.Times, Bytes: t.Bytes}); err != nil {
 				return err
 			}
 		}
@@ -58,14 +58,14 @@
 		list := d.part(t.Part, rng)
 		for ctx.Err() == nil {
 			for _, w := range list {
-				w.Inject(standin.Fault{Kind: kind, For: on, Times: t.Times})
+				w.Inject(fakes.Fault{Kind: kind, For: on, Times: t.Times})
 			}
 			if !d.sleep(ctx, max(t.Every, on)) {
 				break
 			}
 		}
 	case "crash":
-		return d.each(d.part(t.Part, rng), func(w *standin.Worker) error {
+		return d.each(d.part(t.Part, rng), func(w *fakes.Worker) error {
 			w.Crash() // the list learns of neither end at once
 			d.pause(t.For)
 			if err := w.Restart(); err != nil {
@@ -75,7 +75,7 @@
 			return d.list.Set(w, "serving")
 		})
 	case "replace": // a new process under the same name and address
-		return d.each(d.part(t.Part, rng), func(w *standin.Worker) error {
+		return d.each(d.part(t.Part, rng), func(w *fakes.Worker) error {
 			if err := w.Restart(); err != nil {
 				return err
 			}
@@ -86,7 +86,7 @@
 		wave := max(int(math.Round(t.Part*float64(len(all)))), 1)
 		for len(all) > 0 && ctx.Err() == nil {
 			n := min(wave, len(all))
-			if err := d.each(all[:n], func(w *standin.Worker) error { return d.roll(w, t) }); err != nil {
+			if err := d.each(all[:n], func(w *fakes.Worker) error { return d.roll(w, t) }); err != nil {
 				return err
 			}
 			all = all[n:]
@@ -141,7 +141,7 @@
 	return nil
 }
 
-func (d *day) each(list []*standin.Worker, f func(*standin.Worker) error) error {
+func (d *day) each(list []*fakes.Worker, f func(*fakes.Worker) error) error {
 	var wait sync.WaitGroup
 	errs := make([]error, len(list))
 	for i, w := range list {
@@ -157,7 +157,7 @@
 	return nil
 }
 
-func (d *day) roll(w *standin.Worker, t Trouble) error {
+func (d *day) roll(w *fakes.Worker, t Trouble) error {
 	if err := d.list.Set(w, "draining"); err != nil {
 		return err
 	}
--- a/timers/crontab.go
+++ b/internal/schedule/crontab.go
@@ -1,6 +1,6 @@
-// Package timers is the cron-style timer source: it reads crontabs, plans firings and names each by its entry and
+// Package schedule is the cron-style timer source: it reads crontabs, plans firings and names each by its entry and
 // the minute it was due. Plans have no clock of their own; whoever calls them brings the time of day.
-package timers
+package schedule
 
 import (
 	"bufio"
--- a/timers/plan.go
+++ b/internal/schedule/plan.go
@@ -1,4 +1,4 @@
-package timers
+package schedule
 
 import (
 	"container/heap"
--- a/wire/conf.go
+++ b/internal/simadapter/conf.go
@@ -1,8 +1,8 @@
-package wire
+package simadapter
 
 import (
 	"streamcleat/control"
-	"streamcleat/deployment"
+	"streamcleat/internal/deployment"
 )
 
 func (l *line) deployment(field string) *control.Deployment {
--- a/wire/serve.go
+++ b/internal/simadapter/serve.go
@@ -1,6 +1,6 @@
-// Package wire is the adapter between the simulator's text protocol and the decisions: it turns
+// Package simadapter is the adapter between the simulator's text protocol and the decisions: it turns
 // lines into calls on the module and the module's answers into lines, and decides nothing.
-package wire
+package simadapter
 
 import (
 	"bufio"
--- a/wire/wire_test.go
+++ b/internal/simadapter/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simadapter
 
 import (
 	"bytes"
--- a/sim/box.go
+++ b/internal/simulation/box.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"bytes"
@@ -6,15 +6,15 @@
 	"strings"
 	"time"
 
-	"streamcleat/appliance"
-	"streamcleat/durable"
-	"streamcleat/frontend"
-	"streamcleat/gateway"
-	"streamcleat/h1"
-	"streamcleat/handlers"
-	"streamcleat/referee"
-	"streamcleat/timers"
-	"streamcleat/workers"
+	"streamcleat/internal/appliance"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/http1"
+	"streamcleat/internal/invariants"
+	"streamcleat/internal/proxy"
+	"streamcleat/internal/registry"
+	"streamcleat/internal/schedule"
+	"streamcleat/internal/storage"
+	"streamcleat/internal/upstream"
 )
 
 // box is one process of the program on its machine: the life, the store and the timers of a box and its front ends,
@@ -24,24 +24,24 @@
 	s       *site
 	no      int
 	disk    *disk
-	store   *durable.Store
+	store   *storage.Store
 	life    appliance.Life
 	fronts  []*front
-	found   *durable.Found
-	plan    *timers.Plan
+	found   *storage.Found
+	plan    *schedule.Plan
 	fired   map[string]time.Time
 	hold    bool
 	syncing bool
 	boots   int
-	acked   map[gateway.Identity]gateway.Note // noted, and on disk for all that the program was told
-	ackedAt map[gateway.Identity]float64
-	pending map[gateway.Identity][]gateway.Note // noted, and not yet told to be on disk
+	acked   map[dispatch.Identity]dispatch.Note // noted, and on disk for all that the program was told
+	ackedAt map[dispatch.Identity]float64
+	pending map[dispatch.Identity][]dispatch.Note // noted, and not yet told to be on disk
 	chores  *appliance.Chores
-	reg     *handlers.Registry
-	trail   int                         // entries of it that are on disk for all that the program was told
-	own     map[gateway.Identity]uint64 // the box's own events that are open: their calls
-	again   float64                     // seconds from a stop to the next start
-	silent  bool                        // the watcher of the list misses changes
+	reg     *registry.Registry
+	trail   int                          // entries of it that are on disk for all that the program was told
+	own     map[dispatch.Identity]uint64 // the box's own events that are open: their calls
+	again   float64                      // seconds from a stop to the next start
+	silent  bool                         // the watcher of the list misses changes
 }
 
 // front is one front end of a box. It outlives the process: clients know it by its address.
@@ -50,7 +50,7 @@
 	name    string
 	addr    string
 	peer    int // number among all
-	f       *frontend.Front
+	f       *proxy.Front
 	timer   *step
 	told    map[string]string  // phases of workers as it read them
 	births  map[string]float64 // and their starts
@@ -76,7 +76,7 @@
 
 func (s *site) newBox(no, fronts int) *box {
 	b := &box{proc: proc{w: s.w, name: fmt.Sprintf("box-%d", no), power: true, base: 1e6 + 1000*float64(no)}, s: s, no: no, disk: newDisk(),
-		acked: map[gateway.Identity]gateway.Note{}, ackedAt: map[gateway.Identity]float64{}, pending: map[gateway.Identity][]gateway.Note{}}
+		acked: map[dispatch.Identity]dispatch.Note{}, ackedAt: map[dispatch.Identity]float64{}, pending: map[dispatch.Identity][]dispatch.Note{}}
 	for i := range fronts {
 		f := &front{b: b, name: fmt.Sprintf("front-%d", len(s.fronts)), peer: len(s.fronts)}
 		f.addr = fmt.Sprintf("%s:%d", b.name, 8080+i)
@@ -106,7 +106,7 @@
 // open opens the state, as the real box does first of all.
 func (b *box) open() {
 	if !b.s.script.Stateless {
-		store, found, err := durable.OpenStore("state", durable.Options{FS: b.disk.view(), Remember: answersKept, Inline: true, Clock: b.stamp})
+		store, found, err := storage.OpenStore("state", storage.Options{FS: b.disk.view(), Remember: answersKept, Inline: true, Clock: b.stamp})
 		if err != nil {
 			if !b.disk.full {
 				b.s.fault("state", "%s can't open its state: %v", b.name, err)
@@ -119,16 +119,16 @@
 		b.s.resumed(b, found)
 		b.library(found.Trail)
 	} else {
-		b.found = &durable.Found{Fresh: true, Fired: map[string]time.Time{}}
+		b.found = &storage.Found{Fresh: true, Fired: map[string]time.Time{}}
 		b.library(nil)
 	}
-	b.own = map[gateway.Identity]uint64{}
+	b.own = map[dispatch.Identity]uint64{}
 	b.move(appliance.Opened, "")
 }
 
 // stamp is the machine's clock for the store: only a loss of power is a new start of the machine.
-func (b *box) stamp() durable.Stamp {
-	return durable.Stamp{Boot: fmt.Sprintf("%s/%d", b.name, b.s.reboots[b.no]), Up: b.w.now}
+func (b *box) stamp() storage.Stamp {
+	return storage.Stamp{Boot: fmt.Sprintf("%s/%d", b.name, b.s.reboots[b.no]), Up: b.w.now}
 }
 
 func (b *box) act(a appliance.Act) {
@@ -217,7 +217,7 @@
 		for k, v := range b.found.Fired {
 			b.fired[k] = v
 		}
-		b.plan = timers.Resume(b.s.entries, b.fired, b.wall())
+		b.plan = schedule.Resume(b.s.entries, b.fired, b.wall())
 	}
 	for _, o := range b.found.Own {
 		b.take(o.Ask, o.Until, 1)
@@ -239,7 +239,7 @@
 	err := b.written(func() (err error) {
 		switch name {
 		case "tick":
-			var known []gateway.Known
+			var known []dispatch.Known
 			for _, f := range b.fronts {
 				known = append(known, f.f.Knows()...)
 			}
@@ -275,7 +275,7 @@
 
 func (f *front) begin() {
 	b := f.b
-	set := frontend.Settings{Name: f.name, Cluster: "sim", Core: b.s.cfg.Core(b.s.script.Seed*1000 + uint64(f.peer)), Pool: b.s.cfg.Pool(f.name),
+	set := proxy.Settings{Name: f.name, Cluster: "sim", Core: b.s.cfg.Core(b.s.script.Seed*1000 + uint64(f.peer)), Pool: b.s.cfg.Pool(f.name),
 		Front: b.s.cfg.Front(), MostConns: b.s.cfg.Limits.Connections, Kept: b.found.Events, Known: b.found.Known,
 		KeepWithin: b.s.cfg.Limits.Margin / 2}
 	if b.s.script.Versions {
@@ -287,8 +287,8 @@
 	}
 	f.timer = nil
 	f.told, f.births = map[string]string{}, map[string]float64{}
-	f.f = frontend.New(set, (*host)(f))
-	b.in(frontend.SweepEvery, f.name+" sweeps", f.sweep)
+	f.f = proxy.New(set, (*host)(f))
+	b.in(proxy.SweepEvery, f.name+" sweeps", f.sweep)
 	if b.s.list != nil {
 		f.read()
 	}
@@ -297,7 +297,7 @@
 
 func (f *front) sweep() {
 	f.f.Sweep()
-	f.b.in(frontend.SweepEvery, f.name+" sweeps", f.sweep)
+	f.b.in(proxy.SweepEvery, f.name+" sweeps", f.sweep)
 }
 
 func (f *front) resync() {
@@ -318,11 +318,11 @@
 		}
 		if k.born > 0 && f.births[k.name] != k.born {
 			f.births[k.name] = k.born
-			s.tape.Add(referee.Record{Kind: referee.Born, Worker: k.name, Front: f.tag(), Born: k.born})
+			s.tape.Add(invariants.Record{Kind: invariants.Born, Worker: k.name, Front: f.tag(), Born: k.born})
 		}
 		if f.told[k.name] != phase {
 			f.told[k.name] = phase
-			s.tape.Add(referee.Record{Kind: referee.Told, Worker: k.name, Phase: phase, Front: f.tag()})
+			s.tape.Add(invariants.Record{Kind: invariants.Told, Worker: k.name, Phase: phase, Front: f.tag()})
 		}
 	}
 }
@@ -359,7 +359,7 @@
 func (h *host) After(seconds float64, do func()) { h.b.in(seconds, h.name+" after", do) }
 func (h *host) Post(do func())                   { h.b.in(0, h.name+" posted", do) }
 
-func (h *host) Dial(no workers.Conn, addr string) {
+func (h *host) Dial(no upstream.Conn, addr string) {
 	f := (*front)(h)
 	f.b.s.net.dial(&f.b.proc, addr, f.b.s.cfg.Workers.Dial, func(e *end, err error) {
 		if err != nil {
@@ -379,9 +379,9 @@
 // watch notes for the referee what passes on a connection to a worker, as the front end's side of the socket sees it.
 func (f *front) watch(e *end, addr string) (answered func([]byte)) {
 	wk, _, _ := strings.Cut(addr, ":")
-	limits := h1.Limits{Head: 1 << 16, Body: 1 << 20}
-	out, in, s := h1.NewRequests(limits), h1.NewResponses(limits), f.b.s
-	var open referee.Record
+	limits := http1.Limits{Head: 1 << 16, Body: 1 << 20}
+	out, in, s := http1.NewRequests(limits), http1.NewResponses(limits), f.b.s
+	var open invariants.Record
 	e.tap = func(data []byte) {
 		out.Feed(bytes.Clone(data))
 		for {
@@ -394,20 +394,20 @@
 			}
 			switch {
 			case strings.HasSuffix(m.Target, "/infer"):
-				open = referee.Record{Kind: referee.Launched, Worker: wk, Function: strings.Split(m.Target, "/")[3], Digest: strings.Trim(m.Header.Get("If-Match"), `"`), Front: f.tag(), Call: s.tape.Call(),
+				open = invariants.Record{Kind: invariants.Launched, Worker: wk, Function: strings.Split(m.Target, "/")[3], Digest: strings.Trim(m.Header.Get("If-Match"), `"`), Front: f.tag(), Call: s.tape.Call(),
 					Event: m.Header.Get("Ce-Source") + "#" + m.Header.Get("Ce-Id"), Type: m.Header.Get("Ce-Type")}
 				s.tape.Add(open)
 				s.calls[f.name+" "+open.Event] = open.Call
 			case strings.HasSuffix(m.Target, "/load"):
-				s.tape.Add(referee.Record{Kind: referee.Ordered, Worker: wk, Front: f.tag(), Copies: 1})
+				s.tape.Add(invariants.Record{Kind: invariants.Ordered, Worker: wk, Front: f.tag(), Copies: 1})
 			}
 		}
 	}
 	ended := func() {
 		if open.Event != "" {
-			open.Kind = referee.Ended
+			open.Kind = invariants.Ended
 			s.tape.Add(open)
-			open = referee.Record{}
+			open = invariants.Record{}
 		}
 	}
 	e.ended = ended // whichever side closed
@@ -433,7 +433,7 @@
 }
 
 // Commit implements frontend.Keeper: the store's batch is written when the disk's turn has come.
-func (b *box) Commit(notes []gateway.Note, done func(error)) {
+func (b *box) Commit(notes []dispatch.Note, done func(error)) {
 	b.submitted(notes)
 	b.store.Commit(notes, func(err error) {
 		if err == nil {
@@ -511,9 +511,9 @@
 	}
 	due := b.plan.Due(b.wall())
 	if len(due) > 0 {
-		var notes []durable.Firing
+		var notes []storage.Firing
 		for _, f := range due {
-			notes = append(notes, durable.Firing{Entry: f.Entry.Key(), Due: f.Due, Until: f.Until(), Ask: b.ask(f)})
+			notes = append(notes, storage.Firing{Entry: f.Entry.Key(), Due: f.Due, Until: f.Until(), Ask: b.ask(f)})
 		}
 		var err error
 		if b.store != nil {
@@ -540,34 +540,34 @@
 	b.in(pause, "timers", b.fire)
 }
 
-func (b *box) ask(f timers.Firing) gateway.Ask {
+func (b *box) ask(f schedule.Firing) dispatch.Ask {
 	e, ownSource := f.Entry, "/timers/"+b.name
-	return gateway.Ask{Identity: gateway.Identity{Source: ownSource, ID: f.ID}, Type: e.Type, Function: e.Function, Tenant: e.Tenant,
-		Fields: []gateway.Field{{Name: "ce-specversion", Value: "1.0"}, {Name: "ce-source", Value: ownSource}, {Name: "ce-id", Value: f.ID},
+	return dispatch.Ask{Identity: dispatch.Identity{Source: ownSource, ID: f.ID}, Type: e.Type, Function: e.Function, Tenant: e.Tenant,
+		Fields: []dispatch.Field{{Name: "ce-specversion", Value: "1.0"}, {Name: "ce-source", Value: ownSource}, {Name: "ce-id", Value: f.ID},
 			{Name: "ce-type", Value: e.Type}, {Name: "ce-function", Value: e.Function}}}
 }
 
 // take begins an event of the box itself; a deferred one is tried again until its time is over.
-func (b *box) take(ask gateway.Ask, until time.Time, tries int) {
+func (b *box) take(ask dispatch.Ask, until time.Time, tries int) {
 	f := b.fronts[0]
 	call := b.s.tape.Call()
 	b.own[ask.Identity] = call
-	b.s.tape.Add(referee.Record{Kind: referee.Asked, Event: ask.Identity.String(), Type: ask.Type, Function: ask.Function, Front: f.tag(), Call: call,
+	b.s.tape.Add(invariants.Record{Kind: invariants.Asked, Event: ask.Identity.String(), Type: ask.Type, Function: ask.Function, Front: f.tag(), Call: call,
 		Wait: maxAge})
 	began := b.w.now
-	f.f.Take(ask, func(a gateway.Answer) {
+	f.f.Take(ask, func(a dispatch.Answer) {
 		delete(b.own, ask.Identity)
 		if b.w.now-began > maxAge && b.s.troubled(b, began) { // it stood still
 			b.s.ownLost(call)
 		} else {
-			b.s.tape.Add(referee.Record{Kind: referee.Answered, Event: ask.Identity.String(), Type: ask.Type, Front: f.tag(), Call: call,
+			b.s.tape.Add(invariants.Record{Kind: invariants.Answered, Event: ask.Identity.String(), Type: ask.Type, Front: f.tag(), Call: call,
 				Outcome: a.Kind.String(), Digest: a.Binding.Digest})
 		}
 		switch {
-		case a.Cause == gateway.Stopping && a.Kind == gateway.Deferred:
+		case a.Cause == dispatch.Stopping && a.Kind == dispatch.Deferred:
 			return
-		case a.Kind == gateway.Deferred:
-			if pause, ok := timers.Again(until, b.wall(), tries, time.Duration(a.Pause*float64(time.Second))); ok && b.w.now+pause.Seconds() < b.s.script.Seconds+lastTry {
+		case a.Kind == dispatch.Deferred:
+			if pause, ok := schedule.Again(until, b.wall(), tries, time.Duration(a.Pause*float64(time.Second))); ok && b.w.now+pause.Seconds() < b.s.script.Seconds+lastTry {
 				b.in(pause.Seconds(), "again "+ask.ID, func() {
 					if b.life.State == appliance.Serving {
 						b.take(ask, until, tries+1)
--- a/sim/check.go
+++ b/internal/simulation/check.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"cmp"
@@ -9,20 +9,20 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"streamcleat/durable"
-	"streamcleat/gateway"
-	"streamcleat/referee"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/invariants"
+	"streamcleat/internal/storage"
 )
 
 // submitted notes what a front end asked to be kept.
-func (b *box) submitted(notes []gateway.Note) {
+func (b *box) submitted(notes []dispatch.Note) {
 	for _, n := range notes {
 		b.pending[n.Answer.Identity] = append(b.pending[n.Answer.Identity], n)
 	}
 }
 
 // settled notes that the disk has them.
-func (b *box) settled(notes []gateway.Note) {
+func (b *box) settled(notes []dispatch.Note) {
 	for _, n := range notes {
 		id := n.Answer.Identity
 		b.acked[id], b.ackedAt[id] = n, b.w.now
@@ -36,23 +36,23 @@
 
 // same tells that a restart makes the same of two notes. A deferral that a repeat found too old is one still on disk, and
 // is found too old again.
-func same(a, b gateway.Note) bool {
-	old := a.Answer.Cause == gateway.Forgotten
-	if a.Kind == gateway.NoteEnded && (a.Answer.Kind == gateway.Deferred || old) && a.MayRun && b.Kind == gateway.NoteLaunched {
+func same(a, b dispatch.Note) bool {
+	old := a.Answer.Cause == dispatch.Forgotten
+	if a.Kind == dispatch.NoteEnded && (a.Answer.Kind == dispatch.Deferred || old) && a.MayRun && b.Kind == dispatch.NoteLaunched {
 		return true // a later try came to nothing: the launch that was noted says as much
 	}
-	return a.Kind == b.Kind && a.MayRun == b.MayRun && (a.Kind == gateway.NoteLaunched || a.Answer.Kind == b.Answer.Kind || old)
+	return a.Kind == b.Kind && a.MayRun == b.MayRun && (a.Kind == dispatch.NoteLaunched || a.Answer.Kind == b.Answer.Kind || old)
 }
 
 // inOrder is a fixed order of events, so that two runs of a script report the same.
-func inOrder[V any](m map[gateway.Identity]V) []gateway.Identity {
-	return slices.SortedFunc(maps.Keys(m), func(a, b gateway.Identity) int { return cmp.Compare(a.String(), b.String()) })
+func inOrder[V any](m map[dispatch.Identity]V) []dispatch.Identity {
+	return slices.SortedFunc(maps.Keys(m), func(a, b dispatch.Identity) int { return cmp.Compare(a.String(), b.String()) })
 }
 
 // recovered compares what a restart found with what the process before it was told to be on disk: nothing that was
 // told may be missing or older.
-func (s *site) recovered(b *box, found *durable.Found) {
-	got := map[gateway.Identity]gateway.Note{}
+func (s *site) recovered(b *box, found *storage.Found) {
+	got := map[dispatch.Identity]dispatch.Note{}
 	for _, k := range found.Events {
 		got[k.Answer.Identity] = k.Note
 	}
@@ -82,13 +82,13 @@
 
 // resumed compares what a restart found of the box's own events with what the process before it had: a minute that it
 // fired for is known, and an event that was open goes on.
-func (s *site) resumed(b *box, found *durable.Found) {
+func (s *site) resumed(b *box, found *storage.Found) {
 	for _, key := range slices.Sorted(maps.Keys(b.fired)) {
 		if at, ok := found.Fired[key]; !ok || at.Before(b.fired[key]) {
 			s.fault("timers", "%s fired %s for %v and found %v", b.name, key, b.fired[key], at)
 		}
 	}
-	goes := map[gateway.Identity]bool{}
+	goes := map[dispatch.Identity]bool{}
 	for _, o := range found.Own {
 		goes[o.Ask.Identity] = true
 	}
@@ -107,17 +107,17 @@
 	}
 	copied := &disk{fs: b.disk.fs, tear: -1}
 	copied.restart(false)
-	store, found, err := durable.OpenStore("state", durable.Options{FS: copied.view(), Remember: answersKept, Inline: true, Clock: b.stamp})
+	store, found, err := storage.OpenStore("state", storage.Options{FS: copied.view(), Remember: answersKept, Inline: true, Clock: b.stamp})
 	if err != nil {
 		s.fault("state", "%s: the state can't be read back: %v", b.name, err)
 		return
 	}
 	defer store.Close()
-	got := map[gateway.Identity]gateway.Note{}
+	got := map[dispatch.Identity]dispatch.Note{}
 	for _, k := range found.Events {
 		got[k.Answer.Identity] = k.Note
 	}
-	times, noted := map[gateway.Identity]int{}, map[*front]map[gateway.Identity]gateway.Note{}
+	times, noted := map[dispatch.Identity]int{}, map[*front]map[dispatch.Identity]dispatch.Note{}
 	for _, f := range b.fronts {
 		noted[f] = f.f.Core().Noted()
 		for id := range noted[f] {
@@ -149,12 +149,12 @@
 		is, out := state.(string), output.(answerOf).outcome
 		switch {
 		case out == "" && is == "open":
-			return []any{"open", referee.Handled, referee.DeadLettered}
+			return []any{"open", invariants.Handled, invariants.DeadLettered}
 		case out == "":
 			return []any{is}
-		case is == "open" && out == referee.DeadLettered: // for this asker alone, whose time was up, or for all
+		case is == "open" && out == invariants.DeadLettered: // for this asker alone, whose time was up, or for all
 			return []any{"open", out}
-		case is == "open" && out == referee.Handled:
+		case is == "open" && out == invariants.Handled:
 			return []any{out}
 		case is == "open":
 			return []any{"open"}
--- a/sim/client.go
+++ b/internal/simulation/client.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"math/rand/v2"
 	"strconv"
 
-	"streamcleat/h1"
-	"streamcleat/referee"
+	"streamcleat/internal/http1"
+	"streamcleat/internal/invariants"
 )
 
 // event is what a client wants done, over all its tries.
@@ -41,7 +41,7 @@
 	e    *end // nil while it is being dialed
 	to   *front
 	out  []*try // in the order they were sent
-	in   *h1.Framer
+	in   *http1.Framer
 	shut bool
 	used float64 // when it was last asked on
 }
@@ -123,7 +123,7 @@
 			break
 		}
 	}
-	c.s.tape.Add(referee.Record{Kind: referee.Asked, Event: source + "#" + e.id, Type: e.kind, Function: e.fn, Front: f.tag(), Call: t.call,
+	c.s.tape.Add(invariants.Record{Kind: invariants.Asked, Event: source + "#" + e.id, Type: e.kind, Function: e.fn, Front: f.tag(), Call: t.call,
 		Wait: wait})
 	c.s.asked(t)
 	t.limit = c.in(wait, "gives up "+e.id, func() { c.late(t) })
@@ -134,7 +134,7 @@
 		c.send(l, t)
 		return
 	}
-	l = &line{c: c, to: f, out: []*try{t}, used: c.w.now, in: h1.NewResponses(h1.Limits{Head: 1 << 16, Body: 1 << 20})}
+	l = &line{c: c, to: f, out: []*try{t}, used: c.w.now, in: http1.NewResponses(http1.Limits{Head: 1 << 16, Body: 1 << 20})}
 	t.line = l
 	c.lines = append(c.lines, l)
 	c.s.net.dial(&c.proc, f.addr, maxAge, func(x *end, err error) {
@@ -204,9 +204,9 @@
 	}
 }
 
-var outcomes = map[int]string{200: referee.Handled, 503: referee.Deferred, 429: referee.Deferred, 502: referee.DeadLettered, 504: referee.DeadLettered}
+var outcomes = map[int]string{200: invariants.Handled, 503: invariants.Deferred, 429: invariants.Deferred, 502: invariants.DeadLettered, 504: invariants.DeadLettered}
 
-func (c *client) answered(t *try, m *h1.Message) {
+func (c *client) answered(t *try, m *http1.Message) {
 	t.limit.drop()
 	if t.over {
 		return
@@ -214,15 +214,15 @@
 	t.over = true
 	out, known := outcomes[m.Status]
 	if !known {
-		out = referee.Refused
+		out = invariants.Refused
 		c.s.fault("client", "%s: status %d: %s", t.evt.id, m.Status, m.Body)
 	}
-	c.s.tape.Add(referee.Record{Kind: referee.Answered, Event: source + "#" + t.evt.id, Type: t.evt.kind, Front: t.tag, Call: t.call,
+	c.s.tape.Add(invariants.Record{Kind: invariants.Answered, Event: source + "#" + t.evt.id, Type: t.evt.kind, Front: t.tag, Call: t.call,
 		Status: m.Status, Outcome: out, Digest: m.Header.Get("Docker-Content-Digest")})
 	c.s.answered(t, out)
 	e := t.evt
 	switch {
-	case out == referee.Deferred:
+	case out == invariants.Deferred:
 		pause, err := strconv.ParseFloat(m.Header.Get("Retry-After"), 64)
 		if err != nil {
 			c.s.fault("client", "%s: deferred without a time to come back", e.id)
@@ -232,7 +232,7 @@
 		} else if c.s.abuse() {
 			c.retry(e, 0.01, true)
 		}
-	case e.checks > 0 && out != referee.Refused:
+	case e.checks > 0 && out != invariants.Refused:
 		e.checks--
 		c.retry(e, 0.05+c.rng.Float64(), false)
 	}
--- a/sim/disk_test.go
+++ b/internal/simulation/disk_test.go
@@ -1,23 +1,23 @@
-package sim
+package simulation
 
 import (
 	"testing"
 	"time"
 
-	"streamcleat/durable"
-	"streamcleat/gateway"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/storage"
 )
 
-func keep(t *testing.T, d *disk, id string) (*durable.Store, error) {
+func keep(t *testing.T, d *disk, id string) (*storage.Store, error) {
 	t.Helper()
-	s, found, err := durable.OpenStore("state", durable.Options{FS: d.view(), Remember: 600, Inline: true, Clock: func() durable.Stamp { return durable.Stamp{Boot: "a", Up: 1} }})
+	s, found, err := storage.OpenStore("state", storage.Options{FS: d.view(), Remember: 600, Inline: true, Clock: func() storage.Stamp { return storage.Stamp{Boot: "a", Up: 1} }})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, e := range found.Events {
 		t.Log("found ", e.Answer.Identity)
 	}
-	s.Commit([]gateway.Note{{Answer: gateway.Answer{Identity: gateway.Identity{Source: "/t", ID: id}, EventType: "once"}, MayRun: true}}, func(e error) { err = e })
+	s.Commit([]dispatch.Note{{Answer: dispatch.Answer{Identity: dispatch.Identity{Source: "/t", ID: id}, EventType: "once"}, MayRun: true}}, func(e error) { err = e })
 	s.Step()
 	return s, err
 }
@@ -30,7 +30,7 @@
 			t.Fatal(err)
 		}
 		d.tear = 20
-		s.Commit([]gateway.Note{{Answer: gateway.Answer{Identity: gateway.Identity{Source: "/t", ID: "two"}, EventType: "once"}, MayRun: true}}, func(e error) { err = e })
+		s.Commit([]dispatch.Note{{Answer: dispatch.Answer{Identity: dispatch.Identity{Source: "/t", ID: "two"}, EventType: "once"}, MayRun: true}}, func(e error) { err = e })
 		began := time.Now()
 		s.Step()
 		if err == nil {
@@ -38,7 +38,7 @@
 		}
 		d.restart(power)
 		s.Close()
-		s2, found, err := durable.OpenStore("state", durable.Options{FS: d.view(), Remember: 600, Inline: true})
+		s2, found, err := storage.OpenStore("state", storage.Options{FS: d.view(), Remember: 600, Inline: true})
 		if err != nil || len(found.Events) != 1 || found.Events[0].Answer.Identity.ID != "one" || found.SetAside != "" {
 			t.Fatalf("power %v: %+v %v", power, found, err)
 		}
@@ -50,7 +50,7 @@
 func BenchmarkOpen(b *testing.B) {
 	for b.Loop() {
 		d := newDisk()
-		s, _, err := durable.OpenStore("state", durable.Options{FS: d.view(), Remember: 600, Inline: true})
+		s, _, err := storage.OpenStore("state", storage.Options{FS: d.view(), Remember: 600, Inline: true})
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/sim/explore.go
+++ b/internal/simulation/explore.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"crypto/sha256"
@@ -7,7 +7,7 @@
 	"strings"
 
 	"streamcleat/control"
-	"streamcleat/gateway"
+	"streamcleat/internal/dispatch"
 )
 
 // The explorer is the second level: a small world of two front ends (cores with their decisions), two workers and
@@ -52,7 +52,7 @@
 }
 
 type smallLaunch struct {
-	l    gateway.Launch
+	l    dispatch.Launch
 	left bool
 }
 
@@ -60,9 +60,9 @@
 type smallFront struct {
 	w       *smallWorld
 	no      int
-	core    *gateway.Core
+	core    *dispatch.Core
 	out     []smallLaunch
-	orders  []gateway.Order
+	orders  []dispatch.Order
 	drained [2]bool
 	ran     map[string]float64 // events that may have run here, since when
 	history []byte
@@ -92,7 +92,7 @@
 			ColdShare: 0.3, WarmWithin: 10, FallFactor: 2.5, FallWindow: 1.5, EventTypes: []control.EventType{{Name: "again", TargetTime: 0.8, MaxAge: smallAge},
 				{Name: "keyed", TargetTime: 0.8, MaxAge: smallAge, Repeat: control.Keyed, Remembered: smallSpan},
 				{Name: "once", TargetTime: 0.8, MaxAge: smallAge, Repeat: control.AtMostOnce}}}
-		f.core = gateway.New(gateway.Settings{Deployment: d, Functions: func(string) gateway.Function { return gateway.Function{Lanes: 1} }, Margin: 0.1,
+		f.core = dispatch.New(dispatch.Settings{Deployment: d, Functions: func(string) dispatch.Function { return dispatch.Function{Lanes: 1} }, Margin: 0.1,
 			OrderLimit: 1, MostOpen: 10, Remember: 60, RememberMost: 1 << 16, Seed: uint64(7 + i)}, f, w.now)
 		f.core.Workers(w.now, true, smallWorkers)
 		w.fronts[i] = f
@@ -110,7 +110,7 @@
 	return false
 }
 
-func (f *smallFront) Answer(to gateway.Asker, a gateway.Answer) {
+func (f *smallFront) Answer(to dispatch.Asker, a dispatch.Answer) {
 	w, i := f.w, int(to)
 	w.got[i]++
 	switch id := smallAsks[i].id; {
@@ -118,7 +118,7 @@
 		w.fault("rule 1: ask %d has %d answers", i, w.got[i])
 	case w.hung[i]:
 		w.fault("rule 1: ask %d is answered after it hung up", i)
-	case a.Kind == gateway.Deferred && smallAsks[i].kind == "once" && (f.mayHaveRun(id) || f.isOut(id)):
+	case a.Kind == dispatch.Deferred && smallAsks[i].kind == "once" && (f.mayHaveRun(id) || f.isOut(id)):
 		w.fault("rule 2: ask %d is deferred, and %s may have run", i, id)
 	}
 }
@@ -129,7 +129,7 @@
 	return slices.ContainsFunc(f.out, func(x smallLaunch) bool { return x.l.Identity.ID == id && x.left })
 }
 
-func (f *smallFront) Launch(l gateway.Launch) {
+func (f *smallFront) Launch(l dispatch.Launch) {
 	id, w := l.Identity.ID, f.w
 	kind := map[string]string{"a": "once", "b": "keyed", "c": "again"}[id]
 	for _, x := range f.out {
@@ -154,7 +154,7 @@
 	f.out = append(f.out, smallLaunch{l: l})
 }
 
-func (f *smallFront) Load(o gateway.Order) {
+func (f *smallFront) Load(o dispatch.Order) {
 	for i, wk := range smallWorkers {
 		if wk.ID == o.Worker && f.drained[i] && o.Copies > 0 {
 			f.w.fault("rule 3: a load is ordered of %s, which drains", wk.ID)
@@ -183,7 +183,7 @@
 	if x, ok := f.take(job); ok && x.left {
 		f.mark(x)
 	}
-	f.orders = slices.DeleteFunc(f.orders, func(o gateway.Order) bool { return o.Job == job })
+	f.orders = slices.DeleteFunc(f.orders, func(o dispatch.Order) bool { return o.Job == job })
 }
 
 func (f *smallFront) Withdraw(job uint64) bool {
@@ -196,9 +196,9 @@
 	return false
 }
 
-func (f *smallFront) Tell([]byte)                          {}
-func (f *smallFront) Keep(gateway.Note)                    {}
-func (f *smallFront) Ended(gateway.Answer, *gateway.Trace) {}
+func (f *smallFront) Tell([]byte)                            {}
+func (f *smallFront) Keep(dispatch.Note)                     {}
+func (f *smallFront) Ended(dispatch.Answer, *dispatch.Trace) {}
 
 // moves are all that may happen now.
 func (w *smallWorld) moves() (list []move) {
@@ -261,10 +261,10 @@
 	case "ask":
 		a := smallAsks[m.n]
 		w.asked[m.n], w.at[m.n] = true, w.now
-		f.core.Take(w.now, gateway.Asker(m.n), gateway.Ask{Identity: gateway.Identity{Source: "/t", ID: a.id}, Type: a.kind, Function: "f", Wait: a.wait})
+		f.core.Take(w.now, dispatch.Asker(m.n), dispatch.Ask{Identity: dispatch.Identity{Source: "/t", ID: a.id}, Type: a.kind, Function: "f", Wait: a.wait})
 	case "hang":
 		w.hung[m.n] = true
-		f.core.HungUp(w.now, gateway.Asker(m.n))
+		f.core.HungUp(w.now, dispatch.Asker(m.n))
 	case "leave":
 		f.out[m.n].left = true
 	case "end":
@@ -272,7 +272,7 @@
 		if m.result < control.TurnedAway {
 			f.mark(x)
 		}
-		f.core.Launched(w.now, x.l.Job, gateway.Reply{Result: m.result, Warmth: control.FoundWarm})
+		f.core.Launched(w.now, x.l.Job, dispatch.Reply{Result: m.result, Warmth: control.FoundWarm})
 	case "load":
 		o := f.orders[m.n]
 		f.orders = append(f.orders[:m.n:m.n], f.orders[m.n+1:]...)
--- a/sim/mutants/main.go
+++ b/internal/simulation/mutants/main.go
@@ -16,8 +16,8 @@
 	"path/filepath"
 	"strings"
 
-	"streamcleat/console"
-	"streamcleat/sim"
+	"streamcleat/internal/console"
+	"streamcleat/internal/simulation"
 )
 
 //go:embed mutants.json
@@ -145,7 +145,7 @@
 	if err != nil && !errors.As(err, &ended) {
 		return "", err
 	}
-	var x sim.Explored
+	var x simulation.Explored
 	if err := json.Unmarshal(out, &x); err != nil {
 		return "", err
 	}
@@ -174,7 +174,7 @@
 	}
 	dec := json.NewDecoder(out)
 	for {
-		var r sim.Report
+		var r simulation.Report
 		if err := dec.Decode(&r); errors.Is(err, io.EOF) {
 			break
 		} else if err != nil {
--- a/sim/run.go
+++ b/internal/simulation/run.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"encoding/json"
@@ -9,19 +9,19 @@
 	"sync"
 	"time"
 
-	"streamcleat/appliance"
-	"streamcleat/config"
-	"streamcleat/gateway"
-	"streamcleat/referee"
-	"streamcleat/standin"
-	"streamcleat/timers"
+	"streamcleat/internal/appliance"
+	"streamcleat/internal/config"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/fakes"
+	"streamcleat/internal/invariants"
+	"streamcleat/internal/schedule"
 )
 
 // Report is what one script came to.
 type Report struct {
 	Seed    uint64 `json:"seed"`
 	Profile string `json:"profile"`
-	referee.Verdict
+	invariants.Verdict
 	Broke    []string       `json:"broke,omitempty"` // rules and invariants, the first of each
 	Digest   string         `json:"digest"`          // of the trace
 	Steps    int            `json:"steps"`
@@ -46,16 +46,16 @@
 	script     *Script
 	cfg        *config.Config
 	net        *network
-	tape       *referee.Tape
-	rules      referee.Rules
-	functions  []standin.Function
+	tape       *invariants.Tape
+	rules      invariants.Rules
+	functions  []fakes.Function
 	kinds      map[string]string
 	boxes      []*box
 	fronts     []*front
 	workers    []*worker
 	clients    []*client
 	store      *store
-	entries    []timers.Entry
+	entries    []schedule.Entry
 	list       []byte
 	remembered map[string]float64 // keyed events that the workers know
 	reboots    map[int]int
@@ -64,7 +64,7 @@
 	open       map[int]*trouble // by box: since it went down
 	tries      []*attempt
 	byTry      map[*try]*attempt
-	lost       []referee.Record
+	lost       []invariants.Record
 	touched    []*front
 	broke      []string
 	seen       map[string]int
@@ -94,7 +94,7 @@
 }
 
 // Play plays a script. told, which may be nil, gets the trace in words.
-func Play(script *Script, told func(string)) (*Report, []referee.Record, error) {
+func Play(script *Script, told func(string)) (*Report, []invariants.Record, error) {
 	began := time.Now()
 	s, err := newSite(script)
 	if err != nil {
@@ -113,7 +113,7 @@
 	}
 	s.finish()
 	records := s.tape.Records()
-	v := referee.Judge(s.rules, records)
+	v := invariants.Judge(s.rules, records)
 	s.repeats()
 	s.closing.Wait()
 	r := &Report{Seed: script.Seed, Profile: script.Profile, Verdict: v, Broke: append(v.Faults, s.broke...), Digest: s.w.digest(), Steps: s.w.steps,
@@ -127,9 +127,9 @@
 	s := &site{w: w, script: script, net: newNetwork(w, chance(script.Seed, "network")), kinds: map[string]string{}, remembered: map[string]float64{},
 		reboots: map[int]int{}, minutes: map[string]bool{}, open: map[int]*trouble{}, byTry: map[*try]*attempt{},
 		calls: map[string]uint64{}, seen: map[string]int{}, met: map[string]int{}, store: &store{w: w, pace: 4, slow: 1}}
-	s.tape = referee.NewTapeOn(func() float64 { return w.now })
-	s.functions = standin.Catalogue(script.Functions, script.Work, script.Seed)
-	s.rules = referee.Rules{Effect: map[string]string{"shop-event": "redeliverable", "till-entry": "keyed", "price-reset": "at-most-once"},
+	s.tape = invariants.NewTapeOn(func() float64 { return w.now })
+	s.functions = fakes.Catalogue(script.Functions, script.Work, script.Seed)
+	s.rules = invariants.Rules{Effect: map[string]string{"shop-event": "redeliverable", "till-entry": "keyed", "price-reset": "at-most-once"},
 		Remembered: map[string]float64{"till-entry": script.Remember}, Capacity: map[string]float64{}, WorkOf: map[string]float64{}, DrainGrace: 0.01, ColdShare: coldShare,
 		WarmWithin: warmWithin, FallFactor: fallFactor, FallWindow: fallWindow, Grace: 0.001, Lag: maxAge, Apart: true}
 	for _, f := range s.functions {
@@ -207,7 +207,7 @@
 	for i := range s.script.Timers {
 		fmt.Fprintf(&tab, "* * * * * %s %s tenant-%d\n", kinds[i%3], s.functions[i%len(s.functions)].Name, i)
 	}
-	s.entries, err = timers.Parse(strings.NewReader(tab.String()), "sim")
+	s.entries, err = schedule.Parse(strings.NewReader(tab.String()), "sim")
 	return err
 }
 
@@ -247,7 +247,7 @@
 func (s *site) leaving() float64 { return max(s.hangUp, 0.02) }
 func (s *site) abuse() bool      { return s.abused }
 
-func sorted(m map[gateway.Identity]uint64) []uint64 {
+func sorted(m map[dispatch.Identity]uint64) []uint64 {
 	list := slices.Collect(maps.Values(m))
 	slices.Sort(list)
 	return list
@@ -314,7 +314,7 @@
 // lose notes that nobody will know how a try ended: what its front end does about it is free.
 func (s *site) lose(t *try) {
 	delete(s.byTry, t)
-	s.lost = append(s.lost, referee.Record{Kind: referee.Lost, Call: t.call, Event: source + "#" + t.evt.id, Type: t.evt.kind, Front: t.tag})
+	s.lost = append(s.lost, invariants.Record{Kind: invariants.Lost, Call: t.call, Event: source + "#" + t.evt.id, Type: t.evt.kind, Front: t.tag})
 }
 
 func (s *site) unanswered(t *try) {
@@ -340,12 +340,12 @@
 			return
 		}
 		delete(s.byTry, t)
-		s.tape.Add(referee.Record{Kind: referee.Left, Call: t.call, Event: source + "#" + t.evt.id, Type: t.evt.kind, Front: t.tag})
+		s.tape.Add(invariants.Record{Kind: invariants.Left, Call: t.call, Event: source + "#" + t.evt.id, Type: t.evt.kind, Front: t.tag})
 	})
 }
 
 func (s *site) ownLost(call uint64) {
-	s.lost = append(s.lost, referee.Record{Kind: referee.Lost, Call: call})
+	s.lost = append(s.lost, invariants.Record{Kind: invariants.Lost, Call: call})
 }
 
 // check looks at every front end that did something in the last step.
--- a/sim/versions.go
+++ b/internal/simulation/versions.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"encoding/json"
@@ -6,26 +6,26 @@
 
 	"github.com/opencontainers/go-digest"
 
-	"streamcleat/gateway"
-	"streamcleat/handlers"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/registry"
 )
 
 // versionsOf are the versions that every function has in a site with versions.
 const versionsOf = 3
 
-func versionOf(fn string, no int) *handlers.Version {
+func versionOf(fn string, no int) *registry.Version {
 	name := fmt.Sprintf("1.%d", no)
-	return &handlers.Version{Function: fn, Name: name, Digest: digest.FromString(fn + ":" + name)}
+	return &registry.Version{Function: fn, Name: name, Digest: digest.FromString(fn + ":" + name)}
 }
 
 // library takes up the registry of functions from the audit trail, and makes it where there is none.
 func (b *box) library(trail [][]byte) {
-	b.reg = handlers.New()
+	b.reg = registry.New()
 	if !b.s.script.Versions {
 		return
 	}
 	for i, data := range trail {
-		var e handlers.Entry
+		var e registry.Entry
 		err := json.Unmarshal(data, &e)
 		if err == nil {
 			err = b.reg.Apply(e)
@@ -41,17 +41,17 @@
 		for no := range versionsOf {
 			v := versionOf(f.Name, no)
 			if _, err := b.reg.Find(f.Name + ":" + v.Name); err != nil {
-				b.change(handlers.Entry{Publish: v})
+				b.change(registry.Entry{Publish: v})
 			}
 		}
 		if _, err := b.reg.Find(f.Name); err != nil {
-			b.change(handlers.Entry{Move: &handlers.Move{Function: f.Name, Alias: handlers.Current, Digest: versionOf(f.Name, 0).Digest}})
+			b.change(registry.Entry{Move: &registry.Move{Function: f.Name, Alias: registry.Current, Digest: versionOf(f.Name, 0).Digest}})
 		}
 	}
 }
 
 // change makes a change of the registry, which is in force once it is on disk.
-func (b *box) change(e handlers.Entry) {
+func (b *box) change(e registry.Entry) {
 	e.At, e.Who = b.w.now, "script"
 	if !b.up {
 		return
@@ -76,19 +76,19 @@
 	f := b.s.functions[no%len(b.s.functions)]
 	v := versionOf(f.Name, to%versionsOf)
 	if _, err := b.reg.Find(f.Name + ":" + v.Name); err == nil {
-		b.change(handlers.Entry{Move: &handlers.Move{Function: f.Name, Alias: handlers.Current, Digest: v.Digest}})
+		b.change(registry.Entry{Move: &registry.Move{Function: f.Name, Alias: registry.Current, Digest: v.Digest}})
 	}
 }
 
-func (b *box) bind(ask *gateway.Ask) (gateway.Binding, gateway.Function, error) {
+func (b *box) bind(ask *dispatch.Ask) (dispatch.Binding, dispatch.Function, error) {
 	fn := b.s.cfg.Function(ask.Function)
 	v, err := b.reg.Bind(ask.Function, ask.Type, ask.Tenant, ask.Identity.String())
 	if err != nil {
-		return gateway.Binding{}, fn, err
+		return dispatch.Binding{}, fn, err
 	}
-	return gateway.Binding{ID: v.ID(), Function: v.Function, Version: v.Name, Digest: string(v.Digest)}, fn, nil
+	return dispatch.Binding{ID: v.ID(), Function: v.Function, Version: v.Name, Digest: string(v.Digest)}, fn, nil
 }
 
-func (b *box) mayRun(x gateway.Binding) bool {
+func (b *box) mayRun(x dispatch.Binding) bool {
 	return b.reg.May(x.Function, digest.Digest(x.Digest))
 }
--- a/sim/worker.go
+++ b/internal/simulation/worker.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"encoding/json"
@@ -8,9 +8,9 @@
 	"slices"
 	"strings"
 
-	"streamcleat/h1"
-	"streamcleat/referee"
-	"streamcleat/standin"
+	"streamcleat/internal/fakes"
+	"streamcleat/internal/http1"
+	"streamcleat/internal/invariants"
 )
 
 // worker is a stand-in worker as a state machine on the virtual clock: it speaks the Open Inference Protocol over the
@@ -37,7 +37,7 @@
 }
 
 type copyOf struct {
-	fn       *standin.Function
+	fn       *fakes.Function
 	digest   string // of the version that the copies are
 	standing int
 	loading  int
@@ -126,7 +126,7 @@
 }
 
 func (k *worker) accept(e *end) bool {
-	in := h1.NewRequests(h1.Limits{Head: 1 << 16, Body: 1 << 20})
+	in := http1.NewRequests(http1.Limits{Head: 1 << 16, Body: 1 << 20})
 	var open []*job
 	e.data = func(data []byte) {
 		in.Feed(data)
@@ -155,7 +155,7 @@
 }
 
 // request takes one request; an event is returned, so that a closed connection takes it out of the line.
-func (k *worker) request(e *end, m *h1.Message) *job {
+func (k *worker) request(e *end, m *http1.Message) *job {
 	parts := strings.Split(strings.Trim(m.Target, "/"), "/")
 	for i := range parts {
 		if v, err := url.PathUnescape(parts[i]); err == nil {
@@ -302,7 +302,7 @@
 		}
 	}
 	if first {
-		k.s.tape.Add(referee.Record{Kind: referee.Ran, Worker: k.name, Event: j.id, Type: j.kind, Function: j.c.fn.Name, Digest: j.c.digest, Call: j.call})
+		k.s.tape.Add(invariants.Record{Kind: invariants.Ran, Worker: k.name, Event: j.id, Type: j.kind, Function: j.c.fn.Name, Digest: j.c.digest, Call: j.call})
 	}
 	took := j.c.fn.Work / k.speed / k.warmth() * (0.7 + 0.6*k.rng.Float64())
 	if k.on("slow") {
--- a/sim/world.go
+++ b/internal/simulation/world.go
@@ -1,8 +1,8 @@
-// Package sim runs the program in a world of its own: a virtual clock, a network, disks and processes that go wrong
+// Package simulation runs the program in a world of its own: a virtual clock, a network, disks and processes that go wrong
 // by a script. What runs in it is the program's own code from the bytes of a connection to the bytes of the store:
 // frontend, gateway, control, front/http, workers, h1, timers, durable and the life of the box. A script comes from a
 // seed, and the same script always gives the same trace, which a digest proves.
-package sim
+package simulation
 
 import (
 	"container/heap"
--- a/durable/store.go
+++ b/internal/storage/store.go
@@ -1,4 +1,4 @@
-package durable
+package storage
 
 import (
 	"bytes"
@@ -20,7 +20,7 @@
 	"github.com/fxamacker/cbor/v2"
 	"golang.org/x/sys/unix"
 
-	"streamcleat/gateway"
+	"streamcleat/internal/dispatch"
 )
 
 // Options of a store. Times are seconds.
@@ -35,17 +35,17 @@
 
 // Open is an event of the box itself that had no answer when the last process ended.
 type Open struct {
-	Ask   gateway.Ask
+	Ask   dispatch.Ask
 	Due   time.Time
 	Until time.Time // when it is given up
 }
 
 // Found is what an earlier process left.
 type Found struct {
-	Events   []gateway.Kept
+	Events   []dispatch.Kept
 	Own      []Open
 	Fired    map[string]time.Time // by timer entry: the last minute it fired for
-	Known    []gateway.Known      // copies that were believed in, with their ages by now
+	Known    []dispatch.Known     // copies that were believed in, with their ages by now
 	Trail    [][]byte             // entries of the handlers' audit trail, in order
 	Config   []byte               // the last configuration that was in force
 	Fresh    bool                 // there was no store
@@ -425,7 +425,7 @@
 func run(v float64) []byte { return binary.BigEndian.AppendUint64(nil, math.Float64bits(v)) }
 
 // Commit implements the loop's keeper: done is called once the notes are on disk, or with the reason why not.
-func (s *Store) Commit(notes []gateway.Note, done func(error)) {
+func (s *Store) Commit(notes []dispatch.Note, done func(error)) {
 	now := s.now()
 	p := pending{done: done, n: len(notes)}
 	for _, n := range notes {
@@ -539,7 +539,7 @@
 	Entry string
 	Due   time.Time
 	Until time.Time // when its event is given up
-	Ask   gateway.Ask
+	Ask   dispatch.Ask
 }
 
 // Fired notes that timer entries fire and that the events they make are open, with one wait for the disk. Only then
@@ -557,7 +557,7 @@
 }
 
 // Answered notes that an event of the box has its answer. Nothing waits for it: told twice does no harm.
-func (s *Store) Answered(id gateway.Identity) {
+func (s *Store) Answered(id dispatch.Identity) {
 	s.enqueue(pending{ops: []op{{join(ownPrefix, identity(id)), nil}}, done: func(error) {}})
 }
 
@@ -572,7 +572,7 @@
 }
 
 // Tick notes the time of service, so that a restart counts from here, and what is known of copies.
-func (s *Store) Tick(known []gateway.Known) error {
+func (s *Store) Tick(known []dispatch.Known) error {
 	value, err := cbor.Marshal(knowledge{s.now(), known})
 	if err != nil {
 		return err
--- a/durable/store_test.go
+++ b/internal/storage/store_test.go
@@ -1,4 +1,4 @@
-package durable
+package storage
 
 import (
 	"errors"
@@ -15,7 +15,7 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 	"github.com/cockroachdb/pebble/v2/vfs/errorfs"
 
-	"streamcleat/gateway"
+	"streamcleat/internal/dispatch"
 )
 
 // machine is a clock that tests move: up runs on, boot changes at a restart of the machine.
@@ -26,9 +26,9 @@
 
 func (m *machine) stamp() Stamp { return Stamp{Boot: m.boot, Up: m.up} }
 
-func note(kind gateway.NoteKind, typ, id string, outcome gateway.Kind, ranAgo float64) gateway.Note {
-	return gateway.Note{Kind: kind, MayRun: true, RanAgo: ranAgo, Answer: gateway.Answer{Identity: gateway.Identity{Source: "/t", ID: id},
-		EventType: typ, FunctionID: "f", Kind: outcome, Body: []byte("body of " + id), Fields: []gateway.Field{{Name: "A", Value: "b"}}}}
+func note(kind dispatch.NoteKind, typ, id string, outcome dispatch.Kind, ranAgo float64) dispatch.Note {
+	return dispatch.Note{Kind: kind, MayRun: true, RanAgo: ranAgo, Answer: dispatch.Answer{Identity: dispatch.Identity{Source: "/t", ID: id},
+		EventType: typ, FunctionID: "f", Kind: outcome, Body: []byte("body of " + id), Fields: []dispatch.Field{{Name: "A", Value: "b"}}}}
 }
 
 func open(t *testing.T, fs vfs.FS, m *machine) (*Store, *Found) {
@@ -40,7 +40,7 @@
 	return s, found
 }
 
-func commit(s *Store, notes ...gateway.Note) error {
+func commit(s *Store, notes ...dispatch.Note) error {
 	ended := make(chan error, 1)
 	s.Commit(notes, func(err error) { ended <- err })
 	return <-ended
@@ -52,10 +52,10 @@
 	if !found.Fresh || len(found.Events) != 0 {
 		t.Fatalf("%+v", found)
 	}
-	ask := gateway.Ask{Identity: gateway.Identity{Source: "/timers", ID: "m1"}, Type: "once", Function: "f", Body: []byte("x")}
+	ask := dispatch.Ask{Identity: dispatch.Identity{Source: "/timers", ID: "m1"}, Type: "once", Function: "f", Body: []byte("x")}
 	due := time.Unix(1_800_000_000, 0)
-	for _, err := range []error{commit(s, note(gateway.NoteLaunched, "once", "1", 0, 0), note(gateway.NoteLaunched, "keyed", "2", 0, 3)),
-		commit(s, note(gateway.NoteEnded, "keyed", "2", gateway.Handled, 4)), s.Fired([]Firing{{"entry", due, due, ask}}), s.Config([]byte("{}"))} {
+	for _, err := range []error{commit(s, note(dispatch.NoteLaunched, "once", "1", 0, 0), note(dispatch.NoteLaunched, "keyed", "2", 0, 3)),
+		commit(s, note(dispatch.NoteEnded, "keyed", "2", dispatch.Handled, 4)), s.Fired([]Firing{{"entry", due, due, ask}}), s.Config([]byte("{}"))} {
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -70,10 +70,10 @@
 		t.Fatalf("%+v", found)
 	}
 	for _, k := range found.Events {
-		want := note(gateway.NoteLaunched, "once", "1", 0, 0)
+		want := note(dispatch.NoteLaunched, "once", "1", 0, 0)
 		ago := 10.0
 		if k.Answer.EventType == "keyed" {
-			want, ago = note(gateway.NoteEnded, "keyed", "2", gateway.Handled, 4), 14
+			want, ago = note(dispatch.NoteEnded, "keyed", "2", dispatch.Handled, 4), 14
 		}
 		if k.Kind != want.Kind || k.Answer.Identity != want.Answer.Identity || string(k.Answer.Body) != string(want.Answer.Body) ||
 			!k.Reliable || k.RanAgo != ago || len(k.Answer.Fields) != 1 {
@@ -96,11 +96,11 @@
 	fs, m := vfs.NewMem(), &machine{boot: "a"}
 	s, _ := open(t, fs, m)
 	for i := range 50 {
-		commit(s, note(gateway.NoteEnded, "once", fmt.Sprint(i), gateway.Handled, 0))
+		commit(s, note(dispatch.NoteEnded, "once", fmt.Sprint(i), dispatch.Handled, 0))
 		m.up++
 	}
-	commit(s, note(gateway.NoteEnded, "once", "0", gateway.Handled, 0)) // the first once more: it is kept longer
-	m.up += 74.5                                                        // 25 of them are a hundred seconds old
+	commit(s, note(dispatch.NoteEnded, "once", "0", dispatch.Handled, 0)) // the first once more: it is kept longer
+	m.up += 74.5                                                          // 25 of them are a hundred seconds old
 	looked := 0
 	for {
 		n, err := s.Expire(7)
@@ -167,7 +167,7 @@
 		after = mem.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: unsynced, RNG: rand.New(rand.NewPCG(seed, 5))})
 	}
 	f.at.Store(at)
-	kept, noted, minutes := map[string]gateway.NoteKind{}, map[string]bool{}, 0
+	kept, noted, minutes := map[string]dispatch.NoteKind{}, map[string]bool{}, 0
 	tried := 0
 	s, _, err := OpenStore("state", Options{FS: errorfs.Wrap(mem, f), Clock: m.stamp, Remember: 100})
 	if err == nil {
@@ -175,18 +175,18 @@
 		for i := range 12 {
 			m.up++
 			id := fmt.Sprint(rng.IntN(8))
-			kind := gateway.NoteKind(rng.IntN(2))
+			kind := dispatch.NoteKind(rng.IntN(2))
 			if dead.Load() {
 				break
 			}
 			noted[id] = true
-			if commit(s, note(kind, "once", id, gateway.Handled, 0)) == nil && !dead.Load() {
+			if commit(s, note(kind, "once", id, dispatch.Handled, 0)) == nil && !dead.Load() {
 				kept[id] = kind
 			} else {
 				delete(kept, id) // either of the two notes may be there
 			}
 			tried = i
-			ask := gateway.Ask{Identity: gateway.Identity{Source: "/own", ID: fmt.Sprint(i)}}
+			ask := dispatch.Ask{Identity: dispatch.Identity{Source: "/own", ID: fmt.Sprint(i)}}
 			if s.Fired([]Firing{{"entry", time.Unix(int64(i*60), 0), time.Unix(0, 0), ask}}) == nil && !dead.Load() {
 				minutes = i
 			}
@@ -209,7 +209,7 @@
 	if found.SetAside != "" && len(kept)+minutes > 0 {
 		t.Fatalf("killed at write %d, %d%% unsynced: the store counts as corrupt", at, unsynced)
 	}
-	have := map[string]gateway.Kept{}
+	have := map[string]dispatch.Kept{}
 	for _, k := range found.Events {
 		have[k.Answer.Identity.ID] = k
 		if !noted[k.Answer.Identity.ID] {
@@ -254,12 +254,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := commit(s, note(gateway.NoteLaunched, "once", "1", 0, 0)); err != nil {
+		if err := commit(s, note(dispatch.NoteLaunched, "once", "1", 0, 0)); err != nil {
 			t.Fatal(err)
 		}
 		f.at.Store(f.n.Load() + 1)
 		for range 2 { // it stays failed: nobody knows what a failed sync left
-			if err := commit(s, note(gateway.NoteLaunched, "once", "2", 0, 0)); err == nil {
+			if err := commit(s, note(dispatch.NoteLaunched, "once", "2", 0, 0)); err == nil {
 				t.Errorf("%v: a note counts as kept", cause)
 			}
 			f.at.Store(1 << 60)
@@ -319,7 +319,7 @@
 			t.Fatal(err)
 		}
 		for i := range 100 {
-			commit(s, note(gateway.NoteEnded, "once", fmt.Sprint(i), gateway.Handled, 0))
+			commit(s, note(dispatch.NoteEnded, "once", fmt.Sprint(i), dispatch.Handled, 0))
 		}
 		s.db.Flush()
 		s.Close()
@@ -348,7 +348,7 @@
 				t.Error(err)
 			}
 		}
-		if err := commit(s, note(gateway.NoteEnded, "once", "new", gateway.Handled, 0)); err != nil {
+		if err := commit(s, note(dispatch.NoteEnded, "once", "new", dispatch.Handled, 0)); err != nil {
 			t.Error(err)
 		}
 		s.Close()
--- a/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -20,7 +20,7 @@
 	sdktrace "go.opentelemetry.io/otel/sdk/trace"
 	"go.opentelemetry.io/otel/trace"
 
-	"streamcleat/gateway"
+	"streamcleat/internal/dispatch"
 )
 
 // Settings of what is told.
@@ -87,15 +87,15 @@
 }
 
 // Ended takes one event.
-func (t *Teller) Ended(a gateway.Answer, tr *gateway.Trace) {
+func (t *Teller) Ended(a dispatch.Answer, tr *dispatch.Trace) {
 	late := a.After > t.set.TargetTime(a.EventType)
 	kind := a.EventType
-	if a.Cause == gateway.Unknown {
+	if a.Cause == dispatch.Unknown {
 		kind = "unknown" // what anybody may write must not make a series of its own
 	}
 	t.events.WithLabelValues(kind, a.Kind.String(), fmt.Sprint(late)).Inc()
 	t.took.WithLabelValues(kind, a.Kind.String()).Observe(a.After)
-	if a.Kind != gateway.Handled {
+	if a.Kind != dispatch.Handled {
 		t.causes.WithLabelValues(a.Cause.String(), a.Worker).Inc()
 	}
 	if tr == nil {
@@ -109,20 +109,20 @@
 			}
 		}
 	}
-	if t.tracer != nil && (late || a.Kind != gateway.Handled || t.sampled(a.Identity)) {
+	if t.tracer != nil && (late || a.Kind != dispatch.Handled || t.sampled(a.Identity)) {
 		t.span(a, tr, late)
 	}
 }
 
 // sampled draws a fixed share of identities, the same at every front end.
-func (t *Teller) sampled(id gateway.Identity) bool {
+func (t *Teller) sampled(id dispatch.Identity) bool {
 	h := fnv.New32a()
 	io.WriteString(h, id.String())
 	return float64(h.Sum32())/(1<<32) < t.set.Share
 }
 
 // span writes an event as a span with one below it for each launch; waits and loads are events of the first.
-func (t *Teller) span(a gateway.Answer, tr *gateway.Trace, late bool) {
+func (t *Teller) span(a dispatch.Answer, tr *dispatch.Trace, late bool) {
 	end := time.Now()
 	began := end.Add(-seconds(a.After))
 	ctx, root := t.tracer.Start(context.Background(), "event "+a.EventType, trace.WithTimestamp(began),
@@ -152,7 +152,7 @@
 	if launch != nil {
 		launch.End(trace.WithTimestamp(end))
 	}
-	if a.Kind != gateway.Handled {
+	if a.Kind != dispatch.Handled {
 		root.SetStatus(codes.Error, a.Cause.String())
 	}
 	root.End(trace.WithTimestamp(end))
--- a/workers/list.go
+++ b/internal/upstream/list.go
@@ -1,4 +1,4 @@
-package workers
+package upstream
 
 import (
 	"encoding/json"
--- a/workers/oip.go
+++ b/internal/upstream/oip.go
@@ -1,7 +1,7 @@
-// Package workers speaks to workers: the Open Inference Protocol v2 over HTTP/1.1 with its repository extension,
+// Package upstream speaks to workers: the Open Inference Protocol v2 over HTTP/1.1 with its repository extension,
 // load reports (ORCA) and Server-Timing in answers, the list of workers (Prometheus file service discovery), and
 // the state of the connections to them. It has no socket and no clock; netloop carries its bytes.
-package workers
+package upstream
 
 import (
 	"bytes"
@@ -12,11 +12,11 @@
 	"strings"
 
 	"streamcleat/control"
-	"streamcleat/gateway"
-	"streamcleat/h1"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/http1"
 )
 
-func request(target, addr, via string, fields []gateway.Field, body []byte) []byte {
+func request(target, addr, via string, fields []dispatch.Field, body []byte) []byte {
 	var b bytes.Buffer
 	b.Grow(256 + len(body))
 	fmt.Fprintf(&b, "POST %s HTTP/1.1\r\nHost: %s\r\nVia: 1.1 %s\r\nContent-Length: %d\r\n", target, addr, via, len(body))
@@ -35,11 +35,11 @@
 // attributes as ce- fields. Request-Timeout tells the seconds after which nobody waits any more; via names the front
 // end (RFC 9110 7.6.3). A version is asked for by its name in the path and by its digest in If-Match: a worker that
 // holds another one under that name answers 412 and runs nothing.
-func Infer(addr, via string, l gateway.Launch) []byte {
-	fields := append([]gateway.Field{{Name: "Request-Timeout", Value: strconv.FormatFloat(l.Limit, 'f', 3, 64)}},
+func Infer(addr, via string, l dispatch.Launch) []byte {
+	fields := append([]dispatch.Field{{Name: "Request-Timeout", Value: strconv.FormatFloat(l.Limit, 'f', 3, 64)}},
 		l.Fields...)
 	if b := l.Binding; b.ID != "" {
-		fields = append(fields, gateway.Field{Name: "If-Match", Value: `"` + b.Digest + `"`})
+		fields = append(fields, dispatch.Field{Name: "If-Match", Value: `"` + b.Digest + `"`})
 		return request("/v2/models/"+url.PathEscape(b.Function)+"/versions/"+url.PathEscape(b.Version)+"/infer", addr, via, fields, l.Body)
 	}
 	return request("/v2/models/"+url.PathEscape(l.Function)+"/infer", addr, via, fields, l.Body)
@@ -47,7 +47,7 @@
 
 // Load writes a load order of the repository extension; the number of copies is a load parameter. An order for none
 // lets idle copies go.
-func Load(addr, via string, o gateway.Order) []byte {
+func Load(addr, via string, o dispatch.Order) []byte {
 	if o.Copies == 0 {
 		name, _, _ := strings.Cut(o.Function, "@")
 		return request("/v2/repository/models/"+url.PathEscape(name)+"/unload", addr, via, nil, nil)
@@ -58,7 +58,7 @@
 	}
 	body, _ := json.Marshal(map[string]any{"parameters": parameters})
 	return request("/v2/repository/models/"+url.PathEscape(name)+"/load", addr, via,
-		[]gateway.Field{{Name: "Content-Type", Value: "application/json"}}, body)
+		[]dispatch.Field{{Name: "Content-Type", Value: "application/json"}}, body)
 }
 
 const digestField = "Docker-Content-Digest"
@@ -69,8 +69,8 @@
 // Answer reads how a launch ended. 2xx handled it. 404 tells that the function is not loaded there, 412 that another
 // version is, 429 and 503 that the worker turned it away: of these a worker promises that the event never ran. Else
 // it may have. Docker-Content-Digest proves which copy ran (OCI distribution specification).
-func Answer(m *h1.Message) gateway.Reply {
-	r := gateway.Reply{Report: report(m.Header.Get("Endpoint-Load-Metrics")),
+func Answer(m *http1.Message) dispatch.Reply {
+	r := dispatch.Reply{Report: report(m.Header.Get("Endpoint-Load-Metrics")),
 		Warmth: warmth(strings.Join(m.Header.Values("Server-Timing"), ",")),
 		Digest: m.Header.Get(digestField)}
 	switch {
@@ -78,7 +78,7 @@
 		r.Result, r.Body = control.Handled, m.Body
 		for _, name := range passed {
 			for _, v := range m.Header.Values(name) {
-				r.Fields = append(r.Fields, gateway.Field{Name: name, Value: v})
+				r.Fields = append(r.Fields, dispatch.Field{Name: name, Value: v})
 			}
 		}
 	case m.Status == 404 || m.Status == 412:
@@ -93,7 +93,7 @@
 
 // Stand reads how a load order ended and how many copies stand. Where a digest was asked for, copies of another one,
 // or of none that is proven, don't count.
-func Stand(m *h1.Message, digest string) (control.Result, int) {
+func Stand(m *http1.Message, digest string) (control.Result, int) {
 	switch {
 	case m.Status >= 200 && m.Status < 300 && digest != "" && m.Header.Get(digestField) != digest:
 		return control.Failed, 0
--- a/workers/pool.go
+++ b/internal/upstream/pool.go
@@ -1,4 +1,4 @@
-package workers
+package upstream
 
 import (
 	"errors"
@@ -7,8 +7,8 @@
 	"slices"
 
 	"streamcleat/control"
-	"streamcleat/gateway"
-	"streamcleat/h1"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/http1"
 )
 
 // Limits of the connections to workers; times in seconds.
@@ -16,7 +16,7 @@
 	Dial    float64 // a connection that is not up by then counts as unreachable
 	Idle    float64 // an idle connection is closed after this
 	Most    int     // connections to one worker, those being dialed included
-	Message h1.Limits
+	Message http1.Limits
 	Via     string // the front end's name
 }
 
@@ -32,7 +32,7 @@
 
 // Sink takes what came back. It may call Launch, Load and Abandon of the pool.
 type Sink interface {
-	Launched(job uint64, r gateway.Reply)
+	Launched(job uint64, r dispatch.Reply)
 	Loaded(job uint64, res control.Result, copies int)
 }
 
@@ -54,7 +54,7 @@
 	job    *job
 	since  float64 // when the dial began, or when it fell idle
 	queued bool
-	in     *h1.Framer
+	in     *http1.Framer
 }
 
 // Pool is the state of one front end's connections: one request at a time on each. It tells apart what was never
@@ -120,12 +120,12 @@
 }
 
 // Launch sends a launch over an idle connection or a new one.
-func (p *Pool) Launch(now float64, l gateway.Launch) {
+func (p *Pool) Launch(now float64, l dispatch.Launch) {
 	p.send(now, &job{no: l.Job, wk: l.Worker, data: Infer(p.addr[l.Worker], p.limits.Via, l)})
 }
 
 // Load sends a load order likewise.
-func (p *Pool) Load(now float64, o gateway.Order) {
+func (p *Pool) Load(now float64, o dispatch.Order) {
 	p.send(now, &job{no: o.Job, wk: o.Worker, data: Load(p.addr[o.Worker], p.limits.Via, o), load: true, digest: o.Binding.Digest})
 }
 
@@ -147,7 +147,7 @@
 		return
 	}
 	p.next++
-	c := &conn{no: p.next, wk: j.wk, addr: addr, job: j, since: now, in: h1.NewResponses(p.limits.Message)}
+	c := &conn{no: p.next, wk: j.wk, addr: addr, job: j, since: now, in: http1.NewResponses(p.limits.Message)}
 	j.conn = c
 	p.conns[c.no] = c
 	p.held[c.wk]++
@@ -173,12 +173,12 @@
 		list := p.failed
 		p.failed = nil
 		for _, j := range list {
-			p.end(j, gateway.Reply{Result: control.Unreachable})
+			p.end(j, dispatch.Reply{Result: control.Unreachable})
 		}
 	}
 }
 
-func (p *Pool) end(j *job, r gateway.Reply) {
+func (p *Pool) end(j *job, r dispatch.Reply) {
 	if p.jobs[j.no] != j {
 		return
 	}
@@ -206,7 +206,7 @@
 		j := c.job
 		p.drop(c)
 		if j != nil {
-			p.end(j, gateway.Reply{Result: control.Unreachable})
+			p.end(j, dispatch.Reply{Result: control.Unreachable})
 		}
 		return
 	}
@@ -269,7 +269,7 @@
 	p.answered(now, c, m, err)
 }
 
-func (p *Pool) answered(now float64, c *conn, m *h1.Message, err error) {
+func (p *Pool) answered(now float64, c *conn, m *http1.Message, err error) {
 	j := c.job
 	c.job = nil
 	if err != nil || m.Close || !c.in.Idle() || p.shut[c.wk] {
@@ -279,7 +279,7 @@
 	}
 	switch {
 	case err != nil: // an answer that can't be read: it may have run
-		p.end(j, gateway.Reply{Result: control.Broken})
+		p.end(j, dispatch.Reply{Result: control.Broken})
 	case j.load:
 		delete(p.jobs, j.no)
 		res, copies := Stand(m, j.digest)
@@ -307,9 +307,9 @@
 	}
 	// A request of which bytes were handed to the kernel may have been read, whether an answer began or not.
 	if j.sent {
-		p.end(j, gateway.Reply{Result: control.Broken})
+		p.end(j, dispatch.Reply{Result: control.Broken})
 	} else {
-		p.end(j, gateway.Reply{Result: control.Unreachable})
+		p.end(j, dispatch.Reply{Result: control.Unreachable})
 	}
 }
 
@@ -383,7 +383,7 @@
 		j := c.job
 		p.close(c)
 		if j != nil {
-			p.end(j, gateway.Reply{Result: control.Broken})
+			p.end(j, dispatch.Reply{Result: control.Broken})
 		}
 	}
 }
--- a/workers/workers_test.go
+++ b/internal/upstream/workers_test.go
@@ -1,4 +1,4 @@
-package workers
+package upstream
 
 import (
 	"errors"
@@ -8,13 +8,13 @@
 	"testing"
 
 	"streamcleat/control"
-	"streamcleat/gateway"
-	"streamcleat/h1"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/http1"
 )
 
-func response(t *testing.T, text string) *h1.Message {
+func response(t *testing.T, text string) *http1.Message {
 	t.Helper()
-	f := h1.NewResponses(h1.Limits{Head: 4096, Body: 4096})
+	f := http1.NewResponses(http1.Limits{Head: 4096, Body: 4096})
 	f.Feed([]byte(text))
 	m, err := f.Next()
 	if m == nil || err != nil {
@@ -27,24 +27,24 @@
 	for _, c := range []struct {
 		status int
 		fields string
-		want   gateway.Reply
+		want   dispatch.Reply
 	}{
-		{200, "Server-Timing: warm, total;dur=3\r\n", gateway.Reply{Result: control.Handled, Warmth: control.FoundWarm}},
-		{201, "Server-Timing: cache;desc=x\r\nServer-Timing: load;dur=300\r\n", gateway.Reply{Result: control.Handled, Warmth: control.BeganLoad}},
-		{404, "Server-Timing: load-failed\r\n", gateway.Reply{Result: control.Missed, Warmth: control.LoadFailed}},
-		{503, "", gateway.Reply{Result: control.TurnedAway}},
-		{429, "", gateway.Reply{Result: control.TurnedAway}},
-		{500, "", gateway.Reply{Result: control.Failed}},
-		{400, "", gateway.Reply{Result: control.Failed}},
-		{302, "", gateway.Reply{Result: control.Failed}},
+		{200, "Server-Timing: warm, total;dur=3\r\n", dispatch.Reply{Result: control.Handled, Warmth: control.FoundWarm}},
+		{201, "Server-Timing: cache;desc=x\r\nServer-Timing: load;dur=300\r\n", dispatch.Reply{Result: control.Handled, Warmth: control.BeganLoad}},
+		{404, "Server-Timing: load-failed\r\n", dispatch.Reply{Result: control.Missed, Warmth: control.LoadFailed}},
+		{503, "", dispatch.Reply{Result: control.TurnedAway}},
+		{429, "", dispatch.Reply{Result: control.TurnedAway}},
+		{500, "", dispatch.Reply{Result: control.Failed}},
+		{400, "", dispatch.Reply{Result: control.Failed}},
+		{302, "", dispatch.Reply{Result: control.Failed}},
 		{200, "Endpoint-Load-Metrics: TEXT cpu_utilization=0.3, named_metrics.running=2,named_metrics.waiting=5\r\n",
-			gateway.Reply{Result: control.Handled, Report: control.Report{Running: 2, Waiting: 5, Known: true}}},
+			dispatch.Reply{Result: control.Handled, Report: control.Report{Running: 2, Waiting: 5, Known: true}}},
 		{200, `Endpoint-Load-Metrics: JSON {"cpu_utilization":0.3,"named_metrics":{"running":3}}` + "\r\n",
-			gateway.Reply{Result: control.Handled, Report: control.Report{Running: 3, Known: true}}},
+			dispatch.Reply{Result: control.Handled, Report: control.Report{Running: 3, Known: true}}},
 		{200, "Endpoint-Load-Metrics: TEXT named_metrics.running=NaN, named_metrics.waiting=-3\r\n",
-			gateway.Reply{Result: control.Handled, Report: control.Report{Known: true}}},
-		{200, "Endpoint-Load-Metrics: JSON {\r\n", gateway.Reply{Result: control.Handled}},
-		{200, "Endpoint-Load-Metrics: BIN xyz\r\n", gateway.Reply{Result: control.Handled}},
+			dispatch.Reply{Result: control.Handled, Report: control.Report{Known: true}}},
+		{200, "Endpoint-Load-Metrics: JSON {\r\n", dispatch.Reply{Result: control.Handled}},
+		{200, "Endpoint-Load-Metrics: BIN xyz\r\n", dispatch.Reply{Result: control.Handled}},
 	} {
 		got := Answer(response(t, fmt.Sprintf("HTTP/1.1 %d X\r\n%sContent-Length: 0\r\n\r\n", c.status, c.fields)))
 		if got.Result != c.want.Result || got.Warmth != c.want.Warmth || got.Report != c.want.Report {
@@ -110,12 +110,12 @@
 func (w *peer) Dial(c Conn, _ string)                        { w.dials = append(w.dials, c) }
 func (w *peer) Write(c Conn, data []byte)                    { w.written[c] = append(w.written[c], data...) }
 func (w *peer) Close(c Conn)                                 { w.closed[c] = true }
-func (w *peer) Launched(job uint64, r gateway.Reply)         { w.ends[job] = append(w.ends[job], r.Result) }
+func (w *peer) Launched(job uint64, r dispatch.Reply)        { w.ends[job] = append(w.ends[job], r.Result) }
 func (w *peer) Loaded(job uint64, res control.Result, _ int) { w.ends[job] = append(w.ends[job], res) }
 
 func newPeer(t *testing.T) *peer {
 	w := &peer{written: map[Conn][]byte{}, closed: map[Conn]bool{}, ends: map[uint64][]control.Result{}}
-	w.p = NewPool(Limits{Dial: 0.25, Idle: 10, Most: 2, Message: h1.Limits{Head: 4096, Body: 4096}, Via: "front"}, w, w)
+	w.p = NewPool(Limits{Dial: 0.25, Idle: 10, Most: 2, Message: http1.Limits{Head: 4096, Body: 4096}, Via: "front"}, w, w)
 	l, err := ReadList([]byte(`[{"targets":["h:1","h:2"]}]`), 0)
 	if err != nil {
 		t.Fatal(err)
@@ -125,7 +125,7 @@
 }
 
 func (w *peer) launch(now float64, job uint64) {
-	w.p.Launch(now, gateway.Launch{Job: job, Worker: "h:1", Function: "a/b", Limit: 2, Body: []byte("x")})
+	w.p.Launch(now, dispatch.Launch{Job: job, Worker: "h:1", Function: "a/b", Limit: 2, Body: []byte("x")})
 }
 
 const okText = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
