--- /dev/null
+++ b/internal/registry/format_test.go
@@ -0,0 +1,102 @@
+package registry
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"github.com/opencontainers/go-digest"
+)
+
+// The fixture holds entries of the audit trail, one a line, as users' stores have them. Run with -update only to write
+// a new one.
+var update = flag.Bool("update", false, "write the fixture of the audit trail")
+
+var (
+	fixtureTrail = filepath.Join("testdata", "trail-1.jsonl")
+	fixtureOld   = digest.FromString("old")
+	fixtureNew   = digest.FromString("new")
+)
+
+// fixtureEntries are changes of every kind, with all fields set and with as few as can be.
+func fixtureEntries() []Entry {
+	return []Entry{
+		{At: 1_800_000_000.25, Who: "ann", Why: "first", Publish: &Version{Function: "team/f", Name: "1.0.0", Digest: fixtureOld,
+			Lanes: 4, Memory: 256.5, Load: 1.5, Types: []string{"once", "again"}, Signed: []string{"key-1", "key-2"}}},
+		{At: 1_800_000_001, Who: "ann", Publish: &Version{Function: "team/f", Name: "1.1.0", Digest: fixtureNew}},
+		{At: 1_800_000_002, Who: "ann", Move: &Move{Function: "team/f", Alias: Current, Digest: fixtureOld}},
+		{At: 1_800_000_003, Who: "ann", Move: &Move{Function: "team/f", Alias: "gone", Digest: fixtureOld}},
+		{At: 1_800_000_004, Who: "ann", Move: &Move{Function: "team/f", Alias: "gone"}},
+		{At: 1_800_000_005, Who: "bob", Rollout: &Rollout{Function: "team/f", Alias: Current, From: fixtureOld, To: fixtureNew, Share: 0.1,
+			Tenants: []string{"north"}, Steps: []float64{0.1, 0.5}, Hold: 60, Least: 20, MostBad: 0.02}},
+		{At: 1_800_000_006, Who: "rollout", Why: "it has held at 0.10", Rollout: &Rollout{Function: "team/f", Alias: Current, From: fixtureOld, To: fixtureNew}},
+		{At: 1_800_000_007, Who: "keys", Withdraw: "team/f@" + string(fixtureOld), Why: "none in force vouches for it"},
+	}
+}
+
+func TestTrailBytesAreThoseOfTheFixture(t *testing.T) {
+	var got bytes.Buffer
+	for _, e := range fixtureEntries() {
+		data, err := json.Marshal(e)
+		if err != nil {
+			t.Fatal(err)
+		}
+		got.Write(append(data, '\n'))
+	}
+	if *update {
+		if err := os.WriteFile(fixtureTrail, got.Bytes(), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(fixtureTrail)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got.String() != string(want) {
+		t.Errorf("written:\n%s\nin the fixture:\n%s", &got, want)
+	}
+}
+
+func TestTrailFixtureMakesItsRegistry(t *testing.T) {
+	data, err := os.ReadFile(fixtureTrail)
+	if err != nil {
+		t.Fatal(err)
+	}
+	r := New()
+	var entries []Entry
+	for _, line := range bytes.Split(bytes.TrimSpace(data), []byte("\n")) {
+		var e Entry
+		if err := json.Unmarshal(line, &e); err != nil {
+			t.Fatal(err)
+		}
+		entries = append(entries, e)
+		if err := r.Apply(e); err != nil {
+			t.Fatalf("%s: %v", line, err)
+		}
+	}
+	want := fixtureEntries()
+	if !reflect.DeepEqual(entries, want) {
+		t.Errorf("entries:\n%+v, want\n%+v", entries, want)
+	}
+	old, fresh := *want[0].Publish, *want[1].Publish
+	old.Withdrawn = true
+	views := []View{{Function: "team/f", Versions: []Version{old, fresh}, Aliases: map[string]digest.Digest{Current: fixtureNew}}}
+	if got := r.List(); !reflect.DeepEqual(got, views) {
+		t.Errorf("registry:\n%+v, want\n%+v", got, views)
+	}
+}
+
+// A view is what the console's socket and handler list --json show.
+func TestViewHasItsKeys(t *testing.T) {
+	data, err := json.Marshal(View{Function: "f", Versions: []Version{{Function: "f", Name: "1", Digest: "d", Withdrawn: true}},
+		Aliases: map[string]digest.Digest{"current": "d"}, Rollouts: []Rollout{{Function: "f", Alias: "current", From: "d", To: "e", MostBad: 0.5}}})
+	const want = `{"function":"f","versions":[{"function":"f","version":"1","digest":"d","withdrawn":true}],"aliases":{"current":"d"},` +
+		`"rollouts":[{"function":"f","alias":"current","from":"d","to":"e","share":0,"most_bad":0.5}]}`
+	if err != nil || string(data) != want {
+		t.Errorf("%s, %v", data, err)
+	}
+}
