--- a/internal/storage/format_test.go
+++ b/internal/storage/format_test.go
@@ -281,3 +281,51 @@
 		s.Close()
 	}
 }
+
+// Outcomes and causes are stored as numbers, which must go on meaning the same.
+func TestStoredNumbersKeepTheirMeaning(t *testing.T) {
+	if dispatch.NoteLaunched != 0 || dispatch.NoteEnded != 1 {
+		t.Error("the numbers of notes have changed")
+	}
+	for i, want := range []string{"handled", "deferred", "dead-lettered"} {
+		if got := dispatch.Kind(i).String(); got != want {
+			t.Errorf("outcome %d is %s, was %s", i, got, want)
+		}
+	}
+	for i, want := range []string{"answered", "no-room", "time-up", "worker-failed", "worker-broke", "worker-gone", "worker-full",
+		"load-failed", "forgotten", "stopping", "unknown-type", "overflow", "restarted", "not-kept", "no-version", "wrong-digest", "duplicate"} {
+		if got := dispatch.Cause(i).String(); got != want {
+			t.Errorf("cause %d is %s, was %s", i, got, want)
+		}
+	}
+}
+
+// reaches tells whether a type from dispatch stands in a record.
+func reaches(t reflect.Type) bool {
+	switch t.Kind() {
+	case reflect.Slice, reflect.Pointer, reflect.Map, reflect.Array:
+		return reaches(t.Elem())
+	case reflect.Struct:
+		for i := range t.NumField() {
+			if reaches(t.Field(i).Type) {
+				return true
+			}
+		}
+	}
+	return strings.HasSuffix(t.PkgPath(), "/dispatch")
+}
+
+// No record holds a type of dispatch, and each field of a record spells its key out.
+func TestRecordsSpellTheirKeys(t *testing.T) {
+	for _, v := range []any{storedEvent{}, storedOpenRequest{}, storedReplicas{}, storedField{}, storedBinding{}, storedFunction{}, storedRequest{}, storedReplica{}} {
+		r := reflect.TypeOf(v)
+		if reaches(r) {
+			t.Errorf("%s holds a type of dispatch", r)
+		}
+		for i := range r.NumField() {
+			if f := r.Field(i); f.Tag.Get("cbor") == "" {
+				t.Errorf("%s.%s has no key", r, f.Name)
+			}
+		}
+	}
+}
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -327,11 +327,11 @@
 	if v, err = get(knownKey); err != nil {
 		return found, err
 	} else if v != nil {
-		var k knowledge
+		var k storedReplicas
 		if cbor.Unmarshal(v, &k) != nil {
 			found.Unread++
 		} else if age, sure := k.At.since(now); sure { // else nobody knows how old it is
-			found.Known = k.List
+			found.Known = convert(k.List, storedReplica.replica)
 			for i := range found.Known {
 				found.Known[i].Age += age
 			}
@@ -348,12 +348,12 @@
 		return found, err
 	}
 	err = each(db, ownPrefix, func(_, v []byte) {
-		var o own
-		if cbor.Unmarshal(v, &o) != nil || o.Ask.ID == "" {
+		var o storedOpenRequest
+		if cbor.Unmarshal(v, &o) != nil || o.Request.ID == "" {
 			found.Unread++
 			return
 		}
-		found.Own = append(found.Own, Open{o.Ask, time.Unix(o.Due, 0), time.Unix(o.Until, 0)})
+		found.Own = append(found.Own, o.open())
 	})
 	if err != nil {
 		return found, err
@@ -573,7 +573,7 @@
 
 // Tick notes the time of service, so that a restart counts from here, and what is known of copies.
 func (s *Store) Tick(known []dispatch.Known) error {
-	value, err := cbor.Marshal(knowledge{s.now(), known})
+	value, err := cbor.Marshal(storedReplicas{s.now(), convert(known, storeReplica)})
 	if err != nil {
 		return err
 	}
