--- a/internal/appliance/box.go
+++ b/internal/appliance/box.go
@@ -70,7 +70,12 @@
 	latency   *hdrhistogram.Histogram // of handled events since the start, in us
 }
 
-type second struct{ Handled, Deferred, DeadLettered, Late int }
+type second struct {
+	Handled      int `json:"Handled"`
+	Deferred     int `json:"Deferred"`
+	DeadLettered int `json:"DeadLettered"`
+	Late         int `json:"Late"`
+}
 
 // choresFor are the box's background work. Compaction and expiry keep the state bounded; the tick makes a restart
 // count the time of service. Functions of timers that are due soon are loaded ahead, where the decisions see fit.
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -12,30 +12,46 @@
 // Terms names what is read of the object; all else in it is skipped. Times are as it has them: milliseconds.
 type Terms struct {
 	Accounts []struct {
-		Name      string
-		QuotaPerS float64
-	}
-	Balancers int
-	Me        int
+		Name      string  `json:"Name"`
+		QuotaPerS float64 `json:"QuotaPerS"`
+	} `json:"Accounts"`
+	Balancers int `json:"Balancers"`
+	Me        int `json:"Me"`
 	Caps      struct {
-		Peers, RetryAfter                           bool
-		MaxRetryAfterMs, DialTimeoutMs, IdleCloseMs float64
-		MostTries, MaxStreams, MaxOpen              int
-	}
+		Peers           bool    `json:"Peers"`
+		RetryAfter      bool    `json:"RetryAfter"`
+		MaxRetryAfterMs float64 `json:"MaxRetryAfterMs"`
+		DialTimeoutMs   float64 `json:"DialTimeoutMs"`
+		IdleCloseMs     float64 `json:"IdleCloseMs"`
+		MostTries       int     `json:"MostTries"`
+		MaxStreams      int     `json:"MaxStreams"`
+		MaxOpen         int     `json:"MaxOpen"`
+	} `json:"Caps"`
 	Classes []struct {
-		Name, Idempotency, Group      string
-		AimMs, GiveUpMs, MemorySpanMs float64
-	}
-	Discovery string
+		Name         string  `json:"Name"`
+		Idempotency  string  `json:"Idempotency"`
+		Group        string  `json:"Group"`
+		AimMs        float64 `json:"AimMs"`
+		GiveUpMs     float64 `json:"GiveUpMs"`
+		MemorySpanMs float64 `json:"MemorySpanMs"`
+	} `json:"Classes"`
+	Discovery string `json:"Discovery"`
 	Domain    struct {
-		LoadFree, LoadPart, LoadWindowMs, StaysLoadedMs, OrderTimeoutMs float64
-		MayOrder                                                        bool
-		WhenAbsent                                                      string
-	}
-	RoundMs float64
+		LoadFree       float64 `json:"LoadFree"`
+		LoadPart       float64 `json:"LoadPart"`
+		LoadWindowMs   float64 `json:"LoadWindowMs"`
+		StaysLoadedMs  float64 `json:"StaysLoadedMs"`
+		OrderTimeoutMs float64 `json:"OrderTimeoutMs"`
+		MayOrder       bool    `json:"MayOrder"`
+		WhenAbsent     string  `json:"WhenAbsent"`
+	} `json:"Domain"`
+	RoundMs float64 `json:"RoundMs"`
 	Rules   struct {
-		ColdFrom, FallMs, FallMultiple, WarmWithinMs float64
-	}
+		ColdFrom     float64 `json:"ColdFrom"`
+		FallMs       float64 `json:"FallMs"`
+		FallMultiple float64 `json:"FallMultiple"`
+		WarmWithinMs float64 `json:"WarmWithinMs"`
+	} `json:"Rules"`
 }
 
 var repeats = map[string]control.Repeat{
--- /dev/null
+++ b/internal/invariants/format_test.go
@@ -0,0 +1,27 @@
+package invariants
+
+import (
+	"encoding/json"
+	"reflect"
+	"strings"
+	"testing"
+)
+
+const rulesText = `{"Effect":{"a":"keyed"},"Remembered":{"a":30},"Work":0.5,"WorkOf":{"f":0.25},"Capacity":{"w":2},"DrainGrace":0.5,` +
+	`"ColdShare":0.29,"WarmWithin":4,"FallFactor":2.5,"FallWindow":1.5,"LoadWindow":8,"LoadFree":3,"LoadShare":0.75,"Lag":0.125,"Apart":true,"Grace":0.1}`
+
+// The file of referee --rules has these keys, whatever their case.
+func TestRulesHaveTheirKeys(t *testing.T) {
+	want := Rules{Effect: map[string]string{"a": "keyed"}, Remembered: map[string]float64{"a": 30}, Work: 0.5,
+		WorkOf: map[string]float64{"f": 0.25}, Capacity: map[string]float64{"w": 2}, DrainGrace: 0.5, ColdShare: 0.29, WarmWithin: 4,
+		FallFactor: 2.5, FallWindow: 1.5, LoadWindow: 8, LoadFree: 3, LoadShare: 0.75, Lag: 0.125, Apart: true, Grace: 0.1}
+	for _, text := range []string{rulesText, strings.ToLower(rulesText)} {
+		var got Rules
+		if err := json.Unmarshal([]byte(text), &got); err != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("%s:\n%+v, %v", text, got, err)
+		}
+	}
+	if data, err := json.Marshal(want); err != nil || string(data) != rulesText {
+		t.Errorf("%s, %v", data, err)
+	}
+}
--- a/internal/invariants/judge.go
+++ b/internal/invariants/judge.go
@@ -9,22 +9,22 @@
 
 // Rules are the figures of a deployment's rules. Times are seconds.
 type Rules struct {
-	Effect     map[string]string  // event type: "redeliverable", "keyed" or "at-most-once"
-	Remembered map[string]float64 // of keyed types: how long workers drop repeats
-	Work       float64            // mean seconds of work of an event on a core of speed 1
-	WorkOf     map[string]float64 // the same by function, where it is known
-	Capacity   map[string]float64 // by worker: cores times speed
-	DrainGrace float64
-	ColdShare  float64
-	WarmWithin float64
-	FallFactor float64
-	FallWindow float64
-	LoadWindow float64 // 0: load orders are not rationed
-	LoadFree   float64
-	LoadShare  float64
-	Lag        float64 // between a client's asking and its front end's taking the event
-	Apart      bool    // launches by different front ends are not held against each other: repeats went to both
-	Grace      float64 // between a worker seeing bytes and the front end having sent them: both ends of a socket
+	Effect     map[string]string  `json:"Effect"`     // event type: "redeliverable", "keyed" or "at-most-once"
+	Remembered map[string]float64 `json:"Remembered"` // of keyed types: how long workers drop repeats
+	Work       float64            `json:"Work"`       // mean seconds of work of an event on a core of speed 1
+	WorkOf     map[string]float64 `json:"WorkOf"`     // the same by function, where it is known
+	Capacity   map[string]float64 `json:"Capacity"`   // by worker: cores times speed
+	DrainGrace float64            `json:"DrainGrace"`
+	ColdShare  float64            `json:"ColdShare"`
+	WarmWithin float64            `json:"WarmWithin"`
+	FallFactor float64            `json:"FallFactor"`
+	FallWindow float64            `json:"FallWindow"`
+	LoadWindow float64            `json:"LoadWindow"` // 0: load orders are not rationed
+	LoadFree   float64            `json:"LoadFree"`
+	LoadShare  float64            `json:"LoadShare"`
+	Lag        float64            `json:"Lag"`   // between a client's asking and its front end's taking the event
+	Apart      bool               `json:"Apart"` // launches by different front ends are not held against each other: repeats went to both
+	Grace      float64            `json:"Grace"` // between a worker seeing bytes and the front end having sent them: both ends of a socket
 }
 
 // Verdict counts what was seen and what was broken.
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -32,8 +32,10 @@
 // ReadMachine reads a configuration document whole; an error names each field that is at fault.
 func ReadMachine(data []byte) (*Machine, error) {
 	var doc struct {
-		Name, Listen, Seed string
-		Limits             struct {
+		Name   string `json:"name"`
+		Listen string `json:"listen"`
+		Seed   string `json:"seed"`
+		Limits struct {
 			Cores    float64 `json:"cores"`
 			MemoryMB float64 `json:"memory_mb"`
 			Sockets  int     `json:"sockets"`
