--- /dev/null
+++ b/internal/platform/downstream/golden_test.go
@@ -0,0 +1,100 @@
+package downstream_test
+
+import (
+	"encoding/binary"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"streamcleat/internal/goldentest"
+	"streamcleat/internal/platform/downstream"
+)
+
+// The bytes to and from clients over scripted sessions are as they were.
+func TestGoldenSessions(t *testing.T) {
+	goldentest.Play(t, "session", func(*testing.T) goldentest.Actor {
+		c := &goldentest.Client{Encode: encode, Show: show}
+		c.Session = downstream.NewSession(&downstream.Limits{Open: 3, First: 2, Arrival: 1, Idle: 5, MaxAge: longestWait,
+			Tenant: func(name string) bool { return name == "acme" }, Ready: func() bool { return !c.Closed },
+			MemoryMB: 1 << 16, Lanes: 64, Load: 60, Work: 60}, c, 0)
+		return c
+	})
+}
+
+func longestWait(kind string) float64 { return map[string]float64{"call": 4}[kind] }
+
+// show cuts bytes at the lengths in front of frames.
+func show(data []byte) []string {
+	return goldentest.Frames(data, func(b []byte) int {
+		if len(b) < 4 {
+			return 0
+		}
+		return 4 + int(binary.BigEndian.Uint32(b))
+	})
+}
+
+// encode writes what a client sends, on its own and not with the code under test.
+func encode(verb string, words []string) []byte {
+	switch verb {
+	case "request":
+		return frame(1, words[0], payload(words[1:]))
+	case "cancel":
+		return frame(3, words[0], nil)
+	case "ready?":
+		return frame(4, words[0], []byte{0})
+	case "frame":
+		return frame(int(goldentest.Number(words[0])), words[1], goldentest.Hex(words[2]))
+	case "bytes":
+		return goldentest.Hex(words[0])
+	}
+	return nil
+}
+
+func frame(kind int, stream string, payload []byte) []byte {
+	number, err := strconv.ParseUint(stream, 10, 32)
+	if err != nil {
+		panic(err)
+	}
+	b := binary.BigEndian.AppendUint32(nil, uint32(len(payload)+5))
+	return append(binary.BigEndian.AppendUint32(append(b, byte(kind)), uint32(number)), payload...)
+}
+
+const usual = "kind=call req=9b1f03aa5c7e2d41 timeout=1500 owner=acme subject=7f3a9c21e0b4d655"
+
+// payload is a good request's, changed: name=value replaces or adds a field, also=name=value adds one without a look at
+// the others, -name removes one; body=text is the body, body*N one of N bytes, and name*N a field of N bytes.
+func payload(changes []string) []byte {
+	var fields [][2]string
+	var body string
+	remove := func(name string) {
+		fields = slices.DeleteFunc(fields, func(f [2]string) bool { return f[0] == name })
+	}
+	for _, change := range append(strings.Fields(usual), changes...) {
+		name, value, has := strings.Cut(change, "=")
+		if left, count, long := strings.Cut(name, "*"); long && !has {
+			name, value = left, strings.Repeat("x", int(goldentest.Number(count)))
+		}
+		switch {
+		case name == "body":
+			body = value
+		case name[0] == '-':
+			remove(name[1:])
+		case name == "also":
+			name, value, _ = strings.Cut(value, "=")
+			fields = append(fields, [2]string{name, value})
+		default:
+			if at := slices.IndexFunc(fields, func(f [2]string) bool { return f[0] == name }); at >= 0 {
+				fields[at][1] = value
+				continue
+			}
+			fields = append(fields, [2]string{name, value})
+		}
+	}
+	b := []byte{byte(len(fields))}
+	for _, f := range fields {
+		b = append(append(b, byte(len(f[0]))), f[0]...)
+		b = append(binary.BigEndian.AppendUint16(b, uint16(len(f[1]))), f[1]...)
+	}
+	return append(b, body...)
+}
--- /dev/null
+++ b/internal/platform/upstream/golden_test.go
@@ -0,0 +1,78 @@
+package upstream_test
+
+import (
+	"encoding/binary"
+	"hash/crc32"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"streamcleat/internal/goldentest"
+	"streamcleat/internal/platform/upstream"
+)
+
+// The bytes to and from workers over scripted sessions are as they were.
+func TestGoldenWorkers(t *testing.T) {
+	goldentest.Play(t, "workers", func(*testing.T) goldentest.Actor {
+		w := goldentest.NewWorkers()
+		w.Encode, w.Show = encode, show
+		w.Pool = upstream.NewPool(upstream.Limits{Dial: 0.25, Idle: 10, Most: 8, Each: 2, Streams: 3, Key: "opkey"}, w, w)
+		return w
+	})
+}
+
+const head = 16
+
+// show cuts bytes at the lengths in the heads of frames.
+func show(data []byte) []string {
+	return goldentest.Frames(data, func(b []byte) int {
+		if len(b) < head {
+			return 0
+		}
+		return head + int(binary.BigEndian.Uint16(b[2:])) + int(binary.BigEndian.Uint32(b[4:])) + 4
+	})
+}
+
+// encode writes what a worker sends, on its own and not with the code under test: "answer CODE ID [fields]
+// [body=text]", "spoilt check|body|length" (a good answer to 1 with that changed) and "bytes HEX".
+func encode(verb string, words []string) []byte {
+	switch verb {
+	case "answer":
+		return answer(words)
+	case "spoilt":
+		return spoilt(words[0])
+	case "bytes":
+		return goldentest.Hex(words[0])
+	}
+	return nil
+}
+
+func answer(words []string) []byte {
+	id, err := strconv.ParseUint(words[1], 10, 64)
+	if err != nil {
+		panic(err)
+	}
+	fields, body := "", ""
+	for _, word := range words[2:] {
+		if text, ok := strings.CutPrefix(word, "body="); ok {
+			body = text
+		} else {
+			fields = word
+		}
+	}
+	b := []byte{193, byte(goldentest.Number(words[0]))}
+	b = binary.BigEndian.AppendUint16(b, uint16(len(fields)))
+	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
+	b = binary.BigEndian.AppendUint64(b, id)
+	b = append(b, fields+body...)
+	return binary.BigEndian.AppendUint32(b, crc32.ChecksumIEEE(b[head:]))
+}
+
+func spoilt(part string) []byte {
+	b := answer([]string{"64", "1", "detail=hit", "body=out"})
+	at := map[string]int{"check": len(b) - 1, "body": len(b) - 5, "length": 4}[part]
+	b = slices.Clone(b)
+	b[at]++
+	return b
+}
--- /dev/null
+++ b/internal/upstream/golden_test.go
@@ -0,0 +1,40 @@
+package upstream_test
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"streamcleat/internal/goldentest"
+	"streamcleat/internal/http1"
+	"streamcleat/internal/upstream"
+)
+
+// The text to and from workers over scripted sessions is as it was.
+func TestGoldenWorkers(t *testing.T) {
+	goldentest.Play(t, "workers", func(*testing.T) goldentest.Actor {
+		w := goldentest.NewWorkers()
+		w.Encode, w.Show = encode, goldentest.Lines
+		w.Pool = upstream.NewPool(upstream.Limits{Dial: 0.25, Idle: 10, Most: 2, Message: http1.Limits{Head: 1000, Body: 500}, Via: "front-1"}, w, w)
+		return w
+	})
+}
+
+// encode writes what a worker sends: "answer STATUS [body=text] [field: value]", or "raw TEXT" as it is.
+func encode(verb string, words []string) []byte {
+	switch verb {
+	case "answer":
+		fields, body := "", ""
+		for _, word := range words[1:] {
+			if text, ok := strings.CutPrefix(word, "body="); ok {
+				body = text
+			} else {
+				fields += word + "\r\n"
+			}
+		}
+		return fmt.Appendf(nil, "HTTP/1.1 %s Word\r\n%sContent-Length: %d\r\n\r\n%s", words[0], fields, len(body), body)
+	case "raw":
+		return []byte(strings.Join(words, ""))
+	}
+	return nil
+}
