--- a/cmd/streamcleat/box_test.go
+++ b/cmd/streamcleat/box_test.go
@@ -206,8 +206,8 @@
 func (s *site) send(kind, id, function string) {
 	const wait = 3 * time.Second
 	for try := 0; try < 60; try++ {
-		c := &schedule.Client{Source: "/sale", Fronts: []string{s.front}, HTTP: &http.Client{}, MaxAge: wait, Trying: s.note}
-		o := c.Fire(context.Background(), schedule.Firing{Entry: &schedule.Entry{Type: kind, Function: function}, ID: id})
+		c := &schedule.Client{Source: "/sale", FrontEnds: []string{s.front}, HTTP: &http.Client{}, DefaultTimeout: wait, OnAttempt: s.note}
+		o := c.Fire(context.Background(), schedule.Firing{Entry: &schedule.Entry{Class: kind, Function: function}, ID: id})
 		s.mu.Lock()
 		s.answers[id] = append(s.answers[id], o.Status)
 		s.mu.Unlock()
@@ -220,7 +220,7 @@
 }
 
 func (s *site) note(f schedule.Firing, _ string, left time.Duration) func(int, string, error) {
-	r := invariants.Record{Kind: invariants.Asked, Event: "/sale#" + f.ID, Type: f.Entry.Type, Front: "box-1", Call: s.tape.Call(), Wait: left.Seconds()}
+	r := invariants.Record{Kind: invariants.Asked, Event: "/sale#" + f.ID, Type: f.Entry.Class, Front: "box-1", Call: s.tape.Call(), Wait: left.Seconds()}
 	s.tape.Add(r)
 	return func(status int, digest string, err error) {
 		r.Digest = digest
--- a/cmd/streamcleat/crossing_test.go
+++ b/cmd/streamcleat/crossing_test.go
@@ -25,7 +25,7 @@
 // stall holds the event loop until the function it returns is called: what comes meanwhile is found in one turn.
 func (h *hall) stall() (release func()) {
 	in, out := make(chan struct{}), make(chan struct{})
-	h.front.On(func(*proxy.Front) { close(in); <-out })
+	h.front.Post(func(*proxy.Proxy) { close(in); <-out })
 	<-in
 	release = sync.OnceFunc(func() { close(out) })
 	h.t.Cleanup(release) // also after a test that failed
@@ -323,7 +323,7 @@
 }
 
 // stopping is a node that is told to stop.
-func (h *hall) stopping(hup chan os.Signal, read func() (*platform.Machine, error)) (done chan error) {
+func (h *hall) stopping(hup chan os.Signal, read func() (*platform.Document, error)) (done chan error) {
 	stop := make(chan struct{})
 	done = make(chan error, 1)
 	close(stop)
@@ -412,14 +412,14 @@
 func TestReloadWhileDraining(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		change func(*platform.Machine)
+		change func(*platform.Document)
 		err    error
 		moves  bool
 	}{
-		"another journal":         {func(m *platform.Machine) {}, nil, true},
-		"of another front end":    {func(m *platform.Machine) { m.Name = "n1" }, nil, false},
-		"for another address":     {func(m *platform.Machine) { m.Listen = "127.0.0.1:1" }, nil, false},
-		"a document with a fault": {func(m *platform.Machine) {}, os.ErrInvalid, false},
+		"another journal":         {func(m *platform.Document) {}, nil, true},
+		"of another front end":    {func(m *platform.Document) { m.Name = "n1" }, nil, false},
+		"for another address":     {func(m *platform.Document) { m.Listen = "127.0.0.1:1" }, nil, false},
+		"a document with a fault": {func(m *platform.Document) {}, os.ErrInvalid, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -436,9 +436,9 @@
 					`","health":"leaving"}]}}` + "\n"))
 			}()
 			hup := make(chan os.Signal, 1)
-			done := h.stopping(hup, func() (*platform.Machine, error) {
+			done := h.stopping(hup, func() (*platform.Document, error) {
 				m := *h.machine
-				m.Journal = next.Addr().String()
+				m.DiscoveryAddress = next.Addr().String()
 				c.change(&m)
 				return &m, c.err
 			})
--- a/cmd/streamcleat/handler.go
+++ b/cmd/streamcleat/handler.go
@@ -79,8 +79,8 @@
 		if err != nil {
 			return err
 		}
-		if ch.Why == "" {
-			ch.Why = why
+		if ch.Reason == "" {
+			ch.Reason = why
 		}
 		said, err := c.Change(ch)
 		if err != nil {
@@ -120,10 +120,10 @@
 	f := cmd.Flags()
 	f.StringVar(&from, "from", "", "OCI registry, http(s)://host[/path], that has FUNCTION:VERSION; digest and figures come from there")
 	f.StringVar(&user, "user", "", "user at the registry; STREAMCLEAT_REGISTRY_SECRET holds the secret")
-	f.IntVar(&v.Lanes, "lanes", 0, "events that a copy runs at a time")
-	f.Float64Var(&v.Memory, "memory", 0, "MB of one copy")
-	f.Float64Var(&v.Load, "load", 0, "usual seconds of a load")
-	f.StringSliceVar(&v.Types, "types", nil, "event types that it takes; none: all")
+	f.IntVar(&v.Concurrency, "lanes", 0, "events that a copy runs at a time")
+	f.Float64Var(&v.MemoryMB, "memory", 0, "MB of one copy")
+	f.Float64Var(&v.LoadTime, "load", 0, "usual seconds of a load")
+	f.StringSliceVar(&v.Classes, "types", nil, "event types that it takes; none: all")
 	f.StringSliceVar(&signatures, "signature", nil, "envelope of handler sign; --from finds those that the registry has by itself")
 	return change(cmd, func(_ *console.Client, args []string) (appliance.Change, error) {
 		name, version, err := versioned(args[0])
@@ -365,9 +365,9 @@
 		Args: cobra.ExactArgs(2)}
 	f := cmd.Flags()
 	f.Float64SliceVar(&ro.Steps, "steps", []float64{0.05, 0.25, 0.5}, "shares that it goes through")
-	f.Float64Var(&ro.Hold, "hold", 60, "seconds at each step")
-	f.IntVar(&ro.Least, "least", 20, "answers of the new version that a step needs")
-	f.Float64Var(&ro.MostBad, "most-bad", 0.05, "share of bad answers, beyond that of the old version, at which it goes back")
+	f.Float64Var(&ro.StepDuration, "hold", 60, "seconds at each step")
+	f.IntVar(&ro.MinResponses, "least", 20, "answers of the new version that a step needs")
+	f.Float64Var(&ro.MaxFailureShare, "most-bad", 0.05, "share of bad answers, beyond that of the old version, at which it goes back")
 	f.StringSliceVar(&ro.Tenants, "tenants", nil, "tenants whose events get the new version at once")
 	return change(cmd, func(c *console.Client, args []string) (appliance.Change, error) {
 		r, err := registry.ParseRef(args[0])
--- a/cmd/streamcleat/keys_test.go
+++ b/cmd/streamcleat/keys_test.go
@@ -17,7 +17,7 @@
 )
 
 // documents are the types that are read from or written to files, sockets and standard output as JSON.
-var documents = []any{appliance.Status{}, appliance.Worker{}, appliance.Handler{}, appliance.Event{}, appliance.Timer{}, appliance.Order{},
+var documents = []any{appliance.Status{}, appliance.Worker{}, appliance.FunctionStatus{}, appliance.RequestStatus{}, appliance.Timer{}, appliance.Command{},
 	appliance.Change{}, config.Config{}, deployment.Terms{}, fakes.Fault{}, invariants.Record{}, invariants.Rules{}, invariants.Verdict{},
 	registry.Entry{}, registry.View{}, signing.Ring{}, scenario.Script{}, scenario.Report{}, scenario.BenchRow{}, scenario.KeepRow{},
 	scenario.RecoveryRow{}, simulation.Script{}, simulation.Report{}, simulation.Explored{}}
--- a/cmd/streamcleat/node.go
+++ b/cmd/streamcleat/node.go
@@ -35,7 +35,7 @@
 			"SIGTERM takes events for as long as they may still come, answers all that is open and ends with status 0.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, args []string) error {
-			log := slog.New(telemetry.Bounded(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}), rate))
+			log := slog.New(telemetry.RateLimited(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}), rate))
 			return node(cmd.Context(), log)
 		},
 	}
@@ -44,7 +44,7 @@
 	return cmd
 }
 
-func readMachine() (*platform.Machine, error) {
+func readMachine() (*platform.Document, error) {
 	path := os.Getenv("RELAY_CONFIG")
 	if path == "" {
 		return nil, exit{2, errors.New("RELAY_CONFIG is not set: it names the platform's configuration document")}
@@ -53,7 +53,7 @@
 	if err != nil {
 		return nil, exit{2, err}
 	}
-	m, err := platform.ReadMachine(data)
+	m, err := platform.ReadDocument(data)
 	if err != nil {
 		return nil, exit{2, fmt.Errorf("%s:\n%w", path, err)}
 	}
@@ -83,57 +83,57 @@
 
 // running is one front end of the platform in service.
 type running struct {
-	machine *platform.Machine
+	machine *platform.Document
 	server  *eventloop.Server
-	watch   *eventloop.Follower
+	watch   *eventloop.DiscoveryWatch
 	ready   atomic.Bool // what clients are told that ask whether to come
 	log     *slog.Logger
 }
 
 // startNode wires one front end of the platform: its sockets, the core, and the journal service's news.
-func startNode(m *platform.Machine, log *slog.Logger) (*running, error) {
+func startNode(m *platform.Document, log *slog.Logger) (*running, error) {
 	dep := m.Terms.Deployment()
 	n := &running{machine: m, log: log}
 	limits := clientLimits(m, dep, n.ready.Load)
-	set := eventloop.Settings{Listen: m.Listen, PeerListen: m.PeerListen, Peers: m.Peers, PeersAll: m.PeersAll}
+	set := eventloop.Settings{Listen: m.Listen, PeerListen: m.PeerListen, Peers: m.Peers, PeerBroadcast: m.PeerBroadcast}
 	if m.PeerListen != "" && m.Terms.Me < len(m.Peers) {
 		set.Self = m.Peers[m.Terms.Me]
 	}
 	// Descriptors for the listener, the loop, the journal service, datagrams, dials that hold two, and connections that
 	// are closed as soon as they are accepted: 374 of 384 were seen in use with 24.
-	spare := 24 + m.Sockets/16
-	toWorkers := (m.Sockets - spare) / 3
-	set.Settings = proxy.Settings{Name: m.Name, MostConns: m.Sockets - spare - toWorkers, Evict: true, Log: log,
-		Core: dispatch.Settings{Deployment: dep, Margin: 0.015, OrderLimit: m.Terms.Domain.OrderTimeoutMs / 1000,
+	spare := 24 + m.MaxDescriptors/16
+	toWorkers := (m.MaxDescriptors - spare) / 3
+	set.Settings = proxy.Settings{Name: m.Name, MaxClients: m.MaxDescriptors - spare - toWorkers, EvictIdleClients: true, Log: log,
+		Dispatch: dispatch.Settings{Deployment: dep, ResponseMargin: 0.015, LoadTimeout: m.Terms.Domain.OrderTimeoutMs / 1000,
 			// A quarter of the memory for bodies of events that are open.
-			MostOpen: min(m.Terms.Caps.MaxOpen, int(m.MemoryMB*(1<<20)/4/(downstream.BodyMost+4096))),
-			Seed:     m.Seed, GiveUp: true, Untraced: true},
-		NewSession: func(t proxy.Taker, now float64) proxy.Session { return downstream.NewSession(limits, t, now) },
-		NewPool: func(w proxy.Wire, s upstream.Sink) proxy.Backends {
-			return platformupstream.NewPool(platformupstream.Limits{Dial: m.Terms.Caps.DialTimeoutMs / 1000,
-				Idle: m.Terms.Caps.IdleCloseMs / 1000 * 0.6, Most: toWorkers, Each: max(toWorkers/20, 2),
-				Streams: max(m.Terms.Caps.MaxStreams, 1), Key: downstream.KeyField}, w, s)
+			MaxOpen: min(m.Terms.Caps.MaxOpen, int(m.MemoryMB*(1<<20)/4/(downstream.BodyMost+4096))),
+			Seed:    m.Seed, CancelAbandoned: true, TracingDisabled: true},
+		NewSession: func(t proxy.RequestHandler, now float64) proxy.Session { return downstream.NewSession(limits, t, now) },
+		NewPool: func(w proxy.Transport, s upstream.Results) proxy.UpstreamPool {
+			return platformupstream.NewPool(platformupstream.Limits{DialTimeout: m.Terms.Caps.DialTimeoutMs / 1000,
+				IdleTimeout: m.Terms.Caps.IdleCloseMs / 1000 * 0.6, MaxTotal: toWorkers, MaxPerWorker: max(toWorkers/20, 2),
+				MaxStreams: max(m.Terms.Caps.MaxStreams, 1), IdempotencyKeyField: downstream.KeyField}, w, s)
 		},
 	}
 	// An eighth of the memory for answers that clients leave unread, on all connections together.
-	set.Front.Unread = max(int(m.MemoryMB*(1<<20)/8)/set.MostConns, 64<<10)
-	set.Pool.Dial = m.Terms.Caps.DialTimeoutMs / 1000
+	set.Downstream.Unread = max(int(m.MemoryMB*(1<<20)/8)/set.MaxClients, 64<<10)
+	set.Upstream.DialTimeout = m.Terms.Caps.DialTimeoutMs / 1000
 	offset := eventloop.Now() - float64(time.Now().UnixNano())/1e9
 	journal := m.Known
 	// The list of the start is in force before a client's first byte is read: nothing waits for the watch.
-	set.First = func(f *proxy.Front) {
-		f.TakeList(journal.Listed(offset))
+	set.OnStart = func(f *proxy.Proxy) {
+		f.SetEndpointList(journal.EndpointList(offset))
 		n.ready.Store(true)
 	}
 	var err error
 	if n.server, err = eventloop.Start(set); err != nil {
 		return nil, err
 	}
-	n.watch = eventloop.Follow(m.Journal, journalSilent, journal.Hello, func(line []byte) error {
-		changed, err := journal.Line(line)
+	n.watch = eventloop.Watch(m.DiscoveryAddress, journalSilent, journal.ResumeRequest, func(line []byte) error {
+		changed, err := journal.ReadLine(line)
 		if changed {
-			list := journal.Listed(offset)
-			n.server.On(func(f *proxy.Front) { f.TakeList(list) })
+			list := journal.EndpointList(offset)
+			n.server.Post(func(f *proxy.Proxy) { f.SetEndpointList(list) })
 		}
 		return err
 	}, log)
@@ -143,12 +143,12 @@
 // run serves until stop, then answers what still comes and what is open, and ends the front end. A reload counts in all
 // of that, also while it drains: what the new journal service tells of draining workers must not be missed. A second
 // stop changes nothing: the first has an end of its own.
-func (n *running) run(stop <-chan struct{}, hup <-chan os.Signal, read func() (*platform.Machine, error)) error {
+func (n *running) run(stop <-chan struct{}, hup <-chan os.Signal, read func() (*platform.Document, error)) error {
 	ended := make(chan error, 1)
 	go func() { ended <- n.server.Wait() }()
 	var told time.Time
 	var look <-chan time.Time
-	life := platform.Stop{}
+	life := platform.Shutdown{}
 	for _, t := range n.machine.Terms.Classes {
 		life.MaxAge = max(life.MaxAge, t.GiveUpMs/1000)
 	}
@@ -163,7 +163,7 @@
 				n.log.Error("the document is faulty; the last one stays in force", "error", err)
 				continue
 			}
-			n.watch.Move(next.Journal)
+			n.watch.Move(next.DiscoveryAddress)
 		case err := <-ended: // else it would go on as a process that serves nobody
 			return fmt.Errorf("event loop on %s ended: %w", n.machine.Listen, err)
 		case <-stop:
@@ -174,16 +174,16 @@
 			look = t.C
 		case <-look:
 			over := false
-			err := n.server.Front(func(f *proxy.Front) {
-				switch life.At(time.Since(told).Seconds(), platform.Left{Open: !f.Quiet(), Unread: f.Unread()}) {
+			err := n.server.Do(func(f *proxy.Proxy) {
+				switch life.Phase(time.Since(told).Seconds(), platform.Outstanding{Requests: !f.Idle(), UnreadResponses: f.HasClients()}) {
 				case platform.GoingAway:
-					f.NoMore()
+					f.Drain()
 				case platform.Answering:
-					f.Finish()
+					f.Terminate()
 					f.CloseClients()
 				case platform.Flushing:
 					f.CloseClients()
-				case platform.Over:
+				case platform.Terminated:
 					over = true
 				}
 			})
@@ -198,10 +198,10 @@
 }
 
 // clientLimits are what requests may name: what the deployment does, and figures that some machine could bear.
-func clientLimits(m *platform.Machine, dep *control.Deployment, ready func() bool) *downstream.Limits {
+func clientLimits(m *platform.Document, dep *control.Deployment, ready func() bool) *downstream.Limits {
 	age := map[string]float64{}
-	for _, t := range dep.EventTypes {
-		age[t.Name] = t.MaxAge
+	for _, t := range dep.RequestClasses {
+		age[t.Name] = t.Timeout
 	}
 	tenants := map[string]bool{}
 	for _, t := range dep.Tenants {
--- a/cmd/streamcleat/node_test.go
+++ b/cmd/streamcleat/node_test.go
@@ -22,7 +22,7 @@
 	t       *testing.T
 	node    *running
 	front   *eventloop.Server
-	machine *platform.Machine
+	machine *platform.Document
 	worker  net.Listener
 	spoil   atomic.Bool // the worker's answers carry a wrong check
 	silent  atomic.Bool // it answers nothing
@@ -83,7 +83,7 @@
 	}()
 	doc := document("127.0.0.1:0", feed.Addr().String(), h.worker.Addr().String(), sockets)
 	var err error
-	if h.machine, err = platform.ReadMachine([]byte(doc)); err != nil {
+	if h.machine, err = platform.ReadDocument([]byte(doc)); err != nil {
 		t.Fatal(err)
 	}
 	if h.node, err = startNode(h.machine, slog.New(slog.DiscardHandler)); err != nil {
--- a/cmd/streamcleat/operate.go
+++ b/cmd/streamcleat/operate.go
@@ -22,10 +22,10 @@
 	return []*cobra.Command{startCommand(), consoleCommand(), statusCommand(),
 		listCommand("workers", "Workers as the front ends believe them to be", func() any { return &[]appliance.Worker{} },
 			func(v any) string { return console.Table(console.WorkerRows(*v.(*[]appliance.Worker))) }),
-		listCommand("handlers", "Functions that were asked for lately, and where they are loaded", func() any { return &[]appliance.Handler{} },
-			func(v any) string { return console.Table(console.HandlerRows(*v.(*[]appliance.Handler))) }),
-		listCommand("events", "Events that are open or ended lately", func() any { return &[]appliance.Event{} },
-			func(v any) string { return console.Table(console.EventRows(*v.(*[]appliance.Event))) }),
+		listCommand("handlers", "Functions that were asked for lately, and where they are loaded", func() any { return &[]appliance.FunctionStatus{} },
+			func(v any) string { return console.Table(console.HandlerRows(*v.(*[]appliance.FunctionStatus))) }),
+		listCommand("events", "Events that are open or ended lately", func() any { return &[]appliance.RequestStatus{} },
+			func(v any) string { return console.Table(console.EventRows(*v.(*[]appliance.RequestStatus))) }),
 		listCommand("timers", "Timer entries with their last and next firing", func() any { return &[]appliance.Timer{} },
 			func(v any) string { return console.Table(console.TimerRows(*v.(*[]appliance.Timer), time.Now())) }),
 		explainCommand(),
@@ -33,7 +33,7 @@
 		orderCommand("return WORKER", "Take back a drain: the worker is as the list says", nil),
 		orderCommand("unload HANDLER", "Have workers let idle copies of a handler go", nil),
 		orderCommand("fire ENTRY", "Fire a timer entry for the present minute", nil),
-		orderCommand("hold ENTRY", "Let a timer entry not fire; --release lets it fire again", func(c *cobra.Command, o *appliance.Order) {
+		orderCommand("hold ENTRY", "Let a timer entry not fire; --release lets it fire again", func(c *cobra.Command, o *appliance.Command) {
 			c.Flags().BoolVar(&o.Release, "release", false, "let it fire again")
 		}),
 		handlerCommand(), stopCommand()}
@@ -120,8 +120,8 @@
 	return cmd
 }
 
-func orderCommand(use, short string, more func(*cobra.Command, *appliance.Order)) *cobra.Command {
-	o := &appliance.Order{}
+func orderCommand(use, short string, more func(*cobra.Command, *appliance.Command)) *cobra.Command {
+	o := &appliance.Command{}
 	cmd := &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(1)}
 	client := reach(cmd)
 	if more != nil {
@@ -134,7 +134,7 @@
 	return cmd
 }
 
-func give(client func() (*console.Client, error), o appliance.Order) error {
+func give(client func() (*console.Client, error), o appliance.Command) error {
 	c, err := client()
 	if err != nil {
 		return err
@@ -154,7 +154,7 @@
 	cmd.Flags().BoolVar(&now, "now", false, "answer what is open at once")
 	cmd.Flags().BoolVar(&wait, "wait", false, "return when the box has stopped")
 	cmd.RunE = func(*cobra.Command, []string) error {
-		if err := give(client, appliance.Order{Order: "stop", Now: now}); err != nil || !wait {
+		if err := give(client, appliance.Command{Order: "stop", Now: now}); err != nil || !wait {
 			return err
 		}
 		c, err := client()
--- a/cmd/streamcleat/serve.go
+++ b/cmd/streamcleat/serve.go
@@ -93,7 +93,7 @@
 				}
 				entries = len(list)
 			}
-			fmt.Printf("%s: %d front ends, %d event types, %d timer entries\n", args[0], len(c.Listen), len(c.EventTypes), entries)
+			fmt.Printf("%s: %d front ends, %d event types, %d timer entries\n", args[0], len(c.Listen), len(c.RequestClasses), entries)
 			return nil
 		},
 	}
--- a/cmd/streamcleat/sites_test.go
+++ b/cmd/streamcleat/sites_test.go
@@ -29,8 +29,8 @@
 // asked counts the events that a session takes.
 type asked struct{ n int }
 
-func (a *asked) Take(uint64, dispatch.Ask) { a.n++ }
-func (a *asked) HungUp(uint64)             {}
+func (a *asked) Submit(uint64, dispatch.Request) { a.n++ }
+func (a *asked) Cancel(uint64)                   {}
 
 // Names and limits come from the document alone: each variant takes its own and refuses the other's and the site's.
 func TestNothingIsFittedToOneSite(t *testing.T) {
@@ -42,7 +42,7 @@
 		{"tram-signs", "sign-refresh", "line-two", 2200}, {"", "shop-event", "kitaboshi-wear", 1500}, {"", "shop-event", "line-two", 1500},
 		{"", "sign-refresh", "minato-shoes", 1500}, {"", "crane-order", "north-quay", 3000}, {"", "sign-refresh", "line-two", 4000}}
 	for site, text := range settings {
-		m, err := platform.ReadMachine(fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:1","seed":"1","limits":{"cores":1,"memory_mb":64,
+		m, err := platform.ReadDocument(fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:1","seed":"1","limits":{"cores":1,"memory_mb":64,
 			"sockets":512},"journal":"127.0.0.1:2","known":{"pos":0,"entries":[]},"settings":%s}`, text))
 		if err != nil {
 			t.Fatal(site, err)
--- a/cmd/streamcleat/standin.go
+++ b/cmd/streamcleat/standin.go
@@ -88,16 +88,16 @@
 			if err != nil {
 				return err
 			}
-			c := &schedule.Client{Source: source, Fronts: fronts, Repeat: repeat, MaxAge: 4 * time.Second,
+			c := &schedule.Client{Source: source, FrontEnds: fronts, MaxRetries: repeat, DefaultTimeout: 4 * time.Second,
 				Log:  config.Default().Logger(os.Stderr),
 				HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
 			if once { // every entry now, for the minute that it last was due
 				failed := 0
 				for i := range entries {
 					now := time.Now().Truncate(time.Minute)
-					f := schedule.Firing{Entry: &entries[i], Due: now, ID: schedule.ID(&entries[i], now)}
+					f := schedule.Firing{Entry: &entries[i], Due: now, ID: schedule.FiringID(&entries[i], now)}
 					o := c.Fire(context.WithoutCancel(cmd.Context()), f)
-					fmt.Printf("%s status %d after %.0f ms\n", f.ID, o.Status, o.Took.Seconds()*1000)
+					fmt.Printf("%s status %d after %.0f ms\n", f.ID, o.Status, o.Latency.Seconds()*1000)
 					if o.Status != http.StatusOK {
 						failed++
 					}
--- a/control/control.go
+++ b/control/control.go
@@ -61,8 +61,8 @@
 )
 
 type event struct {
-	Event
-	kind            *EventType
+	Request
+	kind            *RequestClass
 	fn              *function
 	due, sentAt     float64
 	mark            uint64
@@ -104,7 +104,7 @@
 	now   float64
 	x, c  uint32
 	mark  uint64
-	evts  map[EventID]*event
+	evts  map[RequestID]*event
 	marks map[uint64]*event
 	todo  []*event // to be decided
 	fns   map[FunctionID]*function
@@ -118,7 +118,7 @@
 	zone     []ZoneID
 	kind     []int // index into the kinds of machine:
 	cell     []int
-	phase    []Phase
+	phase    []EndpointState
 	size     []float64
 	born     []float64
 	flying   [][]*event // own events in flight
@@ -132,7 +132,7 @@
 	turn     []float64  // parts of a launch that added up since a cold worker's start,
 	spent    []float64  // and what of it is used up
 
-	kinds                  []KindID
+	kinds                  []MachineType
 	handled, carried, most []float64 // own events a warm one handled: since the tick, each second, at most
 
 	quick, open, mayTell        float64   // latency of the quickest answers; part let in; endings not yet told
@@ -145,7 +145,7 @@
 
 func New(dep *Deployment, seed uint64, host Host, now float64) *Router {
 	return &Router{dep: dep, host: host, now: now, x: uint32(seed), c: uint32(seed>>32)%4294957664 + 1, mark: 1,
-		evts: map[EventID]*event{}, marks: map[uint64]*event{}, fns: map[FunctionID]*function{},
+		evts: map[RequestID]*event{}, marks: map[uint64]*event{}, fns: map[FunctionID]*function{},
 		brief: map[uint16]*function{}, index: map[WorkerID]int{}, short: map[uint32]int{}, lastTick: now,
 		open: openMost}
 }
@@ -156,12 +156,12 @@
 	return int(uint64(r.x) * uint64(n) >> 32)
 }
 
-// List takes news of the workers; a first list, from before this front end's start, begins the clock.
-func (r *Router) List(now float64, full, first bool, list []Worker) {
+// OnEndpointUpdate takes news of the workers; a first list, from before this front end's start, begins the clock.
+func (r *Router) OnEndpointUpdate(now float64, full, first bool, list []Worker) {
 	r.now = now
 	if first {
-		r.host.Wake(tick, 0)
-		if r.dep.Asked {
+		r.host.SetTimer(tick, 0)
+		if r.dep.PollEndpoints {
 			r.host.Subscribe()
 		}
 	}
@@ -174,10 +174,10 @@
 			}
 		}
 		named[i] = true
-		if r.phase[i] = w.Phase; w.Phase == Gone {
+		if r.phase[i] = w.State; w.State == Gone {
 			continue
 		}
-		if !known || w.Born != r.born[i] {
+		if !known || w.StartedAt != r.born[i] {
 			for _, f := range r.every { // a process that started anew holds none of its copies
 				if p := f.at(i); p != nil {
 					p.warm, p.slowSince, p.recent = false, 0, 0
@@ -186,12 +186,12 @@
 			r.aside[i], r.noRoom[i], r.room[i] = 0, 0, r.part(roomStart)
 			r.turn[i], r.spent[i] = float64(r.chance(1<<20))/(1<<20), 0
 		}
-		kind := slices.Index(r.kinds, w.Kind)
+		kind := slices.Index(r.kinds, w.MachineType)
 		if kind < 0 {
-			kind, r.kinds = len(r.kinds), append(r.kinds, w.Kind)
+			kind, r.kinds = len(r.kinds), append(r.kinds, w.MachineType)
 			r.handled, r.carried, r.most = append(r.handled, 0), append(r.carried, 0), append(r.most, 0)
 		}
-		r.zone[i], r.kind[i], r.cell[i], r.size[i], r.born[i] = w.Zone, kind, w.Cell, max(w.Size, 0.01), w.Born
+		r.zone[i], r.kind[i], r.cell[i], r.size[i], r.born[i] = w.Zone, kind, w.FailureDomain, max(w.Weight, 0.01), w.StartedAt
 	}
 	for i := range named {
 		if full && !named[i] {
@@ -202,7 +202,7 @@
 	r.settle()
 }
 
-func (r *Router) ListFailed(now float64) { r.host.Wake(asideFor, 1) }
+func (r *Router) OnEndpointPollFailed(now float64) { r.host.SetTimer(asideFor, 1) }
 
 // vacant is a worker that is gone and that nothing refers to, against tables that grow without end.
 func (r *Router) vacant() int {
@@ -262,21 +262,21 @@
 	return f.at(wk)
 }
 
-func (r *Router) function(in Event) *function {
+func (r *Router) function(in Request) *function {
 	f := r.fns[in.Function]
 	if f == nil {
 		f = &function{id: in.Function, hash: hash(string(in.Function)), order: -1, width: 1}
 		r.fns[f.id], r.brief[uint16(f.hash)], r.every = f, f, append(r.every, f)
 	}
-	f.lanes, f.heard, f.load = max(in.Lanes, 1), r.now, max(in.Load, f.load)
+	f.lanes, f.heard, f.load = max(in.Concurrency, 1), r.now, max(in.LoadTime, f.load)
 	return f
 }
 
-// Ahead has a copy loaded of a function that will be asked for soon, where none stands and the ration leaves
+// Preload has a copy loaded of a function that will be asked for soon, where none stands and the ration leaves
 // room: against a minute in which all timers fire at functions that nobody holds. It tells of an order.
-func (r *Router) Ahead(now float64, in Event) bool {
+func (r *Router) Preload(now float64, in Request) bool {
 	r.now = now
-	e := &event{Event: in, fn: r.function(in), wk: -1, kind: &EventType{}}
+	e := &event{Request: in, fn: r.function(in), wk: -1, kind: &RequestClass{}}
 	wk, _ := r.bestWarm(e, false)
 	site := -1
 	if wk < 0 && e.fn.order < 0 && r.mayOrder() {
@@ -288,11 +288,11 @@
 	return site >= 0
 }
 
-// Recall takes back what this front end knew before it started anew: a copy that stood age seconds ago. It
+// RestoreReplica takes back what this front end knew before it started anew: a copy that stood age seconds ago. It
 // moves beliefs only: one that is wrong costs a miss.
-func (r *Router) Recall(now float64, in Event, id WorkerID, age float64) {
+func (r *Router) RestoreReplica(now float64, in Request, id WorkerID, age float64) {
 	r.now = now
-	if wk, known := r.index[id]; known && r.phase[wk] == Serving && age < r.dep.KeepWarm {
+	if wk, known := r.index[id]; known && r.phase[wk] == Serving && age < r.dep.IdleReplicaLifetime {
 		p := r.function(in).make(wk)
 		p.warm, p.seen = true, max(p.seen, now-age)
 	}
@@ -300,31 +300,31 @@
 
 func (r *Router) order(f *function, site int) {
 	f.order, f.orderedAt, f.pause = site, r.now, r.now+moreEvery+moreLost*r.lost
-	r.ordered = append(r.within(r.ordered, r.dep.LoadWindow), r.now)
-	r.host.Hold(r.id[site], f.id, 1)
+	r.ordered = append(r.within(r.ordered, r.dep.LoadCommandWindow), r.now)
+	r.host.LoadReplicas(r.id[site], f.id, 1)
 }
 
-func (r *Router) Event(now float64, in Event) {
+func (r *Router) OnRequest(now float64, in Request) {
 	r.now = now
 	// A type that was never stated is handled with the most care.
-	e := &event{Event: in, due: now + in.Left, wk: -1,
-		kind: &EventType{TargetTime: in.Left, MaxAge: in.Left, Repeat: AtMostOnce}}
-	for i := range r.dep.EventTypes {
-		if r.dep.EventTypes[i].Name == in.Type {
-			e.kind = &r.dep.EventTypes[i]
+	e := &event{Request: in, due: now + in.TimeLeft, wk: -1,
+		kind: &RequestClass{LatencyObjective: in.TimeLeft, Timeout: in.TimeLeft, Semantics: AtMostOnce}}
+	for i := range r.dep.RequestClasses {
+		if r.dep.RequestClasses[i].Name == in.Class {
+			e.kind = &r.dep.RequestClasses[i]
 		}
 	}
 	r.mark++
 	e.fn, e.mark = r.function(in), r.mark
 	r.evts[e.ID], r.marks[e.mark] = e, e
-	r.taken = append(r.within(r.taken, r.dep.LoadWindow), now)
+	r.taken = append(r.within(r.taken, r.dep.LoadCommandWindow), now)
 	// Against an event that waits here past its time: a launch would end by itself.
-	r.host.Wake(max(in.Left-r.dep.RoundGap, 0), e.mark)
+	r.host.SetTimer(max(in.TimeLeft-r.dep.MinRoundInterval, 0), e.mark)
 	r.todo = append(r.todo, e)
 	r.settle()
 }
 
-func (r *Router) HungUp(now float64, id EventID) {
+func (r *Router) OnCancel(now float64, id RequestID) {
 	r.now = now
 	if e := r.evts[id]; e != nil {
 		r.finish(e)
@@ -332,25 +332,25 @@
 	r.settle()
 }
 
-// Woken is a timer: 0 is the module's own, 1 asks for the list again, others belong to events.
-func (r *Router) Woken(now float64, mark uint64) {
+// OnTimer is a timer: 0 is the module's own, 1 asks for the list again, others belong to events.
+func (r *Router) OnTimer(now float64, mark uint64) {
 	r.now = now
 	switch e := r.marks[mark]; {
 	case mark == 0:
-		r.host.Wake(tick, 0)
+		r.host.SetTimer(tick, 0)
 		r.age()
 		r.look = true
 	case mark == 1:
 		r.host.Subscribe()
-	case e != nil && !e.out && now >= e.due-2*r.dep.RoundGap:
+	case e != nil && !e.out && now >= e.due-2*r.dep.MinRoundInterval:
 		r.giveUp(e)
 	}
 	r.settle()
 }
 
-func (r *Router) Ended(now float64, end Ending) {
+func (r *Router) OnAttemptResult(now float64, end AttemptResult) {
 	r.now = now
-	e := r.evts[end.Event]
+	e := r.evts[end.Request]
 	if e == nil || !e.out {
 		return
 	}
@@ -362,45 +362,45 @@
 	if rep := end.Report; rep.Known {
 		r.heard[wk] = max(rep.Running+rep.Waiting-float64(len(r.flying[wk])), 0)
 	}
-	if end.Result == Missed || end.Warmth == BeganLoad {
+	if end.Outcome == ReplicaMissing || end.Start == ColdStart {
 		r.lost += lostPart
 	}
-	if end.Result != TimedOut && end.Result != Cancelled {
+	if end.Outcome != TimedOut && end.Outcome != Cancelled {
 		r.answered[wk] = now
 	}
 	r.lost *= 1 - lostPart
-	switch end.Result {
-	case Handled:
+	switch end.Outcome {
+	case Succeeded:
 		if r.warmth(wk, r.now) >= 1 {
 			r.handled[r.kind[wk]]++
 		}
-		if p.warm, p.seen = true, now; end.Warmth <= FoundWarm {
-			r.timed(f, p, end.Took)
-			r.resize(e, end.Took > roomLate*e.kind.TargetTime, end.Took < roomEarly*e.kind.TargetTime)
+		if p.warm, p.seen = true, now; end.Start <= WarmStart {
+			r.timed(f, p, end.Latency)
+			r.resize(e, end.Latency > roomLate*e.kind.LatencyObjective, end.Latency < roomEarly*e.kind.LatencyObjective)
 		}
 	case TimedOut: // no answer is the latest of answers; unheeded, a crowded worker stays crowded
-		r.resize(e, !e.loading && end.Took > roomLate*e.kind.TargetTime, false)
-	case TurnedAway:
+		r.resize(e, !e.loading && end.Latency > roomLate*e.kind.LatencyObjective, false)
+	case Rejected:
 		r.noRoom[wk] = now + noRoomFor
 		r.resize(e, true, false)
 	case Unreachable: // its process is gone, and its copies with it; the list is late
 		p.warm, r.noRoom[wk] = false, now+noRoomFor
-	case Missed: // it lacks the function but is no worse for it
+	case ReplicaMissing: // it lacks the function but is no worse for it
 		p.warm, e.wk = false, -1
 	}
-	if end.Result <= TurnedAway && end.Result != Broken {
-		if !e.loading && end.Warmth <= FoundWarm {
+	if end.Outcome <= Rejected && end.Outcome != ConnectionLost {
+		if !e.loading && end.Start <= WarmStart {
 			r.widen(e, end)
 		}
-		r.tell(f, wk, end.Took)
+		r.tell(f, wk, end.Latency)
 	}
-	if end.Result < TurnedAway && !e.mayRun {
+	if end.Outcome < Rejected && !e.mayRun {
 		e.mayRun, e.runAt, e.runWk = true, e.sentAt, wk
 	}
 	switch {
 	case e.done:
 		delete(r.evts, e.ID)
-	case end.Settled:
+	case end.Answered:
 		r.finish(e)
 	default:
 		r.todo = append(r.todo, e)
@@ -427,22 +427,22 @@
 
 // widen moves the number of workers that share a function's events. Among many front ends each holds next to
 // none of them, and by its own count one copy would always do: all would meet on the first worker by rank.
-func (r *Router) widen(e *event, end Ending) {
-	late := end.Result == TurnedAway || end.Took > roomLate*e.kind.TargetTime
-	if end.Result == TurnedAway || end.Result == Handled && end.Took > e.kind.TargetTime {
+func (r *Router) widen(e *event, end AttemptResult) {
+	late := end.Outcome == Rejected || end.Latency > roomLate*e.kind.LatencyObjective
+	if end.Outcome == Rejected || end.Outcome == Succeeded && end.Latency > e.kind.LatencyObjective {
 		r.open *= openCut
-	} else if end.Result == Handled { // a lost answer tells nothing of a crowd
+	} else if end.Outcome == Succeeded { // a lost answer tells nothing of a crowd
 		r.open = min(r.open+openUp, openMost)
 	}
-	if r.quick *= 1 + quickStep; end.Result == Handled && (end.Took < r.quick || r.quick == 0) {
-		r.quick = max(r.quick/(1+5*quickStep), end.Took/2)
+	if r.quick *= 1 + quickStep; end.Outcome == Succeeded && (end.Latency < r.quick || r.quick == 0) {
+		r.quick = max(r.quick/(1+5*quickStep), end.Latency/2)
 	}
 	switch {
-	case r.dep.MayTell:
+	case r.dep.GossipAllowed:
 		r.counted(e.fn, 1)
 	case late:
 		e.fn.width *= wideLate
-	case end.Took < roomEarly*e.kind.TargetTime:
+	case end.Latency < roomEarly*e.kind.LatencyObjective:
 		e.fn.width = max(e.fn.width*wideEarly, 1)
 	}
 	e.fn.width = min(e.fn.width, float64(len(r.id)))
@@ -458,16 +458,16 @@
 func (r *Router) told() float64 { return max(float64(tellBytes*(r.dep.FrontEnds-1))/tellMost, 1) }
 
 func (r *Router) tell(f *function, wk int, took float64) {
-	if r.mayTell = min(r.mayTell+1, 2*r.told()); !r.dep.MayTell || r.mayTell < r.told() || r.dep.FrontEnds < 2 {
+	if r.mayTell = min(r.mayTell+1, 2*r.told()); !r.dep.GossipAllowed || r.mayTell < r.told() || r.dep.FrontEnds < 2 {
 		return
 	}
 	r.mayTell -= r.told()
 	m := uint32(uint16(f.hash)) | uint32(r.hash[wk]&0xfff)<<16 | uint32(min(took/tellStep, 15))<<28
-	r.host.Tell(binary.LittleEndian.AppendUint32(nil, m))
+	r.host.Broadcast(binary.LittleEndian.AppendUint32(nil, m))
 }
 
-// Told takes what another front end tells. It only moves beliefs: one that is wrong costs a miss.
-func (r *Router) Told(now float64, message []byte) {
+// OnGossip takes what another front end tells. It only moves beliefs: one that is wrong costs a miss.
+func (r *Router) OnGossip(now float64, message []byte) {
 	r.now = now
 	if len(message) != tellBytes {
 		return
@@ -513,7 +513,7 @@
 	return kept < most
 }
 
-func (r *Router) Held(now float64, id WorkerID, fn FunctionID, res Result, copies int, took float64) {
+func (r *Router) OnLoadResult(now float64, id WorkerID, fn FunctionID, res Outcome, copies int, took float64) {
 	r.now = now
 	wk, known := r.index[id]
 	f := r.fns[fn]
@@ -528,7 +528,7 @@
 		if p.warm, p.seen = true, now; took < tick && r.many() { // it stood: the store had no work
 			f.pause = now
 		}
-	} else if res == TurnedAway || res == Unreachable || res == Broken {
+	} else if res == Rejected || res == Unreachable || res == ConnectionLost {
 		r.noRoom[wk] = now + noRoomFor // against a dead worker, first by rank, that is asked again and again
 	}
 	r.answered[wk] = now
@@ -563,11 +563,11 @@
 
 // giveUp answers at once: deferred where a repeat is proven harmless, else dead-lettered.
 func (r *Router) giveUp(e *event) bool {
-	if !e.mayRun || e.kind.Repeat == Redeliverable ||
-		e.kind.Repeat == Keyed && e.kind.Reach == ReachAll && r.now < e.runAt+e.kind.Remembered {
-		r.host.Defer(e.ID, r.dep.MaxPause/2)
+	if !e.mayRun || e.kind.Semantics == Idempotent ||
+		e.kind.Semantics == IdempotentByKey && e.kind.DeduplicationScope == ScopeFleet && r.now < e.runAt+e.kind.DeduplicationWindow {
+		r.host.Reject(e.ID, r.dep.MaxRetryAfter/2)
 	} else {
-		r.host.DeadLetter(e.ID)
+		r.host.Fail(e.ID)
 	}
 	r.finish(e)
 	return true
@@ -581,11 +581,11 @@
 	}
 	warm := make([]float64, len(r.most))
 	for wk, kind := range r.kind {
-		if r.dep.MayTell { // reports stand until the next; what peers told fades
+		if r.dep.GossipAllowed { // reports stand until the next; what peers told fades
 			r.heard[wk] = max(r.heard[wk], 0) * (1 - min(span/heardSpan, 1))
 		}
 		if r.warmth(wk, r.now) < 1 {
-			r.turn[wk] += turnPart * r.coldBudget(wk) * span / r.dep.FallWindow
+			r.turn[wk] += turnPart * r.coldBudget(wk) * span / r.dep.OverloadWindow
 		} else if r.phase[wk] == Serving {
 			warm[kind]++
 		}
@@ -620,18 +620,18 @@
 
 // warmth is the least part of its capacity that a worker may have at a time after its start.
 func (r *Router) warmth(wk int, at float64) float64 {
-	if r.born[wk] <= 0 || at-r.born[wk] >= r.dep.WarmWithin {
+	if r.born[wk] <= 0 || at-r.born[wk] >= r.dep.WarmUpTime {
 		return 1
 	}
-	return r.dep.ColdShare + (1-r.dep.ColdShare)*max(at-r.born[wk], 0)/r.dep.WarmWithin
+	return r.dep.ColdShare + (1-r.dep.ColdShare)*max(at-r.born[wk], 0)/r.dep.WarmUpTime
 }
 
 // coldBudget is how many launches this front end may add to a cold worker in a fall window. Capacity is not
 // told; what a warm worker of the kind handled for this front end, at most, is part of it; the parts of all
 // add up to no more than the whole. What cold workers carry would shrink the budget itself.
 func (r *Router) coldBudget(wk int) float64 {
-	part := coldPart * r.dep.FallFactor * r.warmth(wk, max(r.now-r.dep.FallWindow, r.born[wk]))
-	return max(part*r.dep.FallWindow*r.most[r.kind[wk]], 1/float64(r.dep.FrontEnds))
+	part := coldPart * r.dep.OverloadFactor * r.warmth(wk, max(r.now-r.dep.OverloadWindow, r.born[wk]))
+	return max(part*r.dep.OverloadWindow*r.most[r.kind[wk]], 1/float64(r.dep.FrontEnds))
 }
 
 // coldRoom tells whether one more launch keeps a cold worker's budget. Against a hundred front ends that send
@@ -657,12 +657,12 @@
 	if r.phase[wk] != Serving || !r.coldRoom(wk) {
 		return false
 	}
-	if !e.mayRun || e.kind.Repeat == Redeliverable {
+	if !e.mayRun || e.kind.Semantics == Idempotent {
 		return true
 	}
 	zone := r.zone[wk] == r.zone[e.runWk]
-	group := e.kind.Reach == ReachAll || zone && (e.kind.Reach == ReachZone || r.cell[wk] == r.cell[e.runWk])
-	return group && e.kind.Repeat == Keyed && r.now < e.runAt+e.kind.Remembered
+	group := e.kind.DeduplicationScope == ScopeFleet || zone && (e.kind.DeduplicationScope == ScopeZone || r.cell[wk] == r.cell[e.runWk])
+	return group && e.kind.Semantics == IdempotentByKey && r.now < e.runAt+e.kind.DeduplicationWindow
 }
 
 func (r *Router) fit(wk int) bool {
@@ -732,7 +732,7 @@
 }
 
 func (r *Router) warm(p *place) bool {
-	return p != nil && p.warm && (p.out > 0 || r.now < p.seen+r.dep.KeepWarm)
+	return p != nil && p.warm && (p.out > 0 || r.now < p.seen+r.dep.IdleReplicaLifetime)
 }
 
 // slow is the design's latency test. An old figure must not keep a copy out for good, nor an idle copy.
@@ -772,16 +772,16 @@
 	r.flying[wk] = append(r.flying[wk], e)
 	// What was saved up is kept in part only, so that no window gets more than its budget.
 	r.spent[wk] = max(r.spent[wk]+1, r.turn[wk]-(1-turnPart)*r.coldBudget(wk))
-	r.host.Launch(e.ID, r.id[wk], e.due-r.now)
+	r.host.StartAttempt(e.ID, r.id[wk], e.due-r.now)
 	return true
 }
 
 func (r *Router) mayOrder() bool {
-	if !r.dep.MayOrder || r.dep.LoadWindow <= 0 {
-		return r.dep.MayOrder
+	if !r.dep.LoadCommandsAllowed || r.dep.LoadCommandWindow <= 0 {
+		return r.dep.LoadCommandsAllowed
 	}
-	r.taken, r.ordered = r.within(r.taken, r.dep.LoadWindow), r.within(r.ordered, r.dep.LoadWindow)
-	return float64(len(r.ordered)+1) <= r.dep.LoadFree+r.dep.LoadShare*float64(len(r.taken))
+	r.taken, r.ordered = r.within(r.taken, r.dep.LoadCommandWindow), r.within(r.ordered, r.dep.LoadCommandWindow)
+	return float64(len(r.ordered)+1) <= r.dep.LoadCommandAllowance+r.dep.LoadCommandsPerRequest*float64(len(r.taken))
 }
 
 // loadSite is the first worker by rank that does not carry well more than the mean, else the least-loaded.
@@ -863,14 +863,14 @@
 var eventRules = []func(*Router, *event) bool{
 	// No launch can help: its time is up, its tries are used, or it may have run and must not again.
 	func(r *Router, e *event) bool {
-		spent := r.now >= e.due-r.dep.RoundGap || e.launches >= r.dep.MaxLaunches
-		return (spent || e.mayRun && e.kind.Repeat == AtMostOnce) && r.giveUp(e)
+		spent := r.now >= e.due-r.dep.MinRoundInterval || e.launches >= r.dep.MaxAttempts
+		return (spent || e.mayRun && e.kind.Semantics == AtMostOnce) && r.giveUp(e)
 	},
 	// Answers come late or not at all for lack of room: among many front ends a part is deferred at once,
 	// against a crowd that only works for clients who have left.
 	func(r *Router, e *event) bool {
 		in, first := r.open, e.launches == 0 && e.waits == 0
-		if e.Repeated { // against clients that repeat at once and without end: their first tries come first
+		if e.Retried { // against clients that repeat at once and without end: their first tries come first
 			in *= in * in
 		}
 		return first && r.many() && float64(r.chance(1<<20)) > in*(1<<20) && r.giveUp(e)
@@ -901,7 +901,7 @@
 		if wk < 0 || e.waits >= waitsMost {
 			return false
 		}
-		if r.now-e.fn.orderedAt > 4*r.dep.RoundGap && r.may(e, wk) && r.fit(wk) && wk != e.wk {
+		if r.now-e.fn.orderedAt > 4*r.dep.MinRoundInterval && r.may(e, wk) && r.fit(wk) && wk != e.wk {
 			return r.launch(e, wk)
 		}
 		if r.now+r.loadLeft(e.fn) > e.due { // against a stalled store
@@ -913,7 +913,7 @@
 	},
 	// Without orders a worker loads what it is sent, where the deployment's workers do that.
 	func(r *Router, e *event) bool {
-		return !r.dep.MissAnswers && !r.mayOrder() && r.launch(e, r.loadSite(e, 1))
+		return !r.dep.MissIsAnswered && !r.mayOrder() && r.launch(e, r.loadSite(e, 1))
 	},
 	// Nobody has room. A queue here would make all of it late; told at once, a client can come back in time.
 	func(r *Router, e *event) bool { return r.giveUp(e) },
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -10,26 +10,26 @@
 )
 
 func plain() *Deployment {
-	return &Deployment{FrontEnds: 1, MissAnswers: true, MayOrder: true, MaxLaunches: 4,
-		MaxPause: 0.5, KeepWarm: 8, RoundGap: 0.004, ColdShare: 0.2, WarmWithin: 15, FallFactor: 2.5, FallWindow: 1.5,
-		EventTypes: []EventType{{Name: "free", TargetTime: 1, MaxAge: 3}}}
+	return &Deployment{FrontEnds: 1, MissIsAnswered: true, LoadCommandsAllowed: true, MaxAttempts: 4,
+		MaxRetryAfter: 0.5, IdleReplicaLifetime: 8, MinRoundInterval: 0.004, ColdShare: 0.2, WarmUpTime: 15, OverloadFactor: 2.5, OverloadWindow: 1.5,
+		RequestClasses: []RequestClass{{Name: "free", LatencyObjective: 1, Timeout: 3}}}
 }
 
 func anyDeployment(rnd *rand.Rand) *Deployment {
 	d := plain()
 	d.FrontEnds = 1 + rnd.Intn(5)
-	d.MissAnswers, d.MayOrder = rnd.Intn(2) == 0, rnd.Intn(4) > 0
-	d.MayTell = rnd.Intn(2) == 0
-	d.MaxLaunches = 1 + rnd.Intn(6)
-	d.MaxPause = float64(rnd.Intn(2))
+	d.MissIsAnswered, d.LoadCommandsAllowed = rnd.Intn(2) == 0, rnd.Intn(4) > 0
+	d.GossipAllowed = rnd.Intn(2) == 0
+	d.MaxAttempts = 1 + rnd.Intn(6)
+	d.MaxRetryAfter = float64(rnd.Intn(2))
 	if rnd.Intn(2) == 0 {
-		d.LoadWindow, d.LoadFree, d.LoadShare = 2, float64(rnd.Intn(3)), rnd.Float64()/4
+		d.LoadCommandWindow, d.LoadCommandAllowance, d.LoadCommandsPerRequest = 2, float64(rnd.Intn(3)), rnd.Float64()/4
 	}
-	d.EventTypes = append(d.EventTypes,
-		EventType{Name: "once", TargetTime: 0.5, MaxAge: 2, Repeat: AtMostOnce},
-		EventType{Name: "all", TargetTime: 0.8, MaxAge: 2, Repeat: Keyed, Remembered: 0.2 + rnd.Float64()},
-		EventType{Name: "zone", TargetTime: 1, MaxAge: 3, Repeat: Keyed, Reach: ReachZone, Remembered: 0.5},
-		EventType{Name: "cell", TargetTime: 1, MaxAge: 3, Repeat: Keyed, Reach: ReachCell, Remembered: 2})
+	d.RequestClasses = append(d.RequestClasses,
+		RequestClass{Name: "once", LatencyObjective: 0.5, Timeout: 2, Semantics: AtMostOnce},
+		RequestClass{Name: "all", LatencyObjective: 0.8, Timeout: 2, Semantics: IdempotentByKey, DeduplicationWindow: 0.2 + rnd.Float64()},
+		RequestClass{Name: "zone", LatencyObjective: 1, Timeout: 3, Semantics: IdempotentByKey, DeduplicationScope: ScopeZone, DeduplicationWindow: 0.5},
+		RequestClass{Name: "cell", LatencyObjective: 1, Timeout: 3, Semantics: IdempotentByKey, DeduplicationScope: ScopeFailureDomain, DeduplicationWindow: 2})
 	return d
 }
 
@@ -43,21 +43,21 @@
 			w.step(0.01)
 			if step < 1000 && rnd.Float64() < rate {
 				f := w.fes[rnd.Intn(1+rnd.Intn(len(w.fes)))]
-				kind := w.dep.EventTypes[rnd.Intn(len(w.dep.EventTypes))]
+				kind := w.dep.RequestClasses[rnd.Intn(len(w.dep.RequestClasses))]
 				n++
-				f.take(EventID(fmt.Sprint(n)), FunctionID(fmt.Sprint(rnd.Intn(1+rnd.Intn(12)))), kind,
-					kind.MaxAge*max(rnd.Float64(), 0.01))
+				f.take(RequestID(fmt.Sprint(n)), FunctionID(fmt.Sprint(rnd.Intn(1+rnd.Intn(12)))), kind,
+					kind.Timeout*max(rnd.Float64(), 0.01))
 			}
 			if m := w.wks[rnd.Intn(len(w.wks))]; rnd.Intn(60) == 0 {
 				switch rnd.Intn(8) {
 				case 0, 1, 2, 3:
 					m.mood = rnd.Intn(5)
 				case 4:
-					m.Phase = Draining
+					m.State = Draining
 				case 5:
-					m.Phase = Gone
+					m.State = Gone
 				default:
-					m.Phase, m.mood, m.Born, m.bornAt = Serving, 0, w.now, w.now
+					m.State, m.mood, m.StartedAt, m.bornAt = Serving, 0, w.now, w.now
 					m.holds, m.sends = map[FunctionID]bool{}, nil
 				}
 				for _, f := range w.fes {
@@ -90,8 +90,8 @@
 	var all []*taken
 	for i := 0; float64(i)*gap < span; i++ {
 		w.step(gap)
-		id := EventID(fmt.Sprint(w.now, "-", i))
-		all = append(all, w.fes[i%len(w.fes)].take(id, FunctionID(fmt.Sprint("f", i%fns)), w.dep.EventTypes[0], 3))
+		id := RequestID(fmt.Sprint(w.now, "-", i))
+		all = append(all, w.fes[i%len(w.fes)].take(id, FunctionID(fmt.Sprint("f", i%fns)), w.dep.RequestClasses[0], 3))
 	}
 	for range 400 {
 		w.step(0.01)
@@ -148,7 +148,7 @@
 		m.mood = 2
 	}
 	for i := range 100 {
-		w.fes[0].take(EventID(fmt.Sprint(i)), FunctionID(fmt.Sprint("f", i%20)), w.dep.EventTypes[0], 3)
+		w.fes[0].take(RequestID(fmt.Sprint(i)), FunctionID(fmt.Sprint("f", i%20)), w.dep.RequestClasses[0], 3)
 		w.step(0.02)
 		n := 0
 		for wk := range w.wks {
@@ -167,7 +167,7 @@
 	w := newWorld(4, plain(), 4)
 	drive(w, 4, 0.02, 6)
 	for _, m := range w.wks {
-		m.Born, m.bornAt, m.holds = w.now, w.now, map[FunctionID]bool{}
+		m.StartedAt, m.bornAt, m.holds = w.now, w.now, map[FunctionID]bool{}
 	}
 	w.fes[0].tell(false)
 	if handled, other := drive(w, 4, 0.04, 8); handled < 100 || w.bad != "" {
@@ -182,7 +182,7 @@
 	w := newWorld(12, d, 6)
 	drive(w, 12, 0.02, 6)
 	m := w.wks[0]
-	m.Born, m.bornAt = w.now, w.now
+	m.StartedAt, m.bornAt = w.now, w.now
 	for _, f := range w.fes {
 		f.tell(false)
 	}
@@ -201,7 +201,7 @@
 				}
 			}
 		}
-		may := d.FallFactor * (d.ColdShare + (1-d.ColdShare)*wait/d.WarmWithin) * d.FallWindow * m.rate
+		may := d.OverloadFactor * (d.ColdShare + (1-d.ColdShare)*wait/d.WarmUpTime) * d.OverloadWindow * m.rate
 		if float64(sent) > may || sent == 0 {
 			t.Errorf("%d launches to a cold worker that bears %.1f", sent, may)
 		}
@@ -217,18 +217,18 @@
 		d.FrontEnds = n
 		w := newWorld(int64(n), d, 4)
 		asked := 0
-		kind := d.EventTypes[0]
+		kind := d.RequestClasses[0]
 		for range 800 { // 8 s of half of what the fleet can do, most of it at few front ends
 			w.step(0.01)
 			if w.rnd.Float64() < 0.4 {
 				asked++
 				u := w.rnd.Float64()
 				f := w.fes[int(float64(n)*u*u*u)]
-				f.take(EventID(fmt.Sprint("e", asked)), FunctionID(fmt.Sprint("f", asked%5)), kind, 2)
+				f.take(RequestID(fmt.Sprint("e", asked)), FunctionID(fmt.Sprint("f", asked%5)), kind, 2)
 			}
 		}
 		m := w.wks[0]
-		m.Born, m.bornAt = w.now, w.now
+		m.StartedAt, m.bornAt = w.now, w.now
 		for _, f := range w.fes {
 			f.tell(false)
 		}
@@ -246,17 +246,17 @@
 			for _, i := range w.rnd.Perm(n) {
 				f := w.fes[i]
 				for f.r.coldRoom(0) {
-					id := EventID(fmt.Sprint("c", len(sent)))
+					id := RequestID(fmt.Sprint("c", len(sent)))
 					f.evts[id] = &taken{kind: kind, due: w.now + 1}
-					f.r.launch(&event{Event: Event{ID: id}, fn: &function{lanes: 1}, kind: &kind, due: w.now + 1}, 0)
+					f.r.launch(&event{Request: Request{ID: id}, fn: &function{lanes: 1}, kind: &kind, due: w.now + 1}, 0)
 					sent = append(sent, w.now)
 				}
 			}
 			in := 0.0
-			for k := len(sent) - 1; k >= 0 && sent[k] > w.now-d.FallWindow; k-- {
+			for k := len(sent) - 1; k >= 0 && sent[k] > w.now-d.OverloadWindow; k-- {
 				in++
 			}
-			bears := d.FallFactor * (d.ColdShare + (1-d.ColdShare)*(w.now-m.bornAt)/d.WarmWithin) * d.FallWindow * m.rate
+			bears := d.OverloadFactor * (d.ColdShare + (1-d.ColdShare)*(w.now-m.bornAt)/d.WarmUpTime) * d.OverloadWindow * m.rate
 			if in > bears+2*math.Sqrt(bears)+2 {
 				t.Fatalf("%d front ends: %.0f launches in the window %.2f s after the start, which bears %.1f", n, in, w.now-m.bornAt, bears)
 			}
@@ -271,7 +271,7 @@
 func TestHotFunctionSpreadsOverManyFrontEnds(t *testing.T) {
 	for _, tells := range []bool{false, true} {
 		d := plain()
-		d.FrontEnds, d.MayTell = 60, tells
+		d.FrontEnds, d.GossipAllowed = 60, tells
 		w := newWorld(13, d, 12)
 		drive(w, 1, 0.01, 8)
 		if homes := w.homes(); homes < 4 || w.bad != "" {
@@ -280,7 +280,7 @@
 		r := w.fes[0].r
 		before := fmt.Sprint(r.heard, r.fns["f0"].width)
 		for _, m := range [][]byte{nil, {1}, {1, 2, 3, 4, 5}, {1, 2, 3, 4}} {
-			r.Told(w.now, m)
+			r.OnGossip(w.now, m)
 		}
 		if after := fmt.Sprint(r.heard, r.fns["f0"].width); after != before {
 			t.Errorf("a message of unknown form moved %s to %s", before, after)
@@ -292,12 +292,12 @@
 func TestFewFrontEndsKeepTheirOwnCount(t *testing.T) {
 	for _, n := range []int{2, 60} {
 		d := plain()
-		d.FrontEnds, d.MayTell = n, true
+		d.FrontEnds, d.GossipAllowed = n, true
 		r := newWorld(15, d, 3).fes[0].r
 		f := &function{id: "f", lanes: 1, width: 1, order: -1, pause: r.now + 9}
 		r.fns["f"], r.quick = f, 0.5
 		r.counted(f, 100)
-		r.Held(r.now, r.id[0], "f", Handled, 1, 0.01)
+		r.OnLoadResult(r.now, r.id[0], "f", Succeeded, 1, 0.01)
 		if (f.width > 1) != (n > 2) || (f.pause <= r.now) != (n > 2) {
 			t.Errorf("%d front ends: width %g, pause %g at %g", n, f.width, f.pause, r.now)
 		}
@@ -310,22 +310,22 @@
 	d.FrontEnds = 100
 	w := newWorld(14, d, 3)
 	f := w.fes[0]
-	deferred := func(result Result, repeated bool) (n int) {
+	deferred := func(result Outcome, repeated bool) (n int) {
 		for f.r.open = 1; f.r.open > 0.7 && n < 20; n++ {
-			e := &event{fn: &function{lanes: 1, width: 1}, kind: &d.EventTypes[0]}
-			f.r.widen(e, Ending{Result: result, Took: 2})
+			e := &event{fn: &function{lanes: 1, width: 1}, kind: &d.RequestClasses[0]}
+			f.r.widen(e, AttemptResult{Outcome: result, Latency: 2})
 		}
 		n = 0
 		for range 200 {
-			e := &event{Event: Event{ID: "x", Repeated: repeated}, kind: &d.EventTypes[0], fn: &function{}, wk: -1}
-			f.evts["x"] = &taken{Event: e.Event, kind: d.EventTypes[0], due: w.now + 3}
+			e := &event{Request: Request{ID: "x", Retried: repeated}, kind: &d.RequestClasses[0], fn: &function{}, wk: -1}
+			f.evts["x"] = &taken{Request: e.Request, kind: d.RequestClasses[0], due: w.now + 3}
 			if eventRules[1](f.r, e) {
 				n++
 			}
 		}
 		return n
 	}
-	first, again, lost := deferred(Handled, false), deferred(Handled, true), deferred(TimedOut, false)
+	first, again, lost := deferred(Succeeded, false), deferred(Succeeded, true), deferred(TimedOut, false)
 	if first < 40 || first > 100 || again < first+40 || again == 200 || lost > 0 || w.bad != "" {
 		t.Errorf("deferred of 200: %d first tries, %d repeats, %d after lost answers; %s", first, again, lost, w.bad)
 	}
@@ -343,7 +343,7 @@
 			if n%every == 0 {
 				took = 2
 			}
-			f.r.widen(&event{fn: &function{lanes: 1, width: 1}, kind: &d.EventTypes[0]}, Ending{Result: Handled, Took: took})
+			f.r.widen(&event{fn: &function{lanes: 1, width: 1}, kind: &d.RequestClasses[0]}, AttemptResult{Outcome: Succeeded, Latency: took})
 			least = min(least, f.r.open)
 		}
 		if least < 1 != shut {
@@ -374,7 +374,7 @@
 		}
 		f := w.fes[0]
 		for i := range 500 {
-			f.take(EventID(fmt.Sprint(i)), "big", w.dep.EventTypes[0], []float64{0.001, 3}[i%2])
+			f.take(RequestID(fmt.Sprint(i)), "big", w.dep.RequestClasses[0], []float64{0.001, 3}[i%2])
 		}
 		for range 150 {
 			w.step(0.01)
@@ -410,8 +410,8 @@
 	drive(w, 1, 0.2, 3)
 	f := w.fes[0]
 	r, fn := f.r, f.r.fns["f0"]
-	e := f.take("x", "f0", w.dep.EventTypes[0], 3)
-	f.end(e, e.launches[0], 0, Broken)
+	e := f.take("x", "f0", w.dep.RequestClasses[0], 3)
+	f.end(e, e.launches[0], 0, ConnectionLost)
 	if !r.warm(&fn.places[0]) {
 		t.Error("a copy is forgotten for a broken connection")
 	}
@@ -459,7 +459,7 @@
 		t.Error("a copy outlives its keep-alive")
 	}
 	w, f, fn, p = warmed()
-	e := &event{fn: fn, kind: &w.dep.EventTypes[0], wk: -1}
+	e := &event{fn: fn, kind: &w.dep.RequestClasses[0], wk: -1}
 	if p.out = 3; first(f.r.bestWarm(e, true)) != p.wk {
 		t.Error("a copy under twice its lanes is passed over")
 	}
@@ -467,19 +467,19 @@
 		t.Error("a copy at twice its lanes passes, or is not the last resort")
 	}
 	w, f, _, p = warmed()
-	w.wks[p.wk].Born, w.wks[p.wk].bornAt = w.now, w.now
+	w.wks[p.wk].StartedAt, w.wks[p.wk].bornAt = w.now, w.now
 	if f.tell(false); p.warm {
 		t.Error("a copy outlives its process")
 	}
 	w, f, _, p = warmed()
 	w.wks[p.wk].holds = map[FunctionID]bool{}
 	orders := len(f.ordered)
-	f.take("m", "f0", w.dep.EventTypes[0], 3)
+	f.take("m", "f0", w.dep.RequestClasses[0], 3)
 	if w.step(0.02); p.warm || len(f.ordered) != orders+1 {
 		t.Errorf("after a miss the entry stands (%v) or %d loads began", p.warm, len(f.ordered)-orders)
 	}
 	for i := range 5 {
-		f.take(EventID(fmt.Sprint("n", i)), "f0", w.dep.EventTypes[0], 3)
+		f.take(RequestID(fmt.Sprint("n", i)), "f0", w.dep.RequestClasses[0], 3)
 	}
 	if len(f.ordered) != orders+1 {
 		t.Errorf("%d loads of one function at once", len(f.ordered)-orders)
@@ -499,7 +499,7 @@
 			m.mood = 4
 		}
 	}
-	got := f.take("late", "f0", w.dep.EventTypes[0], 3)
+	got := f.take("late", "f0", w.dep.RequestClasses[0], 3)
 	for range 200 {
 		w.step(0.01)
 	}
@@ -512,27 +512,27 @@
 // order, and no event is launched for it.
 func TestLoadedAheadOfTime(t *testing.T) {
 	d := plain()
-	d.LoadWindow, d.LoadFree = 5, 2
+	d.LoadCommandWindow, d.LoadCommandAllowance = 5, 2
 	w := newWorld(4, d, 3)
 	f := w.fes[0]
 	w.step(0.1)
-	in := Event{Type: "free", Function: "f0", Lanes: 1, Load: 0.5}
-	if !f.r.Ahead(w.now, in) || f.r.Ahead(w.now, in) {
+	in := Request{Class: "free", Function: "f0", Concurrency: 1, LoadTime: 0.5}
+	if !f.r.Preload(w.now, in) || f.r.Preload(w.now, in) {
 		t.Fatal("one order is wanted, not none or two")
 	}
 	for range 200 {
 		w.step(0.01)
 	}
-	if f.r.Ahead(w.now, in) || w.homes() != 1 {
+	if f.r.Preload(w.now, in) || w.homes() != 1 {
 		t.Fatal("ordered though a copy stands")
 	}
-	got := f.take("e", "f0", d.EventTypes[0], 3)
+	got := f.take("e", "f0", d.RequestClasses[0], 3)
 	if len(got.launches) != 1 {
 		t.Fatal("it had to wait")
 	}
 	in.Function = "f1"
-	f.r.Ahead(w.now, in)
-	if in.Function = "f2"; f.r.Ahead(w.now, in) {
+	f.r.Preload(w.now, in)
+	if in.Function = "f2"; f.r.Preload(w.now, in) {
 		t.Fatal("ordered past the ration")
 	}
 	if w.bad != "" {
@@ -558,7 +558,7 @@
 		if r.stretch = 1; crowded {
 			r.stretch = 2
 		}
-		f.take("late", "f0", w.dep.EventTypes[0], 3)
+		f.take("late", "f0", w.dep.RequestClasses[0], 3)
 		if ordered := fn.order >= 0; ordered == crowded {
 			t.Errorf("crowded %v: ordered %v", crowded, ordered)
 		}
@@ -570,7 +570,7 @@
 func TestHeavyEventsAreNotSlowCopies(t *testing.T) {
 	for _, every := range []int{5, 1} {
 		r := newWorld(1, plain(), 2).fes[0].r
-		f := r.function(Event{Function: "f"})
+		f := r.function(Request{Function: "f"})
 		p := f.make(0)
 		for range 50 {
 			r.timed(f, p, 0.05)
@@ -598,9 +598,9 @@
 		w := newWorld(1, plain(), 2)
 		f := w.fes[0]
 		f.r.stretch = stretch
-		in := Event{ID: "e", Type: "free", Function: "f", Left: 3, Load: 0.5}
+		in := Request{ID: "e", Class: "free", Function: "f", TimeLeft: 3, LoadTime: 0.5}
 		w.fes[0].evts["e"] = &taken{}
-		f.r.Event(w.now, in)
+		f.r.OnRequest(w.now, in)
 		if waits := f.r.evts["e"] != nil; waits != (stretch == 1) || f.r.fns["f"].order < 0 {
 			t.Errorf("loads at %g of their time: waits %v, order %d", stretch, waits, f.r.fns["f"].order)
 		}
@@ -615,7 +615,7 @@
 		fits              bool
 	}{{3, 0.1, true}, {3, 1, false}, {1, 0.1, false}} {
 		r := newWorld(1, plain(), 2).fes[0].r
-		f := r.function(Event{Function: "f"})
+		f := r.function(Request{Function: "f"})
 		f.median, r.stretch, r.answered[0], r.room[0] = 0.1, c.stretch, r.now-c.answered, 2
 		for range 3 {
 			r.flying[0] = append(r.flying[0], &event{fn: f, wk: 0, out: true, sentAt: r.now - 0.7})
@@ -632,10 +632,10 @@
 	for i := range 300 {
 		now := r.now + 0.1
 		id := WorkerID(fmt.Sprint("new-", i))
-		r.List(now, true, false, []Worker{{ID: id, Size: 1}})
-		f := r.function(Event{Function: "f"})
+		r.OnEndpointUpdate(now, true, false, []Worker{{ID: id, Weight: 1}})
+		f := r.function(Request{Function: "f"})
 		f.make(r.index[id]).warm = true
-		r.Held(now, WorkerID(fmt.Sprint("new-", i-9)), "f", Handled, 1, 0.1)
+		r.OnLoadResult(now, WorkerID(fmt.Sprint("new-", i-9)), "f", Succeeded, 1, 0.1)
 		if wk := r.index[id]; r.id[wk] != id || f.at(wk) == nil || r.room[wk] != roomStart || r.short[uint32(r.hash[wk]&0xfff)] != wk {
 			t.Fatalf("%s is out of place", id)
 		}
@@ -648,14 +648,14 @@
 // A dead worker that the list still names, first by rank, must not be asked for load after load until its events have no
 // load left to follow.
 func TestLoadsLeaveADeadWorker(t *testing.T) {
-	for _, res := range []Result{Unreachable, Broken, TurnedAway} {
+	for _, res := range []Outcome{Unreachable, ConnectionLost, Rejected} {
 		w := newWorld(1, plain(), 3)
 		r := w.fes[0].r
 		w.fes[0].evts["e"] = &taken{}
-		r.Event(w.now, Event{ID: "e", Type: "free", Function: "f", Left: 3})
+		r.OnRequest(w.now, Request{ID: "e", Class: "free", Function: "f", TimeLeft: 3})
 		f := r.fns["f"]
 		dead := f.order
-		r.Held(w.now+0.001, r.id[dead], "f", res, 0, 0.001)
+		r.OnLoadResult(w.now+0.001, r.id[dead], "f", res, 0, 0.001)
 		if f.order < 0 || f.order == dead {
 			t.Errorf("after %d the load goes to %d, from %d", res, f.order, dead)
 		}
--- a/control/golden_adapter_test.go
+++ b/control/golden_adapter_test.go
@@ -3,17 +3,17 @@
 // This file alone joins the golden test to the names of the package: a rename in control changes it and
 // neither the fleet nor the golden files.
 
-var resultOf = map[outcome]Result{succeeded: Handled, failed: Failed, timedOut: TimedOut, disconnected: Broken,
-	cancelled: Cancelled, refused: TurnedAway, unreachable: Unreachable, unsent: NeverSent, missing: Missed}
+var resultOf = map[outcome]Outcome{succeeded: Succeeded, failed: Failed, timedOut: TimedOut, disconnected: ConnectionLost,
+	cancelled: Cancelled, refused: Rejected, unreachable: Unreachable, unsent: NotSent, missing: ReplicaMissing}
 
-var warmthOf = map[start]Warmth{startUnknown: WarmthUnknown, startWarm: FoundWarm, startCold: BeganLoad,
-	startJoined: JoinedLoad, startFailed: LoadFailed}
+var warmthOf = map[start]StartType{startUnknown: StartUnknown, startWarm: WarmStart, startCold: ColdStart,
+	startJoined: JoinedColdStart, startFailed: StartFailed}
 
-var phaseOf = map[state]Phase{stateServing: Serving, stateDraining: Draining, stateGone: Gone}
+var phaseOf = map[state]EndpointState{stateServing: Serving, stateDraining: Draining, stateGone: Gone}
 
-var repeatOf = map[repetition]Repeat{idempotent: Redeliverable, deduplicated: Keyed, once: AtMostOnce}
+var repeatOf = map[repetition]DeliverySemantics{idempotent: Idempotent, deduplicated: IdempotentByKey, once: AtMostOnce}
 
-var reachOf = map[scope]Reach{fleetScope: ReachAll, zoneScope: ReachZone, cellScope: ReachCell}
+var reachOf = map[scope]DeduplicationScope{fleetScope: ScopeFleet, zoneScope: ScopeZone, cellScope: ScopeFailureDomain}
 
 // adapter drives one Router and passes its calls on to the front end.
 type adapter struct {
@@ -28,64 +28,64 @@
 }
 
 func deploymentOf(s *scenario) *Deployment {
-	d := &Deployment{FrontEnds: s.frontEnds, Asked: s.subscribes, MissAnswers: s.reportsMissing,
-		MayOrder: s.mayLoad, MayTell: s.mayBroadcast, MaxLaunches: s.maxAttempts, MaxPause: s.maxPause,
-		KeepWarm: s.keepWarm, LoadWindow: s.loadWindow, LoadFree: s.loadFree, LoadShare: s.loadShare,
-		RoundGap: 0.004, ColdShare: 0.2, WarmWithin: s.warmWithin, FallFactor: 2.5, FallWindow: 1.5}
+	d := &Deployment{FrontEnds: s.frontEnds, PollEndpoints: s.subscribes, MissIsAnswered: s.reportsMissing,
+		LoadCommandsAllowed: s.mayLoad, GossipAllowed: s.mayBroadcast, MaxAttempts: s.maxAttempts, MaxRetryAfter: s.maxPause,
+		IdleReplicaLifetime: s.keepWarm, LoadCommandWindow: s.loadWindow, LoadCommandAllowance: s.loadFree, LoadCommandsPerRequest: s.loadShare,
+		MinRoundInterval: 0.004, ColdShare: 0.2, WarmUpTime: s.warmWithin, OverloadFactor: 2.5, OverloadWindow: 1.5}
 	for _, t := range requestTypes {
-		d.EventTypes = append(d.EventTypes, EventType{Name: t.name, TargetTime: t.target, MaxAge: t.limit,
-			Repeat: repeatOf[t.repetition], Reach: reachOf[t.scope], Remembered: t.remembered})
+		d.RequestClasses = append(d.RequestClasses, RequestClass{Name: t.name, LatencyObjective: t.target, Timeout: t.limit,
+			Semantics: repeatOf[t.repetition], DeduplicationScope: reachOf[t.scope], DeduplicationWindow: t.remembered})
 	}
 	return d
 }
 
-func eventOf(q request) Event {
-	return Event{ID: EventID(q.id), Type: q.kind, Tenant: "tenant", Function: FunctionID(q.function),
-		Left: q.limit, Lanes: q.lanes, Load: q.loadTime, Repeated: q.retried}
+func eventOf(q request) Request {
+	return Request{ID: RequestID(q.id), Class: q.kind, Tenant: "tenant", Function: FunctionID(q.function),
+		TimeLeft: q.limit, Concurrency: q.lanes, LoadTime: q.loadTime, Retried: q.retried}
 }
 
 func (a *adapter) workers(now float64, full, first bool, list []replica) {
 	var workers []Worker
 	for _, p := range list {
-		workers = append(workers, Worker{ID: WorkerID(p.id), Zone: ZoneID(p.zone), Kind: KindID(p.kind),
-			Cell: p.cell, Phase: phaseOf[p.state], Size: p.size, Born: p.started})
+		workers = append(workers, Worker{ID: WorkerID(p.id), Zone: ZoneID(p.zone), MachineType: MachineType(p.kind),
+			FailureDomain: p.cell, State: phaseOf[p.state], Weight: p.size, StartedAt: p.started})
 	}
-	a.router.List(now, full, first, workers)
+	a.router.OnEndpointUpdate(now, full, first, workers)
 }
 
-func (a *adapter) listFailed(now float64)            { a.router.ListFailed(now) }
-func (a *adapter) request(now float64, q request)    { a.router.Event(now, eventOf(q)) }
-func (a *adapter) hungUp(now float64, id string)     { a.router.HungUp(now, EventID(id)) }
-func (a *adapter) timer(now float64, mark uint64)    { a.router.Woken(now, mark) }
-func (a *adapter) heard(now float64, message []byte) { a.router.Told(now, message) }
+func (a *adapter) listFailed(now float64)            { a.router.OnEndpointPollFailed(now) }
+func (a *adapter) request(now float64, q request)    { a.router.OnRequest(now, eventOf(q)) }
+func (a *adapter) hungUp(now float64, id string)     { a.router.OnCancel(now, RequestID(id)) }
+func (a *adapter) timer(now float64, mark uint64)    { a.router.OnTimer(now, mark) }
+func (a *adapter) heard(now float64, message []byte) { a.router.OnGossip(now, message) }
 
-func (a *adapter) preload(now float64, q request) bool { return a.router.Ahead(now, eventOf(q)) }
+func (a *adapter) preload(now float64, q request) bool { return a.router.Preload(now, eventOf(q)) }
 
 func (a *adapter) recall(now float64, q request, worker string, age float64) {
-	a.router.Recall(now, eventOf(q), WorkerID(worker), age)
+	a.router.RestoreReplica(now, eventOf(q), WorkerID(worker), age)
 }
 
 func (a *adapter) attemptEnded(now float64, e ended) {
-	a.router.Ended(now, Ending{Event: EventID(e.id), Worker: WorkerID(e.worker), Launch: e.attempt,
-		Result: resultOf[e.outcome], Settled: e.settled, Took: e.took, Warmth: warmthOf[e.start],
-		Report: Report{Running: e.running, Waiting: e.waiting, Known: e.reported}})
+	a.router.OnAttemptResult(now, AttemptResult{Request: RequestID(e.id), Worker: WorkerID(e.worker), Attempt: e.attempt,
+		Outcome: resultOf[e.outcome], Answered: e.settled, Latency: e.took, Start: warmthOf[e.start],
+		Report: LoadReport{Running: e.running, Waiting: e.waiting, Known: e.reported}})
 }
 
 func (a *adapter) loadEnded(now float64, worker, function string, o outcome, copies int, took float64) {
-	a.router.Held(now, WorkerID(worker), FunctionID(function), resultOf[o], copies, took)
+	a.router.OnLoadResult(now, WorkerID(worker), FunctionID(function), resultOf[o], copies, took)
 }
 
-func (a *adapter) Launch(id EventID, worker WorkerID, limit float64) {
+func (a *adapter) StartAttempt(id RequestID, worker WorkerID, limit float64) {
 	a.to.attempt(string(id), string(worker), limit)
 }
 
-func (a *adapter) Defer(id EventID, pause float64) { a.to.reject(string(id), pause) }
-func (a *adapter) DeadLetter(id EventID)           { a.to.fail(string(id)) }
+func (a *adapter) Reject(id RequestID, pause float64) { a.to.reject(string(id), pause) }
+func (a *adapter) Fail(id RequestID)                  { a.to.fail(string(id)) }
 
-func (a *adapter) Hold(worker WorkerID, function FunctionID, copies int) {
+func (a *adapter) LoadReplicas(worker WorkerID, function FunctionID, copies int) {
 	a.to.load(string(worker), string(function), copies)
 }
 
-func (a *adapter) Tell(message []byte)             { a.to.broadcast(message) }
-func (a *adapter) Wake(after float64, mark uint64) { a.to.wake(after, mark) }
-func (a *adapter) Subscribe()                      { a.to.resubscribe() }
+func (a *adapter) Broadcast(message []byte)            { a.to.broadcast(message) }
+func (a *adapter) SetTimer(after float64, mark uint64) { a.to.wake(after, mark) }
+func (a *adapter) Subscribe()                          { a.to.resubscribe() }
--- a/control/world_test.go
+++ b/control/world_test.go
@@ -24,16 +24,16 @@
 
 type machine struct {
 	Worker
-	rate, freeAt, bornAt float64 // events a second when warm; busy until; started
-	told                 []Phase // what each front end was last told
-	mood                 int     // 0 well, 1 silent, 2 failing, 3 turning away, 4 unreachable
+	rate, freeAt, bornAt float64         // events a second when warm; busy until; started
+	told                 []EndpointState // what each front end was last told
+	mood                 int             // 0 well, 1 silent, 2 failing, 3 turning away, 4 unreachable
 	holds                map[FunctionID]bool
 	sends, toldBorn      []float64
 }
 
 type taken struct {
-	Event
-	kind     EventType
+	Request
+	kind     RequestClass
 	due      float64
 	answered int
 	handled  bool
@@ -50,7 +50,7 @@
 	w              *world
 	me             int
 	r              *Router
-	evts           map[EventID]*taken
+	evts           map[RequestID]*taken
 	takes, ordered []float64
 }
 
@@ -84,7 +84,7 @@
 	}
 }
 
-func (f *frontEnd) event(id EventID) *taken {
+func (f *frontEnd) event(id RequestID) *taken {
 	t := f.evts[id]
 	if t == nil {
 		f.w.fault("unknown event %s", id)
@@ -99,9 +99,9 @@
 	return t
 }
 
-func (f *frontEnd) Launch(id EventID, wk WorkerID, limit float64) {
+func (f *frontEnd) StartAttempt(id RequestID, wk WorkerID, limit float64) {
 	t, m := f.event(id), f.w.machine(wk)
-	if len(t.launches) >= f.w.dep.MaxLaunches || limit <= 0 {
+	if len(t.launches) >= f.w.dep.MaxAttempts || limit <= 0 {
 		f.w.fault("launch %d of %s with limit %g", len(t.launches), id, limit)
 	}
 	if m.told[f.me] != Serving {
@@ -117,16 +117,16 @@
 		}
 	}
 	if first != nil {
-		same := t.kind.Reach == ReachAll ||
-			first.wk.Zone == m.Zone && (t.kind.Reach == ReachZone || first.wk.Cell == m.Cell)
-		if t.kind.Repeat == AtMostOnce ||
-			t.kind.Repeat == Keyed && (!same || f.w.now > first.at+t.kind.Remembered) {
+		same := t.kind.DeduplicationScope == ScopeFleet ||
+			first.wk.Zone == m.Zone && (t.kind.DeduplicationScope == ScopeZone || first.wk.FailureDomain == m.FailureDomain)
+		if t.kind.Semantics == AtMostOnce ||
+			t.kind.Semantics == IdempotentByKey && (!same || f.w.now > first.at+t.kind.DeduplicationWindow) {
 			f.w.fault("%s launched again though it may have run", id)
 		}
 	}
 	l := &sent{wk: m, at: f.w.now, mayRun: true}
 	t.launches = append(t.launches, l)
-	m.push(f.w, m.toldBorn[f.me] == m.Born)
+	m.push(f.w, m.toldBorn[f.me] == m.StartedAt)
 	res, span := f.w.run(m, t.Function)
 	if span > limit {
 		res, span = TimedOut, limit
@@ -135,89 +135,89 @@
 	f.w.after(span, func() { f.end(t, l, n, res) })
 }
 
-func (f *frontEnd) end(t *taken, l *sent, n int, res Result) {
+func (f *frontEnd) end(t *taken, l *sent, n int, res Outcome) {
 	if l.ended {
 		return
 	}
 	l.ended = true
-	l.mayRun = res != TurnedAway && res != Unreachable && res != Missed && res != NeverSent
-	if res == Handled && t.answered == 0 {
+	l.mayRun = res != Rejected && res != Unreachable && res != ReplicaMissing && res != NotSent
+	if res == Succeeded && t.answered == 0 {
 		t.answered, t.handled = 1, true
 	}
-	f.r.Ended(f.w.now, Ending{Event: t.ID, Worker: l.wk.ID, Launch: n, Result: res, Settled: t.answered > 0,
-		Took: f.w.now - l.at})
+	f.r.OnAttemptResult(f.w.now, AttemptResult{Request: t.ID, Worker: l.wk.ID, Attempt: n, Outcome: res, Answered: t.answered > 0,
+		Latency: f.w.now - l.at})
 }
 
 // push keeps the count of rule four, from all front ends that know of the start.
 func (m *machine) push(w *world, knows bool) {
-	if age := w.now - m.bornAt; m.bornAt > 0 && knows && age < w.dep.WarmWithin {
+	if age := w.now - m.bornAt; m.bornAt > 0 && knows && age < w.dep.WarmUpTime {
 		m.sends = append(m.sends, w.now)
 		n := 0
 		for _, at := range m.sends {
-			if at > w.now-w.dep.FallWindow {
+			if at > w.now-w.dep.OverloadWindow {
 				n++
 			}
 		}
-		share := w.dep.ColdShare + (1-w.dep.ColdShare)*max(age-w.dep.FallWindow, 0)/w.dep.WarmWithin
-		if may := w.dep.FallFactor * share * w.dep.FallWindow * m.rate; float64(n) > max(may, float64(len(w.fes))) {
+		share := w.dep.ColdShare + (1-w.dep.ColdShare)*max(age-w.dep.OverloadWindow, 0)/w.dep.WarmUpTime
+		if may := w.dep.OverloadFactor * share * w.dep.OverloadWindow * m.rate; float64(n) > max(may, float64(len(w.fes))) {
 			w.fault("cold worker pushed: %d launches where %.1f are borne", n, may)
 		}
 	}
 }
 
-func (w *world) run(m *machine, fn FunctionID) (Result, float64) {
+func (w *world) run(m *machine, fn FunctionID) (Outcome, float64) {
 	switch m.mood {
 	case 1:
 		return TimedOut, 1e9
 	case 2:
 		return Failed, 0.01
 	case 3:
-		return TurnedAway, 0.01
+		return Rejected, 0.01
 	case 4:
 		return Unreachable, 0.05
 	}
-	if m.Phase == Gone {
-		return Broken, 0.05
+	if m.State == Gone {
+		return ConnectionLost, 0.05
 	}
-	if w.dep.MissAnswers && !m.holds[fn] {
-		return Missed, 0.01
+	if w.dep.MissIsAnswered && !m.holds[fn] {
+		return ReplicaMissing, 0.01
 	}
 	m.holds[fn] = true
 	m.freeAt = max(m.freeAt, w.now) + w.rnd.ExpFloat64()/m.rate
-	return Handled, m.freeAt - w.now + 0.005
+	return Succeeded, m.freeAt - w.now + 0.005
 }
 
-func (f *frontEnd) Defer(id EventID, pause float64) {
+func (f *frontEnd) Reject(id RequestID, pause float64) {
 	t := f.event(id)
 	t.answered++
 	for _, l := range t.launches {
-		known := t.kind.Repeat == Keyed && t.kind.Reach == ReachAll && f.w.now <= l.at+t.kind.Remembered
-		if (l.mayRun || !l.ended) && t.kind.Repeat != Redeliverable && !known {
+		known := t.kind.Semantics == IdempotentByKey && t.kind.DeduplicationScope == ScopeFleet && f.w.now <= l.at+t.kind.DeduplicationWindow
+		if (l.mayRun || !l.ended) && t.kind.Semantics != Idempotent && !known {
 			f.w.fault("%s deferred though it may have run", id)
 		}
 	}
-	if pause < 0 || pause > f.w.dep.MaxPause {
+	if pause < 0 || pause > f.w.dep.MaxRetryAfter {
 		f.w.fault("pause %g", pause)
 	}
 }
 
-func (f *frontEnd) DeadLetter(id EventID) { f.event(id).answered++ }
+func (f *frontEnd) Fail(id RequestID) { f.event(id).answered++ }
 
-func (f *frontEnd) Hold(wk WorkerID, fn FunctionID, copies int) {
+func (f *frontEnd) LoadReplicas(wk WorkerID, fn FunctionID, copies int) {
 	m, d := f.w.machine(wk), f.w.dep
-	if m.told[f.me] != Serving || !d.MayOrder || copies < 1 || copies > 16 {
+	if m.told[f.me] != Serving || !d.LoadCommandsAllowed || copies < 1 || copies > 16 {
 		f.w.fault("order to %s", wk)
 	}
 	f.ordered = append(f.ordered, f.w.now)
 	in := func(times []float64) (n float64) {
 		for _, at := range times {
-			if at > f.w.now-d.LoadWindow {
+			if at > f.w.now-d.LoadCommandWindow {
 				n++
 			}
 		}
 		return n
 	}
-	if d.LoadWindow > 0 && in(f.ordered) > d.LoadFree+d.LoadShare*in(f.takes)+1e-9 {
+	if d.LoadCommandWindow > 0 && in(f.ordered) > d.LoadCommandAllowance+d.LoadCommandsPerRequest*in(f.takes)+1e-9 {
 		f.w.fault("load order over the ration")
 	}
 	if m.mood == 1 {
@@ -225,26 +225,26 @@
 	}
 	f.w.after(0.3, func() {
 		if m.holds[fn] = m.mood == 0; m.holds[fn] {
-			f.r.Held(f.w.now, wk, fn, Handled, 1, 0.3)
+			f.r.OnLoadResult(f.w.now, wk, fn, Succeeded, 1, 0.3)
 		} else {
-			f.r.Held(f.w.now, wk, fn, TurnedAway, 0, 0.3)
+			f.r.OnLoadResult(f.w.now, wk, fn, Rejected, 0, 0.3)
 		}
 	})
 }
 
-func (f *frontEnd) Tell(m []byte) {
-	if !f.w.dep.MayTell || len(m) > 256 {
+func (f *frontEnd) Broadcast(m []byte) {
+	if !f.w.dep.GossipAllowed || len(m) > 256 {
 		f.w.fault("message of %d bytes", len(m))
 	}
 	for _, o := range f.w.fes {
 		if o != f && f.w.rnd.Intn(10) > 0 {
-			f.w.after(f.w.rnd.Float64()/20, func() { o.r.Told(f.w.now, m) })
+			f.w.after(f.w.rnd.Float64()/20, func() { o.r.OnGossip(f.w.now, m) })
 		}
 	}
 }
 
-func (f *frontEnd) Wake(after float64, mark uint64) {
-	f.w.after(max(after, 0.001), func() { f.r.Woken(f.w.now, mark) })
+func (f *frontEnd) SetTimer(after float64, mark uint64) {
+	f.w.after(max(after, 0.001), func() { f.r.OnTimer(f.w.now, mark) })
 }
 
 func (f *frontEnd) Subscribe() {}
@@ -252,19 +252,19 @@
 func (f *frontEnd) tell(first bool) {
 	var list []Worker
 	for _, m := range f.w.wks {
-		if m.told[f.me], m.toldBorn[f.me] = m.Phase, m.Born; m.Phase != Gone {
+		if m.told[f.me], m.toldBorn[f.me] = m.State, m.StartedAt; m.State != Gone {
 			list = append(list, m.Worker)
 		}
 	}
-	f.r.List(f.w.now, true, first, list)
+	f.r.OnEndpointUpdate(f.w.now, true, first, list)
 }
 
-func (f *frontEnd) take(id EventID, fn FunctionID, kind EventType, left float64) *taken {
+func (f *frontEnd) take(id RequestID, fn FunctionID, kind RequestClass, left float64) *taken {
 	t := &taken{kind: kind, due: f.w.now + left,
-		Event: Event{ID: id, Type: kind.Name, Function: fn, Left: left, Lanes: 2}}
+		Request: Request{ID: id, Class: kind.Name, Function: fn, TimeLeft: left, Concurrency: 2}}
 	f.evts[id] = t
 	f.takes = append(f.takes, f.w.now)
-	f.r.Event(f.w.now, t.Event)
+	f.r.OnRequest(f.w.now, t.Request)
 	return t
 }
 
@@ -273,12 +273,12 @@
 	w := &world{rnd: rand.New(rand.NewSource(seed)), dep: dep, now: 100}
 	for i := range workers {
 		m := &machine{rate: 20, holds: map[FunctionID]bool{},
-			Worker: Worker{ID: WorkerID(fmt.Sprint("w", i)), Zone: ZoneID(fmt.Sprint(i % 2)), Cell: i % 3, Size: 1},
-			told:   make([]Phase, dep.FrontEnds), toldBorn: make([]float64, dep.FrontEnds)}
+			Worker: Worker{ID: WorkerID(fmt.Sprint("w", i)), Zone: ZoneID(fmt.Sprint(i % 2)), FailureDomain: i % 3, Weight: 1},
+			told:   make([]EndpointState, dep.FrontEnds), toldBorn: make([]float64, dep.FrontEnds)}
 		w.wks = append(w.wks, m)
 	}
 	for i := range dep.FrontEnds {
-		f := &frontEnd{w: w, me: i, evts: map[EventID]*taken{}}
+		f := &frontEnd{w: w, me: i, evts: map[RequestID]*taken{}}
 		f.r = New(dep, (uint64(seed)<<20+uint64(i))*0x9e3779b97f4a7c15, f, w.now)
 		w.fes = append(w.fes, f)
 		f.tell(true)
--- a/internal/appliance/api.go
+++ b/internal/appliance/api.go
@@ -47,7 +47,7 @@
 	Store      *StoreView         `json:"store,omitempty"`
 	Writer     string             `json:"writer,omitempty"`
 	WriterIdle float64            `json:"writer_idle_s,omitempty"`
-	Chores     []ChoreView        `json:"chores"`
+	Tasks      []TaskView         `json:"chores"`
 }
 
 // StoreView is the durable state at a glance.
@@ -75,8 +75,8 @@
 	Loading int     `json:"loading"`
 }
 
-// Handler is one function as the front ends believe it to be.
-type Handler struct {
+// FunctionStatus is one function as the front ends believe it to be.
+type FunctionStatus struct {
 	Name    string   `json:"name"`
 	Warm    []string `json:"warm"`
 	Loading []string `json:"loading,omitempty"`
@@ -86,23 +86,23 @@
 	Median  float64  `json:"median_ms"`
 }
 
-// Event is one event, open or lately ended.
-type Event struct {
-	ID       string          `json:"id"`
-	Source   string          `json:"source"`
-	Type     string          `json:"type"`
-	Function string          `json:"function"`
-	Tenant   string          `json:"tenant,omitempty"`
-	Open     bool            `json:"open"`
-	Outcome  string          `json:"outcome,omitempty"`
-	Cause    string          `json:"cause,omitempty"`
-	Worker   string          `json:"worker,omitempty"`
-	Launches int             `json:"launches"`
-	Ago      float64         `json:"ago_s"`            // since it came in
-	Took     float64         `json:"took_s,omitempty"` // to its end
-	Left     float64         `json:"left_s,omitempty"` // of its client's time
-	Steps    []dispatch.Step `json:"steps,omitempty"`
-	Front    string          `json:"front_end"`
+// RequestStatus is one event, open or lately ended.
+type RequestStatus struct {
+	ID       string               `json:"id"`
+	Source   string               `json:"source"`
+	Type     string               `json:"type"`
+	Function string               `json:"function"`
+	Tenant   string               `json:"tenant,omitempty"`
+	Open     bool                 `json:"open"`
+	Outcome  string               `json:"outcome,omitempty"`
+	Cause    string               `json:"cause,omitempty"`
+	Worker   string               `json:"worker,omitempty"`
+	Launches int                  `json:"launches"`
+	Ago      float64              `json:"ago_s"`            // since it came in
+	Took     float64              `json:"took_s,omitempty"` // to its end
+	Left     float64              `json:"left_s,omitempty"` // of its client's time
+	Steps    []dispatch.TraceStep `json:"steps,omitempty"`
+	Front    string               `json:"front_end"`
 }
 
 // Timer is one entry of the crontab.
@@ -115,8 +115,8 @@
 	Next  *time.Time `json:"next,omitempty"`
 }
 
-// Order is what a console asks for.
-type Order struct {
+// Command is what a console asks for.
+type Command struct {
 	Order   string `json:"order"` // drain, return, hold, fire, unload, stop
 	Target  string `json:"target,omitempty"`
 	Now     bool   `json:"now,omitempty"`     // stop: do not wait for open events
@@ -126,7 +126,7 @@
 
 // listen opens the console's socket. One that is left over from a killed process is removed; one that answers means
 // that the box runs already.
-func (b *Box) listen() error {
+func (b *Appliance) listen() error {
 	c := b.cfg.Console
 	if c == nil {
 		return nil
@@ -164,7 +164,7 @@
 	return nil
 }
 
-func (b *Box) hush() {
+func (b *Appliance) hush() {
 	if b.hushed != nil {
 		b.hushed()
 	}
@@ -172,7 +172,7 @@
 
 func listenTCP(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
 
-func (b *Box) api() http.Handler {
+func (b *Appliance) api() http.Handler {
 	mux := http.NewServeMux()
 	get := func(path string, f func(r *http.Request) (any, error)) {
 		mux.HandleFunc("GET "+path, func(w http.ResponseWriter, r *http.Request) {
@@ -202,7 +202,7 @@
 		}
 		said, err := b.reg.change(c)
 		if err == nil {
-			b.log.Info("handlers", "said", said, "who", c.Who)
+			b.log.Info("handlers", "said", said, "who", c.Actor)
 		}
 		reply(w, map[string]string{"said": said}, err)
 	})
@@ -225,7 +225,7 @@
 		}
 	})
 	mux.HandleFunc("POST /v1/orders", func(w http.ResponseWriter, r *http.Request) {
-		var o Order
+		var o Command
 		d := json.NewDecoder(io.LimitReader(r.Body, 1<<16))
 		d.DisallowUnknownFields()
 		if err := d.Decode(&o); err != nil {
@@ -238,7 +238,7 @@
 	return mux
 }
 
-func (b *Box) telling() http.Handler {
+func (b *Appliance) telling() http.Handler {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.teller == nil || b.life.State < Serving {
@@ -270,7 +270,7 @@
 }
 
 // order carries out what a console asks for: one console at a time, the others are told which.
-func (b *Box) order(o Order) (string, error) {
+func (b *Appliance) order(o Command) (string, error) {
 	if o.Console == "" {
 		o.Console = "unnamed"
 	}
@@ -294,15 +294,15 @@
 	switch o.Order {
 	case "stop":
 		if o.Now {
-			b.move(AskNow, "console "+o.Console)
+			b.move(ImmediateStopRequested, "console "+o.Console)
 			return "the box answers what is open and stops", nil
 		}
-		b.move(AskStop, "console "+o.Console)
+		b.move(StopRequested, "console "+o.Console)
 		return fmt.Sprintf("the box drains for up to %v s and stops", b.cfg.StopWithin), nil
 	case "drain", "return":
 		known := false
 		for _, f := range b.serving() {
-			k, err := f.Drain(control.WorkerID(o.Target), o.Order == "drain")
+			k, err := f.DrainWorker(control.WorkerID(o.Target), o.Order == "drain")
 			if err != nil {
 				return "", err
 			}
@@ -324,7 +324,7 @@
 	case "unload":
 		asked := 0
 		for _, f := range b.serving() {
-			n, err := f.Unload(o.Target)
+			n, err := f.UnloadReplicas(o.Target)
 			if err != nil {
 				return "", err
 			}
@@ -338,7 +338,7 @@
 	return b.timerOrder(o)
 }
 
-func (b *Box) timerOrder(o Order) (string, error) {
+func (b *Appliance) timerOrder(o Command) (string, error) {
 	b.mu.Lock()
 	var entry *schedule.Entry
 	var names []string
@@ -370,14 +370,14 @@
 	}
 	b.mu.Unlock()
 	due := time.Now().Truncate(time.Minute)
-	f := schedule.Firing{Entry: entry, Due: due, ID: schedule.ID(entry, due)}
+	f := schedule.Firing{Entry: entry, Due: due, ID: schedule.FiringID(entry, due)}
 	if err := b.fire([]schedule.Firing{f}); err != nil {
 		return "", err
 	}
 	return "fired " + f.ID, nil
 }
 
-func (b *Box) status() Status {
+func (b *Appliance) status() Status {
 	b.mu.Lock()
 	s := Status{Name: b.cfg.Name, State: b.life.State.String(), Reason: b.life.Reason, Process: os.Getpid(), Uptime: b.seconds(),
 		FrontEnds: slices.Clone(b.addrs), Totals: map[string]uint64{}, Latency: map[string]float64{}, Workers: map[string]int{}}
@@ -395,7 +395,7 @@
 		s.Writer, s.WriterIdle = b.writer.name, time.Since(b.writer.seen).Seconds()
 	}
 	if b.chores != nil {
-		s.Chores = b.chores.View(b.seconds())
+		s.Tasks = b.chores.View(b.seconds())
 	}
 	store, state := b.store, b.life.State
 	b.mu.Unlock()
@@ -404,10 +404,10 @@
 		if err != nil {
 			continue
 		}
-		s.Open, s.Out, s.Clients = s.Open+n.Open, s.Out+n.Out, s.Clients+clients
-		for name, v := range map[string]uint64{"taken": n.Taken, "joined": n.Joined, "from_kept": n.FromKept, "handled": n.Handled,
-			"deferred": n.Deferred, "dead_lettered": n.DeadLettered, "launches": n.Launches, "orders": n.Orders,
-			"abandoned": n.Abandoned, "hung_up": n.HungUp} {
+		s.Open, s.Out, s.Clients = s.Open+n.Open, s.Out+n.InFlight, s.Clients+clients
+		for name, v := range map[string]uint64{"taken": n.Accepted, "joined": n.Deduplicated, "from_kept": n.Replayed, "handled": n.Succeeded,
+			"deferred": n.Rejected, "dead_lettered": n.Failed, "launches": n.Attempts, "orders": n.LoadCommands,
+			"abandoned": n.TimedOut, "hung_up": n.Cancelled} {
 			s.Totals[name] += v
 		}
 	}
@@ -415,9 +415,9 @@
 		s.Workers[w.State]++
 	}
 	s.Handlers = len(b.handlers())
-	if store != nil && state > Starting && state < Writing {
-		v := &StoreView{Bytes: store.Size(), Notes: int(store.Notes.Load()), Syncs: int(store.Syncs.Load()), SetAside: b.found.SetAside, Restored: len(b.found.Events)}
-		if err := store.Failed(); err != nil {
+	if store != nil && state > Starting && state < Persisting {
+		v := &StoreView{Bytes: store.Size(), Notes: int(store.Records.Load()), Syncs: int(store.Syncs.Load()), SetAside: b.found.QuarantinePath, Restored: len(b.found.Records)}
+		if err := store.Err(); err != nil {
 			v.Failed = err.Error()
 		}
 		s.Store = v
@@ -426,85 +426,85 @@
 }
 
 // workers puts together what the front ends believe; each sees only its own traffic.
-func (b *Box) workers() []Worker {
+func (b *Appliance) workers() []Worker {
 	list := []Worker{}
 	at := map[string]int{}
 	for _, f := range b.serving() {
-		ordered := f.Drained()
-		f.Do(func(c *dispatch.Core) {
-			views, _ := c.Believed()
+		ordered := f.DrainedWorkers()
+		f.DoDispatcher(func(c *dispatch.Dispatcher) {
+			views, _ := c.RoutingView()
 			for _, v := range views {
 				i, known := at[string(v.ID)]
 				if !known {
 					i = len(list)
 					at[string(v.ID)] = i
-					list = append(list, Worker{Name: string(v.ID), Kind: string(v.Kind), Zone: string(v.Zone)})
+					list = append(list, Worker{Name: string(v.ID), Kind: string(v.MachineType), Zone: string(v.Zone)})
 				}
 				w := &list[i]
 				switch {
-				case v.Phase == control.Draining:
+				case v.State == control.Draining:
 					w.State = "draining"
-				case v.Aside > 0:
+				case v.EjectedFor > 0:
 					w.State = "set-aside"
 				case w.State == "":
 					w.State = "serving"
-					if v.Warmth < 1 {
+					if v.WarmUpProgress < 1 {
 						w.State = "cold"
 					}
 				}
 				w.Ordered = slices.Contains(ordered, w.Name)
-				w.Out, w.Room, w.Load = w.Out+v.Out, w.Room+v.Room, max(w.Load, v.Load)
-				w.Warmth, w.Copies, w.Loading = v.Warmth, max(w.Copies, v.Copies), w.Loading+v.Loading
+				w.Out, w.Room, w.Load = w.Out+v.InFlight, w.Room+v.ConcurrencyLimit, max(w.Load, v.Load)
+				w.Warmth, w.Copies, w.Loading = v.WarmUpProgress, max(w.Copies, v.Replicas), w.Loading+v.PendingLoads
 			}
 		})
 	}
 	return list
 }
 
-func (b *Box) handlers() []Handler {
-	list := []Handler{}
+func (b *Appliance) handlers() []FunctionStatus {
+	list := []FunctionStatus{}
 	at := map[string]int{}
 	for _, f := range b.serving() {
-		f.Do(func(c *dispatch.Core) {
-			_, views := c.Believed()
+		f.DoDispatcher(func(c *dispatch.Dispatcher) {
+			_, views := c.RoutingView()
 			for _, v := range views {
 				i, known := at[string(v.ID)]
 				if !known {
 					i = len(list)
 					at[string(v.ID)] = i
-					list = append(list, Handler{Name: string(v.ID), Lanes: v.Lanes, Warm: []string{}})
+					list = append(list, FunctionStatus{Name: string(v.ID), Lanes: v.Concurrency, Warm: []string{}})
 				}
 				h := &list[i]
-				for _, wk := range v.Warm {
+				for _, wk := range v.Replicas {
 					if !slices.Contains(h.Warm, string(wk)) {
 						h.Warm = append(h.Warm, string(wk))
 					}
 				}
-				if v.Ordered != "" && !slices.Contains(h.Loading, string(v.Ordered)) {
-					h.Loading = append(h.Loading, string(v.Ordered))
+				if v.PendingLoadOn != "" && !slices.Contains(h.Loading, string(v.PendingLoadOn)) {
+					h.Loading = append(h.Loading, string(v.PendingLoadOn))
 				}
-				h.Out, h.Waiting = h.Out+v.Out, h.Waiting+v.Waiting
-				h.Median = max(h.Median, v.Median*1000)
+				h.Out, h.Waiting = h.Out+v.InFlight, h.Waiting+v.Waiters
+				h.Median = max(h.Median, v.MedianLatency*1000)
 			}
 		})
 	}
-	slices.SortFunc(list, func(a, b Handler) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(list, func(a, b FunctionStatus) int { return strings.Compare(a.Name, b.Name) })
 	return list
 }
 
-func (b *Box) events(most int) []Event {
-	var list []Event
+func (b *Appliance) events(most int) []RequestStatus {
+	var list []RequestStatus
 	for _, f := range b.serving() {
-		f.Do(func(c *dispatch.Core) {
-			for _, t := range c.Open() {
+		f.DoDispatcher(func(c *dispatch.Dispatcher) {
+			for _, t := range c.OpenTraces() {
 				list = append(list, shown(&t, f.Addr()))
 			}
-			for _, t := range c.Lately() {
+			for _, t := range c.EndedTraces() {
 				list = append(list, shown(t, f.Addr()))
 			}
 		})
 	}
-	slices.SortStableFunc(list, func(a, b Event) int {
+	slices.SortStableFunc(list, func(a, b RequestStatus) int {
 		switch {
 		case a.Open != b.Open && a.Open:
 			return -1
@@ -517,14 +517,14 @@
 		}
 		return 0
 	})
-	return append([]Event{}, list[:min(len(list), most)]...)
+	return append([]RequestStatus{}, list[:min(len(list), most)]...)
 }
 
-func (b *Box) explain(id string) (any, error) {
+func (b *Appliance) explain(id string) (any, error) {
 	for _, f := range b.serving() {
 		var t dispatch.Trace
 		found := false
-		f.Do(func(c *dispatch.Core) { t, found = c.Explain(id) })
+		f.DoDispatcher(func(c *dispatch.Dispatcher) { t, found = c.Explain(id) })
 		if found {
 			e := shown(&t, f.Addr())
 			e.Steps = t.Steps
@@ -534,21 +534,21 @@
 	return nil, refusal{http.StatusNotFound, fmt.Sprintf("no event %q is open or ended lately", id)}
 }
 
-func shown(t *dispatch.Trace, front string) Event {
+func shown(t *dispatch.Trace, front string) RequestStatus {
 	now := netNow()
-	e := Event{ID: t.Identity.ID, Source: t.Identity.Source, Type: t.Type, Function: t.Function, Tenant: t.Tenant, Open: t.Open,
-		Ago: now - t.Began, Front: front}
-	a := t.Answer
-	e.Worker, e.Launches = a.Worker, a.Launches
+	e := RequestStatus{ID: t.Identity.ID, Source: t.Identity.Source, Type: t.Class, Function: t.Function, Tenant: t.Tenant, Open: t.Open,
+		Ago: now - t.StartedAt, Front: front}
+	a := t.Response
+	e.Worker, e.Launches = a.Worker, a.Attempts
 	if t.Open {
-		e.Left = t.Left
+		e.Left = t.TimeLeft
 		return e
 	}
-	e.Outcome, e.Cause, e.Took = a.Kind.String(), a.Cause.String(), a.After
+	e.Outcome, e.Cause, e.Took = a.Kind.String(), a.Cause.String(), a.Elapsed
 	return e
 }
 
-func (b *Box) timers() []Timer {
+func (b *Appliance) timers() []Timer {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	list := []Timer{}
--- a/internal/appliance/box.go
+++ b/internal/appliance/box.go
@@ -24,8 +24,8 @@
 	"streamcleat/internal/telemetry"
 )
 
-// Box is one running process. It carries out what Life, Chores and the timers' plan decide.
-type Box struct {
+// Appliance is one running process. It carries out what Life, Chores and the timers' plan decide.
+type Appliance struct {
 	cfg     *config.Config
 	log     *slog.Logger
 	began   time.Time
@@ -34,8 +34,8 @@
 	byAddr  map[string]*eventloop.Server
 	addrs   []string
 	store   *storage.Store
-	found   *storage.Found
-	teller  *telemetry.Teller
+	found   *storage.RecoveredState
+	teller  *telemetry.Recorder
 	closers []func() error
 	ready   func(addrs []string)
 	hushed  func() error // closes the console's socket
@@ -44,8 +44,8 @@
 	reg functionRegistry
 
 	mu     sync.Mutex
-	life   Life
-	chores *Chores
+	life   Lifecycle
+	chores *TaskScheduler
 	plan   *schedule.Plan
 	tab    []byte // the crontab's text
 	list   []schedule.Entry
@@ -58,7 +58,7 @@
 }
 
 type move struct {
-	h      Happening
+	h      LifecycleEvent
 	reason string
 }
 
@@ -79,22 +79,22 @@
 
 // choresFor are the box's background work. Compaction and expiry keep the state bounded; the tick makes a restart
 // count the time of service. Functions of timers that are due soon are loaded ahead, where the decisions see fit.
-func choresFor(stored, timed, keyed bool) (list []Chore) {
-	list = append(list, Chore{Name: "rollouts", Every: 0.2, Priority: 4, Slice: 0.05, Urgent: true})
+func choresFor(stored, timed, keyed bool) (list []BackgroundTask) {
+	list = append(list, BackgroundTask{Name: "rollouts", Interval: 0.2, Priority: 4, SliceDuration: 0.05, Urgent: true})
 	if timed {
-		list = append(list, Chore{Name: "ahead", Every: 1, Priority: 4, Slice: 0.05, Share: 0.05},
-			Chore{Name: "crontab", Every: 2, Priority: 1, Slice: 0.1, Share: 0.02, Patience: 60})
+		list = append(list, BackgroundTask{Name: "ahead", Interval: 1, Priority: 4, SliceDuration: 0.05, MaxTimeShare: 0.05},
+			BackgroundTask{Name: "crontab", Interval: 2, Priority: 1, SliceDuration: 0.1, MaxTimeShare: 0.02, MaxDelay: 60})
 	}
 	if keyed {
-		list = append(list, Chore{Name: "keys", Every: 2, Priority: 2, Slice: 0.1, Share: 0.02, Patience: 10})
+		list = append(list, BackgroundTask{Name: "keys", Interval: 2, Priority: 2, SliceDuration: 0.1, MaxTimeShare: 0.02, MaxDelay: 10})
 	}
 	if !stored {
 		return list
 	}
-	return append(list, []Chore{
-		{Name: "tick", Every: 1, Priority: 3, Slice: 0.05, Urgent: true},
-		{Name: "expiry", Every: 5, Priority: 2, Slice: 0.02, Share: 0.05, Patience: 30},
-		{Name: "compaction", Every: 600, Priority: 1, Slice: 1, Share: 0.05, Patience: 1800},
+	return append(list, []BackgroundTask{
+		{Name: "tick", Interval: 1, Priority: 3, SliceDuration: 0.05, Urgent: true},
+		{Name: "expiry", Interval: 5, Priority: 2, SliceDuration: 0.02, MaxTimeShare: 0.05, MaxDelay: 30},
+		{Name: "compaction", Interval: 600, Priority: 1, SliceDuration: 1, MaxTimeShare: 0.05, MaxDelay: 1800},
 	}...)
 }
 
@@ -106,21 +106,21 @@
 // Run runs a box until it is stopped; ctx ending asks it to stop in order, and hurry makes it stop now. ready is
 // called with the front ends' addresses once it serves; it may be nil.
 func Run(ctx context.Context, cfg *config.Config, log *slog.Logger, hurry <-chan struct{}, ready func([]string)) error {
-	b := &Box{cfg: cfg, log: log, began: time.Now(), moves: make(chan move, 64), byAddr: map[string]*eventloop.Server{},
-		held: map[string]bool{}, fired: map[string]time.Time{}, hold: true, ready: ready, found: &storage.Found{Fresh: true}}
+	b := &Appliance{cfg: cfg, log: log, began: time.Now(), moves: make(chan move, 64), byAddr: map[string]*eventloop.Server{},
+		held: map[string]bool{}, fired: map[string]time.Time{}, hold: true, ready: ready, found: &storage.RecoveredState{Created: true}}
 	b.ended.latency = hdrhistogram.New(1, 60_000_000, 2)
 	stop := make(chan struct{})
 	defer close(stop)
 	go func() {
 		select {
 		case <-ctx.Done():
-			b.move(AskStop, "signal")
+			b.move(StopRequested, "signal")
 		case <-stop:
 			return
 		}
 		select {
 		case <-hurry:
-			b.move(AskNow, "second signal")
+			b.move(ImmediateStopRequested, "second signal")
 		case <-stop:
 		}
 	}()
@@ -132,7 +132,7 @@
 	for m := range b.moves {
 		b.mu.Lock()
 		before := b.life.State
-		acts := b.life.On(m.h, m.reason)
+		acts := b.life.Handle(m.h, m.reason)
 		after := b.life.State
 		b.mu.Unlock()
 		if before != after {
@@ -148,7 +148,7 @@
 	return nil
 }
 
-func (b *Box) move(h Happening, reason string) {
+func (b *Appliance) move(h LifecycleEvent, reason string) {
 	select {
 	case b.moves <- move{h, reason}:
 	default: // the box is past caring
@@ -156,41 +156,41 @@
 }
 
 // fail notes the first thing that broke.
-func (b *Box) fail(err error) {
+func (b *Appliance) fail(err error) {
 	b.mu.Lock()
 	if b.err == nil {
 		b.err = err
 	}
 	b.mu.Unlock()
-	b.move(Broke, err.Error())
+	b.move(Failed, err.Error())
 }
 
 // act carries out one act. What takes long goes on beside and comes back as a happening.
-func (b *Box) act(a Act) {
+func (b *Appliance) act(a Action) {
 	switch a {
 	case Recover:
 		go b.recover()
-	case FireTimers:
+	case StartSchedules:
 		b.mu.Lock()
 		b.hold = false
 		b.mu.Unlock()
 		go b.fireLoop()
-	case HoldTimers:
+	case SuspendSchedules:
 		b.mu.Lock()
 		b.hold = true
 		b.mu.Unlock()
-	case CloseDoors:
+	case StopListening:
 		for _, f := range b.fronts {
-			f.Close()
+			f.StopListening()
 		}
-	case StartClock:
+	case StartDrainTimer:
 		within := time.Duration(b.cfg.StopWithin * float64(time.Second))
 		b.mu.Lock()
 		b.until = time.Now().Add(within)
 		b.mu.Unlock()
-		time.AfterFunc(within, func() { b.move(TimeUp, "drain time over") })
+		time.AfterFunc(within, func() { b.move(DrainTimeout, "drain time over") })
 		go b.awaitQuiet()
-	case AnswerAll:
+	case TerminateRequests:
 		go func() {
 			var ended sync.WaitGroup
 			for _, f := range b.fronts {
@@ -201,9 +201,9 @@
 				})
 			}
 			ended.Wait()
-			b.move(Answered, "")
+			b.move(RequestsTerminated, "")
 		}()
-	case WriteState:
+	case CloseStore:
 		go func() {
 			for _, c := range b.closers {
 				if err := c(); err != nil {
@@ -215,14 +215,14 @@
 					b.log.Error("the state was not closed in order", "error", err)
 				}
 			}
-			b.move(Written, "")
+			b.move(StoreClosed, "")
 		}()
 	case CloseSocket:
 		b.hush()
 	}
 }
 
-func (b *Box) awaitQuiet() {
+func (b *Appliance) awaitQuiet() {
 	for {
 		quiet := true
 		for _, f := range b.fronts {
@@ -230,7 +230,7 @@
 			quiet = quiet && (err != nil || n.Open == 0)
 		}
 		if quiet {
-			b.move(Quiet, "")
+			b.move(RequestsDrained, "")
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -238,42 +238,42 @@
 }
 
 // open opens the state folder.
-func (b *Box) open() {
+func (b *Appliance) open() {
 	if b.cfg.State != nil {
 		var err error
 		b.store, b.found, err = storage.OpenStore(b.cfg.Path(b.cfg.State.Dir),
-			storage.Options{Remember: b.cfg.Limits.Remember, Log: b.log})
+			storage.Options{Retention: b.cfg.Limits.Remember, Log: b.log})
 		if err != nil {
 			b.fail(err)
 			return
 		}
-		b.log.Info("state", "events", len(b.found.Events), "own", len(b.found.Own), "clean", b.found.Clean, "fresh", b.found.Fresh,
-			"set_aside", b.found.SetAside)
-		if err := b.store.Config(b.cfg.Document()); err != nil {
+		b.log.Info("state", "events", len(b.found.Records), "own", len(b.found.ScheduledRequests), "clean", b.found.CleanShutdown, "fresh", b.found.Created,
+			"set_aside", b.found.QuarantinePath)
+		if err := b.store.SaveConfig(b.cfg.Document()); err != nil {
 			b.fail(err)
 			return
 		}
 	}
-	if err := b.reg.open(b.store, b.found.Trail); err != nil {
+	if err := b.reg.open(b.store, b.found.AuditTrail); err != nil {
 		b.fail(err)
 		return
 	}
-	if h := b.cfg.Handlers; h != nil {
+	if h := b.cfg.Registry; h != nil {
 		if err := b.reg.rekey(b.cfg.Path(h.Keys), b.log); err != nil {
 			b.fail(err)
 			return
 		}
 	}
 	b.mu.Lock()
-	b.chores = NewChores(b.seconds(), choresFor(b.store != nil, b.cfg.Timers != nil, b.cfg.Handlers != nil)...)
+	b.chores = NewTaskScheduler(b.seconds(), choresFor(b.store != nil, b.cfg.Timers != nil, b.cfg.Registry != nil)...)
 	b.mu.Unlock()
-	b.move(Opened, "")
+	b.move(StoreOpened, "")
 }
 
-func (b *Box) seconds() float64 { return time.Since(b.began).Seconds() }
+func (b *Appliance) seconds() float64 { return time.Since(b.began).Seconds() }
 
 // recover starts the front ends with what was kept, and begins again what the box itself had open.
-func (b *Box) recover() {
+func (b *Appliance) recover() {
 	if err := b.startTelling(); err != nil {
 		b.fail(err)
 		return
@@ -288,21 +288,21 @@
 			return
 		}
 	}
-	for _, o := range b.found.Own {
-		b.log.Info("begun again after a restart", "event", o.Ask.Identity.String(), "due", o.Due)
-		b.take(o.Ask, o.Until, 1)
+	for _, o := range b.found.ScheduledRequests {
+		b.log.Info("begun again after a restart", "event", o.Request.Identity.String(), "due", o.Due)
+		b.take(o.Request, o.Deadline, 1)
 	}
 	if b.ready != nil {
 		b.ready(b.addrs)
 	}
-	b.move(Recovered, "")
+	b.move(StateRecovered, "")
 }
 
-func (b *Box) startTelling() error {
-	set := telemetry.Settings{Gauges: b.gauges, TargetTime: func(t string) float64 {
-		for _, e := range b.cfg.EventTypes {
+func (b *Appliance) startTelling() error {
+	set := telemetry.Settings{Gauges: b.gauges, LatencyObjective: func(t string) float64 {
+		for _, e := range b.cfg.RequestClasses {
 			if e.Name == t {
-				return e.TargetTime
+				return e.LatencyObjective
 			}
 		}
 		return 0
@@ -331,7 +331,7 @@
 	return nil
 }
 
-func (b *Box) startFronts() error {
+func (b *Appliance) startFronts() error {
 	c := b.cfg
 	if c.Workers.File == "" {
 		b.log.Warn("no list of workers is configured (workers.file): every event will be deferred")
@@ -341,13 +341,13 @@
 		if len(c.Listen) > 1 {
 			name = fmt.Sprintf("%s-%d", c.Name, i)
 		}
-		core := c.Core(rand.Uint64())
-		core.Bind, core.MayRun = b.bind, b.reg.mayRun
-		set := eventloop.Settings{Listen: addr, WorkersFile: c.Path(c.Workers.File), Settings: proxy.Settings{Name: name, Core: core,
-			Pool: c.Pool(name), Front: c.Front(), MostConns: c.Limits.Connections, Log: b.log, Kept: b.found.Events, Known: b.found.Known,
-			Ended: b.note, KeepWithin: c.Limits.Margin / 2}}
+		core := c.Dispatch(rand.Uint64())
+		core.ResolveVersion, core.VersionAllowed = b.bind, b.reg.mayRun
+		set := eventloop.Settings{Listen: addr, WorkersFile: c.Path(c.Workers.File), Settings: proxy.Settings{Name: name, Dispatch: core,
+			Upstream: c.Upstream(name), Downstream: c.Downstream(), MaxClients: c.Limits.Connections, Log: b.log, Recovered: b.found.Records, ReplicaSnapshots: b.found.Replicas,
+			OnRequestEnd: b.note, RecordTimeout: c.Limits.Margin / 2}}
 		if b.store != nil {
-			set.Keeper = b.store
+			set.RecordStore = b.store
 		}
 		if p := c.Peers; p != nil {
 			set.PeerListen, set.Cluster, set.Peers = p.Listen[i], p.Cluster, append(set.Peers, p.Others...)
@@ -368,20 +368,20 @@
 	}
 	for _, a := range b.fronts[0].Lost() {
 		b.log.Error("dead-lettered at the restart: it may have run and must not run again", "event", a.Identity.String(),
-			"type", a.EventType, "function", a.FunctionID)
+			"type", a.Class, "function", a.Function)
 	}
 	return nil
 }
 
-func (b *Box) planTimers() error {
-	for k, v := range b.found.Fired {
+func (b *Appliance) planTimers() error {
+	for k, v := range b.found.LastFirings {
 		b.fired[k] = v
 	}
 	return b.rereadTimers()
 }
 
 // rereadTimers plans by the crontab if it differs from the last one. A faulty one leaves the last in force.
-func (b *Box) rereadTimers() error {
+func (b *Appliance) rereadTimers() error {
 	path := b.cfg.Path(b.cfg.Timers.Crontab)
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -406,9 +406,9 @@
 }
 
 // loadVersion has every front end order a copy of a version, where the decisions see fit.
-func (b *Box) loadVersion(ref string) error {
+func (b *Appliance) loadVersion(ref string) error {
 	for _, f := range b.serving() {
-		if _, err := f.Ahead("", ref); err != nil {
+		if _, err := f.Preload("", ref); err != nil {
 			return err
 		}
 	}
@@ -416,14 +416,14 @@
 }
 
 // stands tells whether every front end believes that a copy of a version stands.
-func (b *Box) stands(id string) bool {
+func (b *Appliance) stands(id string) bool {
 	all := true
 	for _, f := range b.serving() {
 		one := false
-		err := f.Do(func(c *dispatch.Core) {
-			_, functions := c.Believed()
+		err := f.DoDispatcher(func(c *dispatch.Dispatcher) {
+			_, functions := c.RoutingView()
 			for _, x := range functions {
-				one = one || string(x.ID) == id && len(x.Warm) > 0
+				one = one || string(x.ID) == id && len(x.Replicas) > 0
 			}
 		})
 		all = all && one && err == nil
@@ -433,11 +433,11 @@
 
 // prepare has copies of versions that a rollout is going to loaded ahead, within the ration, so that the first event
 // of the new version does not wait for its load. The old copies stay until nobody asks for them.
-func (b *Box) prepare(until time.Time) error {
+func (b *Appliance) prepare(until time.Time) error {
 	orders := 0
 	for _, v := range b.reg.coming() {
 		for _, f := range b.serving() {
-			ordered, err := f.Ahead("", v)
+			ordered, err := f.Preload("", v)
 			if err != nil {
 				return err
 			}
@@ -453,17 +453,17 @@
 }
 
 // loadAhead has functions loaded whose timers are due before a loaded copy would lapse again.
-func (b *Box) loadAhead(until time.Time) error {
+func (b *Appliance) loadAhead(until time.Time) error {
 	b.mu.Lock()
 	list, held := b.list, maps.Clone(b.held)
 	b.mu.Unlock()
 	span := time.Duration(b.cfg.Workers.KeepWarm / 2 * float64(time.Second))
 	orders := 0
-	for _, f := range schedule.Soon(list, time.Now(), span) {
+	for _, f := range schedule.DueWithin(list, time.Now(), span) {
 		if held[f.Entry.Key()] {
 			continue
 		}
-		ordered, err := b.byAddr[schedule.Ranked(b.addrs, f.ID)[0]].Ahead(f.Entry.Type, f.Entry.Function)
+		ordered, err := b.byAddr[schedule.RendezvousOrder(b.addrs, f.ID)[0]].Preload(f.Entry.Class, f.Entry.Function)
 		if err != nil {
 			return err
 		}
@@ -479,25 +479,25 @@
 
 // take begins an event of the box itself at the front end that a timer client of the same crontab would ask. A
 // deferred one is tried again until its time is over.
-func (b *Box) take(ask dispatch.Ask, until time.Time, tries int) {
-	front := b.byAddr[schedule.Ranked(b.addrs, ask.ID)[0]]
-	err := front.Take(ask, func(a dispatch.Answer) {
+func (b *Appliance) take(ask dispatch.Request, until time.Time, tries int) {
+	front := b.byAddr[schedule.RendezvousOrder(b.addrs, ask.ID)[0]]
+	err := front.Submit(ask, func(a dispatch.Response) {
 		switch {
-		case a.Cause == dispatch.Stopping && a.Kind == dispatch.Deferred: // it goes on at the restart
+		case a.Cause == dispatch.CauseShuttingDown && a.Kind == dispatch.Rejected: // it goes on at the restart
 			return
-		case a.Kind == dispatch.Deferred:
-			pause, again := schedule.Again(until, time.Now(), tries, time.Duration(a.Pause*float64(time.Second)))
+		case a.Kind == dispatch.Rejected:
+			pause, again := schedule.NextRetry(until, time.Now(), tries, time.Duration(a.RetryAfter*float64(time.Second)))
 			if again {
 				time.AfterFunc(pause, func() { b.take(ask, until, tries+1) })
 				return
 			}
 		}
-		if a.Kind != dispatch.Handled {
+		if a.Kind != dispatch.Succeeded {
 			b.log.Error("a timer's event was not handled", "event", ask.Identity.String(), "outcome", a.Kind.String(), "cause",
 				a.Cause.String(), "tries", tries)
 		}
 		if b.store != nil {
-			b.store.Answered(ask.Identity)
+			b.store.ScheduledRequestDone(ask.Identity)
 		}
 	})
 	if err != nil {
@@ -507,7 +507,7 @@
 
 // fireLoop fires what is due. A firing is on disk before its event begins: a restart neither loses a minute nor
 // fires it twice.
-func (b *Box) fireLoop() {
+func (b *Appliance) fireLoop() {
 	if b.cfg.Timers == nil {
 		return
 	}
@@ -544,20 +544,20 @@
 	}
 }
 
-func (b *Box) source() string {
+func (b *Appliance) source() string {
 	if b.cfg.Timers != nil && b.cfg.Timers.Source != "" {
 		return b.cfg.Timers.Source
 	}
 	return "/timers/" + b.cfg.Name
 }
 
-func (b *Box) fire(list []schedule.Firing) error {
+func (b *Appliance) fire(list []schedule.Firing) error {
 	var notes []storage.Firing
 	for _, f := range list {
-		notes = append(notes, storage.Firing{Entry: f.Entry.Key(), Due: f.Due, Until: f.Until(), Ask: ask(b.source(), f)})
+		notes = append(notes, storage.Firing{Entry: f.Entry.Key(), Due: f.Due, Deadline: f.Deadline(), Request: ask(b.source(), f)})
 	}
 	if b.store != nil {
-		if err := b.store.Fired(notes); err != nil {
+		if err := b.store.RecordFirings(notes); err != nil {
 			return err
 		}
 	}
@@ -567,15 +567,15 @@
 	}
 	b.mu.Unlock()
 	for _, n := range notes {
-		b.take(n.Ask, n.Until, 1)
+		b.take(n.Request, n.Deadline, 1)
 	}
 	return nil
 }
 
-func ask(source string, f schedule.Firing) dispatch.Ask {
+func ask(source string, f schedule.Firing) dispatch.Request {
 	e := f.Entry
 	fields := []dispatch.Field{{Name: "ce-specversion", Value: "1.0"}, {Name: "ce-source", Value: source},
-		{Name: "ce-id", Value: f.ID}, {Name: "ce-type", Value: e.Type}, {Name: "ce-time", Value: f.Due.UTC().Format(time.RFC3339)},
+		{Name: "ce-id", Value: f.ID}, {Name: "ce-type", Value: e.Class}, {Name: "ce-time", Value: f.Due.UTC().Format(time.RFC3339)},
 		{Name: "ce-function", Value: e.Function}}
 	if e.Tenant != "" {
 		fields = append(fields, dispatch.Field{Name: "ce-tenant", Value: e.Tenant})
@@ -583,30 +583,30 @@
 	if len(e.Data) > 0 {
 		fields = append(fields, dispatch.Field{Name: "Content-Type", Value: "application/json"})
 	}
-	return dispatch.Ask{Identity: dispatch.Identity{Source: source, ID: f.ID}, Type: e.Type, Tenant: e.Tenant,
-		Function: e.Function, Wait: e.Wait.Seconds(), Fields: fields, Body: e.Data}
+	return dispatch.Request{Identity: dispatch.Identity{Source: source, ID: f.ID}, Class: e.Class, Tenant: e.Tenant,
+		Function: e.Function, Timeout: e.Timeout.Seconds(), Fields: fields, Body: e.Data}
 }
 
 // note takes each ended event, on its front end's loop.
-func (b *Box) note(a dispatch.Answer, t *dispatch.Trace) {
-	b.teller.Ended(a, t)
+func (b *Appliance) note(a dispatch.Response, t *dispatch.Trace) {
+	b.teller.OnRequestEnd(a, t)
 	b.reg.seen(a)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := &b.ended.now
 	switch a.Kind {
-	case dispatch.Handled:
+	case dispatch.Succeeded:
 		s.Handled++
-		b.ended.latency.RecordValue(max(int64(a.After*1e6), 1))
-	case dispatch.Deferred:
+		b.ended.latency.RecordValue(max(int64(a.Elapsed*1e6), 1))
+	case dispatch.Rejected:
 		s.Deferred++
-	case dispatch.DeadLettered:
+	case dispatch.Failed:
 		s.DeadLettered++
 	}
 }
 
 // background gives slices to chores and turns the figures of each second over.
-func (b *Box) background(stop chan struct{}) {
+func (b *Appliance) background(stop chan struct{}) {
 	t := time.NewTicker(100 * time.Millisecond)
 	defer t.Stop()
 	turned := time.Now()
@@ -630,7 +630,7 @@
 }
 
 // busy is the share of its room that the box uses for traffic.
-func (b *Box) busy() float64 {
+func (b *Appliance) busy() float64 {
 	open := 0
 	for _, f := range b.serving() {
 		if n, _, _, err := f.Counts(); err == nil {
@@ -640,22 +640,22 @@
 	return float64(open) / float64(max(b.cfg.Limits.Open*len(b.cfg.Listen), 1))
 }
 
-func (b *Box) serving() []*eventloop.Server {
+func (b *Appliance) serving() []*eventloop.Server {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]*eventloop.Server(nil), b.fronts...)
 }
 
-func (b *Box) slice() {
+func (b *Appliance) slice() {
 	b.mu.Lock()
-	ready := b.chores != nil && b.life.State >= Serving && b.life.State < Finishing
+	ready := b.chores != nil && b.life.State >= Serving && b.life.State < Terminating
 	b.mu.Unlock()
 	if !ready {
 		return
 	}
 	busy := b.busy()
 	b.mu.Lock()
-	name, budget := b.chores.Pick(b.seconds(), busy)
+	name, budget := b.chores.Next(b.seconds(), busy)
 	b.mu.Unlock()
 	if name == "" {
 		return
@@ -669,7 +669,7 @@
 	case "crontab":
 		err = b.rereadTimers()
 	case "keys":
-		err = b.reg.rekey(b.cfg.Path(b.cfg.Handlers.Keys), b.log)
+		err = b.reg.rekey(b.cfg.Path(b.cfg.Registry.Keys), b.log)
 	case "rollouts":
 		if err = b.reg.judge(b.log); err == nil {
 			err = b.reg.step(b.seconds(), b.log, b.loadVersion, b.stands)
@@ -678,11 +678,11 @@
 			err = b.prepare(at.Add(time.Duration(budget * float64(time.Second))))
 		}
 	case "tick":
-		var known []dispatch.Known
+		var known []dispatch.ReplicaSnapshot
 		for _, f := range b.serving() {
-			known = append(known, f.Knows()...)
+			known = append(known, f.ReplicaSnapshots()...)
 		}
-		err = b.store.Tick(known)
+		err = b.store.SaveReplicas(known)
 	case "expiry":
 		for time.Since(at).Seconds() < budget {
 			n := 0
@@ -699,7 +699,7 @@
 	b.mu.Unlock()
 }
 
-func (b *Box) gauges() map[string]float64 {
+func (b *Appliance) gauges() map[string]float64 {
 	g := map[string]float64{}
 	for _, f := range b.serving() {
 		n, clients, backends, err := f.Counts()
@@ -707,9 +707,9 @@
 			continue
 		}
 		g["open_events"] += float64(n.Open)
-		g["launches_out"] += float64(n.Out)
-		g["answers_kept"] += float64(n.Kept)
-		g["answers_kept_bytes"] += float64(n.KeptBytes)
+		g["launches_out"] += float64(n.InFlight)
+		g["answers_kept"] += float64(n.Cached)
+		g["answers_kept_bytes"] += float64(n.CachedBytes)
 		g["client_connections"] += float64(clients)
 		g["worker_connections"] += float64(backends)
 	}
--- a/internal/appliance/box_test.go
+++ b/internal/appliance/box_test.go
@@ -158,9 +158,9 @@
 	return resp.StatusCode, string(data)
 }
 
-func (r *running) fire(kind, id string) schedule.Outcome {
-	c := &schedule.Client{Source: "/t", Fronts: []string{r.addr}, HTTP: &http.Client{Transport: &http.Transport{}}, MaxAge: 1500 * time.Millisecond}
-	return c.Fire(context.Background(), schedule.Firing{Entry: &schedule.Entry{Type: kind, Function: "tally"}, ID: id})
+func (r *running) fire(kind, id string) schedule.Result {
+	c := &schedule.Client{Source: "/t", FrontEnds: []string{r.addr}, HTTP: &http.Client{Transport: &http.Transport{}}, DefaultTimeout: 1500 * time.Millisecond}
+	return c.Fire(context.Background(), schedule.Firing{Entry: &schedule.Entry{Class: kind, Function: "tally"}, ID: id})
 }
 
 func (r *running) wait(what string, is func() bool) {
@@ -207,7 +207,7 @@
 	if r.log.has("begun again") {
 		t.Error("begun a second time")
 	}
-	if o := r.fire("again", "warm"); o.Status != 200 || !o.Replay {
+	if o := r.fire("again", "warm"); o.Status != 200 || !o.Replayed {
 		t.Errorf("a repeat after two restarts: %+v", o)
 	}
 }
@@ -222,8 +222,8 @@
 	if status, said := r.order(`{"order":"drain","target":"wk-1","console":"a"}`); status != 200 || !strings.Contains(said, "the last one") {
 		t.Error(status, said)
 	}
-	if o := r.fire("again", "2"); o.Status != 503 || o.Took > 500*time.Millisecond {
-		t.Errorf("with all workers drained: status %d after %v", o.Status, o.Took)
+	if o := r.fire("again", "2"); o.Status != 503 || o.Latency > 500*time.Millisecond {
+		t.Errorf("with all workers drained: status %d after %v", o.Status, o.Latency)
 	}
 	if status, said := r.order(`{"order":"drain","target":"wk-9","console":"a"}`); status != 404 || !strings.Contains(said, "wk-9") {
 		t.Error(status, said)
@@ -264,7 +264,7 @@
 		r.start()
 		r.fire("again", "warm")
 		r.workers[0].Inject(fakes.Fault{Kind: "stall", For: 0.6})
-		out := make(chan schedule.Outcome)
+		out := make(chan schedule.Result)
 		go func() { out <- r.fire("again", "open") }()
 		r.wait("it is out", func() bool { return r.status().Out == 1 })
 		r.stop()
@@ -297,7 +297,7 @@
 	}
 	write("61 0 1 1 * again tally\n")
 	r.wait("the fault is shown", func() bool {
-		for _, c := range r.status().Chores {
+		for _, c := range r.status().Tasks {
 			if c.Name == "crontab" && strings.Contains(c.LastErr, "crontab:1: schedule") {
 				return true
 			}
@@ -324,7 +324,7 @@
 	for n := range 3 {
 		r.fire("again", fmt.Sprint(n))
 	}
-	r.wait("it is noted", func() bool { s := r.status(); return len(s.Chores) > 0 && s.Chores[len(s.Chores)-3].Rounds >= 2 })
+	r.wait("it is noted", func() bool { s := r.status(); return len(s.Tasks) > 0 && s.Tasks[len(s.Tasks)-3].Rounds >= 2 })
 	r.stop()
 	r.end()
 	r.start()
--- a/internal/appliance/campaign_test.go
+++ b/internal/appliance/campaign_test.go
@@ -25,7 +25,7 @@
 	ran     map[dispatch.Identity]int
 	known   map[dispatch.Identity]bool // keyed events that the workers remember
 	types   map[dispatch.Identity]string
-	final   map[dispatch.Identity]dispatch.Kind
+	final   map[dispatch.Identity]dispatch.ResponseKind
 	minutes map[dispatch.Identity]bool // timer minutes that came due
 	lost    map[dispatch.Identity]bool // reported as dead-lettered
 	twice   string
@@ -41,7 +41,7 @@
 
 type flight struct {
 	from *boxLife
-	x    dispatch.Launch
+	x    dispatch.Attempt
 }
 
 // boxLife is one process of the box, down to the order of its writes: the real core, plan and store, on a disk that can
@@ -50,55 +50,55 @@
 	w      *outsideWorld
 	dead   *atomic.Bool
 	store  *storage.Store
-	core   *dispatch.Core
+	core   *dispatch.Dispatcher
 	plan   *schedule.Plan
 	m      *machineClock // the machine's clock
-	askers map[dispatch.Asker]dispatch.Identity
+	askers map[dispatch.WaiterID]dispatch.Identity
 	own    map[dispatch.Identity]bool
-	next   dispatch.Asker
-	notes  []dispatch.Note
+	next   dispatch.WaiterID
+	notes  []dispatch.Record
 	after  []func()
-	asks   map[dispatch.Identity]dispatch.Ask
-	again  []dispatch.Ask // of the box's own, deferred
-	orders []dispatch.Order
+	asks   map[dispatch.Identity]dispatch.Request
+	again  []dispatch.Request // of the box's own, deferred
+	orders []dispatch.LoadCommand
 }
 
-func (l *boxLife) Answer(to dispatch.Asker, a dispatch.Answer) {
+func (l *boxLife) Respond(to dispatch.WaiterID, a dispatch.Response) {
 	id := l.askers[to]
 	tell := func() {
-		if a.Kind != dispatch.Deferred {
-			if was, ok := l.w.final[id]; ok && was == dispatch.Handled && a.Kind != dispatch.Handled {
+		if a.Kind != dispatch.Rejected {
+			if was, ok := l.w.final[id]; ok && was == dispatch.Succeeded && a.Kind != dispatch.Succeeded {
 				l.w.twice = fmt.Sprintf("%v: %s after it was handled", id, a.Kind)
 			}
 			l.w.final[id] = a.Kind
 			if l.own[id] {
-				l.store.Answered(id)
+				l.store.ScheduledRequestDone(id)
 			}
 		} else if l.own[id] { // as the box does, where the time of the firing is not over
 			l.again = append(l.again, l.asks[id])
 		}
 	}
-	if a.Firm {
+	if a.AwaitsRecord {
 		l.after = append(l.after, tell)
 	} else if !l.dead.Load() {
 		tell()
 	}
 }
-func (l *boxLife) Launch(x dispatch.Launch) {
+func (l *boxLife) SendAttempt(x dispatch.Attempt) {
 	send := func() { l.w.flights = append(l.w.flights, flight{l, x}) }
-	if x.Firm {
+	if x.AwaitsRecord {
 		l.after = append(l.after, send)
 	} else if !l.dead.Load() {
 		send()
 	}
 }
-func (l *boxLife) Load(o dispatch.Order)                  { l.orders = append(l.orders, o) }
-func (l *boxLife) Abandon(uint64)                         {}
-func (l *boxLife) Withdraw(uint64) bool                   { return false }
-func (l *boxLife) Tell([]byte)                            {}
-func (l *boxLife) Keep(n dispatch.Note)                   { l.notes = append(l.notes, n) }
-func (l *boxLife) Ended(dispatch.Answer, *dispatch.Trace) {}
-func (l *boxLife) now() float64                           { return 1000 + l.m.now() }
+func (l *boxLife) SendLoad(o dispatch.LoadCommand)                 { l.orders = append(l.orders, o) }
+func (l *boxLife) Abandon(uint64)                                  {}
+func (l *boxLife) CancelUnsent(uint64) bool                        { return false }
+func (l *boxLife) Broadcast([]byte)                                {}
+func (l *boxLife) Store(n dispatch.Record)                         { l.notes = append(l.notes, n) }
+func (l *boxLife) OnRequestEnd(dispatch.Response, *dispatch.Trace) {}
+func (l *boxLife) now() float64                                    { return 1000 + l.m.now() }
 func wallOf(m float64) time.Time {
 	return time.Unix(1_800_000_000, 0).Add(time.Duration(m * float64(time.Second)))
 }
@@ -121,19 +121,19 @@
 		orders := l.orders
 		l.orders = nil
 		for _, o := range orders {
-			l.core.Loaded(l.now(), o.Job, control.Handled, 1)
+			l.core.OnLoadReply(l.now(), o.ID, control.Succeeded, 1)
 		}
 	}
 }
 
-func (l *boxLife) take(ask dispatch.Ask) {
+func (l *boxLife) take(ask dispatch.Request) {
 	if l.dead.Load() {
 		return
 	}
 	l.next++
 	l.askers[l.next] = ask.Identity
 	l.asks[ask.Identity] = ask
-	l.core.Take(l.now(), l.next, ask)
+	l.core.Submit(l.now(), l.next, ask)
 	l.settle()
 }
 
@@ -163,19 +163,19 @@
 		switch {
 		case f.from != l || l.dead.Load(): // nobody is there to hear of it
 		case rng.IntN(6) == 0:
-			l.core.Launched(l.now(), x.Job, dispatch.Reply{Result: control.Broken})
+			l.core.OnAttemptReply(l.now(), x.ID, dispatch.WorkerReply{Outcome: control.ConnectionLost})
 		default:
-			l.core.Launched(l.now(), x.Job, dispatch.Reply{Result: control.Handled, Body: []byte("ok")})
+			l.core.OnAttemptReply(l.now(), x.ID, dispatch.WorkerReply{Outcome: control.Succeeded, Body: []byte("ok")})
 		}
 		l.settle()
 	}
 }
 
 func begin(t *testing.T, w *outsideWorld, fs vfs.FS, m *machineClock, dead *atomic.Bool, entries []schedule.Entry, from time.Time) *boxLife {
-	l := &boxLife{w: w, dead: dead, m: m, askers: map[dispatch.Asker]dispatch.Identity{}, own: map[dispatch.Identity]bool{},
-		asks: map[dispatch.Identity]dispatch.Ask{}}
-	store, found, err := storage.OpenStore("state", storage.Options{FS: fs, Remember: 600,
-		Clock: func() storage.Stamp { return storage.Stamp{Boot: "a", Up: m.now()} }})
+	l := &boxLife{w: w, dead: dead, m: m, askers: map[dispatch.WaiterID]dispatch.Identity{}, own: map[dispatch.Identity]bool{},
+		asks: map[dispatch.Identity]dispatch.Request{}}
+	store, found, err := storage.OpenStore("state", storage.Options{FS: fs, Retention: 600,
+		Clock: func() storage.Timestamp { return storage.Timestamp{Boot: "a", Up: m.now()} }})
 	if err != nil {
 		if dead.Load() {
 			return nil
@@ -183,31 +183,31 @@
 		t.Fatal(err)
 	}
 	l.store = store
-	dep := &control.Deployment{FrontEnds: 1, MissAnswers: true, MayOrder: true, MaxLaunches: 4, MaxPause: 0.5, KeepWarm: 8, RoundGap: 0.004,
-		ColdShare: 0.3, WarmWithin: 10, FallFactor: 2.5, FallWindow: 1.5, EventTypes: []control.EventType{{Name: "again", TargetTime: 2, MaxAge: 4},
-			{Name: "keyed", TargetTime: 2, MaxAge: 4, Repeat: control.Keyed, Remembered: 300},
-			{Name: "once", TargetTime: 2, MaxAge: 4, Repeat: control.AtMostOnce}}}
-	l.core = dispatch.New(dispatch.Settings{Deployment: dep, Functions: func(string) dispatch.Function { return dispatch.Function{Lanes: 8} },
-		Margin: 0.05, OrderLimit: 5, MostOpen: 1000, Remember: 600, RememberMost: 1 << 20, Seed: 9}, l, l.now())
-	for _, a := range l.core.Restore(l.now(), found.Events) {
+	dep := &control.Deployment{FrontEnds: 1, MissIsAnswered: true, LoadCommandsAllowed: true, MaxAttempts: 4, MaxRetryAfter: 0.5, IdleReplicaLifetime: 8, MinRoundInterval: 0.004,
+		ColdShare: 0.3, WarmUpTime: 10, OverloadFactor: 2.5, OverloadWindow: 1.5, RequestClasses: []control.RequestClass{{Name: "again", LatencyObjective: 2, Timeout: 4},
+			{Name: "keyed", LatencyObjective: 2, Timeout: 4, Semantics: control.IdempotentByKey, DeduplicationWindow: 300},
+			{Name: "once", LatencyObjective: 2, Timeout: 4, Semantics: control.AtMostOnce}}}
+	l.core = dispatch.New(dispatch.Settings{Deployment: dep, Functions: func(string) dispatch.FunctionProfile { return dispatch.FunctionProfile{Concurrency: 8} },
+		ResponseMargin: 0.05, LoadTimeout: 5, MaxOpen: 1000, DeduplicationWindow: 600, MaxCachedBytes: 1 << 20, Seed: 9}, l, l.now())
+	for _, a := range l.core.Recover(l.now(), found.Records) {
 		w.lost[a.Identity] = true
 	}
-	l.core.Workers(l.now(), true, []control.Worker{{ID: "wk-a", Size: 1}, {ID: "wk-b", Size: 1}})
-	l.plan = schedule.Resume(entries, found.Fired, from)
-	for _, o := range found.Own {
-		l.own[o.Ask.Identity] = true
-		l.take(o.Ask)
+	l.core.OnEndpointUpdate(l.now(), true, []control.Worker{{ID: "wk-a", Weight: 1}, {ID: "wk-b", Weight: 1}})
+	l.plan = schedule.Resume(entries, found.LastFirings, from)
+	for _, o := range found.ScheduledRequests {
+		l.own[o.Request.Identity] = true
+		l.take(o.Request)
 	}
 	return l
 }
 
 // step is a minute of the box: what is due fires, clients ask, time passes, the workers work.
-func (l *boxLife) step(rng *rand.Rand, clients []dispatch.Ask) {
+func (l *boxLife) step(rng *rand.Rand, clients []dispatch.Request) {
 	l.m.add(60)
 	l.fire()
 	for _, c := range clients {
 		if _, done := l.w.final[c.Identity]; !done {
-			l.w.types[c.Identity] = c.Type
+			l.w.types[c.Identity] = c.Class
 			l.take(c)
 		}
 	}
@@ -227,14 +227,14 @@
 	var fire []storage.Firing
 	for _, f := range l.plan.Due(wallOf(l.m.now())) {
 		a := ask("/own", f)
-		l.w.types[a.Identity] = a.Type
+		l.w.types[a.Identity] = a.Class
 		l.w.minutes[a.Identity] = true
 		l.own[a.Identity] = true
-		fire = append(fire, storage.Firing{Entry: f.Entry.Key(), Due: f.Due, Until: f.Until(), Ask: a})
+		fire = append(fire, storage.Firing{Entry: f.Entry.Key(), Due: f.Due, Deadline: f.Deadline(), Request: a})
 	}
-	if len(fire) > 0 && l.store.Fired(fire) == nil && !l.dead.Load() {
+	if len(fire) > 0 && l.store.RecordFirings(fire) == nil && !l.dead.Load() {
 		for _, f := range fire {
-			l.take(f.Ask)
+			l.take(f.Request)
 		}
 	}
 }
@@ -246,7 +246,7 @@
 		t.Fatal(err)
 	}
 	w := &outsideWorld{ran: map[dispatch.Identity]int{}, known: map[dispatch.Identity]bool{}, types: map[dispatch.Identity]string{},
-		final: map[dispatch.Identity]dispatch.Kind{}, minutes: map[dispatch.Identity]bool{}, lost: map[dispatch.Identity]bool{}}
+		final: map[dispatch.Identity]dispatch.ResponseKind{}, minutes: map[dispatch.Identity]bool{}, lost: map[dispatch.Identity]bool{}}
 	rng := rand.New(rand.NewPCG(seed, 11))
 	mem := vfs.NewCrashableMem()
 	var writes atomic.Int64
@@ -262,10 +262,10 @@
 	m := &machineClock{}
 	from := wallOf(0)
 	box := begin(t, w, fs, m, &dead, entries, from)
-	var clients []dispatch.Ask
+	var clients []dispatch.Request
 	for i := range 12 {
-		clients = append(clients, dispatch.Ask{Identity: dispatch.Identity{Source: "/till", ID: fmt.Sprint(i)}, Function: "f",
-			Type: []string{"again", "keyed", "once"}[i%3]})
+		clients = append(clients, dispatch.Request{Identity: dispatch.Identity{Source: "/till", ID: fmt.Sprint(i)}, Function: "f",
+			Class: []string{"again", "keyed", "once"}[i%3]})
 	}
 	revive := func() {
 		if dead.Load() {
@@ -312,11 +312,11 @@
 	// No minute may be missing, also one that came due while the box was down.
 	for minute := from.Truncate(time.Minute).Add(time.Minute); !minute.After(w.reached); minute = minute.Add(time.Minute) {
 		for i := range entries {
-			id := dispatch.Identity{Source: "/own", ID: schedule.ID(&entries[i], minute)}
+			id := dispatch.Identity{Source: "/own", ID: schedule.FiringID(&entries[i], minute)}
 			if _, done := w.final[id]; !w.minutes[id] && w.ran[id] == 0 && !done {
 				t.Fatalf("%s: minute %v never fired", where, id)
 			}
-			if w.ran[id] == 0 && w.final[id] != dispatch.DeadLettered {
+			if w.ran[id] == 0 && w.final[id] != dispatch.Failed {
 				t.Fatalf("%s: minute %v never ran, and nobody was told: final %v", where, id, w.final)
 			}
 		}
--- a/internal/appliance/chores.go
+++ b/internal/appliance/chores.go
@@ -2,21 +2,21 @@
 
 import "math"
 
-// Chore is a kind of work in the background. It is done in slices, each within a budget, between which traffic has
+// BackgroundTask is a kind of work in the background. It is done in slices, each within a budget, between which traffic has
 // its way.
-type Chore struct {
-	Name     string
-	Every    float64 // seconds between the ends of rounds; 0: only when asked for
-	Priority int     // higher goes first
-	Slice    float64 // seconds that one slice may take
-	Share    float64 // of the time that it may use at most, over a minute
-	Patience float64 // seconds after which it goes even though the box is busy
-	Urgent   bool    // goes in a busy box too
+type BackgroundTask struct {
+	Name          string
+	Interval      float64 // seconds between the ends of rounds; 0: only when asked for
+	Priority      int     // higher goes first
+	SliceDuration float64 // seconds that one slice may take
+	MaxTimeShare  float64 // of the time that it may use at most, over a minute
+	MaxDelay      float64 // seconds after which it goes even though the box is busy
+	Urgent        bool    // goes in a busy box too
 }
 
 // chore is what is known of one while the process runs.
 type chore struct {
-	Chore
+	BackgroundTask
 	due      float64 // when the next round begins
 	since    float64 // when it became due; slices of a round that is under way stay due
 	running  bool
@@ -30,9 +30,9 @@
 	Waited   float64 // longest wait of a due slice
 }
 
-// Chores decide which background work goes when. They have no clock: each call brings the time in seconds, and
+// TaskScheduler decide which background work goes when. They have no clock: each call brings the time in seconds, and
 // busy, the share of its room that the box uses for traffic now.
-type Chores struct {
+type TaskScheduler struct {
 	list []*chore
 	busy float64
 }
@@ -44,21 +44,21 @@
 	failMost  = 16.0
 )
 
-// NewChores plans the first round of each one interval from now.
-func NewChores(now float64, list ...Chore) *Chores {
-	c := &Chores{}
+// NewTaskScheduler plans the first round of each one interval from now.
+func NewTaskScheduler(now float64, list ...BackgroundTask) *TaskScheduler {
+	c := &TaskScheduler{}
 	for _, ch := range list {
-		every := ch.Every
+		every := ch.Interval
 		if every == 0 {
 			every = math.Inf(1)
 		}
-		c.list = append(c.list, &chore{Chore: ch, due: now + every, since: now + every, spentAt: now})
+		c.list = append(c.list, &chore{BackgroundTask: ch, due: now + every, since: now + every, spentAt: now})
 	}
 	return c
 }
 
-// Ask makes a chore due now.
-func (c *Chores) Ask(now float64, name string) bool {
+// Request makes a chore due now.
+func (c *TaskScheduler) Request(now float64, name string) bool {
 	for _, ch := range c.list {
 		if ch.Name == name {
 			if ch.due > now {
@@ -70,10 +70,10 @@
 	return false
 }
 
-// Pick is the chore that gets a slice now, "" for none, with the seconds it may take. Rules, in order: one slice runs
+// Next is the chore that gets a slice now, "" for none, with the seconds it may take. Rules, in order: one slice runs
 // at a time; what has waited past its patience goes first, the longest over it before others; else, where the box is
 // not busy or it is urgent, the highest priority that has not used up its share, then what waited longest.
-func (c *Chores) Pick(now, busy float64) (name string, slice float64) {
+func (c *TaskScheduler) Next(now, busy float64) (name string, slice float64) {
 	c.busy = busy
 	var best *chore
 	bestOver := 0.0
@@ -87,13 +87,13 @@
 			continue
 		}
 		ch.fade(now)
-		over := now - ch.since - ch.Patience
-		if over > 0 && ch.Patience > 0 && over > bestOver {
+		over := now - ch.since - ch.MaxDelay
+		if over > 0 && ch.MaxDelay > 0 && over > bestOver {
 			best, bestOver = ch, over
 		}
 	}
 	for _, ch := range c.list {
-		if bestOver > 0 || ch.due > now || busy > busyAt && !ch.Urgent || ch.Share > 0 && ch.spent > ch.Share*fadeOver {
+		if bestOver > 0 || ch.due > now || busy > busyAt && !ch.Urgent || ch.MaxTimeShare > 0 && ch.spent > ch.MaxTimeShare*fadeOver {
 			continue
 		}
 		if best == nil || ch.Priority > best.Priority || ch.Priority == best.Priority && ch.since < best.since {
@@ -105,7 +105,7 @@
 	}
 	best.running = true
 	best.Waited = max(best.Waited, now-best.since)
-	return best.Name, best.Slice
+	return best.Name, best.SliceDuration
 }
 
 func (ch *chore) fade(now float64) {
@@ -114,7 +114,7 @@
 }
 
 // Done tells how a slice ended: how long it took, whether its round has more, and what went wrong.
-func (c *Chores) Done(now float64, name string, took float64, more bool, err error) {
+func (c *TaskScheduler) Done(now float64, name string, took float64, more bool, err error) {
 	for _, ch := range c.list {
 		if ch.Name != name || !ch.running {
 			continue
@@ -128,7 +128,7 @@
 		case err != nil:
 			ch.Failures++
 			ch.LastErr = err.Error()
-			wait := max(ch.Every, 1)
+			wait := max(ch.Interval, 1)
 			if math.IsInf(wait, 1) {
 				wait = 1
 			}
@@ -139,7 +139,7 @@
 		default:
 			ch.Rounds++
 			ch.Failures, ch.LastErr = 0, ""
-			every := ch.Every
+			every := ch.Interval
 			if every == 0 {
 				every = math.Inf(1)
 			}
@@ -148,8 +148,8 @@
 	}
 }
 
-// ChoreView is what a console shows of a chore. Spans are seconds.
-type ChoreView struct {
+// TaskView is what a console shows of a chore. Spans are seconds.
+type TaskView struct {
 	Name     string  `json:"name"`
 	Due      float64 `json:"due_s"` // from now; below 0 it waits
 	Running  bool    `json:"running"`
@@ -162,14 +162,14 @@
 }
 
 // View shows all chores in the order they were given.
-func (c *Chores) View(now float64) []ChoreView {
-	var list []ChoreView
+func (c *TaskScheduler) View(now float64) []TaskView {
+	var list []TaskView
 	for _, ch := range c.list {
 		due := ch.due - now
 		if math.IsInf(due, 1) {
 			due = 0
 		}
-		list = append(list, ChoreView{ch.Name, due, ch.running, ch.Rounds, ch.Slices, ch.Used, ch.Waited, ch.Failures, ch.LastErr})
+		list = append(list, TaskView{ch.Name, due, ch.running, ch.Rounds, ch.Slices, ch.Used, ch.Waited, ch.Failures, ch.LastErr})
 	}
 	return list
 }
--- a/internal/appliance/life_test.go
+++ b/internal/appliance/life_test.go
@@ -9,24 +9,24 @@
 )
 
 func TestOrderedStop(t *testing.T) {
-	var l Life
-	var acts []Act
-	for _, h := range []Happening{Opened, Recovered, AskStop, AskStop, Quiet, TimeUp, Answered, Written, AskNow} {
-		acts = append(acts, l.On(h, "because")...)
+	var l Lifecycle
+	var acts []Action
+	for _, h := range []LifecycleEvent{StoreOpened, StateRecovered, StopRequested, StopRequested, RequestsDrained, DrainTimeout, RequestsTerminated, StoreClosed, ImmediateStopRequested} {
+		acts = append(acts, l.Handle(h, "because")...)
 	}
-	want := []Act{Recover, FireTimers, HoldTimers, CloseDoors, StartClock, AnswerAll, WriteState, CloseSocket, Exit}
+	want := []Action{Recover, StartSchedules, SuspendSchedules, StopListening, StartDrainTimer, TerminateRequests, CloseStore, CloseSocket, Exit}
 	if !slices.Equal(acts, want) || l.State != Stopped || l.Reason != "because" {
 		t.Errorf("%v in %s", acts, l.State)
 	}
 }
 
 func TestStopDuringRecoveryWaitsForIt(t *testing.T) {
-	var l Life
-	l.On(Opened, "")
-	if acts := l.On(AskStop, "early"); len(acts) != 0 || l.State != Recovering {
+	var l Lifecycle
+	l.Handle(StoreOpened, "")
+	if acts := l.Handle(StopRequested, "early"); len(acts) != 0 || l.State != Recovering {
 		t.Fatal(acts, l.State)
 	}
-	if acts := l.On(Recovered, ""); !slices.Equal(acts, []Act{FireTimers, HoldTimers, CloseDoors, StartClock}) || l.State != Draining {
+	if acts := l.Handle(StateRecovered, ""); !slices.Equal(acts, []Action{StartSchedules, SuspendSchedules, StopListening, StartDrainTimer}) || l.State != Draining {
 		t.Error(acts, l.State)
 	}
 }
@@ -35,24 +35,24 @@
 func TestNothingSkipsTheAnswers(t *testing.T) {
 	for seed := range uint64(2000) {
 		rng := rand.New(rand.NewPCG(seed, 3))
-		var l Life
-		done := map[Act]int{}
+		var l Lifecycle
+		done := map[Action]int{}
 		taken := false
 		for range 60 {
 			before := l.State
-			h := Happening(rng.IntN(int(Broke) + 1))
-			if h == Answered && done[AnswerAll] == 0 || h == Written && done[WriteState] == 0 {
+			h := LifecycleEvent(rng.IntN(int(Failed) + 1))
+			if h == RequestsTerminated && done[TerminateRequests] == 0 || h == StoreClosed && done[CloseStore] == 0 {
 				continue // these only follow what was asked for
 			}
-			for _, a := range l.On(h, "r") {
+			for _, a := range l.Handle(h, "r") {
 				done[a]++
 				if a == Recover {
 					taken = true
 				}
-				if a == Exit && taken && (done[AnswerAll] == 0 || done[WriteState] == 0) {
+				if a == Exit && taken && (done[TerminateRequests] == 0 || done[CloseStore] == 0) {
 					t.Fatalf("seed %d: left without answers", seed)
 				}
-				if a == WriteState && done[AnswerAll] == 0 {
+				if a == CloseStore && done[TerminateRequests] == 0 {
 					t.Fatalf("seed %d: state closed before the answers", seed)
 				}
 			}
@@ -66,44 +66,44 @@
 			}
 		}
 	}
-	l := Life{State: Draining}
+	l := Lifecycle{State: Draining}
 	if l.Allows("fire") == nil || l.Allows("stop") != nil || l.Allows("dance") == nil {
 		t.Error("allows")
 	}
 }
 
 func TestChoresByPriorityShareAndPatience(t *testing.T) {
-	c := NewChores(0, Chore{Name: "low", Every: 1, Priority: 1, Slice: 0.1, Patience: 20},
-		Chore{Name: "high", Every: 1, Priority: 2, Slice: 0.1, Share: 0.01, Patience: 60},
-		Chore{Name: "urgent", Priority: 0, Slice: 0.1, Urgent: true})
-	if name, _ := c.Pick(0.5, 0); name != "" {
+	c := NewTaskScheduler(0, BackgroundTask{Name: "low", Interval: 1, Priority: 1, SliceDuration: 0.1, MaxDelay: 20},
+		BackgroundTask{Name: "high", Interval: 1, Priority: 2, SliceDuration: 0.1, MaxTimeShare: 0.01, MaxDelay: 60},
+		BackgroundTask{Name: "urgent", Priority: 0, SliceDuration: 0.1, Urgent: true})
+	if name, _ := c.Next(0.5, 0); name != "" {
 		t.Fatal("early", name)
 	}
-	c.Ask(1.5, "urgent")
+	c.Request(1.5, "urgent")
 	for _, want := range []string{"high", "low", "urgent"} {
-		name, slice := c.Pick(2, 0)
+		name, slice := c.Next(2, 0)
 		if name != want || slice != 0.1 {
 			t.Fatalf("%s, want %s", name, want)
 		}
-		if other, _ := c.Pick(2, 0); other != "" {
+		if other, _ := c.Next(2, 0); other != "" {
 			t.Fatalf("%s runs beside %s", other, name)
 		}
 		c.Done(2, name, 0.5, false, nil)
 	}
 	// high has used half a second of the 0.6 that it may within a minute; one more and it waits.
-	name, _ := c.Pick(4, 0)
+	name, _ := c.Next(4, 0)
 	c.Done(4, name, 0.5, true, nil)
-	if name, _ := c.Pick(4.1, 0); name != "low" {
+	if name, _ := c.Next(4.1, 0); name != "low" {
 		t.Fatalf("%s goes past its share", name)
 	}
 	c.Done(4.1, "low", 0.1, false, nil)
 	// A busy box: only what is urgent, until patience runs out.
 	for now := 6.0; now < 24; now++ {
-		if name, _ := c.Pick(now, 0.9); name != "" {
+		if name, _ := c.Next(now, 0.9); name != "" {
 			t.Fatalf("%s goes at %v in a busy box", name, now)
 		}
 	}
-	if name, _ := c.Pick(26, 0.9); name != "low" {
+	if name, _ := c.Next(26, 0.9); name != "low" {
 		t.Fatalf("%q: starved for ever", name)
 	}
 	c.Done(26, "low", 0.1, false, errors.New("disk"))
@@ -116,21 +116,21 @@
 func TestNoChoreStarvesForEver(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 4))
-		var list []Chore
+		var list []BackgroundTask
 		for i := range 4 {
-			list = append(list, Chore{Name: fmt.Sprint(i), Every: 1 + 5*rng.Float64(), Priority: rng.IntN(3), Slice: 0.1,
-				Share: 0.05 * rng.Float64(), Patience: 5 + 20*rng.Float64()})
+			list = append(list, BackgroundTask{Name: fmt.Sprint(i), Interval: 1 + 5*rng.Float64(), Priority: rng.IntN(3), SliceDuration: 0.1,
+				MaxTimeShare: 0.05 * rng.Float64(), MaxDelay: 5 + 20*rng.Float64()})
 		}
-		c := NewChores(0, list...)
+		c := NewTaskScheduler(0, list...)
 		for now := 0.0; now < 600; now += 0.25 {
-			name, _ := c.Pick(now, rng.Float64()*2)
+			name, _ := c.Next(now, rng.Float64()*2)
 			if name != "" {
 				c.Done(now+0.1, name, 0.1, rng.IntN(3) == 0, nil)
 			}
 		}
 		for i, v := range c.View(600) {
-			if v.Slices == 0 || v.Waited > list[i].Patience+3 {
-				t.Fatalf("seed %d: chore %d waited %.1f s, its patience is %.1f; %d slices", seed, i, v.Waited, list[i].Patience, v.Slices)
+			if v.Slices == 0 || v.Waited > list[i].MaxDelay+3 {
+				t.Fatalf("seed %d: chore %d waited %.1f s, its patience is %.1f; %d slices", seed, i, v.Waited, list[i].MaxDelay, v.Slices)
 			}
 		}
 	}
--- a/internal/appliance/registry.go
+++ b/internal/appliance/registry.go
@@ -26,11 +26,11 @@
 	mu    sync.Mutex
 	reg   *registry.Registry
 	store *storage.Store
-	asked map[string]int  // events by function since the start
-	pacer *registry.Pacer // a release under way; a restart ends it where it is
-	who   string          // who began it
-	ring  *signing.Ring   // nil: nobody has to vouch for versions
-	keys  []byte          // the ring's text
+	asked map[string]int         // events by function since the start
+	pacer *registry.RolloutPacer // a release under way; a restart ends it where it is
+	who   string                 // who began it
+	ring  *signing.Ring          // nil: nobody has to vouch for versions
+	keys  []byte                 // the ring's text
 	bound *lru.Cache[dispatch.Identity, dispatch.Binding]
 }
 
@@ -86,13 +86,13 @@
 	}
 	data, err := json.Marshal(e)
 	if err == nil {
-		err = g.store.Note(len(g.reg.Trail)-1, data)
+		err = g.store.AppendAudit(len(g.reg.AuditTrail)-1, data)
 	}
 	if err == nil {
 		return nil
 	}
 	before := registry.New()
-	for _, old := range g.reg.Trail[:len(g.reg.Trail)-1] {
+	for _, old := range g.reg.AuditTrail[:len(g.reg.AuditTrail)-1] {
 		if again := before.Apply(old); again != nil {
 			return errors.Join(err, again)
 		}
@@ -105,24 +105,24 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	e := c.Entry
-	if e.Who == "" {
+	if e.Actor == "" {
 		return "", refusal{400, "who makes the change?"}
 	}
 	e.At = float64(time.Now().UnixNano()) / 1e9
 	if c.Release != nil {
-		return g.begin(*c.Release, e.Who)
+		return g.begin(*c.Release, e.Actor)
 	}
 	if c.Back != nil {
-		m, err := g.reg.Back(c.Back.Function, c.Back.Alias)
+		m, err := g.reg.Rollback(c.Back.Function, c.Back.Alias)
 		if err != nil {
 			return "", err
 		}
-		e.Move, e.Why = &m, "back"
+		e.Move, e.Reason = &m, "back"
 	}
 	if p := e.Publish; p != nil {
-		if p.Signed = nil; g.ring != nil {
+		if p.SignedBy = nil; g.ring != nil {
 			var err error
-			if p.Signed, err = g.ring.Vouched(time.Now(), p.Function, p.Name, p.Digest, c.Signatures); err != nil {
+			if p.SignedBy, err = g.ring.Vouched(time.Now(), p.Function, p.Name, p.Digest, c.Signatures); err != nil {
 				return "", err
 			}
 		}
@@ -162,11 +162,11 @@
 	g.ring, g.keys = ring, nil // what follows is begun again where it can't be kept
 	for _, f := range g.reg.List() {
 		for _, v := range f.Versions {
-			if v.Withdrawn || ring.Stands(v.Signed) {
+			if v.Withdrawn || ring.Stands(v.SignedBy) {
 				continue
 			}
-			why := "none in force vouches for it; it was published by " + strings.Join(v.Signed, ", ")
-			e := registry.Entry{At: float64(time.Now().UnixNano()) / 1e9, Who: "keys", Withdraw: v.Function + "@" + string(v.Digest), Why: why}
+			why := "none in force vouches for it; it was published by " + strings.Join(v.SignedBy, ", ")
+			e := registry.Entry{At: float64(time.Now().UnixNano()) / 1e9, Actor: "keys", Withdraw: v.Function + "@" + string(v.Digest), Reason: why}
 			if err := g.apply(e); err != nil {
 				return err
 			}
@@ -188,7 +188,7 @@
 			names = append(names, f.Function)
 		}
 	}
-	var list []registry.Going
+	var list []registry.Migration
 	for _, name := range names {
 		v, err := g.reg.Find(name + ":" + r.Tag)
 		switch {
@@ -202,12 +202,12 @@
 		if now, err := g.reg.Find(name + ":" + r.Alias); err == nil && now.Digest == v.Digest {
 			continue
 		}
-		list = append(list, registry.Going{Function: name, To: v.Digest, Use: float64(g.asked[name]), Load: v.Load})
+		list = append(list, registry.Migration{Function: name, To: v.Digest, RequestRate: float64(g.asked[name]), LoadTime: v.LoadTime})
 	}
 	if len(list) == 0 {
 		return "", fmt.Errorf("no function goes to %s by that: none has the version, or all have it already", r.Tag)
 	}
-	g.pacer, g.who = registry.NewPacer(r.Alias, r.Loads, list), who
+	g.pacer, g.who = registry.NewRolloutPacer(r.Alias, r.Loads, list), who
 	return fmt.Sprintf("%d functions go to %s, the most asked for first, %d loads at a time", len(list), r.Tag, max(r.Loads, 1)), nil
 }
 
@@ -224,23 +224,23 @@
 		if err := order(x.Function + "@" + string(x.To)); err != nil {
 			return err
 		}
-		p.Asked(x.Function, now)
+		p.OnRequest(x.Function, now)
 	}
 	for _, x := range p.Loading() {
 		if !stands(x.Function + "@" + string(x.To)) {
 			continue
 		}
-		if m, due := p.Stands(x.Function, now); due {
+		if m, due := p.OnLoaded(x.Function, now); due {
 			g.mu.Lock()
-			err := g.apply(registry.Entry{At: float64(time.Now().UnixNano()) / 1e9, Who: g.who, Move: &m, Why: "release"})
+			err := g.apply(registry.Entry{At: float64(time.Now().UnixNano()) / 1e9, Actor: g.who, Move: &m, Reason: "release"})
 			g.mu.Unlock()
 			if err != nil { // withdrawn meanwhile: the others go on
 				log.Error("release: an alias does not move", "function", x.Function, "error", err)
 			}
 		}
 	}
-	if left, lost := p.Left(); left == 0 {
-		log.Info("release ended", "who", g.who, "rested", p.Rested, "given_up", fmt.Sprint(lost))
+	if left, lost := p.Remaining(); left == 0 {
+		log.Info("release ended", "who", g.who, "rested", p.Pauses, "given_up", fmt.Sprint(lost))
 		g.mu.Lock()
 		g.pacer = nil
 		g.mu.Unlock()
@@ -252,14 +252,14 @@
 func (g *functionRegistry) judge(log *slog.Logger) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, e := range g.reg.Judge(float64(time.Now().UnixNano()) / 1e9) {
+	for _, e := range g.reg.AdvanceRollouts(float64(time.Now().UnixNano()) / 1e9) {
 		if err := g.apply(e); err != nil {
 			return err
 		}
 		if e.Move != nil {
-			log.Info("rollout ended", "function", e.Move.Function, "alias", e.Move.Alias, "digest", e.Move.Digest, "why", e.Why)
+			log.Info("rollout ended", "function", e.Move.Function, "alias", e.Move.Alias, "digest", e.Move.Digest, "why", e.Reason)
 		} else {
-			log.Info("rollout goes on", "function", e.Rollout.Function, "alias", e.Rollout.Alias, "share", e.Rollout.Share, "why", e.Why)
+			log.Info("rollout goes on", "function", e.Rollout.Function, "alias", e.Rollout.Alias, "share", e.Rollout.Share, "why", e.Reason)
 		}
 	}
 	return nil
@@ -286,62 +286,62 @@
 func (g *functionRegistry) trail() []registry.Entry {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return append([]registry.Entry{}, g.reg.Trail...)
+	return append([]registry.Entry{}, g.reg.AuditTrail...)
 }
 
 func (g *functionRegistry) mayRun(b dispatch.Binding) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	ref, err := registry.ParseRef(b.ID)
-	return err == nil && g.reg.May(ref.Function, ref.Digest)
+	return err == nil && g.reg.IsAllowed(ref.Function, ref.Digest)
 }
 
 // seen counts an answer for rollouts. A version is to blame for errors, for loads that fail and for a wrong digest,
 // not for a worker that hangs or a fleet without room.
-func (g *functionRegistry) seen(a dispatch.Answer) {
+func (g *functionRegistry) seen(a dispatch.Response) {
 	ref, err := registry.ParseRef(a.Binding.ID)
 	if a.Binding.ID == "" || err != nil {
 		return
 	}
-	bad := a.Cause == dispatch.WorkerFailed || a.Cause == dispatch.LoadFailed || a.Cause == dispatch.WrongDigest
-	if a.Kind != dispatch.Handled && !bad {
+	bad := a.Cause == dispatch.CauseWorkerFailed || a.Cause == dispatch.CauseLoadFailed || a.Cause == dispatch.CauseWrongDigest
+	if a.Kind != dispatch.Succeeded && !bad {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.asked[ref.Function]++
-	g.reg.Seen(ref.Function, ref.Digest, bad)
+	g.reg.RecordResult(ref.Function, ref.Digest, bad)
 }
 
 // bind settles the version of an event. A function that the registry does not know, named without a tag or digest,
 // has no versions and runs as workers have it.
-func (b *Box) bind(ask *dispatch.Ask) (dispatch.Binding, dispatch.Function, error) {
+func (b *Appliance) bind(ask *dispatch.Request) (dispatch.Binding, dispatch.FunctionProfile, error) {
 	none := b.cfg.Function(ask.Function)
 	b.reg.mu.Lock()
 	defer b.reg.mu.Unlock()
 	text := ask.Function
 	if was, ok := b.reg.bound.Get(ask.Identity); ok {
-		if ref, err := registry.ParseRef(text); err == nil && ref.Function == was.Function && b.reg.reg.May(was.Function, digest.Digest(was.Digest)) {
+		if ref, err := registry.ParseRef(text); err == nil && ref.Function == was.Function && b.reg.reg.IsAllowed(was.Function, digest.Digest(was.Digest)) {
 			text = was.ID
 		}
 	}
-	bound, err := b.reg.reg.Bind(text, ask.Type, ask.Tenant, ask.Identity.String())
+	bound, err := b.reg.reg.Resolve(text, ask.Class, ask.Tenant, ask.Identity.String())
 	if err != nil {
 		ref, perr := registry.ParseRef(ask.Function)
-		if perr != nil || errors.Is(err, registry.ErrUnknown) && !b.reg.reg.Knows(ref.Function) && ref.Tag == registry.Current && ref.Digest == "" {
+		if perr != nil || errors.Is(err, registry.ErrUnknown) && !b.reg.reg.Contains(ref.Function) && ref.Tag == registry.Current && ref.Digest == "" {
 			return dispatch.Binding{}, none, nil
 		}
 		return dispatch.Binding{}, none, err
 	}
 	fn := b.cfg.Function(bound.Function)
-	if bound.Lanes > 0 {
-		fn.Lanes = bound.Lanes
+	if bound.Concurrency > 0 {
+		fn.Concurrency = bound.Concurrency
 	}
-	if bound.Memory > 0 {
-		fn.Memory = bound.Memory
+	if bound.MemoryMB > 0 {
+		fn.MemoryMB = bound.MemoryMB
 	}
-	if bound.Load > 0 {
-		fn.Load = bound.Load
+	if bound.LoadTime > 0 {
+		fn.LoadTime = bound.LoadTime
 	}
 	out := dispatch.Binding{ID: bound.ID(), Function: bound.Function, Version: bound.Name, Digest: string(bound.Digest)}
 	b.reg.bound.Add(ask.Identity, out)
--- a/internal/appliance/registry_test.go
+++ b/internal/appliance/registry_test.go
@@ -54,11 +54,11 @@
 }
 
 // ask sends one event and notes it for the referee.
-func (r *running) ask(tape *invariants.Tape, kind, function, id string) schedule.Outcome {
-	c := &schedule.Client{Source: "/t", Fronts: []string{r.addr}, HTTP: &http.Client{Transport: &http.Transport{}}, MaxAge: 1500 * time.Millisecond}
+func (r *running) ask(tape *invariants.Tape, kind, function, id string) schedule.Result {
+	c := &schedule.Client{Source: "/t", FrontEnds: []string{r.addr}, HTTP: &http.Client{Transport: &http.Transport{}}, DefaultTimeout: 1500 * time.Millisecond}
 	rec := invariants.Record{Kind: invariants.Asked, Event: "/t#" + id, Type: kind, Call: tape.Call(), Wait: 1.5}
 	tape.Add(rec)
-	o := c.Fire(context.Background(), schedule.Firing{Entry: &schedule.Entry{Type: kind, Function: function}, ID: id})
+	o := c.Fire(context.Background(), schedule.Firing{Entry: &schedule.Entry{Class: kind, Function: function}, ID: id})
 	rec.Kind, rec.Status, rec.Digest = invariants.Answered, o.Status, o.Digest
 	rec.Outcome = map[int]string{200: invariants.Handled, 503: invariants.Deferred, 502: invariants.DeadLettered, 504: invariants.DeadLettered}[o.Status]
 	tape.Add(rec)
@@ -194,7 +194,7 @@
 	})
 	var trail []registry.Entry
 	r.get("trail", &trail)
-	if last := trail[len(trail)-1]; last.Who != "rollout" || !strings.Contains(last.Why, "bad") {
+	if last := trail[len(trail)-1]; last.Actor != "rollout" || !strings.Contains(last.Reason, "bad") {
 		t.Errorf("%+v", last)
 	}
 }
@@ -261,7 +261,7 @@
 	r.start()
 	publish := func(n int, by string) int {
 		name, d := version(n)
-		ch := Change{Entry: registry.Entry{Who: "test", Publish: &registry.Version{Function: "tally", Name: name, Digest: d, Signed: []string{"first"}}}}
+		ch := Change{Entry: registry.Entry{Actor: "test", Publish: &registry.Version{Function: "tally", Name: name, Digest: d, SignedBy: []string{"first"}}}}
 		if by != "" {
 			e, err := signing.Sign(by, private[by], "tally", name, d)
 			if err != nil {
@@ -340,7 +340,7 @@
 		}
 	}
 	write()
-	store, _, err := storage.OpenStore(filepath.Join(dir, "state"), storage.Options{Remember: 60})
+	store, _, err := storage.OpenStore(filepath.Join(dir, "state"), storage.Options{Retention: 60})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -354,7 +354,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := g.change(Change{Entry: registry.Entry{Who: "test", Publish: &registry.Version{Function: "tally", Name: name, Digest: d}},
+	if _, err := g.change(Change{Entry: registry.Entry{Actor: "test", Publish: &registry.Version{Function: "tally", Name: name, Digest: d}},
 		Signatures: [][]byte{e}}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -55,8 +55,8 @@
 		OrderLimit  float64 `json:"order_limit_s"`
 		KeepWarm    float64 `json:"keep_warm_s"`
 	} `json:"workers"`
-	EventTypes []EventType `json:"event_types"`
-	Functions  []struct {
+	RequestClasses []RequestClass `json:"event_types"`
+	Functions      []struct {
 		Match  string  `json:"match"`
 		Lanes  int     `json:"lanes"`
 		Memory float64 `json:"memory_mb"`
@@ -94,7 +94,7 @@
 		Crontab string `json:"crontab"`
 		Source  string `json:"source"`
 	} `json:"timers"`
-	Handlers *struct {
+	Registry *struct {
 		Keys string `json:"keys"`
 	} `json:"handlers"`
 	Log struct {
@@ -123,14 +123,14 @@
 // Document is the text that the configuration was read from.
 func (c *Config) Document() []byte { return c.document }
 
-// EventType is one type of event.
-type EventType struct {
-	Name       string  `json:"name"`
-	TargetTime float64 `json:"target_time_s"`
-	MaxAge     float64 `json:"max_age_s"`
-	Repeat     string  `json:"repeat"`
-	Reach      string  `json:"reach"`
-	Remembered float64 `json:"remembered_s"`
+// RequestClass is one type of event.
+type RequestClass struct {
+	Name                string  `json:"name"`
+	LatencyObjective    float64 `json:"target_time_s"`
+	Timeout             float64 `json:"max_age_s"`
+	Semantics           string  `json:"repeat"`
+	DeduplicationScope  string  `json:"reach"`
+	DeduplicationWindow float64 `json:"remembered_s"`
 }
 
 // Fault is one thing wrong with a document: where (a JSON pointer, RFC 6901), what stands there, what is allowed.
@@ -287,17 +287,17 @@
 // check finds what a schema can't say.
 func (c *Config) check() (f Faults) {
 	names := map[string]int{}
-	for i, t := range c.EventTypes {
+	for i, t := range c.RequestClasses {
 		at := fmt.Sprintf("/event_types/%d", i)
 		if first, twice := names[t.Name]; twice {
 			f = append(f, Fault{at + "/name", fmt.Sprintf("%q", t.Name), fmt.Sprintf("already stated at /event_types/%d", first)})
 		}
 		names[t.Name] = i
-		if t.TargetTime > t.MaxAge {
-			f = append(f, Fault{at + "/target_time_s", fmt.Sprint(t.TargetTime), fmt.Sprintf("not above max_age_s, %v", t.MaxAge)})
+		if t.LatencyObjective > t.Timeout {
+			f = append(f, Fault{at + "/target_time_s", fmt.Sprint(t.LatencyObjective), fmt.Sprintf("not above max_age_s, %v", t.Timeout)})
 		}
-		if c.Limits.Margin >= t.MaxAge {
-			f = append(f, Fault{at + "/max_age_s", fmt.Sprint(t.MaxAge),
+		if c.Limits.Margin >= t.Timeout {
+			f = append(f, Fault{at + "/max_age_s", fmt.Sprint(t.Timeout),
 				fmt.Sprintf("above /limits/answer_margin_s, %v", c.Limits.Margin)})
 		}
 	}
@@ -344,11 +344,11 @@
 	return slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{Level: level}))
 }
 
-var repeats = map[string]control.Repeat{"": control.Redeliverable, "redeliverable": control.Redeliverable,
-	"keyed": control.Keyed, "at-most-once": control.AtMostOnce}
+var repeats = map[string]control.DeliverySemantics{"": control.Idempotent, "redeliverable": control.Idempotent,
+	"keyed": control.IdempotentByKey, "at-most-once": control.AtMostOnce}
 
-var reaches = map[string]control.Reach{"": control.ReachAll, "all": control.ReachAll, "zone": control.ReachZone,
-	"cell": control.ReachCell}
+var reaches = map[string]control.DeduplicationScope{"": control.ScopeFleet, "all": control.ScopeFleet, "zone": control.ScopeZone,
+	"cell": control.ScopeFailureDomain}
 
 // roundGap stands for the least time between two looks of the decisions at the same thing: a turn of the loop.
 const roundGap = 0.004
@@ -356,16 +356,16 @@
 // Deployment is what the decisions read.
 func (c *Config) Deployment() *control.Deployment {
 	r := c.Rules
-	d := &control.Deployment{FrontEnds: len(c.Listen), MissAnswers: !c.Workers.LoadOnEvent, MayOrder: c.Workers.LoadOrders,
-		MaxLaunches: r.Launches, MaxPause: r.MaxPause, KeepWarm: c.Workers.KeepWarm, LoadWindow: r.LoadWindow,
-		LoadFree: r.LoadFree, LoadShare: r.LoadShare, RoundGap: roundGap, ColdShare: r.ColdShare,
-		WarmWithin: r.WarmWithin, FallFactor: r.FallFactor, FallWindow: r.FallWindow}
+	d := &control.Deployment{FrontEnds: len(c.Listen), MissIsAnswered: !c.Workers.LoadOnEvent, LoadCommandsAllowed: c.Workers.LoadOrders,
+		MaxAttempts: r.Launches, MaxRetryAfter: r.MaxPause, IdleReplicaLifetime: c.Workers.KeepWarm, LoadCommandWindow: r.LoadWindow,
+		LoadCommandAllowance: r.LoadFree, LoadCommandsPerRequest: r.LoadShare, MinRoundInterval: roundGap, ColdShare: r.ColdShare,
+		WarmUpTime: r.WarmWithin, OverloadFactor: r.FallFactor, OverloadWindow: r.FallWindow}
 	if c.Peers != nil {
-		d.FrontEnds, d.MayTell = c.Peers.FrontEnds, true
+		d.FrontEnds, d.GossipAllowed = c.Peers.FrontEnds, true
 	}
-	for _, t := range c.EventTypes {
-		d.EventTypes = append(d.EventTypes, control.EventType{Name: t.Name, TargetTime: t.TargetTime, MaxAge: t.MaxAge,
-			Repeat: repeats[t.Repeat], Reach: reaches[t.Reach], Remembered: t.Remembered})
+	for _, t := range c.RequestClasses {
+		d.RequestClasses = append(d.RequestClasses, control.RequestClass{Name: t.Name, LatencyObjective: t.LatencyObjective, Timeout: t.Timeout,
+			Semantics: repeats[t.Semantics], DeduplicationScope: reaches[t.DeduplicationScope], DeduplicationWindow: t.DeduplicationWindow})
 	}
 	for _, t := range c.Tenants {
 		d.Tenants = append(d.Tenants, control.Tenant{Name: control.TenantID(t.Name), Quota: t.Quota})
@@ -374,39 +374,39 @@
 }
 
 // Function is what is known of a function by its name.
-func (c *Config) Function(name string) dispatch.Function {
+func (c *Config) Function(name string) dispatch.FunctionProfile {
 	for _, fn := range c.Functions {
 		if ok, _ := path.Match(fn.Match, name); ok {
-			return dispatch.Function{Lanes: max(fn.Lanes, 1), Memory: fn.Memory, Load: fn.Load}
+			return dispatch.FunctionProfile{Concurrency: max(fn.Lanes, 1), MemoryMB: fn.Memory, LoadTime: fn.Load}
 		}
 	}
-	return dispatch.Function{Lanes: 1}
+	return dispatch.FunctionProfile{Concurrency: 1}
 }
 
-// Core is what the gateway's core reads.
-func (c *Config) Core(seed uint64) dispatch.Settings {
-	return dispatch.Settings{Deployment: c.Deployment(), Functions: c.Function, Margin: c.Limits.Margin,
-		OrderLimit: c.Workers.OrderLimit, MostOpen: c.Limits.Open, Remember: c.Limits.Remember,
-		RememberMost: c.Limits.RememberBytes, Seed: seed}
+// Dispatch is what the gateway's core reads.
+func (c *Config) Dispatch(seed uint64) dispatch.Settings {
+	return dispatch.Settings{Deployment: c.Deployment(), Functions: c.Function, ResponseMargin: c.Limits.Margin,
+		LoadTimeout: c.Workers.OrderLimit, MaxOpen: c.Limits.Open, DeduplicationWindow: c.Limits.Remember,
+		MaxCachedBytes: c.Limits.RememberBytes, Seed: seed}
 }
 
-// Pool is what bounds the connections to workers.
-func (c *Config) Pool(via string) upstream.Limits {
-	return upstream.Limits{Dial: c.Workers.Dial, Idle: c.Workers.Idle, Most: c.Workers.Connections, Via: via,
+// Upstream is what bounds the connections to workers.
+func (c *Config) Upstream(via string) upstream.Limits {
+	return upstream.Limits{DialTimeout: c.Workers.Dial, IdleTimeout: c.Workers.Idle, MaxPerWorker: c.Workers.Connections, Via: via,
 		Message: http1.Limits{Head: c.Limits.Head, Body: max(c.Limits.Body, 1<<20)}}
 }
 
 func (c *Config) maxAge(eventType string) float64 {
-	for _, t := range c.EventTypes {
+	for _, t := range c.RequestClasses {
 		if t.Name == eventType {
-			return t.MaxAge
+			return t.Timeout
 		}
 	}
 	return 0
 }
 
-// Front is what bounds client connections.
-func (c *Config) Front() fronthttp.Limits {
+// Downstream is what bounds client connections.
+func (c *Config) Downstream() fronthttp.Limits {
 	l := c.Limits
 	return fronthttp.Limits{Message: http1.Limits{Head: l.Head, Body: l.Body}, Pipeline: l.Pipeline, Arrival: l.Arrival,
 		Idle: l.Idle, Unread: l.Unread, MaxAge: c.maxAge}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -41,8 +41,8 @@
 func TestDefaultStarts(t *testing.T) {
 	c := Default()
 	d := c.Deployment()
-	if len(d.EventTypes) != 3 || d.EventTypes[1].Repeat != control.Keyed || d.EventTypes[2].Repeat != control.AtMostOnce ||
-		d.FrontEnds != 1 || !d.MissAnswers || !d.MayOrder || c.Function("x").Lanes != 1 || c.Front().MaxAge("shop-event") != 4 {
+	if len(d.RequestClasses) != 3 || d.RequestClasses[1].Semantics != control.IdempotentByKey || d.RequestClasses[2].Semantics != control.AtMostOnce ||
+		d.FrontEnds != 1 || !d.MissIsAnswered || !d.LoadCommandsAllowed || c.Function("x").Concurrency != 1 || c.Downstream().MaxAge("shop-event") != 4 {
 		t.Errorf("%+v", d)
 	}
 	c, err := Parse([]byte(`{"event_types":[{"name":"a","target_time_s":1,"max_age_s":2}],"workers":{"file":"w.json"},
@@ -51,8 +51,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Path(c.Workers.File) != "/etc/box/w.json" || c.Function("tally-9").Lanes != 3 || c.Function("other").Lanes != 1 ||
-		c.Deployment().FrontEnds != 5 || !c.Deployment().MayTell {
+	if c.Path(c.Workers.File) != "/etc/box/w.json" || c.Function("tally-9").Concurrency != 3 || c.Function("other").Concurrency != 1 ||
+		c.Deployment().FrontEnds != 5 || !c.Deployment().GossipAllowed {
 		t.Errorf("%+v", c)
 	}
 }
--- a/internal/console/client.go
+++ b/internal/console/client.go
@@ -73,13 +73,13 @@
 func (c *Client) Get(what string, to any) error { return c.do(http.MethodGet, "/v1/"+what, nil, to) }
 
 // Explain reads the way of one event.
-func (c *Client) Explain(id string) (e appliance.Event, err error) {
+func (c *Client) Explain(id string) (e appliance.RequestStatus, err error) {
 	err = c.Get("explain?id="+url.QueryEscape(id), &e)
 	return
 }
 
 // Order asks the box to do something and returns what it says.
-func (c *Client) Order(o appliance.Order) (string, error) {
+func (c *Client) Order(o appliance.Command) (string, error) {
 	o.Console = c.Name
 	body, err := json.Marshal(o)
 	if err != nil {
@@ -92,8 +92,8 @@
 
 // Change asks the box to change its registry of functions and returns what it says.
 func (c *Client) Change(change appliance.Change) (string, error) {
-	if change.Who == "" {
-		change.Who = c.Name
+	if change.Actor == "" {
+		change.Actor = c.Name
 	}
 	body, err := json.Marshal(change)
 	if err != nil {
--- a/internal/console/tables.go
+++ b/internal/console/tables.go
@@ -117,7 +117,7 @@
 	if s.Writer != "" {
 		rows = append(rows, []string{"orders", fmt.Sprintf("given by console %s, %s ago", s.Writer, span(s.WriterIdle))})
 	}
-	for _, c := range s.Chores {
+	for _, c := range s.Tasks {
 		text := fmt.Sprintf("%d rounds, %s used, next in %s", c.Rounds, span(c.Used), span(math.Max(c.Due, 0)))
 		if c.LastErr != "" {
 			text = fmt.Sprintf("failed %d times: %s", c.Failures, c.LastErr)
@@ -150,7 +150,7 @@
 	return rows
 }
 
-func HandlerRows(list []appliance.Handler) [][]string {
+func HandlerRows(list []appliance.FunctionStatus) [][]string {
 	rows := [][]string{{"HANDLER", "OUT", "WAITING", "MEDIAN", "LANES", "LOADED ON"}}
 	for _, h := range list {
 		on := strings.Join(h.Warm, " ")
@@ -163,7 +163,7 @@
 	return rows
 }
 
-func EventRows(list []appliance.Event) [][]string {
+func EventRows(list []appliance.RequestStatus) [][]string {
 	rows := [][]string{{"AGO", "OUTCOME", "CAUSE", "TOOK", "TRIES", "FUNCTION", "WORKER", "EVENT"}}
 	for _, e := range list {
 		r := []string{span(e.Ago), e.Outcome, e.Cause, span(e.Took), fmt.Sprint(e.Launches), e.Function, e.Worker, e.ID}
@@ -197,7 +197,7 @@
 func Table(rows [][]string) string { return table(rows) }
 
 // EventText shows the way of one event.
-func EventText(e appliance.Event) string {
+func EventText(e appliance.RequestStatus) string {
 	end := fmt.Sprintf("%s (%s) after %s", e.Outcome, e.Cause, span(e.Took))
 	if e.Open {
 		end = fmt.Sprintf("open; its client waits %s more", span(math.Max(e.Left, 0)))
@@ -234,7 +234,7 @@
 			if v.Withdrawn {
 				names = append(names, "WITHDRAWN")
 			}
-			rows = append(rows, []string{f.Function, v.Name, strings.Join(names, ", "), fmt.Sprint(v.Lanes), span(v.Load), string(v.Digest)})
+			rows = append(rows, []string{f.Function, v.Name, strings.Join(names, ", "), fmt.Sprint(v.Concurrency), span(v.LoadTime), string(v.Digest)})
 		}
 	}
 	return rows
@@ -253,7 +253,7 @@
 		case e.Rollout != nil:
 			what = fmt.Sprintf("rollout %s:%s to %s, %.0f%%", e.Rollout.Function, e.Rollout.Alias, e.Rollout.To, e.Rollout.Share*100)
 		}
-		rows = append(rows, []string{time.UnixMicro(int64(e.At * 1e6)).Local().Format("2006-01-02 15:04:05"), e.Who, what, e.Why})
+		rows = append(rows, []string{time.UnixMicro(int64(e.At * 1e6)).Local().Format("2006-01-02 15:04:05"), e.Actor, what, e.Reason})
 	}
 	return rows
 }
--- a/internal/console/tui.go
+++ b/internal/console/tui.go
@@ -37,8 +37,8 @@
 type data struct {
 	status   appliance.Status
 	workers  []appliance.Worker
-	handlers []appliance.Handler
-	events   []appliance.Event
+	handlers []appliance.FunctionStatus
+	events   []appliance.RequestStatus
 	timers   []appliance.Timer
 	err      error
 }
@@ -59,8 +59,8 @@
 	w, h    int
 	data    data
 	said    string
-	confirm *appliance.Order // waits for y
-	detail  string           // an event explained, in place of the table
+	confirm *appliance.Command // waits for y
+	detail  string             // an event explained, in place of the table
 }
 
 // Run shows the console until the user leaves it or ctx ends. Leaving it leaves the box as it is.
@@ -165,9 +165,9 @@
 			}
 		}
 	case "s":
-		m.confirm = &appliance.Order{Order: "stop"}
+		m.confirm = &appliance.Command{Order: "stop"}
 	case "S":
-		m.confirm = &appliance.Order{Order: "stop", Now: true}
+		m.confirm = &appliance.Command{Order: "stop", Now: true}
 	default:
 		if o := m.act(k); o != nil {
 			return m, m.order(*o)
@@ -178,7 +178,7 @@
 }
 
 // act is the order that a key gives for the chosen row.
-func (m *model) act(k string) *appliance.Order {
+func (m *model) act(k string) *appliance.Command {
 	target := m.chosen()
 	if target == "" {
 		return nil
@@ -192,23 +192,23 @@
 			}
 		}
 		if serving <= 1 {
-			m.confirm = &appliance.Order{Order: "drain", Target: target}
+			m.confirm = &appliance.Command{Order: "drain", Target: target}
 			return nil
 		}
-		return &appliance.Order{Order: "drain", Target: target}
+		return &appliance.Command{Order: "drain", Target: target}
 	case m.at == workers && k == "r":
-		return &appliance.Order{Order: "return", Target: target}
+		return &appliance.Command{Order: "return", Target: target}
 	case m.at == handlers && k == "u":
-		return &appliance.Order{Order: "unload", Target: target}
+		return &appliance.Command{Order: "unload", Target: target}
 	case m.at == timetable && k == "f":
-		return &appliance.Order{Order: "fire", Target: target}
+		return &appliance.Command{Order: "fire", Target: target}
 	case m.at == timetable && k == "h":
-		return &appliance.Order{Order: "hold", Target: target, Release: m.data.timers[m.row].Held}
+		return &appliance.Command{Order: "hold", Target: target, Release: m.data.timers[m.row].Held}
 	}
 	return nil
 }
 
-func (m *model) order(o appliance.Order) tea.Cmd {
+func (m *model) order(o appliance.Command) tea.Cmd {
 	c := m.c
 	return func() tea.Msg {
 		said, err := c.Order(o)
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -54,12 +54,12 @@
 	} `json:"Rules"`
 }
 
-var repeats = map[string]control.Repeat{
-	"free": control.Redeliverable, "guarded": control.Keyed, "single_shot": control.AtMostOnce,
+var repeats = map[string]control.DeliverySemantics{
+	"free": control.Idempotent, "guarded": control.IdempotentByKey, "single_shot": control.AtMostOnce,
 }
 
-var reaches = map[string]control.Reach{
-	"": control.ReachAll, "all": control.ReachAll, "zone": control.ReachZone, "cell": control.ReachCell,
+var reaches = map[string]control.DeduplicationScope{
+	"": control.ScopeFleet, "all": control.ScopeFleet, "zone": control.ScopeZone, "cell": control.ScopeFailureDomain,
 }
 
 // Read reads the object; an error names the field that is at fault.
@@ -81,32 +81,32 @@
 // Deployment is what the decisions read of the terms.
 func (t *Terms) Deployment() *control.Deployment {
 	d := &control.Deployment{
-		FrontEnds:   max(t.Balancers, 1),
-		Asked:       t.Discovery == "subscribe",
-		MissAnswers: t.Domain.WhenAbsent == "miss",
-		MayOrder:    t.Domain.MayOrder,
-		MayTell:     t.Caps.Peers,
-		MaxLaunches: max(t.Caps.MostTries, 1),
-		KeepWarm:    t.Domain.StaysLoadedMs / 1000,
-		LoadWindow:  t.Domain.LoadWindowMs / 1000,
-		LoadFree:    t.Domain.LoadFree,
-		LoadShare:   t.Domain.LoadPart,
-		RoundGap:    t.RoundMs / 1000,
-		ColdShare:   t.Rules.ColdFrom,
-		WarmWithin:  t.Rules.WarmWithinMs / 1000,
-		FallFactor:  t.Rules.FallMultiple,
-		FallWindow:  t.Rules.FallMs / 1000,
+		FrontEnds:              max(t.Balancers, 1),
+		PollEndpoints:          t.Discovery == "subscribe",
+		MissIsAnswered:         t.Domain.WhenAbsent == "miss",
+		LoadCommandsAllowed:    t.Domain.MayOrder,
+		GossipAllowed:          t.Caps.Peers,
+		MaxAttempts:            max(t.Caps.MostTries, 1),
+		IdleReplicaLifetime:    t.Domain.StaysLoadedMs / 1000,
+		LoadCommandWindow:      t.Domain.LoadWindowMs / 1000,
+		LoadCommandAllowance:   t.Domain.LoadFree,
+		LoadCommandsPerRequest: t.Domain.LoadPart,
+		MinRoundInterval:       t.RoundMs / 1000,
+		ColdShare:              t.Rules.ColdFrom,
+		WarmUpTime:             t.Rules.WarmWithinMs / 1000,
+		OverloadFactor:         t.Rules.FallMultiple,
+		OverloadWindow:         t.Rules.FallMs / 1000,
 	}
 	if t.Caps.RetryAfter {
-		d.MaxPause = t.Caps.MaxRetryAfterMs / 1000
+		d.MaxRetryAfter = t.Caps.MaxRetryAfterMs / 1000
 	}
 	for _, a := range t.Accounts {
 		d.Tenants = append(d.Tenants, control.Tenant{Name: control.TenantID(a.Name), Quota: a.QuotaPerS})
 	}
 	for _, c := range t.Classes {
-		d.EventTypes = append(d.EventTypes, control.EventType{
-			Name: c.Name, TargetTime: c.AimMs / 1000, MaxAge: c.GiveUpMs / 1000, Repeat: repeats[c.Idempotency],
-			Reach: reaches[c.Group], Remembered: c.MemorySpanMs / 1000,
+		d.RequestClasses = append(d.RequestClasses, control.RequestClass{
+			Name: c.Name, LatencyObjective: c.AimMs / 1000, Timeout: c.GiveUpMs / 1000, Semantics: repeats[c.Idempotency],
+			DeduplicationScope: reaches[c.Group], DeduplicationWindow: c.MemorySpanMs / 1000,
 		})
 	}
 	return d
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -47,10 +47,10 @@
 		terms.Caps.MaxStreams != 32 || terms.Caps.MaxOpen != 2000 || terms.Domain.OrderTimeoutMs != 1000 {
 		t.Errorf("%s: %+v", name, terms)
 	}
-	want := &control.Deployment{FrontEnds: 3, Asked: true, MissAnswers: true, MayOrder: true, MayTell: true, MaxLaunches: 4,
-		KeepWarm: 8, LoadWindow: 4, LoadFree: 2, LoadShare: 0.25, RoundGap: 0.004, ColdShare: 0.3, WarmWithin: 16, FallFactor: 2.5,
-		FallWindow: 1.5, MaxPause: 0.5, Tenants: []control.Tenant{{Name: "north", Quota: 100}},
-		EventTypes: []control.EventType{{Name: "call", TargetTime: 0.5, MaxAge: 1.5, Repeat: control.Keyed, Reach: control.ReachZone, Remembered: 6}}}
+	want := &control.Deployment{FrontEnds: 3, PollEndpoints: true, MissIsAnswered: true, LoadCommandsAllowed: true, GossipAllowed: true, MaxAttempts: 4,
+		IdleReplicaLifetime: 8, LoadCommandWindow: 4, LoadCommandAllowance: 2, LoadCommandsPerRequest: 0.25, MinRoundInterval: 0.004, ColdShare: 0.3, WarmUpTime: 16, OverloadFactor: 2.5,
+		OverloadWindow: 1.5, MaxRetryAfter: 0.5, Tenants: []control.Tenant{{Name: "north", Quota: 100}},
+		RequestClasses: []control.RequestClass{{Name: "call", LatencyObjective: 0.5, Timeout: 1.5, Semantics: control.IdempotentByKey, DeduplicationScope: control.ScopeZone, DeduplicationWindow: 6}}}
 	if got := terms.Deployment(); !reflect.DeepEqual(got, want) {
 		t.Errorf("%s:\n%+v, want\n%+v", name, got, want)
 	}
--- a/internal/dispatch/check.go
+++ b/internal/dispatch/check.go
@@ -5,12 +5,12 @@
 	"fmt"
 )
 
-// Askers is how many askers wait for an answer.
-func (c *Core) Askers() int { return len(c.asking) }
+// Waiters is how many askers wait for an answer.
+func (c *Dispatcher) Waiters() int { return len(c.asking) }
 
 // Check tells of state that contradicts itself; it is for tests and the simulation. Where full is set it also counts
 // what is kept, which takes time by its number.
-func (c *Core) Check(full bool) error {
+func (c *Dispatcher) Check(full bool) error {
 	var errs []error
 	fault := func(format string, args ...any) { errs = append(errs, fmt.Errorf("core: "+format, args...)) }
 	askers, out := 0, 0
@@ -24,7 +24,7 @@
 			fault("event %s has ended and is open", e.ask.Identity)
 		case !e.ended && len(e.askers) == 0:
 			fault("event %s is open and nobody asks for it", e.ask.Identity)
-		case !e.ended && c.now > e.due+c.set.Margin:
+		case !e.ended && c.now > e.due+c.set.ResponseMargin:
 			fault("event %s is open %.3f s past its time", e.ask.Identity, c.now-e.due)
 		}
 		if e.out != nil {
@@ -38,7 +38,7 @@
 			if c.asking[a.to] != e {
 				fault("asker %d of event %s is not known", a.to, e.ask.Identity)
 			}
-			if c.now > a.due+c.set.Margin {
+			if c.now > a.due+c.set.ResponseMargin {
 				fault("asker %d of event %s waits %.3f s past its time", a.to, e.ask.Identity, c.now-a.due)
 			}
 		}
@@ -80,31 +80,31 @@
 			weight += k.size()
 		}
 	}
-	if weight != c.weight || c.weight > c.set.RememberMost {
-		fault("kept answers hold %d bytes, %d are counted, %d allowed", weight, c.weight, c.set.RememberMost)
+	if weight != c.weight || c.weight > c.set.MaxCachedBytes {
+		fault("kept answers hold %d bytes, %d are counted, %d allowed", weight, c.weight, c.set.MaxCachedBytes)
 	}
-	if len(c.events) > c.set.MostOpen {
-		fault("%d events are open, %d allowed", len(c.events), c.set.MostOpen)
+	if len(c.events) > c.set.MaxOpen {
+		fault("%d events are open, %d allowed", len(c.events), c.set.MaxOpen)
 	}
 	return errors.Join(errs...)
 }
 
-// Noted are the events of which a restart must know that they ran, or how they ended: what was noted as this process
+// StoredRecords are the events of which a restart must know that they ran, or how they ended: what was noted as this process
 // has it now.
-func (c *Core) Noted() map[Identity]Note {
-	list := map[Identity]Note{}
+func (c *Dispatcher) StoredRecords() map[Identity]Record {
+	list := map[Identity]Record{}
 	for id, k := range c.kept {
 		if k.until > c.now && !k.bare {
-			n := Note{Kind: NoteEnded, Answer: k.answer, MayRun: k.mayRun}
-			if k.answer.Cause == Restarted { // it is on disk as the launch that an earlier process noted
-				n.Kind = NoteLaunched
+			n := Record{Kind: RecordRequestEnded, Response: k.answer, MayHaveRun: k.mayRun}
+			if k.answer.Cause == CauseRestarted { // it is on disk as the launch that an earlier process noted
+				n.Kind = RecordAttemptStarted
 			}
 			list[id] = n
 		}
 	}
 	for _, e := range c.events {
 		if e.noted {
-			list[e.ask.Identity] = Note{Kind: NoteLaunched, Answer: c.describe(e, Deferred, Answered), MayRun: true}
+			list[e.ask.Identity] = Record{Kind: RecordAttemptStarted, Response: c.describe(e, Rejected, CauseAnswered), MayHaveRun: true}
 		}
 	}
 	return list
--- a/internal/dispatch/host.go
+++ b/internal/dispatch/host.go
@@ -3,11 +3,11 @@
 import "streamcleat/control"
 
 // host carries out what the decisions ask for.
-type host Core
+type host Dispatcher
 
-func (h *host) core() *Core { return (*Core)(h) }
+func (h *host) core() *Dispatcher { return (*Dispatcher)(h) }
 
-func (h *host) Launch(id control.EventID, wk control.WorkerID, limit float64) {
+func (h *host) StartAttempt(id control.RequestID, wk control.WorkerID, limit float64) {
 	c := h.core()
 	e := c.events[id]
 	c.next++
@@ -16,60 +16,60 @@
 	e.launches++
 	e.lastWk = wk
 	c.flying[l.job] = l
-	c.count.Launches++
+	c.count.Attempts++
 	c.arm(limit, launchDue, l.job, nil)
-	firm := e.kind.Repeat != control.Redeliverable
+	firm := e.kind.Semantics != control.Idempotent
 	if firm {
-		n := Note{Kind: NoteLaunched, Answer: Answer{Identity: e.ask.Identity, EventType: e.ask.Type,
-			FunctionID: e.ask.Function, Tenant: e.ask.Tenant, Binding: e.bound}, MayRun: true}
+		n := Record{Kind: RecordAttemptStarted, Response: Response{Identity: e.ask.Identity, Class: e.ask.Class,
+			Function: e.ask.Function, Tenant: e.ask.Tenant, Binding: e.bound}, MayHaveRun: true}
 		if e.mayRun {
-			n.RanAgo = c.now - e.runAt
+			n.FirstRunAgo = c.now - e.runAt
 		}
 		e.noted = true
-		c.out.Keep(n)
+		c.out.Store(n)
 	}
 	c.step(e, "launched", string(wk), c.belief(e.function()))
-	var first Asker
+	var first WaiterID
 	if len(e.askers) > 0 {
 		first = e.askers[0].to
 	}
-	c.out.Launch(Launch{Job: l.job, Worker: wk, Function: e.ask.Function, Attempt: l.number, Limit: limit,
-		Identity: e.ask.Identity, Type: e.ask.Type, Fields: e.ask.Fields, Body: e.ask.Body, Binding: e.bound, Firm: firm,
-		For: first, Waited: c.now > e.began})
+	c.out.SendAttempt(Attempt{ID: l.job, Worker: wk, Function: e.ask.Function, Number: l.number, Timeout: limit,
+		Identity: e.ask.Identity, Class: e.ask.Class, Fields: e.ask.Fields, Body: e.ask.Body, Binding: e.bound, AwaitsRecord: firm,
+		Waiter: first, Delayed: c.now > e.began})
 }
 
-func (h *host) Defer(id control.EventID, pause float64) {
+func (h *host) Reject(id control.RequestID, pause float64) {
 	c := h.core()
 	e := c.events[id]
-	a := c.describe(e, Deferred, c.why(e))
-	a.Pause = pause
+	a := c.describe(e, Rejected, c.why(e))
+	a.RetryAfter = pause
 	// An earlier try of the same event may have run: the decisions see only this one.
-	if e.mayRun && (e.kind.Repeat == control.AtMostOnce ||
-		e.kind.Repeat == control.Keyed && c.now >= e.runAt+e.kind.Remembered) {
-		a.Kind = DeadLettered
+	if e.mayRun && (e.kind.Semantics == control.AtMostOnce ||
+		e.kind.Semantics == control.IdempotentByKey && c.now >= e.runAt+e.kind.DeduplicationWindow) {
+		a.Kind = Failed
 	}
 	c.close(e, a)
 }
 
-func (h *host) DeadLetter(id control.EventID) {
+func (h *host) Fail(id control.RequestID) {
 	c := h.core()
 	e := c.events[id]
-	c.close(e, c.describe(e, DeadLettered, c.why(e)))
+	c.close(e, c.describe(e, Failed, c.why(e)))
 }
 
-func (h *host) Hold(wk control.WorkerID, fn control.FunctionID, copies int) {
+func (h *host) LoadReplicas(wk control.WorkerID, fn control.FunctionID, copies int) {
 	c := h.core()
 	c.next++
 	c.orders[c.next] = &order{wk, fn, c.now}
-	c.count.Orders++
-	c.arm(c.set.OrderLimit, orderDue, c.next, nil)
+	c.count.LoadCommands++
+	c.arm(c.set.LoadTimeout, orderDue, c.next, nil)
 	c.ordered(string(fn), string(wk), "load ordered", "")
-	c.out.Load(Order{Job: c.next, Worker: wk, Function: string(fn), Copies: copies, Binding: c.bindings[string(fn)]})
+	c.out.SendLoad(LoadCommand{ID: c.next, Worker: wk, Function: string(fn), Replicas: copies, Binding: c.bindings[string(fn)]})
 }
 
-func (h *host) Tell(message []byte) { h.core().out.Tell(message) }
+func (h *host) Broadcast(message []byte) { h.core().out.Broadcast(message) }
 
-func (h *host) Wake(after float64, mark uint64) { h.core().arm(after, wake, mark, nil) }
+func (h *host) SetTimer(after float64, mark uint64) { h.core().arm(after, wake, mark, nil) }
 
 // Subscribe is not needed: the list of workers is pushed.
 func (h *host) Subscribe() {}
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -30,7 +30,7 @@
 type orderStep struct {
 	at       float64
 	function string
-	step     Step
+	step     TraceStep
 }
 
 func (t *traces) add(trace *Trace) {
@@ -42,17 +42,17 @@
 	t.next = (t.next + 1) % tracesMost
 }
 
-func (c *Core) step(e *event, what, wk, detail string) {
-	if !c.set.Untraced && len(e.steps) < stepsMost {
-		e.steps = append(e.steps, Step{At: c.now - e.began, What: what, Worker: wk, Detail: detail})
+func (c *Dispatcher) step(e *event, what, wk, detail string) {
+	if !c.set.TracingDisabled && len(e.steps) < stepsMost {
+		e.steps = append(e.steps, TraceStep{At: c.now - e.began, What: what, Worker: wk, Detail: detail})
 	}
 }
 
-func (c *Core) ordered(fn, wk, what, detail string) {
-	if c.set.Untraced {
+func (c *Dispatcher) ordered(fn, wk, what, detail string) {
+	if c.set.TracingDisabled {
 		return
 	}
-	s := orderStep{c.now, fn, Step{What: what, Worker: wk, Detail: detail}}
+	s := orderStep{c.now, fn, TraceStep{What: what, Worker: wk, Detail: detail}}
 	if len(c.traces.orders) < ordersMost {
 		c.traces.orders = append(c.traces.orders, s)
 		return
@@ -62,37 +62,37 @@
 }
 
 // belief says what the front end knew of a function when it decided.
-func (c *Core) belief(fn string) string {
-	if c.set.Untraced {
+func (c *Dispatcher) belief(fn string) string {
+	if c.set.TracingDisabled {
 		return ""
 	}
 	v, known := c.router.Function(control.FunctionID(fn))
 	switch {
 	case !known:
 		return "function not seen lately"
-	case v.Ordered != "":
-		return fmt.Sprintf("%d warm copies, a load under way on %s, %d of ours in flight", len(v.Warm), v.Ordered, v.Out)
+	case v.PendingLoadOn != "":
+		return fmt.Sprintf("%d warm copies, a load under way on %s, %d of ours in flight", len(v.Replicas), v.PendingLoadOn, v.InFlight)
 	}
-	return fmt.Sprintf("%d warm copies, %d of ours in flight", len(v.Warm), v.Out)
+	return fmt.Sprintf("%d warm copies, %d of ours in flight", len(v.Replicas), v.InFlight)
 }
 
-func (c *Core) trace(e *event) *Trace {
-	return &Trace{Identity: e.ask.Identity, Type: e.ask.Type, Function: e.ask.Function, Tenant: e.ask.Tenant, Began: e.began,
-		Left: e.due - c.now, Open: true, Askers: len(e.askers), Steps: e.steps,
-		Answer: Answer{Launches: e.launches, Worker: string(e.lastWk), Binding: e.bound}}
+func (c *Dispatcher) trace(e *event) *Trace {
+	return &Trace{Identity: e.ask.Identity, Class: e.ask.Class, Function: e.ask.Function, Tenant: e.ask.Tenant, StartedAt: e.began,
+		TimeLeft: e.due - c.now, Open: true, Waiters: len(e.askers), Steps: e.steps,
+		Response: Response{Attempts: e.launches, Worker: string(e.lastWk), Binding: e.bound}}
 }
 
 // Explain is the way of an event, with the load orders of its function while it was open; the newest where its
 // identity came more than once. id is an event's id, or source#id.
-func (c *Core) Explain(id string) (Trace, bool) {
+func (c *Dispatcher) Explain(id string) (Trace, bool) {
 	fits := func(i Identity) bool { return i.ID == id || i.String() == id }
 	var found *Trace
-	for _, t := range c.Lately() {
+	for _, t := range c.EndedTraces() {
 		if fits(t.Identity) {
 			found = t
 		}
 	}
-	for _, e := range c.Open() {
+	for _, e := range c.OpenTraces() {
 		if fits(e.Identity) {
 			found = &e
 		}
@@ -103,17 +103,17 @@
 	t := *found
 	end := c.now
 	if !t.Open {
-		end = t.Began + t.Answer.After
+		end = t.StartedAt + t.Response.Elapsed
 	}
 	t.Steps = slices.Clone(t.Steps)
 	for _, o := range c.traces.orders {
-		if (o.function == t.Function || o.function == t.Answer.Binding.ID) && o.at >= t.Began && o.at <= end {
+		if (o.function == t.Function || o.function == t.Response.Binding.ID) && o.at >= t.StartedAt && o.at <= end {
 			s := o.step
-			s.At = o.at - t.Began
+			s.At = o.at - t.StartedAt
 			t.Steps = append(t.Steps, s)
 		}
 	}
-	slices.SortStableFunc(t.Steps, func(a, b Step) int {
+	slices.SortStableFunc(t.Steps, func(a, b TraceStep) int {
 		switch {
 		case a.At < b.At:
 			return -1
@@ -125,21 +125,21 @@
 	return t, true
 }
 
-// Lately are the events that ended last, the oldest first.
-func (c *Core) Lately() []*Trace {
+// EndedTraces are the events that ended last, the oldest first.
+func (c *Dispatcher) EndedTraces() []*Trace {
 	t := &c.traces
 	return append(slices.Clone(t.ended[t.next:]), t.ended[:t.next]...)
 }
 
-// Open are the events that are open, the oldest first.
-func (c *Core) Open() []Trace {
+// OpenTraces are the events that are open, the oldest first.
+func (c *Dispatcher) OpenTraces() []Trace {
 	list := make([]Trace, 0, len(c.events))
 	for _, e := range c.events {
 		list = append(list, *c.trace(e))
 	}
 	slices.SortFunc(list, func(a, b Trace) int {
-		if a.Began != b.Began {
-			if a.Began < b.Began {
+		if a.StartedAt != b.StartedAt {
+			if a.StartedAt < b.StartedAt {
 				return -1
 			}
 			return 1
@@ -149,7 +149,7 @@
 	return list
 }
 
-// Believed shows what the decisions believe of workers and functions.
-func (c *Core) Believed() ([]control.WorkerView, []control.FunctionView) {
+// RoutingView shows what the decisions believe of workers and functions.
+func (c *Dispatcher) RoutingView() ([]control.WorkerView, []control.FunctionView) {
 	return c.router.Workers(), c.router.Functions()
 }
--- a/internal/eventloop/follow.go
+++ b/internal/eventloop/follow.go
@@ -28,8 +28,8 @@
 	return rand.N(bound)
 }
 
-// Follower keeps up a watch: a connection to a service that tells its news line by line.
-type Follower struct {
+// DiscoveryWatch keeps up a watch: a connection to a service that tells its news line by line.
+type DiscoveryWatch struct {
 	silent time.Duration
 	hello  func() []byte
 	line   func([]byte) error
@@ -43,11 +43,11 @@
 	watch context.Context    // of the address in force
 }
 
-// Follow connects to a service and connects anew whenever that ends, says nothing for as long as silent, or line
+// Watch connects to a service and connects anew whenever that ends, says nothing for as long as silent, or line
 // returns an error. hello is what a connection begins with. Both functions are called on one goroutine of its own, so
 // that news never waits behind other traffic.
-func Follow(addr string, silent time.Duration, hello func() []byte, line func([]byte) error, log *slog.Logger) *Follower {
-	f := &Follower{silent: silent, hello: hello, line: line, log: log, addr: addr}
+func Watch(addr string, silent time.Duration, hello func() []byte, line func([]byte) error, log *slog.Logger) *DiscoveryWatch {
+	f := &DiscoveryWatch{silent: silent, hello: hello, line: line, log: log, addr: addr}
 	f.ctx, f.stop = context.WithCancel(context.Background())
 	f.watch, f.leave = context.WithCancel(f.ctx)
 	go f.run()
@@ -56,7 +56,7 @@
 
 // Move goes over to another address at once, also from within a dial or a pause. Nothing that the old address tells
 // is taken once Move has returned.
-func (f *Follower) Move(addr string) {
+func (f *DiscoveryWatch) Move(addr string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.addr == addr {
@@ -68,9 +68,9 @@
 }
 
 // Close ends it.
-func (f *Follower) Close() { f.stop() }
+func (f *DiscoveryWatch) Close() { f.stop() }
 
-func (f *Follower) run() {
+func (f *DiscoveryWatch) run() {
 	failed := 0
 	for f.ctx.Err() == nil {
 		f.mu.Lock()
@@ -95,7 +95,7 @@
 }
 
 // follow watches one address until its connection ends, and tells whether any line was taken.
-func (f *Follower) follow(watch context.Context, addr string) (told bool, err error) {
+func (f *DiscoveryWatch) follow(watch context.Context, addr string) (told bool, err error) {
 	c, err := (&net.Dialer{Timeout: followDial}).DialContext(watch, "tcp", addr)
 	if err != nil {
 		return false, err
@@ -119,7 +119,7 @@
 }
 
 // take hands a line on, unless its watch was moved away from: what lies read in a buffer must not act after the move.
-func (f *Follower) take(watch context.Context, line []byte) error {
+func (f *DiscoveryWatch) take(watch context.Context, line []byte) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if err := watch.Err(); err != nil {
--- a/internal/eventloop/follow_test.go
+++ b/internal/eventloop/follow_test.go
@@ -47,7 +47,7 @@
 		func(c net.Conn) { fmt.Fprintln(c, "d"); hold(c) })
 	var n atomic.Int32
 	got := make(chan string, 10)
-	f := Follow(first, 150*time.Millisecond, func() []byte { return fmt.Appendf(nil, "from %d\n", n.Load()) }, func(line []byte) error {
+	f := Watch(first, 150*time.Millisecond, func() []byte { return fmt.Appendf(nil, "from %d\n", n.Load()) }, func(line []byte) error {
 		if strings.HasPrefix(string(line), "bad") {
 			return errors.New("bad line")
 		}
@@ -127,8 +127,8 @@
 	return ""
 }
 
-func follower(t *testing.T, addr string, line func([]byte) error) *Follower {
-	f := Follow(addr, time.Second, func() []byte { return []byte("from 0\n") }, line, slog.New(slog.DiscardHandler))
+func follower(t *testing.T, addr string, line func([]byte) error) *DiscoveryWatch {
+	f := Watch(addr, time.Second, func() []byte { return []byte("from 0\n") }, line, slog.New(slog.DiscardHandler))
 	t.Cleanup(f.Close)
 	return f
 }
@@ -137,7 +137,7 @@
 func TestMoveEndsTheDialAndThePause(t *testing.T) {
 	hangs := deaf(t)
 	for name, old := range map[string]string{"dial": hangs, "pause": "127.0.0.1:1"} {
-		var list []*Follower
+		var list []*DiscoveryWatch
 		for range 8 { // chance lets a pause end by itself
 			list = append(list, follower(t, old, func([]byte) error { return nil }))
 		}
--- a/internal/eventloop/host.go
+++ b/internal/eventloop/host.go
@@ -16,7 +16,7 @@
 func (h *host) Now() float64    { return Now() }
 func (h *host) Wall() time.Time { return time.Now() }
 
-func (h *host) Wake(at float64) {
+func (h *host) SetTimer(at float64) {
 	h.timer.Reset(max(time.Duration((at-Now())*float64(time.Second)), 0))
 }
 
@@ -26,17 +26,17 @@
 
 func (h *host) Post(f func()) { (*Server)(h).post(f) }
 
-// Tell sends a datagram to every peer. One that can't be sent now is lost, as any may be.
-func (h *host) Tell(data []byte) {
+// Broadcast sends a datagram to every peer. One that can't be sent now is lost, as any may be.
+func (h *host) Broadcast(data []byte) {
 	for _, p := range h.peers {
 		h.udp.WriteToUDPAddrPort(data, p)
 	}
 }
 
 // Dial connects off the loop, so that a worker that does not answer holds nobody up.
-func (h *host) Dial(no upstream.Conn, addr string) {
+func (h *host) Dial(no upstream.ConnID, addr string) {
 	s := (*Server)(h)
-	limit := time.Duration(s.set.Pool.Dial * float64(time.Second))
+	limit := time.Duration(s.set.Upstream.DialTimeout * float64(time.Second))
 	go func() {
 		c, err := net.DialTimeout("tcp", addr, limit)
 		if err == nil {
@@ -52,6 +52,6 @@
 				return // OnOpen told the front end
 			}
 		}
-		s.post(func() { s.front.Dialed(no, nil, err) })
+		s.post(func() { s.front.OnDialed(no, nil, err) })
 	}()
 }
