--- a/internal/eventloop/server.go
+++ b/internal/eventloop/server.go
@@ -28,14 +28,14 @@
 // Settings of one front end's sockets.
 type Settings struct {
 	proxy.Settings
-	Listen      string // host:port for clients; port 0 takes a free one
-	PeerListen  string // host:port for other front ends' datagrams, "" for none
-	Peers       []string
-	WorkersFile string
-	PeersAll    string // one address that reaches all other front ends; "": each of Peers is told by itself
-	Self        string // this front end's own address among Peers. Where it is set, datagrams leave from
+	Listen        string // host:port for clients; port 0 takes a free one
+	PeerListen    string // host:port for other front ends' datagrams, "" for none
+	Peers         []string
+	WorkersFile   string
+	PeerBroadcast string // one address that reaches all other front ends; "": each of Peers is told by itself
+	Self          string // this front end's own address among Peers. Where it is set, datagrams leave from
 	// PeerListen, and are taken from Peers alone
-	First func(*proxy.Front) // called on the event loop before anything that came in; may be nil
+	OnStart func(*proxy.Proxy) // called on the event loop before anything that came in; may be nil
 
 	knockAfter <-chan struct{} // holds back the program's own first connection; nil: at once
 }
@@ -55,7 +55,7 @@
 	c      gnet.Conn
 	loop   gnet.EventLoop
 	client *proxy.Client
-	no     upstream.Conn // to a worker
+	no     upstream.ConnID // to a worker
 }
 
 func (l *link) Write(data []byte) { l.c.Write(data) }
@@ -63,13 +63,13 @@
 	l.c.SetContext(nil)
 	l.loop.Close(l.c)
 }
-func (l *link) Shut()        { unix.Shutdown(l.c.Fd(), unix.SHUT_WR) }
+func (l *link) CloseWrite()  { unix.Shutdown(l.c.Fd(), unix.SHUT_WR) }
 func (l *link) Unsent() int  { return l.c.OutboundBuffered() }
 func (l *link) Name() string { return l.c.RemoteAddr().String() }
 
-// Ahead reads from the socket what the event loop has not come to yet. OnTraffic takes all there is each time, so that
+// ReadAhead reads from the socket what the event loop has not come to yet. OnTraffic takes all there is each time, so that
 // nothing lies between the two.
-func (l *link) Ahead() (data []byte, open bool) {
+func (l *link) ReadAhead() (data []byte, open bool) {
 	buf := make([]byte, 16<<10)
 	n, err := unix.Read(l.c.Fd(), buf)
 	switch {
@@ -92,8 +92,8 @@
 	begun    chan struct{}
 	entering chan struct{} // connections to workers that hold two descriptors while the loop takes them over
 	finished chan error
-	front    *proxy.Front
-	lost     []dispatch.Answer
+	front    *proxy.Proxy
+	lost     []dispatch.Response
 	timer    *time.Timer
 	udp      *net.UDPConn
 	peers    []netip.AddrPort        // that are told
@@ -132,10 +132,10 @@
 			s.known[a.AddrPort()] = true
 		}
 	}
-	if set.PeersAll != "" {
-		a, err := net.ResolveUDPAddr("udp", set.PeersAll)
+	if set.PeerBroadcast != "" {
+		a, err := net.ResolveUDPAddr("udp", set.PeerBroadcast)
 		if err != nil {
-			return nil, fmt.Errorf("all peers %s: %w", set.PeersAll, err)
+			return nil, fmt.Errorf("all peers %s: %w", set.PeerBroadcast, err)
 		}
 		s.peers = []netip.AddrPort{a.AddrPort()}
 	}
@@ -218,7 +218,7 @@
 }
 
 // Lost are events of an earlier process that may have run and must not run again; nobody was told how they ended.
-func (s *Server) Lost() []dispatch.Answer { return s.lost }
+func (s *Server) Lost() []dispatch.Response { return s.lost }
 
 // Addr is where clients connect.
 func (s *Server) Addr() string { return s.set.Listen }
@@ -259,8 +259,8 @@
 	s.timer = time.AfterFunc(time.Hour, func() { s.post(func() { s.front.Tick() }) })
 	s.front = proxy.New(s.set.Settings, (*host)(s))
 	s.lost = s.front.Lost()
-	if s.set.First != nil {
-		s.set.First(s.front)
+	if s.set.OnStart != nil {
+		s.set.OnStart(s.front)
 	}
 	go s.sweepLoop()
 	close(s.begun)
@@ -278,9 +278,9 @@
 func (s *Server) post(f func()) error { return s.loop.Execute(context.Background(), runnable(f)) }
 
 // do runs f on the event loop and waits for it; an error tells that the loop has ended.
-func (s *Server) do(f func(*proxy.Front)) error {
+func (s *Server) do(f func(*proxy.Proxy)) error {
 	done := make(chan struct{})
-	if err := s.post(func() { defer close(done); f(s.front); s.front.Settle() }); err != nil {
+	if err := s.post(func() { defer close(done); f(s.front); s.front.Flush() }); err != nil {
 		return err
 	}
 	select {
@@ -292,16 +292,16 @@
 	}
 }
 
-// Do runs f with the core, likewise.
-func (s *Server) Do(f func(*dispatch.Core)) error {
-	return s.do(func(x *proxy.Front) { f(x.Core()) })
+// DoDispatcher runs f with the core, likewise.
+func (s *Server) DoDispatcher(f func(*dispatch.Dispatcher)) error {
+	return s.do(func(x *proxy.Proxy) { f(x.Dispatcher()) })
 }
 
-// Front runs f with the front end, likewise.
-func (s *Server) Front(f func(*proxy.Front)) error { return s.do(f) }
+// Do runs f with the front end, likewise.
+func (s *Server) Do(f func(*proxy.Proxy)) error { return s.do(f) }
 
-// On runs f with the front end on the event loop, soon.
-func (s *Server) On(f func(*proxy.Front)) error { return s.post(func() { f(s.front) }) }
+// Post runs f with the front end on the event loop, soon.
+func (s *Server) Post(f func(*proxy.Proxy)) error { return s.post(func() { f(s.front) }) }
 
 // hear reads the datagrams of the front ends that are known.
 func (s *Server) hear() {
@@ -320,29 +320,29 @@
 			continue
 		}
 		data := bytes.Clone(buf[:n])
-		s.post(func() { s.front.Heard(data) })
+		s.post(func() { s.front.OnDatagram(data) })
 	}
 }
 
 // Counts are the core's totals and the number of connections to clients and workers.
 func (s *Server) Counts() (n dispatch.Counts, clients, backends int, err error) {
-	err = s.do(func(f *proxy.Front) {
-		n = f.Core().Counts()
-		clients, backends = f.Conns()
+	err = s.do(func(f *proxy.Proxy) {
+		n = f.Dispatcher().Counts()
+		clients, backends = f.Connections()
 	})
 	return
 }
 
-// Take takes an event from within the process; answer is called on the loop, exactly once.
-func (s *Server) Take(ask dispatch.Ask, answer func(dispatch.Answer)) error {
-	return s.post(func() { s.front.Take(ask, answer) })
+// Submit takes an event from within the process; answer is called on the loop, exactly once.
+func (s *Server) Submit(ask dispatch.Request, answer func(dispatch.Response)) error {
+	return s.post(func() { s.front.Submit(ask, answer) })
 }
 
 // OnOpen implements gnet.EventHandler.
 func (s *Server) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
 	if l, ok := c.Context().(*link); ok {
 		l.c = c
-		s.front.Dialed(l.no, l, nil)
+		s.front.OnDialed(l.no, l, nil)
 		return nil, gnet.None
 	}
 	if s.front == nil {
@@ -361,9 +361,9 @@
 	switch l, _ := c.Context().(*link); {
 	case l == nil:
 	case l.client != nil:
-		s.front.ClientGone(l.client)
+		s.front.OnClientClosed(l.client)
 	default:
-		s.front.WorkerGone(l.no)
+		s.front.OnUpstreamClosed(l.no)
 	}
 	return gnet.None
 }
@@ -376,11 +376,11 @@
 	}
 	switch l, _ := c.Context().(*link); {
 	case l == nil:
-		s.front.Heard(data)
+		s.front.OnDatagram(data)
 	case l.client != nil:
-		s.front.FromClient(l.client, data)
+		s.front.OnClientData(l.client, data)
 	default:
-		s.front.FromWorker(l.no, data)
+		s.front.OnUpstreamData(l.no, data)
 	}
 	return gnet.None
 }
@@ -402,40 +402,40 @@
 		return
 	}
 	s.post(func() {
-		if err := s.front.ReadList(data); err != nil {
+		if err := s.front.ReadEndpointList(data); err != nil {
 			s.log.Error("list of workers is faulty; the last one stays in force", "file", s.set.WorkersFile, "error", err)
 		}
 	})
 }
 
-// Knows is what this front end believes of copies.
-func (s *Server) Knows() (list []dispatch.Known) {
-	s.do(func(f *proxy.Front) { list = f.Knows() })
+// ReplicaSnapshots is what this front end believes of copies.
+func (s *Server) ReplicaSnapshots() (list []dispatch.ReplicaSnapshot) {
+	s.do(func(f *proxy.Proxy) { list = f.ReplicaSnapshots() })
 	return
 }
 
-// Drain makes a worker drain, or returns it to what the list says, whatever the list says meanwhile. It tells whether
+// DrainWorker makes a worker drain, or returns it to what the list says, whatever the list says meanwhile. It tells whether
 // the list names the worker.
-func (s *Server) Drain(id control.WorkerID, drain bool) (known bool, err error) {
-	err = s.do(func(f *proxy.Front) { known = f.Drain(id, drain) })
+func (s *Server) DrainWorker(id control.WorkerID, drain bool) (known bool, err error) {
+	err = s.do(func(f *proxy.Proxy) { known = f.DrainWorker(id, drain) })
 	return
 }
 
-// Drained are the workers that an order drains.
-func (s *Server) Drained() (list []string) {
-	s.do(func(f *proxy.Front) { list = f.Drained() })
+// DrainedWorkers are the workers that an order drains.
+func (s *Server) DrainedWorkers() (list []string) {
+	s.do(func(f *proxy.Proxy) { list = f.DrainedWorkers() })
 	return
 }
 
-// Ahead has a copy of a function loaded that will be asked for soon; it tells whether the decisions ordered one.
-func (s *Server) Ahead(eventType, fn string) (ordered bool, err error) {
-	err = s.do(func(f *proxy.Front) { ordered = f.Ahead(eventType, fn) })
+// Preload has a copy of a function loaded that will be asked for soon; it tells whether the decisions ordered one.
+func (s *Server) Preload(eventType, fn string) (ordered bool, err error) {
+	err = s.do(func(f *proxy.Proxy) { ordered = f.Preload(eventType, fn) })
 	return
 }
 
-// Unload asks every worker that is believed to hold a function to let its idle copies go, and tells how many.
-func (s *Server) Unload(fn string) (asked int, err error) {
-	err = s.do(func(f *proxy.Front) { asked = f.Unload(fn) })
+// UnloadReplicas asks every worker that is believed to hold a function to let its idle copies go, and tells how many.
+func (s *Server) UnloadReplicas(fn string) (asked int, err error) {
+	err = s.do(func(f *proxy.Proxy) { asked = f.UnloadReplicas(fn) })
 	return
 }
 
@@ -446,14 +446,14 @@
 	return s.stopped
 }
 
-// Close takes no more connections and events; what is open goes on. Stop follows.
-func (s *Server) Close() error { return s.do((*proxy.Front).CloseDoors) }
+// StopListening takes no more connections and events; what is open goes on. Stop follows.
+func (s *Server) StopListening() error { return s.do((*proxy.Proxy).StopListening) }
 
 // until waits for something to be so, looking every 10 ms.
-func (s *Server) until(patience time.Duration, so func(*proxy.Front) bool) {
+func (s *Server) until(patience time.Duration, so func(*proxy.Proxy) bool) {
 	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		yes := false
-		if s.do(func(f *proxy.Front) { yes = so(f) }) != nil || yes {
+		if s.do(func(f *proxy.Proxy) { yes = so(f) }) != nil || yes {
 			return
 		}
 	}
@@ -464,11 +464,11 @@
 		s.watch.close()
 	}
 	if s.loop != nil && s.front != nil {
-		s.Close()
-		s.until(patience, func(f *proxy.Front) bool { return f.Core().Quiet() })
-		s.do((*proxy.Front).Finish)
-		s.until(5*time.Second, (*proxy.Front).Kept)
-		s.do((*proxy.Front).Hang)
+		s.StopListening()
+		s.until(patience, func(f *proxy.Proxy) bool { return f.Dispatcher().Idle() })
+		s.do((*proxy.Proxy).Terminate)
+		s.until(5*time.Second, (*proxy.Proxy).RecordsStored)
+		s.do((*proxy.Proxy).CloseUpstream)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
--- a/internal/eventloop/server_test.go
+++ b/internal/eventloop/server_test.go
@@ -59,7 +59,7 @@
 		t.Fatal(err)
 	}
 	r.front, err = eventloop.Start(eventloop.Settings{Listen: "127.0.0.1:0", WorkersFile: r.path, Settings: proxy.Settings{
-		Name: "front", Core: c.Core(1), Pool: c.Pool("front"), Front: c.Front(), MostConns: c.Limits.Connections}})
+		Name: "front", Dispatch: c.Dispatch(1), Upstream: c.Upstream("front"), Downstream: c.Downstream(), MaxClients: c.Limits.Connections}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,12 +68,12 @@
 }
 
 func (r *room) client(repeat int) *schedule.Client {
-	return &schedule.Client{Source: "/t", Fronts: []string{r.front.Addr()}, HTTP: &http.Client{Transport: &http.Transport{}},
-		MaxAge: 1200 * time.Millisecond, Repeat: repeat}
+	return &schedule.Client{Source: "/t", FrontEnds: []string{r.front.Addr()}, HTTP: &http.Client{Transport: &http.Transport{}},
+		DefaultTimeout: 1200 * time.Millisecond, MaxRetries: repeat}
 }
 
-func (r *room) fire(kind, id string) schedule.Outcome {
-	return r.client(0).Fire(context.Background(), schedule.Firing{Entry: &schedule.Entry{Type: kind, Function: "tally"}, ID: id})
+func (r *room) fire(kind, id string) schedule.Result {
+	return r.client(0).Fire(context.Background(), schedule.Firing{Entry: &schedule.Entry{Class: kind, Function: "tally"}, ID: id})
 }
 
 // count tells how many records of a kind there are of an event, "" for any.
@@ -93,7 +93,7 @@
 		if err != nil {
 			r.t.Fatal(err)
 		}
-		if n.Open == 0 && n.Out == 0 {
+		if n.Open == 0 && n.InFlight == 0 {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -120,7 +120,7 @@
 	for _, kind := range []string{"again", "keyed", "once"} {
 		r := newRoom(t, 3, "")
 		var wait sync.WaitGroup
-		outs := make([]schedule.Outcome, 3)
+		outs := make([]schedule.Result, 3)
 		for i, lag := range []time.Duration{0, 0, 700 * time.Millisecond} {
 			wait.Add(1)
 			go func() { defer wait.Done(); time.Sleep(lag); outs[i] = r.fire(kind, "minute") }()
@@ -131,7 +131,7 @@
 			if o.Status != 200 {
 				t.Errorf("%s: %+v", kind, o)
 			}
-			if o.Replay {
+			if o.Replayed {
 				replays++
 			}
 		}
@@ -151,8 +151,8 @@
 	}
 	for kind, want := range map[string]int{"again": 503, "keyed": 503, "once": 504} {
 		o := r.fire(kind, kind)
-		if o.Status != want || o.Took < 900*time.Millisecond || o.Took > 1190*time.Millisecond {
-			t.Errorf("%s: status %d after %v", kind, o.Status, o.Took)
+		if o.Status != want || o.Latency < 900*time.Millisecond || o.Latency > 1190*time.Millisecond {
+			t.Errorf("%s: status %d after %v", kind, o.Status, o.Latency)
 		}
 		if n := r.count(invariants.Launched, kind); n != 1 {
 			t.Errorf("%s: %d launches", kind, n)
@@ -181,7 +181,7 @@
 		for _, w := range r.workers { // whoever is warm fails until it is taken back
 			w.Inject(c.fault)
 		}
-		done := make(chan schedule.Outcome)
+		done := make(chan schedule.Result)
 		go func() { done <- r.fire(c.kind, "e") }()
 		for r.count(invariants.Ended, "e") == 0 {
 			time.Sleep(time.Millisecond)
@@ -292,8 +292,8 @@
 	}
 	os.WriteFile(r.path, []byte("[]"), 0o644)
 	time.Sleep(50 * time.Millisecond)
-	if o := r.fire("again", "none"); o.Status != 503 || o.Took > 300*time.Millisecond {
-		t.Errorf("all gone: status %d after %v", o.Status, o.Took)
+	if o := r.fire("again", "none"); o.Status != 503 || o.Latency > 300*time.Millisecond {
+		t.Errorf("all gone: status %d after %v", o.Status, o.Latency)
 	}
 }
 
@@ -351,7 +351,7 @@
 	r := newRoom(t, 1, "")
 	r.fire("again", "warm")
 	r.workers[0].Inject(fakes.Fault{Kind: "hang"})
-	outs := make(chan schedule.Outcome, 2)
+	outs := make(chan schedule.Result, 2)
 	for _, kind := range []string{"again", "once"} {
 		go func() { outs <- r.fire(kind, kind) }()
 	}
--- a/internal/eventloop/start_test.go
+++ b/internal/eventloop/start_test.go
@@ -24,9 +24,9 @@
 	}
 	first, hold, started := make(chan struct{}), make(chan struct{}), make(chan *Server)
 	go func() {
-		s, err := Start(Settings{Listen: addr, Settings: proxy.Settings{Name: "f", MostConns: 4,
-			Front: fronthttp.Limits{Message: http1.Limits{Head: 1000}}, Core: dispatch.Settings{Deployment: &control.Deployment{FrontEnds: 1}}}, knockAfter: hold,
-			First: func(*proxy.Front) { close(first) }})
+		s, err := Start(Settings{Listen: addr, Settings: proxy.Settings{Name: "f", MaxClients: 4,
+			Downstream: fronthttp.Limits{Message: http1.Limits{Head: 1000}}, Dispatch: dispatch.Settings{Deployment: &control.Deployment{FrontEnds: 1}}}, knockAfter: hold,
+			OnStart: func(*proxy.Proxy) { close(first) }})
 		if err != nil {
 			t.Error(err)
 		}
--- a/internal/goldentest/pool.go
+++ b/internal/goldentest/pool.go
@@ -12,18 +12,18 @@
 
 // Pool is the worker side of a protocol.
 type Pool interface {
-	List(list *upstream.Listed)
-	Launch(now float64, l dispatch.Launch)
-	Load(now float64, o dispatch.Order)
-	Withdraw(no uint64) bool
+	SetEndpoints(list *upstream.EndpointList)
+	SendAttempt(now float64, l dispatch.Attempt)
+	SendLoad(now float64, o dispatch.LoadCommand)
+	CancelUnsent(no uint64) bool
 	Abandon(now float64, no uint64)
-	Dialed(now float64, no upstream.Conn, err error)
-	Data(now float64, no upstream.Conn, data []byte)
-	Closed(now float64, no upstream.Conn)
+	OnDialed(now float64, no upstream.ConnID, err error)
+	OnData(now float64, no upstream.ConnID, data []byte)
+	OnClosed(now float64, no upstream.ConnID)
 	Tick(now float64)
 	CloseAll(now float64)
 	Flush()
-	Conns() int
+	Len() int
 	Check() error
 }
 
@@ -32,7 +32,7 @@
 	Pool   Pool
 	Encode func(verb string, words []string) []byte // what a worker sends; nil for a verb of no such kind
 	Show   func(data []byte) []string
-	unsent map[upstream.Conn]int
+	unsent map[upstream.ConnID]int
 	held   []byte
 	piece  int
 	log    []string
@@ -43,40 +43,40 @@
 }
 
 // Dial notes that a connection is asked for.
-func (w *Workers) Dial(c upstream.Conn, addr string) { w.note("dial connection %d to %q", c, addr) }
+func (w *Workers) Dial(c upstream.ConnID, addr string) { w.note("dial connection %d to %q", c, addr) }
 
 // Write notes what leaves to a worker.
-func (w *Workers) Write(c upstream.Conn, data []byte) {
+func (w *Workers) Write(c upstream.ConnID, data []byte) {
 	for _, text := range w.Show(data) {
 		w.note("> worker on %d %s", c, text)
 	}
 }
 
 // Close notes that a connection is closed from this side.
-func (w *Workers) Close(c upstream.Conn) { w.note("close connection %d", c) }
+func (w *Workers) Close(c upstream.ConnID) { w.note("close connection %d", c) }
 
 // Unsent is what the script said of a connection's buffers.
-func (w *Workers) Unsent(c upstream.Conn) int { return w.unsent[c] }
+func (w *Workers) Unsent(c upstream.ConnID) int { return w.unsent[c] }
 
-// Launched notes how an attempt ended.
-func (w *Workers) Launched(job uint64, r dispatch.Reply) {
-	w.note("attempt %d ended: %s found=%s running=%v waiting=%v report=%v digest=%q fields=%s body=%s", job, results[r.Result], warmths[r.Warmth],
+// OnAttemptReply notes how an attempt ended.
+func (w *Workers) OnAttemptReply(job uint64, r dispatch.WorkerReply) {
+	w.note("attempt %d ended: %s found=%s running=%v waiting=%v report=%v digest=%q fields=%s body=%s", job, results[r.Outcome], warmths[r.Start],
 		r.Report.Running, r.Report.Waiting, r.Report.Known, r.Digest, fields(r.Fields), clip(r.Body))
 }
 
-// Loaded notes how a load order ended.
-func (w *Workers) Loaded(job uint64, res control.Result, copies int) {
+// OnLoadReply notes how a load order ended.
+func (w *Workers) OnLoadReply(job uint64, res control.Outcome, copies int) {
 	w.note("load %d ended: %s copies=%d", job, results[res], copies)
 }
 
-var results = map[control.Result]string{control.Handled: "served", control.Failed: "error", control.TimedOut: "timed-out",
-	control.Broken: "broken", control.Cancelled: "cancelled", control.TurnedAway: "refused", control.Unreachable: "unreachable",
-	control.NeverSent: "never-sent", control.Missed: "not-loaded"}
+var results = map[control.Outcome]string{control.Succeeded: "served", control.Failed: "error", control.TimedOut: "timed-out",
+	control.ConnectionLost: "broken", control.Cancelled: "cancelled", control.Rejected: "refused", control.Unreachable: "unreachable",
+	control.NotSent: "never-sent", control.ReplicaMissing: "not-loaded"}
 
-var warmths = map[control.Warmth]string{control.WarmthUnknown: "unknown", control.FoundWarm: "warm", control.BeganLoad: "cold",
-	control.JoinedLoad: "joined", control.LoadFailed: "load-failed"}
+var warmths = map[control.StartType]string{control.StartUnknown: "unknown", control.WarmStart: "warm", control.ColdStart: "cold",
+	control.JoinedColdStart: "joined", control.StartFailed: "load-failed"}
 
-func warmth(word string) control.Warmth {
+func warmth(word string) control.StartType {
 	for w, text := range warmths {
 		if text == word {
 			return w
@@ -102,21 +102,21 @@
 	case "workers":
 		w.list(words[0])
 	case "attempt":
-		w.Pool.Launch(now, attempt(number(), words[1], Options(words[2:])))
+		w.Pool.SendAttempt(now, attempt(number(), words[1], Options(words[2:])))
 	case "load":
-		w.Pool.Load(now, order(number(), words[1], Options(words[2:])))
+		w.Pool.SendLoad(now, order(number(), words[1], Options(words[2:])))
 	case "withdraw":
-		w.note("withdrawn: %v", w.Pool.Withdraw(number()))
+		w.note("withdrawn: %v", w.Pool.CancelUnsent(number()))
 	case "cancel":
 		w.Pool.Abandon(now, number())
 	case "connected":
-		w.Pool.Dialed(now, upstream.Conn(number()), nil)
+		w.Pool.OnDialed(now, upstream.ConnID(number()), nil)
 	case "connect-failed":
-		w.Pool.Dialed(now, upstream.Conn(number()), errors.New("connection refused"))
+		w.Pool.OnDialed(now, upstream.ConnID(number()), errors.New("connection refused"))
 	case "closed":
-		w.Pool.Closed(now, upstream.Conn(number()))
+		w.Pool.OnClosed(now, upstream.ConnID(number()))
 	case "unsent":
-		w.unsent[upstream.Conn(number())] = int(Number(words[1]))
+		w.unsent[upstream.ConnID(number())] = int(Number(words[1]))
 	case "pieces":
 		w.piece = int(number())
 	case "tick":
@@ -124,7 +124,7 @@
 	case "close-all":
 		w.Pool.CloseAll(now)
 	case "connections?":
-		w.note("connections: %d", w.Pool.Conns())
+		w.note("connections: %d", w.Pool.Len())
 	default:
 		w.receive(now, verb, words)
 	}
@@ -141,7 +141,7 @@
 		return
 	}
 	data, w.held = w.held, nil
-	c := upstream.Conn(Number(words[0]))
+	c := upstream.ConnID(Number(words[0]))
 	for _, text := range w.Show(data) {
 		w.note("< worker on %d %s", c, text)
 	}
@@ -150,14 +150,14 @@
 		if w.piece > 0 {
 			n = min(n, w.piece)
 		}
-		w.Pool.Data(now, c, data[:n])
+		w.Pool.OnData(now, c, data[:n])
 		data = data[n:]
 	}
 }
 
 // list reads the list of workers in the form of its file.
 func (w *Workers) list(text string) {
-	list, err := upstream.ReadList([]byte(text), 100)
+	list, err := upstream.ParseEndpointList([]byte(text), 100)
 	if err != nil {
 		for _, line := range strings.Split(err.Error(), "\n") {
 			w.note("list refused: %s", line)
@@ -165,22 +165,22 @@
 		return
 	}
 	for _, wk := range list.Workers {
-		w.note("worker %q at %q draining=%v zone=%q kind=%q cell=%d size=%v started=%v", wk.ID, list.Address[wk.ID], wk.Phase == control.Draining,
-			wk.Zone, wk.Kind, wk.Cell, wk.Size, wk.Born)
+		w.note("worker %q at %q draining=%v zone=%q kind=%q cell=%d size=%v started=%v", wk.ID, list.Addresses[wk.ID], wk.State == control.Draining,
+			wk.Zone, wk.MachineType, wk.FailureDomain, wk.Weight, wk.StartedAt)
 	}
-	w.Pool.List(list)
+	w.Pool.SetEndpoints(list)
 }
 
-func attempt(job uint64, worker string, o map[string]string) dispatch.Launch {
-	l := dispatch.Launch{Job: job, Worker: control.WorkerID(worker), Function: "7f3a9c21e0b4d655", Type: "call", Limit: 1.5,
+func attempt(job uint64, worker string, o map[string]string) dispatch.Attempt {
+	l := dispatch.Attempt{ID: job, Worker: control.WorkerID(worker), Function: "7f3a9c21e0b4d655", Class: "call", Timeout: 1.5,
 		Identity: dispatch.Identity{ID: fmt.Sprintf("%016x", job)}, Body: []byte(o["body"]), Binding: binding(o)}
-	for name, to := range map[string]*string{"function": &l.Function, "type": &l.Type, "id": &l.Identity.ID} {
+	for name, to := range map[string]*string{"function": &l.Function, "type": &l.Class, "id": &l.Identity.ID} {
 		if v, ok := o[name]; ok {
 			*to = v
 		}
 	}
 	if o["limit"] != "" {
-		l.Limit = Number(o["limit"])
+		l.Timeout = Number(o["limit"])
 	}
 	if name, value, ok := strings.Cut(o["field"], ": "); ok {
 		l.Fields = []dispatch.Field{{Name: name, Value: value}}
@@ -188,8 +188,8 @@
 	return l
 }
 
-func order(job uint64, worker string, o map[string]string) dispatch.Order {
-	r := dispatch.Order{Job: job, Worker: control.WorkerID(worker), Function: "7f3a9c21e0b4d655", Copies: int(Number(o["copies"])), Binding: binding(o)}
+func order(job uint64, worker string, o map[string]string) dispatch.LoadCommand {
+	r := dispatch.LoadCommand{ID: job, Worker: control.WorkerID(worker), Function: "7f3a9c21e0b4d655", Replicas: int(Number(o["copies"])), Binding: binding(o)}
 	if v, ok := o["function"]; ok {
 		r.Function = v
 	}
@@ -204,4 +204,4 @@
 }
 
 // NewWorkers makes workers without a pool, which the caller sets.
-func NewWorkers() *Workers { return &Workers{unsent: map[upstream.Conn]int{}} }
+func NewWorkers() *Workers { return &Workers{unsent: map[upstream.ConnID]int{}} }
--- a/internal/goldentest/session.go
+++ b/internal/goldentest/session.go
@@ -11,13 +11,13 @@
 // Session is the client side of a protocol.
 type Session interface {
 	Feed(now float64, wall time.Time, data []byte)
-	Answer(now float64, slot uint64, a dispatch.Answer)
+	Respond(now float64, slot uint64, a dispatch.Response)
 	Advance(now float64)
 	Tick(now float64) bool
 	Drain()
-	Gone()
+	Disconnected()
 	Done() bool
-	Free() (since float64, free bool)
+	Idle() (since float64, free bool)
 	Output() []byte
 }
 
@@ -30,7 +30,7 @@
 	held    []byte                                   // waits for the next bytes to go with them
 	piece   int                                      // bytes that are fed at a time; 0: all
 	ended   bool
-	always  *dispatch.Answer // to each request as it is taken
+	always  *dispatch.Response // to each request as it is taken
 	now     float64
 	log     []string
 }
@@ -38,18 +38,18 @@
 // Wall is the time of day at time 0 of every script.
 var Wall = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 
-// Take notes a request that the session took.
-func (c *Client) Take(slot uint64, a dispatch.Ask) {
+// Submit notes a request that the session took.
+func (c *Client) Submit(slot uint64, a dispatch.Request) {
 	c.note("request %d taken: source=%q id=%q type=%q tenant=%q function=%q wait=%v work=%v slots=%d memory=%v load=%v alone=%v repeat=%v fields=%s body=%s",
-		slot, a.Source, a.ID, a.Type, a.Tenant, a.Function, a.Wait, a.Work, a.Stated.Lanes, a.Stated.Memory, a.Stated.Load, a.Alone, a.Repeated,
+		slot, a.Source, a.ID, a.Class, a.Tenant, a.Function, a.Timeout, a.ExpectedWork, a.StatedProfile.Concurrency, a.StatedProfile.MemoryMB, a.StatedProfile.LoadTime, a.RejectDuplicates, a.Retried,
 		fields(a.Fields), clip(a.Body))
 	if c.always != nil {
-		c.Session.Answer(c.now, slot, *c.always)
+		c.Session.Respond(c.now, slot, *c.always)
 	}
 }
 
-// HungUp notes that nobody waits for a request any more.
-func (c *Client) HungUp(slot uint64) { c.note("request %d cancelled", slot) }
+// Cancel notes that nobody waits for a request any more.
+func (c *Client) Cancel(slot uint64) { c.note("request %d cancelled", slot) }
 
 func (c *Client) note(format string, args ...any) {
 	c.log = append(c.log, fmt.Sprintf(format, args...))
@@ -78,16 +78,16 @@
 		a := answer(words)
 		c.always = &a
 	case "answer":
-		c.Session.Answer(now, uint64(Number(words[0])), answer(words[1:]))
+		c.Session.Respond(now, uint64(Number(words[0])), answer(words[1:]))
 		c.Session.Advance(now)
 	case "tick":
 		c.note("something to do: %v", c.Session.Tick(now))
 	case "drain":
 		c.Session.Drain()
 	case "gone":
-		c.Session.Gone()
+		c.Session.Disconnected()
 	case "idle?":
-		since, free := c.Session.Free()
+		since, free := c.Session.Idle()
 		c.note("idle: %v since %v", free, since)
 	case "readiness":
 		c.Closed = words[0] == "no"
@@ -150,31 +150,31 @@
 	}
 }
 
-var outcomes = map[string]dispatch.Kind{"served": dispatch.Handled, "deferred": dispatch.Deferred, "failed": dispatch.DeadLettered}
+var outcomes = map[string]dispatch.ResponseKind{"served": dispatch.Succeeded, "deferred": dispatch.Rejected, "failed": dispatch.Failed}
 
 // answer reads "served|deferred|failed [cause=...] [pause=...] ...". Causes go by the words that clients are told.
-func answer(words []string) dispatch.Answer {
+func answer(words []string) dispatch.Response {
 	o := Options(words[1:])
 	kind, ok := outcomes[words[0]]
 	if !ok {
 		panic(words[0])
 	}
-	a := dispatch.Answer{Kind: kind, Worker: o["worker"], Repeat: o["repeat"] != "", EventType: o["type"], FunctionID: o["function"],
+	a := dispatch.Response{Kind: kind, Worker: o["worker"], Replayed: o["repeat"] != "", Class: o["type"], Function: o["function"],
 		Body: []byte(o["body"]), Identity: dispatch.Identity{Source: o["source"], ID: o["id"]}}
 	if o["cause"] != "" {
 		a.Cause = cause(o["cause"])
 	}
 	if o["pause"] != "" {
-		a.Pause = Number(o["pause"])
+		a.RetryAfter = Number(o["pause"])
 	}
 	if o["after"] != "" {
-		a.After = Number(o["after"])
+		a.Elapsed = Number(o["after"])
 	}
 	if o["attempts"] != "" {
-		a.Launches = int(Number(o["attempts"]))
+		a.Attempts = int(Number(o["attempts"]))
 	}
 	if o["found"] != "" {
-		a.Warmth = warmth(o["found"])
+		a.Start = warmth(o["found"])
 	}
 	if o["version"] != "" {
 		a.Binding = dispatch.Binding{ID: "f@" + o["digest"], Function: "f", Version: o["version"], Digest: o["digest"]}
@@ -186,7 +186,7 @@
 }
 
 func cause(word string) dispatch.Cause {
-	for c := dispatch.Answered; c <= dispatch.Duplicate; c++ {
+	for c := dispatch.CauseAnswered; c <= dispatch.CauseDuplicate; c++ {
 		if c.String() == word {
 			return c
 		}
--- a/internal/http1/h1.go
+++ b/internal/http1/h1.go
@@ -21,15 +21,17 @@
 	Body int // content after the transfer coding is taken off
 }
 
-// Fault is why a stream can't be read on. Status is what a server answers a request with before it closes.
-type Fault struct {
+// ProtocolError is why a stream can't be read on. Status is what a server answers a request with before it closes.
+type ProtocolError struct {
 	Status int
 	Why    string
 }
 
-func (f *Fault) Error() string { return f.Why }
+func (f *ProtocolError) Error() string { return f.Why }
 
-func bad(format string, args ...any) *Fault { return &Fault{400, fmt.Sprintf(format, args...)} }
+func bad(format string, args ...any) *ProtocolError {
+	return &ProtocolError{400, fmt.Sprintf(format, args...)}
+}
 
 // Message is one whole request or response.
 type Message struct {
@@ -65,7 +67,7 @@
 	trailer  int
 	msg      *Message
 	told     bool // that the request waits for 100 Continue
-	fault    *Fault
+	fault    *ProtocolError
 }
 
 // NewRequests frames what a client sends.
@@ -127,7 +129,7 @@
 	return m
 }
 
-func (f *Framer) next() (*Message, *Fault) {
+func (f *Framer) next() (*Message, *ProtocolError) {
 	for {
 		switch f.state {
 		case inHead:
@@ -139,14 +141,14 @@
 			end := bytes.Index(f.buf[f.seen:], []byte("\r\n\r\n"))
 			if end < 0 {
 				if len(f.buf) > f.limits.Head {
-					return nil, &Fault{431, fmt.Sprintf("head is over %d bytes", f.limits.Head)}
+					return nil, &ProtocolError{431, fmt.Sprintf("head is over %d bytes", f.limits.Head)}
 				}
 				f.seen = max(len(f.buf)-3, 0)
 				return nil, nil
 			}
 			end += f.seen + 4
 			if end > f.limits.Head {
-				return nil, &Fault{431, fmt.Sprintf("head is over %d bytes", f.limits.Head)}
+				return nil, &ProtocolError{431, fmt.Sprintf("head is over %d bytes", f.limits.Head)}
 			}
 			if fault := f.head(f.buf[:end]); fault != nil {
 				return nil, fault
@@ -176,7 +178,7 @@
 			}
 		case inUntilClose:
 			if len(f.msg.Body)+len(f.buf) > f.limits.Body {
-				return nil, &Fault{413, fmt.Sprintf("body is over %d bytes", f.limits.Body)}
+				return nil, &ProtocolError{413, fmt.Sprintf("body is over %d bytes", f.limits.Body)}
 			}
 			f.msg.Body, f.buf = append(f.msg.Body, f.buf...), nil
 			return nil, nil
@@ -192,7 +194,7 @@
 				return nil, bad("chunk size %q is not a hexadecimal number", digits)
 			}
 			if len(f.msg.Body)+int(size) > f.limits.Body {
-				return nil, &Fault{413, fmt.Sprintf("body is over %d bytes", f.limits.Body)}
+				return nil, &ProtocolError{413, fmt.Sprintf("body is over %d bytes", f.limits.Body)}
 			}
 			if f.left, f.state = int(size), inChunk; size == 0 {
 				f.state, f.trailer = inTrailer, 0
@@ -218,7 +220,7 @@
 				return nil, fault
 			}
 			if f.trailer += len(line) + 2; f.trailer > f.limits.Head {
-				return nil, &Fault{431, fmt.Sprintf("trailer is over %d bytes", f.limits.Head)}
+				return nil, &ProtocolError{431, fmt.Sprintf("trailer is over %d bytes", f.limits.Head)}
 			}
 			if line == "" {
 				return f.done(), nil
@@ -232,7 +234,7 @@
 	}
 }
 
-func (f *Framer) line(most int) (string, bool, *Fault) {
+func (f *Framer) line(most int) (string, bool, *ProtocolError) {
 	end := bytes.IndexByte(f.buf, '\n')
 	if end < 0 && len(f.buf) > most || end > most {
 		return "", false, bad("line in a chunked body is over %d bytes", most)
@@ -250,7 +252,7 @@
 
 // head parses a head and settles how long the body is. Whatever two readers could understand differently
 // (request smuggling) is turned away instead of being guessed at.
-func (f *Framer) head(head []byte) *Fault {
+func (f *Framer) head(head []byte) *ProtocolError {
 	for i, c := range head {
 		switch {
 		case c == 0:
@@ -294,7 +296,7 @@
 		m.Method, m.Target, version = parts[0], parts[1], parts[2]
 	}
 	if version != "HTTP/1.1" && version != "HTTP/1.0" {
-		return &Fault{505, fmt.Sprintf("version %.20q is neither HTTP/1.1 nor HTTP/1.0", version)}
+		return &ProtocolError{505, fmt.Sprintf("version %.20q is neither HTTP/1.1 nor HTTP/1.0", version)}
 	}
 	old := version == "HTTP/1.0"
 	connection := strings.ToLower(strings.Join(fields["Connection"], ","))
@@ -311,7 +313,7 @@
 	case len(codings) > 0 && old:
 		return bad("Transfer-Encoding in HTTP/1.0")
 	case len(codings) > 1 || len(codings) == 1 && !strings.EqualFold(strings.TrimSpace(codings[0]), "chunked"):
-		return &Fault{501, fmt.Sprintf("Transfer-Encoding %.40q is not chunked alone", strings.Join(codings, ", "))}
+		return &ProtocolError{501, fmt.Sprintf("Transfer-Encoding %.40q is not chunked alone", strings.Join(codings, ", "))}
 	case len(codings) == 1:
 		f.state = inChunkSize
 	case len(lengths) > 1:
@@ -322,7 +324,7 @@
 			return bad("Content-Length %.40q is not a whole number", lengths[0])
 		}
 		if n > uint64(f.limits.Body) {
-			return &Fault{413, fmt.Sprintf("body of %d bytes is over %d", n, f.limits.Body)}
+			return &ProtocolError{413, fmt.Sprintf("body of %d bytes is over %d", n, f.limits.Body)}
 		}
 		f.left = int(n)
 	case f.response:
--- a/internal/http1/h1_test.go
+++ b/internal/http1/h1_test.go
@@ -79,7 +79,7 @@
 				}
 				return
 			}
-			var f *Fault
+			var f *ProtocolError
 			status, word, _ := strings.Cut(want, " ")
 			if !errors.As(err, &f) || fmt.Sprint(f.Status) != status || !strings.Contains(f.Why, word) {
 				t.Errorf("%s, %s: %v, want %s", c.name, how, err, want)
--- a/internal/ingress/http/event.go
+++ b/internal/ingress/http/event.go
@@ -38,8 +38,8 @@
 
 // readEvent understands a request as one CloudEvent in binary or structured mode (CloudEvents 1.0, HTTP binding
 // 3.1 and 3.2). wall is the time at which the request was whole.
-func readEvent(m *http1.Message, wall time.Time) (dispatch.Ask, *fault) {
-	var ask dispatch.Ask
+func readEvent(m *http1.Message, wall time.Time) (dispatch.Request, *fault) {
+	var ask dispatch.Request
 	media, _, _ := strings.Cut(m.Header.Get("Content-Type"), ";")
 	media = strings.ToLower(strings.TrimSpace(media))
 	structured := strings.HasPrefix(media, "application/cloudevents")
@@ -75,7 +75,7 @@
 		return ask, &fault{400, "invalid-event", named(err)}
 	}
 	ask.Identity = dispatch.Identity{Source: e.Source(), ID: e.ID()}
-	ask.Type = e.Type()
+	ask.Class = e.Type()
 	extensions := e.Extensions()
 	text := func(name string) string {
 		if v, ok := extensions[name]; ok {
@@ -84,7 +84,7 @@
 		return ""
 	}
 	ask.Tenant, ask.Function = text(attrTenant), text(attrFunction)
-	ask.Repeated = text(attrRepeat) == "true"
+	ask.Retried = text(attrRepeat) == "true"
 	if ask.Function == "" {
 		return ask, &fault{400, "invalid-event", "attribute function: missing; it names the function that runs the event"}
 	}
@@ -98,7 +98,7 @@
 	if f != nil {
 		return ask, f
 	}
-	ask.Wait = wait
+	ask.Timeout = wait
 	ask.Body = e.Data()
 	ask.Fields = binary(e, extensions)
 	return ask, nil
--- a/internal/ingress/http/session.go
+++ b/internal/ingress/http/session.go
@@ -27,19 +27,19 @@
 	MaxAge   func(eventType string) float64 // the longest that an event of a type waits; 0 where the type is unknown
 }
 
-// Taker takes events on behalf of a session.
-type Taker interface {
-	// Take is answered by Session.Answer with the same slot, be it before Take returns.
-	Take(slot uint64, ask dispatch.Ask)
-	// HungUp tells that nobody waits for the slot any more.
-	HungUp(slot uint64)
+// RequestHandler takes events on behalf of a session.
+type RequestHandler interface {
+	// Submit is answered by Session.Answer with the same slot, be it before Take returns.
+	Submit(slot uint64, ask dispatch.Request)
+	// Cancel tells that nobody waits for the slot any more.
+	Cancel(slot uint64)
 }
 
 // slot is one request of the connection, in the order they came.
 type slot struct {
 	no    uint64
 	due   float64 // when its client stops waiting, if it is an event; else 0
-	ask   *dispatch.Ask
+	ask   *dispatch.Request
 	out   []byte // the answer, once there is one
 	last  bool   // the connection closes behind it
 	taken bool
@@ -49,7 +49,7 @@
 type Session struct {
 	limits Limits
 	in     *http1.Framer
-	taker  Taker
+	taker  RequestHandler
 	name   string // of this front end, for Proxy-Status
 	slots  []*slot
 	no     uint64
@@ -61,7 +61,7 @@
 }
 
 // NewSession begins a connection at the time now.
-func NewSession(l Limits, name string, taker Taker, now float64) *Session {
+func NewSession(l Limits, name string, taker RequestHandler, now float64) *Session {
 	return &Session{limits: l, in: http1.NewRequests(l.Message), taker: taker, name: name, quiet: now}
 }
 
@@ -102,7 +102,7 @@
 func (s *Session) refuse(err error) {
 	status := 400
 	var why string
-	if f, ok := err.(*http1.Fault); ok {
+	if f, ok := err.(*http1.ProtocolError); ok {
 		status, why = f.Status, f.Why
 	} else {
 		why = err.Error()
@@ -146,11 +146,11 @@
 		sl.out = s.problem(429, "pipeline", fmt.Sprintf("over %d requests of this connection wait", s.limits.Pipeline),
 			[]dispatch.Field{{Name: "Retry-After", Value: "1"}}, nil, sl.last)
 	default:
-		wait := s.limits.MaxAge(ask.Type)
-		if ask.Wait == 0 || ask.Wait > wait {
-			ask.Wait = wait
+		wait := s.limits.MaxAge(ask.Class)
+		if ask.Timeout == 0 || ask.Timeout > wait {
+			ask.Timeout = wait
 		}
-		sl.ask, sl.due = &ask, now+ask.Wait
+		sl.ask, sl.due = &ask, now+ask.Timeout
 	}
 }
 
@@ -180,13 +180,13 @@
 				}
 				sl.taken = true
 				ask := *sl.ask
-				if left := sl.due - now; ask.Wait != 0 && left <= 0 {
-					ask.Wait = -1
+				if left := sl.due - now; ask.Timeout != 0 && left <= 0 {
+					ask.Timeout = -1
 				} else {
-					ask.Wait = left
+					ask.Timeout = left
 				}
-				sl.ask = &dispatch.Ask{Identity: ask.Identity}
-				s.taker.Take(sl.no, ask)
+				sl.ask = &dispatch.Request{Identity: ask.Identity}
+				s.taker.Submit(sl.no, ask)
 				progress = true
 			}
 			ahead = max(ahead, sl.due)
@@ -194,8 +194,8 @@
 	}
 }
 
-// Answer is the final answer to a slot.
-func (s *Session) Answer(now float64, no uint64, a dispatch.Answer) {
+// Respond is the final answer to a slot.
+func (s *Session) Respond(now float64, no uint64, a dispatch.Response) {
 	for _, sl := range s.slots {
 		if sl.no == no && sl.out == nil {
 			sl.out = s.final(a, sl.last)
@@ -219,22 +219,22 @@
 	return out
 }
 
-// Free tells that no request is open or half read, and since when.
-func (s *Session) Free() (since float64, free bool) {
+// Idle tells that no request is open or half read, and since when.
+func (s *Session) Idle() (since float64, free bool) {
 	return s.quiet, s.in.Idle() && len(s.slots) == 0
 }
 
 // Done tells that the connection is to be closed once all output is sent.
 func (s *Session) Done() bool { return s.closed && len(s.slots) == 0 }
 
-// Gone tells that the client left.
-func (s *Session) Gone() { s.abandon() }
+// Disconnected tells that the client left.
+func (s *Session) Disconnected() { s.abandon() }
 
 func (s *Session) abandon() {
 	s.gone = true
 	for _, sl := range s.slots {
 		if sl.taken && sl.out == nil {
-			s.taker.HungUp(sl.no)
+			s.taker.Cancel(sl.no)
 		}
 	}
 	s.slots = nil
@@ -254,7 +254,7 @@
 	switch {
 	case s.closed || s.gone:
 	case !s.in.Idle() && now-s.began > s.limits.Arrival:
-		s.refuse(&http1.Fault{Status: 408, Why: fmt.Sprintf("the request was not whole after %v s", s.limits.Arrival)})
+		s.refuse(&http1.ProtocolError{Status: 408, Why: fmt.Sprintf("the request was not whole after %v s", s.limits.Arrival)})
 		s.advance(now)
 	case s.in.Idle() && len(s.slots) == 0 && now-s.quiet > s.limits.Idle:
 		s.closed = true
@@ -292,21 +292,21 @@
 		append(body, '\n'), last)
 }
 
-var warmths = map[control.Warmth]string{control.FoundWarm: "warm", control.BeganLoad: "load",
-	control.JoinedLoad: "joined"}
+var warmths = map[control.StartType]string{control.WarmStart: "warm", control.ColdStart: "load",
+	control.JoinedColdStart: "joined"}
 
 // proxyErrors are the error types of RFC 9209 2.3 for the causes that have one.
 var proxyErrors = map[dispatch.Cause]string{
-	dispatch.TimeUp: "http_response_timeout", dispatch.WorkerBroke: "connection_terminated",
-	dispatch.WorkerGone: "destination_unavailable", dispatch.WorkerFull: "connection_limit_reached",
-	dispatch.NoRoom: "destination_unavailable", dispatch.WorkerFailed: "http_protocol_error",
-	dispatch.LoadFailed: "destination_not_found",
+	dispatch.CauseDeadlineExceeded: "http_response_timeout", dispatch.CauseConnectionLost: "connection_terminated",
+	dispatch.CauseWorkerUnreachable: "destination_unavailable", dispatch.CauseWorkerFull: "connection_limit_reached",
+	dispatch.CauseNoCapacity: "destination_unavailable", dispatch.CauseWorkerFailed: "http_protocol_error",
+	dispatch.CauseLoadFailed: "destination_not_found",
 }
 
 // final writes a final answer: 200 handled; 503 with Retry-After deferred; 502 or 504 dead-lettered.
-func (s *Session) final(a dispatch.Answer, last bool) []byte {
-	timing := fmt.Sprintf("total;dur=%.1f", a.After*1000)
-	if w, ok := warmths[a.Warmth]; ok && a.Kind == dispatch.Handled {
+func (s *Session) final(a dispatch.Response, last bool) []byte {
+	timing := fmt.Sprintf("total;dur=%.1f", a.Elapsed*1000)
+	if w, ok := warmths[a.Start]; ok && a.Kind == dispatch.Succeeded {
 		timing = w + ", " + timing
 	}
 	fields := []dispatch.Field{{Name: "Server-Timing", Value: timing}}
@@ -314,10 +314,10 @@
 		fields[0].Value = fmt.Sprintf("%s, version;desc=%q", timing, b.Version)
 		fields = append(fields, dispatch.Field{Name: "Docker-Content-Digest", Value: b.Digest})
 	}
-	if a.Repeat {
+	if a.Replayed {
 		fields = append(fields, dispatch.Field{Name: "Idempotent-Replayed", Value: "true"})
 	}
-	if a.Kind == dispatch.Handled {
+	if a.Kind == dispatch.Succeeded {
 		return s.render(200, append(fields, a.Fields...), a.Body, last)
 	}
 	status := fmt.Sprintf("%s; details=%q", s.name, a.Cause)
@@ -325,23 +325,23 @@
 		status = fmt.Sprintf("%s; error=%s; details=%q", s.name, e, a.Cause)
 	}
 	fields = append(fields, dispatch.Field{Name: "Proxy-Status", Value: status})
-	more := map[string]any{"cause": a.Cause.String(), "outcome": a.Kind.String(), "launches": a.Launches,
+	more := map[string]any{"cause": a.Cause.String(), "outcome": a.Kind.String(), "launches": a.Attempts,
 		"event": map[string]string{"source": a.Identity.Source, "id": a.Identity.ID}}
 	if a.Worker != "" {
 		more["worker"] = a.Worker
 	}
 	code, detail := 502, "The event was given up; nothing is promised of what it did."
 	switch {
-	case a.Kind == dispatch.Deferred:
+	case a.Kind == dispatch.Rejected:
 		code, detail = 503, "The event was not handled; sending it again is harmless."
-		more["retry-after"] = a.Pause
-		fields = append(fields, dispatch.Field{Name: "Retry-After", Value: strconv.Itoa(int(math.Ceil(a.Pause)))})
-	case a.Cause == dispatch.TimeUp:
+		more["retry-after"] = a.RetryAfter
+		fields = append(fields, dispatch.Field{Name: "Retry-After", Value: strconv.Itoa(int(math.Ceil(a.RetryAfter)))})
+	case a.Cause == dispatch.CauseDeadlineExceeded:
 		code = 504
-	case a.Cause == dispatch.NoVersion:
-		code, detail = 422, fmt.Sprintf("The reference %.100q names no version that may run events of type %.100q.", a.FunctionID, a.EventType)
-	case a.Cause == dispatch.Unknown: // never taken: the sender's fault
-		code, detail = 422, fmt.Sprintf("The configuration names no event type %.100q.", a.EventType)
+	case a.Cause == dispatch.CauseNoVersion:
+		code, detail = 422, fmt.Sprintf("The reference %.100q names no version that may run events of type %.100q.", a.Function, a.Class)
+	case a.Cause == dispatch.CauseUnknownClass: // never taken: the sender's fault
+		code, detail = 422, fmt.Sprintf("The configuration names no event type %.100q.", a.Class)
 	}
 	return s.problem(code, a.Kind.String(), detail, fields, more, last)
 }
--- a/internal/ingress/http/session_test.go
+++ b/internal/ingress/http/session_test.go
@@ -21,23 +21,23 @@
 // till is the core's side of a session: it notes what was taken.
 type till struct {
 	s     *Session
-	asks  map[uint64]dispatch.Ask
+	asks  map[uint64]dispatch.Request
 	order []uint64
 	left  []uint64
 	now   bool // answer within Take
 }
 
-func (k *till) Take(slot uint64, ask dispatch.Ask) {
+func (k *till) Submit(slot uint64, ask dispatch.Request) {
 	k.asks[slot] = ask
 	k.order = append(k.order, slot)
 	if k.now {
-		k.s.Answer(0, slot, dispatch.Answer{Kind: dispatch.Handled, Body: []byte(ask.ID)})
+		k.s.Respond(0, slot, dispatch.Response{Kind: dispatch.Succeeded, Body: []byte(ask.ID)})
 	}
 }
-func (k *till) HungUp(slot uint64) { k.left = append(k.left, slot) }
+func (k *till) Cancel(slot uint64) { k.left = append(k.left, slot) }
 
 func newTill() *till {
-	k := &till{asks: map[uint64]dispatch.Ask{}}
+	k := &till{asks: map[uint64]dispatch.Request{}}
 	k.s = NewSession(limits, "front-1", k, 0)
 	return k
 }
@@ -52,8 +52,8 @@
 	return string(k.s.Output())
 }
 
-func (k *till) answer(slot uint64, a dispatch.Answer) string {
-	k.s.Answer(1, slot, a)
+func (k *till) answer(slot uint64, a dispatch.Response) string {
+	k.s.Respond(1, slot, a)
 	k.s.Advance(1)
 	return string(k.s.Output())
 }
@@ -71,8 +71,8 @@
 			t.Fatalf("%s: %q", name, out)
 		}
 		ask := k.asks[1]
-		if ask.Source != "/t" || ask.ID != "e 1" || ask.Type != "shop-event" || ask.Function != "tally" || ask.Tenant != "shop-a" ||
-			ask.Wait != 2 || string(ask.Body) != `{"n":1}` {
+		if ask.Source != "/t" || ask.ID != "e 1" || ask.Class != "shop-event" || ask.Function != "tally" || ask.Tenant != "shop-a" ||
+			ask.Timeout != 2 || string(ask.Body) != `{"n":1}` {
 			t.Errorf("%s: %+v", name, ask)
 		}
 		var fields []string
@@ -126,18 +126,18 @@
 
 func TestFinalAnswers(t *testing.T) {
 	for _, c := range []struct {
-		a    dispatch.Answer
+		a    dispatch.Response
 		want []string
 	}{
-		{dispatch.Answer{Kind: dispatch.Handled, Warmth: control.FoundWarm, Body: []byte("hi"),
+		{dispatch.Response{Kind: dispatch.Succeeded, Start: control.WarmStart, Body: []byte("hi"),
 			Fields: []dispatch.Field{{Name: "Content-Type", Value: "text/plain"}}}, []string{"200 OK", "Server-Timing: warm", "text/plain", "\r\n\r\nhi"}},
-		{dispatch.Answer{Kind: dispatch.Handled, Repeat: true}, []string{"200 OK", "Idempotent-Replayed: true"}},
-		{dispatch.Answer{Kind: dispatch.Deferred, Cause: dispatch.NoRoom, Pause: 0.25}, []string{"503 ", "Retry-After: 1\r\n",
+		{dispatch.Response{Kind: dispatch.Succeeded, Replayed: true}, []string{"200 OK", "Idempotent-Replayed: true"}},
+		{dispatch.Response{Kind: dispatch.Rejected, Cause: dispatch.CauseNoCapacity, RetryAfter: 0.25}, []string{"503 ", "Retry-After: 1\r\n",
 			`"retry-after":0.25`, "destination_unavailable", `"outcome":"deferred"`}},
-		{dispatch.Answer{Kind: dispatch.DeadLettered, Cause: dispatch.WorkerBroke, Worker: "wk-a", Launches: 1}, []string{"502 ",
+		{dispatch.Response{Kind: dispatch.Failed, Cause: dispatch.CauseConnectionLost, Worker: "wk-a", Attempts: 1}, []string{"502 ",
 			"Proxy-Status: front-1; error=connection_terminated", `"worker":"wk-a"`, `"launches":1`}},
-		{dispatch.Answer{Kind: dispatch.DeadLettered, Cause: dispatch.TimeUp}, []string{"504 ", "http_response_timeout"}},
-		{dispatch.Answer{Kind: dispatch.DeadLettered, Cause: dispatch.Unknown, EventType: "odd"}, []string{"422 ", "odd"}},
+		{dispatch.Response{Kind: dispatch.Failed, Cause: dispatch.CauseDeadlineExceeded}, []string{"504 ", "http_response_timeout"}},
+		{dispatch.Response{Kind: dispatch.Failed, Cause: dispatch.CauseUnknownClass, Class: "odd"}, []string{"422 ", "odd"}},
 	} {
 		k := newTill()
 		k.feed(0, event("1", "", ""))
@@ -153,8 +153,8 @@
 	}
 }
 
-func body(n int) dispatch.Answer {
-	return dispatch.Answer{Kind: dispatch.Handled, Body: fmt.Appendf(nil, "<%d>", n)}
+func body(n int) dispatch.Response {
+	return dispatch.Response{Kind: dispatch.Succeeded, Body: fmt.Appendf(nil, "<%d>", n)}
 }
 
 func TestPipelineAnswersInOrder(t *testing.T) {
@@ -201,7 +201,7 @@
 		t.Fatal("taken though its answer can't be sent in its time")
 	}
 	k.answer(1, body(1))
-	if len(k.order) != 2 || k.asks[2].Wait != -1 {
+	if len(k.order) != 2 || k.asks[2].Timeout != -1 {
 		t.Fatalf("%v %+v", k.order, k.asks[2])
 	}
 	k = newTill()
@@ -214,7 +214,7 @@
 func TestHangUpAndSlowSender(t *testing.T) {
 	k := newTill()
 	k.feed(0, event("1", "", "")+event("2", "", ""))
-	k.s.Gone()
+	k.s.Disconnected()
 	if fmt.Sprint(k.left) != "[1 2]" || k.answer(1, body(1)) != "" {
 		t.Fatalf("left %v", k.left)
 	}
@@ -266,7 +266,7 @@
 			}
 			outs[i] = k.feed(0, string(data[:at])) + k.feed(0, string(data[at:]))
 			for _, ask := range k.asks {
-				if ask.ID == "" || ask.Source == "" || ask.Type == "" || ask.Function == "" {
+				if ask.ID == "" || ask.Source == "" || ask.Class == "" || ask.Function == "" {
 					t.Fatalf("took an event without its attributes: %+v", ask)
 				}
 			}
--- a/internal/platform/downstream/session.go
+++ b/internal/platform/downstream/session.go
@@ -13,12 +13,12 @@
 	"streamcleat/internal/dispatch"
 )
 
-// Taker takes events on behalf of a session.
-type Taker interface {
-	// Take is answered by Session.Answer with the same slot, be it before Take returns.
-	Take(slot uint64, ask dispatch.Ask)
-	// HungUp tells that nobody waits for the slot any more.
-	HungUp(slot uint64)
+// RequestHandler takes events on behalf of a session.
+type RequestHandler interface {
+	// Submit is answered by Session.Answer with the same slot, be it before Take returns.
+	Submit(slot uint64, ask dispatch.Request)
+	// Cancel tells that nobody waits for the slot any more.
+	Cancel(slot uint64)
 }
 
 // KeyField names the mark by which workers know the repeat of a keyed event.
@@ -46,7 +46,7 @@
 type Session struct {
 	limits *Limits
 	in     framer
-	taker  Taker
+	taker  RequestHandler
 	open   map[uint32]bool
 	last   uint32  // highest stream so far: each request has one of its own
 	began  float64 // when the half-read frame's first byte came
@@ -59,7 +59,7 @@
 }
 
 // NewSession begins a connection at the time now.
-func NewSession(l *Limits, taker Taker, now float64) *Session {
+func NewSession(l *Limits, taker RequestHandler, now float64) *Session {
 	return &Session{limits: l, taker: taker, open: map[uint32]bool{}, quiet: now, began: now}
 }
 
@@ -105,7 +105,7 @@
 	case takeBack:
 		if s.open[f.stream] {
 			delete(s.open, f.stream)
-			s.taker.HungUp(uint64(f.stream))
+			s.taker.Cancel(uint64(f.stream))
 		}
 	case askReady:
 		code := byte(codeServed)
@@ -141,12 +141,12 @@
 		s.refuse(f.stream, fmt.Sprintf("stream: %d requests are open on this connection", s.limits.Open))
 	default:
 		s.open[f.stream] = true
-		s.taker.Take(uint64(f.stream), ask)
+		s.taker.Submit(uint64(f.stream), ask)
 	}
 }
 
 // read turns a request's payload into an event; an error names the field that is at fault.
-func (l *Limits) read(payload []byte) (ask dispatch.Ask, err error) {
+func (l *Limits) read(payload []byte) (ask dispatch.Request, err error) {
 	fields, body, err := readFields(payload)
 	if err != nil {
 		return ask, fmt.Errorf("request: %w", err)
@@ -157,19 +157,19 @@
 	for _, f := range fields {
 		switch f.Name {
 		case "kind":
-			ask.Type = f.Value
+			ask.Class = f.Value
 		case "req":
 			ask.ID = f.Value
 		case "timeout":
-			ask.Wait, err = number(f.Name, f.Value, 1e-3)
+			ask.Timeout, err = number(f.Name, f.Value, 1e-3)
 		case "owner":
 			ask.Tenant = f.Value
 		case "subject":
 			ask.Function = f.Value
 		case "ms":
-			ask.Work, err = number(f.Name, f.Value, 1e-3)
+			ask.ExpectedWork, err = number(f.Name, f.Value, 1e-3)
 		case "more":
-			ask.Stated, err = l.stated(f.Value)
+			ask.StatedProfile, err = l.stated(f.Value)
 		case KeyField: // workers know repeats by it, so it goes on as it is
 			if len(f.Value) > keyMost || strings.ContainsFunc(f.Value, func(c rune) bool { return c <= ' ' || c > '~' || c == ',' || c == '=' }) {
 				err = fmt.Errorf("%s: %.40q is not a key of up to %d characters without comma, equals sign and spaces", f.Name, f.Value, keyMost)
@@ -180,28 +180,28 @@
 			return ask, err
 		}
 	}
-	age := l.MaxAge(ask.Type)
+	age := l.MaxAge(ask.Class)
 	switch {
 	case !hex16(ask.ID):
 		err = fmt.Errorf("req: %.40q is not 16 hex digits", ask.ID)
 	case age <= 0:
-		err = fmt.Errorf("kind: the deployment names no %.40q", ask.Type)
+		err = fmt.Errorf("kind: the deployment names no %.40q", ask.Class)
 	case !l.Tenant(ask.Tenant):
 		err = fmt.Errorf("owner: the deployment names no %.40q", ask.Tenant)
 	case !hex16(ask.Function):
 		err = fmt.Errorf("subject: %.40q is not 16 hex digits", ask.Function)
-	case ask.Wait <= 0 || ask.Wait > age*1.001:
-		err = fmt.Errorf("timeout: %v s is not above 0 and up to %v", ask.Wait, age)
-	case ask.Work < 0 || ask.Work > l.Work:
-		err = fmt.Errorf("ms: %v s is not from 0 to %v", ask.Work, l.Work)
+	case ask.Timeout <= 0 || ask.Timeout > age*1.001:
+		err = fmt.Errorf("timeout: %v s is not above 0 and up to %v", ask.Timeout, age)
+	case ask.ExpectedWork < 0 || ask.ExpectedWork > l.Work:
+		err = fmt.Errorf("ms: %v s is not from 0 to %v", ask.ExpectedWork, l.Work)
 	}
-	ask.Stated.Lanes = max(ask.Stated.Lanes, 1)
-	ask.Alone = true
+	ask.StatedProfile.Concurrency = max(ask.StatedProfile.Concurrency, 1)
+	ask.RejectDuplicates = true
 	ask.Body = bytes.Clone(body)
 	return ask, err
 }
 
-func (l *Limits) stated(text string) (f dispatch.Function, err error) {
+func (l *Limits) stated(text string) (f dispatch.FunctionProfile, err error) {
 	for text != "" && err == nil {
 		var pair string
 		pair, text, _ = strings.Cut(text, ";")
@@ -210,15 +210,15 @@
 		switch name {
 		case "memory_mb":
 			v, err = bounded(pair, value, l.MemoryMB)
-			f.Memory = v
+			f.MemoryMB = v
 		case "lanes":
 			if v, err = bounded(pair, value, float64(l.Lanes)); err == nil && v != math.Floor(v) {
 				err = fmt.Errorf("more: %.60q: not a whole number", pair)
 			}
-			f.Lanes = int(v)
+			f.Concurrency = int(v)
 		case "load_ms":
 			v, err = bounded(pair, value, l.Load*1000)
-			f.Load = v / 1000
+			f.LoadTime = v / 1000
 		}
 	}
 	return f, err
@@ -249,8 +249,8 @@
 	return len(s) == 16
 }
 
-// Answer is the final answer to a request.
-func (s *Session) Answer(now float64, slot uint64, a dispatch.Answer) {
+// Respond is the final answer to a request.
+func (s *Session) Respond(now float64, slot uint64, a dispatch.Response) {
 	stream := uint32(slot)
 	if s.gone || !s.open[stream] {
 		return
@@ -258,11 +258,11 @@
 	delete(s.open, stream)
 	s.quiet = now
 	switch a.Kind {
-	case dispatch.Handled:
+	case dispatch.Succeeded:
 		s.out = putAnswer(s.out, answer, stream, codeServed, nil, a.Body)
-	case dispatch.Deferred:
+	case dispatch.Rejected:
 		var fields []Field
-		if ms := math.Round(a.Pause * 1000); ms > 0 {
+		if ms := math.Round(a.RetryAfter * 1000); ms > 0 {
 			fields = []Field{{"holdoff", strconv.FormatFloat(ms, 'f', 0, 64)}}
 		}
 		s.out = putAnswer(s.out, answer, stream, codeRefused, fields, []byte(a.Cause.String()))
@@ -284,16 +284,16 @@
 // Done tells that the connection is to be closed once all output is sent.
 func (s *Session) Done() bool { return s.closed && len(s.open) == 0 }
 
-// Free tells that no request is open or half read, and since when.
-func (s *Session) Free() (since float64, free bool) {
+// Idle tells that no request is open or half read, and since when.
+func (s *Session) Idle() (since float64, free bool) {
 	return s.quiet, len(s.open) == 0 && s.in.idle()
 }
 
-// Gone tells that the client left.
-func (s *Session) Gone() {
+// Disconnected tells that the client left.
+func (s *Session) Disconnected() {
 	s.gone = true
 	for _, stream := range slices.Sorted(maps.Keys(s.open)) {
-		s.taker.HungUp(uint64(stream))
+		s.taker.Cancel(uint64(stream))
 	}
 	clear(s.open)
 }
--- a/internal/platform/downstream/session_test.go
+++ b/internal/platform/downstream/session_test.go
@@ -14,15 +14,15 @@
 
 // desk notes what a session takes and answers nothing by itself.
 type desk struct {
-	asks map[uint64]dispatch.Ask
+	asks map[uint64]dispatch.Request
 	left []uint64
 }
 
-func (d *desk) Take(slot uint64, ask dispatch.Ask) { d.asks[slot] = ask }
-func (d *desk) HungUp(slot uint64)                 { d.left = append(d.left, slot) }
+func (d *desk) Submit(slot uint64, ask dispatch.Request) { d.asks[slot] = ask }
+func (d *desk) Cancel(slot uint64)                       { d.left = append(d.left, slot) }
 
 func open() (*Session, *desk) {
-	d := &desk{asks: map[uint64]dispatch.Ask{}}
+	d := &desk{asks: map[uint64]dispatch.Request{}}
 	return NewSession(&Limits{Open: 3, First: 2, Arrival: 1, Idle: 5, MaxAge: func(t string) float64 {
 		return map[string]float64{"call": 4}[t]
 	}, Tenant: func(n string) bool { return n == "acme" }, Ready: func() bool { return len(d.asks) == 0 },
@@ -85,8 +85,8 @@
 		s.Feed(0, time.Time{}, in[:cut])
 		s.Feed(0, time.Time{}, in[cut:])
 		a := d.asks[1]
-		if len(d.asks) != 2 || a.ID != "9b1f03aa5c7e2d41" || a.Type != "call" || a.Tenant != "acme" || a.Function != "7f3a9c21e0b4d655" ||
-			a.Wait != 1.5 || a.Stated != (dispatch.Function{Lanes: 2, Memory: 512, Load: 0.64}) || string(a.Body) != "body\x00" || !a.Alone {
+		if len(d.asks) != 2 || a.ID != "9b1f03aa5c7e2d41" || a.Class != "call" || a.Tenant != "acme" || a.Function != "7f3a9c21e0b4d655" ||
+			a.Timeout != 1.5 || a.StatedProfile != (dispatch.FunctionProfile{Concurrency: 2, MemoryMB: 512, LoadTime: 0.64}) || string(a.Body) != "body\x00" || !a.RejectDuplicates {
 			t.Fatalf("cut at %d: %+v", cut, d.asks)
 		}
 	}
@@ -121,9 +121,9 @@
 			t.Errorf("%s: %q", name, got)
 		}
 		for slot := range d.asks { // what was open is answered before the end
-			s.Answer(0, slot, dispatch.Answer{Kind: dispatch.Handled, Body: []byte("x")})
+			s.Respond(0, slot, dispatch.Response{Kind: dispatch.Succeeded, Body: []byte("x")})
 		}
-		if _, free := s.Free(); !s.Done() || !free || len(s.in.buf) > 0 {
+		if _, free := s.Idle(); !s.Done() || !free || len(s.in.buf) > 0 {
 			t.Errorf("%s: done %v, free %v, %d bytes are kept", name, s.Done(), free, len(s.in.buf))
 		}
 	}
@@ -155,10 +155,10 @@
 		s.Feed(0, time.Time{}, ask(stream, ""))
 	}
 	s.Feed(0, time.Time{}, slices.Concat(bare(takeBack, 2, ""), bare(takeBack, 99, ""), bare(askReady, 8, "\x00")))
-	s.Answer(0, 3, dispatch.Answer{Kind: dispatch.Deferred, Pause: 0.25, Cause: dispatch.NoRoom})
-	s.Answer(0, 2, dispatch.Answer{Kind: dispatch.Handled}) // taken back: nobody is owed it
-	s.Answer(0, 1, dispatch.Answer{Kind: dispatch.Handled, Body: []byte("b")})
-	s.Answer(0, 1, dispatch.Answer{Kind: dispatch.DeadLettered}) // one answer only
+	s.Respond(0, 3, dispatch.Response{Kind: dispatch.Rejected, RetryAfter: 0.25, Cause: dispatch.CauseNoCapacity})
+	s.Respond(0, 2, dispatch.Response{Kind: dispatch.Succeeded}) // taken back: nobody is owed it
+	s.Respond(0, 1, dispatch.Response{Kind: dispatch.Succeeded, Body: []byte("b")})
+	s.Respond(0, 1, dispatch.Response{Kind: dispatch.Failed}) // one answer only
 	s.Drain()
 	s.Drain()
 	want := []string{"5/7/0 ", "2/4/8 stream: 3 requests are open on this connection", "5/8/8 ", "2/3/8 holdoff=250 no-room", "2/1/0 b", "6/0"}
@@ -169,7 +169,7 @@
 		t.Errorf("left %v", d.left)
 	}
 	s.Feed(0, time.Time{}, slices.Concat(ask(5, ""), ask(6, ""))) // what crosses the telling is taken
-	s.Gone()
+	s.Disconnected()
 	if !slices.Equal(d.left, []uint64{2, 5, 6}) {
 		t.Errorf("left %v", d.left)
 	}
@@ -190,11 +190,11 @@
 			t.Errorf("at %g done: %v", c.at, !c.done)
 		}
 	}
-	if _, free := busy.Free(); free || len(d.asks) != 1 {
+	if _, free := busy.Idle(); free || len(d.asks) != 1 {
 		t.Error("an open event makes a connection not free")
 	}
-	busy.Answer(100, 1, dispatch.Answer{})
-	if since, free := busy.Free(); !free || since != 100 {
+	busy.Respond(100, 1, dispatch.Response{})
+	if since, free := busy.Idle(); !free || since != 100 {
 		t.Error("an answered connection is not free")
 	}
 	if busy.Tick(104); busy.Done() {
--- a/internal/platform/journal.go
+++ b/internal/platform/journal.go
@@ -11,8 +11,8 @@
 	"streamcleat/internal/upstream"
 )
 
-// Journal is the list of workers as the journal service's numbered events make it.
-type Journal struct {
+// Discovery is the list of workers as the journal service's numbered events make it.
+type Discovery struct {
 	pos   int64
 	hosts []host // in the order they were first named
 }
@@ -36,17 +36,17 @@
 	} `json:"hosts"`
 }
 
-// NewJournal is the state before the first event.
-func NewJournal() *Journal { return &Journal{} }
+// NewDiscovery is the state before the first event.
+func NewDiscovery() *Discovery { return &Discovery{} }
 
-// Pos is the number of the last event that was taken.
-func (j *Journal) Pos() int64 { return j.pos }
+// Position is the number of the last event that was taken.
+func (j *Discovery) Position() int64 { return j.pos }
 
-// Hello is what a new connection begins with: it asks for all that came after the last event taken.
-func (j *Journal) Hello() []byte { return fmt.Appendf(nil, "tail %d\n", j.pos) }
+// ResumeRequest is what a new connection begins with: it asks for all that came after the last event taken.
+func (j *Discovery) ResumeRequest() []byte { return fmt.Appendf(nil, "tail %d\n", j.pos) }
 
-// Known takes the events up to the start. What the document's own number is ahead of them is asked for.
-func (j *Journal) Known(data []byte) error {
+// ReadSnapshot takes the events up to the start. What the document's own number is ahead of them is asked for.
+func (j *Discovery) ReadSnapshot(data []byte) error {
 	var doc struct {
 		Entries []json.RawMessage `json:"entries"`
 	}
@@ -54,7 +54,7 @@
 		return err
 	}
 	for i, e := range doc.Entries {
-		if _, err := j.Line(e); err != nil {
+		if _, err := j.ReadLine(e); err != nil {
 			return fmt.Errorf("entries/%d: %w", i, err)
 		}
 	}
@@ -63,9 +63,9 @@
 
 var errGap = errors.New("events are missing")
 
-// Line takes one line of the service and tells whether it changed the list. An error tells that a line is broken or
+// ReadLine takes one line of the service and tells whether it changed the list. An error tells that a line is broken or
 // that events before it are missing: nothing of it was taken, and the service is to be asked again.
-func (j *Journal) Line(line []byte) (changed bool, err error) {
+func (j *Discovery) ReadLine(line []byte) (changed bool, err error) {
 	line = bytes.TrimSpace(line)
 	if len(line) == 0 {
 		return false, nil
@@ -113,7 +113,7 @@
 	return fmt.Errorf("health: %.40q is not active, leaving or left", h.Health)
 }
 
-func (j *Journal) put(h host) {
+func (j *Discovery) put(h host) {
 	for i := range j.hosts {
 		if j.hosts[i].Host != h.Host {
 			continue
@@ -130,23 +130,23 @@
 	}
 }
 
-// Listed is the list in force. Starts of workers become the caller's clock by offset, which is added to Unix seconds and
+// EndpointList is the list in force. Starts of workers become the caller's clock by offset, which is added to Unix seconds and
 // must stay the same: a worker whose start changes counts as one that began anew.
-func (j *Journal) Listed(offset float64) *upstream.Listed {
-	list := &upstream.Listed{Address: make(map[control.WorkerID]string, len(j.hosts))}
+func (j *Discovery) EndpointList(offset float64) *upstream.EndpointList {
+	list := &upstream.EndpointList{Addresses: make(map[control.WorkerID]string, len(j.hosts))}
 	for _, h := range j.hosts {
-		wk := control.Worker{ID: control.WorkerID(h.Host), Zone: control.ZoneID(h.Site), Kind: control.KindID(h.Class),
-			Cell: h.Block, Size: 1}
+		wk := control.Worker{ID: control.WorkerID(h.Host), Zone: control.ZoneID(h.Site), MachineType: control.MachineType(h.Class),
+			FailureDomain: h.Block, Weight: 1}
 		if h.Share != nil {
-			wk.Size = *h.Share
+			wk.Weight = *h.Share
 		}
 		if h.Health == "leaving" {
-			wk.Phase = control.Draining
+			wk.State = control.Draining
 		}
 		if h.BornMs > 0 {
-			wk.Born = h.BornMs/1000 + offset
+			wk.StartedAt = h.BornMs/1000 + offset
 		}
-		list.Address[wk.ID] = h.Dial
+		list.Addresses[wk.ID] = h.Dial
 		list.Workers = append(list.Workers, wk)
 	}
 	return list
--- a/internal/platform/life.go
+++ b/internal/platform/life.go
@@ -1,16 +1,16 @@
 package platform
 
-// Life is what a front end does after it was told to stop, by the seconds since. Requests come for a while yet, on new
+// ShutdownPhase is what a front end does after it was told to stop, by the seconds since. Requests come for a while yet, on new
 // connections too, and all that is taken is answered.
-type Life int
+type ShutdownPhase int
 
 const (
-	Serving   Life = iota // as ever
-	Draining              // not ready any more; all that comes is taken
-	GoingAway             // clients are told to send no more here; what crosses that is taken
-	Answering             // the platform is about to kill: what is open is answered as it stands
-	Flushing              // nothing is open: connections are closed behind their last byte
-	Over                  // every client has read it all, or has had its time: the process ends
+	Serving    ShutdownPhase = iota // as ever
+	Draining                        // not ready any more; all that comes is taken
+	GoingAway                       // clients are told to send no more here; what crosses that is taken
+	Answering                       // the platform is about to kill: what is open is answered as it stands
+	Flushing                        // nothing is open: connections are closed behind their last byte
+	Terminated                      // every client has read it all, or has had its time: the process ends
 )
 
 // Times in seconds, as the platform states them for a planned stop.
@@ -22,29 +22,29 @@
 	sparedBy = 0.25 // kept before the kill, for the last answers to leave
 )
 
-// Stop is one stop under way.
-type Stop struct {
+// Shutdown is one stop under way.
+type Shutdown struct {
 	MaxAge float64 // longest time that a client waits for an answer
 	quiet  float64 // when all was answered; 0 before
 }
 
-// Left is what a front end still has to do.
-type Left struct {
-	Open   bool // an event is open, or a part of a frame came
-	Unread bool // some client has not read all that it was told
+// Outstanding is what a front end still has to do.
+type Outstanding struct {
+	Requests        bool // an event is open, or a part of a frame came
+	UnreadResponses bool // some client has not read all that it was told
 }
 
-// At tells what holds since seconds after the signal. It never goes back.
-func (s *Stop) At(since float64, left Left) Life {
+// Phase tells what holds since seconds after the signal. It never goes back.
+func (s *Shutdown) Phase(since float64, left Outstanding) ShutdownPhase {
 	kill := min(s.MaxAge, waitMost) + killPast
 	switch {
-	case s.quiet > 0 && (!left.Unread || since >= max(kill, s.quiet+sparedBy)):
-		return Over
+	case s.quiet > 0 && (!left.UnreadResponses || since >= max(kill, s.quiet+sparedBy)):
+		return Terminated
 	case s.quiet > 0:
 		return Flushing
 	case since < callsFor:
 		return Draining
-	case since >= callsFor+crossFor && !left.Open:
+	case since >= callsFor+crossFor && !left.Requests:
 		s.quiet = since
 		return Flushing
 	case since >= kill-sparedBy:
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -14,23 +14,23 @@
 	"streamcleat/internal/deployment"
 )
 
-// Machine is what one front end is told at its start and at each reload.
-type Machine struct {
-	Name       string
-	Listen     string
-	Seed       uint64
-	MemoryMB   float64
-	Sockets    int
-	PeerListen string
-	Peers      []string // one for each front end, by their numbers
-	PeersAll   string
-	Journal    string
-	Terms      *deployment.Terms
-	Known      *Journal
+// Document is what one front end is told at its start and at each reload.
+type Document struct {
+	Name             string
+	Listen           string
+	Seed             uint64
+	MemoryMB         float64
+	MaxDescriptors   int
+	PeerListen       string
+	Peers            []string // one for each front end, by their numbers
+	PeerBroadcast    string
+	DiscoveryAddress string
+	Terms            *deployment.Terms
+	Known            *Discovery
 }
 
-// ReadMachine reads a configuration document whole; an error names each field that is at fault.
-func ReadMachine(data []byte) (*Machine, error) {
+// ReadDocument reads a configuration document whole; an error names each field that is at fault.
+func ReadDocument(data []byte) (*Document, error) {
 	var doc struct {
 		Name   string `json:"name"`
 		Listen string `json:"listen"`
@@ -50,8 +50,8 @@
 	if err := json.Unmarshal(data, &doc); err != nil {
 		return nil, err
 	}
-	m := &Machine{Name: doc.Name, Listen: doc.Listen, MemoryMB: doc.Limits.MemoryMB, Sockets: doc.Limits.Sockets,
-		PeerListen: doc.PeerListen, Peers: doc.Peers, PeersAll: doc.PeersAll, Journal: doc.Journal, Known: NewJournal()}
+	m := &Document{Name: doc.Name, Listen: doc.Listen, MemoryMB: doc.Limits.MemoryMB, MaxDescriptors: doc.Limits.Sockets,
+		PeerListen: doc.PeerListen, Peers: doc.Peers, PeerBroadcast: doc.PeersAll, DiscoveryAddress: doc.Journal, Known: NewDiscovery()}
 	var faults []error
 	fault := func(field string, err error) {
 		if err != nil {
@@ -95,7 +95,7 @@
 	if len(doc.Known) == 0 {
 		fault("known", errors.New("missing"))
 	} else {
-		fault("known", m.Known.Known(doc.Known))
+		fault("known", m.Known.ReadSnapshot(doc.Known))
 	}
 	return m, errors.Join(faults...)
 }
--- a/internal/platform/upstream/golden_test.go
+++ b/internal/platform/upstream/golden_test.go
@@ -17,7 +17,7 @@
 	goldentest.Play(t, "workers", func(*testing.T) goldentest.Actor {
 		w := goldentest.NewWorkers()
 		w.Encode, w.Show = encode, show
-		w.Pool = upstream.NewPool(upstream.Limits{Dial: 0.25, Idle: 10, Most: 8, Each: 2, Streams: 3, Key: "opkey"}, w, w)
+		w.Pool = upstream.NewPool(upstream.Limits{DialTimeout: 0.25, IdleTimeout: 10, MaxTotal: 8, MaxPerWorker: 2, MaxStreams: 3, IdempotencyKeyField: "opkey"}, w, w)
 		return w
 	})
 }
--- a/internal/platform/upstream/pool.go
+++ b/internal/platform/upstream/pool.go
@@ -14,18 +14,18 @@
 
 // Limits of the connections to workers; times in seconds.
 type Limits struct {
-	Dial    float64 // a connection that is not up by then counts as unreachable
-	Idle    float64 // an idle connection is closed after this
-	Most    int     // connections to all workers, those being dialed included
-	Each    int     // and to one worker, while it shares them out
-	Streams int     // launches that one connection carries at a time
-	Key     string  // field of a launch that is the mark by which workers know repeats
+	DialTimeout         float64 // a connection that is not up by then counts as unreachable
+	IdleTimeout         float64 // an idle connection is closed after this
+	MaxTotal            int     // connections to all workers, those being dialed included
+	MaxPerWorker        int     // and to one worker, while it shares them out
+	MaxStreams          int     // launches that one connection carries at a time
+	IdempotencyKeyField string  // field of a launch that is the mark by which workers know repeats
 }
 
-// Wire carries the pool's bytes. It must not call back into the pool before a method returns.
-type Wire interface {
-	upstream.Wire
-	Unsent(c upstream.Conn) int // bytes that were written and have not left
+// Transport carries the pool's bytes. It must not call back into the pool before a method returns.
+type Transport interface {
+	upstream.Transport
+	Unsent(c upstream.ConnID) int // bytes that were written and have not left
 }
 
 type job struct {
@@ -43,7 +43,7 @@
 const usedMost = 32
 
 type conn struct {
-	no    upstream.Conn
+	no    upstream.ConnID
 	wk    control.WorkerID
 	up    bool
 	jobs  map[uint64]*job // by id; before it is up, those that wait
@@ -59,13 +59,13 @@
 // sent, what is proven not to have run and what may have run. It is not safe for use by two goroutines.
 type Pool struct {
 	limits Limits
-	wire   Wire
-	sink   upstream.Sink
-	next   upstream.Conn
-	list   *upstream.Listed
+	wire   Transport
+	sink   upstream.Results
+	next   upstream.ConnID
+	list   *upstream.EndpointList
 	born   map[control.WorkerID]float64
 	open   map[control.WorkerID]bool // in the list and serving
-	conns  map[upstream.Conn]*conn
+	conns  map[upstream.ConnID]*conn
 	of     map[control.WorkerID][]*conn // in the order they were dialed
 	jobs   map[uint64]*job
 	failed []*job // could not be sent, told at the next Flush
@@ -73,25 +73,25 @@
 }
 
 // NewPool makes a pool without workers.
-func NewPool(l Limits, wire Wire, sink upstream.Sink) *Pool {
-	return &Pool{limits: l, wire: wire, sink: sink, list: &upstream.Listed{}, born: map[control.WorkerID]float64{},
-		open: map[control.WorkerID]bool{}, conns: map[upstream.Conn]*conn{}, of: map[control.WorkerID][]*conn{},
+func NewPool(l Limits, wire Transport, sink upstream.Results) *Pool {
+	return &Pool{limits: l, wire: wire, sink: sink, list: &upstream.EndpointList{}, born: map[control.WorkerID]float64{},
+		open: map[control.WorkerID]bool{}, conns: map[upstream.ConnID]*conn{}, of: map[control.WorkerID][]*conn{},
 		jobs: map[uint64]*job{}}
 }
 
-// Conns is how many connections are open or being dialed.
-func (p *Pool) Conns() int { return len(p.conns) }
+// Len is how many connections are open or being dialed.
+func (p *Pool) Len() int { return len(p.conns) }
 
-// List takes the list of workers. What waits for a connection to one that drains, is gone or began anew is given back
+// SetEndpoints takes the list of workers. What waits for a connection to one that drains, is gone or began anew is given back
 // as never sent; connections without launches are closed, others once theirs have ended. Connections belong to a
 // worker and not to its address, which another may take.
-func (p *Pool) List(list *upstream.Listed) {
+func (p *Pool) SetEndpoints(list *upstream.EndpointList) {
 	open, born := map[control.WorkerID]bool{}, map[control.WorkerID]float64{}
 	for _, wk := range list.Workers {
-		open[wk.ID], born[wk.ID] = wk.Phase == control.Serving, wk.Born
+		open[wk.ID], born[wk.ID] = wk.State == control.Serving, wk.StartedAt
 	}
 	for _, id := range slices.Sorted(maps.Keys(p.of)) {
-		if !open[id] || born[id] != p.born[id] || list.Address[id] != p.list.Address[id] {
+		if !open[id] || born[id] != p.born[id] || list.Addresses[id] != p.list.Addresses[id] {
 			p.leave(id)
 		}
 	}
@@ -112,18 +112,18 @@
 	}
 }
 
-// Launch sends a launch. Its id at the worker is the event's own.
-func (p *Pool) Launch(now float64, l dispatch.Launch) {
+// SendAttempt sends a launch. Its id at the worker is the event's own.
+func (p *Pool) SendAttempt(now float64, l dispatch.Attempt) {
 	id, err := strconv.ParseUint(l.Identity.ID, 16, 64)
-	j := &job{no: l.Job, id: id, wk: l.Worker, startAt: now}
+	j := &job{no: l.ID, id: id, wk: l.Worker, startAt: now}
 	if err != nil {
 		p.jobs[j.no] = j
 		p.never(j)
 		return
 	}
-	fields := "queue=" + l.Type + ",path=" + l.Function + ",budget=" + strconv.FormatFloat(max(l.Limit, 0.001)*1000, 'f', 0, 64)
+	fields := "queue=" + l.Class + ",path=" + l.Function + ",budget=" + strconv.FormatFloat(max(l.Timeout, 0.001)*1000, 'f', 0, 64)
 	for _, f := range l.Fields {
-		if f.Name == p.limits.Key && f.Value != "" {
+		if f.Name == p.limits.IdempotencyKeyField && f.Value != "" {
 			fields += ",uniq=" + f.Value
 		}
 	}
@@ -131,10 +131,10 @@
 	p.send(now, j)
 }
 
-// Load sends a load order, or with no copies wanted an order to unload idle ones, which is not
+// SendLoad sends a load order, or with no copies wanted an order to unload idle ones, which is not
 // answered, and is dropped where no connection is up.
-func (p *Pool) Load(now float64, o dispatch.Order) {
-	if o.Copies <= 0 {
+func (p *Pool) SendLoad(now float64, o dispatch.LoadCommand) {
+	if o.Replicas <= 0 {
 		fn, err := strconv.ParseUint(o.Function, 16, 64)
 		if c := p.pick(now, o.Worker, 0); err == nil && c != nil && c.up {
 			p.wire.Write(c.no, putFrame(nil, cmdUnload, fn, "", nil))
@@ -142,8 +142,8 @@
 		return
 	}
 	p.orders++
-	j := &job{no: o.Job, id: p.orders | 1<<63, wk: o.Worker, load: true, startAt: now}
-	j.data = putFrame(nil, cmdHold, j.id, "path="+o.Function+",slots_up="+strconv.Itoa(o.Copies), nil)
+	j := &job{no: o.ID, id: p.orders | 1<<63, wk: o.Worker, load: true, startAt: now}
+	j.data = putFrame(nil, cmdHold, j.id, "path="+o.Function+",slots_up="+strconv.Itoa(o.Replicas), nil)
 	p.send(now, j)
 }
 
@@ -183,21 +183,21 @@
 			continue
 		}
 		n++
-		if len(c.jobs) >= p.limits.Streams || c.jobs[id] != nil || slices.Contains(c.used[:min(c.nused, usedMost)], id) || c.up && p.wire.Unsent(c.no) > 0 {
+		if len(c.jobs) >= p.limits.MaxStreams || c.jobs[id] != nil || slices.Contains(c.used[:min(c.nused, usedMost)], id) || c.up && p.wire.Unsent(c.no) > 0 {
 			continue
 		}
 		if best == nil || len(c.jobs) < len(best.jobs) {
 			best = c
 		}
 	}
-	if best != nil && (len(best.jobs) == 0 || n >= p.limits.Each) || len(p.conns) >= p.limits.Most {
+	if best != nil && (len(best.jobs) == 0 || n >= p.limits.MaxPerWorker) || len(p.conns) >= p.limits.MaxTotal {
 		return best
 	}
 	p.next++
 	c := &conn{no: p.next, wk: wk, since: now, jobs: map[uint64]*job{}}
 	p.conns[c.no] = c
 	p.of[wk] = append(p.of[wk], c)
-	p.wire.Dial(c.no, p.list.Address[wk])
+	p.wire.Dial(c.no, p.list.Addresses[wk])
 	return c
 }
 
@@ -213,25 +213,25 @@
 		list := p.failed
 		p.failed = nil
 		for _, j := range list {
-			p.end(j, dispatch.Reply{Result: control.Unreachable}, 0)
+			p.end(j, dispatch.WorkerReply{Outcome: control.Unreachable}, 0)
 		}
 	}
 }
 
-func (p *Pool) end(j *job, r dispatch.Reply, copies int) {
+func (p *Pool) end(j *job, r dispatch.WorkerReply, copies int) {
 	if p.jobs[j.no] != j {
 		return
 	}
 	delete(p.jobs, j.no)
 	if j.load {
-		p.sink.Loaded(j.no, r.Result, copies)
+		p.sink.OnLoadReply(j.no, r.Outcome, copies)
 	} else {
-		p.sink.Launched(j.no, r)
+		p.sink.OnAttemptReply(j.no, r)
 	}
 }
 
-// Dialed tells how a dial ended.
-func (p *Pool) Dialed(now float64, no upstream.Conn, err error) {
+// OnDialed tells how a dial ended.
+func (p *Pool) OnDialed(now float64, no upstream.ConnID, err error) {
 	c := p.conns[no]
 	switch {
 	case c == nil && err == nil:
@@ -274,16 +274,16 @@
 	clear(c.jobs)
 	for _, j := range jobs {
 		if j.sent {
-			p.end(j, dispatch.Reply{Result: control.Broken}, 0)
+			p.end(j, dispatch.WorkerReply{Outcome: control.ConnectionLost}, 0)
 		} else {
-			p.end(j, dispatch.Reply{Result: control.Unreachable}, 0)
+			p.end(j, dispatch.WorkerReply{Outcome: control.Unreachable}, 0)
 		}
 	}
 }
 
-// Withdraw takes a launch back of which nothing has left; false where something may have. A dial goes on for the next
+// CancelUnsent takes a launch back of which nothing has left; false where something may have. A dial goes on for the next
 // one.
-func (p *Pool) Withdraw(no uint64) bool {
+func (p *Pool) CancelUnsent(no uint64) bool {
 	j := p.jobs[no]
 	if j == nil || j.sent {
 		return false
@@ -328,8 +328,8 @@
 	p.rest(now, c)
 }
 
-// Data takes bytes from a worker.
-func (p *Pool) Data(now float64, no upstream.Conn, data []byte) {
+// OnData takes bytes from a worker.
+func (p *Pool) OnData(now float64, no upstream.ConnID, data []byte) {
 	c := p.conns[no]
 	if c == nil || !c.up {
 		return
@@ -350,11 +350,11 @@
 	c.in.settle()
 }
 
-var results = map[byte]control.Result{ansOK: control.Handled, ansMiss: control.Missed, ansFull: control.TurnedAway,
-	ansError: control.Failed, ansOver: control.NeverSent}
+var results = map[byte]control.Outcome{ansOK: control.Succeeded, ansMiss: control.ReplicaMissing, ansFull: control.Rejected,
+	ansError: control.Failed, ansOver: control.NotSent}
 
-var warmths = map[string]control.Warmth{"hit": control.FoundWarm, "spawn": control.BeganLoad,
-	"pending": control.JoinedLoad, "spawn_failed": control.LoadFailed}
+var warmths = map[string]control.StartType{"hit": control.WarmStart, "spawn": control.ColdStart,
+	"pending": control.JoinedColdStart, "spawn_failed": control.StartFailed}
 
 // answered takes one whole answer. One under an id that is not open is passed over: it came late, twice or ahead.
 func (p *Pool) answered(now float64, c *conn, f frame) {
@@ -366,9 +366,9 @@
 	delete(c.jobs, f.id)
 	c.ended(f.id)
 	if j.load {
-		p.end(j, dispatch.Reply{Result: res}, whole(f.fields, "slots_up"))
+		p.end(j, dispatch.WorkerReply{Outcome: res}, whole(f.fields, "slots_up"))
 	} else {
-		r := dispatch.Reply{Result: res, Warmth: warmths[value(f.fields, "detail")]}
+		r := dispatch.WorkerReply{Outcome: res, Start: warmths[value(f.fields, "detail")]}
 		if f.code == ansOK {
 			r.Body = slices.Clone(f.body)
 		}
@@ -379,8 +379,8 @@
 	}
 }
 
-// Closed tells that a connection closed or broke. What was cut off in mid-answer is worth nothing.
-func (p *Pool) Closed(now float64, no upstream.Conn) {
+// OnClosed tells that a connection closed or broke. What was cut off in mid-answer is worth nothing.
+func (p *Pool) OnClosed(now float64, no upstream.ConnID) {
 	if c := p.conns[no]; c != nil {
 		p.drop(c)
 		p.lose(c)
@@ -408,10 +408,10 @@
 	for _, no := range slices.Sorted(maps.Keys(p.conns)) {
 		switch c := p.conns[no]; {
 		case c == nil:
-		case !c.up && now-c.since >= p.limits.Dial:
+		case !c.up && now-c.since >= p.limits.DialTimeout:
 			p.close(c)
 			p.lose(c)
-		case c.up && len(c.jobs) == 0 && now-c.since >= p.limits.Idle:
+		case c.up && len(c.jobs) == 0 && now-c.since >= p.limits.IdleTimeout:
 			p.close(c)
 		}
 	}
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -21,90 +21,90 @@
 
 // Settings of one front end. Times are seconds.
 type Settings struct {
-	Name       string // for Proxy-Status and logs
-	Cluster    string // datagrams of another cluster are dropped
-	Core       dispatch.Settings
-	Pool       upstream.Limits
-	Front      fronthttp.Limits
-	MostConns  int                                    // client connections; past it new ones are closed
-	Evict      bool                                   // the client connection idle longest goes instead
-	NewSession func(t Taker, now float64) Session     // a client's connection; nil: the HTTP front
-	NewPool    func(w Wire, s upstream.Sink) Backends // connections to workers; nil: Open Inference Protocol
-	Log        *slog.Logger
-	Keeper     Keeper                                 // keeps what must outlive the process; nil: nothing does
-	KeepWithin float64                                // an answer waits no longer than this for its note
-	Kept       []dispatch.Kept                        // what an earlier process noted
-	Known      []dispatch.Known                       // copies that it believed in, with their ages at the start
-	Ended      func(dispatch.Answer, *dispatch.Trace) // called on the loop for each ended event; may be nil
-}
-
-// Keeper keeps notes on disk.
-type Keeper interface {
+	Name             string // for Proxy-Status and logs
+	Cluster          string // datagrams of another cluster are dropped
+	Dispatch         dispatch.Settings
+	Upstream         upstream.Limits
+	Downstream       fronthttp.Limits
+	MaxClients       int                                                // client connections; past it new ones are closed
+	EvictIdleClients bool                                               // the client connection idle longest goes instead
+	NewSession       func(t RequestHandler, now float64) Session        // a client's connection; nil: the HTTP front
+	NewPool          func(w Transport, s upstream.Results) UpstreamPool // connections to workers; nil: Open Inference Protocol
+	Log              *slog.Logger
+	RecordStore      RecordStore                              // keeps what must outlive the process; nil: nothing does
+	RecordTimeout    float64                                  // an answer waits no longer than this for its note
+	Recovered        []dispatch.RecoveredRecord               // what an earlier process noted
+	ReplicaSnapshots []dispatch.ReplicaSnapshot               // copies that it believed in, with their ages at the start
+	OnRequestEnd     func(dispatch.Response, *dispatch.Trace) // called on the loop for each ended event; may be nil
+}
+
+// RecordStore keeps notes on disk.
+type RecordStore interface {
 	// Commit keeps notes and then calls done once, from any goroutine. A Front has one commit out at a time; what is
 	// noted meanwhile goes into the next.
-	Commit(notes []dispatch.Note, done func(error))
+	Commit(notes []dispatch.Record, done func(error))
 }
 
-// Taker takes events on behalf of a session.
-type Taker = fronthttp.Taker
+// RequestHandler takes events on behalf of a session.
+type RequestHandler = fronthttp.RequestHandler
 
 // Session is what one client connection says and is told, in whatever protocol. It has no socket and no clock.
 type Session interface {
 	Feed(now float64, wall time.Time, data []byte)
-	Answer(now float64, slot uint64, a dispatch.Answer) // the final answer to what Taker.Take took
-	Advance(now float64)                                // after answers came
-	Output() []byte                                     // what is to be sent
-	Done() bool                                         // the connection is to be closed once all output is sent
-	Tick(now float64) bool                              // tells whether there is output, or an end, since
-	Drain()                                             // no more events; those that wait are answered
-	Gone()                                              // the client left
-	Free() (since float64, free bool)                   // nothing is open or half read, and since when
-}
-
-// Wire carries the bytes of Backends.
-type Wire interface {
-	upstream.Wire
-	Unsent(c upstream.Conn) int // bytes that were written and have not left
-}
-
-// Backends are the connections to workers, in whatever protocol. It has no socket and no clock.
-type Backends interface {
-	List(list *upstream.Listed)
-	Launch(now float64, l dispatch.Launch)
-	Load(now float64, o dispatch.Order)
-	Withdraw(job uint64) bool
+	Respond(now float64, slot uint64, a dispatch.Response) // the final answer to what Taker.Take took
+	Advance(now float64)                                   // after answers came
+	Output() []byte                                        // what is to be sent
+	Done() bool                                            // the connection is to be closed once all output is sent
+	Tick(now float64) bool                                 // tells whether there is output, or an end, since
+	Drain()                                                // no more events; those that wait are answered
+	Disconnected()                                         // the client left
+	Idle() (since float64, free bool)                      // nothing is open or half read, and since when
+}
+
+// Transport carries the bytes of Backends.
+type Transport interface {
+	upstream.Transport
+	Unsent(c upstream.ConnID) int // bytes that were written and have not left
+}
+
+// UpstreamPool are the connections to workers, in whatever protocol. It has no socket and no clock.
+type UpstreamPool interface {
+	SetEndpoints(list *upstream.EndpointList)
+	SendAttempt(now float64, l dispatch.Attempt)
+	SendLoad(now float64, o dispatch.LoadCommand)
+	CancelUnsent(job uint64) bool
 	Abandon(now float64, job uint64)
-	Dialed(now float64, c upstream.Conn, err error)
-	Data(now float64, c upstream.Conn, data []byte)
-	Closed(now float64, c upstream.Conn)
+	OnDialed(now float64, c upstream.ConnID, err error)
+	OnData(now float64, c upstream.ConnID, data []byte)
+	OnClosed(now float64, c upstream.ConnID)
 	Tick(now float64)
 	Pending() bool
 	Flush()
 	CloseAll(now float64)
-	Conns() int
+	Len() int
 	Check() error
 }
 
 // Host is what a front end stands on.
 type Host interface {
-	Now() float64    // seconds that never go back
-	Wall() time.Time // time of day; it may jump
-	Wake(at float64) // Tick is wanted then; an earlier wish is void
+	Now() float64        // seconds that never go back
+	Wall() time.Time     // time of day; it may jump
+	SetTimer(at float64) // Tick is wanted then; an earlier wish is void
 	After(seconds float64, f func())
-	Post(f func())                      // runs f on the front end's goroutine, soon; from any goroutine
-	Dial(no upstream.Conn, addr string) // Dialed follows, at once or later
-	Tell(datagram []byte)               // to every other front end; a datagram may be lost
+	Post(f func())                        // runs f on the front end's goroutine, soon; from any goroutine
+	Dial(no upstream.ConnID, addr string) // Dialed follows, at once or later
+	Broadcast(datagram []byte)            // to every other front end; a datagram may be lost
 }
 
 // Conn is one connection as the host has it. Close is final: nothing is told of it after.
 type Conn interface {
 	Write(data []byte)
 	Close()
-	Shut()       // closes our side behind what was written; the other side is still read
+	CloseWrite() // closes our side behind what was written; the other side is still read
 	Unsent() int // bytes written that have not left
-	// Ahead hands out bytes that came and were not handed over yet, or nil; open is false where the connection has
+	// ReadAhead hands out bytes that came and were not handed over yet, or nil; open is false where the connection has
 	// ended. For clients only.
-	Ahead() (data []byte, open bool)
+	ReadAhead() (data []byte, open bool)
 	Name() string
 }
 
@@ -113,7 +113,7 @@
 	c       Conn
 	at      int // in the list of clients
 	session Session
-	slots   map[uint64]dispatch.Asker
+	slots   map[uint64]dispatch.WaiterID
 	dirty   bool
 	leaving bool    // our side is to be closed behind its last answer
 	shut    float64 // when our side was closed; 0 before
@@ -123,7 +123,7 @@
 
 // op is something that the pool asked to be done on a connection.
 type op struct {
-	conn  upstream.Conn
+	conn  upstream.ConnID
 	data  []byte
 	close bool
 }
@@ -133,30 +133,30 @@
 	slot uint64
 }
 
-// Front is the state of one front end.
-type Front struct {
+// Proxy is the state of one front end.
+type Proxy struct {
 	set      Settings
 	host     Host
 	log      *slog.Logger
-	core     *dispatch.Core
-	pool     Backends
-	listed   *upstream.Listed             // as the file has it
+	core     *dispatch.Dispatcher
+	pool     UpstreamPool
+	listed   *upstream.EndpointList       // as the file has it
 	offset   float64                      // from Unix seconds to the host's clock, when it was read
 	stated   map[control.WorkerID]float64 // when workers started, in Unix seconds as the file has it
 	readAt   float64                      // on the host's clock
-	list     *upstream.Listed             // in force
+	list     *upstream.EndpointList       // in force
 	drained  map[control.WorkerID]bool    // by order
 	unload   uint64                       // numbers of unload orders, from the top down
 	clients  []*Client
-	backends map[upstream.Conn]Conn
-	askers   map[dispatch.Asker]source
-	inside   map[dispatch.Asker]func(dispatch.Answer) // askers within the process
-	asker    dispatch.Asker
+	backends map[upstream.ConnID]Conn
+	askers   map[dispatch.WaiterID]source
+	inside   map[dispatch.WaiterID]func(dispatch.Response) // askers within the process
+	asker    dispatch.WaiterID
 	ops      []op
 	keep     keep
 	refused  []uint64 // launches whose notes can't be taken
 	waited   []held   // launches of events that waited, until their clients' input is read
-	lost     []dispatch.Answer
+	lost     []dispatch.Response
 	born     float64 // on the clock
 	dirty    []*Client
 	settling bool
@@ -174,63 +174,65 @@
 const SweepEvery = 0.1
 
 // New makes a front end that serves from now on.
-func New(set Settings, host Host) *Front {
+func New(set Settings, host Host) *Proxy {
 	if set.Log == nil {
 		set.Log = slog.New(slog.DiscardHandler)
 	}
-	f := &Front{set: set, host: host, log: set.Log, backends: map[upstream.Conn]Conn{}, askers: map[dispatch.Asker]source{},
-		inside: map[dispatch.Asker]func(dispatch.Answer){}, drained: map[control.WorkerID]bool{}, born: host.Now()}
+	f := &Proxy{set: set, host: host, log: set.Log, backends: map[upstream.ConnID]Conn{}, askers: map[dispatch.WaiterID]source{},
+		inside: map[dispatch.WaiterID]func(dispatch.Response){}, drained: map[control.WorkerID]bool{}, born: host.Now()}
 	copy(f.header[:], "SCL1")
 	sum := crc32.ChecksumIEEE([]byte(set.Cluster))
 	f.header[4], f.header[5], f.header[6], f.header[7] = byte(sum), byte(sum>>8), byte(sum>>16), byte(sum>>24)
 	if f.set.NewPool == nil {
-		f.set.NewPool = func(w Wire, s upstream.Sink) Backends { return upstream.NewPool(set.Pool, w, s) }
+		f.set.NewPool = func(w Transport, s upstream.Results) UpstreamPool { return upstream.NewPool(set.Upstream, w, s) }
 	}
 	if f.set.NewSession == nil {
-		f.set.NewSession = func(t Taker, now float64) Session { return fronthttp.NewSession(set.Front, set.Name, t, now) }
+		f.set.NewSession = func(t RequestHandler, now float64) Session {
+			return fronthttp.NewSession(set.Downstream, set.Name, t, now)
+		}
 	}
 	f.pool = f.set.NewPool((*wire)(f), (*sink)(f))
-	f.core = dispatch.New(set.Core, (*outside)(f), f.born)
-	f.lost = f.core.Restore(f.born, set.Kept)
-	f.set.Kept = nil
+	f.core = dispatch.New(set.Dispatch, (*outside)(f), f.born)
+	f.lost = f.core.Recover(f.born, set.Recovered)
+	f.set.Recovered = nil
 	f.arm()
 	return f
 }
 
 // Lost are events of an earlier process that may have run and must not run again; nobody was told how they ended.
-func (f *Front) Lost() []dispatch.Answer { return f.lost }
+func (f *Proxy) Lost() []dispatch.Response { return f.lost }
 
-// Core is the front end's core; whoever changes it calls Settle.
-func (f *Front) Core() *dispatch.Core { return f.core }
+// Dispatcher is the front end's core; whoever changes it calls Settle.
+func (f *Proxy) Dispatcher() *dispatch.Dispatcher { return f.core }
 
-// Conns are the connections to clients and workers.
-func (f *Front) Conns() (clients, backends int) { return len(f.clients), f.pool.Conns() }
+// Connections are the connections to clients and workers.
+func (f *Proxy) Connections() (clients, backends int) { return len(f.clients), f.pool.Len() }
 
-// Take takes an event from within the process; answer is called exactly once, on the front end's goroutine.
-func (f *Front) Take(ask dispatch.Ask, answer func(dispatch.Answer)) {
+// Submit takes an event from within the process; answer is called exactly once, on the front end's goroutine.
+func (f *Proxy) Submit(ask dispatch.Request, answer func(dispatch.Response)) {
 	f.asker++
 	f.inside[f.asker] = answer
-	f.core.Take(f.host.Now(), f.asker, ask)
-	f.Settle()
+	f.core.Submit(f.host.Now(), f.asker, ask)
+	f.Flush()
 }
 
 // Tick fires what has come due.
-func (f *Front) Tick() {
+func (f *Proxy) Tick() {
 	f.armed = 0
 	f.core.Tick(f.host.Now())
-	f.Settle()
+	f.Flush()
 }
 
-func (f *Front) arm() {
-	if at := f.core.Next(); f.armed == 0 || at != f.armed {
+func (f *Proxy) arm() {
+	if at := f.core.NextTimer(); f.armed == 0 || at != f.armed {
 		f.armed = at
-		f.host.Wake(at)
+		f.host.SetTimer(at)
 	}
 }
 
-// Settle carries out what the pool and the core asked for since, until nothing is left. Whatever happens on a
+// Flush carries out what the pool and the core asked for since, until nothing is left. Whatever happens on a
 // connection meanwhile may ask for more; it is not entered anew.
-func (f *Front) Settle() {
+func (f *Proxy) Flush() {
 	if f.settling {
 		return
 	}
@@ -241,7 +243,7 @@
 		refused := f.refused
 		f.refused = nil
 		for _, job := range refused {
-			f.core.Launched(f.host.Now(), job, dispatch.Reply{Result: control.NeverSent})
+			f.core.OnAttemptReply(f.host.Now(), job, dispatch.WorkerReply{Outcome: control.NotSent})
 		}
 		f.commit()
 		ops := f.ops
@@ -265,25 +267,25 @@
 // heed sends the launches of events that waited, each once all that its client sent is read: a cancel or a close that
 // lies unread, behind a worker's answer that was read first or behind much other input, must not find a further launch
 // on its way.
-func (f *Front) heed() {
+func (f *Proxy) heed() {
 	for len(f.waited) > 0 {
 		h := &f.waited[0]
-		if src, ok := f.askers[h.launch.For]; ok && !h.gone {
+		if src, ok := f.askers[h.launch.Waiter]; ok && !h.gone {
 			f.readAhead(src.cl)
 		}
 		gone, l := f.waited[0].gone, f.waited[0].launch // reading may have added others
 		f.waited = f.waited[1:]
 		if !gone {
-			f.pool.Launch(f.host.Now(), *l)
+			f.pool.SendAttempt(f.host.Now(), *l)
 		}
 	}
 	f.waited = nil
 }
 
 // readAhead takes what a client sent and the host has not handed over, within bounds.
-func (f *Front) readAhead(cl *Client) {
+func (f *Proxy) readAhead(cl *Client) {
 	for read := 0; !cl.gone && read < lateMost; {
-		data, open := cl.c.Ahead()
+		data, open := cl.c.ReadAhead()
 		if !open {
 			f.forget(cl) // the host tells of its end too, later
 			return
@@ -296,7 +298,7 @@
 	}
 }
 
-func (f *Front) carry(o op) {
+func (f *Proxy) carry(o op) {
 	c := f.backends[o.conn]
 	if c == nil {
 		return
@@ -309,7 +311,7 @@
 	c.Write(o.data)
 }
 
-func (f *Front) mark(cl *Client) {
+func (f *Proxy) mark(cl *Client) {
 	if !cl.dirty {
 		cl.dirty = true
 		f.dirty = append(f.dirty, cl)
@@ -317,7 +319,7 @@
 }
 
 // send writes what a session has to say and closes it behind its last answer.
-func (f *Front) send(cl *Client) {
+func (f *Proxy) send(cl *Client) {
 	if cl.gone {
 		return
 	}
@@ -326,7 +328,7 @@
 		if cl.gone {
 			return // the write broke it
 		}
-		if cl.c.Unsent() > f.set.Front.Unread {
+		if cl.c.Unsent() > f.set.Downstream.Unread {
 			f.log.Warn("client does not read its answers", "client", cl.c.Name())
 			f.closeClient(cl)
 			return
@@ -336,16 +338,16 @@
 	if over && cl.shut == 0 && cl.c.Unsent() == 0 {
 		// The client may still be sending: a close now could take the answer from it (RFC 9112 9.6).
 		cl.shut = f.host.Now()
-		cl.c.Shut()
+		cl.c.CloseWrite()
 	}
 }
 
 // Accept takes a client's connection, or nil where there is no room for it and it is to be closed.
-func (f *Front) Accept(c Conn) *Client {
-	if f.draining || len(f.clients) >= f.set.MostConns && !f.evict() {
+func (f *Proxy) Accept(c Conn) *Client {
+	if f.draining || len(f.clients) >= f.set.MaxClients && !f.evict() {
 		return nil
 	}
-	cl := &Client{c: c, at: len(f.clients), slots: map[uint64]dispatch.Asker{}}
+	cl := &Client{c: c, at: len(f.clients), slots: map[uint64]dispatch.WaiterID{}}
 	cl.session = f.set.NewSession(&taker{f, cl}, f.host.Now())
 	f.clients = append(f.clients, cl)
 	return cl
@@ -353,12 +355,12 @@
 
 // evict closes the client connection that has been idle longest. One with an event open, or on which a part of one
 // came, is never closed; nor is one on which a request lies unread, which closing would cut off.
-func (f *Front) evict() bool {
-	for f.set.Evict {
+func (f *Proxy) evict() bool {
+	for f.set.EvictIdleClients {
 		var oldest *Client
 		at := 0.0
 		for _, cl := range f.clients {
-			if since, free := cl.session.Free(); free && (oldest == nil || since < at) {
+			if since, free := cl.session.Idle(); free && (oldest == nil || since < at) {
 				oldest, at = cl, since
 			}
 		}
@@ -366,8 +368,8 @@
 			return false
 		}
 		f.readAhead(oldest)
-		f.Settle()
-		if since, free := oldest.session.Free(); oldest.gone || free && since == at {
+		f.Flush()
+		if since, free := oldest.session.Idle(); oldest.gone || free && since == at {
 			f.closeClient(oldest)
 			return true
 		}
@@ -375,16 +377,16 @@
 	return false
 }
 
-// FromClient takes bytes from a client.
-func (f *Front) FromClient(cl *Client, data []byte) {
+// OnClientData takes bytes from a client.
+func (f *Proxy) OnClientData(cl *Client, data []byte) {
 	if cl.gone {
 		return
 	}
 	f.feed(cl, data)
-	f.Settle()
+	f.Flush()
 }
 
-func (f *Front) feed(cl *Client, data []byte) {
+func (f *Proxy) feed(cl *Client, data []byte) {
 	if cl.shut > 0 { // what comes behind the end is dropped, within bounds
 		if cl.late += len(data); cl.late > lateMost {
 			f.closeClient(cl)
@@ -395,20 +397,20 @@
 	}
 }
 
-// ClientGone tells that a client's connection closed or broke.
-func (f *Front) ClientGone(cl *Client) {
+// OnClientClosed tells that a client's connection closed or broke.
+func (f *Proxy) OnClientClosed(cl *Client) {
 	if f.forget(cl) {
-		f.Settle()
+		f.Flush()
 	}
 }
 
-func (f *Front) closeClient(cl *Client) {
+func (f *Proxy) closeClient(cl *Client) {
 	if f.forget(cl) {
 		cl.c.Close()
 	}
 }
 
-func (f *Front) forget(cl *Client) bool {
+func (f *Proxy) forget(cl *Client) bool {
 	if cl.gone {
 		return false
 	}
@@ -417,48 +419,48 @@
 	f.clients[cl.at], f.clients[last].at = f.clients[last], cl.at
 	f.clients[last] = nil
 	f.clients = f.clients[:last]
-	cl.session.Gone()
+	cl.session.Disconnected()
 	return true
 }
 
-// Dialed tells how a dial ended: with a connection or an error.
-func (f *Front) Dialed(no upstream.Conn, c Conn, err error) {
+// OnDialed tells how a dial ended: with a connection or an error.
+func (f *Proxy) OnDialed(no upstream.ConnID, c Conn, err error) {
 	if err == nil {
 		f.backends[no] = c
 	}
-	f.pool.Dialed(f.host.Now(), no, err)
-	f.Settle()
+	f.pool.OnDialed(f.host.Now(), no, err)
+	f.Flush()
 }
 
-// FromWorker takes bytes from a worker.
-func (f *Front) FromWorker(no upstream.Conn, data []byte) {
+// OnUpstreamData takes bytes from a worker.
+func (f *Proxy) OnUpstreamData(no upstream.ConnID, data []byte) {
 	if f.backends[no] == nil {
 		return
 	}
-	f.pool.Data(f.host.Now(), no, data)
-	f.Settle()
+	f.pool.OnData(f.host.Now(), no, data)
+	f.Flush()
 }
 
-// WorkerGone tells that a connection to a worker closed or broke.
-func (f *Front) WorkerGone(no upstream.Conn) {
+// OnUpstreamClosed tells that a connection to a worker closed or broke.
+func (f *Proxy) OnUpstreamClosed(no upstream.ConnID) {
 	if f.backends[no] == nil {
 		return
 	}
 	delete(f.backends, no)
-	f.pool.Closed(f.host.Now(), no)
-	f.Settle()
+	f.pool.OnClosed(f.host.Now(), no)
+	f.Flush()
 }
 
-// Heard takes a datagram: "SCL1", the cluster's checksum, and a message of the decisions.
-func (f *Front) Heard(data []byte) {
+// OnDatagram takes a datagram: "SCL1", the cluster's checksum, and a message of the decisions.
+func (f *Proxy) OnDatagram(data []byte) {
 	if len(data) >= 8 && [8]byte(data[:8]) == f.header {
-		f.core.Told(f.host.Now(), data[8:])
-		f.Settle()
+		f.core.OnGossip(f.host.Now(), data[8:])
+		f.Flush()
 	}
 }
 
 // Sweep looks at idle and slow connections.
-func (f *Front) Sweep() {
+func (f *Proxy) Sweep() {
 	now := f.host.Now()
 	f.pool.Tick(now)
 	for i := len(f.clients) - 1; i >= 0; i-- { // from the end: one that goes is replaced by one that was looked at
@@ -471,69 +473,69 @@
 			f.mark(cl)
 		}
 	}
-	f.Settle()
+	f.Flush()
 }
 
-// NoMore tells clients to send no more events here; those that come all the same are taken.
-func (f *Front) NoMore() {
+// Drain tells clients to send no more events here; those that come all the same are taken.
+func (f *Proxy) Drain() {
 	for _, cl := range f.clients {
 		cl.session.Drain()
 		f.mark(cl)
 	}
-	f.Settle()
+	f.Flush()
 }
 
-// Quiet tells that nothing is open: no event, and on no connection a part of a request.
-func (f *Front) Quiet() bool {
-	return f.core.Quiet() && !slices.ContainsFunc(f.clients, func(cl *Client) bool {
-		_, free := cl.session.Free()
+// Idle tells that nothing is open: no event, and on no connection a part of a request.
+func (f *Proxy) Idle() bool {
+	return f.core.Idle() && !slices.ContainsFunc(f.clients, func(cl *Client) bool {
+		_, free := cl.session.Idle()
 		return !free && cl.shut == 0
 	})
 }
 
-// Unread tells that some client may not have read all that it was told.
-func (f *Front) Unread() bool { return len(f.clients) > 0 }
+// HasClients tells that some client may not have read all that it was told.
+func (f *Proxy) HasClients() bool { return len(f.clients) > 0 }
 
 // CloseClients closes our side of every connection behind its last answer. What still comes is read, and dropped: a
 // connection that is closed over unread bytes takes its answers with it.
-func (f *Front) CloseClients() {
+func (f *Proxy) CloseClients() {
 	for _, cl := range f.clients {
 		cl.leaving = true
 		f.mark(cl)
 	}
-	f.Settle()
+	f.Flush()
 }
 
-// CloseDoors takes no more connections and events; what is open goes on.
-func (f *Front) CloseDoors() {
+// StopListening takes no more connections and events; what is open goes on.
+func (f *Proxy) StopListening() {
 	f.draining = true
-	f.core.Stop(f.host.Now())
+	f.core.Drain(f.host.Now())
 	for _, cl := range f.clients {
 		cl.session.Drain()
 		f.mark(cl)
 	}
-	f.Settle()
+	f.Flush()
 }
 
-// Finish answers at once whatever is open, after CloseDoors.
-func (f *Front) Finish() {
-	f.core.Finish(f.host.Now())
-	f.Settle()
+// Terminate answers at once whatever is open, after CloseDoors.
+func (f *Proxy) Terminate() {
+	f.core.Terminate(f.host.Now())
+	f.Flush()
 }
 
-// Kept tells that everything noted is on disk and that what waited for it has left.
-func (f *Front) Kept() bool {
+// RecordsStored tells that everything noted is on disk and that what waited for it has left.
+func (f *Proxy) RecordsStored() bool {
 	return !f.keep.busy && len(f.keep.notes) == 0 && len(f.keep.held) == 0
 }
 
-// Hang closes all connections to workers, after Finish.
-func (f *Front) Hang() {
+// CloseUpstream closes all connections to workers, after Finish.
+func (f *Proxy) CloseUpstream() {
 	f.pool.CloseAll(f.host.Now())
-	f.Settle()
+	f.Flush()
 }
 
 // Check tells of state that contradicts itself; it is for tests and the simulation.
-func (f *Front) Check(full bool) error {
+func (f *Proxy) Check(full bool) error {
 	errs := []error{f.core.Check(full), f.pool.Check()}
 	fault := func(format string, args ...any) { errs = append(errs, fmt.Errorf(format, args...)) }
 	if n := len(f.dirty) + len(f.ops) + len(f.refused) + len(f.waited); n > 0 {
@@ -554,10 +556,10 @@
 	if slots != len(f.askers) {
 		fault("%d askers, %d of them of open connections", len(f.askers), slots)
 	}
-	if n := f.core.Askers(); n > slots+len(f.inside) || !f.keep.busy && len(f.keep.held) == 0 && n != slots+len(f.inside) {
+	if n := f.core.Waiters(); n > slots+len(f.inside) || !f.keep.busy && len(f.keep.held) == 0 && n != slots+len(f.inside) {
 		fault("the core knows %d askers, connections %d and the process %d", n, slots, len(f.inside))
 	}
-	if n := f.pool.Conns(); len(f.backends) > n {
+	if n := f.pool.Len(); len(f.backends) > n {
 		fault("%d connections to workers, the pool knows %d", len(f.backends), n)
 	}
 	if len(f.keep.held) > 0 && len(f.keep.notes) == 0 || !f.keep.busy && len(f.keep.out)+len(f.keep.notes) > 0 {
@@ -568,33 +570,33 @@
 
 // taker hands one client connection's events to the core.
 type taker struct {
-	f  *Front
+	f  *Proxy
 	cl *Client
 }
 
-func (t *taker) Take(slot uint64, ask dispatch.Ask) {
+func (t *taker) Submit(slot uint64, ask dispatch.Request) {
 	f := t.f
 	f.asker++
 	f.askers[f.asker] = source{t.cl, slot}
 	t.cl.slots[slot] = f.asker
-	f.core.Take(f.host.Now(), f.asker, ask)
+	f.core.Submit(f.host.Now(), f.asker, ask)
 }
 
-func (t *taker) HungUp(slot uint64) {
+func (t *taker) Cancel(slot uint64) {
 	if a, ok := t.cl.slots[slot]; ok {
 		delete(t.cl.slots, slot)
 		delete(t.f.askers, a)
-		t.f.core.HungUp(t.f.host.Now(), a)
+		t.f.core.OnCancel(t.f.host.Now(), a)
 	}
 }
 
 // outside carries out what the core asks for.
-type outside Front
+type outside Proxy
 
-func (o *outside) Answer(to dispatch.Asker, a dispatch.Answer) {
-	f := (*Front)(o)
+func (o *outside) Respond(to dispatch.WaiterID, a dispatch.Response) {
+	f := (*Proxy)(o)
 	switch k := &f.keep; { // its note waits for the next commit, or is in the one that is out, or is kept
-	case !a.Firm || f.set.Keeper == nil || f.full():
+	case !a.AwaitsRecord || f.set.RecordStore == nil || f.full():
 		f.answer(to, a)
 	case len(k.notes) > 0:
 		f.hold(&k.held, to, a)
@@ -605,7 +607,7 @@
 	}
 }
 
-func (f *Front) answer(to dispatch.Asker, a dispatch.Answer) {
+func (f *Proxy) answer(to dispatch.WaiterID, a dispatch.Response) {
 	if tell := f.inside[to]; tell != nil {
 		delete(f.inside, to)
 		tell(a)
@@ -617,41 +619,41 @@
 	}
 	delete(f.askers, to)
 	delete(src.cl.slots, src.slot)
-	src.cl.session.Answer(f.host.Now(), src.slot, a)
+	src.cl.session.Respond(f.host.Now(), src.slot, a)
 	f.mark(src.cl)
 }
 
-func (o *outside) Launch(l dispatch.Launch) {
-	if l.Firm && o.set.Keeper != nil {
-		if (*Front)(o).full() {
-			o.refused = append(o.refused, l.Job)
+func (o *outside) SendAttempt(l dispatch.Attempt) {
+	if l.AwaitsRecord && o.set.RecordStore != nil {
+		if (*Proxy)(o).full() {
+			o.refused = append(o.refused, l.ID)
 			return
 		}
 		o.keep.held = append(o.keep.held, held{launch: &l})
 		return
 	}
-	if l.Waited {
+	if l.Delayed {
 		o.waited = append(o.waited, held{launch: &l})
 		return
 	}
-	o.pool.Launch(o.host.Now(), l)
+	o.pool.SendAttempt(o.host.Now(), l)
 }
 
-func (o *outside) Load(order dispatch.Order) { o.pool.Load(o.host.Now(), order) }
+func (o *outside) SendLoad(order dispatch.LoadCommand) { o.pool.SendLoad(o.host.Now(), order) }
 
 func (o *outside) Abandon(job uint64) {
 	abandon(job, o.keep.held, o.keep.out, o.waited)
 	o.pool.Abandon(o.host.Now(), job)
 }
 
-func (o *outside) Withdraw(job uint64) bool {
-	return abandon(job, o.keep.held, o.keep.out, o.waited) || o.pool.Withdraw(job)
+func (o *outside) CancelUnsent(job uint64) bool {
+	return abandon(job, o.keep.held, o.keep.out, o.waited) || o.pool.CancelUnsent(job)
 }
 
-func (o *outside) Keep(n dispatch.Note) {
+func (o *outside) Store(n dispatch.Record) {
 	switch {
-	case o.set.Keeper == nil:
-	case !(*Front)(o).full():
+	case o.set.RecordStore == nil:
+	case !(*Proxy)(o).full():
 		o.keep.notes = append(o.keep.notes, n)
 	case !o.keep.full:
 		o.keep.full = true
@@ -659,51 +661,53 @@
 	}
 }
 
-func (o *outside) Tell(message []byte) {
-	o.host.Tell(append(append(make([]byte, 0, 8+len(message)), o.header[:]...), message...))
+func (o *outside) Broadcast(message []byte) {
+	o.host.Broadcast(append(append(make([]byte, 0, 8+len(message)), o.header[:]...), message...))
 }
 
-func (o *outside) Ended(a dispatch.Answer, t *dispatch.Trace) {
-	if o.set.Ended != nil {
-		o.set.Ended(a, t)
+func (o *outside) OnRequestEnd(a dispatch.Response, t *dispatch.Trace) {
+	if o.set.OnRequestEnd != nil {
+		o.set.OnRequestEnd(a, t)
 	}
-	if o.log.Enabled(context.Background(), slog.LevelDebug) || a.Kind != dispatch.Handled {
+	if o.log.Enabled(context.Background(), slog.LevelDebug) || a.Kind != dispatch.Succeeded {
 		level := o.log.Debug
-		if a.Kind != dispatch.Handled {
+		if a.Kind != dispatch.Succeeded {
 			level = o.log.Info
 		}
 		level("event ended", "event", a.Identity.String(), "outcome", a.Kind.String(), "cause", a.Cause.String(),
-			"function", a.FunctionID, "worker", a.Worker, "launches", a.Launches, "seconds", a.After)
+			"function", a.Function, "worker", a.Worker, "launches", a.Attempts, "seconds", a.Elapsed)
 	}
 }
 
 // sink takes what workers answered.
-type sink Front
+type sink Proxy
 
-func (k *sink) Launched(job uint64, r dispatch.Reply) { k.core.Launched(k.host.Now(), job, r) }
+func (k *sink) OnAttemptReply(job uint64, r dispatch.WorkerReply) {
+	k.core.OnAttemptReply(k.host.Now(), job, r)
+}
 
-func (k *sink) Loaded(job uint64, res control.Result, copies int) {
-	k.core.Loaded(k.host.Now(), job, res, copies)
+func (k *sink) OnLoadReply(job uint64, res control.Outcome, copies int) {
+	k.core.OnLoadReply(k.host.Now(), job, res, copies)
 }
 
 // wire carries the pool's bytes. Writes and closes wait until the pool's call is over.
-type wire Front
+type wire Proxy
 
-func (w *wire) Write(c upstream.Conn, data []byte) { w.ops = append(w.ops, op{conn: c, data: data}) }
+func (w *wire) Write(c upstream.ConnID, data []byte) { w.ops = append(w.ops, op{conn: c, data: data}) }
 
-func (w *wire) Close(c upstream.Conn) { w.ops = append(w.ops, op{conn: c, close: true}) }
+func (w *wire) Close(c upstream.ConnID) { w.ops = append(w.ops, op{conn: c, close: true}) }
 
-func (w *wire) Unsent(c upstream.Conn) int {
+func (w *wire) Unsent(c upstream.ConnID) int {
 	if b := w.backends[c]; b != nil {
 		return b.Unsent()
 	}
 	return 0
 }
 
-func (w *wire) Dial(no upstream.Conn, addr string) { w.host.Dial(no, addr) }
+func (w *wire) Dial(no upstream.ConnID, addr string) { w.host.Dial(no, addr) }
 
-// Drained are the workers that an order drains.
-func (f *Front) Drained() (list []string) {
+// DrainedWorkers are the workers that an order drains.
+func (f *Proxy) DrainedWorkers() (list []string) {
 	for id := range f.drained {
 		list = append(list, string(id))
 	}
--- a/internal/proxy/keep_test.go
+++ b/internal/proxy/keep_test.go
@@ -11,24 +11,24 @@
 // hung is a disk that never ends what it began.
 type hung struct{ commits int }
 
-func (h *hung) Commit([]dispatch.Note, func(error)) { h.commits++ }
+func (h *hung) Commit([]dispatch.Record, func(error)) { h.commits++ }
 
 // A disk that hangs for good makes nothing grow without bound: everyone is answered, and what must not run twice
 // without a note is never launched.
 func TestDiskThatNeverAnswers(t *testing.T) {
 	d, disk := &desk{now: 1000}, &hung{}
-	f := New(Settings{Keeper: disk, KeepWithin: 0.1, Core: dispatch.Settings{Margin: 0.1, OrderLimit: 1, MostOpen: 10, Remember: 5, RememberMost: 1 << 16,
-		Functions: func(string) dispatch.Function { return dispatch.Function{Lanes: 1} }, Deployment: &control.Deployment{FrontEnds: 1, MaxLaunches: 2,
-			MaxPause: 0.5, KeepWarm: 8, RoundGap: 0.004, EventTypes: []control.EventType{{Name: "once", TargetTime: 0.5, MaxAge: 1, Repeat: control.AtMostOnce}}}}}, d)
-	if err := f.ReadList([]byte(`[{"targets":["h:1"],"labels":{"instance":"wk"}}]`)); err != nil {
+	f := New(Settings{RecordStore: disk, RecordTimeout: 0.1, Dispatch: dispatch.Settings{ResponseMargin: 0.1, LoadTimeout: 1, MaxOpen: 10, DeduplicationWindow: 5, MaxCachedBytes: 1 << 16,
+		Functions: func(string) dispatch.FunctionProfile { return dispatch.FunctionProfile{Concurrency: 1} }, Deployment: &control.Deployment{FrontEnds: 1, MaxAttempts: 2,
+			MaxRetryAfter: 0.5, IdleReplicaLifetime: 8, MinRoundInterval: 0.004, RequestClasses: []control.RequestClass{{Name: "once", LatencyObjective: 0.5, Timeout: 1, Semantics: control.AtMostOnce}}}}}, d)
+	if err := f.ReadEndpointList([]byte(`[{"targets":["h:1"],"labels":{"instance":"wk"}}]`)); err != nil {
 		t.Fatal(err)
 	}
 	asked, answers, deferred := 0, 0, 0
 	for ; asked < 2000; asked++ {
 		id := dispatch.Identity{Source: "/t", ID: fmt.Sprint(asked)}
-		f.Take(dispatch.Ask{Identity: id, Type: "once", Function: "f"}, func(a dispatch.Answer) {
+		f.Submit(dispatch.Request{Identity: id, Class: "once", Function: "f"}, func(a dispatch.Response) {
 			answers++
-			if a.Kind == dispatch.Deferred {
+			if a.Kind == dispatch.Rejected {
 				deferred++
 			}
 		})
--- a/internal/proxy/list_test.go
+++ b/internal/proxy/list_test.go
@@ -36,28 +36,28 @@
 func (d *desk) Wall() time.Time {
 	return time.Unix(1_800_000_000, 0).Add(time.Duration((d.now + d.skew) * float64(time.Second)))
 }
-func (d *desk) Wake(float64) {}
+func (d *desk) SetTimer(float64) {}
 func (d *desk) After(s float64, f func()) {
 	d.later, d.due = append(d.later, f), append(d.due, d.now+s)
 }
-func (d *desk) Post(func())                {}
-func (d *desk) Dial(upstream.Conn, string) { d.dialed++ }
-func (d *desk) Tell([]byte)                {}
+func (d *desk) Post(func())                  {}
+func (d *desk) Dial(upstream.ConnID, string) { d.dialed++ }
+func (d *desk) Broadcast([]byte)             {}
 
 // Times of day in the list never make a worker seem older or newer than it can be, however the clock here is set.
 func TestStartsOfWorkersUnderAWrongClock(t *testing.T) {
 	d := &desk{now: 1000}
-	f := New(Settings{Core: dispatch.Settings{Deployment: &control.Deployment{FrontEnds: 1, MaxLaunches: 2, RoundGap: 0.004}, MostOpen: 10, RememberMost: 1}}, d)
+	f := New(Settings{Dispatch: dispatch.Settings{Deployment: &control.Deployment{FrontEnds: 1, MaxAttempts: 2, MinRoundInterval: 0.004}, MaxOpen: 10, MaxCachedBytes: 1}}, d)
 	read := func(started float64) float64 {
 		t.Helper()
 		label := ""
 		if started != 0 {
 			label = fmt.Sprintf(`,"started":"%.3f"`, started)
 		}
-		if err := f.ReadList(fmt.Appendf(nil, `[{"targets":["h:1"],"labels":{"instance":"wk"%s}}]`, label)); err != nil {
+		if err := f.ReadEndpointList(fmt.Appendf(nil, `[{"targets":["h:1"],"labels":{"instance":"wk"%s}}]`, label)); err != nil {
 			t.Fatal(err)
 		}
-		return f.listed.Workers[0].Born
+		return f.listed.Workers[0].StartedAt
 	}
 	unix := func(at float64) float64 { return 1_800_000_000 + at }
 	if born := read(unix(990)); born != 990 {
@@ -78,7 +78,7 @@
 	if born := read(0); born != 0 {
 		t.Errorf("it is said to run for long: %v", born)
 	}
-	if f.started("wk") != 0 || f.ReadList([]byte("[")) == nil || len(f.listed.Workers) != 1 {
+	if f.started("wk") != 0 || f.ReadEndpointList([]byte("[")) == nil || len(f.listed.Workers) != 1 {
 		t.Error("a faulty list changed something")
 	}
 }
--- a/internal/registry/oci/client.go
+++ b/internal/registry/oci/client.go
@@ -114,9 +114,9 @@
 		v.Name = name
 	}
 	if t := m.Annotations[annotateTypes]; t != "" {
-		v.Types = strings.Split(t, ",")
+		v.Classes = strings.Split(t, ",")
 	}
-	for key, to := range map[string]*float64{annotateMemory: &v.Memory, annotateLoad: &v.Load} {
+	for key, to := range map[string]*float64{annotateMemory: &v.MemoryMB, annotateLoad: &v.LoadTime} {
 		if text := m.Annotations[key]; text != "" {
 			if *to, err = strconv.ParseFloat(text, 64); err != nil || *to < 0 {
 				return fail(fmt.Errorf("annotation %s: %q is not a number of 0 or more", key, text))
@@ -124,7 +124,7 @@
 		}
 	}
 	if text := m.Annotations[annotateLanes]; text != "" {
-		if v.Lanes, err = strconv.Atoi(text); err != nil || v.Lanes < 1 {
+		if v.Concurrency, err = strconv.Atoi(text); err != nil || v.Concurrency < 1 {
 			return fail(fmt.Errorf("annotation %s: %q is not a whole number above 0", annotateLanes, text))
 		}
 	}
--- a/internal/registry/oci/source_test.go
+++ b/internal/registry/oci/source_test.go
@@ -47,7 +47,7 @@
 		annotateLoad: "0.7", annotateTypes: "shop-event,till-entry"}, [][]byte{layer}, "current")
 	c, _ := at(t, r, 1<<20)
 	v, err := c.Resolve(context.Background(), "tally", "current")
-	if err != nil || v.Digest != d || v.Name != "1.4.0" || v.Lanes != 2 || v.Memory != 400 || v.Load != 0.7 || len(v.Types) != 2 {
+	if err != nil || v.Digest != d || v.Name != "1.4.0" || v.Concurrency != 2 || v.MemoryMB != 400 || v.LoadTime != 0.7 || len(v.Classes) != 2 {
 		t.Fatal(v, err)
 	}
 	r.Push("shops/tally", map[string]string{annotateLanes: "none"}, nil, "odd")
--- a/internal/registry/pace.go
+++ b/internal/registry/pace.go
@@ -7,15 +7,15 @@
 	"github.com/opencontainers/go-digest"
 )
 
-// Going is one function of a release.
-type Going struct {
-	Function string
-	To       digest.Digest
-	Use      float64 // how much it is asked for; the most used go first
-	Load     float64 // usual seconds of a load, 0 where unknown
-	state    pace
-	since    float64
-	tries    int
+// Migration is one function of a release.
+type Migration struct {
+	Function    string
+	To          digest.Digest
+	RequestRate float64 // how much it is asked for; the most used go first
+	LoadTime    float64 // usual seconds of a load, 0 where unknown
+	state       pace
+	since       float64
+	tries       int
 }
 
 type pace uint8
@@ -34,28 +34,28 @@
 	triesMost  = 5   // loads of one function
 )
 
-// Pacer takes a release of many functions through one by one: a copy of the new version is loaded ahead, and only
+// RolloutPacer takes a release of many functions through one by one: a copy of the new version is loaded ahead, and only
 // when it stands the alias moves, so that nobody waits for the load and the store is not asked for everything at
 // once. A store in trouble stops the release, not the service. It has no I/O; calls bring the time in seconds.
-type Pacer struct {
+type RolloutPacer struct {
 	Alias  string
 	most   int
-	list   []*Going
+	list   []*Migration
 	rest   float64 // nothing new is loaded before
-	Rested int     // how often it rested
+	Pauses int     // how often it rested
 }
 
-// NewPacer plans a release; most loads may be under way at once.
-func NewPacer(alias string, most int, list []Going) *Pacer {
-	p := &Pacer{Alias: alias, most: max(most, 1)}
+// NewRolloutPacer plans a release; most loads may be under way at once.
+func NewRolloutPacer(alias string, most int, list []Migration) *RolloutPacer {
+	p := &RolloutPacer{Alias: alias, most: max(most, 1)}
 	for i := range list {
 		p.list = append(p.list, &list[i])
 	}
-	slices.SortStableFunc(p.list, func(a, b *Going) int { return cmp.Compare(b.Use, a.Use) })
+	slices.SortStableFunc(p.list, func(a, b *Migration) int { return cmp.Compare(b.RequestRate, a.RequestRate) })
 	return p
 }
 
-func (p *Pacer) find(function string) *Going {
+func (p *RolloutPacer) find(function string) *Migration {
 	for _, g := range p.list {
 		if g.Function == function {
 			return g
@@ -67,17 +67,17 @@
 // Next tells what is to be loaded now; Asked follows for each that was ordered. Rules, in order: what loads too long
 // is taken for lost and makes the release rest; while it rests nothing is begun; no more than most at once; the most
 // used first.
-func (p *Pacer) Next(now float64) []Going {
+func (p *RolloutPacer) Next(now float64) []Migration {
 	busy := 0
 	for _, g := range p.list {
-		if g.state == loading && now-g.since > slowTimes*max(g.Load, leastUsual) {
+		if g.state == loading && now-g.since > slowTimes*max(g.LoadTime, leastUsual) {
 			p.trouble(g, now)
 		}
 		if g.state == loading {
 			busy++
 		}
 	}
-	var next []Going
+	var next []Migration
 	for _, g := range p.list {
 		if now < p.rest || busy+len(next) >= p.most {
 			break
@@ -89,44 +89,44 @@
 	return next
 }
 
-// Asked notes that a load was ordered.
-func (p *Pacer) Asked(function string, now float64) {
+// OnRequest notes that a load was ordered.
+func (p *RolloutPacer) OnRequest(function string, now float64) {
 	if g := p.find(function); g != nil && g.state == waiting {
 		g.state, g.since, g.tries = loading, now, g.tries+1
 	}
 }
 
-func (p *Pacer) trouble(g *Going, now float64) {
+func (p *RolloutPacer) trouble(g *Migration, now float64) {
 	p.rest = now + restFor
-	p.Rested++
+	p.Pauses++
 	if g.state = waiting; g.tries >= triesMost {
 		g.state = givenUp // its alias stays where it was
 	}
 }
 
-// Failed notes that a load failed.
-func (p *Pacer) Failed(function string, now float64) {
+// OnLoadFailed notes that a load failed.
+func (p *RolloutPacer) OnLoadFailed(function string, now float64) {
 	if g := p.find(function); g != nil && g.state == loading {
 		p.trouble(g, now)
 	}
 }
 
-// Stands notes that a copy stands, and tells the move that is due. One that took long makes the release rest.
-func (p *Pacer) Stands(function string, now float64) (Move, bool) {
+// OnLoaded notes that a copy stands, and tells the move that is due. One that took long makes the release rest.
+func (p *RolloutPacer) OnLoaded(function string, now float64) (Move, bool) {
 	g := p.find(function)
 	if g == nil || g.state == moved || g.state == givenUp {
 		return Move{}, false
 	}
-	if g.state == loading && now-g.since > slowTimes*max(g.Load, leastUsual)/2 {
+	if g.state == loading && now-g.since > slowTimes*max(g.LoadTime, leastUsual)/2 {
 		p.rest = now + restFor
-		p.Rested++
+		p.Pauses++
 	}
 	g.state = moved
 	return Move{g.Function, p.Alias, g.To}, true
 }
 
 // Loading are the functions whose loads are under way.
-func (p *Pacer) Loading() (list []Going) {
+func (p *RolloutPacer) Loading() (list []Migration) {
 	for _, g := range p.list {
 		if g.state == loading {
 			list = append(list, *g)
@@ -135,8 +135,8 @@
 	return
 }
 
-// Left tells how many functions are still to go, and which were given up.
-func (p *Pacer) Left() (left int, lost []string) {
+// Remaining tells how many functions are still to go, and which were given up.
+func (p *RolloutPacer) Remaining() (left int, lost []string) {
 	for _, g := range p.list {
 		switch g.state {
 		case waiting, loading:
--- a/internal/registry/pace_test.go
+++ b/internal/registry/pace_test.go
@@ -7,33 +7,33 @@
 )
 
 func TestReleaseRestsWhenTheStoreIsInTrouble(t *testing.T) {
-	p := NewPacer(Current, 2, []Going{{Function: "b", Use: 1}, {Function: "a", Use: 5}, {Function: "c"}})
+	p := NewRolloutPacer(Current, 2, []Migration{{Function: "b", RequestRate: 1}, {Function: "a", RequestRate: 5}, {Function: "c"}})
 	next := p.Next(0)
 	if len(next) != 2 || next[0].Function != "a" || next[1].Function != "b" {
 		t.Fatalf("the most used two go first: %+v", next)
 	}
-	p.Asked("a", 0)
-	p.Asked("b", 0)
-	if m, ok := p.Stands("a", 0.4); !ok || m.Function != "a" || m.Alias != Current {
+	p.OnRequest("a", 0)
+	p.OnRequest("b", 0)
+	if m, ok := p.OnLoaded("a", 0.4); !ok || m.Function != "a" || m.Alias != Current {
 		t.Fatal(m, ok)
 	}
 	if n := p.Next(0.5); len(n) != 1 || n[0].Function != "c" {
 		t.Fatalf("%+v", n)
 	}
-	if p.Next(2.1); len(p.Next(2.2)) != 0 || p.Rested != 1 {
+	if p.Next(2.1); len(p.Next(2.2)) != 0 || p.Pauses != 1 {
 		t.Fatal("goes on though a load hangs")
 	}
 	if n := p.Next(5.2); len(n) != 2 || n[0].Function != "b" {
 		t.Fatalf("after its rest: %+v", n)
 	}
-	if _, again := p.Stands("a", 6); again {
+	if _, again := p.OnLoaded("a", 6); again {
 		t.Error("moved twice")
 	}
 	for range triesMost {
-		p.Asked("b", 10)
-		p.Failed("b", 10)
+		p.OnRequest("b", 10)
+		p.OnLoadFailed("b", 10)
 	}
-	if left, lost := p.Left(); left != 1 || fmt.Sprint(lost) != "[b]" {
+	if left, lost := p.Remaining(); left != 1 || fmt.Sprint(lost) != "[b]" {
 		t.Error(left, lost)
 	}
 }
@@ -42,12 +42,12 @@
 func TestReleaseEndsUnderAnyStore(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		var list []Going
+		var list []Migration
 		for i := range 30 {
-			list = append(list, Going{Function: fmt.Sprint(i), Use: rng.Float64(), Load: rng.Float64()})
+			list = append(list, Migration{Function: fmt.Sprint(i), RequestRate: rng.Float64(), LoadTime: rng.Float64()})
 		}
 		most := 1 + rng.IntN(5)
-		p := NewPacer(Current, most, list)
+		p := NewRolloutPacer(Current, most, list)
 		moves := map[string]int{}
 		left := 30
 		for now := 0.0; left > 0; now += 0.25 {
@@ -55,7 +55,7 @@
 				t.Fatalf("seed %d: %d still to go", seed, left)
 			}
 			for _, g := range p.Next(now) {
-				p.Asked(g.Function, now)
+				p.OnRequest(g.Function, now)
 			}
 			if n := len(p.Loading()); n > most {
 				t.Fatalf("seed %d: %d loads at once, %d are allowed", seed, n, most)
@@ -63,16 +63,16 @@
 			for _, g := range p.Loading() {
 				switch rng.IntN(6) {
 				case 0:
-					p.Failed(g.Function, now)
+					p.OnLoadFailed(g.Function, now)
 				case 1, 2:
-					if _, ok := p.Stands(g.Function, now); ok {
+					if _, ok := p.OnLoaded(g.Function, now); ok {
 						moves[g.Function]++
 					}
 				}
 			}
-			left, _ = p.Left()
+			left, _ = p.Remaining()
 		}
-		_, lost := p.Left()
+		_, lost := p.Remaining()
 		if len(moves)+len(lost) != 30 {
 			t.Fatalf("seed %d: %d moved, %d given up", seed, len(moves), len(lost))
 		}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -18,15 +18,15 @@
 
 // Version is one immutable version of a function. Times are seconds, memory MB.
 type Version struct {
-	Function  string        `json:"function"`
-	Name      string        `json:"version"` // as people call it: 1.4.0
-	Digest    digest.Digest `json:"digest"`
-	Lanes     int           `json:"lanes,omitempty"`
-	Memory    float64       `json:"memory_mb,omitempty"`
-	Load      float64       `json:"load_s,omitempty"`
-	Types     []string      `json:"event_types,omitempty"` // that it takes; empty: all
-	Withdrawn bool          `json:"withdrawn,omitempty"`   // must not run any more
-	Signed    []string      `json:"signed_by,omitempty"`   // keys that vouched for it when it was published
+	Function    string        `json:"function"`
+	Name        string        `json:"version"` // as people call it: 1.4.0
+	Digest      digest.Digest `json:"digest"`
+	Concurrency int           `json:"lanes,omitempty"`
+	MemoryMB    float64       `json:"memory_mb,omitempty"`
+	LoadTime    float64       `json:"load_s,omitempty"`
+	Classes     []string      `json:"event_types,omitempty"` // that it takes; empty: all
+	Withdrawn   bool          `json:"withdrawn,omitempty"`   // must not run any more
+	SignedBy    []string      `json:"signed_by,omitempty"`   // keys that vouched for it when it was published
 }
 
 // Ref is what events and people write: function, function:alias, function:version or function@digest.
@@ -71,30 +71,30 @@
 
 // Rollout is a release under way: an alias names From for some events and To for the others.
 type Rollout struct {
-	Function string        `json:"function"`
-	Alias    string        `json:"alias"`
-	From     digest.Digest `json:"from"`
-	To       digest.Digest `json:"to"`
-	Share    float64       `json:"share"`             // of events that get To
-	Tenants  []string      `json:"tenants,omitempty"` // whose events get it whatever the share
-	Steps    []float64     `json:"steps,omitempty"`   // shares that it goes through by itself
-	Hold     float64       `json:"hold_s,omitempty"`  // seconds at each step before the next
-	Least    int           `json:"least,omitempty"`   // answers of To that a step needs
-	MostBad  float64       `json:"most_bad"`          // share of bad answers, beyond that of From, at which it goes back
-	since    float64
-	good     [2]int // answers of From and To since the step began
-	bad      [2]int
+	Function        string        `json:"function"`
+	Alias           string        `json:"alias"`
+	From            digest.Digest `json:"from"`
+	To              digest.Digest `json:"to"`
+	Share           float64       `json:"share"`             // of events that get To
+	Tenants         []string      `json:"tenants,omitempty"` // whose events get it whatever the share
+	Steps           []float64     `json:"steps,omitempty"`   // shares that it goes through by itself
+	StepDuration    float64       `json:"hold_s,omitempty"`  // seconds at each step before the next
+	MinResponses    int           `json:"least,omitempty"`   // answers of To that a step needs
+	MaxFailureShare float64       `json:"most_bad"`          // share of bad answers, beyond that of From, at which it goes back
+	since           float64
+	good            [2]int // answers of From and To since the step began
+	bad             [2]int
 }
 
 // Entry is one change, as the audit trail has it. Exactly one of its parts is set.
 type Entry struct {
 	At       float64  `json:"at"` // Unix seconds
-	Who      string   `json:"who"`
+	Actor    string   `json:"who"`
 	Publish  *Version `json:"publish,omitempty"`
 	Move     *Move    `json:"move,omitempty"`
 	Rollout  *Rollout `json:"rollout,omitempty"`
 	Withdraw string   `json:"withdraw,omitempty"` // function@digest
-	Why      string   `json:"why,omitempty"`
+	Reason   string   `json:"why,omitempty"`
 }
 
 // Move makes an alias name a version; it ends a rollout of that alias.
@@ -113,9 +113,9 @@
 
 // Registry is the state that a trail of entries makes.
 type Registry struct {
-	fns   map[string]*function
-	names []string // in the order they were first published
-	Trail []Entry
+	fns        map[string]*function
+	names      []string // in the order they were first published
+	AuditTrail []Entry
 }
 
 // New makes an empty registry.
@@ -143,7 +143,7 @@
 		err = errors.New("an entry that changes nothing")
 	}
 	if err == nil {
-		r.Trail = append(r.Trail, e)
+		r.AuditTrail = append(r.AuditTrail, e)
 	}
 	return err
 }
@@ -155,7 +155,7 @@
 	if err := v.Digest.Validate(); err != nil {
 		return fmt.Errorf("publish %s:%s: digest %q: %w", v.Function, v.Name, v.Digest, err)
 	}
-	if v.Lanes < 0 || v.Memory < 0 || v.Load < 0 || v.Withdrawn {
+	if v.Concurrency < 0 || v.MemoryMB < 0 || v.LoadTime < 0 || v.Withdrawn {
 		return fmt.Errorf("publish %s:%s: lanes, memory and load must not be below 0, nor a new version withdrawn", v.Function, v.Name)
 	}
 	f := r.fns[v.Function]
@@ -235,8 +235,8 @@
 	return nil
 }
 
-// Back is the move that takes an alias back to what it named before its last move or its rollout.
-func (r *Registry) Back(name, alias string) (Move, error) {
+// Rollback is the move that takes an alias back to what it named before its last move or its rollout.
+func (r *Registry) Rollback(name, alias string) (Move, error) {
 	f := r.fns[name]
 	if f == nil {
 		return Move{}, fmt.Errorf("function %s: %w", name, ErrUnknown)
@@ -270,7 +270,7 @@
 		}
 		last = s
 	}
-	if ro.Share < 0 || ro.Share > 1 || ro.Hold < 0 || ro.Least < 0 || ro.MostBad < 0 || ro.MostBad > 1 {
+	if ro.Share < 0 || ro.Share > 1 || ro.StepDuration < 0 || ro.MinResponses < 0 || ro.MaxFailureShare < 0 || ro.MaxFailureShare > 1 {
 		return fmt.Errorf("rollout %s:%s: shares lie between 0 and 1, and hold and least are not below 0", ro.Function, ro.Alias)
 	}
 	ro.From, ro.since = from, now
@@ -315,29 +315,29 @@
 	return nil
 }
 
-// Bound is what an event runs on, settled once when it is taken.
-type Bound struct {
+// ResolvedVersion is what an event runs on, settled once when it is taken.
+type ResolvedVersion struct {
 	Version
-	Alias string // by which it was named; "" for a digest or a version
-	New   bool   // it is the newer side of a rollout
+	Alias  string // by which it was named; "" for a digest or a version
+	Canary bool   // it is the newer side of a rollout
 }
 
 // ID is the function's id for the decisions: a version is a function of its own, so that a warm copy of the old one
 // never stands for the new.
-func (b Bound) ID() string { return b.Function + "@" + string(b.Digest) }
+func (b ResolvedVersion) ID() string { return b.Function + "@" + string(b.Digest) }
 
-// Bind settles the version of an event; an empty event type is any. tenant and event choose the side of a rollout; the same event always gets
+// Resolve settles the version of an event; an empty event type is any. tenant and event choose the side of a rollout; the same event always gets
 // the same side at the same share, and an event that got the new side keeps it as the share grows.
-func (r *Registry) Bind(text, eventType, tenant, event string) (Bound, error) {
+func (r *Registry) Resolve(text, eventType, tenant, event string) (ResolvedVersion, error) {
 	ref, err := ParseRef(text)
 	if err != nil {
-		return Bound{}, err
+		return ResolvedVersion{}, err
 	}
 	f := r.fns[ref.Function]
 	if f == nil {
-		return Bound{}, fmt.Errorf("function %s: %w", ref.Function, ErrUnknown)
+		return ResolvedVersion{}, fmt.Errorf("function %s: %w", ref.Function, ErrUnknown)
 	}
-	b := Bound{}
+	b := ResolvedVersion{}
 	d := ref.Digest
 	if d == "" {
 		if at := slices.IndexFunc(f.versions, func(v *Version) bool { return v.Name == ref.Tag }); at >= 0 {
@@ -345,28 +345,28 @@
 		} else if ro := f.rollouts[ref.Tag]; ro != nil {
 			b.Alias, d = ref.Tag, ro.From
 			if slices.Contains(ro.Tenants, tenant) || side(ref.Function, event) < ro.Share {
-				b.New, d = true, ro.To
+				b.Canary, d = true, ro.To
 			}
 		} else {
 			b.Alias, d = ref.Tag, f.aliases[ref.Tag]
 		}
 	}
 	if d == "" {
-		return Bound{}, fmt.Errorf("%s:%s: %w", ref.Function, ref.Tag, ErrUnknown)
+		return ResolvedVersion{}, fmt.Errorf("%s:%s: %w", ref.Function, ref.Tag, ErrUnknown)
 	}
 	_, v, err := r.target(ref.Function, d)
 	if err != nil {
-		return Bound{}, err
+		return ResolvedVersion{}, err
 	}
-	if len(v.Types) > 0 && eventType != "" && !slices.Contains(v.Types, eventType) {
-		return Bound{}, fmt.Errorf("%s:%s takes %s, not %s", v.Function, v.Name, strings.Join(v.Types, ", "), eventType)
+	if len(v.Classes) > 0 && eventType != "" && !slices.Contains(v.Classes, eventType) {
+		return ResolvedVersion{}, fmt.Errorf("%s:%s takes %s, not %s", v.Function, v.Name, strings.Join(v.Classes, ", "), eventType)
 	}
 	b.Version = *v
 	return b, nil
 }
 
-// May tells whether a version that an event was bound to earlier may still run.
-func (r *Registry) May(name string, d digest.Digest) bool {
+// IsAllowed tells whether a version that an event was bound to earlier may still run.
+func (r *Registry) IsAllowed(name string, d digest.Digest) bool {
 	_, _, err := r.target(name, d)
 	return err == nil
 }
@@ -381,8 +381,8 @@
 	return float64(x>>11) / (1 << 53)
 }
 
-// Seen counts an answer of a version. Bad is one that the version is to blame for.
-func (r *Registry) Seen(name string, d digest.Digest, bad bool) {
+// RecordResult counts an answer of a version. Bad is one that the version is to blame for.
+func (r *Registry) RecordResult(name string, d digest.Digest, bad bool) {
 	f := r.fns[name]
 	if f == nil {
 		return
@@ -400,11 +400,11 @@
 	}
 }
 
-// Judge tells what rollouts ask for now, in the order of functions and aliases: go back where the new version is
+// AdvanceRollouts tells what rollouts ask for now, in the order of functions and aliases: go back where the new version is
 // worse by more than it may, go a step on where it has held, and end at the whole. Its entries are for Apply; while
 // there are none, nothing is due. Rules, in order, for each: too bad, and enough seen to say so; not long enough at
 // this step; too little seen; the next step; the end.
-func (r *Registry) Judge(now float64) []Entry {
+func (r *Registry) AdvanceRollouts(now float64) []Entry {
 	var due []Entry
 	for _, name := range r.names {
 		f := r.fns[name]
@@ -417,12 +417,12 @@
 			ro := f.rollouts[alias]
 			seen := ro.good[1] + ro.bad[1]
 			worse := rate(ro.bad[1], seen) - rate(ro.bad[0], ro.good[0]+ro.bad[0])
-			e := Entry{At: now, Who: "rollout"}
+			e := Entry{At: now, Actor: "rollout"}
 			switch {
-			case seen > 0 && seen >= ro.Least && worse > ro.MostBad:
+			case seen > 0 && seen >= ro.MinResponses && worse > ro.MaxFailureShare:
 				e.Move = &Move{name, alias, ro.From}
-				e.Why = fmt.Sprintf("%d of %d answers were bad, %.2f more than of the version before", ro.bad[1], seen, worse)
-			case len(ro.Steps) == 0, now-ro.since < ro.Hold, seen < ro.Least:
+				e.Reason = fmt.Sprintf("%d of %d answers were bad, %.2f more than of the version before", ro.bad[1], seen, worse)
+			case len(ro.Steps) == 0, now-ro.since < ro.StepDuration, seen < ro.MinResponses:
 				continue
 			default:
 				next := 1.0
@@ -433,11 +433,11 @@
 					}
 				}
 				if ro.Share >= 1 || next <= ro.Share {
-					e.Move, e.Why = &Move{name, alias, ro.To}, "it has held at every step"
+					e.Move, e.Reason = &Move{name, alias, ro.To}, "it has held at every step"
 				} else {
 					step := *ro
 					step.Share, step.good, step.bad = next, [2]int{}, [2]int{}
-					e.Rollout, e.Why = &step, fmt.Sprintf("it has held at %.2f", ro.Share)
+					e.Rollout, e.Reason = &step, fmt.Sprintf("it has held at %.2f", ro.Share)
 				}
 			}
 			due = append(due, e)
@@ -482,8 +482,8 @@
 	return list
 }
 
-// Knows tells whether a function was ever published.
-func (r *Registry) Knows(name string) bool { return r.fns[name] != nil }
+// Contains tells whether a function was ever published.
+func (r *Registry) Contains(name string) bool { return r.fns[name] != nil }
 
 // Find is the version that a reference names now, leaving rollouts aside.
 func (r *Registry) Find(text string) (Version, error) {
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -30,7 +30,7 @@
 
 func bound(t *testing.T, r *Registry, ref, event string) string {
 	t.Helper()
-	b, err := r.Bind(ref, "x", "tenant", event)
+	b, err := r.Resolve(ref, "x", "tenant", event)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 	}
 	for ref, want := range map[string]string{"": "not a function's name", "shop:": "not a tag", "shop@md5:1": "digest", "other": "not in the registry",
 		"shop:old": "not in the registry", "a//b": "not a function's name", "shop@" + string(sum("9")): "not in the registry"} {
-		if _, err := r.Bind(ref, "x", "", "e"); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := r.Resolve(ref, "x", "", "e"); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", ref, err)
 		}
 	}
@@ -70,7 +70,7 @@
 		{Withdraw: "shop:1.0"},
 	} {
 		before := fmt.Sprint(r.List())
-		if err := r.Apply(e); err == nil || fmt.Sprint(r.List()) != before || len(r.Trail) != 3 {
+		if err := r.Apply(e); err == nil || fmt.Sprint(r.List()) != before || len(r.AuditTrail) != 3 {
 			t.Errorf("%+v: %v", e, err)
 		}
 	}
@@ -82,7 +82,7 @@
 	if got := bound(t, r, "shop", "e"); got != "1.1" {
 		t.Error(got)
 	}
-	m, err := r.Back("shop", Current)
+	m, err := r.Rollback("shop", Current)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,10 +91,10 @@
 		t.Error(got)
 	}
 	must(t, r, Entry{Withdraw: "shop@" + string(sum("1.0"))})
-	if got := bound(t, r, "shop", "e"); got != "1.1" || r.May("shop", sum("1.0")) {
+	if got := bound(t, r, "shop", "e"); got != "1.1" || r.IsAllowed("shop", sum("1.0")) {
 		t.Error("a withdrawn version is still named: ", got)
 	}
-	if _, err := r.Bind("shop:1.0", "x", "", "e"); !errors.Is(err, ErrWithdrawn) {
+	if _, err := r.Resolve("shop:1.0", "x", "", "e"); !errors.Is(err, ErrWithdrawn) {
 		t.Error(err)
 	}
 }
@@ -108,14 +108,14 @@
 		n := 0
 		for i := range 2000 {
 			id := fmt.Sprint(i)
-			b, _ := r.Bind("shop", "x", "other", id)
-			if got[id] && !b.New {
+			b, _ := r.Resolve("shop", "x", "other", id)
+			if got[id] && !b.Canary {
 				t.Fatalf("event %s went back at share %v", id, share)
 			}
-			if got[id] = b.New; b.New {
+			if got[id] = b.Canary; b.Canary {
 				n++
 			}
-			if b, _ := r.Bind("shop", "x", "first", id); !b.New {
+			if b, _ := r.Resolve("shop", "x", "first", id); !b.Canary {
 				t.Fatal("a named tenant has the old version")
 			}
 		}
@@ -128,49 +128,49 @@
 func TestRolloutGoesOnHoldsAndGoesBack(t *testing.T) {
 	start := func() *Registry {
 		r := published(t, "1.0", "1.1")
-		must(t, r, Entry{At: 100, Rollout: &Rollout{Function: "shop", Alias: Current, To: sum("1.1"), Steps: []float64{0.1, 0.5}, Hold: 10, Least: 5, MostBad: 0.2}})
+		must(t, r, Entry{At: 100, Rollout: &Rollout{Function: "shop", Alias: Current, To: sum("1.1"), Steps: []float64{0.1, 0.5}, StepDuration: 10, MinResponses: 5, MaxFailureShare: 0.2}})
 		return r
 	}
 	answers := func(r *Registry, v string, good, bad int) {
 		for i := range good + bad {
-			r.Seen("shop", sum(v), i < bad)
+			r.RecordResult("shop", sum(v), i < bad)
 		}
 	}
 	r := start()
 	answers(r, "1.1", 20, 0)
-	if len(r.Judge(105)) != 0 {
+	if len(r.AdvanceRollouts(105)) != 0 {
 		t.Error("went on before its time")
 	}
 	for now, want := range map[float64]float64{111: 0.5} {
-		due := r.Judge(now)
+		due := r.AdvanceRollouts(now)
 		if len(due) != 1 || due[0].Rollout == nil || due[0].Rollout.Share != want {
 			t.Fatalf("%+v", due)
 		}
 		must(t, r, due[0])
 	}
-	if len(r.Judge(130)) != 0 {
+	if len(r.AdvanceRollouts(130)) != 0 {
 		t.Error("went on though nothing was seen at this step")
 	}
 	answers(r, "1.1", 5, 0)
-	must(t, r, r.Judge(130)[0])
+	must(t, r, r.AdvanceRollouts(130)[0])
 	answers(r, "1.1", 5, 0)
-	due := r.Judge(150)
+	due := r.AdvanceRollouts(150)
 	if len(due) != 1 || due[0].Move == nil || due[0].Move.Digest != sum("1.1") {
 		t.Fatalf("%+v", due)
 	}
 	must(t, r, due[0])
-	if got := bound(t, r, "shop", "e"); got != "1.1" || len(r.Judge(1000)) != 0 {
+	if got := bound(t, r, "shop", "e"); got != "1.1" || len(r.AdvanceRollouts(1000)) != 0 {
 		t.Error("not ended: ", got)
 	}
 	r = start()
 	answers(r, "1.0", 50, 25) // the old one fails too: the new one must not be blamed for the fleet
 	answers(r, "1.1", 10, 5)
-	if due := r.Judge(101); len(due) != 0 {
+	if due := r.AdvanceRollouts(101); len(due) != 0 {
 		t.Errorf("went back though the old version is no better: %+v", due)
 	}
 	answers(r, "1.1", 0, 10)
-	due = r.Judge(102)
-	if len(due) != 1 || due[0].Move == nil || due[0].Move.Digest != sum("1.0") || due[0].Why == "" {
+	due = r.AdvanceRollouts(102)
+	if len(due) != 1 || due[0].Move == nil || due[0].Move.Digest != sum("1.0") || due[0].Reason == "" {
 		t.Fatalf("%+v", due)
 	}
 }
@@ -239,7 +239,7 @@
 			}
 		}
 		for _, ref := range []string{"f", "f:sale-week", "f:v1", "f:v2", "f:v3"} {
-			b, err := r.Bind(ref, "x", "t", "event")
+			b, err := r.Resolve(ref, "x", "t", "event")
 			tag := strings.TrimPrefix(strings.TrimPrefix(ref, "f"), ":")
 			if tag == "" {
 				tag = Current
@@ -264,7 +264,7 @@
 			}
 		}
 		again := New()
-		for _, e := range r.Trail {
+		for _, e := range r.AuditTrail {
 			if err := again.Apply(e); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/scenario/bench.go
+++ b/internal/scenario/bench.go
@@ -59,8 +59,8 @@
 	if err != nil {
 		return nil, err
 	}
-	f, err := eventloop.Start(eventloop.Settings{Listen: "127.0.0.1:0", WorkersFile: list, Settings: proxy.Settings{Name: "front", Core: c.Core(1),
-		Pool: c.Pool("front"), Front: c.Front(), MostConns: 1000}})
+	f, err := eventloop.Start(eventloop.Settings{Listen: "127.0.0.1:0", WorkersFile: list, Settings: proxy.Settings{Name: "front", Dispatch: c.Dispatch(1),
+		Upstream: c.Upstream("front"), Downstream: c.Downstream(), MaxClients: 1000}})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/scenario/bench_state.go
+++ b/internal/scenario/bench_state.go
@@ -30,11 +30,11 @@
 // one commits each note by itself, and waits for the disk each time: what group commit is compared with.
 type oneByOne struct{ store *storage.Store }
 
-func (o oneByOne) Commit(notes []dispatch.Note, done func(error)) {
+func (o oneByOne) Commit(notes []dispatch.Record, done func(error)) {
 	go func() {
 		for _, n := range notes {
 			ended := make(chan error, 1)
-			o.store.Commit([]dispatch.Note{n}, func(err error) { ended <- err })
+			o.store.Commit([]dispatch.Record{n}, func(err error) { ended <- err })
 			if err := <-ended; err != nil {
 				done(err)
 				return
@@ -66,17 +66,17 @@
 	for _, n := range conns {
 		none := 0.0
 		for way, name := range []string{"no store", "a sync for each note", "group commit", "no waiting for the disk"} {
-			set := eventloop.Settings{Listen: "127.0.0.1:0", WorkersFile: list, Settings: proxy.Settings{Name: "front", Core: c.Core(1),
-				Pool: c.Pool("front"), Front: c.Front(), MostConns: 1000}}
+			set := eventloop.Settings{Listen: "127.0.0.1:0", WorkersFile: list, Settings: proxy.Settings{Name: "front", Dispatch: c.Dispatch(1),
+				Upstream: c.Upstream("front"), Downstream: c.Downstream(), MaxClients: 1000}}
 			var store *storage.Store
 			if way > 0 {
 				folder := filepath.Join(dir, fmt.Sprintf("state-%d-%d", n, way))
-				if store, _, err = storage.OpenStore(folder, storage.Options{Remember: 600, NoSync: way == 3}); err != nil {
+				if store, _, err = storage.OpenStore(folder, storage.Options{Retention: 600, NoSync: way == 3}); err != nil {
 					return nil, err
 				}
-				set.Keeper = store
+				set.RecordStore = store
 				if way == 1 {
-					set.Keeper = oneByOne{store}
+					set.RecordStore = oneByOne{store}
 				}
 			}
 			f, err := eventloop.Start(set)
@@ -97,9 +97,9 @@
 				none = side.Rate
 			}
 			row.RateRatio = side.Rate / none
-			if store != nil && counts.Handled > 0 {
-				row.SyncsAnEvent = float64(store.Syncs.Load()) / float64(counts.Handled)
-				row.NotesAnEvent = float64(store.Notes.Load()) / float64(counts.Handled)
+			if store != nil && counts.Succeeded > 0 {
+				row.SyncsAnEvent = float64(store.Syncs.Load()) / float64(counts.Succeeded)
+				row.NotesAnEvent = float64(store.Records.Load()) / float64(counts.Succeeded)
 			}
 			var m runtime.MemStats
 			runtime.GC()
@@ -137,14 +137,14 @@
 	var rows []RecoveryRow
 	for _, n := range sizes {
 		folder := filepath.Join(dir, fmt.Sprint(n))
-		opt := storage.Options{Remember: 1e6, NoSync: true}
+		opt := storage.Options{Retention: 1e6, NoSync: true}
 		store, _, err := storage.OpenStore(folder, opt)
 		if err != nil {
 			return nil, err
 		}
-		var notes []dispatch.Note
+		var notes []dispatch.Record
 		for i := range n {
-			notes = append(notes, dispatch.Note{Kind: dispatch.NoteEnded, MayRun: true, Answer: dispatch.Answer{EventType: "price-reset",
+			notes = append(notes, dispatch.Record{Kind: dispatch.RecordRequestEnded, MayHaveRun: true, Response: dispatch.Response{Class: "price-reset",
 				Identity: dispatch.Identity{Source: "/till", ID: fmt.Sprint(i)}, Body: []byte(`{"model_name":"tally","outputs":[]}`)}})
 			if len(notes) == 1000 || i == n-1 {
 				ended := make(chan error, 1)
@@ -166,10 +166,10 @@
 		if err != nil {
 			return nil, err
 		}
-		row := RecoveryRow{Events: len(found.Events), Bytes: store.Size(), Open: time.Since(at).Seconds()}
+		row := RecoveryRow{Events: len(found.Records), Bytes: store.Size(), Open: time.Since(at).Seconds()}
 		at = time.Now()
-		core := dispatch.New(c.Core(1), nothing{}, 0)
-		core.Restore(0, found.Events)
+		core := dispatch.New(c.Dispatch(1), nothing{}, 0)
+		core.Recover(0, found.Records)
 		row.Restore = time.Since(at).Seconds()
 		row.PerEvent = (row.Open + row.Restore) / float64(max(row.Events, 1)) * 1e6
 		if err := store.Close(); err != nil {
@@ -186,11 +186,11 @@
 // nothing is an outside on which nothing happens.
 type nothing struct{}
 
-func (nothing) Answer(dispatch.Asker, dispatch.Answer) {}
-func (nothing) Launch(dispatch.Launch)                 {}
-func (nothing) Load(dispatch.Order)                    {}
-func (nothing) Abandon(uint64)                         {}
-func (nothing) Withdraw(uint64) bool                   { return false }
-func (nothing) Tell([]byte)                            {}
-func (nothing) Keep(dispatch.Note)                     {}
-func (nothing) Ended(dispatch.Answer, *dispatch.Trace) {}
+func (nothing) Respond(dispatch.WaiterID, dispatch.Response)    {}
+func (nothing) SendAttempt(dispatch.Attempt)                    {}
+func (nothing) SendLoad(dispatch.LoadCommand)                   {}
+func (nothing) Abandon(uint64)                                  {}
+func (nothing) CancelUnsent(uint64) bool                        { return false }
+func (nothing) Broadcast([]byte)                                {}
+func (nothing) Store(dispatch.Record)                           {}
+func (nothing) OnRequestEnd(dispatch.Response, *dispatch.Trace) {}
--- a/internal/scenario/release.go
+++ b/internal/scenario/release.go
@@ -29,8 +29,8 @@
 		for _, f := range functions {
 			for _, name := range []string{"1", "2"} {
 				d := digest.FromString(f.Name + ":" + name)
-				if err := r.Apply(registry.Entry{Publish: &registry.Version{Function: f.Name, Name: name, Digest: d, Lanes: f.Lanes,
-					Memory: f.Memory, Load: f.Fetch + f.Begin}}); err != nil {
+				if err := r.Apply(registry.Entry{Publish: &registry.Version{Function: f.Name, Name: name, Digest: d, Concurrency: f.Lanes,
+					MemoryMB: f.Memory, LoadTime: f.Fetch + f.Begin}}); err != nil {
 					return nil, err
 				}
 			}
@@ -43,13 +43,13 @@
 	return v, nil
 }
 
-func (v *versions) bind(front int, figures func(string) dispatch.Function) func(*dispatch.Ask) (dispatch.Binding, dispatch.Function, error) {
-	return func(ask *dispatch.Ask) (dispatch.Binding, dispatch.Function, error) {
+func (v *versions) bind(front int, figures func(string) dispatch.FunctionProfile) func(*dispatch.Request) (dispatch.Binding, dispatch.FunctionProfile, error) {
+	return func(ask *dispatch.Request) (dispatch.Binding, dispatch.FunctionProfile, error) {
 		v.mu.Lock()
 		defer v.mu.Unlock()
-		b, err := v.regs[front].Bind(ask.Function, ask.Type, ask.Tenant, ask.Identity.String())
+		b, err := v.regs[front].Resolve(ask.Function, ask.Class, ask.Tenant, ask.Identity.String())
 		if err != nil {
-			return dispatch.Binding{}, dispatch.Function{}, err
+			return dispatch.Binding{}, dispatch.FunctionProfile{}, err
 		}
 		return dispatch.Binding{ID: b.ID(), Function: b.Function, Version: b.Name, Digest: string(b.Digest)}, figures(b.Function), nil
 	}
@@ -59,7 +59,7 @@
 	return func(b dispatch.Binding) bool {
 		v.mu.Lock()
 		defer v.mu.Unlock()
-		return v.regs[front].May(b.Function, digest.Digest(b.Digest))
+		return v.regs[front].IsAllowed(b.Function, digest.Digest(b.Digest))
 	}
 }
 
@@ -84,10 +84,10 @@
 	if d.reg == nil {
 		return errors.New("the script says nothing of versions")
 	}
-	var list []registry.Going
+	var list []registry.Migration
 	for _, i := range rng.Perm(d.script.Functions)[:int(t.Part*float64(d.script.Functions))] {
 		f := d.functions[i] // the catalogue's order is that of popularity
-		list = append(list, registry.Going{Function: f.Name, To: digest.FromString(f.Name + ":2"), Use: -float64(i), Load: f.Fetch + f.Begin})
+		list = append(list, registry.Migration{Function: f.Name, To: digest.FromString(f.Name + ":2"), RequestRate: -float64(i), LoadTime: f.Fetch + f.Begin})
 	}
 	if t.Kind == "release-at-once" {
 		for _, g := range list {
@@ -97,28 +97,28 @@
 		}
 		return nil
 	}
-	p := registry.NewPacer(registry.Current, releaseLoads, list)
+	p := registry.NewRolloutPacer(registry.Current, releaseLoads, list)
 	for {
 		now := d.tape.Now()
 		for _, g := range p.Next(now) {
 			for _, f := range d.fronts {
-				if _, err := f.Ahead("", g.Function+"@"+string(g.To)); err != nil {
+				if _, err := f.Preload("", g.Function+"@"+string(g.To)); err != nil {
 					return err
 				}
 			}
-			p.Asked(g.Function, now)
+			p.OnRequest(g.Function, now)
 		}
 		for _, g := range p.Loading() {
 			if !d.stands(g.Function + "@" + string(g.To)) {
 				continue
 			}
-			if m, due := p.Stands(g.Function, d.tape.Now()); due {
+			if m, due := p.OnLoaded(g.Function, d.tape.Now()); due {
 				if err := d.reg.move(m); err != nil {
 					return err
 				}
 			}
 		}
-		left, lost := p.Left()
+		left, lost := p.Remaining()
 		if len(lost) > 0 {
 			d.log.Info("given up", "functions", fmt.Sprint(lost))
 		}
@@ -132,11 +132,11 @@
 func (d *day) stands(id string) bool {
 	all := true
 	for _, f := range d.fronts {
-		err := f.Do(func(c *dispatch.Core) {
-			_, functions := c.Believed()
+		err := f.DoDispatcher(func(c *dispatch.Dispatcher) {
+			_, functions := c.RoutingView()
 			one := false
 			for _, x := range functions {
-				one = one || x.ID == control.FunctionID(id) && len(x.Warm) > 0
+				one = one || x.ID == control.FunctionID(id) && len(x.Replicas) > 0
 			}
 			all = all && one
 		})
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -117,9 +117,9 @@
 		if err != nil {
 			d.fail("front end ended by itself: %v", err)
 		}
-		r.Joined += n.Joined + n.FromKept
-		if n.Open > 0 || n.Out > 0 {
-			d.fail("front end holds %d events and %d launches after the day", n.Open, n.Out)
+		r.Joined += n.Deduplicated + n.Replayed
+		if n.Open > 0 || n.InFlight > 0 {
+			d.fail("front end holds %d events and %d launches after the day", n.Open, n.InFlight)
 		}
 	}
 	for _, f := range d.fronts {
@@ -252,15 +252,15 @@
 		}
 	}
 	for i := range s.FrontEnds {
-		core := c.Core(d.seed*1000003 + uint64(i))
-		core.Deployment.FrontEnds, core.Deployment.MayTell = s.FrontEnds, s.FrontEnds > 1
+		core := c.Dispatch(d.seed*1000003 + uint64(i))
+		core.Deployment.FrontEnds, core.Deployment.GossipAllowed = s.FrontEnds, s.FrontEnds > 1
 		if d.reg != nil {
-			core.Bind, core.MayRun = d.reg.bind(i, c.Function), d.reg.mayRun(i)
+			core.ResolveVersion, core.VersionAllowed = d.reg.bind(i, c.Function), d.reg.mayRun(i)
 		}
 		name := fmt.Sprintf("front-%d", i)
-		set := eventloop.Settings{Listen: c.Listen[0], WorkersFile: path, Settings: proxy.Settings{Name: name, Cluster: "drill", Core: core,
-			Pool: c.Pool(name), Front: c.Front(), MostConns: c.Limits.Connections, Log: d.log, Ended: func(a dispatch.Answer, _ *dispatch.Trace) {
-				if a.Kind != dispatch.Handled {
+		set := eventloop.Settings{Listen: c.Listen[0], WorkersFile: path, Settings: proxy.Settings{Name: name, Cluster: "drill", Dispatch: core,
+			Upstream: c.Upstream(name), Downstream: c.Downstream(), MaxClients: c.Limits.Connections, Log: d.log, OnRequestEnd: func(a dispatch.Response, _ *dispatch.Trace) {
+				if a.Kind != dispatch.Succeeded {
 					d.mu.Lock()
 					d.causes[a.Cause.String()]++
 					d.mu.Unlock()
@@ -323,11 +323,11 @@
 
 // client is a CloudEvents client whose tries the tape records.
 func (d *day) client(source string, repeats int) *schedule.Client {
-	return &schedule.Client{Source: source, Fronts: d.addrs, HTTP: &http.Client{Transport: &http.Transport{
-		MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second}}, MaxAge: time.Duration(maxAge * float64(time.Second)),
-		Repeat: repeats, Once: map[string]bool{"price-reset": true},
-		Trying: func(f schedule.Firing, front string, left time.Duration) func(int, string, error) {
-			r := invariants.Record{Kind: invariants.Asked, Event: source + "#" + f.ID, Type: f.Entry.Type, Function: f.Entry.Function,
+	return &schedule.Client{Source: source, FrontEnds: d.addrs, HTTP: &http.Client{Transport: &http.Transport{
+		MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second}}, DefaultTimeout: time.Duration(maxAge * float64(time.Second)),
+		MaxRetries: repeats, AtMostOnce: map[string]bool{"price-reset": true},
+		OnAttempt: func(f schedule.Firing, front string, left time.Duration) func(int, string, error) {
+			r := invariants.Record{Kind: invariants.Asked, Event: source + "#" + f.ID, Type: f.Entry.Class, Function: f.Entry.Function,
 				Front: d.front(front), Call: d.tape.Call(), Wait: left.Seconds()}
 			d.tape.Add(r)
 			return func(status int, digest string, err error) {
@@ -373,20 +373,20 @@
 	return invariants.Refused
 }
 
-func (d *day) ended(o schedule.Outcome) {
+func (d *day) ended(o schedule.Result) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.firings++
-	slot := int(d.tape.Now()-o.Took.Seconds()) / 2
+	slot := int(d.tape.Now()-o.Latency.Seconds()) / 2
 	x := d.stretch[slot]
 	x[0]++
-	if o.Status == 200 && o.Took.Seconds() <= targetTime {
+	if o.Status == 200 && o.Latency.Seconds() <= targetTime {
 		x[1]++
 	}
 	d.stretch[slot] = x
 	if o.Status == 200 {
-		d.latency.RecordValue(max(o.Took.Microseconds(), 1))
-		if o.Took.Seconds() <= targetTime {
+		d.latency.RecordValue(max(o.Latency.Microseconds(), 1))
+		if o.Latency.Seconds() <= targetTime {
 			d.inTime++
 		}
 	}
@@ -421,7 +421,7 @@
 		if rng.Int64N(1000) < d.hot.Load() {
 			fn = d.functions[s.Functions+rng.IntN(3)].Name
 		}
-		e := &schedule.Entry{Type: kind, Function: fn, Tenant: []string{"kitaboshi-wear", "minato-shoes"}[rng.IntN(2)],
+		e := &schedule.Entry{Class: kind, Function: fn, Tenant: []string{"kitaboshi-wear", "minato-shoes"}[rng.IntN(2)],
 			Data: []byte(`{"count":1}`)}
 		f := schedule.Firing{Entry: e, Due: time.Now(), ID: fmt.Sprintf("e-%d", no)}
 		leave := rng.Int64N(1000) < d.leaving.Load()
@@ -435,7 +435,7 @@
 				time.AfterFunc(after, cancel)
 			}
 			o := c.Fire(ctx, f)
-			for d.abuse.Load() && o.Status == 503 && o.Took.Seconds() < maxAge { // it comes back at once, as another event
+			for d.abuse.Load() && o.Status == 503 && o.Latency.Seconds() < maxAge { // it comes back at once, as another event
 				again := f
 				again.ID += "+"
 				f = again
@@ -488,7 +488,7 @@
 	}
 	c := d.client("/timers/drill", s.Repeats)
 	plan := schedule.NewPlan(entries, clock())
-	c.Ended = d.ended
+	c.OnResult = d.ended
 	c.Run(ctx, plan, clock, until)
 }
 
@@ -496,11 +496,11 @@
 func (d *day) ahead(ctx context.Context, entries []schedule.Entry, clock func() time.Time) {
 	span := time.Duration(d.script.Ahead / d.script.Minute * float64(time.Minute))
 	for d.sleep(ctx, 0.1) {
-		for _, f := range schedule.Soon(entries, clock(), span) {
-			front := schedule.Ranked(d.addrs, f.ID)[0]
+		for _, f := range schedule.DueWithin(entries, clock(), span) {
+			front := schedule.RendezvousOrder(d.addrs, f.ID)[0]
 			for i, a := range d.addrs {
 				if a == front {
-					if _, err := d.fronts[i].Ahead(f.Entry.Type, f.Entry.Function); err != nil {
+					if _, err := d.fronts[i].Preload(f.Entry.Class, f.Entry.Function); err != nil {
 						return
 					}
 				}
--- a/internal/schedule/client.go
+++ b/internal/schedule/client.go
@@ -18,43 +18,43 @@
 	cehttp "github.com/cloudevents/sdk-go/v2/protocol/http"
 )
 
-// Outcome is how a firing ended for its client. Status is 0 where no answer came.
-type Outcome struct {
+// Result is how a firing ended for its client. Status is 0 where no answer came.
+type Result struct {
 	Firing
-	Front  string
-	Status int
-	Digest string // of the version that the answer names
-	Took   time.Duration
-	Tries  int
-	Err    error
-	Replay bool // answered from an earlier asker of the same firing
-	Pause  time.Duration
+	FrontEnd   string
+	Status     int
+	Digest     string // of the version that the answer names
+	Latency    time.Duration
+	Attempts   int
+	Err        error
+	Replayed   bool // answered from an earlier asker of the same firing
+	RetryAfter time.Duration
 }
 
 // Client fires events at front ends over HTTP. Its fields are set before the first firing.
 type Client struct {
-	Source string   // CloudEvents source; the same for all clients of one crontab
-	Fronts []string // host:port of the front ends
-	HTTP   *http.Client
-	Log    *slog.Logger
-	MaxAge time.Duration   // how long it waits where the entry does not say
-	Repeat int             // further tries after a deferral or a lost answer, with the same identity
-	Once   map[string]bool // event types that are not tried again after a lost answer
-	// Trying is told of each try with the time that the client still waits; what it returns is told the status that
+	Source         string   // CloudEvents source; the same for all clients of one crontab
+	FrontEnds      []string // host:port of the front ends
+	HTTP           *http.Client
+	Log            *slog.Logger
+	DefaultTimeout time.Duration   // how long it waits where the entry does not say
+	MaxRetries     int             // further tries after a deferral or a lost answer, with the same identity
+	AtMostOnce     map[string]bool // event types that are not tried again after a lost answer
+	// OnAttempt is told of each try with the time that the client still waits; what it returns is told the status that
 	// came back, 0 where none did, and the digest that the answer names. It may be nil.
-	Trying func(f Firing, front string, left time.Duration) func(status int, digest string, err error)
-	Ended  func(Outcome) // told of each firing that Run made; may be nil
+	OnAttempt func(f Firing, front string, left time.Duration) func(status int, digest string, err error)
+	OnResult  func(Result) // told of each firing that Run made; may be nil
 }
 
 // leastWait is what must be left of a client's time for another try: no answer could come back in less.
 const leastWait = 100 * time.Millisecond
 
-// Event writes a firing as a CloudEvent.
-func Event(source string, f Firing) cloudevents.Event {
+// CloudEvent writes a firing as a CloudEvent.
+func CloudEvent(source string, f Firing) cloudevents.Event {
 	e := cloudevents.New()
 	e.SetSource(source)
 	e.SetID(f.ID)
-	e.SetType(f.Entry.Type)
+	e.SetType(f.Entry.Class)
 	e.SetTime(f.Due.UTC())
 	e.SetExtension("function", f.Entry.Function)
 	if f.Entry.Tenant != "" {
@@ -66,9 +66,9 @@
 	return e
 }
 
-// Ranked orders front ends for an identity alike at every client, by the highest of a hash of both: two clients
+// RendezvousOrder orders front ends for an identity alike at every client, by the highest of a hash of both: two clients
 // that fire the same minute ask the same front end, which joins the two.
-func Ranked(fronts []string, id string) []string {
+func RendezvousOrder(fronts []string, id string) []string {
 	type ranked struct {
 		front string
 		rank  uint64
@@ -95,39 +95,39 @@
 
 // Fire sends one firing and waits for its end. A deferral and a lost connection are tried again, the next time at
 // the same front end (its memory knows the event), or at the next by rank where it can't be reached.
-func (c *Client) Fire(ctx context.Context, f Firing) Outcome {
-	wait := f.Entry.Wait
+func (c *Client) Fire(ctx context.Context, f Firing) Result {
+	wait := f.Entry.Timeout
 	if wait == 0 {
-		wait = c.MaxAge
+		wait = c.DefaultTimeout
 	}
 	begin := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	out := Outcome{Firing: f}
-	fronts := Ranked(c.Fronts, f.ID)
+	out := Result{Firing: f}
+	fronts := RendezvousOrder(c.FrontEnds, f.ID)
 	at := 0
 	for {
-		out.Front, out.Tries = fronts[at%len(fronts)], out.Tries+1
+		out.FrontEnd, out.Attempts = fronts[at%len(fronts)], out.Attempts+1
 		left := wait - time.Since(begin)
 		tried := func(int, string, error) {}
-		if c.Trying != nil {
-			tried = c.Trying(f, out.Front, left)
+		if c.OnAttempt != nil {
+			tried = c.OnAttempt(f, out.FrontEnd, left)
 		}
 		reached := c.try(ctx, &out, left)
 		tried(out.Status, out.Digest, out.Err)
-		out.Took = time.Since(begin)
+		out.Latency = time.Since(begin)
 		final := out.Status != 0 && out.Status != http.StatusServiceUnavailable
-		lost := out.Status == 0 && reached && c.Once[f.Entry.Type] // it may have run
-		if final || lost || out.Tries > c.Repeat || ctx.Err() != nil || out.Took+out.Pause+leastWait > wait {
+		lost := out.Status == 0 && reached && c.AtMostOnce[f.Entry.Class] // it may have run
+		if final || lost || out.Attempts > c.MaxRetries || ctx.Err() != nil || out.Latency+out.RetryAfter+leastWait > wait {
 			break
 		}
 		if !reached {
 			at++
 		}
-		out.Took = time.Since(begin)
+		out.Latency = time.Since(begin)
 		select {
 		case <-ctx.Done():
-		case <-time.After(max(out.Pause, 20*time.Millisecond)):
+		case <-time.After(max(out.RetryAfter, 20*time.Millisecond)):
 			if wait-time.Since(begin) < leastWait {
 				return out
 			}
@@ -136,13 +136,13 @@
 	return out
 }
 
-func (c *Client) try(ctx context.Context, out *Outcome, left time.Duration) (reached bool) {
-	out.Status, out.Err, out.Pause, out.Digest = 0, nil, 0, ""
-	e := Event(c.Source, out.Firing)
-	if out.Tries > 1 {
+func (c *Client) try(ctx context.Context, out *Result, left time.Duration) (reached bool) {
+	out.Status, out.Err, out.RetryAfter, out.Digest = 0, nil, 0, ""
+	e := CloudEvent(c.Source, out.Firing)
+	if out.Attempts > 1 {
 		e.SetExtension("repeat", "true")
 	}
-	req, err := cehttp.NewHTTPRequestFromEvent(ctx, "http://"+out.Front+"/events", e)
+	req, err := cehttp.NewHTTPRequestFromEvent(ctx, "http://"+out.FrontEnd+"/events", e)
 	if err != nil {
 		out.Err = err
 		return true
@@ -160,9 +160,9 @@
 	}
 	out.Status = resp.StatusCode
 	out.Digest = resp.Header.Get("Docker-Content-Digest")
-	out.Replay = resp.Header.Get("Idempotent-Replayed") != ""
+	out.Replayed = resp.Header.Get("Idempotent-Replayed") != ""
 	if n, err := strconv.Atoi(resp.Header.Get("Retry-After")); err == nil {
-		out.Pause = time.Duration(n) * time.Second
+		out.RetryAfter = time.Duration(n) * time.Second
 	}
 	return true
 }
@@ -178,11 +178,11 @@
 			go func() {
 				defer out.Done()
 				o := c.Fire(context.WithoutCancel(ctx), f)
-				if c.Ended != nil {
-					c.Ended(o)
+				if c.OnResult != nil {
+					c.OnResult(o)
 				}
 				if c.Log != nil {
-					c.Log.Info("fired", "event", f.ID, "status", o.Status, "tries", o.Tries, "took", o.Took, "error", o.Err)
+					c.Log.Info("fired", "event", f.ID, "status", o.Status, "tries", o.Attempts, "took", o.Latency, "error", o.Err)
 				}
 			}()
 		}
--- a/internal/schedule/crontab.go
+++ b/internal/schedule/crontab.go
@@ -14,35 +14,35 @@
 	"github.com/robfig/cron/v3"
 )
 
-// Misfire is what becomes of firings whose time passed while nobody could fire them.
-type Misfire uint8
+// MisfirePolicy is what becomes of firings whose time passed while nobody could fire them.
+type MisfirePolicy uint8
 
 const (
-	Skip Misfire = iota // they are let go
-	Once                // the newest one is made up for
-	All                 // all of them are, within a bound
+	MisfireSkip MisfirePolicy = iota // they are let go
+	MisfireOnce                      // the newest one is made up for
+	MisfireAll                       // all of them are, within a bound
 )
 
-var misfires = map[string]Misfire{"skip": Skip, "once": Once, "all": All}
+var misfires = map[string]MisfirePolicy{"skip": MisfireSkip, "once": MisfireOnce, "all": MisfireAll}
 
 // Entry is one line of a crontab.
 type Entry struct {
-	Line     int
-	Spec     string // the schedule as it was written
-	Zone     *time.Location
-	Type     string // event type
-	Function string
-	Tenant   string
-	Data     []byte
-	Misfire  Misfire
-	Within   time.Duration // how far back All and Once make up for
-	Wait     time.Duration // how long the client waits for an answer; 0: the event type's max age
-	schedule cron.Schedule
+	Line          int
+	Spec          string // the schedule as it was written
+	Zone          *time.Location
+	Class         string // event type
+	Function      string
+	Tenant        string
+	Data          []byte
+	Misfire       MisfirePolicy
+	CatchUpWindow time.Duration // how far back All and Once make up for
+	Timeout       time.Duration // how long the client waits for an answer; 0: the event type's max age
+	schedule      cron.Schedule
 }
 
 // Key names an entry; two clients with the same crontab name it alike.
 func (e *Entry) Key() string {
-	key := strings.ReplaceAll(strings.Join(strings.Fields(e.Spec), "_"), "/", "~") + "/" + e.Type + "/" + e.Function
+	key := strings.ReplaceAll(strings.Join(strings.Fields(e.Spec), "_"), "/", "~") + "/" + e.Class + "/" + e.Function
 	if e.Tenant != "" {
 		key += "@" + e.Tenant
 	}
@@ -64,7 +64,7 @@
 func Parse(r io.Reader, name string) ([]Entry, error) {
 	var entries []Entry
 	var faults []error
-	zone, misfire, within, wait := time.UTC, Skip, time.Hour, time.Duration(0)
+	zone, misfire, within, wait := time.UTC, MisfireSkip, time.Hour, time.Duration(0)
 	keys := map[string]int{}
 	scan := bufio.NewScanner(r)
 	scan.Buffer(nil, 1<<20)
@@ -115,8 +115,8 @@
 			fault("%d words, not a schedule of %d and TYPE FUNCTION [TENANT] [%%DATA]", len(words), fields)
 			continue
 		}
-		e := Entry{Line: no, Spec: strings.Join(words[:fields], " "), Zone: zone, Type: words[fields],
-			Function: words[fields+1], Misfire: misfire, Within: within, Wait: wait}
+		e := Entry{Line: no, Spec: strings.Join(words[:fields], " "), Zone: zone, Class: words[fields],
+			Function: words[fields+1], Misfire: misfire, CatchUpWindow: within, Timeout: wait}
 		if len(words) == fields+3 {
 			e.Tenant = words[fields+2]
 		}
--- a/internal/schedule/plan.go
+++ b/internal/schedule/plan.go
@@ -12,11 +12,11 @@
 	Entry *Entry
 	Due   time.Time
 	ID    string
-	Late  time.Duration
+	Delay time.Duration
 }
 
-// ID is the identity of a firing: the entry and the minute, in UTC.
-func ID(e *Entry, due time.Time) string {
+// FiringID is the identity of a firing: the entry and the minute, in UTC.
+func FiringID(e *Entry, due time.Time) string {
 	return e.Key() + "/" + due.UTC().Format("2006-01-02T15:04Z")
 }
 
@@ -151,12 +151,12 @@
 func (p *Plan) catchUp(e *planned, now time.Time) []Firing {
 	var due, missed []Firing
 	// Far back, minute by minute would take long; nothing older than the bound is ever made up for.
-	if oldest := now.Add(-max(e.entry.Within, 2*lateAfter)); e.due.Before(oldest) {
+	if oldest := now.Add(-max(e.entry.CatchUpWindow, 2*lateAfter)); e.due.Before(oldest) {
 		e.due = e.entry.next(oldest.Add(-time.Second))
 	}
 	for !e.due.IsZero() && !e.due.After(now) {
-		f := Firing{Entry: e.entry, Due: e.due, ID: ID(e.entry, e.due), Late: now.Sub(e.due)}
-		if f.Late > lateAfter {
+		f := Firing{Entry: e.entry, Due: e.due, ID: FiringID(e.entry, e.due), Delay: now.Sub(e.due)}
+		if f.Delay > lateAfter {
 			missed = append(missed, f)
 		} else {
 			due = append(due, f)
@@ -164,9 +164,9 @@
 		e.due = e.entry.next(e.due)
 	}
 	switch {
-	case e.entry.Misfire == Skip || len(missed) == 0:
+	case e.entry.Misfire == MisfireSkip || len(missed) == 0:
 		return due
-	case e.entry.Misfire == Once:
+	case e.entry.Misfire == MisfireOnce:
 		return append(missed[len(missed)-1:], due...)
 	}
 	if len(missed) > missedMax {
@@ -175,8 +175,8 @@
 	return append(missed, due...)
 }
 
-// Soon are the firings that are due within a span from now, the first of each function, in the order of the crontab.
-func Soon(entries []Entry, now time.Time, span time.Duration) []Firing {
+// DueWithin are the firings that are due within a span from now, the first of each function, in the order of the crontab.
+func DueWithin(entries []Entry, now time.Time, span time.Duration) []Firing {
 	var soon []Firing
 	seen := map[string]bool{}
 	for i := range entries {
@@ -186,7 +186,7 @@
 			continue
 		}
 		seen[e.Function] = true
-		soon = append(soon, Firing{Entry: e, Due: due, ID: ID(e, due)})
+		soon = append(soon, Firing{Entry: e, Due: due, ID: FiringID(e, due)})
 	}
 	return soon
 }
@@ -196,17 +196,17 @@
 	againMost  = 5 * time.Second        // up to this
 )
 
-// Until is when a firing is given up: a minute after it was due, or the time that its entry makes up for.
-func (f Firing) Until() time.Time {
-	if f.Entry.Misfire == Skip {
+// Deadline is when a firing is given up: a minute after it was due, or the time that its entry makes up for.
+func (f Firing) Deadline() time.Time {
+	if f.Entry.Misfire == MisfireSkip {
 		return f.Due.Add(lateAfter)
 	}
-	return f.Due.Add(max(f.Entry.Within, lateAfter))
+	return f.Due.Add(max(f.Entry.CatchUpWindow, lateAfter))
 }
 
-// Again is the pause before a deferred firing is tried once more, after so many tries; false where its time is over.
+// NextRetry is the pause before a deferred firing is tried once more, after so many tries; false where its time is over.
 // A try under way when the time runs out goes on.
-func Again(until, now time.Time, tries int, named time.Duration) (time.Duration, bool) {
+func NextRetry(until, now time.Time, tries int, named time.Duration) (time.Duration, bool) {
 	pause := max(min(againFirst<<min(tries-1, 10), againMost), named)
 	return pause, now.Add(pause).Before(until)
 }
--- a/internal/schedule/timers_test.go
+++ b/internal/schedule/timers_test.go
@@ -39,11 +39,11 @@
 		t.Fatal(list)
 	}
 	a, b, c := list[0], list[1], list[2]
-	if a.Type != "price-reset" || a.Function != "shop-1" || a.Tenant != "kitaboshi" || string(a.Data) != "{\"at\":\"50%\"}\nx" ||
-		a.Zone.String() != "Asia/Tokyo" || a.Misfire != Skip || a.Wait != 0 {
+	if a.Class != "price-reset" || a.Function != "shop-1" || a.Tenant != "kitaboshi" || string(a.Data) != "{\"at\":\"50%\"}\nx" ||
+		a.Zone.String() != "Asia/Tokyo" || a.Misfire != MisfireSkip || a.Timeout != 0 {
 		t.Errorf("%+v", a)
 	}
-	if b.Spec != "@hourly" || b.Misfire != All || b.Within != 2*time.Hour || b.Wait != 3*time.Second || b.Tenant != "" {
+	if b.Spec != "@hourly" || b.Misfire != MisfireAll || b.CatchUpWindow != 2*time.Hour || b.Timeout != 3*time.Second || b.Tenant != "" {
 		t.Errorf("%+v", b)
 	}
 	if got := c.Key(); got != "*~15_8-20_1,15_*_5-7/shop-event/count@t" {
@@ -77,8 +77,8 @@
 	used := map[string]int{}
 	for i := range 300 {
 		id := fmt.Sprint("e/", i)
-		r := Ranked(fronts, id)
-		if other := Ranked([]string{"c:1", "a:1", "b:1"}, id); strings.Join(r, " ") != strings.Join(other, " ") {
+		r := RendezvousOrder(fronts, id)
+		if other := RendezvousOrder([]string{"c:1", "a:1", "b:1"}, id); strings.Join(r, " ") != strings.Join(other, " ") {
 			t.Fatal("the order of the list moves the choice")
 		}
 		used[r[0]]++
--- a/internal/simadapter/line.go
+++ b/internal/simadapter/line.go
@@ -129,17 +129,17 @@
 	return v
 }
 
-var results = map[string]control.Result{
-	"delivered": control.Handled, "app_error": control.Failed, "shed": control.TurnedAway,
-	"expired": control.TimedOut, "dial_failed": control.Unreachable, "dropped": control.Broken,
-	"revoked": control.Cancelled, "unused": control.NeverSent, "empty": control.Missed,
+var results = map[string]control.Outcome{
+	"delivered": control.Succeeded, "app_error": control.Failed, "shed": control.Rejected,
+	"expired": control.TimedOut, "dial_failed": control.Unreachable, "dropped": control.ConnectionLost,
+	"revoked": control.Cancelled, "unused": control.NotSent, "empty": control.ReplicaMissing,
 }
 
-var phases = map[string]control.Phase{
+var phases = map[string]control.EndpointState{
 	"SERVING": control.Serving, "DRAINING": control.Draining, "DELETED": control.Gone,
 }
 
-func (l *line) report(field string) (r control.Report) {
+func (l *line) report(field string) (r control.LoadReport) {
 	rest := l.text(field)
 	for rest != "" && rest != "-" {
 		var pair string
--- a/internal/simadapter/serve.go
+++ b/internal/simadapter/serve.go
@@ -98,8 +98,8 @@
 		s.open--
 		s.lists[s.slot] = append(s.lists[s.slot], control.Worker{
 			ID: control.WorkerID(l.need("Worker")), Zone: control.ZoneID(l.text("Az")),
-			Kind: control.KindID(l.text("Hw")), Cell: l.whole("Stripe"), Phase: pick(l, "Phase", phases),
-			Size: l.number("Share"), Born: l.seconds("BornMs"),
+			MachineType: control.MachineType(l.text("Hw")), FailureDomain: l.whole("Stripe"), State: pick(l, "Phase", phases),
+			Weight: l.number("Share"), StartedAt: l.seconds("BornMs"),
 		})
 	case "CREATE":
 		i := &instance{name: l.need("EndId"), out: s.out}
@@ -137,7 +137,7 @@
 	"UPDATE": func(s *server, i *instance, l *line) {
 		how := l.need("How")
 		if how == "Error" {
-			i.mod.ListFailed(s.now)
+			i.mod.OnEndpointPollFailed(s.now)
 			return
 		}
 		if how != "Partial" && how != "Complete" && how != "Persisted" {
@@ -147,47 +147,47 @@
 		if !ok {
 			panic(fault{l.no, "Slot", "no such list"})
 		}
-		i.mod.List(s.now, how != "Partial", how == "Persisted", list)
+		i.mod.OnEndpointUpdate(s.now, how != "Partial", how == "Persisted", list)
 	},
 	"DEMAND": func(s *server, i *instance, l *line) {
 		options := l.whole("Options")
-		evt := control.Event{
-			ID: control.EventID(l.need("Id")), Type: l.need("Class"), Tenant: control.TenantID(l.text("Team")),
-			Function: control.FunctionID(l.text("Function")), Left: l.seconds("RemainingMs"),
-			Lanes: l.whole("PerCopy"), Memory: l.number("MemoryMb"), Load: l.seconds("LoadMs"),
-			Repeated: options&2 != 0,
+		evt := control.Request{
+			ID: control.RequestID(l.need("Id")), Class: l.need("Class"), Tenant: control.TenantID(l.text("Team")),
+			Function: control.FunctionID(l.text("Function")), TimeLeft: l.seconds("RemainingMs"),
+			Concurrency: l.whole("PerCopy"), Memory: l.number("MemoryMb"), LoadTime: l.seconds("LoadMs"),
+			Retried: options&2 != 0,
 		}
 		if options&1 != 0 {
-			evt.Work = l.seconds("WorkHintMs")
+			evt.ExpectedWork = l.seconds("WorkHintMs")
 		}
-		i.mod.Event(s.now, evt)
+		i.mod.OnRequest(s.now, evt)
 	},
 	"REPORT_BACK": func(s *server, i *instance, l *line) {
 		info := l.whole("Info")
-		end := control.Ending{
-			Event: control.EventID(l.need("Id")), Worker: control.WorkerID(l.need("Worker")),
-			Launch: l.whole("Leg"), Result: pick(l, "Rc", results), Settled: l.flag("Settled"),
-			Took: l.seconds("DelaySeenMs"), Warmth: control.Warmth(info & 7),
+		end := control.AttemptResult{
+			Request: control.RequestID(l.need("Id")), Worker: control.WorkerID(l.need("Worker")),
+			Attempt: l.whole("Leg"), Outcome: pick(l, "Rc", results), Answered: l.flag("Settled"),
+			Latency: l.seconds("DelaySeenMs"), Start: control.StartType(info & 7),
 			Report: l.report("Pressure"),
 		}
-		i.mod.Ended(s.now, end)
+		i.mod.OnAttemptResult(s.now, end)
 	},
 	"BROUGHT_UP": func(s *server, i *instance, l *line) {
-		i.mod.Held(s.now, control.WorkerID(l.need("Worker")), control.FunctionID(l.need("Function")),
+		i.mod.OnLoadResult(s.now, control.WorkerID(l.need("Worker")), control.FunctionID(l.need("Function")),
 			pick(l, "Rc", results), l.whole("UnitsHeld"), l.seconds("DelaySeenMs"))
 	},
 	"HANGUP": func(s *server, i *instance, l *line) {
-		i.mod.HungUp(s.now, control.EventID(l.need("Id")))
+		i.mod.OnCancel(s.now, control.RequestID(l.need("Id")))
 	},
 	"PEER_DATA": func(s *server, i *instance, l *line) {
 		octets, err := base64.StdEncoding.DecodeString(strings.TrimPrefix(l.need("Octets"), "-"))
 		if err != nil {
 			panic(fault{l.no, "Octets", err.Error()})
 		}
-		i.mod.Told(s.now, octets)
+		i.mod.OnGossip(s.now, octets)
 	},
 	"WAKEUP": func(s *server, i *instance, l *line) {
-		i.mod.Woken(s.now, l.mark("Mark"))
+		i.mod.OnTimer(s.now, l.mark("Mark"))
 	},
 }
 
@@ -207,25 +207,25 @@
 
 func millis(seconds float64) string { return strconv.FormatFloat(seconds*1000, 'f', 3, 64) }
 
-func (i *instance) Launch(evt control.EventID, wk control.WorkerID, limit float64) {
+func (i *instance) StartAttempt(evt control.RequestID, wk control.WorkerID, limit float64) {
 	i.say("ROUTE", "Id", string(evt), "Worker", string(wk), "LimitMs", millis(limit))
 }
 
-func (i *instance) Defer(evt control.EventID, pause float64) {
+func (i *instance) Reject(evt control.RequestID, pause float64) {
 	i.say("SAY_NO", "Id", string(evt), "PauseMs", millis(pause))
 }
 
-func (i *instance) DeadLetter(evt control.EventID) { i.say("SURRENDER", "Id", string(evt)) }
+func (i *instance) Fail(evt control.RequestID) { i.say("SURRENDER", "Id", string(evt)) }
 
-func (i *instance) Hold(wk control.WorkerID, fn control.FunctionID, copies int) {
+func (i *instance) LoadReplicas(wk control.WorkerID, fn control.FunctionID, copies int) {
 	i.say("PRELOAD", "Worker", string(wk), "Function", string(fn), "UnitsHeld", strconv.Itoa(copies))
 }
 
-func (i *instance) Tell(message []byte) {
+func (i *instance) Broadcast(message []byte) {
 	i.say("POST", "Whom", "*", "Octets", base64.StdEncoding.EncodeToString(message))
 }
 
-func (i *instance) Wake(after float64, mark uint64) {
+func (i *instance) SetTimer(after float64, mark uint64) {
 	i.say("NOTIFY_ME", "SleepForMs", millis(after), "Mark", strconv.FormatUint(mark, 10))
 }
 
--- a/internal/simulation/box.go
+++ b/internal/simulation/box.go
@@ -25,18 +25,18 @@
 	no      int
 	disk    *disk
 	store   *storage.Store
-	life    appliance.Life
+	life    appliance.Lifecycle
 	fronts  []*front
-	found   *storage.Found
+	found   *storage.RecoveredState
 	plan    *schedule.Plan
 	fired   map[string]time.Time
 	hold    bool
 	syncing bool
 	boots   int
-	acked   map[dispatch.Identity]dispatch.Note // noted, and on disk for all that the program was told
+	acked   map[dispatch.Identity]dispatch.Record // noted, and on disk for all that the program was told
 	ackedAt map[dispatch.Identity]float64
-	pending map[dispatch.Identity][]dispatch.Note // noted, and not yet told to be on disk
-	chores  *appliance.Chores
+	pending map[dispatch.Identity][]dispatch.Record // noted, and not yet told to be on disk
+	chores  *appliance.TaskScheduler
 	reg     *registry.Registry
 	trail   int                          // entries of it that are on disk for all that the program was told
 	own     map[dispatch.Identity]uint64 // the box's own events that are open: their calls
@@ -50,7 +50,7 @@
 	name    string
 	addr    string
 	peer    int // number among all
-	f       *proxy.Front
+	f       *proxy.Proxy
 	timer   *step
 	told    map[string]string  // phases of workers as it read them
 	births  map[string]float64 // and their starts
@@ -62,12 +62,12 @@
 
 func (l link) Write(data []byte) { l.e.write(data) }
 func (l link) Close()            { l.e.close() }
-func (l link) Shut()             { l.e.shut() }
+func (l link) CloseWrite()       { l.e.shut() }
 func (l link) Unsent() int       { return l.e.unsent() }
 func (l link) Name() string      { return l.e.c.name }
 
-// Ahead has nothing: what arrives in this world is handed over at once.
-func (l link) Ahead() ([]byte, bool) { return nil, true }
+// ReadAhead has nothing: what arrives in this world is handed over at once.
+func (l link) ReadAhead() ([]byte, bool) { return nil, true }
 
 const (
 	syncTime = 0.001 // seconds of a sync of the disk
@@ -76,7 +76,7 @@
 
 func (s *site) newBox(no, fronts int) *box {
 	b := &box{proc: proc{w: s.w, name: fmt.Sprintf("box-%d", no), power: true, base: 1e6 + 1000*float64(no)}, s: s, no: no, disk: newDisk(),
-		acked: map[dispatch.Identity]dispatch.Note{}, ackedAt: map[dispatch.Identity]float64{}, pending: map[dispatch.Identity][]dispatch.Note{}}
+		acked: map[dispatch.Identity]dispatch.Record{}, ackedAt: map[dispatch.Identity]float64{}, pending: map[dispatch.Identity][]dispatch.Record{}}
 	for i := range fronts {
 		f := &front{b: b, name: fmt.Sprintf("front-%d", len(s.fronts)), peer: len(s.fronts)}
 		f.addr = fmt.Sprintf("%s:%d", b.name, 8080+i)
@@ -89,7 +89,7 @@
 
 // start begins the process.
 func (b *box) start() {
-	b.life = appliance.Life{}
+	b.life = appliance.Lifecycle{}
 	b.proc.life++
 	b.up, b.power, b.still, b.syncing, b.hold = true, true, false, false, true
 	b.boots++
@@ -97,8 +97,8 @@
 	b.in(bootTime, "opens the state", b.open)
 }
 
-func (b *box) move(h appliance.Happening, why string) {
-	for _, a := range b.life.On(h, why) {
+func (b *box) move(h appliance.LifecycleEvent, why string) {
+	for _, a := range b.life.Handle(h, why) {
 		b.act(a)
 	}
 }
@@ -106,69 +106,69 @@
 // open opens the state, as the real box does first of all.
 func (b *box) open() {
 	if !b.s.script.Stateless {
-		store, found, err := storage.OpenStore("state", storage.Options{FS: b.disk.view(), Remember: answersKept, Inline: true, Clock: b.stamp})
+		store, found, err := storage.OpenStore("state", storage.Options{FS: b.disk.view(), Retention: answersKept, Synchronous: true, Clock: b.stamp})
 		if err != nil {
 			if !b.disk.full {
 				b.s.fault("state", "%s can't open its state: %v", b.name, err)
 			}
-			b.move(appliance.Broke, "state")
+			b.move(appliance.Failed, "state")
 			return
 		}
 		b.store, b.found = store, found
 		b.s.recovered(b, found)
 		b.s.resumed(b, found)
-		b.library(found.Trail)
+		b.library(found.AuditTrail)
 	} else {
-		b.found = &storage.Found{Fresh: true, Fired: map[string]time.Time{}}
+		b.found = &storage.RecoveredState{Created: true, LastFirings: map[string]time.Time{}}
 		b.library(nil)
 	}
 	b.own = map[dispatch.Identity]uint64{}
-	b.move(appliance.Opened, "")
+	b.move(appliance.StoreOpened, "")
 }
 
 // stamp is the machine's clock for the store: only a loss of power is a new start of the machine.
-func (b *box) stamp() storage.Stamp {
-	return storage.Stamp{Boot: fmt.Sprintf("%s/%d", b.name, b.s.reboots[b.no]), Up: b.w.now}
+func (b *box) stamp() storage.Timestamp {
+	return storage.Timestamp{Boot: fmt.Sprintf("%s/%d", b.name, b.s.reboots[b.no]), Up: b.w.now}
 }
 
-func (b *box) act(a appliance.Act) {
+func (b *box) act(a appliance.Action) {
 	switch a {
 	case appliance.Recover:
 		b.in(0.01, "recovers", b.recover)
-	case appliance.FireTimers:
+	case appliance.StartSchedules:
 		b.hold = false
 		b.fire()
-	case appliance.HoldTimers:
+	case appliance.SuspendSchedules:
 		b.hold = true
-	case appliance.CloseDoors:
+	case appliance.StopListening:
 		for _, f := range b.fronts {
 			if f.f != nil {
-				f.f.CloseDoors()
+				f.f.StopListening()
 			}
 		}
-	case appliance.StartClock:
-		b.in(1, "drain time", func() { b.move(appliance.TimeUp, "") })
+	case appliance.StartDrainTimer:
+		b.in(1, "drain time", func() { b.move(appliance.DrainTimeout, "") })
 		b.quiet()
-	case appliance.AnswerAll:
+	case appliance.TerminateRequests:
 		for _, f := range b.fronts {
 			if f.f != nil {
-				f.f.Finish()
+				f.f.Terminate()
 			}
 		}
 		b.kept()
-	case appliance.WriteState:
+	case appliance.CloseStore:
 		for _, f := range b.fronts {
 			if f.f != nil {
-				f.f.Hang()
+				f.f.CloseUpstream()
 			}
 		}
 		if b.store != nil {
-			if err := b.store.Close(); err != nil && !b.disk.full && b.store.Failed() == nil {
+			if err := b.store.Close(); err != nil && !b.disk.full && b.store.Err() == nil {
 				b.s.fault("state", "%s did not close its state: %v", b.name, err)
 			}
 			b.store = nil
 		}
-		b.in(0.02, "written", func() { b.move(appliance.Written, "") })
+		b.in(0.02, "written", func() { b.move(appliance.StoreClosed, "") })
 	case appliance.Exit:
 		b.gone(false)
 		b.w.in(max(b.again, 0.1), b.name+" starts", b.startIfDown)
@@ -186,11 +186,11 @@
 	open := 0
 	for _, f := range b.fronts {
 		if f.f != nil {
-			open += f.f.Core().Counts().Open
+			open += f.f.Dispatcher().Counts().Open
 		}
 	}
 	if open == 0 {
-		b.move(appliance.Quiet, "")
+		b.move(appliance.RequestsDrained, "")
 	} else if b.life.State == appliance.Draining {
 		b.in(0.01, "drains", b.quiet)
 	}
@@ -199,12 +199,12 @@
 // kept waits until what was noted is on disk.
 func (b *box) kept() {
 	for _, f := range b.fronts {
-		if f.f != nil && !f.f.Kept() {
+		if f.f != nil && !f.f.RecordsStored() {
 			b.in(0.01, "writes", b.kept)
 			return
 		}
 	}
-	b.move(appliance.Answered, "")
+	b.move(appliance.RequestsTerminated, "")
 }
 
 // recover starts the front ends with what was kept.
@@ -214,36 +214,36 @@
 	}
 	if b.s.script.Timers > 0 {
 		b.fired = map[string]time.Time{}
-		for k, v := range b.found.Fired {
+		for k, v := range b.found.LastFirings {
 			b.fired[k] = v
 		}
 		b.plan = schedule.Resume(b.s.entries, b.fired, b.wall())
 	}
-	for _, o := range b.found.Own {
-		b.take(o.Ask, o.Until, 1)
+	for _, o := range b.found.ScheduledRequests {
+		b.take(o.Request, o.Deadline, 1)
 	}
-	b.chores = appliance.NewChores(b.w.now, appliance.Chore{Name: "tick", Every: 1, Priority: 3, Slice: 0.05, Urgent: true},
-		appliance.Chore{Name: "expiry", Every: 2, Priority: 2, Slice: 0.02, Share: 0.05, Patience: 5},
-		appliance.Chore{Name: "compaction", Every: 7, Priority: 1, Slice: 1, Share: 0.05, Patience: 10})
+	b.chores = appliance.NewTaskScheduler(b.w.now, appliance.BackgroundTask{Name: "tick", Interval: 1, Priority: 3, SliceDuration: 0.05, Urgent: true},
+		appliance.BackgroundTask{Name: "expiry", Interval: 2, Priority: 2, SliceDuration: 0.02, MaxTimeShare: 0.05, MaxDelay: 5},
+		appliance.BackgroundTask{Name: "compaction", Interval: 7, Priority: 1, SliceDuration: 1, MaxTimeShare: 0.05, MaxDelay: 10})
 	b.in(0.1, "chores", b.work)
-	b.move(appliance.Recovered, "")
+	b.move(appliance.StateRecovered, "")
 }
 
 // work gives a slice to the chore that is due, as the real box does.
 func (b *box) work() {
-	if b.store == nil || b.life.State >= appliance.Finishing {
+	if b.store == nil || b.life.State >= appliance.Terminating {
 		return
 	}
-	name, _ := b.chores.Pick(b.w.now, 0)
+	name, _ := b.chores.Next(b.w.now, 0)
 	more := false
 	err := b.written(func() (err error) {
 		switch name {
 		case "tick":
-			var known []dispatch.Known
+			var known []dispatch.ReplicaSnapshot
 			for _, f := range b.fronts {
-				known = append(known, f.f.Knows()...)
+				known = append(known, f.f.ReplicaSnapshots()...)
 			}
-			err = b.store.Tick(known)
+			err = b.store.SaveReplicas(known)
 		case "expiry":
 			n := 0
 			n, err = b.store.Expire(50)
@@ -275,15 +275,15 @@
 
 func (f *front) begin() {
 	b := f.b
-	set := proxy.Settings{Name: f.name, Cluster: "sim", Core: b.s.cfg.Core(b.s.script.Seed*1000 + uint64(f.peer)), Pool: b.s.cfg.Pool(f.name),
-		Front: b.s.cfg.Front(), MostConns: b.s.cfg.Limits.Connections, Kept: b.found.Events, Known: b.found.Known,
-		KeepWithin: b.s.cfg.Limits.Margin / 2}
+	set := proxy.Settings{Name: f.name, Cluster: "sim", Dispatch: b.s.cfg.Dispatch(b.s.script.Seed*1000 + uint64(f.peer)), Upstream: b.s.cfg.Upstream(f.name),
+		Downstream: b.s.cfg.Downstream(), MaxClients: b.s.cfg.Limits.Connections, Recovered: b.found.Records, ReplicaSnapshots: b.found.Replicas,
+		RecordTimeout: b.s.cfg.Limits.Margin / 2}
 	if b.s.script.Versions {
-		set.Core.Bind, set.Core.MayRun = b.bind, b.mayRun
+		set.Dispatch.ResolveVersion, set.Dispatch.VersionAllowed = b.bind, b.mayRun
 	}
-	set.Core.Deployment.FrontEnds, set.Core.Deployment.MayTell = len(b.s.fronts), len(b.s.fronts) > 1
+	set.Dispatch.Deployment.FrontEnds, set.Dispatch.Deployment.GossipAllowed = len(b.s.fronts), len(b.s.fronts) > 1
 	if b.store != nil {
-		set.Keeper = b
+		set.RecordStore = b
 	}
 	f.timer = nil
 	f.told, f.births = map[string]string{}, map[string]float64{}
@@ -308,7 +308,7 @@
 // read takes the list of workers as it now is.
 func (f *front) read() {
 	s := f.b.s
-	if err := f.f.ReadList(s.list); err != nil {
+	if err := f.f.ReadEndpointList(s.list); err != nil {
 		s.fault("list", "%s: %v", f.name, err)
 	}
 	for _, k := range s.workers {
@@ -335,8 +335,8 @@
 	if cl == nil {
 		return false
 	}
-	e.data = func(data []byte) { f.f.FromClient(cl, data) }
-	e.closed = func() { e.close(); f.f.ClientGone(cl) }
+	e.data = func(data []byte) { f.f.OnClientData(cl, data) }
+	e.closed = func() { e.close(); f.f.OnClientClosed(cl) }
 	return true
 }
 
@@ -350,7 +350,7 @@
 
 func (h *host) Wall() time.Time { return h.b.wall() }
 
-func (h *host) Wake(at float64) {
+func (h *host) SetTimer(at float64) {
 	f := (*front)(h)
 	f.timer.drop()
 	f.timer = f.b.in(at-f.b.clock(), f.name+" wakes", func() { f.f.Tick() })
@@ -359,20 +359,20 @@
 func (h *host) After(seconds float64, do func()) { h.b.in(seconds, h.name+" after", do) }
 func (h *host) Post(do func())                   { h.b.in(0, h.name+" posted", do) }
 
-func (h *host) Dial(no upstream.Conn, addr string) {
+func (h *host) Dial(no upstream.ConnID, addr string) {
 	f := (*front)(h)
 	f.b.s.net.dial(&f.b.proc, addr, f.b.s.cfg.Workers.Dial, func(e *end, err error) {
 		if err != nil {
-			f.f.Dialed(no, nil, err)
+			f.f.OnDialed(no, nil, err)
 			return
 		}
 		answered := f.watch(e, addr)
 		e.data = func(data []byte) {
 			answered(data)
-			f.f.FromWorker(no, data)
+			f.f.OnUpstreamData(no, data)
 		}
-		e.closed = func() { e.close(); f.f.WorkerGone(no) }
-		f.f.Dialed(no, link{e}, nil)
+		e.closed = func() { e.close(); f.f.OnUpstreamClosed(no) }
+		f.f.OnDialed(no, link{e}, nil)
 	})
 }
 
@@ -419,13 +419,13 @@
 	}
 }
 
-// Tell sends a datagram to every other front end.
-func (h *host) Tell(data []byte) {
+// Broadcast sends a datagram to every other front end.
+func (h *host) Broadcast(data []byte) {
 	for _, o := range h.b.s.fronts {
 		if o.peer != h.peer {
 			h.b.s.net.datagram(&h.b.proc, &o.b.proc, data, func(data []byte) {
 				if o.f != nil {
-					o.f.Heard(data)
+					o.f.OnDatagram(data)
 				}
 			})
 		}
@@ -433,7 +433,7 @@
 }
 
 // Commit implements frontend.Keeper: the store's batch is written when the disk's turn has come.
-func (b *box) Commit(notes []dispatch.Note, done func(error)) {
+func (b *box) Commit(notes []dispatch.Record, done func(error)) {
 	b.submitted(notes)
 	b.store.Commit(notes, func(err error) {
 		if err == nil {
@@ -513,23 +513,23 @@
 	if len(due) > 0 {
 		var notes []storage.Firing
 		for _, f := range due {
-			notes = append(notes, storage.Firing{Entry: f.Entry.Key(), Due: f.Due, Until: f.Until(), Ask: b.ask(f)})
+			notes = append(notes, storage.Firing{Entry: f.Entry.Key(), Due: f.Due, Deadline: f.Deadline(), Request: b.ask(f)})
 		}
 		var err error
 		if b.store != nil {
-			if err = b.written(func() error { return b.store.Fired(notes) }); !b.up {
+			if err = b.written(func() error { return b.store.RecordFirings(notes) }); !b.up {
 				return
 			}
 		}
 		if err == nil {
 			for _, n := range notes {
 				b.fired[n.Entry] = n.Due
-				minute := n.Ask.Identity.String()
+				minute := n.Request.Identity.String()
 				if b.s.minutes[minute] {
 					b.s.fault("timers", "%s fires %s a second time", b.name, minute)
 				}
 				b.s.minutes[minute] = b.store != nil
-				b.take(n.Ask, n.Until, 1)
+				b.take(n.Request, n.Deadline, 1)
 			}
 		}
 	}
@@ -540,34 +540,34 @@
 	b.in(pause, "timers", b.fire)
 }
 
-func (b *box) ask(f schedule.Firing) dispatch.Ask {
+func (b *box) ask(f schedule.Firing) dispatch.Request {
 	e, ownSource := f.Entry, "/timers/"+b.name
-	return dispatch.Ask{Identity: dispatch.Identity{Source: ownSource, ID: f.ID}, Type: e.Type, Function: e.Function, Tenant: e.Tenant,
+	return dispatch.Request{Identity: dispatch.Identity{Source: ownSource, ID: f.ID}, Class: e.Class, Function: e.Function, Tenant: e.Tenant,
 		Fields: []dispatch.Field{{Name: "ce-specversion", Value: "1.0"}, {Name: "ce-source", Value: ownSource}, {Name: "ce-id", Value: f.ID},
-			{Name: "ce-type", Value: e.Type}, {Name: "ce-function", Value: e.Function}}}
+			{Name: "ce-type", Value: e.Class}, {Name: "ce-function", Value: e.Function}}}
 }
 
 // take begins an event of the box itself; a deferred one is tried again until its time is over.
-func (b *box) take(ask dispatch.Ask, until time.Time, tries int) {
+func (b *box) take(ask dispatch.Request, until time.Time, tries int) {
 	f := b.fronts[0]
 	call := b.s.tape.Call()
 	b.own[ask.Identity] = call
-	b.s.tape.Add(invariants.Record{Kind: invariants.Asked, Event: ask.Identity.String(), Type: ask.Type, Function: ask.Function, Front: f.tag(), Call: call,
+	b.s.tape.Add(invariants.Record{Kind: invariants.Asked, Event: ask.Identity.String(), Type: ask.Class, Function: ask.Function, Front: f.tag(), Call: call,
 		Wait: maxAge})
 	began := b.w.now
-	f.f.Take(ask, func(a dispatch.Answer) {
+	f.f.Submit(ask, func(a dispatch.Response) {
 		delete(b.own, ask.Identity)
 		if b.w.now-began > maxAge && b.s.troubled(b, began) { // it stood still
 			b.s.ownLost(call)
 		} else {
-			b.s.tape.Add(invariants.Record{Kind: invariants.Answered, Event: ask.Identity.String(), Type: ask.Type, Front: f.tag(), Call: call,
+			b.s.tape.Add(invariants.Record{Kind: invariants.Answered, Event: ask.Identity.String(), Type: ask.Class, Front: f.tag(), Call: call,
 				Outcome: a.Kind.String(), Digest: a.Binding.Digest})
 		}
 		switch {
-		case a.Cause == dispatch.Stopping && a.Kind == dispatch.Deferred:
+		case a.Cause == dispatch.CauseShuttingDown && a.Kind == dispatch.Rejected:
 			return
-		case a.Kind == dispatch.Deferred:
-			if pause, ok := schedule.Again(until, b.wall(), tries, time.Duration(a.Pause*float64(time.Second))); ok && b.w.now+pause.Seconds() < b.s.script.Seconds+lastTry {
+		case a.Kind == dispatch.Rejected:
+			if pause, ok := schedule.NextRetry(until, b.wall(), tries, time.Duration(a.RetryAfter*float64(time.Second))); ok && b.w.now+pause.Seconds() < b.s.script.Seconds+lastTry {
 				b.in(pause.Seconds(), "again "+ask.ID, func() {
 					if b.life.State == appliance.Serving {
 						b.take(ask, until, tries+1)
@@ -577,7 +577,7 @@
 			}
 		}
 		if b.store != nil {
-			b.store.Answered(ask.Identity)
+			b.store.ScheduledRequestDone(ask.Identity)
 			b.sync()
 		}
 	})
