--- a/internal/simulation/check.go
+++ b/internal/simulation/check.go
@@ -15,16 +15,16 @@
 )
 
 // submitted notes what a front end asked to be kept.
-func (b *box) submitted(notes []dispatch.Note) {
+func (b *box) submitted(notes []dispatch.Record) {
 	for _, n := range notes {
-		b.pending[n.Answer.Identity] = append(b.pending[n.Answer.Identity], n)
+		b.pending[n.Response.Identity] = append(b.pending[n.Response.Identity], n)
 	}
 }
 
 // settled notes that the disk has them.
-func (b *box) settled(notes []dispatch.Note) {
+func (b *box) settled(notes []dispatch.Record) {
 	for _, n := range notes {
-		id := n.Answer.Identity
+		id := n.Response.Identity
 		b.acked[id], b.ackedAt[id] = n, b.w.now
 		if list := b.pending[id]; len(list) > 1 {
 			b.pending[id] = list[1:]
@@ -36,12 +36,12 @@
 
 // same tells that a restart makes the same of two notes. A deferral that a repeat found too old is one still on disk, and
 // is found too old again.
-func same(a, b dispatch.Note) bool {
-	old := a.Answer.Cause == dispatch.Forgotten
-	if a.Kind == dispatch.NoteEnded && (a.Answer.Kind == dispatch.Deferred || old) && a.MayRun && b.Kind == dispatch.NoteLaunched {
+func same(a, b dispatch.Record) bool {
+	old := a.Response.Cause == dispatch.CauseResponseExpired
+	if a.Kind == dispatch.RecordRequestEnded && (a.Response.Kind == dispatch.Rejected || old) && a.MayHaveRun && b.Kind == dispatch.RecordAttemptStarted {
 		return true // a later try came to nothing: the launch that was noted says as much
 	}
-	return a.Kind == b.Kind && a.MayRun == b.MayRun && (a.Kind == dispatch.NoteLaunched || a.Answer.Kind == b.Answer.Kind || old)
+	return a.Kind == b.Kind && a.MayHaveRun == b.MayHaveRun && (a.Kind == dispatch.RecordAttemptStarted || a.Response.Kind == b.Response.Kind || old)
 }
 
 // inOrder is a fixed order of events, so that two runs of a script report the same.
@@ -51,13 +51,13 @@
 
 // recovered compares what a restart found with what the process before it was told to be on disk: nothing that was
 // told may be missing or older.
-func (s *site) recovered(b *box, found *storage.Found) {
-	got := map[dispatch.Identity]dispatch.Note{}
-	for _, k := range found.Events {
-		got[k.Answer.Identity] = k.Note
+func (s *site) recovered(b *box, found *storage.RecoveredState) {
+	got := map[dispatch.Identity]dispatch.Record{}
+	for _, k := range found.Records {
+		got[k.Response.Identity] = k.Record
 	}
-	if found.SetAside != "" || found.Unread > 0 {
-		s.fault("state", "%s found its state corrupt: %s, %d unread", b.name, found.SetAside, found.Unread)
+	if found.QuarantinePath != "" || found.UnreadableRecords > 0 {
+		s.fault("state", "%s found its state corrupt: %s, %d unread", b.name, found.QuarantinePath, found.UnreadableRecords)
 	}
 	for _, id := range inOrder(b.acked) {
 		n := b.acked[id]
@@ -70,7 +70,7 @@
 			fine = fine || ok && same(p, x)
 		}
 		if !fine {
-			s.fault("state", "%s was told that %s is kept as %v %v and found %v (%v %v)", b.name, id, n.Kind, n.Answer.Kind, ok, x.Kind, x.Answer.Kind)
+			s.fault("state", "%s was told that %s is kept as %v %v and found %v (%v %v)", b.name, id, n.Kind, n.Response.Kind, ok, x.Kind, x.Response.Kind)
 		}
 	}
 	clear(b.acked)
@@ -82,15 +82,15 @@
 
 // resumed compares what a restart found of the box's own events with what the process before it had: a minute that it
 // fired for is known, and an event that was open goes on.
-func (s *site) resumed(b *box, found *storage.Found) {
+func (s *site) resumed(b *box, found *storage.RecoveredState) {
 	for _, key := range slices.Sorted(maps.Keys(b.fired)) {
-		if at, ok := found.Fired[key]; !ok || at.Before(b.fired[key]) {
+		if at, ok := found.LastFirings[key]; !ok || at.Before(b.fired[key]) {
 			s.fault("timers", "%s fired %s for %v and found %v", b.name, key, b.fired[key], at)
 		}
 	}
 	goes := map[dispatch.Identity]bool{}
-	for _, o := range found.Own {
-		goes[o.Ask.Identity] = true
+	for _, o := range found.ScheduledRequests {
+		goes[o.Request.Identity] = true
 	}
 	for _, id := range inOrder(b.own) {
 		if !goes[id] {
@@ -102,24 +102,24 @@
 // compare reads the state of a running box back, as a restart would, and compares it with what the front ends have in
 // memory.
 func (s *site) compare(b *box) {
-	if b.store == nil || b.store.Failed() != nil {
+	if b.store == nil || b.store.Err() != nil {
 		return
 	}
 	copied := &disk{fs: b.disk.fs, tear: -1}
 	copied.restart(false)
-	store, found, err := storage.OpenStore("state", storage.Options{FS: copied.view(), Remember: answersKept, Inline: true, Clock: b.stamp})
+	store, found, err := storage.OpenStore("state", storage.Options{FS: copied.view(), Retention: answersKept, Synchronous: true, Clock: b.stamp})
 	if err != nil {
 		s.fault("state", "%s: the state can't be read back: %v", b.name, err)
 		return
 	}
 	defer store.Close()
-	got := map[dispatch.Identity]dispatch.Note{}
-	for _, k := range found.Events {
-		got[k.Answer.Identity] = k.Note
+	got := map[dispatch.Identity]dispatch.Record{}
+	for _, k := range found.Records {
+		got[k.Response.Identity] = k.Record
 	}
-	times, noted := map[dispatch.Identity]int{}, map[*front]map[dispatch.Identity]dispatch.Note{}
+	times, noted := map[dispatch.Identity]int{}, map[*front]map[dispatch.Identity]dispatch.Record{}
 	for _, f := range b.fronts {
-		noted[f] = f.f.Core().Noted()
+		noted[f] = f.f.Dispatcher().StoredRecords()
 		for id := range noted[f] {
 			times[id]++
 		}
@@ -128,10 +128,10 @@
 		for _, id := range inOrder(noted[f]) {
 			n := noted[f][id]
 			x, ok := got[id]
-			firm := s.rules.Effect[n.Answer.EventType] != "redeliverable" && n.MayRun
+			firm := s.rules.Effect[n.Response.Class] != "redeliverable" && n.MayHaveRun
 			if times[id] == 1 && firm && (!ok || !same(n, x)) {
-				s.fault("state", "%s has %s as %v %v %v, may have run %v; a restart would find %v: %v %v %v %v", f.name, id, n.Kind, n.Answer.Kind, n.Answer.Cause, n.MayRun,
-					ok, x.Kind, x.Answer.Kind, x.Answer.Cause, x.MayRun)
+				s.fault("state", "%s has %s as %v %v %v, may have run %v; a restart would find %v: %v %v %v %v", f.name, id, n.Kind, n.Response.Kind, n.Response.Cause, n.MayHaveRun,
+					ok, x.Kind, x.Response.Kind, x.Response.Cause, x.MayHaveRun)
 			}
 		}
 	}
--- a/internal/simulation/disk_test.go
+++ b/internal/simulation/disk_test.go
@@ -10,14 +10,14 @@
 
 func keep(t *testing.T, d *disk, id string) (*storage.Store, error) {
 	t.Helper()
-	s, found, err := storage.OpenStore("state", storage.Options{FS: d.view(), Remember: 600, Inline: true, Clock: func() storage.Stamp { return storage.Stamp{Boot: "a", Up: 1} }})
+	s, found, err := storage.OpenStore("state", storage.Options{FS: d.view(), Retention: 600, Synchronous: true, Clock: func() storage.Timestamp { return storage.Timestamp{Boot: "a", Up: 1} }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, e := range found.Events {
-		t.Log("found ", e.Answer.Identity)
+	for _, e := range found.Records {
+		t.Log("found ", e.Response.Identity)
 	}
-	s.Commit([]dispatch.Note{{Answer: dispatch.Answer{Identity: dispatch.Identity{Source: "/t", ID: id}, EventType: "once"}, MayRun: true}}, func(e error) { err = e })
+	s.Commit([]dispatch.Record{{Response: dispatch.Response{Identity: dispatch.Identity{Source: "/t", ID: id}, Class: "once"}, MayHaveRun: true}}, func(e error) { err = e })
 	s.Step()
 	return s, err
 }
@@ -30,7 +30,7 @@
 			t.Fatal(err)
 		}
 		d.tear = 20
-		s.Commit([]dispatch.Note{{Answer: dispatch.Answer{Identity: dispatch.Identity{Source: "/t", ID: "two"}, EventType: "once"}, MayRun: true}}, func(e error) { err = e })
+		s.Commit([]dispatch.Record{{Response: dispatch.Response{Identity: dispatch.Identity{Source: "/t", ID: "two"}, Class: "once"}, MayHaveRun: true}}, func(e error) { err = e })
 		began := time.Now()
 		s.Step()
 		if err == nil {
@@ -38,8 +38,8 @@
 		}
 		d.restart(power)
 		s.Close()
-		s2, found, err := storage.OpenStore("state", storage.Options{FS: d.view(), Remember: 600, Inline: true})
-		if err != nil || len(found.Events) != 1 || found.Events[0].Answer.Identity.ID != "one" || found.SetAside != "" {
+		s2, found, err := storage.OpenStore("state", storage.Options{FS: d.view(), Retention: 600, Synchronous: true})
+		if err != nil || len(found.Records) != 1 || found.Records[0].Response.Identity.ID != "one" || found.QuarantinePath != "" {
 			t.Fatalf("power %v: %+v %v", power, found, err)
 		}
 		s2.Close()
@@ -50,7 +50,7 @@
 func BenchmarkOpen(b *testing.B) {
 	for b.Loop() {
 		d := newDisk()
-		s, _, err := storage.OpenStore("state", storage.Options{FS: d.view(), Remember: 600, Inline: true})
+		s, _, err := storage.OpenStore("state", storage.Options{FS: d.view(), Retention: 600, Synchronous: true})
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/simulation/explore.go
+++ b/internal/simulation/explore.go
@@ -48,11 +48,11 @@
 type move struct {
 	what     string // ask, hang, leave, end, load, drain, time
 	front, n int    // which ask, launch, order or worker
-	result   control.Result
+	result   control.Outcome
 }
 
 type smallLaunch struct {
-	l    dispatch.Launch
+	l    dispatch.Attempt
 	left bool
 }
 
@@ -60,9 +60,9 @@
 type smallFront struct {
 	w       *smallWorld
 	no      int
-	core    *dispatch.Core
+	core    *dispatch.Dispatcher
 	out     []smallLaunch
-	orders  []dispatch.Order
+	orders  []dispatch.LoadCommand
 	drained [2]bool
 	ran     map[string]float64 // events that may have run here, since when
 	history []byte
@@ -82,19 +82,19 @@
 	w.broke = append(w.broke, fmt.Sprintf(format, args...))
 }
 
-var smallWorkers = []control.Worker{{ID: "wk-0", Size: 1}, {ID: "wk-1", Size: 1}}
+var smallWorkers = []control.Worker{{ID: "wk-0", Weight: 1}, {ID: "wk-1", Weight: 1}}
 
 func newSmallWorld() *smallWorld {
 	w := &smallWorld{now: 1000}
 	for i := range w.fronts {
 		f := &smallFront{w: w, no: i, ran: map[string]float64{}}
-		d := &control.Deployment{FrontEnds: 2, MissAnswers: i == 0, MayOrder: true, MaxLaunches: 3, MaxPause: 0.5, KeepWarm: 8, RoundGap: 0.004,
-			ColdShare: 0.3, WarmWithin: 10, FallFactor: 2.5, FallWindow: 1.5, EventTypes: []control.EventType{{Name: "again", TargetTime: 0.8, MaxAge: smallAge},
-				{Name: "keyed", TargetTime: 0.8, MaxAge: smallAge, Repeat: control.Keyed, Remembered: smallSpan},
-				{Name: "once", TargetTime: 0.8, MaxAge: smallAge, Repeat: control.AtMostOnce}}}
-		f.core = dispatch.New(dispatch.Settings{Deployment: d, Functions: func(string) dispatch.Function { return dispatch.Function{Lanes: 1} }, Margin: 0.1,
-			OrderLimit: 1, MostOpen: 10, Remember: 60, RememberMost: 1 << 16, Seed: uint64(7 + i)}, f, w.now)
-		f.core.Workers(w.now, true, smallWorkers)
+		d := &control.Deployment{FrontEnds: 2, MissIsAnswered: i == 0, LoadCommandsAllowed: true, MaxAttempts: 3, MaxRetryAfter: 0.5, IdleReplicaLifetime: 8, MinRoundInterval: 0.004,
+			ColdShare: 0.3, WarmUpTime: 10, OverloadFactor: 2.5, OverloadWindow: 1.5, RequestClasses: []control.RequestClass{{Name: "again", LatencyObjective: 0.8, Timeout: smallAge},
+				{Name: "keyed", LatencyObjective: 0.8, Timeout: smallAge, Semantics: control.IdempotentByKey, DeduplicationWindow: smallSpan},
+				{Name: "once", LatencyObjective: 0.8, Timeout: smallAge, Semantics: control.AtMostOnce}}}
+		f.core = dispatch.New(dispatch.Settings{Deployment: d, Functions: func(string) dispatch.FunctionProfile { return dispatch.FunctionProfile{Concurrency: 1} }, ResponseMargin: 0.1,
+			LoadTimeout: 1, MaxOpen: 10, DeduplicationWindow: 60, MaxCachedBytes: 1 << 16, Seed: uint64(7 + i)}, f, w.now)
+		f.core.OnEndpointUpdate(w.now, true, smallWorkers)
 		w.fronts[i] = f
 	}
 	return w
@@ -110,7 +110,7 @@
 	return false
 }
 
-func (f *smallFront) Answer(to dispatch.Asker, a dispatch.Answer) {
+func (f *smallFront) Respond(to dispatch.WaiterID, a dispatch.Response) {
 	w, i := f.w, int(to)
 	w.got[i]++
 	switch id := smallAsks[i].id; {
@@ -118,7 +118,7 @@
 		w.fault("rule 1: ask %d has %d answers", i, w.got[i])
 	case w.hung[i]:
 		w.fault("rule 1: ask %d is answered after it hung up", i)
-	case a.Kind == dispatch.Deferred && smallAsks[i].kind == "once" && (f.mayHaveRun(id) || f.isOut(id)):
+	case a.Kind == dispatch.Rejected && smallAsks[i].kind == "once" && (f.mayHaveRun(id) || f.isOut(id)):
 		w.fault("rule 2: ask %d is deferred, and %s may have run", i, id)
 	}
 }
@@ -129,7 +129,7 @@
 	return slices.ContainsFunc(f.out, func(x smallLaunch) bool { return x.l.Identity.ID == id && x.left })
 }
 
-func (f *smallFront) Launch(l dispatch.Launch) {
+func (f *smallFront) SendAttempt(l dispatch.Attempt) {
 	id, w := l.Identity.ID, f.w
 	kind := map[string]string{"a": "once", "b": "keyed", "c": "again"}[id]
 	for _, x := range f.out {
@@ -154,9 +154,9 @@
 	f.out = append(f.out, smallLaunch{l: l})
 }
 
-func (f *smallFront) Load(o dispatch.Order) {
+func (f *smallFront) SendLoad(o dispatch.LoadCommand) {
 	for i, wk := range smallWorkers {
-		if wk.ID == o.Worker && f.drained[i] && o.Copies > 0 {
+		if wk.ID == o.Worker && f.drained[i] && o.Replicas > 0 {
 			f.w.fault("rule 3: a load is ordered of %s, which drains", wk.ID)
 		}
 	}
@@ -165,7 +165,7 @@
 
 func (f *smallFront) take(job uint64) (smallLaunch, bool) {
 	for i, x := range f.out {
-		if x.l.Job == job {
+		if x.l.ID == job {
 			f.out = append(f.out[:i:i], f.out[i+1:]...)
 			return x, true
 		}
@@ -183,12 +183,12 @@
 	if x, ok := f.take(job); ok && x.left {
 		f.mark(x)
 	}
-	f.orders = slices.DeleteFunc(f.orders, func(o dispatch.Order) bool { return o.Job == job })
+	f.orders = slices.DeleteFunc(f.orders, func(o dispatch.LoadCommand) bool { return o.ID == job })
 }
 
-func (f *smallFront) Withdraw(job uint64) bool {
+func (f *smallFront) CancelUnsent(job uint64) bool {
 	for _, x := range f.out {
-		if x.l.Job == job && !x.left {
+		if x.l.ID == job && !x.left {
 			f.take(job)
 			return true
 		}
@@ -196,9 +196,9 @@
 	return false
 }
 
-func (f *smallFront) Tell([]byte)                            {}
-func (f *smallFront) Keep(dispatch.Note)                     {}
-func (f *smallFront) Ended(dispatch.Answer, *dispatch.Trace) {}
+func (f *smallFront) Broadcast([]byte)                                {}
+func (f *smallFront) Store(dispatch.Record)                           {}
+func (f *smallFront) OnRequestEnd(dispatch.Response, *dispatch.Trace) {}
 
 // moves are all that may happen now.
 func (w *smallWorld) moves() (list []move) {
@@ -218,12 +218,12 @@
 				list = append(list, move{what: "leave", front: no, n: n}, move{what: "end", front: no, n: n, result: control.Unreachable})
 				continue
 			}
-			for _, r := range []control.Result{control.Handled, control.Failed, control.Broken, control.TurnedAway, control.Missed} {
+			for _, r := range []control.Outcome{control.Succeeded, control.Failed, control.ConnectionLost, control.Rejected, control.ReplicaMissing} {
 				list = append(list, move{what: "end", front: no, n: n, result: r})
 			}
 		}
 		for n := range f.orders {
-			list = append(list, move{what: "load", front: no, n: n, result: control.Handled}, move{what: "load", front: no, n: n, result: control.Failed})
+			list = append(list, move{what: "load", front: no, n: n, result: control.Succeeded}, move{what: "load", front: no, n: n, result: control.Failed})
 		}
 		for n, d := range f.drained {
 			if !d {
@@ -261,40 +261,40 @@
 	case "ask":
 		a := smallAsks[m.n]
 		w.asked[m.n], w.at[m.n] = true, w.now
-		f.core.Take(w.now, dispatch.Asker(m.n), dispatch.Ask{Identity: dispatch.Identity{Source: "/t", ID: a.id}, Type: a.kind, Function: "f", Wait: a.wait})
+		f.core.Submit(w.now, dispatch.WaiterID(m.n), dispatch.Request{Identity: dispatch.Identity{Source: "/t", ID: a.id}, Class: a.kind, Function: "f", Timeout: a.wait})
 	case "hang":
 		w.hung[m.n] = true
-		f.core.HungUp(w.now, dispatch.Asker(m.n))
+		f.core.OnCancel(w.now, dispatch.WaiterID(m.n))
 	case "leave":
 		f.out[m.n].left = true
 	case "end":
-		x, _ := f.take(f.out[m.n].l.Job)
-		if m.result < control.TurnedAway {
+		x, _ := f.take(f.out[m.n].l.ID)
+		if m.result < control.Rejected {
 			f.mark(x)
 		}
-		f.core.Launched(w.now, x.l.Job, dispatch.Reply{Result: m.result, Warmth: control.FoundWarm})
+		f.core.OnAttemptReply(w.now, x.l.ID, dispatch.WorkerReply{Outcome: m.result, Start: control.WarmStart})
 	case "load":
 		o := f.orders[m.n]
 		f.orders = append(f.orders[:m.n:m.n], f.orders[m.n+1:]...)
 		copies := 0
-		if m.result == control.Handled {
+		if m.result == control.Succeeded {
 			copies = 1
 		}
-		f.core.Loaded(w.now, o.Job, m.result, copies)
+		f.core.OnLoadReply(w.now, o.ID, m.result, copies)
 	case "drain":
 		f.drained[m.n] = true
 		wk := smallWorkers[m.n]
-		wk.Phase = control.Draining
-		f.core.Workers(w.now, false, []control.Worker{wk})
+		wk.State = control.Draining
+		f.core.OnEndpointUpdate(w.now, false, []control.Worker{wk})
 	}
 	w.check()
 }
 
 // pass lets time go on to the next deadline.
 func (w *smallWorld) pass() {
-	w.now = max(min(w.fronts[0].core.Next(), w.fronts[1].core.Next()), w.now+0.001)
+	w.now = max(min(w.fronts[0].core.NextTimer(), w.fronts[1].core.NextTimer()), w.now+0.001)
 	for _, f := range w.fronts {
-		if f.core.Next() <= w.now {
+		if f.core.NextTimer() <= w.now {
 			f.history = fmt.Appendf(f.history, "time %.6f;", w.now)
 			f.core.Tick(w.now)
 		}
--- a/internal/simulation/run.go
+++ b/internal/simulation/run.go
@@ -407,7 +407,7 @@
 		if b.still {
 			b.resume()
 		}
-		if full || b.store != nil && b.store.Failed() != nil { // an operator sees that the state can't be written
+		if full || b.store != nil && b.store.Err() != nil { // an operator sees that the state can't be written
 			b.again = 0.1
 			s.stop(b)
 		}
@@ -430,15 +430,15 @@
 			continue
 		}
 		for _, f := range b.fronts {
-			n := f.f.Core().Counts()
-			clients, backends := f.f.Conns()
-			if n.Open > 0 || n.Out > 0 || n.Loading > 0 || f.f.Core().Askers() > 0 {
-				s.fault("liveness", "%s holds %d events, %d launches, %d load orders at the end", f.name, n.Open, n.Out, n.Loading)
+			n := f.f.Dispatcher().Counts()
+			clients, backends := f.f.Connections()
+			if n.Open > 0 || n.InFlight > 0 || n.PendingLoads > 0 || f.f.Dispatcher().Waiters() > 0 {
+				s.fault("liveness", "%s holds %d events, %d launches, %d load orders at the end", f.name, n.Open, n.InFlight, n.PendingLoads)
 			}
 			if clients > 0 || backends > 0 {
 				s.fault("leak", "%s holds %d connections of clients and %d to workers at the end, of %s", f.name, clients, backends, s.net.names(b.name))
 			}
-			if !f.f.Kept() {
+			if !f.f.RecordsStored() {
 				s.fault("liveness", "%s waits for its disk at the end", f.name)
 			}
 		}
@@ -456,7 +456,7 @@
 	if b.up && !b.still {
 		s.down(b)
 		s.restarts++
-		b.move(appliance.AskStop, "script")
+		b.move(appliance.StopRequested, "script")
 	}
 }
 
@@ -571,7 +571,7 @@
 				return
 			}
 			b.disk.full = false
-			if b.store != nil && b.store.Failed() != nil {
+			if b.store != nil && b.store.Err() != nil {
 				b.again = 0.1
 				s.stop(b)
 			}
@@ -740,9 +740,9 @@
 			if y.f == nil {
 				continue
 			}
-			n := y.f.Core().Counts()
-			for state, is := range map[string]bool{"idle": n.Open == 0, "event open": n.Open > 0, "launch out": n.Out > 0, "load out": n.Loading > 0,
-				"waits for disk": !y.f.Kept()} {
+			n := y.f.Dispatcher().Counts()
+			for state, is := range map[string]bool{"idle": n.Open == 0, "event open": n.Open > 0, "launch out": n.InFlight > 0, "load out": n.PendingLoads > 0,
+				"waits for disk": !y.f.RecordsStored()} {
 				if is {
 					note(state)
 				}
--- a/internal/simulation/versions.go
+++ b/internal/simulation/versions.go
@@ -34,7 +34,7 @@
 			b.s.fault("trail", "%s: entry %d: %v", b.name, i, err)
 		}
 	}
-	if n := len(b.reg.Trail); n < b.trail {
+	if n := len(b.reg.AuditTrail); n < b.trail {
 		b.s.fault("trail", "%s was told that %d entries are kept and found %d", b.name, b.trail, n)
 	}
 	for _, f := range b.s.functions {
@@ -52,14 +52,14 @@
 
 // change makes a change of the registry, which is in force once it is on disk.
 func (b *box) change(e registry.Entry) {
-	e.At, e.Who = b.w.now, "script"
+	e.At, e.Actor = b.w.now, "script"
 	if !b.up {
 		return
 	}
 	if b.store != nil {
 		data, err := json.Marshal(e)
 		if err == nil {
-			err = b.written(func() error { return b.store.Note(len(b.reg.Trail), data) })
+			err = b.written(func() error { return b.store.AppendAudit(len(b.reg.AuditTrail), data) })
 		}
 		if err != nil || !b.up {
 			return
@@ -68,7 +68,7 @@
 	if err := b.reg.Apply(e); err != nil {
 		b.s.fault("trail", "%s: %v", b.name, err)
 	}
-	b.trail = len(b.reg.Trail)
+	b.trail = len(b.reg.AuditTrail)
 }
 
 // turn moves the alias of a function to another version.
@@ -80,9 +80,9 @@
 	}
 }
 
-func (b *box) bind(ask *dispatch.Ask) (dispatch.Binding, dispatch.Function, error) {
+func (b *box) bind(ask *dispatch.Request) (dispatch.Binding, dispatch.FunctionProfile, error) {
 	fn := b.s.cfg.Function(ask.Function)
-	v, err := b.reg.Bind(ask.Function, ask.Type, ask.Tenant, ask.Identity.String())
+	v, err := b.reg.Resolve(ask.Function, ask.Class, ask.Tenant, ask.Identity.String())
 	if err != nil {
 		return dispatch.Binding{}, fn, err
 	}
@@ -90,5 +90,5 @@
 }
 
 func (b *box) mayRun(x dispatch.Binding) bool {
-	return b.reg.May(x.Function, digest.Digest(x.Digest))
+	return b.reg.IsAllowed(x.Function, digest.Digest(x.Digest))
 }
--- a/internal/storage/format_test.go
+++ b/internal/storage/format_test.go
@@ -40,37 +40,37 @@
 
 // fixtureNotes are events in every state that is kept: launched and open, ended with all that an answer has, and
 // ended with as little as can be.
-func fixtureNotes() []dispatch.Note {
-	return []dispatch.Note{
-		{Kind: dispatch.NoteLaunched, MayRun: true, RanAgo: 2.5, Answer: dispatch.Answer{
-			Identity: dispatch.Identity{Source: "/shop", ID: "open-1"}, EventType: "price-reset", FunctionID: "f", Tenant: "north"}},
-		{Kind: dispatch.NoteLaunched, MayRun: true, Answer: dispatch.Answer{
-			Identity: dispatch.Identity{Source: "/shop", ID: "open-2"}, EventType: "till-entry", FunctionID: "team/f", Binding: fixtureBinding}},
-		{Kind: dispatch.NoteEnded, MayRun: true, RanAgo: 4, Answer: dispatch.Answer{
-			Identity: dispatch.Identity{Source: "/shop", ID: "ended-1"}, EventType: "till-entry", FunctionID: "team/f", Tenant: "south",
-			Kind: dispatch.DeadLettered, Cause: dispatch.WrongDigest, Pause: 0.5, Worker: "w-7", Launches: 3, After: 1.25,
+func fixtureNotes() []dispatch.Record {
+	return []dispatch.Record{
+		{Kind: dispatch.RecordAttemptStarted, MayHaveRun: true, FirstRunAgo: 2.5, Response: dispatch.Response{
+			Identity: dispatch.Identity{Source: "/shop", ID: "open-1"}, Class: "price-reset", Function: "f", Tenant: "north"}},
+		{Kind: dispatch.RecordAttemptStarted, MayHaveRun: true, Response: dispatch.Response{
+			Identity: dispatch.Identity{Source: "/shop", ID: "open-2"}, Class: "till-entry", Function: "team/f", Binding: fixtureBinding}},
+		{Kind: dispatch.RecordRequestEnded, MayHaveRun: true, FirstRunAgo: 4, Response: dispatch.Response{
+			Identity: dispatch.Identity{Source: "/shop", ID: "ended-1"}, Class: "till-entry", Function: "team/f", Tenant: "south",
+			Kind: dispatch.Failed, Cause: dispatch.CauseWrongDigest, RetryAfter: 0.5, Worker: "w-7", Attempts: 3, Elapsed: 1.25,
 			Fields: fixtureFields, Body: []byte("an answer\x00\xff"), Binding: fixtureBinding}},
-		{Kind: dispatch.NoteEnded, Answer: dispatch.Answer{
-			Identity: dispatch.Identity{Source: "/shop", ID: "ended-2"}, EventType: "once", Kind: dispatch.Deferred, Cause: dispatch.NoRoom}},
-		{Kind: dispatch.NoteEnded, MayRun: true, RanAgo: math.Inf(1), Answer: dispatch.Answer{ // as salvage notes unknown spans
-			Identity: dispatch.Identity{Source: "/shop", ID: "ended-3"}, EventType: "once", FunctionID: "f", Fields: []dispatch.Field{}, Body: []byte{}}},
+		{Kind: dispatch.RecordRequestEnded, Response: dispatch.Response{
+			Identity: dispatch.Identity{Source: "/shop", ID: "ended-2"}, Class: "once", Kind: dispatch.Rejected, Cause: dispatch.CauseNoCapacity}},
+		{Kind: dispatch.RecordRequestEnded, MayHaveRun: true, FirstRunAgo: math.Inf(1), Response: dispatch.Response{ // as salvage notes unknown spans
+			Identity: dispatch.Identity{Source: "/shop", ID: "ended-3"}, Class: "once", Function: "f", Fields: []dispatch.Field{}, Body: []byte{}}},
 	}
 }
 
 // fixtureOwn are the box's own open events: one with all fields set, and one with as few as can be.
-func fixtureOwn() []dispatch.Ask {
-	return []dispatch.Ask{
-		{Identity: dispatch.Identity{Source: "/timers", ID: "own-1"}, Type: "till-entry", Tenant: "north", Function: "team/f:current",
-			Wait: 12.5, Fields: fixtureFields, Body: []byte("a body\x00\xff"), Repeated: true,
-			Stated: dispatch.Function{Lanes: 4, Memory: 256.5, Load: 1.5}, Work: 0.75, Alone: true},
-		{Identity: dispatch.Identity{Source: "/timers", ID: "own-2"}, Type: "once", Function: "f"},
-		{Identity: dispatch.Identity{Source: "/timers", ID: "own-3"}, Type: "once", Fields: []dispatch.Field{}, Body: []byte{}},
+func fixtureOwn() []dispatch.Request {
+	return []dispatch.Request{
+		{Identity: dispatch.Identity{Source: "/timers", ID: "own-1"}, Class: "till-entry", Tenant: "north", Function: "team/f:current",
+			Timeout: 12.5, Fields: fixtureFields, Body: []byte("a body\x00\xff"), Retried: true,
+			StatedProfile: dispatch.FunctionProfile{Concurrency: 4, MemoryMB: 256.5, LoadTime: 1.5}, ExpectedWork: 0.75, RejectDuplicates: true},
+		{Identity: dispatch.Identity{Source: "/timers", ID: "own-2"}, Class: "once", Function: "f"},
+		{Identity: dispatch.Identity{Source: "/timers", ID: "own-3"}, Class: "once", Fields: []dispatch.Field{}, Body: []byte{}},
 	}
 }
 
-func fixtureKnown() []dispatch.Known {
-	return []dispatch.Known{
-		{Function: "team/f@sha256:ab", Binding: fixtureBinding, Lanes: 4, Load: 1.5, Worker: "w-7", Started: 1_799_999_000.5, Age: 3.5},
+func fixtureKnown() []dispatch.ReplicaSnapshot {
+	return []dispatch.ReplicaSnapshot{
+		{Function: "team/f@sha256:ab", Binding: fixtureBinding, Concurrency: 4, LoadTime: 1.5, Worker: "w-7", WorkerStartedAt: 1_799_999_000.5, Age: 3.5},
 		{Function: "g", Worker: "w-8"},
 	}
 }
@@ -83,27 +83,27 @@
 	}
 	m.up++
 	own := fixtureOwn()
-	if err := s.Fired([]Firing{{"* * * * * till-entry team/f", fixtureDue, fixtureUntil, own[0]},
+	if err := s.RecordFirings([]Firing{{"* * * * * till-entry team/f", fixtureDue, fixtureUntil, own[0]},
 		{"5 * * * * once f", fixtureDue.Add(time.Minute), fixtureUntil.Add(time.Minute), own[1]},
 		{"@hourly once", fixtureDue, fixtureUntil, own[2]}}); err != nil {
 		return err
 	}
-	if err := s.Config(fixtureConfig); err != nil {
+	if err := s.SaveConfig(fixtureConfig); err != nil {
 		return err
 	}
 	for i, entry := range fixtureTrail {
-		if err := s.Note(i, entry); err != nil {
+		if err := s.AppendAudit(i, entry); err != nil {
 			return err
 		}
 	}
 	m.up++
-	return s.Tick(fixtureKnown())
+	return s.SaveReplicas(fixtureKnown())
 }
 
-func writeSparse(s *Store, m *machine) error { return s.Tick(nil) }
+func writeSparse(s *Store, m *machine) error { return s.SaveReplicas(nil) }
 
 // writeEmptyList differs from writeSparse by an empty list in place of none.
-func writeEmptyList(s *Store, m *machine) error { return s.Tick([]dispatch.Known{}) }
+func writeEmptyList(s *Store, m *machine) error { return s.SaveReplicas([]dispatch.ReplicaSnapshot{}) }
 
 var fixtures = map[string]func(*Store, *machine) error{"full": writeFull, "sparse": writeSparse, "empty-list": writeEmptyList}
 
@@ -169,7 +169,7 @@
 	for name, write := range fixtures {
 		t.Run(name, func(t *testing.T) {
 			m := &machine{up: 50, boot: "boot-a"}
-			s, _, err := OpenStore("state", Options{FS: vfs.NewMem(), Clock: m.stamp, Remember: fixtureRemember})
+			s, _, err := OpenStore("state", Options{FS: vfs.NewMem(), Clock: m.stamp, Retention: fixtureRemember})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -198,68 +198,68 @@
 func TestFixtureIsRecovered(t *testing.T) {
 	fs, m := vfs.NewMem(), &machine{up: 60, boot: "boot-a"} // written until 53
 	load(t, fs, "full")
-	s, found, err := OpenStore("state", Options{FS: fs, Clock: m.stamp, Remember: fixtureRemember})
+	s, found, err := OpenStore("state", Options{FS: fs, Clock: m.stamp, Retention: fixtureRemember})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if found.Fresh || found.Clean || found.Unread != 0 || found.SetAside != "" {
-		t.Errorf("fresh %v, clean %v, unread %d, set aside %q", found.Fresh, found.Clean, found.Unread, found.SetAside)
+	if found.Created || found.CleanShutdown || found.UnreadableRecords != 0 || found.QuarantinePath != "" {
+		t.Errorf("fresh %v, clean %v, unread %d, set aside %q", found.Created, found.CleanShutdown, found.UnreadableRecords, found.QuarantinePath)
 	}
-	checkEvents(t, found.Events)
-	checkOwn(t, found.Own)
+	checkEvents(t, found.Records)
+	checkOwn(t, found.ScheduledRequests)
 	want := map[string]time.Time{"* * * * * till-entry team/f": fixtureDue, "5 * * * * once f": fixtureDue.Add(time.Minute), "@hourly once": fixtureDue}
-	if !reflect.DeepEqual(found.Fired, want) {
-		t.Errorf("last firings: %v, want %v", found.Fired, want)
+	if !reflect.DeepEqual(found.LastFirings, want) {
+		t.Errorf("last firings: %v, want %v", found.LastFirings, want)
 	}
 	known := fixtureKnown()
 	for i := range known {
 		known[i].Age += 7 // noted at 53
 	}
-	if !reflect.DeepEqual(found.Known, known) {
-		t.Errorf("replicas: %+v, want %+v", found.Known, known)
+	if !reflect.DeepEqual(found.Replicas, known) {
+		t.Errorf("replicas: %+v, want %+v", found.Replicas, known)
 	}
-	if !reflect.DeepEqual(found.Trail, fixtureTrail) {
-		t.Errorf("trail: %q, want %q", found.Trail, fixtureTrail)
+	if !reflect.DeepEqual(found.AuditTrail, fixtureTrail) {
+		t.Errorf("trail: %q, want %q", found.AuditTrail, fixtureTrail)
 	}
 	if !bytes.Equal(found.Config, fixtureConfig) {
 		t.Errorf("configuration: %q, want %q", found.Config, fixtureConfig)
 	}
 }
 
-func checkEvents(t *testing.T, events []dispatch.Kept) {
+func checkEvents(t *testing.T, events []dispatch.RecoveredRecord) {
 	t.Helper()
-	have := map[string]dispatch.Kept{}
+	have := map[string]dispatch.RecoveredRecord{}
 	for _, k := range events {
-		have[k.Answer.Identity.ID] = k
+		have[k.Response.Identity.ID] = k
 	}
 	notes := fixtureNotes()
 	if len(events) != len(notes) || len(have) != len(notes) {
 		t.Errorf("%d events, want %d", len(events), len(notes))
 	}
 	for _, n := range notes {
-		if len(n.Answer.Fields) == 0 {
-			n.Answer.Fields = nil // empty ones are not written
+		if len(n.Response.Fields) == 0 {
+			n.Response.Fields = nil // empty ones are not written
 		}
-		if len(n.Answer.Body) == 0 {
-			n.Answer.Body = nil
+		if len(n.Response.Body) == 0 {
+			n.Response.Body = nil
 		}
-		n.RanAgo += 9                                          // noted at 51
-		want := dispatch.Kept{Note: n, Age: 2, Reliable: true} // of service, the last note of which was at 53
-		if got := have[n.Answer.Identity.ID]; !reflect.DeepEqual(got, want) {
-			t.Errorf("event %s:\n%+v, want\n%+v", n.Answer.Identity.ID, got, want)
+		n.FirstRunAgo += 9                                                  // noted at 51
+		want := dispatch.RecoveredRecord{Record: n, Age: 2, Reliable: true} // of service, the last note of which was at 53
+		if got := have[n.Response.Identity.ID]; !reflect.DeepEqual(got, want) {
+			t.Errorf("event %s:\n%+v, want\n%+v", n.Response.Identity.ID, got, want)
 		}
 	}
 }
 
-func checkOwn(t *testing.T, open []Open) {
+func checkOwn(t *testing.T, open []ScheduledRequest) {
 	t.Helper()
-	have := map[string]Open{}
+	have := map[string]ScheduledRequest{}
 	for _, o := range open {
-		have[o.Ask.ID] = o
+		have[o.Request.ID] = o
 	}
 	asks := fixtureOwn()
-	want := map[string]Open{"own-1": {asks[0], fixtureDue, fixtureUntil}, "own-2": {asks[1], fixtureDue.Add(time.Minute), fixtureUntil.Add(time.Minute)},
+	want := map[string]ScheduledRequest{"own-1": {asks[0], fixtureDue, fixtureUntil}, "own-2": {asks[1], fixtureDue.Add(time.Minute), fixtureUntil.Add(time.Minute)},
 		"own-3": {asks[2], fixtureDue, fixtureUntil}}
 	if len(open) != len(want) || !reflect.DeepEqual(have, want) {
 		t.Errorf("own events:\n%+v, want\n%+v", have, want)
@@ -271,11 +271,11 @@
 	for _, name := range []string{"sparse", "empty-list"} {
 		fs, m := vfs.NewMem(), &machine{up: 60, boot: "boot-a"}
 		load(t, fs, name)
-		s, found, err := OpenStore("state", Options{FS: fs, Clock: m.stamp, Remember: fixtureRemember})
+		s, found, err := OpenStore("state", Options{FS: fs, Clock: m.stamp, Retention: fixtureRemember})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if found.Fresh || found.Unread != 0 || len(found.Known) != 0 || len(found.Own) != 0 || len(found.Events) != 0 || len(found.Trail) != 0 {
+		if found.Created || found.UnreadableRecords != 0 || len(found.Replicas) != 0 || len(found.ScheduledRequests) != 0 || len(found.Records) != 0 || len(found.AuditTrail) != 0 {
 			t.Errorf("%s: %+v", name, found)
 		}
 		s.Close()
@@ -284,11 +284,11 @@
 
 // Outcomes and causes are stored as numbers, which must go on meaning the same.
 func TestStoredNumbersKeepTheirMeaning(t *testing.T) {
-	if dispatch.NoteLaunched != 0 || dispatch.NoteEnded != 1 {
+	if dispatch.RecordAttemptStarted != 0 || dispatch.RecordRequestEnded != 1 {
 		t.Error("the numbers of notes have changed")
 	}
 	for i, want := range []string{"handled", "deferred", "dead-lettered"} {
-		if got := dispatch.Kind(i).String(); got != want {
+		if got := dispatch.ResponseKind(i).String(); got != want {
 			t.Errorf("outcome %d is %s, was %s", i, got, want)
 		}
 	}
--- a/internal/storage/ledger.go
+++ b/internal/storage/ledger.go
@@ -16,16 +16,16 @@
 	"streamcleat/internal/dispatch"
 )
 
-// Stamp is a moment on clocks that a changed time of day does not move. Spans between stamps of one start of the
+// Timestamp is a moment on clocks that a changed time of day does not move. Spans between stamps of one start of the
 // machine are known; over a restart of the machine only the time of service is.
-type Stamp struct {
+type Timestamp struct {
 	Run  float64 `cbor:"1,keyasint"` // seconds of service since the store was made
 	Boot string  `cbor:"2,keyasint"` // which start of the machine
 	Up   float64 `cbor:"3,keyasint"` // seconds since then
 }
 
 // since is the time from a stamp to a later one; false where it can't be known.
-func (s Stamp) since(now Stamp) (float64, bool) {
+func (s Timestamp) since(now Timestamp) (float64, bool) {
 	if s.Boot == "" || s.Boot != now.Boot || now.Up < s.Up {
 		return 0, false
 	}
@@ -69,32 +69,32 @@
 
 // noted is what a note writes. An event's newer note takes the place of the older; the older's place in the order
 // of expiry stays and is passed over when its time comes.
-func noted(n dispatch.Note, now Stamp) ([]op, error) {
+func noted(n dispatch.Record, now Timestamp) ([]op, error) {
 	value, err := cbor.Marshal(storeNote(n, now))
 	if err != nil {
 		return nil, err
 	}
-	hash := identity(n.Answer.Identity)
+	hash := identity(n.Response.Identity)
 	return []op{{join(eventPrefix, hash), value}, {expiry(now.Run, hash), []byte{}}}, nil
 }
 
 // restored is what a restart makes of a record.
-func restored(value []byte, now Stamp) (dispatch.Kept, error) {
+func restored(value []byte, now Timestamp) (dispatch.RecoveredRecord, error) {
 	var r storedEvent
 	if err := cbor.Unmarshal(value, &r); err != nil {
-		return dispatch.Kept{}, err
+		return dispatch.RecoveredRecord{}, err
 	}
-	if r.ID == "" || r.Source == "" || r.Kind > uint8(dispatch.NoteEnded) || r.Outcome > uint8(dispatch.DeadLettered) {
-		return dispatch.Kept{}, fmt.Errorf("record of event %q has no meaning", r.ID)
+	if r.ID == "" || r.Source == "" || r.Kind > uint8(dispatch.RecordRequestEnded) || r.Outcome > uint8(dispatch.Failed) {
+		return dispatch.RecoveredRecord{}, fmt.Errorf("record of event %q has no meaning", r.ID)
 	}
-	k := dispatch.Kept{Note: r.note(), Age: max(now.Run-r.At.Run, 0)}
-	k.RanAgo, k.Reliable = r.Ran.since(now)
+	k := dispatch.RecoveredRecord{Record: r.note(), Age: max(now.Run-r.At.Run, 0)}
+	k.FirstRunAgo, k.Reliable = r.Ran.since(now)
 	return k, nil
 }
 
 // lapsed tells whether the record that an expiry entry points to has gone through its remembered time; false where
 // a newer note took its place.
-func lapsed(value []byte, entry float64, remember float64, now Stamp) bool {
+func lapsed(value []byte, entry float64, remember float64, now Timestamp) bool {
 	var r storedEvent
 	if cbor.Unmarshal(value, &r) != nil {
 		return true // it can't be read: nobody misses it
@@ -102,7 +102,7 @@
 	return math.Floor(max(r.At.Run, 0)*1000) <= entry && now.Run-r.At.Run >= remember
 }
 
-func fired(key string, due, until time.Time, ask *dispatch.Ask) ([]op, error) {
+func fired(key string, due, until time.Time, ask *dispatch.Request) ([]op, error) {
 	ops := []op{{join(timerPrefix, []byte(key)), binary.BigEndian.AppendUint64(nil, uint64(due.Unix()))}}
 	if ask != nil {
 		value, err := cbor.Marshal(storedOpenRequest{storeRequest(ask), due.Unix(), until.Unix()})
--- a/internal/storage/records.go
+++ b/internal/storage/records.go
@@ -27,8 +27,8 @@
 	Fields   []storedField `cbor:"12,keyasint,omitempty"`
 	Body     []byte        `cbor:"13,keyasint,omitempty"`
 	MayRun   bool          `cbor:"14,keyasint,omitempty"`
-	Ran      Stamp         `cbor:"15,keyasint"` // first launch that may have run
-	At       Stamp         `cbor:"16,keyasint"` // when it was noted
+	Ran      Timestamp     `cbor:"15,keyasint"` // first launch that may have run
+	At       Timestamp     `cbor:"16,keyasint"` // when it was noted
 	After    float64       `cbor:"17,keyasint,omitempty"`
 	Binding  storedBinding `cbor:"18,keyasint,omitempty"` // written also where it is zero: the encoder omits no structs
 }
@@ -42,7 +42,7 @@
 
 // storedReplicas is what was believed of replicas, and when. No list is stored as null.
 type storedReplicas struct {
-	At   Stamp           `cbor:"1,keyasint"`
+	At   Timestamp       `cbor:"1,keyasint"`
 	List []storedReplica `cbor:"2,keyasint"`
 }
 
@@ -118,56 +118,56 @@
 	return dispatch.Binding{ID: b.ID, Version: b.Version, Digest: b.Digest, Function: b.Function}
 }
 
-func storeFunction(f dispatch.Function) storedFunction {
-	return storedFunction{Lanes: f.Lanes, Memory: f.Memory, Load: f.Load}
+func storeFunction(f dispatch.FunctionProfile) storedFunction {
+	return storedFunction{Lanes: f.Concurrency, Memory: f.MemoryMB, Load: f.LoadTime}
 }
 
-func (f storedFunction) function() dispatch.Function {
-	return dispatch.Function{Lanes: f.Lanes, Memory: f.Memory, Load: f.Load}
+func (f storedFunction) function() dispatch.FunctionProfile {
+	return dispatch.FunctionProfile{Concurrency: f.Lanes, MemoryMB: f.Memory, LoadTime: f.Load}
 }
 
-func storeRequest(a *dispatch.Ask) storedRequest {
-	return storedRequest{Source: a.Identity.Source, ID: a.Identity.ID, Type: a.Type, Tenant: a.Tenant, Function: a.Function,
-		Wait: a.Wait, Fields: convert(a.Fields, storeField), Body: a.Body, Repeated: a.Repeated, Stated: storeFunction(a.Stated),
-		Work: a.Work, Alone: a.Alone}
+func storeRequest(a *dispatch.Request) storedRequest {
+	return storedRequest{Source: a.Identity.Source, ID: a.Identity.ID, Type: a.Class, Tenant: a.Tenant, Function: a.Function,
+		Wait: a.Timeout, Fields: convert(a.Fields, storeField), Body: a.Body, Repeated: a.Retried, Stated: storeFunction(a.StatedProfile),
+		Work: a.ExpectedWork, Alone: a.RejectDuplicates}
 }
 
-func (r storedRequest) request() dispatch.Ask {
-	return dispatch.Ask{Identity: dispatch.Identity{Source: r.Source, ID: r.ID}, Type: r.Type, Tenant: r.Tenant, Function: r.Function,
-		Wait: r.Wait, Fields: convert(r.Fields, storedField.field), Body: r.Body, Repeated: r.Repeated, Stated: r.Stated.function(),
-		Work: r.Work, Alone: r.Alone}
+func (r storedRequest) request() dispatch.Request {
+	return dispatch.Request{Identity: dispatch.Identity{Source: r.Source, ID: r.ID}, Class: r.Type, Tenant: r.Tenant, Function: r.Function,
+		Timeout: r.Wait, Fields: convert(r.Fields, storedField.field), Body: r.Body, Retried: r.Repeated, StatedProfile: r.Stated.function(),
+		ExpectedWork: r.Work, RejectDuplicates: r.Alone}
 }
 
-func (o storedOpenRequest) open() Open {
-	return Open{Ask: o.Request.request(), Due: time.Unix(o.Due, 0), Until: time.Unix(o.Until, 0)}
+func (o storedOpenRequest) open() ScheduledRequest {
+	return ScheduledRequest{Request: o.Request.request(), Due: time.Unix(o.Due, 0), Deadline: time.Unix(o.Until, 0)}
 }
 
-func storeReplica(k dispatch.Known) storedReplica {
-	return storedReplica{Function: k.Function, Binding: storeBinding(k.Binding), Lanes: k.Lanes, Load: k.Load, Worker: k.Worker,
-		Started: k.Started, Age: k.Age}
+func storeReplica(k dispatch.ReplicaSnapshot) storedReplica {
+	return storedReplica{Function: k.Function, Binding: storeBinding(k.Binding), Lanes: k.Concurrency, Load: k.LoadTime, Worker: k.Worker,
+		Started: k.WorkerStartedAt, Age: k.Age}
 }
 
-func (r storedReplica) replica() dispatch.Known {
-	return dispatch.Known{Function: r.Function, Binding: r.Binding.binding(), Lanes: r.Lanes, Load: r.Load, Worker: r.Worker,
-		Started: r.Started, Age: r.Age}
+func (r storedReplica) replica() dispatch.ReplicaSnapshot {
+	return dispatch.ReplicaSnapshot{Function: r.Function, Binding: r.Binding.binding(), Concurrency: r.Lanes, LoadTime: r.Load, Worker: r.Worker,
+		WorkerStartedAt: r.Started, Age: r.Age}
 }
 
 // storeNote is the record of a note that is made now.
-func storeNote(n dispatch.Note, now Stamp) storedEvent {
-	a := n.Answer
-	r := storedEvent{Kind: uint8(n.Kind), Source: a.Identity.Source, ID: a.Identity.ID, Type: a.EventType, Function: a.FunctionID,
-		Tenant: a.Tenant, Outcome: uint8(a.Kind), Cause: uint8(a.Cause), Pause: a.Pause, Worker: a.Worker, Launches: a.Launches,
-		Fields: convert(a.Fields, storeField), Body: a.Body, MayRun: n.MayRun, Ran: now, At: now, After: a.After,
+func storeNote(n dispatch.Record, now Timestamp) storedEvent {
+	a := n.Response
+	r := storedEvent{Kind: uint8(n.Kind), Source: a.Identity.Source, ID: a.Identity.ID, Type: a.Class, Function: a.Function,
+		Tenant: a.Tenant, Outcome: uint8(a.Kind), Cause: uint8(a.Cause), Pause: a.RetryAfter, Worker: a.Worker, Launches: a.Attempts,
+		Fields: convert(a.Fields, storeField), Body: a.Body, MayRun: n.MayHaveRun, Ran: now, At: now, After: a.Elapsed,
 		Binding: storeBinding(a.Binding)}
-	r.Ran.Up -= n.RanAgo
-	r.Ran.Run -= n.RanAgo
+	r.Ran.Up -= n.FirstRunAgo
+	r.Ran.Run -= n.FirstRunAgo
 	return r
 }
 
 // note is what the record tells but for the time since the first launch, which depends on the clock.
-func (r *storedEvent) note() dispatch.Note {
-	return dispatch.Note{Kind: dispatch.NoteKind(r.Kind), MayRun: r.MayRun, Answer: dispatch.Answer{
-		Identity: dispatch.Identity{Source: r.Source, ID: r.ID}, EventType: r.Type, FunctionID: r.Function, Tenant: r.Tenant,
-		Kind: dispatch.Kind(r.Outcome), Cause: dispatch.Cause(r.Cause), Pause: r.Pause, Worker: r.Worker, Launches: r.Launches,
-		Fields: convert(r.Fields, storedField.field), Body: r.Body, After: r.After, Binding: r.Binding.binding()}}
+func (r *storedEvent) note() dispatch.Record {
+	return dispatch.Record{Kind: dispatch.RecordKind(r.Kind), MayHaveRun: r.MayRun, Response: dispatch.Response{
+		Identity: dispatch.Identity{Source: r.Source, ID: r.ID}, Class: r.Type, Function: r.Function, Tenant: r.Tenant,
+		Kind: dispatch.ResponseKind(r.Outcome), Cause: dispatch.Cause(r.Cause), RetryAfter: r.Pause, Worker: r.Worker, Attempts: r.Launches,
+		Fields: convert(r.Fields, storedField.field), Body: r.Body, Elapsed: r.After, Binding: r.Binding.binding()}}
 }
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -25,50 +25,50 @@
 
 // Options of a store. Times are seconds.
 type Options struct {
-	FS       vfs.FS       // nil: the real one
-	Clock    func() Stamp // machine's start and time since; Run is not read. nil: the real ones
-	Remember float64      // how long notes of events are kept, in time of service
-	Log      *slog.Logger
-	NoSync   bool // for measurements only: nothing waits for the disk
-	Inline   bool // the store has no goroutine of its own: its owner calls Step when the disk's turn has come
-}
-
-// Open is an event of the box itself that had no answer when the last process ended.
-type Open struct {
-	Ask   dispatch.Ask
-	Due   time.Time
-	Until time.Time // when it is given up
-}
-
-// Found is what an earlier process left.
-type Found struct {
-	Events   []dispatch.Kept
-	Own      []Open
-	Fired    map[string]time.Time // by timer entry: the last minute it fired for
-	Known    []dispatch.Known     // copies that were believed in, with their ages by now
-	Trail    [][]byte             // entries of the handlers' audit trail, in order
-	Config   []byte               // the last configuration that was in force
-	Fresh    bool                 // there was no store
-	SetAside string               // where a store that can't be trusted was put; "" where there was none
-	Unread   int                  // records in it that could not be read
-	Clean    bool                 // the last process closed the store
+	FS          vfs.FS           // nil: the real one
+	Clock       func() Timestamp // machine's start and time since; Run is not read. nil: the real ones
+	Retention   float64          // how long notes of events are kept, in time of service
+	Log         *slog.Logger
+	NoSync      bool // for measurements only: nothing waits for the disk
+	Synchronous bool // the store has no goroutine of its own: its owner calls Step when the disk's turn has come
+}
+
+// ScheduledRequest is an event of the box itself that had no answer when the last process ended.
+type ScheduledRequest struct {
+	Request  dispatch.Request
+	Due      time.Time
+	Deadline time.Time // when it is given up
+}
+
+// RecoveredState is what an earlier process left.
+type RecoveredState struct {
+	Records           []dispatch.RecoveredRecord
+	ScheduledRequests []ScheduledRequest
+	LastFirings       map[string]time.Time       // by timer entry: the last minute it fired for
+	Replicas          []dispatch.ReplicaSnapshot // copies that were believed in, with their ages by now
+	AuditTrail        [][]byte                   // entries of the handlers' audit trail, in order
+	Config            []byte                     // the last configuration that was in force
+	Created           bool                       // there was no store
+	QuarantinePath    string                     // where a store that can't be trusted was put; "" where there was none
+	UnreadableRecords int                        // records in it that could not be read
+	CleanShutdown     bool                       // the last process closed the store
 }
 
 // Store is the durable state of one box. Its methods may be called from any goroutine.
 type Store struct {
-	db     *pebble.DB
-	opt    Options
-	began  Stamp
-	base   float64 // seconds of service before this process
-	mu     sync.Mutex
-	failed error
-	queue  []pending
-	wake   chan struct{}
-	done   chan struct{}
-	closed bool
-	broken atomic.Bool  // the library panicked, maybe with a lock held: it is not entered any more
-	Syncs  atomic.Int64 // commits that waited for the disk
-	Notes  atomic.Int64 // notes in them
+	db      *pebble.DB
+	opt     Options
+	began   Timestamp
+	base    float64 // seconds of service before this process
+	mu      sync.Mutex
+	failed  error
+	queue   []pending
+	wake    chan struct{}
+	done    chan struct{}
+	closed  bool
+	broken  atomic.Bool  // the library panicked, maybe with a lock held: it is not entered any more
+	Syncs   atomic.Int64 // commits that waited for the disk
+	Records atomic.Int64 // notes in them
 }
 
 type pending struct {
@@ -83,18 +83,18 @@
 var cleanKey = []byte("m/clean")
 
 // MachineClock reads the real clocks: which start of the machine this is, and the seconds since.
-func MachineClock() Stamp {
+func MachineClock() Timestamp {
 	boot, _ := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	var ts unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts) != nil {
-		return Stamp{} // nothing is known: every span counts as unknown
+		return Timestamp{} // nothing is known: every span counts as unknown
 	}
-	return Stamp{Boot: string(bytes.TrimSpace(boot)), Up: float64(ts.Sec) + float64(ts.Nsec)/1e9}
+	return Timestamp{Boot: string(bytes.TrimSpace(boot)), Up: float64(ts.Sec) + float64(ts.Nsec)/1e9}
 }
 
 // OpenStore opens or makes the store in a folder and reads what an earlier process left. A store that is corrupt is
 // put aside under a name of its own, what could be read of it is taken over, and Found says so.
-func OpenStore(dir string, opt Options) (*Store, *Found, error) {
+func OpenStore(dir string, opt Options) (*Store, *RecoveredState, error) {
 	if opt.FS == nil {
 		opt.FS = vfs.Default
 	}
@@ -127,7 +127,7 @@
 		return nil, nil, fmt.Errorf("state folder %s: %w", dir, ErrInUse)
 	}
 	if corrupt(err) {
-		return salvage(dir, opt, &Found{Fired: map[string]time.Time{}}, err)
+		return salvage(dir, opt, &RecoveredState{LastFirings: map[string]time.Time{}}, err)
 	}
 	return nil, nil, fmt.Errorf("state folder %s: %w", dir, err)
 }
@@ -157,7 +157,7 @@
 }
 
 // salvage puts a store aside and makes a new one with what could be read of it.
-func salvage(dir string, opt Options, found *Found, why error) (*Store, *Found, error) {
+func salvage(dir string, opt Options, found *RecoveredState, why error) (*Store, *RecoveredState, error) {
 	aside := ""
 	for n := 1; ; n++ {
 		aside = fmt.Sprintf("%s.set-aside-%d", strings.TrimRight(dir, "/"), n)
@@ -169,7 +169,7 @@
 		return nil, nil, fmt.Errorf("state folder %s is corrupt (%w) and can't be put aside: %v", dir, why, err)
 	}
 	opt.Log.Error("the state was corrupt: it is set aside, and what could be read of it goes on", "folder", aside,
-		"events", len(found.Events), "unread", found.Unread, "error", why)
+		"events", len(found.Records), "unread", found.UnreadableRecords, "error", why)
 	if err := opt.FS.MkdirAll(dir, 0o700); err != nil {
 		return nil, nil, err
 	}
@@ -177,7 +177,7 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("state folder %s: %w", dir, err)
 	}
-	found.SetAside, found.Fresh, found.Clean = aside, false, false
+	found.QuarantinePath, found.Created, found.CleanShutdown = aside, false, false
 	s, err := begin(db, opt, found)
 	if err != nil {
 		return nil, nil, err
@@ -190,7 +190,7 @@
 }
 
 // refill writes what was taken over from a store that was set aside.
-func (s *Store) refill(found *Found) error {
+func (s *Store) refill(found *RecoveredState) error {
 	now := s.now()
 	b := s.db.NewBatch()
 	add := func(ops []op, err error) error {
@@ -201,12 +201,12 @@
 		}
 		return err
 	}
-	for _, k := range found.Events {
-		n := k.Note
+	for _, k := range found.Records {
+		n := k.Record
 		if !k.Reliable { // an unknown span: as long ago as can be
-			n.RanAgo = math.Inf(1)
+			n.FirstRunAgo = math.Inf(1)
 		} else {
-			n.RanAgo = k.RanAgo
+			n.FirstRunAgo = k.FirstRunAgo
 		}
 		at := now
 		at.Run -= k.Age
@@ -214,18 +214,18 @@
 			return err
 		}
 	}
-	for key, due := range found.Fired {
+	for key, due := range found.LastFirings {
 		if err := add(fired(key, due, due, nil)); err != nil {
 			return err
 		}
 	}
-	for i := range found.Own {
-		ops, err := fired("", found.Own[i].Due, found.Own[i].Until, &found.Own[i].Ask)
+	for i := range found.ScheduledRequests {
+		ops, err := fired("", found.ScheduledRequests[i].Due, found.ScheduledRequests[i].Deadline, &found.ScheduledRequests[i].Request)
 		if err := add(ops[1:], err); err != nil {
 			return err
 		}
 	}
-	for i, entry := range found.Trail {
+	for i, entry := range found.AuditTrail {
 		if err := b.Set(trailKey(i), entry, nil); err != nil {
 			return err
 		}
@@ -237,8 +237,8 @@
 	return binary.BigEndian.AppendUint64(bytes.Clone(trailPrefix), uint64(no))
 }
 
-// Note keeps an entry of the handlers' audit trail under its number, counted from 0.
-func (s *Store) Note(no int, entry []byte) error { return s.write([]op{{trailKey(no), entry}}) }
+// AppendAudit keeps an entry of the handlers' audit trail under its number, counted from 0.
+func (s *Store) AppendAudit(no int, entry []byte) error { return s.write([]op{{trailKey(no), entry}}) }
 
 // quiet keeps the library's word of routine out of the log. Its fatal errors must not end the process: the box goes
 // on with what needs no state.
@@ -290,8 +290,8 @@
 var errForm = errors.New("the store has another form")
 
 // read takes everything out of a store. At an error Found holds what was read until then.
-func read(db *pebble.DB, opt Options) (*Found, error) {
-	found := &Found{Fired: map[string]time.Time{}, Fresh: true}
+func read(db *pebble.DB, opt Options) (*RecoveredState, error) {
+	found := &RecoveredState{LastFirings: map[string]time.Time{}, Created: true}
 	get := func(key []byte) ([]byte, error) {
 		v, closer, err := db.Get(key)
 		if errors.Is(err, pebble.ErrNotFound) {
@@ -307,14 +307,14 @@
 	if err != nil {
 		return found, err
 	}
-	if found.Fresh = v == nil; v != nil && string(v) != form {
+	if found.Created = v == nil; v != nil && string(v) != form {
 		return found, fmt.Errorf("%w: %q", errForm, v)
 	}
 	clean, err := get(cleanKey)
 	if err != nil {
 		return found, err
 	}
-	found.Clean = clean != nil
+	found.CleanShutdown = clean != nil
 	if found.Config, err = get(configKey); err != nil {
 		return found, err
 	}
@@ -329,19 +329,19 @@
 	} else if v != nil {
 		var k storedReplicas
 		if cbor.Unmarshal(v, &k) != nil {
-			found.Unread++
+			found.UnreadableRecords++
 		} else if age, sure := k.At.since(now); sure { // else nobody knows how old it is
-			found.Known = convert(k.List, storedReplica.replica)
-			for i := range found.Known {
-				found.Known[i].Age += age
+			found.Replicas = convert(k.List, storedReplica.replica)
+			for i := range found.Replicas {
+				found.Replicas[i].Age += age
 			}
 		}
 	}
 	err = each(db, timerPrefix, func(k, v []byte) {
 		if len(v) == 8 {
-			found.Fired[string(k)] = time.Unix(int64(binary.BigEndian.Uint64(v)), 0)
+			found.LastFirings[string(k)] = time.Unix(int64(binary.BigEndian.Uint64(v)), 0)
 		} else {
-			found.Unread++
+			found.UnreadableRecords++
 		}
 	})
 	if err != nil {
@@ -350,24 +350,24 @@
 	err = each(db, ownPrefix, func(_, v []byte) {
 		var o storedOpenRequest
 		if cbor.Unmarshal(v, &o) != nil || o.Request.ID == "" {
-			found.Unread++
+			found.UnreadableRecords++
 			return
 		}
-		found.Own = append(found.Own, o.open())
+		found.ScheduledRequests = append(found.ScheduledRequests, o.open())
 	})
 	if err != nil {
 		return found, err
 	}
-	err = each(db, trailPrefix, func(_, v []byte) { found.Trail = append(found.Trail, bytes.Clone(v)) })
+	err = each(db, trailPrefix, func(_, v []byte) { found.AuditTrail = append(found.AuditTrail, bytes.Clone(v)) })
 	if err != nil {
 		return found, err
 	}
 	err = each(db, eventPrefix, func(_, v []byte) {
 		k, err := restored(v, now)
 		if err != nil {
-			found.Unread++
-		} else if k.Age < opt.Remember {
-			found.Events = append(found.Events, k)
+			found.UnreadableRecords++
+		} else if k.Age < opt.Retention {
+			found.Records = append(found.Records, k)
 		}
 	})
 	return found, err
@@ -391,7 +391,7 @@
 	return errors.Join(it.Error(), it.Close())
 }
 
-func begin(db *pebble.DB, opt Options, found *Found) (*Store, error) {
+func begin(db *pebble.DB, opt Options, found *RecoveredState) (*Store, error) {
 	s := &Store{db: db, opt: opt, began: opt.Clock(), wake: make(chan struct{}, 1), done: make(chan struct{})}
 	if v, closer, err := db.Get(runKey); err == nil {
 		if len(v) == 8 {
@@ -399,7 +399,7 @@
 		}
 		closer.Close()
 	}
-	if opt.Inline {
+	if opt.Synchronous {
 		close(s.done)
 	} else {
 		go s.committer()
@@ -413,7 +413,7 @@
 }
 
 // now is the present moment, with the time of service.
-func (s *Store) now() Stamp {
+func (s *Store) now() Timestamp {
 	n := s.opt.Clock()
 	n.Run = s.base
 	if span, ok := s.began.since(n); ok {
@@ -425,7 +425,7 @@
 func run(v float64) []byte { return binary.BigEndian.AppendUint64(nil, math.Float64bits(v)) }
 
 // Commit implements the loop's keeper: done is called once the notes are on disk, or with the reason why not.
-func (s *Store) Commit(notes []dispatch.Note, done func(error)) {
+func (s *Store) Commit(notes []dispatch.Record, done func(error)) {
 	now := s.now()
 	p := pending{done: done, n: len(notes)}
 	for _, n := range notes {
@@ -463,7 +463,7 @@
 func (s *Store) write(ops []op) error {
 	ended := make(chan error, 1)
 	s.enqueue(pending{ops: ops, done: func(err error) { ended <- err }})
-	if s.opt.Inline {
+	if s.opt.Synchronous {
 		s.Step()
 	}
 	return <-ended
@@ -512,7 +512,7 @@
 	defer s.caught(&err)
 	b := s.db.NewBatch()
 	for _, p := range list {
-		s.Notes.Add(int64(p.n))
+		s.Records.Add(int64(p.n))
 		for _, o := range p.ops {
 			if o.value == nil {
 				err = b.Delete(o.key, nil)
@@ -536,18 +536,18 @@
 
 // Firing is one minute of a timer entry and the event it makes.
 type Firing struct {
-	Entry string
-	Due   time.Time
-	Until time.Time // when its event is given up
-	Ask   dispatch.Ask
+	Entry    string
+	Due      time.Time
+	Deadline time.Time // when its event is given up
+	Request  dispatch.Request
 }
 
-// Fired notes that timer entries fire and that the events they make are open, with one wait for the disk. Only then
+// RecordFirings notes that timer entries fire and that the events they make are open, with one wait for the disk. Only then
 // may the events be begun.
-func (s *Store) Fired(list []Firing) error {
+func (s *Store) RecordFirings(list []Firing) error {
 	var all []op
 	for i := range list {
-		ops, err := fired(list[i].Entry, list[i].Due, list[i].Until, &list[i].Ask)
+		ops, err := fired(list[i].Entry, list[i].Due, list[i].Deadline, &list[i].Request)
 		if err != nil {
 			return err
 		}
@@ -556,23 +556,23 @@
 	return s.write(all)
 }
 
-// Answered notes that an event of the box has its answer. Nothing waits for it: told twice does no harm.
-func (s *Store) Answered(id dispatch.Identity) {
+// ScheduledRequestDone notes that an event of the box has its answer. Nothing waits for it: told twice does no harm.
+func (s *Store) ScheduledRequestDone(id dispatch.Identity) {
 	s.enqueue(pending{ops: []op{{join(ownPrefix, identity(id)), nil}}, done: func(error) {}})
 }
 
-// Config notes the configuration in force.
-func (s *Store) Config(doc []byte) error { return s.write([]op{{configKey, doc}}) }
+// SaveConfig notes the configuration in force.
+func (s *Store) SaveConfig(doc []byte) error { return s.write([]op{{configKey, doc}}) }
 
-// Failed is why nothing can be written any more, nil where it can.
-func (s *Store) Failed() error {
+// Err is why nothing can be written any more, nil where it can.
+func (s *Store) Err() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.failed
 }
 
-// Tick notes the time of service, so that a restart counts from here, and what is known of copies.
-func (s *Store) Tick(known []dispatch.Known) error {
+// SaveReplicas notes the time of service, so that a restart counts from here, and what is known of copies.
+func (s *Store) SaveReplicas(known []dispatch.ReplicaSnapshot) error {
 	value, err := cbor.Marshal(storedReplicas{s.now(), convert(known, storeReplica)})
 	if err != nil {
 		return err
@@ -590,7 +590,7 @@
 	now := s.now()
 	var ops []op
 	n := 0
-	upper := expiry(max(now.Run-s.opt.Remember, 0), nil)
+	upper := expiry(max(now.Run-s.opt.Retention, 0), nil)
 	it, err := s.db.NewIter(&pebble.IterOptions{LowerBound: expiryPrefix, UpperBound: upper})
 	if err != nil {
 		return 0, err
@@ -608,7 +608,7 @@
 		if err != nil {
 			continue
 		}
-		if lapsed(v, at, s.opt.Remember, now) {
+		if lapsed(v, at, s.opt.Retention, now) {
 			ops = append(ops, op{join(eventPrefix, hash), nil})
 		}
 		closer.Close()
@@ -629,7 +629,7 @@
 
 // Compact gives back the room of what was let go.
 func (s *Store) Compact() (err error) {
-	if err := s.Failed(); err != nil {
+	if err := s.Err(); err != nil {
 		return err
 	}
 	defer s.caught(&err)
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -24,23 +24,23 @@
 	boot string
 }
 
-func (m *machine) stamp() Stamp { return Stamp{Boot: m.boot, Up: m.up} }
+func (m *machine) stamp() Timestamp { return Timestamp{Boot: m.boot, Up: m.up} }
 
-func note(kind dispatch.NoteKind, typ, id string, outcome dispatch.Kind, ranAgo float64) dispatch.Note {
-	return dispatch.Note{Kind: kind, MayRun: true, RanAgo: ranAgo, Answer: dispatch.Answer{Identity: dispatch.Identity{Source: "/t", ID: id},
-		EventType: typ, FunctionID: "f", Kind: outcome, Body: []byte("body of " + id), Fields: []dispatch.Field{{Name: "A", Value: "b"}}}}
+func note(kind dispatch.RecordKind, typ, id string, outcome dispatch.ResponseKind, ranAgo float64) dispatch.Record {
+	return dispatch.Record{Kind: kind, MayHaveRun: true, FirstRunAgo: ranAgo, Response: dispatch.Response{Identity: dispatch.Identity{Source: "/t", ID: id},
+		Class: typ, Function: "f", Kind: outcome, Body: []byte("body of " + id), Fields: []dispatch.Field{{Name: "A", Value: "b"}}}}
 }
 
-func open(t *testing.T, fs vfs.FS, m *machine) (*Store, *Found) {
+func open(t *testing.T, fs vfs.FS, m *machine) (*Store, *RecoveredState) {
 	t.Helper()
-	s, found, err := OpenStore("state", Options{FS: fs, Clock: m.stamp, Remember: 100})
+	s, found, err := OpenStore("state", Options{FS: fs, Clock: m.stamp, Retention: 100})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return s, found
 }
 
-func commit(s *Store, notes ...dispatch.Note) error {
+func commit(s *Store, notes ...dispatch.Record) error {
 	ended := make(chan error, 1)
 	s.Commit(notes, func(err error) { ended <- err })
 	return <-ended
@@ -49,13 +49,13 @@
 func TestWhatIsKeptComesBack(t *testing.T) {
 	fs, m := vfs.NewCrashableMem(), &machine{up: 50, boot: "a"}
 	s, found := open(t, fs, m)
-	if !found.Fresh || len(found.Events) != 0 {
+	if !found.Created || len(found.Records) != 0 {
 		t.Fatalf("%+v", found)
 	}
-	ask := dispatch.Ask{Identity: dispatch.Identity{Source: "/timers", ID: "m1"}, Type: "once", Function: "f", Body: []byte("x")}
+	ask := dispatch.Request{Identity: dispatch.Identity{Source: "/timers", ID: "m1"}, Class: "once", Function: "f", Body: []byte("x")}
 	due := time.Unix(1_800_000_000, 0)
-	for _, err := range []error{commit(s, note(dispatch.NoteLaunched, "once", "1", 0, 0), note(dispatch.NoteLaunched, "keyed", "2", 0, 3)),
-		commit(s, note(dispatch.NoteEnded, "keyed", "2", dispatch.Handled, 4)), s.Fired([]Firing{{"entry", due, due, ask}}), s.Config([]byte("{}"))} {
+	for _, err := range []error{commit(s, note(dispatch.RecordAttemptStarted, "once", "1", 0, 0), note(dispatch.RecordAttemptStarted, "keyed", "2", 0, 3)),
+		commit(s, note(dispatch.RecordRequestEnded, "keyed", "2", dispatch.Succeeded, 4)), s.RecordFirings([]Firing{{"entry", due, due, ask}}), s.SaveConfig([]byte("{}"))} {
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -65,27 +65,27 @@
 	s.Close()
 	s, found = open(t, crashed, m)
 	defer s.Close()
-	if found.Fresh || found.Clean || len(found.Events) != 2 || string(found.Config) != "{}" || !found.Fired["entry"].Equal(due) ||
-		len(found.Own) != 1 || found.Own[0].Ask.ID != "m1" || string(found.Own[0].Ask.Body) != "x" {
+	if found.Created || found.CleanShutdown || len(found.Records) != 2 || string(found.Config) != "{}" || !found.LastFirings["entry"].Equal(due) ||
+		len(found.ScheduledRequests) != 1 || found.ScheduledRequests[0].Request.ID != "m1" || string(found.ScheduledRequests[0].Request.Body) != "x" {
 		t.Fatalf("%+v", found)
 	}
-	for _, k := range found.Events {
-		want := note(dispatch.NoteLaunched, "once", "1", 0, 0)
+	for _, k := range found.Records {
+		want := note(dispatch.RecordAttemptStarted, "once", "1", 0, 0)
 		ago := 10.0
-		if k.Answer.EventType == "keyed" {
-			want, ago = note(dispatch.NoteEnded, "keyed", "2", dispatch.Handled, 4), 14
+		if k.Response.Class == "keyed" {
+			want, ago = note(dispatch.RecordRequestEnded, "keyed", "2", dispatch.Succeeded, 4), 14
 		}
-		if k.Kind != want.Kind || k.Answer.Identity != want.Answer.Identity || string(k.Answer.Body) != string(want.Answer.Body) ||
-			!k.Reliable || k.RanAgo != ago || len(k.Answer.Fields) != 1 {
+		if k.Kind != want.Kind || k.Response.Identity != want.Response.Identity || string(k.Response.Body) != string(want.Response.Body) ||
+			!k.Reliable || k.FirstRunAgo != ago || len(k.Response.Fields) != 1 {
 			t.Errorf("%+v", k)
 		}
 	}
-	s.Answered(ask.Identity)
-	s.Tick(nil)
+	s.ScheduledRequestDone(ask.Identity)
+	s.SaveReplicas(nil)
 	s.Close()
 	m.boot, m.up = "b", 1 // the machine started anew: spans are unknown
 	s, found = open(t, crashed, m)
-	if !found.Clean || len(found.Own) != 0 || len(found.Events) != 2 || found.Events[0].Reliable {
+	if !found.CleanShutdown || len(found.ScheduledRequests) != 0 || len(found.Records) != 2 || found.Records[0].Reliable {
 		t.Fatalf("%+v", found)
 	}
 	s.Close()
@@ -96,11 +96,11 @@
 	fs, m := vfs.NewMem(), &machine{boot: "a"}
 	s, _ := open(t, fs, m)
 	for i := range 50 {
-		commit(s, note(dispatch.NoteEnded, "once", fmt.Sprint(i), dispatch.Handled, 0))
+		commit(s, note(dispatch.RecordRequestEnded, "once", fmt.Sprint(i), dispatch.Succeeded, 0))
 		m.up++
 	}
-	commit(s, note(dispatch.NoteEnded, "once", "0", dispatch.Handled, 0)) // the first once more: it is kept longer
-	m.up += 74.5                                                          // 25 of them are a hundred seconds old
+	commit(s, note(dispatch.RecordRequestEnded, "once", "0", dispatch.Succeeded, 0)) // the first once more: it is kept longer
+	m.up += 74.5                                                                     // 25 of them are a hundred seconds old
 	looked := 0
 	for {
 		n, err := s.Expire(7)
@@ -111,23 +111,23 @@
 			break
 		}
 	}
-	s.Tick(nil)
+	s.SaveReplicas(nil)
 	s.Close()
 	s, found := open(t, fs, m)
-	if looked != 25 || len(found.Events) != 26 {
-		t.Errorf("looked at %d, %d left", looked, len(found.Events))
+	if looked != 25 || len(found.Records) != 26 {
+		t.Errorf("looked at %d, %d left", looked, len(found.Records))
 	}
 	m.up += 1000
 	for n := 7; n == 7; {
 		n, _ = s.Expire(7)
 	}
-	s.Tick(nil)
+	s.SaveReplicas(nil)
 	s.Close()
 	s, found = open(t, fs, m)
 	left := 0
 	each(s.db, []byte("e/"), func(_, _ []byte) { left++ })
 	each(s.db, []byte("x/"), func(_, _ []byte) { left++ })
-	if left != 0 || len(found.Events) != 0 {
+	if left != 0 || len(found.Records) != 0 {
 		t.Errorf("%d keys left", left)
 	}
 	s.Close()
@@ -167,27 +167,27 @@
 		after = mem.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: unsynced, RNG: rand.New(rand.NewPCG(seed, 5))})
 	}
 	f.at.Store(at)
-	kept, noted, minutes := map[string]dispatch.NoteKind{}, map[string]bool{}, 0
+	kept, noted, minutes := map[string]dispatch.RecordKind{}, map[string]bool{}, 0
 	tried := 0
-	s, _, err := OpenStore("state", Options{FS: errorfs.Wrap(mem, f), Clock: m.stamp, Remember: 100})
+	s, _, err := OpenStore("state", Options{FS: errorfs.Wrap(mem, f), Clock: m.stamp, Retention: 100})
 	if err == nil {
 		rng := rand.New(rand.NewPCG(seed, 6))
 		for i := range 12 {
 			m.up++
 			id := fmt.Sprint(rng.IntN(8))
-			kind := dispatch.NoteKind(rng.IntN(2))
+			kind := dispatch.RecordKind(rng.IntN(2))
 			if dead.Load() {
 				break
 			}
 			noted[id] = true
-			if commit(s, note(kind, "once", id, dispatch.Handled, 0)) == nil && !dead.Load() {
+			if commit(s, note(kind, "once", id, dispatch.Succeeded, 0)) == nil && !dead.Load() {
 				kept[id] = kind
 			} else {
 				delete(kept, id) // either of the two notes may be there
 			}
 			tried = i
-			ask := dispatch.Ask{Identity: dispatch.Identity{Source: "/own", ID: fmt.Sprint(i)}}
-			if s.Fired([]Firing{{"entry", time.Unix(int64(i*60), 0), time.Unix(0, 0), ask}}) == nil && !dead.Load() {
+			ask := dispatch.Request{Identity: dispatch.Identity{Source: "/own", ID: fmt.Sprint(i)}}
+			if s.RecordFirings([]Firing{{"entry", time.Unix(int64(i*60), 0), time.Unix(0, 0), ask}}) == nil && !dead.Load() {
 				minutes = i
 			}
 			if i == 6 {
@@ -200,20 +200,20 @@
 		after = mem
 	}
 	m.up += 2
-	s, found, err := OpenStore("state", Options{FS: after, Clock: m.stamp, Remember: 100})
+	s, found, err := OpenStore("state", Options{FS: after, Clock: m.stamp, Retention: 100})
 	if err != nil {
 		t.Fatalf("killed at write %d, %d%% unsynced: %v", at, unsynced, err)
 	}
 	defer s.Close()
 	// Half-made, before anything was kept, it may be of no use; later it must never count as corrupt.
-	if found.SetAside != "" && len(kept)+minutes > 0 {
+	if found.QuarantinePath != "" && len(kept)+minutes > 0 {
 		t.Fatalf("killed at write %d, %d%% unsynced: the store counts as corrupt", at, unsynced)
 	}
-	have := map[string]dispatch.Kept{}
-	for _, k := range found.Events {
-		have[k.Answer.Identity.ID] = k
-		if !noted[k.Answer.Identity.ID] {
-			t.Fatalf("killed at write %d: event %s comes from nowhere", at, k.Answer.Identity.ID)
+	have := map[string]dispatch.RecoveredRecord{}
+	for _, k := range found.Records {
+		have[k.Response.Identity.ID] = k
+		if !noted[k.Response.Identity.ID] {
+			t.Fatalf("killed at write %d: event %s comes from nowhere", at, k.Response.Identity.ID)
 		}
 	}
 	for id, kind := range kept {
@@ -221,11 +221,11 @@
 			t.Fatalf("killed at write %d, %d%% unsynced: event %s was kept, found %v %+v", at, unsynced, id, ok, k)
 		}
 	}
-	if last, ok := found.Fired["entry"]; minutes > 0 && (!ok || last.Unix() < int64(minutes*60) || last.Unix() > int64(tried*60)) {
+	if last, ok := found.LastFirings["entry"]; minutes > 0 && (!ok || last.Unix() < int64(minutes*60) || last.Unix() > int64(tried*60)) {
 		t.Fatalf("killed at write %d: minute %d was noted, found %v", at, minutes, last)
 	}
-	if len(found.Own) < minutes { // each noted minute's event is open
-		t.Fatalf("killed at write %d: %d open events for minute %d", at, len(found.Own), minutes)
+	if len(found.ScheduledRequests) < minutes { // each noted minute's event is open
+		t.Fatalf("killed at write %d: %d open events for minute %d", at, len(found.ScheduledRequests), minutes)
 	}
 	return f.n.Load()
 }
@@ -250,21 +250,21 @@
 func TestDiskFullAndFailedSync(t *testing.T) {
 	for _, cause := range []error{syscall.ENOSPC, syscall.EIO} {
 		f := &failing{err: cause}
-		s, _, err := OpenStore("state", Options{FS: errorfs.Wrap(vfs.NewMem(), f), Clock: (&machine{boot: "a"}).stamp, Remember: 100})
+		s, _, err := OpenStore("state", Options{FS: errorfs.Wrap(vfs.NewMem(), f), Clock: (&machine{boot: "a"}).stamp, Retention: 100})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := commit(s, note(dispatch.NoteLaunched, "once", "1", 0, 0)); err != nil {
+		if err := commit(s, note(dispatch.RecordAttemptStarted, "once", "1", 0, 0)); err != nil {
 			t.Fatal(err)
 		}
 		f.at.Store(f.n.Load() + 1)
 		for range 2 { // it stays failed: nobody knows what a failed sync left
-			if err := commit(s, note(dispatch.NoteLaunched, "once", "2", 0, 0)); err == nil {
+			if err := commit(s, note(dispatch.RecordAttemptStarted, "once", "2", 0, 0)); err == nil {
 				t.Errorf("%v: a note counts as kept", cause)
 			}
 			f.at.Store(1 << 60)
 		}
-		if s.Failed() == nil {
+		if s.Err() == nil {
 			t.Errorf("%v: nothing is known of it", cause)
 		}
 		s.Close()
@@ -273,17 +273,17 @@
 
 func TestTwoProcessesOnOneFolder(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
-	s, _, err := OpenStore(dir, Options{Remember: 10})
+	s, _, err := OpenStore(dir, Options{Retention: 10})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := OpenStore(dir, Options{Remember: 10}); !errors.Is(err, ErrInUse) || !strings.Contains(err.Error(), dir) {
+	if _, _, err := OpenStore(dir, Options{Retention: 10}); !errors.Is(err, ErrInUse) || !strings.Contains(err.Error(), dir) {
 		t.Error(err)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if s, _, err = OpenStore(dir, Options{Remember: 10}); err != nil {
+	if s, _, err = OpenStore(dir, Options{Retention: 10}); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
@@ -314,12 +314,12 @@
 		},
 	} {
 		dir := filepath.Join(t.TempDir(), "state")
-		s, _, err := OpenStore(dir, Options{Remember: 100})
+		s, _, err := OpenStore(dir, Options{Retention: 100})
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i := range 100 {
-			commit(s, note(dispatch.NoteEnded, "once", fmt.Sprint(i), dispatch.Handled, 0))
+			commit(s, note(dispatch.RecordRequestEnded, "once", fmt.Sprint(i), dispatch.Succeeded, 0))
 		}
 		s.db.Flush()
 		s.Close()
@@ -336,19 +336,19 @@
 				os.WriteFile(path, changed, 0o600)
 			}
 		}
-		s, found, err := OpenStore(dir, Options{Remember: 100})
+		s, found, err := OpenStore(dir, Options{Retention: 100})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if found.SetAside == "" && len(found.Events) != 100 {
-			t.Errorf("%d of 100 events, and not a word", len(found.Events))
+		if found.QuarantinePath == "" && len(found.Records) != 100 {
+			t.Errorf("%d of 100 events, and not a word", len(found.Records))
 		}
-		if found.SetAside != "" {
-			if _, err := os.Stat(found.SetAside); err != nil {
+		if found.QuarantinePath != "" {
+			if _, err := os.Stat(found.QuarantinePath); err != nil {
 				t.Error(err)
 			}
 		}
-		if err := commit(s, note(dispatch.NoteEnded, "once", "new", dispatch.Handled, 0)); err != nil {
+		if err := commit(s, note(dispatch.RecordRequestEnded, "once", "new", dispatch.Succeeded, 0)); err != nil {
 			t.Error(err)
 		}
 		s.Close()
@@ -363,7 +363,7 @@
 		t.Fatal(err)
 	}
 	s.Close()
-	if _, _, err := OpenStore("state", Options{FS: fs, Clock: m.stamp, Remember: 100}); !errors.Is(err, errForm) || !strings.Contains(err.Error(), "99") {
+	if _, _, err := OpenStore("state", Options{FS: fs, Clock: m.stamp, Retention: 100}); !errors.Is(err, errForm) || !strings.Contains(err.Error(), "99") {
 		t.Error(err)
 	}
 }
--- a/internal/telemetry/bounded.go
+++ b/internal/telemetry/bounded.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Bounded passes on at most so many records a second, against a flood that fills a disk or takes the only core. The
+// RateLimited passes on at most so many records a second, against a flood that fills a disk or takes the only core. The
 // first one after a flood tells how many were left out.
-func Bounded(h slog.Handler, perSecond int) slog.Handler {
+func RateLimited(h slog.Handler, perSecond int) slog.Handler {
 	return &bounded{Handler: h, rate: &rate{most: perSecond}}
 }
 
--- a/internal/telemetry/bounded_test.go
+++ b/internal/telemetry/bounded_test.go
@@ -10,7 +10,7 @@
 
 func TestBoundedTellsWhatItLeftOut(t *testing.T) {
 	var out bytes.Buffer
-	b := Bounded(slog.NewTextHandler(&out, nil), 2).WithAttrs([]slog.Attr{slog.String("front_end", "n0")})
+	b := RateLimited(slog.NewTextHandler(&out, nil), 2).WithAttrs([]slog.Attr{slog.String("front_end", "n0")})
 	at := time.Unix(1_800_000_000, 0)
 	for i := range 12 {
 		rec := slog.NewRecord(at.Add(time.Duration(i)*100*time.Millisecond), slog.LevelWarn, "flood", 0)
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -25,14 +25,14 @@
 
 // Settings of what is told.
 type Settings struct {
-	TargetTime func(eventType string) float64 // seconds; an event that took longer is late
-	Spans      io.Writer                      // nil: no spans
-	Share      float64                        // of events handled in time that are traced; all others are
-	Gauges     func() map[string]float64      // figures of this moment, read at each scrape
+	LatencyObjective func(eventType string) float64 // seconds; an event that took longer is late
+	Spans            io.Writer                      // nil: no spans
+	Share            float64                        // of events handled in time that are traced; all others are
+	Gauges           func() map[string]float64      // figures of this moment, read at each scrape
 }
 
-// Teller takes what ended. Its methods may be called from any goroutine.
-type Teller struct {
+// Recorder takes what ended. Its methods may be called from any goroutine.
+type Recorder struct {
 	set      Settings
 	registry *prometheus.Registry
 	events   *prometheus.CounterVec
@@ -45,8 +45,8 @@
 }
 
 // New makes a teller.
-func New(set Settings) (*Teller, error) {
-	t := &Teller{set: set, registry: prometheus.NewRegistry()}
+func New(set Settings) (*Recorder, error) {
+	t := &Recorder{set: set, registry: prometheus.NewRegistry()}
 	t.events = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "streamcleat_events_total",
 		Help: "Events that got their final answer, by type, outcome and whether that was past the target time."},
 		[]string{"type", "outcome", "late"})
@@ -72,12 +72,12 @@
 }
 
 // Handler serves the metrics.
-func (t *Teller) Handler() http.Handler {
+func (t *Recorder) Handler() http.Handler {
 	return promhttp.HandlerFor(t.registry, promhttp.HandlerOpts{})
 }
 
 // Close writes out the spans that are still held.
-func (t *Teller) Close() error {
+func (t *Recorder) Close() error {
 	if t.provider == nil {
 		return nil
 	}
@@ -86,16 +86,16 @@
 	return t.provider.Shutdown(ctx)
 }
 
-// Ended takes one event.
-func (t *Teller) Ended(a dispatch.Answer, tr *dispatch.Trace) {
-	late := a.After > t.set.TargetTime(a.EventType)
-	kind := a.EventType
-	if a.Cause == dispatch.Unknown {
+// OnRequestEnd takes one event.
+func (t *Recorder) OnRequestEnd(a dispatch.Response, tr *dispatch.Trace) {
+	late := a.Elapsed > t.set.LatencyObjective(a.Class)
+	kind := a.Class
+	if a.Cause == dispatch.CauseUnknownClass {
 		kind = "unknown" // what anybody may write must not make a series of its own
 	}
 	t.events.WithLabelValues(kind, a.Kind.String(), fmt.Sprint(late)).Inc()
-	t.took.WithLabelValues(kind, a.Kind.String()).Observe(a.After)
-	if a.Kind != dispatch.Handled {
+	t.took.WithLabelValues(kind, a.Kind.String()).Observe(a.Elapsed)
+	if a.Kind != dispatch.Succeeded {
 		t.causes.WithLabelValues(a.Cause.String(), a.Worker).Inc()
 	}
 	if tr == nil {
@@ -109,28 +109,28 @@
 			}
 		}
 	}
-	if t.tracer != nil && (late || a.Kind != dispatch.Handled || t.sampled(a.Identity)) {
+	if t.tracer != nil && (late || a.Kind != dispatch.Succeeded || t.sampled(a.Identity)) {
 		t.span(a, tr, late)
 	}
 }
 
 // sampled draws a fixed share of identities, the same at every front end.
-func (t *Teller) sampled(id dispatch.Identity) bool {
+func (t *Recorder) sampled(id dispatch.Identity) bool {
 	h := fnv.New32a()
 	io.WriteString(h, id.String())
 	return float64(h.Sum32())/(1<<32) < t.set.Share
 }
 
 // span writes an event as a span with one below it for each launch; waits and loads are events of the first.
-func (t *Teller) span(a dispatch.Answer, tr *dispatch.Trace, late bool) {
+func (t *Recorder) span(a dispatch.Response, tr *dispatch.Trace, late bool) {
 	end := time.Now()
-	began := end.Add(-seconds(a.After))
-	ctx, root := t.tracer.Start(context.Background(), "event "+a.EventType, trace.WithTimestamp(began),
+	began := end.Add(-seconds(a.Elapsed))
+	ctx, root := t.tracer.Start(context.Background(), "event "+a.Class, trace.WithTimestamp(began),
 		trace.WithSpanKind(trace.SpanKindServer), trace.WithAttributes(attribute.String("cloudevents.event_id", a.Identity.ID),
-			attribute.String("cloudevents.event_source", a.Identity.Source), attribute.String("cloudevents.event_type", a.EventType),
-			attribute.String("streamcleat.function", a.FunctionID), attribute.String("streamcleat.tenant", a.Tenant),
+			attribute.String("cloudevents.event_source", a.Identity.Source), attribute.String("cloudevents.event_type", a.Class),
+			attribute.String("streamcleat.function", a.Function), attribute.String("streamcleat.tenant", a.Tenant),
 			attribute.String("streamcleat.outcome", a.Kind.String()), attribute.String("streamcleat.cause", a.Cause.String()),
-			attribute.Bool("streamcleat.late", late), attribute.Int("streamcleat.launches", a.Launches)))
+			attribute.Bool("streamcleat.late", late), attribute.Int("streamcleat.launches", a.Attempts)))
 	var launch trace.Span
 	for _, s := range tr.Steps {
 		at := began.Add(seconds(s.At))
@@ -152,7 +152,7 @@
 	if launch != nil {
 		launch.End(trace.WithTimestamp(end))
 	}
-	if a.Kind != dispatch.Handled {
+	if a.Kind != dispatch.Succeeded {
 		root.SetStatus(codes.Error, a.Cause.String())
 	}
 	root.End(trace.WithTimestamp(end))
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -15,7 +15,7 @@
 	goldentest.Play(t, "workers", func(*testing.T) goldentest.Actor {
 		w := goldentest.NewWorkers()
 		w.Encode, w.Show = encode, goldentest.Lines
-		w.Pool = upstream.NewPool(upstream.Limits{Dial: 0.25, Idle: 10, Most: 2, Message: http1.Limits{Head: 1000, Body: 500}, Via: "front-1"}, w, w)
+		w.Pool = upstream.NewPool(upstream.Limits{DialTimeout: 0.25, IdleTimeout: 10, MaxPerWorker: 2, Message: http1.Limits{Head: 1000, Body: 500}, Via: "front-1"}, w, w)
 		return w
 	})
 }
--- a/internal/upstream/oip.go
+++ b/internal/upstream/oip.go
@@ -31,12 +31,12 @@
 	return b.Bytes()
 }
 
-// Infer writes a launch: POST /v2/models/{function}/infer, the event's content passed through with its context
+// InferRequest writes a launch: POST /v2/models/{function}/infer, the event's content passed through with its context
 // attributes as ce- fields. Request-Timeout tells the seconds after which nobody waits any more; via names the front
 // end (RFC 9110 7.6.3). A version is asked for by its name in the path and by its digest in If-Match: a worker that
 // holds another one under that name answers 412 and runs nothing.
-func Infer(addr, via string, l dispatch.Launch) []byte {
-	fields := append([]dispatch.Field{{Name: "Request-Timeout", Value: strconv.FormatFloat(l.Limit, 'f', 3, 64)}},
+func InferRequest(addr, via string, l dispatch.Attempt) []byte {
+	fields := append([]dispatch.Field{{Name: "Request-Timeout", Value: strconv.FormatFloat(l.Timeout, 'f', 3, 64)}},
 		l.Fields...)
 	if b := l.Binding; b.ID != "" {
 		fields = append(fields, dispatch.Field{Name: "If-Match", Value: `"` + b.Digest + `"`})
@@ -45,14 +45,14 @@
 	return request("/v2/models/"+url.PathEscape(l.Function)+"/infer", addr, via, fields, l.Body)
 }
 
-// Load writes a load order of the repository extension; the number of copies is a load parameter. An order for none
+// LoadRequest writes a load order of the repository extension; the number of copies is a load parameter. An order for none
 // lets idle copies go.
-func Load(addr, via string, o dispatch.Order) []byte {
-	if o.Copies == 0 {
+func LoadRequest(addr, via string, o dispatch.LoadCommand) []byte {
+	if o.Replicas == 0 {
 		name, _, _ := strings.Cut(o.Function, "@")
 		return request("/v2/repository/models/"+url.PathEscape(name)+"/unload", addr, via, nil, nil)
 	}
-	parameters, name := map[string]any{"copies": o.Copies}, o.Function
+	parameters, name := map[string]any{"copies": o.Replicas}, o.Function
 	if b := o.Binding; b.ID != "" {
 		parameters["version"], parameters["digest"], name = b.Version, b.Digest, b.Function
 	}
@@ -66,34 +66,34 @@
 // passed names what of a worker's answer goes on to the client beside ce- fields.
 var passed = []string{"Content-Type", "Content-Encoding", "Content-Language"}
 
-// Answer reads how a launch ended. 2xx handled it. 404 tells that the function is not loaded there, 412 that another
+// ParseInferResponse reads how a launch ended. 2xx handled it. 404 tells that the function is not loaded there, 412 that another
 // version is, 429 and 503 that the worker turned it away: of these a worker promises that the event never ran. Else
 // it may have. Docker-Content-Digest proves which copy ran (OCI distribution specification).
-func Answer(m *http1.Message) dispatch.Reply {
-	r := dispatch.Reply{Report: report(m.Header.Get("Endpoint-Load-Metrics")),
-		Warmth: warmth(strings.Join(m.Header.Values("Server-Timing"), ",")),
+func ParseInferResponse(m *http1.Message) dispatch.WorkerReply {
+	r := dispatch.WorkerReply{Report: report(m.Header.Get("Endpoint-Load-Metrics")),
+		Start:  warmth(strings.Join(m.Header.Values("Server-Timing"), ",")),
 		Digest: m.Header.Get(digestField)}
 	switch {
 	case m.Status >= 200 && m.Status < 300:
-		r.Result, r.Body = control.Handled, m.Body
+		r.Outcome, r.Body = control.Succeeded, m.Body
 		for _, name := range passed {
 			for _, v := range m.Header.Values(name) {
 				r.Fields = append(r.Fields, dispatch.Field{Name: name, Value: v})
 			}
 		}
 	case m.Status == 404 || m.Status == 412:
-		r.Result = control.Missed
+		r.Outcome = control.ReplicaMissing
 	case m.Status == 429 || m.Status == 503:
-		r.Result = control.TurnedAway
+		r.Outcome = control.Rejected
 	default:
-		r.Result = control.Failed
+		r.Outcome = control.Failed
 	}
 	return r
 }
 
-// Stand reads how a load order ended and how many copies stand. Where a digest was asked for, copies of another one,
+// ParseLoadResponse reads how a load order ended and how many copies stand. Where a digest was asked for, copies of another one,
 // or of none that is proven, don't count.
-func Stand(m *http1.Message, digest string) (control.Result, int) {
+func ParseLoadResponse(m *http1.Message, digest string) (control.Outcome, int) {
 	switch {
 	case m.Status >= 200 && m.Status < 300 && digest != "" && m.Header.Get(digestField) != digest:
 		return control.Failed, 0
@@ -104,33 +104,33 @@
 			} `json:"parameters"`
 		}
 		if json.Unmarshal(m.Body, &said) == nil && said.Parameters.Copies != nil {
-			return control.Handled, max(*said.Parameters.Copies, 0)
+			return control.Succeeded, max(*said.Parameters.Copies, 0)
 		}
-		return control.Handled, 1 // the protocol's plain answer says only that it is loaded
+		return control.Succeeded, 1 // the protocol's plain answer says only that it is loaded
 	case m.Status == 429 || m.Status == 503:
-		return control.TurnedAway, 0
+		return control.Rejected, 0
 	}
 	return control.Failed, 0
 }
 
 // timings are the Server-Timing metrics (W3C Server Timing) by which a worker tells how an event met its copy.
-var timings = map[string]control.Warmth{
-	"warm": control.FoundWarm, "load": control.BeganLoad, "joined": control.JoinedLoad,
-	"load-failed": control.LoadFailed,
+var timings = map[string]control.StartType{
+	"warm": control.WarmStart, "load": control.ColdStart, "joined": control.JoinedColdStart,
+	"load-failed": control.StartFailed,
 }
 
-func warmth(field string) control.Warmth {
+func warmth(field string) control.StartType {
 	for _, metric := range strings.Split(field, ",") {
 		name, _, _ := strings.Cut(metric, ";")
 		if w, ok := timings[strings.ToLower(strings.TrimSpace(name))]; ok {
 			return w
 		}
 	}
-	return control.WarmthUnknown
+	return control.StartUnknown
 }
 
 // report reads an ORCA load report in its TEXT or JSON form; figures that are missing or no numbers say nothing.
-func report(field string) (r control.Report) {
+func report(field string) (r control.LoadReport) {
 	form, rest, _ := strings.Cut(strings.TrimSpace(field), " ")
 	take := func(name string, v float64) {
 		switch strings.TrimPrefix(name, "named_metrics.") {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -13,27 +13,27 @@
 
 // Limits of the connections to workers; times in seconds.
 type Limits struct {
-	Dial    float64 // a connection that is not up by then counts as unreachable
-	Idle    float64 // an idle connection is closed after this
-	Most    int     // connections to one worker, those being dialed included
-	Message http1.Limits
-	Via     string // the front end's name
+	DialTimeout  float64 // a connection that is not up by then counts as unreachable
+	IdleTimeout  float64 // an idle connection is closed after this
+	MaxPerWorker int     // connections to one worker, those being dialed included
+	Message      http1.Limits
+	Via          string // the front end's name
 }
 
-// Conn is the number of one connection; it is never used again.
-type Conn uint64
+// ConnID is the number of one connection; it is never used again.
+type ConnID uint64
 
-// Wire carries the pool's bytes. It must not call back into the pool before a method returns.
-type Wire interface {
-	Dial(c Conn, addr string)
-	Write(c Conn, data []byte)
-	Close(c Conn) // no Closed follows
+// Transport carries the pool's bytes. It must not call back into the pool before a method returns.
+type Transport interface {
+	Dial(c ConnID, addr string)
+	Write(c ConnID, data []byte)
+	Close(c ConnID) // no Closed follows
 }
 
-// Sink takes what came back. It may call Launch, Load and Abandon of the pool.
-type Sink interface {
-	Launched(job uint64, r dispatch.Reply)
-	Loaded(job uint64, res control.Result, copies int)
+// Results takes what came back. It may call Launch, Load and Abandon of the pool.
+type Results interface {
+	OnAttemptReply(job uint64, r dispatch.WorkerReply)
+	OnLoadReply(job uint64, res control.Outcome, copies int)
 }
 
 type job struct {
@@ -47,7 +47,7 @@
 }
 
 type conn struct {
-	no     Conn
+	no     ConnID
 	wk     control.WorkerID
 	addr   string
 	up     bool
@@ -61,12 +61,12 @@
 // sent from what may have run. It is not safe for use by two goroutines.
 type Pool struct {
 	limits Limits
-	wire   Wire
-	sink   Sink
-	next   Conn
+	wire   Transport
+	sink   Results
+	next   ConnID
 	addr   map[control.WorkerID]string
 	shut   map[control.WorkerID]bool // draining or gone: nothing that is not sent yet goes there
-	conns  map[Conn]*conn
+	conns  map[ConnID]*conn
 	idle   map[control.WorkerID][]*conn // newest last
 	held   map[control.WorkerID]int
 	jobs   map[uint64]*job
@@ -74,27 +74,27 @@
 	failed []*job  // could not be sent, told at the next Flush
 }
 
-func NewPool(l Limits, wire Wire, sink Sink) *Pool {
+func NewPool(l Limits, wire Transport, sink Results) *Pool {
 	return &Pool{limits: l, wire: wire, sink: sink, addr: map[control.WorkerID]string{},
-		shut: map[control.WorkerID]bool{}, conns: map[Conn]*conn{}, idle: map[control.WorkerID][]*conn{},
+		shut: map[control.WorkerID]bool{}, conns: map[ConnID]*conn{}, idle: map[control.WorkerID][]*conn{},
 		held: map[control.WorkerID]int{}, jobs: map[uint64]*job{}}
 }
 
-// Conns is how many connections are open or being dialed.
-func (p *Pool) Conns() int { return len(p.conns) }
+// Len is how many connections are open or being dialed.
+func (p *Pool) Len() int { return len(p.conns) }
 
-// List takes the workers' addresses. What waits for a connection to one that drains, left or moved is given back
+// SetEndpoints takes the workers' addresses. What waits for a connection to one that drains, left or moved is given back
 // as never sent; its idle connections are closed.
-func (p *Pool) List(list *Listed) {
+func (p *Pool) SetEndpoints(list *EndpointList) {
 	for _, wk := range slices.Sorted(maps.Keys(p.addr)) {
-		if list.Address[wk] != p.addr[wk] {
+		if list.Addresses[wk] != p.addr[wk] {
 			p.leave(wk)
 			delete(p.shut, wk)
 		}
 	}
-	p.addr = list.Address
+	p.addr = list.Addresses
 	for _, wk := range list.Workers {
-		if wk.Phase == control.Serving {
+		if wk.State == control.Serving {
 			delete(p.shut, wk.ID)
 		} else if !p.shut[wk.ID] {
 			p.shut[wk.ID] = true
@@ -119,14 +119,14 @@
 	}
 }
 
-// Launch sends a launch over an idle connection or a new one.
-func (p *Pool) Launch(now float64, l dispatch.Launch) {
-	p.send(now, &job{no: l.Job, wk: l.Worker, data: Infer(p.addr[l.Worker], p.limits.Via, l)})
+// SendAttempt sends a launch over an idle connection or a new one.
+func (p *Pool) SendAttempt(now float64, l dispatch.Attempt) {
+	p.send(now, &job{no: l.ID, wk: l.Worker, data: InferRequest(p.addr[l.Worker], p.limits.Via, l)})
 }
 
-// Load sends a load order likewise.
-func (p *Pool) Load(now float64, o dispatch.Order) {
-	p.send(now, &job{no: o.Job, wk: o.Worker, data: Load(p.addr[o.Worker], p.limits.Via, o), load: true, digest: o.Binding.Digest})
+// SendLoad sends a load order likewise.
+func (p *Pool) SendLoad(now float64, o dispatch.LoadCommand) {
+	p.send(now, &job{no: o.ID, wk: o.Worker, data: LoadRequest(p.addr[o.Worker], p.limits.Via, o), load: true, digest: o.Binding.Digest})
 }
 
 func (p *Pool) send(now float64, j *job) {
@@ -142,7 +142,7 @@
 		p.write(c, j)
 		return
 	}
-	if p.held[j.wk] >= p.limits.Most {
+	if p.held[j.wk] >= p.limits.MaxPerWorker {
 		p.never(j)
 		return
 	}
@@ -173,25 +173,25 @@
 		list := p.failed
 		p.failed = nil
 		for _, j := range list {
-			p.end(j, dispatch.Reply{Result: control.Unreachable})
+			p.end(j, dispatch.WorkerReply{Outcome: control.Unreachable})
 		}
 	}
 }
 
-func (p *Pool) end(j *job, r dispatch.Reply) {
+func (p *Pool) end(j *job, r dispatch.WorkerReply) {
 	if p.jobs[j.no] != j {
 		return
 	}
 	delete(p.jobs, j.no)
 	if j.load {
-		p.sink.Loaded(j.no, r.Result, 0)
+		p.sink.OnLoadReply(j.no, r.Outcome, 0)
 	} else {
-		p.sink.Launched(j.no, r)
+		p.sink.OnAttemptReply(j.no, r)
 	}
 }
 
-// Dialed tells how a dial ended.
-func (p *Pool) Dialed(now float64, no Conn, err error) {
+// OnDialed tells how a dial ended.
+func (p *Pool) OnDialed(now float64, no ConnID, err error) {
 	c := p.conns[no]
 	if c == nil {
 		if err == nil {
@@ -206,7 +206,7 @@
 		j := c.job
 		p.drop(c)
 		if j != nil {
-			p.end(j, dispatch.Reply{Result: control.Unreachable})
+			p.end(j, dispatch.WorkerReply{Outcome: control.Unreachable})
 		}
 		return
 	}
@@ -218,9 +218,9 @@
 	p.write(c, c.job)
 }
 
-// Withdraw takes a launch back of which nothing has left; false where something may have. A dial goes on for the next
+// CancelUnsent takes a launch back of which nothing has left; false where something may have. A dial goes on for the next
 // one.
-func (p *Pool) Withdraw(no uint64) bool {
+func (p *Pool) CancelUnsent(no uint64) bool {
 	j := p.jobs[no]
 	if j == nil || j.sent {
 		return false
@@ -250,8 +250,8 @@
 	p.close(c)
 }
 
-// Data takes bytes from a worker.
-func (p *Pool) Data(now float64, no Conn, data []byte) {
+// OnData takes bytes from a worker.
+func (p *Pool) OnData(now float64, no ConnID, data []byte) {
 	c := p.conns[no]
 	if c == nil || !c.up {
 		return
@@ -279,18 +279,18 @@
 	}
 	switch {
 	case err != nil: // an answer that can't be read: it may have run
-		p.end(j, dispatch.Reply{Result: control.Broken})
+		p.end(j, dispatch.WorkerReply{Outcome: control.ConnectionLost})
 	case j.load:
 		delete(p.jobs, j.no)
-		res, copies := Stand(m, j.digest)
-		p.sink.Loaded(j.no, res, copies)
+		res, copies := ParseLoadResponse(m, j.digest)
+		p.sink.OnLoadReply(j.no, res, copies)
 	default:
-		p.end(j, Answer(m))
+		p.end(j, ParseInferResponse(m))
 	}
 }
 
-// Closed tells that a connection closed or broke.
-func (p *Pool) Closed(now float64, no Conn) {
+// OnClosed tells that a connection closed or broke.
+func (p *Pool) OnClosed(now float64, no ConnID) {
 	c := p.conns[no]
 	if c == nil {
 		return
@@ -307,9 +307,9 @@
 	}
 	// A request of which bytes were handed to the kernel may have been read, whether an answer began or not.
 	if j.sent {
-		p.end(j, dispatch.Reply{Result: control.Broken})
+		p.end(j, dispatch.WorkerReply{Outcome: control.ConnectionLost})
 	} else {
-		p.end(j, dispatch.Reply{Result: control.Unreachable})
+		p.end(j, dispatch.WorkerReply{Outcome: control.Unreachable})
 	}
 }
 
@@ -359,13 +359,13 @@
 		switch {
 		case p.conns[c.no] != c || c.up && c.job != nil:
 			c.queued = false
-		case !c.up && now-c.since >= p.limits.Dial:
+		case !c.up && now-c.since >= p.limits.DialTimeout:
 			j := c.job
 			p.close(c)
 			if j != nil {
 				p.never(j)
 			}
-		case c.up && now-c.since >= p.limits.Idle:
+		case c.up && now-c.since >= p.limits.IdleTimeout:
 			p.unlist(c)
 			p.close(c)
 		default:
@@ -383,7 +383,7 @@
 		j := c.job
 		p.close(c)
 		if j != nil {
-			p.end(j, dispatch.Reply{Result: control.Broken})
+			p.end(j, dispatch.WorkerReply{Outcome: control.ConnectionLost})
 		}
 	}
 }
--- a/internal/upstream/workers_test.go
+++ b/internal/upstream/workers_test.go
@@ -27,41 +27,41 @@
 	for _, c := range []struct {
 		status int
 		fields string
-		want   dispatch.Reply
+		want   dispatch.WorkerReply
 	}{
-		{200, "Server-Timing: warm, total;dur=3\r\n", dispatch.Reply{Result: control.Handled, Warmth: control.FoundWarm}},
-		{201, "Server-Timing: cache;desc=x\r\nServer-Timing: load;dur=300\r\n", dispatch.Reply{Result: control.Handled, Warmth: control.BeganLoad}},
-		{404, "Server-Timing: load-failed\r\n", dispatch.Reply{Result: control.Missed, Warmth: control.LoadFailed}},
-		{503, "", dispatch.Reply{Result: control.TurnedAway}},
-		{429, "", dispatch.Reply{Result: control.TurnedAway}},
-		{500, "", dispatch.Reply{Result: control.Failed}},
-		{400, "", dispatch.Reply{Result: control.Failed}},
-		{302, "", dispatch.Reply{Result: control.Failed}},
+		{200, "Server-Timing: warm, total;dur=3\r\n", dispatch.WorkerReply{Outcome: control.Succeeded, Start: control.WarmStart}},
+		{201, "Server-Timing: cache;desc=x\r\nServer-Timing: load;dur=300\r\n", dispatch.WorkerReply{Outcome: control.Succeeded, Start: control.ColdStart}},
+		{404, "Server-Timing: load-failed\r\n", dispatch.WorkerReply{Outcome: control.ReplicaMissing, Start: control.StartFailed}},
+		{503, "", dispatch.WorkerReply{Outcome: control.Rejected}},
+		{429, "", dispatch.WorkerReply{Outcome: control.Rejected}},
+		{500, "", dispatch.WorkerReply{Outcome: control.Failed}},
+		{400, "", dispatch.WorkerReply{Outcome: control.Failed}},
+		{302, "", dispatch.WorkerReply{Outcome: control.Failed}},
 		{200, "Endpoint-Load-Metrics: TEXT cpu_utilization=0.3, named_metrics.running=2,named_metrics.waiting=5\r\n",
-			dispatch.Reply{Result: control.Handled, Report: control.Report{Running: 2, Waiting: 5, Known: true}}},
+			dispatch.WorkerReply{Outcome: control.Succeeded, Report: control.LoadReport{Running: 2, Waiting: 5, Known: true}}},
 		{200, `Endpoint-Load-Metrics: JSON {"cpu_utilization":0.3,"named_metrics":{"running":3}}` + "\r\n",
-			dispatch.Reply{Result: control.Handled, Report: control.Report{Running: 3, Known: true}}},
+			dispatch.WorkerReply{Outcome: control.Succeeded, Report: control.LoadReport{Running: 3, Known: true}}},
 		{200, "Endpoint-Load-Metrics: TEXT named_metrics.running=NaN, named_metrics.waiting=-3\r\n",
-			dispatch.Reply{Result: control.Handled, Report: control.Report{Known: true}}},
-		{200, "Endpoint-Load-Metrics: JSON {\r\n", dispatch.Reply{Result: control.Handled}},
-		{200, "Endpoint-Load-Metrics: BIN xyz\r\n", dispatch.Reply{Result: control.Handled}},
+			dispatch.WorkerReply{Outcome: control.Succeeded, Report: control.LoadReport{Known: true}}},
+		{200, "Endpoint-Load-Metrics: JSON {\r\n", dispatch.WorkerReply{Outcome: control.Succeeded}},
+		{200, "Endpoint-Load-Metrics: BIN xyz\r\n", dispatch.WorkerReply{Outcome: control.Succeeded}},
 	} {
-		got := Answer(response(t, fmt.Sprintf("HTTP/1.1 %d X\r\n%sContent-Length: 0\r\n\r\n", c.status, c.fields)))
-		if got.Result != c.want.Result || got.Warmth != c.want.Warmth || got.Report != c.want.Report {
+		got := ParseInferResponse(response(t, fmt.Sprintf("HTTP/1.1 %d X\r\n%sContent-Length: 0\r\n\r\n", c.status, c.fields)))
+		if got.Outcome != c.want.Outcome || got.Start != c.want.Start || got.Report != c.want.Report {
 			t.Errorf("%d %q: %+v, want %+v", c.status, c.fields, got, c.want)
 		}
 	}
 	body := `{"parameters":{"copies":3}}`
-	if res, n := Stand(response(t, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)), ""); res != control.Handled || n != 3 {
+	if res, n := ParseLoadResponse(response(t, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)), ""); res != control.Succeeded || n != 3 {
 		t.Error(res, n)
 	}
-	if res, n := Stand(response(t, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), ""); res != control.TurnedAway || n != 0 {
+	if res, n := ParseLoadResponse(response(t, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), ""); res != control.Rejected || n != 0 {
 		t.Error(res, n)
 	}
 }
 
 func TestListFaultsAreAllNamed(t *testing.T) {
-	_, err := ReadList([]byte(`[{"targets":["a:1","nowhere",":5"],"labels":{"phase":"asleep","size":"0"}},
+	_, err := ParseEndpointList([]byte(`[{"targets":["a:1","nowhere",":5"],"labels":{"phase":"asleep","size":"0"}},
 		{"targets":["a:1"],"labels":{"started":"soon"}},{"targets":["b:1","c:1"],"labels":{"instance":"x"}}]`), 0)
 	for _, want := range []string{`/0/targets/1: "nowhere"`, `/0/targets/2: ":5"`, `/0/labels/phase: "asleep"`, "/0/labels/size",
 		`/1/labels/started: "soon"`, `/1/targets/0: worker "a:1" is listed twice`, "/2/labels/instance"} {
@@ -69,14 +69,14 @@
 			t.Errorf("no word of %s in %v", want, err)
 		}
 	}
-	if _, err := ReadList([]byte(`[{"targets":["a:1"]`), 0); err == nil {
+	if _, err := ParseEndpointList([]byte(`[{"targets":["a:1"]`), 0); err == nil {
 		t.Error("half a file passed")
 	}
 }
 
 func TestChangeTellsOnlyWhatChanged(t *testing.T) {
-	read := func(text string) *Listed {
-		l, err := ReadList([]byte(text), 100)
+	read := func(text string) *EndpointList {
+		l, err := ParseEndpointList([]byte(text), 100)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -86,14 +86,14 @@
 	b := read(`[{"targets":["h:1"]},{"targets":["h:2"],"labels":{"phase":"draining"}},{"targets":["h:3"],"labels":{"started":"7"}},
 		{"targets":["h:6"]},{"targets":["h:7"],"labels":{"instance":"five"}}]`)
 	got := map[control.WorkerID]control.Worker{}
-	for _, wk := range Change(a, b) {
+	for _, wk := range Diff(a, b) {
 		got[wk.ID] = wk
 	}
-	if len(got) != 5 || got["h:2"].Phase != control.Draining || got["h:3"].Born != 107 || got["h:4"].Phase != control.Gone ||
-		got["h:6"].Size != 1 || got["five"].ID != "five" {
+	if len(got) != 5 || got["h:2"].State != control.Draining || got["h:3"].StartedAt != 107 || got["h:4"].State != control.Gone ||
+		got["h:6"].Weight != 1 || got["five"].ID != "five" {
 		t.Errorf("%+v", got)
 	}
-	if c := Change(b, b); len(c) != 0 {
+	if c := Diff(b, b); len(c) != 0 {
 		t.Errorf("nothing changed, yet %+v", c)
 	}
 }
@@ -101,31 +101,35 @@
 // peer plays the sockets and the core under a pool.
 type peer struct {
 	p       *Pool
-	dials   []Conn
-	written map[Conn][]byte
-	closed  map[Conn]bool
-	ends    map[uint64][]control.Result
+	dials   []ConnID
+	written map[ConnID][]byte
+	closed  map[ConnID]bool
+	ends    map[uint64][]control.Outcome
 }
 
-func (w *peer) Dial(c Conn, _ string)                        { w.dials = append(w.dials, c) }
-func (w *peer) Write(c Conn, data []byte)                    { w.written[c] = append(w.written[c], data...) }
-func (w *peer) Close(c Conn)                                 { w.closed[c] = true }
-func (w *peer) Launched(job uint64, r dispatch.Reply)        { w.ends[job] = append(w.ends[job], r.Result) }
-func (w *peer) Loaded(job uint64, res control.Result, _ int) { w.ends[job] = append(w.ends[job], res) }
+func (w *peer) Dial(c ConnID, _ string)     { w.dials = append(w.dials, c) }
+func (w *peer) Write(c ConnID, data []byte) { w.written[c] = append(w.written[c], data...) }
+func (w *peer) Close(c ConnID)              { w.closed[c] = true }
+func (w *peer) OnAttemptReply(job uint64, r dispatch.WorkerReply) {
+	w.ends[job] = append(w.ends[job], r.Outcome)
+}
+func (w *peer) OnLoadReply(job uint64, res control.Outcome, _ int) {
+	w.ends[job] = append(w.ends[job], res)
+}
 
 func newPeer(t *testing.T) *peer {
-	w := &peer{written: map[Conn][]byte{}, closed: map[Conn]bool{}, ends: map[uint64][]control.Result{}}
-	w.p = NewPool(Limits{Dial: 0.25, Idle: 10, Most: 2, Message: http1.Limits{Head: 4096, Body: 4096}, Via: "front"}, w, w)
-	l, err := ReadList([]byte(`[{"targets":["h:1","h:2"]}]`), 0)
+	w := &peer{written: map[ConnID][]byte{}, closed: map[ConnID]bool{}, ends: map[uint64][]control.Outcome{}}
+	w.p = NewPool(Limits{DialTimeout: 0.25, IdleTimeout: 10, MaxPerWorker: 2, Message: http1.Limits{Head: 4096, Body: 4096}, Via: "front"}, w, w)
+	l, err := ParseEndpointList([]byte(`[{"targets":["h:1","h:2"]}]`), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.p.List(l)
+	w.p.SetEndpoints(l)
 	return w
 }
 
 func (w *peer) launch(now float64, job uint64) {
-	w.p.Launch(now, dispatch.Launch{Job: job, Worker: "h:1", Function: "a/b", Limit: 2, Body: []byte("x")})
+	w.p.SendAttempt(now, dispatch.Attempt{ID: job, Worker: "h:1", Function: "a/b", Timeout: 2, Body: []byte("x")})
 }
 
 const okText = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
@@ -134,38 +138,38 @@
 	for _, c := range []struct {
 		name string
 		do   func(w *peer)
-		want control.Result
+		want control.Outcome
 	}{
-		{"refused", func(w *peer) { w.p.Dialed(1, 1, errors.New("refused")) }, control.Unreachable},
+		{"refused", func(w *peer) { w.p.OnDialed(1, 1, errors.New("refused")) }, control.Unreachable},
 		{"dial takes too long", func(w *peer) { w.p.Tick(1.3); w.p.Flush() }, control.Unreachable},
-		{"broken while dialing", func(w *peer) { w.p.Closed(1, 1) }, control.Unreachable},
+		{"broken while dialing", func(w *peer) { w.p.OnClosed(1, 1) }, control.Unreachable},
 		{"drained while dialing", func(w *peer) {
-			l, _ := ReadList([]byte(`[{"targets":["h:1"],"labels":{"phase":"draining"}},{"targets":["h:2"]}]`), 0)
-			w.p.List(l)
+			l, _ := ParseEndpointList([]byte(`[{"targets":["h:1"],"labels":{"phase":"draining"}},{"targets":["h:2"]}]`), 0)
+			w.p.SetEndpoints(l)
 			w.p.Flush()
 		}, control.Unreachable},
 		{"moved while dialing", func(w *peer) {
-			l, _ := ReadList([]byte(`[{"targets":["h:9"],"labels":{"instance":"h:1"}}]`), 0)
-			w.p.List(l)
+			l, _ := ParseEndpointList([]byte(`[{"targets":["h:9"],"labels":{"instance":"h:1"}}]`), 0)
+			w.p.SetEndpoints(l)
 			w.p.Flush()
 		}, control.Unreachable},
-		{"reset before any answer", func(w *peer) { w.p.Dialed(1, 1, nil); w.p.Closed(1.1, 1) }, control.Broken},
+		{"reset before any answer", func(w *peer) { w.p.OnDialed(1, 1, nil); w.p.OnClosed(1.1, 1) }, control.ConnectionLost},
 		{"reset in mid-answer", func(w *peer) {
-			w.p.Dialed(1, 1, nil)
-			w.p.Data(1.1, 1, []byte(okText[:30]))
-			w.p.Closed(1.2, 1)
-		}, control.Broken},
-		{"an answer that can't be read", func(w *peer) { w.p.Dialed(1, 1, nil); w.p.Data(1.1, 1, []byte("HI\r\n\r\n")) }, control.Broken},
-		{"answered", func(w *peer) { w.p.Dialed(1, 1, nil); w.p.Data(1.1, 1, []byte(okText)) }, control.Handled},
+			w.p.OnDialed(1, 1, nil)
+			w.p.OnData(1.1, 1, []byte(okText[:30]))
+			w.p.OnClosed(1.2, 1)
+		}, control.ConnectionLost},
+		{"an answer that can't be read", func(w *peer) { w.p.OnDialed(1, 1, nil); w.p.OnData(1.1, 1, []byte("HI\r\n\r\n")) }, control.ConnectionLost},
+		{"answered", func(w *peer) { w.p.OnDialed(1, 1, nil); w.p.OnData(1.1, 1, []byte(okText)) }, control.Succeeded},
 		{"answered by closing", func(w *peer) {
-			w.p.Dialed(1, 1, nil)
-			w.p.Data(1.1, 1, []byte("HTTP/1.1 200 OK\r\n\r\nhi"))
-			w.p.Closed(1.2, 1)
-		}, control.Handled},
+			w.p.OnDialed(1, 1, nil)
+			w.p.OnData(1.1, 1, []byte("HTTP/1.1 200 OK\r\n\r\nhi"))
+			w.p.OnClosed(1.2, 1)
+		}, control.Succeeded},
 		{"missed", func(w *peer) {
-			w.p.Dialed(1, 1, nil)
-			w.p.Data(1, 1, []byte("HTTP/1.1 404 N\r\nContent-Length: 0\r\n\r\n"))
-		}, control.Missed},
+			w.p.OnDialed(1, 1, nil)
+			w.p.OnData(1, 1, []byte("HTTP/1.1 404 N\r\nContent-Length: 0\r\n\r\n"))
+		}, control.ReplicaMissing},
 	} {
 		w := newPeer(t)
 		w.launch(1, 7)
@@ -173,7 +177,7 @@
 		if got := w.ends[7]; len(got) != 1 || got[0] != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
-		w.p.Closed(2, 1)
+		w.p.OnClosed(2, 1)
 		w.p.Flush()
 		if len(w.ends[7]) != 1 {
 			t.Errorf("%s: ended %d times", c.name, len(w.ends[7]))
@@ -187,12 +191,12 @@
 func TestConnectionsAreKeptAndBounded(t *testing.T) {
 	w := newPeer(t)
 	w.launch(1, 1)
-	w.p.Dialed(1, 1, nil)
+	w.p.OnDialed(1, 1, nil)
 	if got := string(w.written[1]); !strings.HasPrefix(got, "POST /v2/models/a%2Fb/infer HTTP/1.1\r\nHost: h:1\r\nVia: 1.1 front\r\n") ||
 		!strings.HasSuffix(got, "Request-Timeout: 2.000\r\n\r\nx") {
 		t.Fatalf("%q", got)
 	}
-	w.p.Data(1.1, 1, []byte(okText))
+	w.p.OnData(1.1, 1, []byte(okText))
 	w.launch(2, 2) // over the same connection
 	w.launch(2, 3)
 	w.launch(2, 4) // over the bound
@@ -204,14 +208,14 @@
 	if !w.closed[1] {
 		t.Fatal("an abandoned launch holds its connection")
 	}
-	w.p.Data(2.6, 1, []byte(okText))
+	w.p.OnData(2.6, 1, []byte(okText))
 	w.p.Abandon(2.5, 3) // while dialing: the connection comes up idle
-	w.p.Dialed(2.7, 2, nil)
+	w.p.OnDialed(2.7, 2, nil)
 	if len(w.written[2]) != 0 || len(w.ends[2])+len(w.ends[3]) != 0 {
 		t.Fatal("an abandoned launch went out, or ended")
 	}
 	w.p.Tick(13)
-	if !w.closed[2] || w.p.Conns() != 0 {
+	if !w.closed[2] || w.p.Len() != 0 {
 		t.Fatal("an idle connection is kept for good")
 	}
 }
@@ -227,19 +231,19 @@
 			`[{"targets":["h:3"],"labels":{"instance":"h:1"}}]`, `[]`}
 		for range 200 {
 			now += rng.Float64() * 0.1
-			c := Conn(rng.IntN(len(w.dials)+1) + 1)
+			c := ConnID(rng.IntN(len(w.dials)+1) + 1)
 			switch rng.IntN(9) {
 			case 0, 1, 2:
 				job++
 				w.launch(now, job)
 			case 3:
-				w.p.Dialed(now, c, nil)
+				w.p.OnDialed(now, c, nil)
 			case 4:
-				w.p.Dialed(now, c, errors.New("refused"))
+				w.p.OnDialed(now, c, errors.New("refused"))
 			case 5:
-				w.p.Data(now, c, []byte(okText)[:rng.IntN(len(okText)+1)])
+				w.p.OnData(now, c, []byte(okText)[:rng.IntN(len(okText)+1)])
 			case 6:
-				w.p.Closed(now, c)
+				w.p.OnClosed(now, c)
 			case 7:
 				if job > 0 {
 					j := rng.Uint64N(job) + 1
@@ -247,8 +251,8 @@
 					w.p.Abandon(now, j)
 				}
 			case 8:
-				l, _ := ReadList([]byte(lists[rng.IntN(len(lists))]), 0)
-				w.p.List(l)
+				l, _ := ParseEndpointList([]byte(lists[rng.IntN(len(lists))]), 0)
+				w.p.SetEndpoints(l)
 				w.p.Tick(now)
 			}
 			w.p.Flush()
@@ -263,8 +267,8 @@
 				t.Fatalf("seed %d: job %d ended %d times, abandoned %v", seed, j, n, left[j])
 			}
 		}
-		if w.p.Conns() != 0 {
-			t.Fatalf("seed %d: %d connections left", seed, w.p.Conns())
+		if w.p.Len() != 0 {
+			t.Fatalf("seed %d: %d connections left", seed, w.p.Len())
 		}
 	}
 }
@@ -279,14 +283,14 @@
 		for i := range got {
 			w := newPeer(t)
 			w.launch(1, 1)
-			w.p.Dialed(1, 1, nil)
+			w.p.OnDialed(1, 1, nil)
 			if i == 1 {
-				w.p.Data(1, 1, data[:cut])
-				w.p.Data(1, 1, data[cut:])
+				w.p.OnData(1, 1, data[:cut])
+				w.p.OnData(1, 1, data[cut:])
 			} else {
-				w.p.Data(1, 1, data)
+				w.p.OnData(1, 1, data)
 			}
-			w.p.Closed(2, 1)
+			w.p.OnClosed(2, 1)
 			if len(w.ends[1]) != 1 {
 				t.Fatalf("ended %d times", len(w.ends[1]))
 			}
