--- /dev/null
+++ b/cmd/streamcleat/architecture_test.go
@@ -0,0 +1,116 @@
+package main
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+)
+
+// declaredNames collects "package.Name" and "package.Type.Member" of every package below root, tests excluded.
+func declaredNames(t *testing.T, root string) map[string]bool {
+	t.Helper()
+	names := map[string]bool{}
+	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
+		if err != nil || entry.IsDir() || filepath.Ext(path) != ".go" || strings.HasSuffix(path, "_test.go") {
+			return err
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
+		if err != nil {
+			return err
+		}
+		for _, declaration := range file.Decls {
+			addDeclaration(names, file.Name.Name, declaration)
+		}
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return names
+}
+
+func addDeclaration(names map[string]bool, pkg string, declaration ast.Decl) {
+	names[pkg] = true
+	switch d := declaration.(type) {
+	case *ast.FuncDecl:
+		names[pkg+"."+receiverPrefix(d)+d.Name.Name] = true
+	case *ast.GenDecl:
+		for _, spec := range d.Specs {
+			if s, ok := spec.(*ast.TypeSpec); ok {
+				names[pkg+"."+s.Name.Name] = true
+				addInterfaceMethods(names, pkg+"."+s.Name.Name, s.Type)
+			}
+		}
+	}
+}
+
+// receiverPrefix is "Type." for a method and "" for a function.
+func receiverPrefix(d *ast.FuncDecl) string {
+	if d.Recv == nil {
+		return ""
+	}
+	expression := d.Recv.List[0].Type
+	if pointer, ok := expression.(*ast.StarExpr); ok {
+		expression = pointer.X
+	}
+	if generic, ok := expression.(*ast.IndexExpr); ok {
+		expression = generic.X
+	}
+	identifier, ok := expression.(*ast.Ident)
+	if !ok {
+		return ""
+	}
+	return identifier.Name + "."
+}
+
+func addInterfaceMethods(names map[string]bool, typeName string, expression ast.Expr) {
+	contract, ok := expression.(*ast.InterfaceType)
+	if !ok {
+		return
+	}
+	for _, method := range contract.Methods.List {
+		for _, name := range method.Names {
+			names[typeName+"."+name.Name] = true
+		}
+	}
+}
+
+// Every path and every function, method and type named on the architecture page exists.
+func TestArchitecturePageNamesRealCode(t *testing.T) {
+	const root = "../.."
+	page, err := os.ReadFile(filepath.Join(root, "docs", "architecture.md"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	names := declaredNames(t, filepath.Join(root, "internal"))
+	for name := range declaredNames(t, filepath.Join(root, "control")) {
+		names[name] = true
+	}
+	path := regexp.MustCompile(`^(internal|cmd|control|docs|deploy)(/[a-z0-9_./-]*)?$`)
+	qualified := regexp.MustCompile(`^[a-z][a-z0-9]*(\.[A-Z][A-Za-z0-9]*){1,2}$`)
+	checked := 0
+	for _, match := range regexp.MustCompile("`([^`\n]+)`").FindAllSubmatch(page, -1) {
+		token := string(match[1])
+		switch {
+		case path.MatchString(token):
+			checked++
+			if _, err := os.Stat(filepath.Join(root, token)); err != nil {
+				t.Errorf("`%s`: %v", token, err)
+			}
+		case qualified.MatchString(token):
+			checked++
+			if !names[token] {
+				t.Errorf("`%s`: no such declaration", token)
+			}
+		}
+	}
+	if checked < 60 {
+		t.Errorf("only %d names were checked: has the page changed its form?", checked)
+	}
+}
