--- a/control/endpoint_index.go
+++ b/control/endpoint_index.go
@@ -5,12 +5,6 @@
 // This file holds the list of workers: their dense index, the lookups by id and digest, and the reuse of
 // slots. Slots are used again so that the list does not grow with each worker that comes and goes.
 
-// workerDigestMask selects the bits of a worker's hash that gossip messages carry.
-const workerDigestMask = 0xfff
-
-// minWorkerWeight is the lower bound of the weights in endpoint updates, against division by zero.
-const minWorkerWeight = 0.01
-
 // addWorker makes the state of a worker that is not in the index.
 func (r *Router) addWorker(id WorkerID) *worker {
 	w := r.freeWorker()
--- a/control/golden_adapter_test.go
+++ b/control/golden_adapter_test.go
@@ -39,9 +39,9 @@
 	return d
 }
 
-func requestOf(q simulatedRequest) Request {
-	return Request{ID: RequestID(q.id), Class: q.kind, Tenant: "tenant", Function: FunctionID(q.function),
-		TimeLeft: q.limit, Concurrency: q.lanes, LoadTime: q.loadTime, Retried: q.retried}
+func requestOf(req simulatedRequest) Request {
+	return Request{ID: RequestID(req.id), Class: req.kind, Tenant: "tenant", Function: FunctionID(req.function),
+		TimeLeft: req.limit, Concurrency: req.lanes, LoadTime: req.loadTime, Retried: req.retried}
 }
 
 func (a *adapter) workers(now float64, full, first bool, list []simulatedWorker) {
@@ -53,18 +53,18 @@
 	a.router.OnEndpointUpdate(now, full, first, workers)
 }
 
-func (a *adapter) listFailed(now float64)                  { a.router.OnEndpointPollFailed(now) }
-func (a *adapter) request(now float64, q simulatedRequest) { a.router.OnRequest(now, requestOf(q)) }
-func (a *adapter) hungUp(now float64, id string)           { a.router.OnCancel(now, RequestID(id)) }
-func (a *adapter) timer(now float64, mark uint64)          { a.router.OnTimer(now, mark) }
-func (a *adapter) heard(now float64, message []byte)       { a.router.OnGossip(now, message) }
+func (a *adapter) listFailed(now float64)                    { a.router.OnEndpointPollFailed(now) }
+func (a *adapter) request(now float64, req simulatedRequest) { a.router.OnRequest(now, requestOf(req)) }
+func (a *adapter) hungUp(now float64, id string)             { a.router.OnCancel(now, RequestID(id)) }
+func (a *adapter) timer(now float64, mark uint64)            { a.router.OnTimer(now, mark) }
+func (a *adapter) heard(now float64, message []byte)         { a.router.OnGossip(now, message) }
 
-func (a *adapter) preload(now float64, q simulatedRequest) bool {
-	return a.router.Preload(now, requestOf(q))
+func (a *adapter) preload(now float64, req simulatedRequest) bool {
+	return a.router.Preload(now, requestOf(req))
 }
 
-func (a *adapter) recall(now float64, q simulatedRequest, worker string, age float64) {
-	a.router.RestoreReplica(now, requestOf(q), WorkerID(worker), age)
+func (a *adapter) recall(now float64, req simulatedRequest, worker string, age float64) {
+	a.router.RestoreReplica(now, requestOf(req), WorkerID(worker), age)
 }
 
 func (a *adapter) attemptEnded(now float64, e ended) {
--- a/control/golden_fleet_test.go
+++ b/control/golden_fleet_test.go
@@ -2,9 +2,6 @@
 
 import (
 	"container/heap"
-	"encoding/hex"
-	"fmt"
-	"slices"
 	"strconv"
 )
 
@@ -117,7 +114,7 @@
 	churn                 float64   // drains, crashes, restarts and joins a second
 	hangUps, retried, hot float64   // shares of the requests
 	preloads              float64   // preloads a second
-	recalls               int       // copies recalled by each router at the start
+	recalls               int       // replicas restored by each router at the start
 	reports               float64   // share of the answers with a load report
 	slowStore             float64   // factor on load times in the middle third
 	always                condition // the single trouble, well for all
@@ -162,44 +159,6 @@
 	return last
 }
 
-// condition is what is wrong with a worker.
-type condition int
-
-const (
-	well condition = iota
-	silent
-	failing
-	refusing
-	cutOff
-	disconnecting
-	unsending
-	slowed
-	notLoading
-	conditions
-)
-
-type node struct {
-	simulatedWorker
-	condition condition
-	freeAt    []float64          // of each core
-	readyAt   map[string]float64 // when a copy of a function stands
-}
-
-type pending struct {
-	simulatedRequest
-	attempts           int
-	sentAt             float64
-	worker             *node
-	inFlight, answered bool
-}
-
-type front struct {
-	fleet    *fleet
-	number   int
-	router   *adapter
-	requests map[string]*pending
-}
-
 type fleet struct {
 	*scenario
 	random   random
@@ -250,7 +209,7 @@
 func (w *fleet) run() []byte {
 	for _, f := range w.fronts {
 		f.router.workers(w.now, true, true, w.list())
-		w.recallCopies(f)
+		w.restoreReplicas(f)
 	}
 	w.repeatedly(w.requestGap, w.sendRequest)
 	w.repeatedly(w.gapOf(w.trouble), w.changeCondition)
@@ -327,49 +286,49 @@
 	}
 }
 
-func (w *fleet) recallCopies(f *front) {
+func (w *fleet) restoreReplicas(f *front) {
 	for range w.recalls {
-		n, q := w.nodes[w.random.below(len(w.nodes))], w.newRequest()
+		n, req := w.nodes[w.random.below(len(w.nodes))], w.newRequest()
 		if w.random.happens(0.8) {
-			n.readyAt[q.function] = w.now
+			n.readyAt[req.function] = w.now
 		}
-		f.router.recall(w.now, q, n.id, w.random.part()*w.keepWarm*1.3)
+		f.router.recall(w.now, req, n.id, w.random.part()*w.keepWarm*1.3)
 	}
 }
 
 func (w *fleet) newRequest() simulatedRequest {
 	w.requests++
 	kind := requestTypes[w.random.below(len(requestTypes))]
-	q := simulatedRequest{id: "q" + strconv.Itoa(w.requests), kind: kind.name, retried: w.random.happens(w.retried)}
-	q.limit = kind.limit * max(w.random.part(), 0.02)
+	req := simulatedRequest{id: "q" + strconv.Itoa(w.requests), kind: kind.name, retried: w.random.happens(w.retried)}
+	req.limit = kind.limit * max(w.random.part(), 0.02)
 	if w.only != "" {
-		q.kind = w.only
+		req.kind = w.only
 	} else if w.random.happens(0.02) {
-		q.kind = "unstated"
+		req.kind = "unstated"
 	}
 	number := w.random.below(1 + w.random.below(w.functions))
 	if w.random.happens(w.hot) {
 		number = 0
 	}
-	q.function, q.lanes = "f"+strconv.Itoa(number), number%4
+	req.function, req.lanes = "f"+strconv.Itoa(number), number%4
 	if w.loadTold {
-		q.loadTime = w.loadTime
+		req.loadTime = w.loadTime
 	}
-	return q
+	return req
 }
 
 func (w *fleet) sendRequest() {
-	f, q := w.fronts[w.random.below(len(w.fronts))], w.newRequest()
-	f.requests[q.id] = &pending{simulatedRequest: q}
+	f, req := w.fronts[w.random.below(len(w.fronts))], w.newRequest()
+	f.requests[req.id] = &pending{simulatedRequest: req}
 	if w.random.happens(w.hangUps) {
-		w.after(w.random.skewed(w.serviceTime), func() { f.hangUp(q.id) })
+		w.after(w.random.skewed(w.serviceTime), func() { f.hangUp(req.id) })
 	}
-	f.router.request(w.now, q)
+	f.router.request(w.now, req)
 }
 
 func (w *fleet) sendPreload() {
-	f, q := w.fronts[w.random.below(len(w.fronts))], w.newRequest()
-	f.line("preload", q.function, strconv.FormatBool(f.router.preload(w.now, q)))
+	f, req := w.fronts[w.random.below(len(w.fronts))], w.newRequest()
+	f.line("preload", req.function, strconv.FormatBool(f.router.preload(w.now, req)))
 }
 
 func (w *fleet) changeCondition() {
@@ -421,201 +380,3 @@
 		})
 	}
 }
-
-func (f *front) hangUp(id string) {
-	q := f.requests[id]
-	if q.answered {
-		return
-	}
-	q.answered = true
-	f.router.hungUp(f.fleet.now, id)
-	if attempt := q.attempts; q.inFlight && f.fleet.random.happens(0.7) {
-		f.fleet.after(0.002, func() { f.end(q, attempt, cancelled, startUnknown) })
-	}
-}
-
-// attempt is a call of the router: it is logged, and its end is scheduled.
-func (f *front) attempt(id, worker string, limit float64) {
-	w, q, n := f.fleet, f.requests[id], f.fleet.node(worker)
-	f.line("attempt", id, worker, number(limit))
-	q.attempts++
-	q.inFlight, q.sentAt, q.worker = true, w.now, n
-	result, span, how := w.serve(n, q.function)
-	if span > limit {
-		result, span = timedOut, max(limit, 0)
-	}
-	attempt := q.attempts
-	w.after(span, func() { f.end(q, attempt, result, how) })
-}
-
-func (f *front) end(q *pending, attempt int, result outcome, how start) {
-	if !q.inFlight || q.attempts != attempt {
-		return
-	}
-	w, n := f.fleet, q.worker
-	q.inFlight = false
-	if result == succeeded || result == failed && w.random.happens(0.3) {
-		q.answered = true
-	}
-	e := ended{id: q.id, worker: n.id, attempt: attempt - 1, outcome: result, settled: q.answered,
-		took: w.now - q.sentAt, start: how}
-	if e.reported = result < cancelled && w.random.happens(w.reports); e.reported {
-		e.running, e.waiting = n.utilization(w.now)
-	}
-	f.router.attemptEnded(w.now, e)
-	if w.random.happens(0.01) { // the same ending once more, which must be passed over
-		w.after(0.001, func() { f.repeatEnding(q, e) })
-	}
-}
-
-func (f *front) repeatEnding(q *pending, e ended) {
-	if !q.inFlight {
-		f.router.attemptEnded(f.fleet.now, e)
-	}
-}
-
-func (n *node) utilization(now float64) (running, waiting float64) {
-	for _, at := range n.freeAt {
-		if at > now {
-			running++
-			waiting += float64(int((at - now) * 10))
-		}
-	}
-	return running, waiting
-}
-
-var conditionResults = map[condition]outcome{silent: timedOut, failing: failed, refusing: refused,
-	cutOff: unreachable, disconnecting: disconnected, unsending: unsent}
-
-// serve tells how and when an attempt on a worker ends.
-func (w *fleet) serve(n *node, function string) (outcome, float64, start) {
-	if result, bad := conditionResults[n.condition]; bad {
-		if result == timedOut {
-			return result, 1e9, startUnknown
-		}
-		return result, 0.01 + w.random.skewed(0.02), startUnknown
-	}
-	if n.state == stateGone {
-		return unreachable, 0.05, startUnknown
-	}
-	ready, stands := n.readyAt[function]
-	if !stands && w.reportsMissing {
-		return missing, 0.01, startUnknown
-	}
-	how := startWarm
-	if !stands {
-		if n.condition == notLoading {
-			return failed, 0.1, startFailed
-		}
-		ready, how = w.now+w.loadSpan(), startCold
-		n.readyAt[function] = ready
-	} else if ready > w.now {
-		how = startJoined
-	}
-	if how == startWarm && w.random.happens(0.2) {
-		how = startUnknown
-	}
-	return succeeded, w.occupy(n, ready) - w.now, how
-}
-
-// occupy takes the first free core and gives the time at which the answer comes.
-func (w *fleet) occupy(n *node, ready float64) float64 {
-	core := 0
-	for i, at := range n.freeAt {
-		if at < n.freeAt[core] {
-			core = i
-		}
-	}
-	span := w.random.skewed(w.serviceTime)
-	if n.condition == slowed {
-		span *= 6
-	}
-	n.freeAt[core] = max(n.freeAt[core], ready, w.now) + span
-	return n.freeAt[core] + 0.005
-}
-
-func (w *fleet) loadSpan() float64 {
-	span := w.loadTime * (0.7 + w.random.part())
-	if gone := (w.now - startOfDay) / w.length; w.slowStore > 0 && gone > 0.33 && gone < 0.67 {
-		span *= w.slowStore
-	}
-	return span
-}
-
-// load is a call of the router: an order of a copy, which ends in each of the possible ways.
-func (f *front) load(worker, function string, copies int) {
-	f.line("load", worker, function, strconv.Itoa(copies))
-	w, n := f.fleet, f.fleet.node(worker)
-	span, result := w.loadSpan(), succeeded
-	ready, stands := n.readyAt[function]
-	switch bad, is := conditionResults[n.condition]; {
-	case n.condition == silent:
-		return
-	case n.state == stateGone:
-		span, result = 0.05, unreachable
-	case is:
-		span, result = 0.02, bad
-	case n.condition == notLoading:
-		span, result, copies = 0.1, []outcome{failed, timedOut, missing, refused}[w.random.below(4)], 0
-	case stands:
-		span = max(ready-w.now, 0.004)
-	default:
-		n.readyAt[function] = w.now + span
-	}
-	if result != succeeded {
-		copies = 0
-	}
-	w.after(span, func() { f.router.loadEnded(w.now, worker, function, result, copies, span) })
-}
-
-func (f *front) reject(id string, pause float64) {
-	f.line("reject", id, number(pause))
-	f.requests[id].answered = true
-}
-
-func (f *front) fail(id string) {
-	f.line("fail", id)
-	f.requests[id].answered = true
-}
-
-// broadcast passes a message on to the other routers; some are lost, some come garbled.
-func (f *front) broadcast(message []byte) {
-	f.line("broadcast", hex.EncodeToString(message))
-	w := f.fleet
-	for _, other := range w.fronts {
-		if other == f || w.random.happens(0.1) {
-			continue
-		}
-		copied := slices.Clone(message)
-		if w.random.happens(0.02) {
-			copied = copied[:w.random.below(len(copied))]
-		} else if w.random.happens(0.02) {
-			copied[w.random.below(len(copied))] ^= byte(1 + w.random.below(255))
-		}
-		w.after(w.random.part()/20, func() { other.router.heard(w.now, copied) })
-	}
-}
-
-func (f *front) wake(after float64, mark uint64) {
-	f.line("wake", number(after), strconv.FormatUint(mark, 10))
-	f.fleet.after(max(after, 0.001), func() { f.router.timer(f.fleet.now, mark) })
-}
-
-func (f *front) resubscribe() {
-	f.line("resubscribe")
-	f.fleet.after(0.05, func() { f.router.workers(f.fleet.now, true, false, f.fleet.list()) })
-}
-
-// number shows a float exactly, so that its last digit counts.
-func number(x float64) string { return strconv.FormatFloat(x, 'g', -1, 64) }
-
-// line logs one call with its time and its front end.
-func (f *front) line(word string, arguments ...string) {
-	w := f.fleet
-	w.log = fmt.Append(w.log, number(w.now), " r", f.number, " ", word)
-	for _, a := range arguments {
-		w.log = append(append(w.log, ' '), a...)
-	}
-	w.log = append(w.log, '\n')
-	w.lines++
-}
--- a/control/outlier_ejection_test.go
+++ b/control/outlier_ejection_test.go
@@ -75,3 +75,81 @@
 		})
 	}
 }
+
+// TestEjectionOfSlowWorker checks the evidence for an ejection and the fraction of ejected workers that it keeps,
+// at their bounds.
+func TestEjectionOfSlowWorker(t *testing.T) {
+	for _, c := range []struct {
+		name          string
+		slowFor, age  float64 // of the slow answers on each function, and since the last of them
+		functions     int
+		workers       int
+		ejectedOthers int
+		ejects        bool
+	}{
+		{"slow for the whole span", 1, 0.5, 2, 20, 0, true},
+		{"slow for less", 0.999, 0.5, 2, 20, 0, false},
+		{"answers just current", 1, 0.999, 2, 20, 0, true},
+		{"answers at the bound of age", 1, 1, 2, 20, 0, false},
+		{"one function", 1, 0.5, 1, 20, 0, false},
+		{"a twentieth ejected", 1, 0.5, 2, 20, 1, false},
+		{"just less than a twentieth ejected", 1, 0.5, 2, 21, 1, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			r := newWorld(1, plainDeployment(), c.workers).frontEnds[0].router
+			r.now = 128 // with the figures below exact in binary
+			w := r.workers[0]
+			for i := range c.functions {
+				fn := r.functionOf(Request{Function: FunctionID(fmt.Sprint("f", i))})
+				rep := fn.ensureReplica(w)
+				rep.lastLatencyAt = r.now - c.age
+				rep.slowSince = rep.lastLatencyAt - c.slowFor
+			}
+			for _, other := range r.workers[1 : 1+c.ejectedOthers] {
+				other.ejectedUntil = r.now + 1
+			}
+			if got := r.ejectSlowWorker(w); got != c.ejects || (w.ejectedUntil > r.now) != c.ejects {
+				t.Errorf("ejected %v, until %g", got, w.ejectedUntil)
+			}
+		})
+	}
+}
+
+// TestSlownessLapsesAtItsBounds checks that a latency of the age of the span, and one equal to the expected latency,
+// do not make a replica slow.
+func TestSlownessLapsesAtItsBounds(t *testing.T) {
+	r := newWorld(1, plainDeployment(), 1).frontEnds[0].router
+	r.now = 128
+	fn := r.functionOf(Request{Function: "f"})
+	rep := fn.ensureReplica(r.workers[0])
+	for _, c := range []struct {
+		age, recentLatency float64
+		slow               bool
+	}{{0.5, 1.5, true}, {1, 1.5, false}, {0.5, 1, false}} {
+		fn.medianLatency = 0.5
+		rep.inFlight, rep.lastLatencyAt, rep.recentLatency = 1, r.now-c.age, c.recentLatency
+		if got := r.isSlow(fn, rep); got != c.slow {
+			t.Errorf("%+v: slow %v", c, got)
+		}
+	}
+}
+
+// TestRestartForgetsLatencies checks that a worker's new process starts without the latencies of the old one.
+func TestRestartForgetsLatencies(t *testing.T) {
+	w := newWorld(1, plainDeployment(), 2)
+	f := w.frontEnds[0]
+	fn := f.router.functionOf(Request{Function: "f"})
+	for _, worker := range f.router.workers {
+		rep := fn.ensureReplica(worker)
+		rep.warm, rep.recentLatency, rep.slowSince = true, 2, 100
+	}
+	w.machines[0].restart(w.now)
+	f.announce(false)
+	restarted, other := fn.replicaOn(f.router.workers[0]), fn.replicaOn(f.router.workers[1])
+	if restarted.warm || restarted.recentLatency != 0 || restarted.slowSince != 0 {
+		t.Errorf("the restarted worker keeps %+v", *restarted)
+	}
+	if !other.warm || other.recentLatency != 2 || other.slowSince != 100 {
+		t.Errorf("the other worker has %+v", *other)
+	}
+}
--- a/control/random.go
+++ b/control/random.go
@@ -9,8 +9,7 @@
 	fractionSteps = 1 << 20
 )
 
-// multiplyWithCarry is a random number generator of that name, by Marsaglia. One seed always gives one
-// sequence.
+// multiplyWithCarry is Marsaglia's generator of that name. One seed always gives one sequence.
 type multiplyWithCarry struct{ value, carry uint32 }
 
 func newMultiplyWithCarry(seed uint64) multiplyWithCarry {
--- a/control/replica_selection.go
+++ b/control/replica_selection.go
@@ -17,6 +17,7 @@
 	concurrencyHeadroom     = 2.0   // with gossip: concurrency for each request that runs, against waiting
 	lowLatencyStep          = 0.005 // relative step of the latency that the quickest fifth stay under
 	rateAveragingSeconds    = 3.0   // span over which rates of answers are averaged
+	minWorkerWeight         = 0.01  // lower bound of told weights, against division by zero
 )
 
 // sendToWarmReplica is the ordinary rule: a request goes to the least-loaded warm replica that is not
--- a/control/state.go
+++ b/control/state.go
@@ -1,16 +1,12 @@
 package control
 
-import (
-	"hash/fnv"
-	"slices"
-)
+import "slices"
 
 // This file holds the types of the state and the bookkeeping on them. It takes no decision: these are in the
 // files that deploy/balancer.toml lists as policy.
 
 // Router decides for one front end where each request runs, which replicas are loaded and which requests are
-// rejected. It keeps its own view of the fleet and starts no goroutine; its methods must not run
-// concurrently.
+// rejected. It keeps its own view of the fleet. Its methods must not run concurrently.
 type Router struct {
 	deployment *Deployment
 	host       Host
@@ -311,8 +307,7 @@
 	})
 }
 
-// updateMeanLoads takes the means once for each time; the load of a worker uses the mean of the reported
-// loads.
+// updateMeanLoads takes the means once for each time. The load of a worker uses the mean reported load.
 func (r *Router) updateMeanLoads() {
 	if r.meansAt == r.now {
 		return
@@ -326,22 +321,3 @@
 
 // perFrontEnd is a front end's part of a figure of the whole fleet.
 func (r *Router) perFrontEnd(total float64) float64 { return total / float64(r.deployment.FrontEnds) }
-
-// digest is the short form of the function's hash in gossip messages.
-func (fn *function) digest() uint16 { return uint16(fn.hash) }
-
-// digest is the short form of the worker's hash in gossip messages.
-func (w *worker) digest() uint32 { return uint32(w.hash & workerDigestMask) }
-
-func hashOf(text string) uint64 {
-	sum := fnv.New64a()
-	sum.Write([]byte(text))
-	return sum.Sum64()
-}
-
-// mixHash spreads the differences of two hashes over all bits, with the multipliers of MurmurHash3's
-// finalizer.
-func mixHash(hash uint64) uint64 {
-	hash = (hash ^ hash>>33) * 0xff51afd7ed558ccd
-	return (hash ^ hash>>33) * 0xc4ceb9fe1a85ec53
-}
--- a/control/types.go
+++ b/control/types.go
@@ -127,10 +127,10 @@
 	TimedOut               // no answer in time
 	ConnectionLost         // the connection broke before the answer
 	Cancelled
-	Rejected               // the worker refused it
-	Unreachable            // no connection could be made
-	NotSent                // the attempt was not begun
-	ReplicaMissing         // the worker has no replica and loads none by itself
+	Rejected       // the worker refused it
+	Unreachable    // no connection could be made
+	NotSent        // the attempt was not begun
+	ReplicaMissing // the worker has no replica and loads none by itself
 )
 
 // StartType is how an attempt met its replica.
