--- a/control/admission.go
+++ b/control/admission.go
@@ -6,6 +6,7 @@
 	admissionDecreaseFactor = 0.92 // after an answer past the latency objective or a rejection
 	admissionIncrease       = 0.04 // after another; half as much, to fall only while over a third are late
 	maxAdmissionProbability = 1.4  // a reserve above 1, so that single late answers reject nobody
+	retryAfterFraction      = 0.5  // of the longest time that a rejected client waits
 )
 
 // rejectUnservable is the rule for a request that no attempt can help: its time or attempts are used up, or
@@ -48,7 +49,7 @@
 // retry by the client is proven harmless the request is rejected with a retry time, otherwise it fails.
 func (r *Router) reject(req *request) bool {
 	if r.isRetryHarmless(req) {
-		r.host.Reject(req.ID, r.deployment.MaxRetryAfter/2)
+		r.host.Reject(req.ID, retryAfterFraction*r.deployment.MaxRetryAfter)
 	} else {
 		r.host.Fail(req.ID)
 	}
--- a/control/concurrency_limit.go
+++ b/control/concurrency_limit.go
@@ -6,6 +6,7 @@
 	initialConcurrencyLimit = 12.0 // requests in flight on a worker at first, divided among the front ends
 	minConcurrencyLimit     = 1.0  // so that the recovery of a worker is seen
 	limitIncrease           = 0.3  // for an early answer while the limit is used, divided likewise
+	usedLimitFraction       = 0.5  // of the limit, above which requests in flight use it
 	limitDecreaseFactor     = 0.75 // kept after a late answer
 	earlyLatencyFraction    = 0.5  // of the latency objective, below which an answer is early
 	lateLatencyFraction     = 0.6  // of the latency objective, above which an answer is late
@@ -31,7 +32,7 @@
 	case late && inFlight > 1 && req.sentAt > w.limitDecreasedAt:
 		w.concurrencyLimit = max(min(w.concurrencyLimit, inFlight)*limitDecreaseFactor, minConcurrencyLimit)
 		w.limitDecreasedAt = r.now
-	case early && inFlight > w.concurrencyLimit/2:
+	case early && inFlight > usedLimitFraction*w.concurrencyLimit:
 		w.concurrencyLimit += r.perFrontEnd(limitIncrease)
 	}
 }
--- a/control/endpoint_index.go
+++ b/control/endpoint_index.go
@@ -42,6 +42,17 @@
 	w.startedAt = endpoint.StartedAt
 }
 
+// resetRestarted forgets what does not hold for a new process: its replicas, limits and ejection.
+func (r *Router) resetRestarted(w *worker) {
+	for _, fn := range r.functions {
+		if rep := fn.replicaOn(w); rep != nil {
+			rep.markRestarted()
+		}
+	}
+	w.resetLimits(r.initialLimit())
+	w.slowStartCredits = r.random.fraction()
+}
+
 // removeFromIndex drops the lookups and the replicas of the worker that had the slot.
 func (r *Router) removeFromIndex(w *worker) {
 	delete(r.workersByID, w.id)
--- a/control/gossip.go
+++ b/control/gossip.go
@@ -9,6 +9,7 @@
 	maxGossipBytesPerAnswer  = 150.0 // received by all front ends together; the bound of the sample
 	gossipLatencyStepSeconds = 0.15  // unit of the latency in a message
 	maxGossipLatencySteps    = 15    // highest latency in a message, which has four bits for it
+	maxSavedMessages         = 2.0   // messages for which answers are saved up
 	reportedLoadSeconds      = 2.0   // span over which the load told of a worker is averaged
 )
 
@@ -27,7 +28,7 @@
 // broadcastAnswer tells the other front ends of an answer, if it is in the sample.
 func (r *Router) broadcastAnswer(fn *function, w *worker, latency float64) {
 	needed := r.answersPerMessage()
-	r.gossipCredits = min(r.gossipCredits+1, 2*needed)
+	r.gossipCredits = min(r.gossipCredits+1, maxSavedMessages*needed)
 	if !r.deployment.GossipAllowed || r.gossipCredits < needed || r.deployment.FrontEnds < 2 {
 		return
 	}
--- a/control/replica_loading.go
+++ b/control/replica_loading.go
@@ -9,7 +9,9 @@
 	replicaLossWeight       = 0.02  // weight of the newest attempt in that rate
 	loadSlowdownWeight      = 0.2   // weight of the newest load in the load slowdown
 	maxNormalLoadSlowdown   = 1.3   // above it the store is overloaded, and no load skips the pause
+	loadArrivalRounds       = 4.0   // rounds after which a load command has surely arrived
 	lostLoadRatio           = 3.0   // usual load times after which a silent worker lost the load
+	minUsualLoadSeconds     = 1.0   // least usual load time in that, also where none is told
 	noLoadsSeconds          = 0.5   // without loads for a worker that rejected one or was unreachable
 )
 
@@ -94,7 +96,7 @@
 	if w == nil || req.loadWaits >= maxLoadWaits {
 		return false
 	}
-	hasArrived := r.now-fn.loadSentAt > 4*r.deployment.MinRoundInterval
+	hasArrived := r.now-fn.loadSentAt > loadArrivalRounds*r.deployment.MinRoundInterval
 	if hasArrived && r.isEligible(req, w) && r.hasCapacity(w) && w != req.worker {
 		return r.startAttempt(req, w)
 	}
@@ -131,7 +133,7 @@
 			continue
 		}
 		silentFor := r.now - max(fn.loadSentAt, w.lastAnswerAt)
-		isLost := silentFor > lostLoadRatio*max(fn.loadTime, 1)
+		isLost := silentFor > lostLoadRatio*max(fn.loadTime, minUsualLoadSeconds)
 		if isLost {
 			r.eject(w, maxEjectedFraction)
 		}
--- a/control/replica_selection.go
+++ b/control/replica_selection.go
@@ -15,7 +15,9 @@
 	targetReplicasGrowth    = 1.5   // without gossip: factor on the target replicas after a late answer
 	targetReplicasDecay     = 0.93  // without gossip: the same after an early answer
 	concurrencyHeadroom     = 2.0   // with gossip: concurrency for each request that runs, against waiting
-	lowLatencyStep          = 0.005 // relative step of the latency that the quickest fifth stay under
+	lowLatencyStep          = 0.005 // relative step of the low latency, upwards for each answer
+	lowLatencyDownSteps     = 5     // for an answer under it, so that the quickest fifth stay under it
+	lowLatencyFloor         = 0.5   // of such an answer's latency, below which it does not fall
 	rateAveragingSeconds    = 3.0   // span over which rates of answers are averaged
 	minWorkerWeight         = 0.01  // lower bound of told weights, against division by zero
 )
@@ -146,7 +148,8 @@
 func (r *Router) updateLowLatency(result AttemptResult) {
 	r.lowLatency *= 1 + lowLatencyStep
 	if result.Outcome == Succeeded && (result.Latency < r.lowLatency || r.lowLatency == 0) {
-		r.lowLatency = max(r.lowLatency/(1+5*lowLatencyStep), result.Latency/2)
+		floor := lowLatencyFloor * result.Latency
+		r.lowLatency = max(r.lowLatency/(1+lowLatencyDownSteps*lowLatencyStep), floor)
 	}
 }
 
--- a/control/router.go
+++ b/control/router.go
@@ -6,6 +6,7 @@
 	tickSeconds         = 0.25 // interval of the periodic updates
 	pollRetrySeconds    = 2.0  // delay of a new request for the endpoint list after one that failed
 	idleFunctionSeconds = 60.0 // a function without requests for so long is forgotten
+	timerEarlyRounds    = 2.0  // rounds before the deadline from which on a request's timer ends it
 )
 
 // Timers of the router itself; those of requests have higher numbers.
@@ -45,17 +46,6 @@
 	r.applyRules()
 }
 
-// resetRestarted forgets what does not hold for a new process: its replicas, limits and ejection.
-func (r *Router) resetRestarted(w *worker) {
-	for _, fn := range r.functions {
-		if rep := fn.replicaOn(w); rep != nil {
-			rep.markRestarted()
-		}
-	}
-	w.resetLimits(r.initialLimit())
-	w.slowStartCredits = r.random.fraction()
-}
-
 // OnEndpointPollFailed schedules another poll for the endpoint list.
 func (r *Router) OnEndpointPollFailed(_ float64) { r.host.SetTimer(pollRetrySeconds, pollTimer) }
 
@@ -110,7 +100,7 @@
 		r.host.Subscribe()
 	default:
 		req := r.requestsByTimer[timer]
-		if req != nil && !req.inFlight && now >= req.deadline-2*r.deployment.MinRoundInterval {
+		if req != nil && !req.inFlight && now >= req.deadline-timerEarlyRounds*r.deployment.MinRoundInterval {
 			r.reject(req)
 		}
 	}
