--- a/internal/dispatch/check.go
+++ b/internal/dispatch/check.go
@@ -5,107 +5,118 @@
 	"fmt"
 )
 
-// Waiters is how many askers wait for an answer.
-func (c *Dispatcher) Waiters() int { return len(c.asking) }
+// ErrInconsistent is what [Dispatcher.Check] finds: state that contradicts itself.
+var ErrInconsistent = errors.New("dispatcher state is inconsistent")
 
-// Check tells of state that contradicts itself; it is for tests and the simulation. Where full is set it also counts
-// what is kept, which takes time by its number.
-func (c *Dispatcher) Check(full bool) error {
-	var errs []error
-	fault := func(format string, args ...any) { errs = append(errs, fmt.Errorf("core: "+format, args...)) }
-	askers, out := 0, 0
-	for id, e := range c.events {
-		switch {
-		case e.id != id:
-			fault("event %s is kept as %s", e.id, id)
-		case c.open[e.ask.Identity] == nil:
-			fault("event %s is open and not found by its identity", e.ask.Identity)
-		case e.ended && e.out == nil:
-			fault("event %s has ended and is open", e.ask.Identity)
-		case !e.ended && len(e.askers) == 0:
-			fault("event %s is open and nobody asks for it", e.ask.Identity)
-		case !e.ended && c.now > e.due+c.set.ResponseMargin:
-			fault("event %s is open %.3f s past its time", e.ask.Identity, c.now-e.due)
-		}
-		if e.out != nil {
-			out++
-			if c.flying[e.out.job] != e.out || e.out.evt != e {
-				fault("event %s has a launch out that is not known", e.ask.Identity)
-			}
+// inconsistencies collects what a check finds.
+type inconsistencies []error
+
+// addf adds one finding.
+func (f *inconsistencies) addf(format string, args ...any) {
+	*f = append(*f, fmt.Errorf("%w: %s", ErrInconsistent, fmt.Sprintf(format, args...)))
+}
+
+// Waiters is how many waiters have no response yet.
+func (d *Dispatcher) Waiters() int { return len(d.requestByWaiter) }
+
+// Check returns errors, each an [ErrInconsistent], for state that contradicts itself; it is for tests and the
+// simulation. Where full is set it also checks the cache, which takes time by the number of cached responses.
+func (d *Dispatcher) Check(full bool) error {
+	var found inconsistencies
+	waiters, inFlight := 0, 0
+	for id, req := range d.requests {
+		if req.id != id {
+			found.addf("request %s is held as %s", req.id, id)
 		}
-		for _, a := range e.askers {
-			askers++
-			if c.asking[a.to] != e {
-				fault("asker %d of event %s is not known", a.to, e.ask.Identity)
-			}
-			if c.now > a.due+c.set.ResponseMargin {
-				fault("asker %d of event %s waits %.3f s past its time", a.to, e.ask.Identity, c.now-a.due)
-			}
+		d.checkRequest(req, &found)
+		d.checkWaiters(req, &found)
+		waiters += len(req.waiters)
+		if req.attempt != nil {
+			inFlight++
 		}
 	}
-	if askers != len(c.asking) {
-		fault("%d askers are known, %d belong to open events", len(c.asking), askers)
+	if waiters != len(d.requestByWaiter) {
+		found.addf("%d waiters are known, %d belong to open requests", len(d.requestByWaiter), waiters)
 	}
-	if out != len(c.flying) {
-		fault("%d launches are out, %d of open events", len(c.flying), out)
+	if inFlight != len(d.inFlight) {
+		found.addf("%d attempts are in flight, %d of open requests", len(d.inFlight), inFlight)
 	}
-	if len(c.open) != len(c.events) {
-		fault("%d events are open, %d identities", len(c.events), len(c.open))
+	if len(d.openByIdentity) != len(d.requests) {
+		found.addf("%d requests are open, %d identities", len(d.requests), len(d.openByIdentity))
 	}
-	due := map[uint64]bool{}
-	for _, t := range c.clock {
-		if t.kind == launchDue || t.kind == orderDue {
-			due[t.key] = true
-		}
+	d.checkTimers(&found)
+	if full {
+		d.checkLimits(&found)
 	}
-	for job := range c.flying {
-		if !due[job] {
-			fault("launch %d is out without a limit", job)
-		}
-	}
-	for job := range c.orders {
-		if !due[job] {
-			fault("load order %d is out without a limit", job)
-		}
+	return errors.Join(found...)
+}
+
+// checkRequest checks the state of one open request and its attempt.
+func (d *Dispatcher) checkRequest(req *openRequest, found *inconsistencies) {
+	identity := req.request.Identity
+	switch state := req.state(); {
+	case d.openByIdentity[identity] == nil:
+		found.addf("request %s is open and not found by its identity", identity)
+	case state == stateClosed:
+		found.addf("request %s has ended and is open", identity)
+	case !req.released && len(req.waiters) == 0:
+		found.addf("request %s is open and has no waiter", identity)
+	case !req.released && d.now > req.deadline+d.settings.ResponseMargin:
+		found.addf("request %s is open %.3f s past its deadline", identity, d.now-req.deadline)
 	}
-	if !full {
-		return errors.Join(errs...)
+	attempt := req.attempt
+	if attempt != nil && (d.inFlight[attempt.id] != attempt || attempt.request != req) {
+		found.addf("request %s has an attempt in flight that is not known", identity)
 	}
-	weight := 0
-	for id, k := range c.kept {
-		if k.id != id || k.gone {
-			fault("the answer of %s is kept for %s", k.id, id)
+}
+
+// checkWaiters checks the waiters of one open request.
+func (d *Dispatcher) checkWaiters(req *openRequest, found *inconsistencies) {
+	for _, w := range req.waiters {
+		if d.requestByWaiter[w.id] != req {
+			found.addf("waiter %d of request %s is not known", w.id, req.request.Identity)
 		}
-		if !k.bare {
-			weight += k.size()
+		if d.now > w.deadline+d.settings.ResponseMargin {
+			found.addf("waiter %d of request %s waits %.3f s past its deadline", w.id, req.request.Identity, d.now-w.deadline)
 		}
 	}
-	if weight != c.weight || c.weight > c.set.MaxCachedBytes {
-		fault("kept answers hold %d bytes, %d are counted, %d allowed", weight, c.weight, c.set.MaxCachedBytes)
+}
+
+// checkTimers checks that every attempt and load command has a timeout.
+func (d *Dispatcher) checkTimers(found *inconsistencies) {
+	armed := map[uint64]bool{}
+	for _, t := range d.timers {
+		if t.kind == attemptDeadline || t.kind == loadDeadline {
+			armed[t.key] = true
+		}
 	}
-	if len(c.events) > c.set.MaxOpen {
-		fault("%d events are open, %d allowed", len(c.events), c.set.MaxOpen)
+	for id := range d.inFlight {
+		if !armed[id] {
+			found.addf("attempt %d is in flight without a timeout", id)
+		}
+	}
+	for id := range d.pendingLoads {
+		if !armed[id] {
+			found.addf("load command %d is pending without a timeout", id)
+		}
 	}
-	return errors.Join(errs...)
 }
 
-// StoredRecords are the events of which a restart must know that they ran, or how they ended: what was noted as this process
-// has it now.
-func (c *Dispatcher) StoredRecords() map[Identity]Record {
-	list := map[Identity]Record{}
-	for id, k := range c.kept {
-		if k.until > c.now && !k.bare {
-			n := Record{Kind: RecordRequestEnded, Response: k.answer, MayHaveRun: k.mayRun}
-			if k.answer.Cause == CauseRestarted { // it is on disk as the launch that an earlier process noted
-				n.Kind = RecordAttemptStarted
-			}
-			list[id] = n
+// checkLimits checks the cache and the limits on what is open and cached.
+func (d *Dispatcher) checkLimits(found *inconsistencies) {
+	bytes := 0
+	for identity, cached := range d.cache.byIdentity {
+		if cached.identity != identity || cached.superseded {
+			found.addf("the response of %s is cached for %s", cached.identity, identity)
 		}
-	}
-	for _, e := range c.events {
-		if e.noted {
-			list[e.ask.Identity] = Record{Kind: RecordAttemptStarted, Response: c.describe(e, Rejected, CauseAnswered), MayHaveRun: true}
+		if !cached.bodyDropped {
+			bytes += cached.bodySize()
 		}
 	}
-	return list
+	if bytes != d.cache.bodyBytes || bytes > d.cache.maxBodyBytes {
+		found.addf("cached bodies hold %d bytes, %d are counted, %d allowed", bytes, d.cache.bodyBytes, d.cache.maxBodyBytes)
+	}
+	if len(d.requests) > d.settings.MaxOpen {
+		found.addf("%d requests are open, %d allowed", len(d.requests), d.settings.MaxOpen)
+	}
 }
--- /dev/null
+++ b/internal/dispatch/load.go
@@ -0,0 +1,43 @@
+package dispatch
+
+import (
+	"strconv"
+
+	"streamcleat/control"
+)
+
+// pendingLoad is a load command that has no reply yet.
+type pendingLoad struct {
+	worker   control.WorkerID
+	function control.FunctionID
+	sentAt   float64
+}
+
+// startLoad sends a load command to a worker.
+func (d *Dispatcher) startLoad(worker control.WorkerID, function control.FunctionID, replicas int) {
+	id := d.nextID()
+	d.pendingLoads[id] = &pendingLoad{worker: worker, function: function, sentAt: d.now}
+	d.counts.LoadCommands++
+	d.arm(d.settings.LoadTimeout, loadDeadline, id, nil)
+	d.addLoadStep(string(function), string(worker), stepLoadStarted, "")
+	d.effects.SendLoad(LoadCommand{
+		ID:       id,
+		Worker:   worker,
+		Function: string(function),
+		Replicas: replicas,
+		Binding:  d.bindings[string(function)],
+	})
+}
+
+// OnLoadReply tells how a load command ended: replicas is how many the worker holds, 0 where it did not reply.
+func (d *Dispatcher) OnLoadReply(now float64, id uint64, outcome control.Outcome, replicas int) {
+	d.advance(now)
+	load := d.pendingLoads[id]
+	if load == nil {
+		return
+	}
+	delete(d.pendingLoads, id)
+	d.addLoadStep(string(load.function), string(load.worker), stepLoadPrefix+outcomeSteps[outcome],
+		strconv.Itoa(replicas)+" copies stand")
+	d.router.OnLoadResult(d.now, load.worker, load.function, outcome, replicas, d.now-load.sentAt)
+}
--- /dev/null
+++ b/internal/dispatch/memory_test.go
@@ -0,0 +1,75 @@
+package dispatch
+
+import (
+	"fmt"
+	"runtime"
+	"testing"
+
+	"streamcleat/control"
+)
+
+func BenchmarkRequest(b *testing.B) {
+	d, effects := newDiscarding(testSettings())
+	now := startTime
+	b.ReportAllocs()
+	for i := 0; b.Loop(); i++ {
+		now += 0.0005
+		d.Tick(now)
+		d.Submit(now, WaiterID(i+1), Request{Identity: Identity{"/b", fmt.Sprint(i)}, Class: classIdempotent, Function: "f"})
+		if effects.load != 0 {
+			d.OnLoadReply(now, effects.load, control.Succeeded, 1)
+			effects.load = 0
+		}
+		d.OnAttemptReply(now+0.0001, effects.attempt, WorkerReply{Outcome: control.Succeeded, Start: control.WarmStart})
+	}
+}
+
+// A million requests in two hours leave nothing behind but what is cached.
+func TestHeapStaysFlat(t *testing.T) {
+	const requests, firstMeasured = 1_000_000, 200_000
+	settings := testSettings()
+	settings.DeduplicationWindow = 10
+	d, effects := newDiscarding(settings)
+	classes := []string{classIdempotent, classKeyed, classAtMostOnce}
+	now := startTime
+	var before, after uint64
+	for i := range requests {
+		now += 0.007
+		d.Tick(now)
+		d.Submit(now, WaiterID(i+1), Request{
+			Identity: Identity{"/b", fmt.Sprint(i)},
+			Class:    classes[i%3],
+			Function: fmt.Sprint("f", i/1000),
+			Body:     []byte("some body"),
+		})
+		if effects.load != 0 {
+			d.OnLoadReply(now, effects.load, control.Succeeded, 1)
+			effects.load = 0
+		}
+		if effects.attempt != 0 && i%7 > 0 { // one in seven gets no reply
+			d.OnAttemptReply(now+0.0001, effects.attempt, WorkerReply{Outcome: control.Succeeded, Body: []byte("some answer")})
+		}
+		effects.attempt = 0
+		switch i {
+		case firstMeasured:
+			before = heapBytes()
+		case requests - 1:
+			after = heapBytes()
+		}
+	}
+	t.Logf("heap %d KB after 200,000 requests, %d KB after a million", before>>10, after>>10)
+	if after > before+before/4+1<<20 {
+		t.Errorf("heap grew from %d to %d bytes", before, after)
+	}
+	if counts := d.Counts(); counts.Open > 1000 || counts.Cached > 3000 || counts.Timers > 3000 {
+		t.Errorf("%+v", counts)
+	}
+}
+
+// heapBytes is the size of the heap after a collection.
+func heapBytes() uint64 {
+	var stats runtime.MemStats
+	runtime.GC()
+	runtime.ReadMemStats(&stats)
+	return stats.HeapAlloc
+}
--- /dev/null
+++ b/internal/dispatch/routing_host.go
@@ -0,0 +1,49 @@
+package dispatch
+
+import "streamcleat/control"
+
+// routingHost implements [control.Host]: it carries out what the router of a dispatcher decides.
+type routingHost struct{ dispatcher *Dispatcher }
+
+var _ control.Host = routingHost{}
+
+// StartAttempt implements [control.Host].
+func (h routingHost) StartAttempt(id control.RequestID, worker control.WorkerID, timeout float64) {
+	h.dispatcher.startAttempt(h.dispatcher.requests[id], worker, timeout)
+}
+
+// Reject implements [control.Host]. The router sees only this request: where an earlier one of the same identity may
+// have run and a further run is not safe, the request fails instead.
+func (h routingHost) Reject(id control.RequestID, retryAfter float64) {
+	d := h.dispatcher
+	req := d.requests[id]
+	response := d.newResponse(req, Rejected, d.causeOf(req))
+	response.RetryAfter = retryAfter
+	if req.mayHaveRun && (req.class.Semantics == control.AtMostOnce || deduplicationExpired(req.class, req.firstRunAt, d.now)) {
+		response.Kind = Failed
+	}
+	d.complete(req, response)
+}
+
+// Fail implements [control.Host].
+func (h routingHost) Fail(id control.RequestID) {
+	d := h.dispatcher
+	req := d.requests[id]
+	d.complete(req, d.newResponse(req, Failed, d.causeOf(req)))
+}
+
+// LoadReplicas implements [control.Host].
+func (h routingHost) LoadReplicas(worker control.WorkerID, function control.FunctionID, replicas int) {
+	h.dispatcher.startLoad(worker, function, replicas)
+}
+
+// Broadcast implements [control.Host].
+func (h routingHost) Broadcast(message []byte) { h.dispatcher.effects.Broadcast(message) }
+
+// SetTimer implements [control.Host].
+func (h routingHost) SetTimer(after float64, mark uint64) {
+	h.dispatcher.arm(after, routerTimer, mark, nil)
+}
+
+// Subscribe implements [control.Host]. It does nothing: the list of workers is pushed to the dispatcher.
+func (h routingHost) Subscribe() {}
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -1,6 +1,7 @@
 package dispatch
 
 import (
+	"cmp"
 	"fmt"
 	"slices"
 	"strings"
@@ -8,148 +9,213 @@
 	"streamcleat/control"
 )
 
+// Limits of what is traced: they bound its memory, whatever the rate of requests.
 const (
-	stepsMost  = 32   // steps of one event; further ones are counted in the last
-	tracesMost = 2000 // events lately ended
-	ordersMost = 2000 // steps of load orders
+	maxSteps       = 32   // steps of one request; later ones are dropped
+	maxEndedTraces = 2000 // requests that ended last
+	maxLoadSteps   = 2000 // steps of load commands
 )
 
-var results = [...]string{"handled", "failed", "timed out", "broken", "cancelled", "turned away", "unreachable", "never sent",
-	"missed"}
+// Texts of steps, as the explain command prints them.
+const (
+	StepAttemptStarted   = "launched" // an attempt was sent
+	StepAttemptSucceeded = "handled"  // an attempt succeeded
+
+	stepAdmitted    = "taken"
+	stepJoined      = "joined"
+	stepLoadPrefix  = "load "
+	stepLoadStarted = stepLoadPrefix + "ordered"
+)
+
+// outcomeSteps are the texts of how an attempt or load command ended.
+var outcomeSteps = [...]string{
+	control.Succeeded:      StepAttemptSucceeded,
+	control.Failed:         "failed",
+	control.TimedOut:       "timed out",
+	control.ConnectionLost: "broken",
+	control.Cancelled:      "cancelled",
+	control.Rejected:       "turned away",
+	control.Unreachable:    "unreachable",
+	control.NotSent:        "never sent",
+	control.ReplicaMissing: "missed",
+}
+
+// startDetails are the texts of how an attempt found its replica.
+var startDetails = [...]string{
+	control.StartUnknown:    "",
+	control.WarmStart:       "found it warm",
+	control.ColdStart:       "began the load",
+	control.JoinedColdStart: "joined a load",
+	control.StartFailed:     "the load failed",
+}
+
+// TraceStep is one thing that happened to a request.
+type TraceStep struct {
+	At     float64 `json:"at"` // seconds since the request was admitted
+	What   string  `json:"what"`
+	Worker string  `json:"worker,omitempty"`
+	Detail string  `json:"detail,omitempty"`
+}
 
-var warmths = [...]string{"", "found it warm", "began the load", "joined a load", "the load failed"}
+// Trace is the history of one request, open or ended.
+type Trace struct {
+	Identity  Identity
+	Class     string
+	Function  string
+	Tenant    string
+	StartedAt float64 // on the dispatcher's clock
+	TimeLeft  float64 // seconds until its deadline, while it is open
+	Open      bool
+	Waiters   int
+	Response  Response // without body and fields; while open, only Worker, Attempts and Binding are set
+	Steps     []TraceStep
+}
 
-// traces are the ways of events lately ended and of load orders, each a ring.
-type traces struct {
-	ended  []*Trace
-	next   int
-	orders []orderStep
-	nextO  int
+// traceLog holds the traces of requests that ended last, and the last steps of load commands.
+type traceLog struct {
+	ended ring[*Trace]
+	loads ring[loadStep]
 }
 
-type orderStep struct {
+// loadStep is one thing that happened to a load command.
+type loadStep struct {
 	at       float64
 	function string
 	step     TraceStep
 }
 
-func (t *traces) add(trace *Trace) {
-	if len(t.ended) < tracesMost {
-		t.ended = append(t.ended, trace)
+// ring holds the newest items up to a limit.
+type ring[T any] struct {
+	items  []T
+	oldest int // index of the item that is replaced next, once the ring is full
+}
+
+// add adds an item; once there are limit items it replaces the oldest.
+func (r *ring[T]) add(item T, limit int) {
+	if len(r.items) < limit {
+		r.items = append(r.items, item)
 		return
 	}
-	t.ended[t.next] = trace
-	t.next = (t.next + 1) % tracesMost
+	r.items[r.oldest] = item
+	r.oldest = (r.oldest + 1) % limit
 }
 
-func (c *Dispatcher) step(e *event, what, wk, detail string) {
-	if !c.set.TracingDisabled && len(e.steps) < stepsMost {
-		e.steps = append(e.steps, TraceStep{At: c.now - e.began, What: what, Worker: wk, Detail: detail})
-	}
+// inOrder returns a copy of the items, the oldest first.
+func (r *ring[T]) inOrder() []T {
+	return append(slices.Clone(r.items[r.oldest:]), r.items[:r.oldest]...)
 }
 
-func (c *Dispatcher) ordered(fn, wk, what, detail string) {
-	if c.set.TracingDisabled {
-		return
+// addStep traces a step of an open request.
+func (d *Dispatcher) addStep(req *openRequest, what, worker, detail string) {
+	if !d.settings.TracingDisabled && len(req.steps) < maxSteps {
+		req.steps = append(req.steps, TraceStep{At: d.now - req.startedAt, What: what, Worker: worker, Detail: detail})
 	}
-	s := orderStep{c.now, fn, TraceStep{What: what, Worker: wk, Detail: detail}}
-	if len(c.traces.orders) < ordersMost {
-		c.traces.orders = append(c.traces.orders, s)
+}
+
+// addLoadStep traces a step of a load command.
+func (d *Dispatcher) addLoadStep(function, worker, what, detail string) {
+	if d.settings.TracingDisabled {
 		return
 	}
-	c.traces.orders[c.traces.nextO] = s
-	c.traces.nextO = (c.traces.nextO + 1) % ordersMost
+	step := TraceStep{What: what, Worker: worker, Detail: detail}
+	d.traces.loads.add(loadStep{at: d.now, function: function, step: step}, maxLoadSteps)
 }
 
-// belief says what the front end knew of a function when it decided.
-func (c *Dispatcher) belief(fn string) string {
-	if c.set.TracingDisabled {
+// routingSummary tells what the router knew of a function when it decided.
+func (d *Dispatcher) routingSummary(function string) string {
+	if d.settings.TracingDisabled {
 		return ""
 	}
-	v, known := c.router.Function(control.FunctionID(fn))
+	view, known := d.router.Function(control.FunctionID(function))
 	switch {
 	case !known:
 		return "function not seen lately"
-	case v.PendingLoadOn != "":
-		return fmt.Sprintf("%d warm copies, a load under way on %s, %d of ours in flight", len(v.Replicas), v.PendingLoadOn, v.InFlight)
+	case view.PendingLoadOn != "":
+		return fmt.Sprintf("%d warm copies, a load under way on %s, %d of ours in flight",
+			len(view.Replicas), view.PendingLoadOn, view.InFlight)
 	}
-	return fmt.Sprintf("%d warm copies, %d of ours in flight", len(v.Replicas), v.InFlight)
+	return fmt.Sprintf("%d warm copies, %d of ours in flight", len(view.Replicas), view.InFlight)
 }
 
-func (c *Dispatcher) trace(e *event) *Trace {
-	return &Trace{Identity: e.ask.Identity, Class: e.ask.Class, Function: e.ask.Function, Tenant: e.ask.Tenant, StartedAt: e.began,
-		TimeLeft: e.due - c.now, Open: true, Waiters: len(e.askers), Steps: e.steps,
-		Response: Response{Attempts: e.launches, Worker: string(e.lastWk), Binding: e.bound}}
+// newTrace is the trace of an open request; it shares the request's steps.
+func (d *Dispatcher) newTrace(req *openRequest) *Trace {
+	return &Trace{
+		Identity:  req.request.Identity,
+		Class:     req.request.Class,
+		Function:  req.request.Function,
+		Tenant:    req.request.Tenant,
+		StartedAt: req.startedAt,
+		TimeLeft:  req.deadline - d.now,
+		Open:      true,
+		Waiters:   len(req.waiters),
+		Steps:     req.steps,
+		Response:  Response{Attempts: req.attempts, Worker: string(req.lastWorker), Binding: req.binding},
+	}
 }
 
-// Explain is the way of an event, with the load orders of its function while it was open; the newest where its
-// identity came more than once. id is an event's id, or source#id.
-func (c *Dispatcher) Explain(id string) (Trace, bool) {
-	fits := func(i Identity) bool { return i.ID == id || i.String() == id }
-	var found *Trace
-	for _, t := range c.EndedTraces() {
-		if fits(t.Identity) {
-			found = t
-		}
-	}
-	for _, e := range c.OpenTraces() {
-		if fits(e.Identity) {
-			found = &e
-		}
-	}
+// Explain is the trace of a request with the load commands of its function while it was open; the newest where its
+// identity came more than once. id is a request's id, or source#id.
+func (d *Dispatcher) Explain(id string) (Trace, bool) {
+	found := d.findTrace(id)
 	if found == nil {
 		return Trace{}, false
 	}
-	t := *found
-	end := c.now
-	if !t.Open {
-		end = t.StartedAt + t.Response.Elapsed
+	trace := *found
+	end := d.now
+	if !trace.Open {
+		end = trace.StartedAt + trace.Response.Elapsed
 	}
-	t.Steps = slices.Clone(t.Steps)
-	for _, o := range c.traces.orders {
-		if (o.function == t.Function || o.function == t.Response.Binding.ID) && o.at >= t.StartedAt && o.at <= end {
-			s := o.step
-			s.At = o.at - t.StartedAt
-			t.Steps = append(t.Steps, s)
+	trace.Steps = slices.Clone(trace.Steps)
+	for _, load := range d.traces.loads.items {
+		if load.function != trace.Function && load.function != trace.Response.Binding.ID {
+			continue
 		}
-	}
-	slices.SortStableFunc(t.Steps, func(a, b TraceStep) int {
-		switch {
-		case a.At < b.At:
-			return -1
-		case a.At > b.At:
-			return 1
+		if load.at >= trace.StartedAt && load.at <= end {
+			step := load.step
+			step.At = load.at - trace.StartedAt
+			trace.Steps = append(trace.Steps, step)
 		}
-		return 0
-	})
-	return t, true
+	}
+	slices.SortStableFunc(trace.Steps, func(a, b TraceStep) int { return cmp.Compare(a.At, b.At) })
+	return trace, true
 }
 
-// EndedTraces are the events that ended last, the oldest first.
-func (c *Dispatcher) EndedTraces() []*Trace {
-	t := &c.traces
-	return append(slices.Clone(t.ended[t.next:]), t.ended[:t.next]...)
+// findTrace returns the newest trace of a request's id, or source#id; nil: none.
+func (d *Dispatcher) findTrace(id string) *Trace {
+	matches := func(identity Identity) bool { return identity.ID == id || identity.String() == id }
+	var found *Trace
+	for _, trace := range d.EndedTraces() {
+		if matches(trace.Identity) {
+			found = trace
+		}
+	}
+	for _, trace := range d.OpenTraces() {
+		if matches(trace.Identity) {
+			found = &trace
+		}
+	}
+	return found
 }
 
-// OpenTraces are the events that are open, the oldest first.
-func (c *Dispatcher) OpenTraces() []Trace {
-	list := make([]Trace, 0, len(c.events))
-	for _, e := range c.events {
-		list = append(list, *c.trace(e))
+// EndedTraces are the traces of the requests that ended last, the oldest first.
+func (d *Dispatcher) EndedTraces() []*Trace { return d.traces.ended.inOrder() }
+
+// OpenTraces are the traces of the open requests, the oldest first.
+func (d *Dispatcher) OpenTraces() []Trace {
+	traces := make([]Trace, 0, len(d.requests))
+	for _, req := range d.requests {
+		traces = append(traces, *d.newTrace(req))
 	}
-	slices.SortFunc(list, func(a, b Trace) int {
-		if a.StartedAt != b.StartedAt {
-			if a.StartedAt < b.StartedAt {
-				return -1
-			}
-			return 1
+	slices.SortFunc(traces, func(a, b Trace) int {
+		if order := cmp.Compare(a.StartedAt, b.StartedAt); order != 0 {
+			return order
 		}
 		return strings.Compare(a.Identity.String(), b.Identity.String())
 	})
-	return list
+	return traces
 }
 
-// RoutingView shows what the decisions believe of workers and functions.
-func (c *Dispatcher) RoutingView() ([]control.WorkerView, []control.FunctionView) {
-	return c.router.Workers(), c.router.Functions()
+// RoutingView shows what the router knows of workers and functions.
+func (d *Dispatcher) RoutingView() ([]control.WorkerView, []control.FunctionView) {
+	return d.router.Workers(), d.router.Functions()
 }
