--- /dev/null
+++ b/internal/telemetry/spans.go
@@ -0,0 +1,106 @@
+package telemetry
+
+import (
+	"context"
+	"errors"
+	"hash/fnv"
+	"io"
+	"os"
+	"time"
+
+	"go.opentelemetry.io/otel/attribute"
+	"go.opentelemetry.io/otel/codes"
+	"go.opentelemetry.io/otel/trace"
+
+	"streamcleat/internal/dispatch"
+)
+
+// spanFileMode lets the group read spans: they hold identities of requests, no bodies.
+const spanFileMode = 0o640
+
+// ErrSpans is in the chain of every error about the writing of spans.
+var ErrSpans = errors.New("traces")
+
+// SpanFile opens a file for spans; they are appended to it.
+func SpanFile(path string) (*os.File, error) {
+	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, spanFileMode)
+	if err != nil {
+		return nil, errors.Join(ErrSpans, err)
+	}
+	return file, nil
+}
+
+// sampled draws a fixed share of identities, the same at every front end.
+func (r *Recorder) sampled(identity dispatch.Identity) bool {
+	hash := fnv.New32a()
+	_, _ = io.WriteString(hash, identity.String()) // a hash takes every write
+	return float64(hash.Sum32())/(1<<32) < r.settings.Share
+}
+
+// writeSpans writes a request as a span with a child for each attempt; its other steps are events of the first span.
+func (r *Recorder) writeSpans(response dispatch.Response, steps []dispatch.TraceStep, late bool) {
+	end := time.Now()
+	start := end.Add(-seconds(response.Elapsed))
+	ctx, root := r.startRequestSpan(response, start, late)
+	var attempt trace.Span
+	for _, step := range steps {
+		at := start.Add(seconds(step.At))
+		switch {
+		case step.What == dispatch.StepAttemptStarted:
+			attempt = r.startAttemptSpan(ctx, step, at)
+		case attempt != nil && step.Worker != "":
+			endAttemptSpan(attempt, step, at)
+			attempt = nil
+		default:
+			root.AddEvent(step.What, trace.WithTimestamp(at), trace.WithAttributes(attribute.String("detail", step.Detail)))
+		}
+	}
+	if attempt != nil {
+		attempt.End(trace.WithTimestamp(end))
+	}
+	if response.Kind != dispatch.Succeeded {
+		root.SetStatus(codes.Error, response.Cause.String())
+	}
+	root.End(trace.WithTimestamp(end))
+}
+
+// startRequestSpan starts the span of a request.
+func (r *Recorder) startRequestSpan(response dispatch.Response, start time.Time, late bool) (context.Context, trace.Span) {
+	return r.tracer.Start(context.Background(), "event "+response.Class,
+		trace.WithTimestamp(start),
+		trace.WithSpanKind(trace.SpanKindServer),
+		trace.WithAttributes(
+			attribute.String("cloudevents.event_id", response.Identity.ID),
+			attribute.String("cloudevents.event_source", response.Identity.Source),
+			attribute.String("cloudevents.event_type", response.Class),
+			attribute.String("streamcleat.function", response.Function),
+			attribute.String("streamcleat.tenant", response.Tenant),
+			attribute.String("streamcleat.outcome", response.Kind.String()),
+			attribute.String("streamcleat.cause", response.Cause.String()),
+			attribute.Bool("streamcleat.late", late),
+			attribute.Int("streamcleat.launches", response.Attempts)))
+}
+
+// startAttemptSpan starts the span of an attempt.
+func (r *Recorder) startAttemptSpan(ctx context.Context, step dispatch.TraceStep, at time.Time) trace.Span {
+	_, span := r.tracer.Start(ctx, "launch "+step.Worker,
+		trace.WithTimestamp(at),
+		trace.WithSpanKind(trace.SpanKindClient),
+		trace.WithAttributes(
+			attribute.String("streamcleat.worker", step.Worker),
+			attribute.String("streamcleat.belief", step.Detail)))
+	return span
+}
+
+// endAttemptSpan ends the span of an attempt with how it ended.
+func endAttemptSpan(span trace.Span, step dispatch.TraceStep, at time.Time) {
+	span.SetAttributes(
+		attribute.String("streamcleat.result", step.What),
+		attribute.String("streamcleat.warmth", step.Detail))
+	if step.What != dispatch.StepAttemptSucceeded {
+		span.SetStatus(codes.Error, step.What)
+	}
+	span.End(trace.WithTimestamp(at))
+}
+
+func seconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
