--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -1,5 +1,6 @@
-// Package deployment reads the object in which a deployment states its terms, as the bench and the platform both hand
-// it out, and maps it to what the decisions read. It has no socket and no clock, and decides nothing.
+// Package deployment reads the document in which a deployment states its terms, as the bench and the platform both hand
+// it out, and maps it to what routing reads. It has no socket, no clock and no state, and decides nothing. The
+// simulation adapter and the platform call it once at start.
 package deployment
 
 import (
@@ -9,105 +10,154 @@
 	"streamcleat/control"
 )
 
-// Terms names what is read of the object; all else in it is skipped. Times are as it has them: milliseconds.
+// Terms are the parts of the document that are read; any other key is skipped. Keys are matched whatever their case.
+// Times are in the document's unit, milliseconds.
 type Terms struct {
-	Accounts []struct {
-		Name      string  `json:"Name"`
-		QuotaPerS float64 `json:"QuotaPerS"`
-	} `json:"Accounts"`
-	Balancers int `json:"Balancers"`
-	Me        int `json:"Me"`
-	Caps      struct {
-		Peers           bool    `json:"Peers"`
-		RetryAfter      bool    `json:"RetryAfter"`
-		MaxRetryAfterMs float64 `json:"MaxRetryAfterMs"`
-		DialTimeoutMs   float64 `json:"DialTimeoutMs"`
-		IdleCloseMs     float64 `json:"IdleCloseMs"`
-		MostTries       int     `json:"MostTries"`
-		MaxStreams      int     `json:"MaxStreams"`
-		MaxOpen         int     `json:"MaxOpen"`
-	} `json:"Caps"`
-	Classes []struct {
-		Name         string  `json:"Name"`
-		Idempotency  string  `json:"Idempotency"`
-		Group        string  `json:"Group"`
-		AimMs        float64 `json:"AimMs"`
-		GiveUpMs     float64 `json:"GiveUpMs"`
-		MemorySpanMs float64 `json:"MemorySpanMs"`
-	} `json:"Classes"`
-	Discovery string `json:"Discovery"`
-	Domain    struct {
-		LoadFree       float64 `json:"LoadFree"`
-		LoadPart       float64 `json:"LoadPart"`
-		LoadWindowMs   float64 `json:"LoadWindowMs"`
-		StaysLoadedMs  float64 `json:"StaysLoadedMs"`
-		OrderTimeoutMs float64 `json:"OrderTimeoutMs"`
-		MayOrder       bool    `json:"MayOrder"`
-		WhenAbsent     string  `json:"WhenAbsent"`
-	} `json:"Domain"`
-	RoundMs float64 `json:"RoundMs"`
-	Rules   struct {
-		ColdFrom     float64 `json:"ColdFrom"`
-		FallMs       float64 `json:"FallMs"`
-		FallMultiple float64 `json:"FallMultiple"`
-		WarmWithinMs float64 `json:"WarmWithinMs"`
-	} `json:"Rules"`
+	Tenants     []Tenant       `json:"Accounts"`
+	FrontEnds   int            `json:"Balancers"`
+	Me          int            `json:"Me"` // index of this front end among all
+	Caps        Limits         `json:"Caps"`
+	Classes     []RequestClass `json:"Classes"`
+	Discovery   string         `json:"Discovery"`
+	Domain      LoadingTerms   `json:"Domain"`
+	RoundMs     float64        `json:"RoundMs"` // least time between two rounds of routing
+	HealthRules HealthRules    `json:"Rules"`
 }
 
-var repeats = map[string]control.DeliverySemantics{
-	"free": control.Idempotent, "guarded": control.IdempotentByKey, "single_shot": control.AtMostOnce,
+// Tenant is a customer and its agreed rate.
+type Tenant struct {
+	Name           string  `json:"Name"`
+	QuotaPerSecond float64 `json:"QuotaPerS"`
 }
 
-var reaches = map[string]control.DeduplicationScope{
-	"": control.ScopeFleet, "all": control.ScopeFleet, "zone": control.ScopeZone, "cell": control.ScopeFailureDomain,
+// Limits are what a front end is allowed and able to do.
+type Limits struct {
+	GossipAllowed     bool    `json:"Peers"`
+	RetryAfterAllowed bool    `json:"RetryAfter"`
+	MaxRetryAfterMs   float64 `json:"MaxRetryAfterMs"`
+	DialTimeoutMs     float64 `json:"DialTimeoutMs"`
+	IdleCloseMs       float64 `json:"IdleCloseMs"` // after which a worker closes an idle connection
+	MaxAttempts       int     `json:"MostTries"`
+	MaxStreams        int     `json:"MaxStreams"` // requests in flight on one connection
+	MaxOpen           int     `json:"MaxOpen"`    // open requests
 }
 
-// Read reads the object; an error names the field that is at fault.
-func Read(data []byte) (*Terms, error) {
-	var t Terms
-	if err := json.Unmarshal(data, &t); err != nil {
+// RequestClass is what the deployment promises for one class of requests.
+type RequestClass struct {
+	Name                  string  `json:"Name"`
+	Semantics             string  `json:"Idempotency"` // one of semanticsByWord
+	DeduplicationScope    string  `json:"Group"`       // one of scopeByWord
+	LatencyObjectiveMs    float64 `json:"AimMs"`
+	GiveUpMs              float64 `json:"GiveUpMs"` // timeout of a request
+	DeduplicationWindowMs float64 `json:"MemorySpanMs"`
+}
+
+// LoadingTerms are how workers load functions and what load commands are allowed.
+type LoadingTerms struct {
+	LoadCommandAllowance   float64 `json:"LoadFree"`
+	LoadCommandsPerRequest float64 `json:"LoadPart"`
+	LoadCommandWindowMs    float64 `json:"LoadWindowMs"`
+	IdleReplicaLifetimeMs  float64 `json:"StaysLoadedMs"`
+	OrderTimeoutMs         float64 `json:"OrderTimeoutMs"` // of a load command
+	LoadCommandsAllowed    bool    `json:"MayOrder"`
+	WhenAbsent             string  `json:"WhenAbsent"` // what a worker does without a replica
+}
+
+// HealthRules tell when a worker warms up and when it counts as overloaded.
+type HealthRules struct {
+	ColdShare        float64 `json:"ColdFrom"`
+	OverloadWindowMs float64 `json:"FallMs"`
+	OverloadFactor   float64 `json:"FallMultiple"`
+	WarmUpTimeMs     float64 `json:"WarmWithinMs"`
+}
+
+// Words of the document that are compared here.
+const (
+	discoverySubscribe = "subscribe" // the front end asks for the list of workers; else it is pushed
+	absentMiss         = "miss"      // a worker without a replica says so; else it loads one
+)
+
+// semanticsByWord are the words for delivery semantics.
+var semanticsByWord = map[string]control.DeliverySemantics{
+	"free":        control.Idempotent,
+	"guarded":     control.IdempotentByKey,
+	"single_shot": control.AtMostOnce,
+}
+
+// scopeByWord are the words for deduplication scopes.
+var scopeByWord = map[string]control.DeduplicationScope{
+	"":     control.ScopeFleet,
+	"all":  control.ScopeFleet,
+	"zone": control.ScopeZone,
+	"cell": control.ScopeFailureDomain,
+}
+
+// ClassError tells that the semantics or the deduplication scope of a request class is none of the known words.
+type ClassError struct{ Class string }
+
+// Error names the request class.
+func (e *ClassError) Error() string {
+	return fmt.Sprintf("event type %s: unknown idempotency or group", e.Class)
+}
+
+// Read reads the document. A fault of a request class is a [*ClassError], any other an error of package json.
+func Read(document []byte) (*Terms, error) {
+	var terms Terms
+	if err := json.Unmarshal(document, &terms); err != nil {
 		return nil, err
 	}
-	for _, c := range t.Classes {
-		_, known := repeats[c.Idempotency]
-		_, named := reaches[c.Group]
-		if !known || !named {
-			return nil, fmt.Errorf("event type %s: unknown idempotency or group", c.Name)
+	for _, class := range terms.Classes {
+		_, semanticsKnown := semanticsByWord[class.Semantics]
+		_, scopeKnown := scopeByWord[class.DeduplicationScope]
+		if !semanticsKnown || !scopeKnown {
+			return nil, &ClassError{Class: class.Name}
 		}
 	}
-	return &t, nil
+	return &terms, nil
 }
 
-// Deployment is what the decisions read of the terms.
+// Deployment is what routing reads of the terms.
 func (t *Terms) Deployment() *control.Deployment {
 	d := &control.Deployment{
-		FrontEnds:              max(t.Balancers, 1),
-		PollEndpoints:          t.Discovery == "subscribe",
-		MissIsAnswered:         t.Domain.WhenAbsent == "miss",
-		LoadCommandsAllowed:    t.Domain.MayOrder,
-		GossipAllowed:          t.Caps.Peers,
-		MaxAttempts:            max(t.Caps.MostTries, 1),
-		IdleReplicaLifetime:    t.Domain.StaysLoadedMs / 1000,
-		LoadCommandWindow:      t.Domain.LoadWindowMs / 1000,
-		LoadCommandAllowance:   t.Domain.LoadFree,
-		LoadCommandsPerRequest: t.Domain.LoadPart,
-		MinRoundInterval:       t.RoundMs / 1000,
-		ColdShare:              t.Rules.ColdFrom,
-		WarmUpTime:             t.Rules.WarmWithinMs / 1000,
-		OverloadFactor:         t.Rules.FallMultiple,
-		OverloadWindow:         t.Rules.FallMs / 1000,
+		FrontEnds:              max(t.FrontEnds, 1),
+		PollEndpoints:          t.Discovery == discoverySubscribe,
+		MissIsAnswered:         t.Domain.WhenAbsent == absentMiss,
+		LoadCommandsAllowed:    t.Domain.LoadCommandsAllowed,
+		GossipAllowed:          t.Caps.GossipAllowed,
+		MaxAttempts:            max(t.Caps.MaxAttempts, 1),
+		IdleReplicaLifetime:    seconds(t.Domain.IdleReplicaLifetimeMs),
+		LoadCommandWindow:      seconds(t.Domain.LoadCommandWindowMs),
+		LoadCommandAllowance:   t.Domain.LoadCommandAllowance,
+		LoadCommandsPerRequest: t.Domain.LoadCommandsPerRequest,
+		MinRoundInterval:       seconds(t.RoundMs),
+		ColdShare:              t.HealthRules.ColdShare,
+		WarmUpTime:             seconds(t.HealthRules.WarmUpTimeMs),
+		OverloadFactor:         t.HealthRules.OverloadFactor,
+		OverloadWindow:         seconds(t.HealthRules.OverloadWindowMs),
 	}
-	if t.Caps.RetryAfter {
-		d.MaxRetryAfter = t.Caps.MaxRetryAfterMs / 1000
+	if t.Caps.RetryAfterAllowed {
+		d.MaxRetryAfter = seconds(t.Caps.MaxRetryAfterMs)
 	}
-	for _, a := range t.Accounts {
-		d.Tenants = append(d.Tenants, control.Tenant{Name: control.TenantID(a.Name), Quota: a.QuotaPerS})
+	for _, tenant := range t.Tenants {
+		d.Tenants = append(d.Tenants, control.Tenant{Name: control.TenantID(tenant.Name), Quota: tenant.QuotaPerSecond})
 	}
-	for _, c := range t.Classes {
-		d.RequestClasses = append(d.RequestClasses, control.RequestClass{
-			Name: c.Name, LatencyObjective: c.AimMs / 1000, Timeout: c.GiveUpMs / 1000, Semantics: repeats[c.Idempotency],
-			DeduplicationScope: reaches[c.Group], DeduplicationWindow: c.MemorySpanMs / 1000,
-		})
+	for _, class := range t.Classes {
+		d.RequestClasses = append(d.RequestClasses, class.routing())
 	}
 	return d
 }
+
+// routing is the class as routing reads it.
+func (c RequestClass) routing() control.RequestClass {
+	return control.RequestClass{
+		Name:                c.Name,
+		LatencyObjective:    seconds(c.LatencyObjectiveMs),
+		Timeout:             seconds(c.GiveUpMs),
+		Semantics:           semanticsByWord[c.Semantics],
+		DeduplicationScope:  scopeByWord[c.DeduplicationScope],
+		DeduplicationWindow: seconds(c.DeduplicationWindowMs),
+	}
+}
+
+// seconds converts milliseconds.
+func seconds(milliseconds float64) float64 { return milliseconds / 1000 }
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -1,6 +1,8 @@
 package deployment
 
 import (
+	"encoding/json"
+	"errors"
 	"reflect"
 	"strings"
 	"testing"
@@ -8,50 +10,117 @@
 	"streamcleat/control"
 )
 
-// pascal is the object with the keys that deployments write, with every key that is read.
-const pascal = `{"Accounts":[{"Name":"north","QuotaPerS":100}],"Balancers":3,"Me":2,
+// pascalDocument has every key that is read, in the case that deployments write.
+const pascalDocument = `{"Accounts":[{"Name":"north","QuotaPerS":100}],"Balancers":3,"Me":2,
 	"Caps":{"Peers":true,"RetryAfter":true,"MaxRetryAfterMs":500,"DialTimeoutMs":250,"IdleCloseMs":30000,"MostTries":4,"MaxStreams":32,"MaxOpen":2000},
 	"Classes":[{"Name":"call","Idempotency":"guarded","Group":"zone","AimMs":500,"GiveUpMs":1500,"MemorySpanMs":6000}],
 	"Discovery":"subscribe",
 	"Domain":{"LoadFree":2,"LoadPart":0.25,"LoadWindowMs":4000,"StaysLoadedMs":8000,"OrderTimeoutMs":1000,"MayOrder":true,"WhenAbsent":"miss"},
 	"RoundMs":4,"Rules":{"ColdFrom":0.3,"FallMs":1500,"FallMultiple":2.5,"WarmWithinMs":16000}}`
 
-// camel is the same with the first letter of each key small; keys were never told apart by case.
-func camel() string {
+// camelDocument is the same with a small first letter of each key.
+func camelDocument() string {
 	var out strings.Builder
-	key := false
-	for i, c := range pascal {
-		if key {
+	inKey := false
+	for i, c := range pascalDocument {
+		if inKey {
 			out.WriteString(strings.ToLower(string(c)))
 		} else {
 			out.WriteRune(c)
 		}
-		key = c == '"' && i > 0 && strings.ContainsRune("{,\n\t", rune(pascal[i-1]))
+		inKey = c == '"' && i > 0 && strings.ContainsRune("{,\n\t", rune(pascalDocument[i-1]))
 	}
 	return out.String()
 }
 
-func TestEveryKeyIsRead(t *testing.T) {
-	for name, text := range map[string]string{"pascal": pascal, "camel": camel(), "lower": strings.ToLower(pascal)} {
-		terms, err := Read([]byte(text))
-		if err != nil {
-			t.Fatalf("%s: %v", name, err)
-		}
-		checkTerms(t, name, terms)
+func TestEveryKeyIsReadWhateverItsCase(t *testing.T) {
+	for name, document := range map[string]string{
+		"pascal": pascalDocument,
+		"camel":  camelDocument(),
+		"lower":  strings.ToLower(pascalDocument),
+	} {
+		t.Run(name, func(t *testing.T) {
+			terms, err := Read([]byte(document))
+			if err != nil {
+				t.Fatal(err)
+			}
+			checkTerms(t, terms)
+		})
 	}
 }
 
-func checkTerms(t *testing.T, name string, terms *Terms) {
+func checkTerms(t *testing.T, terms *Terms) {
 	t.Helper()
-	if terms.Me != 2 || !terms.Caps.Peers || terms.Caps.DialTimeoutMs != 250 || terms.Caps.IdleCloseMs != 30000 ||
+	if terms.Me != 2 || !terms.Caps.GossipAllowed || terms.Caps.DialTimeoutMs != 250 || terms.Caps.IdleCloseMs != 30000 ||
 		terms.Caps.MaxStreams != 32 || terms.Caps.MaxOpen != 2000 || terms.Domain.OrderTimeoutMs != 1000 {
-		t.Errorf("%s: %+v", name, terms)
+		t.Errorf("%+v", terms)
+	}
+	want := &control.Deployment{
+		FrontEnds:              3,
+		PollEndpoints:          true,
+		MissIsAnswered:         true,
+		LoadCommandsAllowed:    true,
+		GossipAllowed:          true,
+		MaxAttempts:            4,
+		IdleReplicaLifetime:    8,
+		LoadCommandWindow:      4,
+		LoadCommandAllowance:   2,
+		LoadCommandsPerRequest: 0.25,
+		MinRoundInterval:       0.004,
+		ColdShare:              0.3,
+		WarmUpTime:             16,
+		OverloadFactor:         2.5,
+		OverloadWindow:         1.5,
+		MaxRetryAfter:          0.5,
+		Tenants:                []control.Tenant{{Name: "north", Quota: 100}},
+		RequestClasses: []control.RequestClass{{
+			Name:                "call",
+			LatencyObjective:    0.5,
+			Timeout:             1.5,
+			Semantics:           control.IdempotentByKey,
+			DeduplicationScope:  control.ScopeZone,
+			DeduplicationWindow: 6,
+		}},
 	}
-	want := &control.Deployment{FrontEnds: 3, PollEndpoints: true, MissIsAnswered: true, LoadCommandsAllowed: true, GossipAllowed: true, MaxAttempts: 4,
-		IdleReplicaLifetime: 8, LoadCommandWindow: 4, LoadCommandAllowance: 2, LoadCommandsPerRequest: 0.25, MinRoundInterval: 0.004, ColdShare: 0.3, WarmUpTime: 16, OverloadFactor: 2.5,
-		OverloadWindow: 1.5, MaxRetryAfter: 0.5, Tenants: []control.Tenant{{Name: "north", Quota: 100}},
-		RequestClasses: []control.RequestClass{{Name: "call", LatencyObjective: 0.5, Timeout: 1.5, Semantics: control.IdempotentByKey, DeduplicationScope: control.ScopeZone, DeduplicationWindow: 6}}}
 	if got := terms.Deployment(); !reflect.DeepEqual(got, want) {
-		t.Errorf("%s:\n%+v, want\n%+v", name, got, want)
+		t.Errorf("\n%+v, want\n%+v", got, want)
+	}
+}
+
+func TestUnknownWordsOfAClass(t *testing.T) {
+	for _, class := range []string{
+		`{"Name":"call","Idempotency":"often"}`,
+		`{"Name":"call","Idempotency":"free","Group":"town"}`,
+	} {
+		_, err := Read([]byte(`{"Classes":[` + class + `]}`))
+		var fault *ClassError
+		if !errors.As(err, &fault) || fault.Class != "call" || err.Error() != "event type call: unknown idempotency or group" {
+			t.Errorf("%s: %v", class, err)
+		}
+	}
+}
+
+func TestMalformedDocument(t *testing.T) {
+	_, err := Read([]byte(`{`))
+	var syntax *json.SyntaxError
+	if !errors.As(err, &syntax) {
+		t.Errorf("%v", err)
+	}
+}
+
+// A value of the wrong type is reported by the path of its key.
+func TestMistypedKey(t *testing.T) {
+	for document, field := range map[string]string{
+		`{"Caps":{"MaxOpen":"x"}}`:           "Caps.MaxOpen",
+		`{"Caps":3}`:                         "Caps",
+		`{"Accounts":[{"QuotaPerS":"a"}]}`:   "Accounts.QuotaPerS",
+		`{"domain":{"mayorder":4}}`:          "Domain.MayOrder",
+		`{"Classes":[{"GiveUpMs":"never"}]}`: "Classes.GiveUpMs",
+	} {
+		_, err := Read([]byte(document))
+		var mistyped *json.UnmarshalTypeError
+		if !errors.As(err, &mistyped) || mistyped.Field != field {
+			t.Errorf("%s: %v", document, err)
+		}
 	}
 }
