--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,5 @@
-// Command simadapter runs the decision module on the simulator's wire, on standard input and output.
+// Command simadapter serves the simulator of the bench on standard input and output: it hosts the routers of simulated
+// front ends.
 package main
 
 import (
--- /dev/null
+++ b/internal/simadapter/instance.go
@@ -0,0 +1,90 @@
+package simadapter
+
+import (
+	"bufio"
+	"encoding/base64"
+	"fmt"
+	"strconv"
+	"strings"
+
+	"streamcleat/control"
+)
+
+const millisecondsPerSecond = 1000
+
+// instance hosts the router of one front end and writes its decisions as they are made. It implements [control.Host].
+type instance struct {
+	name    string
+	router  *control.Router
+	out     *bufio.Writer
+	scratch []byte // the message that is being written
+}
+
+var _ control.Host = (*instance)(nil)
+
+// write writes one message of the instance.
+func (i *instance) write(message string, fields ...field) {
+	line := i.scratch[:0]
+	line = append(line, message...)
+	line = appendField(line, field{fieldInstance, i.name})
+	for _, f := range fields {
+		line = appendField(line, f)
+	}
+	line = append(line, '\n')
+	i.scratch = line
+	_, _ = i.out.Write(line) // the writer keeps its first error and returns it when the batch is flushed
+}
+
+func appendField(line []byte, f field) []byte {
+	line = append(line, ' ')
+	line = append(line, f.name...)
+	line = append(line, '=')
+	return append(line, f.value...)
+}
+
+// recoverPanic is deferred around calls of the router: it reports a panic in place of the router's decisions.
+func (i *instance) recoverPanic() {
+	if reason := recover(); reason != nil {
+		i.write(messagePanic, field{"ReasonText", strings.Join(strings.Fields(fmt.Sprint(reason)), " ")})
+	}
+}
+
+// StartAttempt implements [control.Host].
+func (i *instance) StartAttempt(request control.RequestID, worker control.WorkerID, timeout float64) {
+	i.write(messageRoute, field{fieldRequest, string(request)}, field{fieldWorker, string(worker)},
+		field{"LimitMs", formatMilliseconds(timeout)})
+}
+
+// Reject implements [control.Host].
+func (i *instance) Reject(request control.RequestID, retryAfter float64) {
+	i.write(messageReject, field{fieldRequest, string(request)}, field{"PauseMs", formatMilliseconds(retryAfter)})
+}
+
+// Fail implements [control.Host].
+func (i *instance) Fail(request control.RequestID) {
+	i.write(messageFail, field{fieldRequest, string(request)})
+}
+
+// LoadReplicas implements [control.Host].
+func (i *instance) LoadReplicas(worker control.WorkerID, function control.FunctionID, replicas int) {
+	i.write(messageLoad, field{fieldWorker, string(worker)}, field{fieldFunction, string(function)},
+		field{fieldReplicas, strconv.Itoa(replicas)})
+}
+
+// Broadcast implements [control.Host].
+func (i *instance) Broadcast(message []byte) {
+	i.write(messageBroadcast, field{"Whom", "*"}, field{fieldGossip, base64.StdEncoding.EncodeToString(message)})
+}
+
+// SetTimer implements [control.Host].
+func (i *instance) SetTimer(after float64, mark uint64) {
+	i.write(messageSetTimer, field{"SleepForMs", formatMilliseconds(after)},
+		field{fieldTimerMark, strconv.FormatUint(mark, 10)})
+}
+
+// Subscribe implements [control.Host].
+func (i *instance) Subscribe() { i.write(messageSubscribe, field{"Want", "1"}) }
+
+func formatMilliseconds(seconds float64) string {
+	return strconv.FormatFloat(seconds*millisecondsPerSecond, 'f', 3, 64)
+}
