--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -18,9 +18,10 @@
 // requestState is where an open request stands. It follows from whether the router still holds the request and whether
 // an attempt is in flight:
 //
-//	queued ──startAttempt──> inFlight ──endAttempt──> queued or closed
-//	queued ──release──> closed
-//	inFlight ──release──> orphaned ──endAttempt──> closed
+//	queued    -> in flight   startAttempt
+//	in flight -> queued      endAttempt, without success: the router retries it or gives it up
+//	in flight -> orphaned    releaseIfNoWaiters, unless the attempt is cancelled
+//	any       -> closed      complete
 //
 // An orphaned request is still found by its identity, so that a repeat can join it.
 type requestState uint8
