--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -13,397 +13,319 @@
 
 // Limits of the connections to workers; times in seconds.
 type Limits struct {
-	DialTimeout  float64 // a connection that is not up by then counts as unreachable
+	DialTimeout  float64 // a connection that is not established by then counts as unreachable
 	IdleTimeout  float64 // an idle connection is closed after this
 	MaxPerWorker int     // connections to one worker, those being dialed included
 	Message      http1.Limits
 	Via          string // the front end's name
 }
 
-// ConnID is the number of one connection; it is never used again.
-type ConnID uint64
-
-// Transport carries the pool's bytes. It must not call back into the pool before a method returns.
-type Transport interface {
-	Dial(c ConnID, addr string)
-	Write(c ConnID, data []byte)
-	Close(c ConnID) // no Closed follows
-}
-
-// Results takes what came back. It may call Launch, Load and Abandon of the pool.
-type Results interface {
-	OnAttemptReply(job uint64, r dispatch.WorkerReply)
-	OnLoadReply(job uint64, res control.Outcome, copies int)
+// httpExchange is one request over HTTP/1.1.
+type httpExchange struct {
+	Exchange
+	digest     string          // that a load command asks for
+	connection *httpConnection // that carries it or is being dialed for it; nil where there is none
 }
 
-type job struct {
-	no     uint64
-	wk     control.WorkerID
-	data   []byte
-	load   bool
-	digest string // that a load order asks for
-	conn   *conn
-	sent   bool // bytes of it may have reached the worker
+// httpConnection carries one request at a time.
+type httpConnection struct {
+	Connection
+	exchange *httpExchange // under way, or waiting for the dial
+	timed    bool          // stands in Pool.timed
+	framer   *http1.Framer // of the responses
 }
 
-type conn struct {
-	no     ConnID
-	wk     control.WorkerID
-	addr   string
-	up     bool
-	job    *job
-	since  float64 // when the dial began, or when it fell idle
-	queued bool
-	in     *http1.Framer
-}
-
-// Pool is the state of one front end's connections: one request at a time on each. It tells apart what was never
-// sent from what may have run. It is not safe for use by two goroutines.
+// Pool is the state of one front end's connections to workers that speak the Open Inference Protocol: one request at a
+// time on each. It tells apart what was never sent from what may have run. It is not safe for use by two goroutines.
 type Pool struct {
-	limits Limits
-	wire   Transport
-	sink   Results
-	next   ConnID
-	addr   map[control.WorkerID]string
-	shut   map[control.WorkerID]bool // draining or gone: nothing that is not sent yet goes there
-	conns  map[ConnID]*conn
-	idle   map[control.WorkerID][]*conn // newest last
-	held   map[control.WorkerID]int
-	jobs   map[uint64]*job
-	queue  []*conn // dialing or idle, in the order they fell so; entries may be stale
-	failed []*job  // could not be sent, told at the next Flush
+	limits      Limits
+	transport   Transport
+	addresses   map[control.WorkerID]string
+	detached    map[control.WorkerID]bool // draining or gone: nothing that is not sent yet goes there
+	connections Connections[*httpConnection]
+	idle        map[control.WorkerID][]*httpConnection // newest last
+	exchanges   Exchanges[*httpExchange]
+	timed       []*httpConnection // being dialed or idle, in the order they became so; entries may be stale
 }
 
-func NewPool(l Limits, wire Transport, sink Results) *Pool {
-	return &Pool{limits: l, wire: wire, sink: sink, addr: map[control.WorkerID]string{},
-		shut: map[control.WorkerID]bool{}, conns: map[ConnID]*conn{}, idle: map[control.WorkerID][]*conn{},
-		held: map[control.WorkerID]int{}, jobs: map[uint64]*job{}}
+// NewPool makes a pool without workers.
+func NewPool(limits Limits, transport Transport, results Results) *Pool {
+	return &Pool{limits: limits, transport: transport, addresses: map[control.WorkerID]string{},
+		detached: map[control.WorkerID]bool{}, connections: NewConnections[*httpConnection](transport),
+		idle: map[control.WorkerID][]*httpConnection{}, exchanges: NewExchanges[*httpExchange](results)}
 }
 
 // Len is how many connections are open or being dialed.
-func (p *Pool) Len() int { return len(p.conns) }
+func (p *Pool) Len() int { return p.connections.Len() }
 
-// SetEndpoints takes the workers' addresses. What waits for a connection to one that drains, left or moved is given back
-// as never sent; its idle connections are closed.
+// SetEndpoints takes a new endpoint list. Exchanges that wait for a connection to a worker that drains, left or moved
+// fail as unsent; the worker's idle connections are closed.
 func (p *Pool) SetEndpoints(list *EndpointList) {
-	for _, wk := range slices.Sorted(maps.Keys(p.addr)) {
-		if list.Addresses[wk] != p.addr[wk] {
-			p.leave(wk)
-			delete(p.shut, wk)
+	for _, worker := range slices.Sorted(maps.Keys(p.addresses)) {
+		if list.Addresses[worker] != p.addresses[worker] {
+			p.detachWorker(worker)
+			delete(p.detached, worker)
 		}
 	}
-	p.addr = list.Addresses
-	for _, wk := range list.Workers {
-		if wk.State == control.Serving {
-			delete(p.shut, wk.ID)
-		} else if !p.shut[wk.ID] {
-			p.shut[wk.ID] = true
-			p.leave(wk.ID)
+	p.addresses = list.Addresses
+	for _, worker := range list.Workers {
+		if worker.State == control.Serving {
+			delete(p.detached, worker.ID)
+		} else if !p.detached[worker.ID] {
+			p.detached[worker.ID] = true
+			p.detachWorker(worker.ID)
 		}
 	}
 }
 
-func (p *Pool) leave(wk control.WorkerID) {
-	for _, c := range p.idle[wk] {
+// detachWorker closes a worker's idle connections and gives up its dials. Requests that were sent run on.
+func (p *Pool) detachWorker(worker control.WorkerID) {
+	for _, c := range p.idle[worker] {
 		p.close(c)
 	}
-	delete(p.idle, wk)
-	for _, c := range p.queue { // what is being dialed stands there
-		if c.wk == wk && !c.up && p.conns[c.no] == c {
-			j := c.job
-			p.close(c)
-			if j != nil {
-				p.never(j)
-			}
+	delete(p.idle, worker)
+	for _, c := range slices.Clone(p.connections.Of(worker)) {
+		if !c.Established {
+			p.giveUpDial(c)
 		}
 	}
 }
 
-// SendAttempt sends a launch over an idle connection or a new one.
-func (p *Pool) SendAttempt(now float64, l dispatch.Attempt) {
-	p.send(now, &job{no: l.ID, wk: l.Worker, data: InferRequest(p.addr[l.Worker], p.limits.Via, l)})
+func (p *Pool) giveUpDial(c *httpConnection) {
+	p.close(c)
+	if c.exchange != nil {
+		p.exchanges.FailUnsent(c.exchange)
+	}
+}
+
+// SendAttempt sends an attempt over an idle connection or a new one.
+func (p *Pool) SendAttempt(now float64, a dispatch.Attempt) {
+	request := InferRequest(p.addresses[a.Worker], p.limits.Via, a)
+	p.send(now, &httpExchange{Exchange: Exchange{ID: a.ID, Worker: a.Worker, Request: request}})
 }
 
-// SendLoad sends a load order likewise.
-func (p *Pool) SendLoad(now float64, o dispatch.LoadCommand) {
-	p.send(now, &job{no: o.ID, wk: o.Worker, data: LoadRequest(p.addr[o.Worker], p.limits.Via, o), load: true, digest: o.Binding.Digest})
+// SendLoad sends a load command likewise.
+func (p *Pool) SendLoad(now float64, command dispatch.LoadCommand) {
+	request := LoadRequest(p.addresses[command.Worker], p.limits.Via, command)
+	p.send(now, &httpExchange{Exchange: Exchange{ID: command.ID, Worker: command.Worker, IsLoad: true, Request: request},
+		digest: command.Binding.Digest})
 }
 
-func (p *Pool) send(now float64, j *job) {
-	p.jobs[j.no] = j
-	addr := p.addr[j.wk]
-	if addr == "" || p.shut[j.wk] {
-		p.never(j)
+func (p *Pool) send(now float64, e *httpExchange) {
+	p.exchanges.Add(e)
+	addr := p.addresses[e.Worker]
+	if addr == "" || p.detached[e.Worker] {
+		p.exchanges.FailUnsent(e)
 		return
 	}
-	if idle := p.idle[j.wk]; len(idle) > 0 {
+	if idle := p.idle[e.Worker]; len(idle) > 0 {
 		c := idle[len(idle)-1]
-		p.idle[j.wk] = idle[:len(idle)-1]
-		p.write(c, j)
+		p.idle[e.Worker] = idle[:len(idle)-1]
+		p.write(c, e)
 		return
 	}
-	if p.held[j.wk] >= p.limits.MaxPerWorker {
-		p.never(j)
+	if len(p.connections.Of(e.Worker)) >= p.limits.MaxPerWorker {
+		p.exchanges.FailUnsent(e)
 		return
 	}
-	p.next++
-	c := &conn{no: p.next, wk: j.wk, addr: addr, job: j, since: now, in: http1.NewResponses(p.limits.Message)}
-	j.conn = c
-	p.conns[c.no] = c
-	p.held[c.wk]++
-	p.watch(c)
-	p.wire.Dial(c.no, addr)
+	c := &httpConnection{exchange: e, framer: http1.NewResponses(p.limits.Message)}
+	e.connection = c
+	p.startTimer(c)
+	p.connections.Dial(now, c, e.Worker, addr)
 }
 
-func (p *Pool) write(c *conn, j *job) {
-	c.job, j.conn, j.sent = j, c, true
-	p.wire.Write(c.no, j.data)
-	j.data = nil
+func (p *Pool) write(c *httpConnection, e *httpExchange) {
+	c.exchange, e.connection = e, c
+	e.Write(p.transport, c.ID)
 }
 
-// never notes a job that can't be sent; it is told at Flush, not from within the call that asked for it.
-func (p *Pool) never(j *job) { p.failed = append(p.failed, j) }
+// Pending reports whether Flush has something to report.
+func (p *Pool) Pending() bool { return p.exchanges.Pending() }
 
-// Pending tells that Flush has something to tell.
-func (p *Pool) Pending() bool { return len(p.failed) > 0 }
+// Flush reports the exchanges that could not be sent.
+func (p *Pool) Flush() { p.exchanges.Flush() }
 
-// Flush tells of jobs that could not be sent.
-func (p *Pool) Flush() {
-	for len(p.failed) > 0 {
-		list := p.failed
-		p.failed = nil
-		for _, j := range list {
-			p.end(j, dispatch.WorkerReply{Outcome: control.Unreachable})
-		}
-	}
-}
-
-func (p *Pool) end(j *job, r dispatch.WorkerReply) {
-	if p.jobs[j.no] != j {
-		return
-	}
-	delete(p.jobs, j.no)
-	if j.load {
-		p.sink.OnLoadReply(j.no, r.Outcome, 0)
-	} else {
-		p.sink.OnAttemptReply(j.no, r)
-	}
-}
-
-// OnDialed tells how a dial ended.
-func (p *Pool) OnDialed(now float64, no ConnID, err error) {
-	c := p.conns[no]
-	if c == nil {
-		if err == nil {
-			p.wire.Close(no) // given up meanwhile
-		}
-		return
-	}
-	if c.up {
-		return
-	}
-	if err != nil {
-		j := c.job
-		p.drop(c)
-		if j != nil {
-			p.end(j, dispatch.WorkerReply{Outcome: control.Unreachable})
+// OnDialed takes the end of a dial.
+func (p *Pool) OnDialed(now float64, id ConnID, err error) {
+	c := p.connections.Dialed(now, id, err)
+	switch {
+	case c == nil:
+	case err != nil:
+		p.remove(c)
+		if c.exchange != nil {
+			p.exchanges.FinishLost(c.exchange)
 		}
-		return
-	}
-	c.up = true
-	if c.job == nil {
-		p.rest(now, c)
-		return
+	case c.exchange == nil:
+		p.setIdle(now, c)
+	default:
+		p.write(c, c.exchange)
 	}
-	p.write(c, c.job)
 }
 
-// CancelUnsent takes a launch back of which nothing has left; false where something may have. A dial goes on for the next
-// one.
-func (p *Pool) CancelUnsent(no uint64) bool {
-	j := p.jobs[no]
-	if j == nil || j.sent {
+// CancelUnsent takes back an attempt of which nothing was sent; it returns false where something may have been. Its
+// dial goes on for the next exchange.
+func (p *Pool) CancelUnsent(id uint64) bool {
+	e := p.exchanges.Get(id)
+	if e == nil || e.Sent {
 		return false
 	}
-	delete(p.jobs, no)
-	if j.conn != nil {
-		j.conn.job = nil
+	p.exchanges.Remove(e)
+	if e.connection != nil {
+		e.connection.exchange = nil
 	}
 	return true
 }
 
-// Abandon gives a launch up: its connection is closed, which tells the worker that nobody waits.
-func (p *Pool) Abandon(now float64, no uint64) {
-	j := p.jobs[no]
-	if j == nil {
+// Abandon gives up an attempt without a report. Its connection is closed, which tells the worker that nobody waits.
+func (p *Pool) Abandon(_ float64, id uint64) {
+	e := p.exchanges.Get(id)
+	if e == nil {
 		return
 	}
-	delete(p.jobs, no)
-	c := j.conn
-	if c == nil {
-		return
-	}
-	if !c.up { // the dial goes on for the next one
-		c.job = nil
-		return
+	p.exchanges.Remove(e)
+	c := e.connection
+	switch {
+	case c == nil:
+	case !c.Established: // the dial goes on for the next exchange
+		c.exchange = nil
+	default:
+		p.close(c)
 	}
-	p.close(c)
 }
 
 // OnData takes bytes from a worker.
-func (p *Pool) OnData(now float64, no ConnID, data []byte) {
-	c := p.conns[no]
-	if c == nil || !c.up {
+func (p *Pool) OnData(now float64, id ConnID, data []byte) {
+	c := p.connections.Get(id)
+	if c == nil || !c.Established {
 		return
 	}
-	if c.job == nil { // bytes that nobody asked for would pass for the next answer
-		p.unlist(c)
+	if c.exchange == nil { // unsolicited bytes would pass for the next response
+		p.removeIdle(c)
 		p.close(c)
 		return
 	}
-	c.in.Feed(data)
-	m, err := c.in.Next()
-	if m == nil && err == nil {
+	c.framer.Feed(data)
+	message, err := c.framer.Next()
+	if message == nil && err == nil {
 		return
 	}
-	p.answered(now, c, m, err)
+	p.finish(now, c, message, err)
 }
 
-func (p *Pool) answered(now float64, c *conn, m *http1.Message, err error) {
-	j := c.job
-	c.job = nil
-	if err != nil || m.Close || !c.in.Idle() || p.shut[c.wk] {
+// finish ends the exchange of a connection by its response, or by an error where that can't be read.
+func (p *Pool) finish(now float64, c *httpConnection, message *http1.Message, err error) {
+	e := c.exchange
+	c.exchange = nil
+	if err != nil || message.Close || !c.framer.Idle() || p.detached[c.Worker] {
 		p.close(c)
 	} else {
-		p.rest(now, c)
+		p.setIdle(now, c)
 	}
 	switch {
-	case err != nil: // an answer that can't be read: it may have run
-		p.end(j, dispatch.WorkerReply{Outcome: control.ConnectionLost})
-	case j.load:
-		delete(p.jobs, j.no)
-		res, copies := ParseLoadResponse(m, j.digest)
-		p.sink.OnLoadReply(j.no, res, copies)
+	case err != nil: // the worker may have run the request
+		p.exchanges.FinishLost(e)
+	case e.IsLoad:
+		outcome, replicas := ParseLoadResponse(message, e.digest)
+		p.exchanges.Finish(e, dispatch.WorkerReply{Outcome: outcome}, replicas)
 	default:
-		p.end(j, ParseInferResponse(m))
+		p.exchanges.Finish(e, ParseInferResponse(message), 0)
 	}
 }
 
-// OnClosed tells that a connection closed or broke.
-func (p *Pool) OnClosed(now float64, no ConnID) {
-	c := p.conns[no]
+// OnClosed takes the end of a connection that the worker closed or that broke.
+func (p *Pool) OnClosed(now float64, id ConnID) {
+	c := p.connections.Get(id)
 	if c == nil {
 		return
 	}
-	j := c.job
-	if m, err := c.in.End(); j != nil && err == nil && m != nil {
-		p.answered(now, c, m, nil)
+	e := c.exchange
+	if message, err := c.framer.End(); e != nil && err == nil && message != nil {
+		p.finish(now, c, message, nil)
 		return
 	}
-	p.unlist(c)
-	p.drop(c)
-	if j == nil {
-		return
-	}
-	// A request of which bytes were handed to the kernel may have been read, whether an answer began or not.
-	if j.sent {
-		p.end(j, dispatch.WorkerReply{Outcome: control.ConnectionLost})
-	} else {
-		p.end(j, dispatch.WorkerReply{Outcome: control.Unreachable})
+	p.removeIdle(c)
+	p.remove(c)
+	if e != nil {
+		p.exchanges.FinishLost(e)
 	}
 }
 
-func (p *Pool) rest(now float64, c *conn) {
-	c.since = now
-	p.idle[c.wk] = append(p.idle[c.wk], c)
-	p.watch(c)
+func (p *Pool) setIdle(now float64, c *httpConnection) {
+	c.Since = now
+	p.idle[c.Worker] = append(p.idle[c.Worker], c)
+	p.startTimer(c)
 }
 
-func (p *Pool) watch(c *conn) {
-	if !c.queued {
-		c.queued = true
-		p.queue = append(p.queue, c)
+func (p *Pool) removeIdle(c *httpConnection) {
+	list := p.idle[c.Worker]
+	if i := slices.Index(list, c); i >= 0 {
+		p.idle[c.Worker] = slices.Delete(list, i, i+1)
 	}
 }
 
-func (p *Pool) unlist(c *conn) {
-	list := p.idle[c.wk]
-	for i := range list {
-		if list[i] == c {
-			p.idle[c.wk] = append(list[:i], list[i+1:]...)
-			return
-		}
-	}
+func (p *Pool) close(c *httpConnection) {
+	p.remove(c)
+	p.transport.Close(c.ID)
 }
 
-func (p *Pool) close(c *conn) {
-	p.drop(c)
-	p.wire.Close(c.no)
+func (p *Pool) remove(c *httpConnection) {
+	p.connections.Remove(c)
+	if len(p.connections.Of(c.Worker)) == 0 {
+		delete(p.idle, c.Worker)
+	}
 }
 
-func (p *Pool) drop(c *conn) {
-	if p.conns[c.no] != c {
-		return
-	}
-	delete(p.conns, c.no)
-	if p.held[c.wk]--; p.held[c.wk] == 0 {
-		delete(p.held, c.wk)
-		delete(p.idle, c.wk)
+// startTimer has Tick look at a connection that is being dialed or became idle.
+func (p *Pool) startTimer(c *httpConnection) {
+	if !c.timed {
+		c.timed = true
+		p.timed = append(p.timed, c)
 	}
 }
 
-// Tick closes what has been idle too long and gives up slow dials.
+// Tick closes connections that have been idle too long and gives up slow dials.
 func (p *Pool) Tick(now float64) {
-	kept := p.queue[:0]
-	for _, c := range p.queue {
+	kept := p.timed[:0]
+	for _, c := range p.timed {
 		switch {
-		case p.conns[c.no] != c || c.up && c.job != nil:
-			c.queued = false
-		case !c.up && now-c.since >= p.limits.DialTimeout:
-			j := c.job
-			p.close(c)
-			if j != nil {
-				p.never(j)
-			}
-		case c.up && now-c.since >= p.limits.IdleTimeout:
-			p.unlist(c)
+		case !p.connections.Has(c) || c.Established && c.exchange != nil:
+			c.timed = false
+		case c.DialTimedOut(now, p.limits.DialTimeout):
+			p.giveUpDial(c)
+		case c.IdleTimedOut(now, p.limits.IdleTimeout):
+			p.removeIdle(c)
 			p.close(c)
 		default:
 			kept = append(kept, c)
 		}
 	}
-	clear(p.queue[len(kept):])
-	p.queue = kept
+	clear(p.timed[len(kept):])
+	p.timed = kept
 }
 
-// CloseAll closes every connection; jobs that are out are told as broken.
-func (p *Pool) CloseAll(now float64) {
-	for _, no := range slices.Sorted(maps.Keys(p.conns)) {
-		c := p.conns[no]
-		j := c.job
+// CloseAll closes every connection. What is open on them, those being dialed included, is reported as lost.
+func (p *Pool) CloseAll(_ float64) {
+	for _, id := range p.connections.IDs() {
+		c := p.connections.Get(id)
+		if c == nil {
+			continue
+		}
 		p.close(c)
-		if j != nil {
-			p.end(j, dispatch.WorkerReply{Outcome: control.ConnectionLost})
+		if c.exchange != nil {
+			p.exchanges.Finish(c.exchange, dispatch.WorkerReply{Outcome: control.ConnectionLost}, 0)
 		}
 	}
 }
 
-// Check tells of state that contradicts itself; it is for tests.
+// Check reports state that contradicts itself; it is for tests.
 func (p *Pool) Check() error {
-	var errs []error
-	n := 0
-	for wk, list := range p.idle {
+	errs := []error{p.connections.Check()}
+	for worker, list := range p.idle {
 		for _, c := range list {
-			if c.job != nil || !c.up || p.conns[c.no] != c {
-				errs = append(errs, fmt.Errorf("worker %s: connection %d rests but is not idle", wk, c.no))
+			if c.exchange != nil || !c.Established || !p.connections.Has(c) {
+				errs = append(errs, fmt.Errorf("worker %s: connection %d is listed as idle and is not", worker, c.ID))
 			}
 		}
 	}
-	for _, held := range p.held {
-		n += held
-	}
-	if n != len(p.conns) {
-		errs = append(errs, fmt.Errorf("%d connections held, %d known", n, len(p.conns)))
-	}
 	return errors.Join(errs...)
 }
