--- a/internal/platform/downstream/session.go
+++ b/internal/platform/downstream/session.go
@@ -1,322 +1,213 @@
 package downstream
 
 import (
-	"bytes"
 	"fmt"
 	"maps"
 	"math"
 	"slices"
 	"strconv"
-	"strings"
 	"time"
 
 	"streamcleat/internal/dispatch"
 )
 
-// RequestHandler takes events on behalf of a session.
+// RequestHandler takes requests on behalf of a session.
 type RequestHandler interface {
-	// Submit is answered by Session.Answer with the same slot, be it before Take returns.
-	Submit(slot uint64, ask dispatch.Request)
-	// Cancel tells that nobody waits for the slot any more.
+	// Submit is answered by Session.Respond with the same slot, which may be called before Submit returns.
+	Submit(slot uint64, request dispatch.Request)
+	// Cancel reports that nobody waits for the slot any more.
 	Cancel(slot uint64)
 }
 
-// KeyField names the mark by which workers know the repeat of a keyed event.
-const (
-	KeyField = "opkey"
-	keyMost  = 256
-)
-
 // Limits of client connections, and what their requests may name. Times are seconds.
 type Limits struct {
-	Open     int                            // events open on one connection
-	First    float64                        // a new connection must have sent its first frame by then
-	Arrival  float64                        // a frame must be whole so long after its first byte
-	Idle     float64                        // a connection without an event is closed after this
-	MaxAge   func(eventType string) float64 // longest that a client may wait; 0 where the type is unknown
-	Tenant   func(name string) bool
-	Ready    func() bool // events may come
-	MemoryMB float64     // most that one copy may take
-	Lanes    int         // most that one copy may run at a time
-	Load     float64     // longest usual time of a load
-	Work     float64     // longest work that a hint may tell
-}
-
-// Session is one client connection.
+	Open     int                        // requests open on one connection
+	First    float64                    // a new connection must have sent its first frame by then
+	Arrival  float64                    // a frame must be complete so long after its first byte
+	Idle     float64                    // a connection without a request is closed after this
+	MaxAge   func(class string) float64 // longest timeout of a request; 0 where the class is unknown
+	Tenant   func(name string) bool     // whether the deployment names it
+	Ready    func() bool                // whether requests may come
+	MemoryMB float64                    // most that one replica may take
+	Lanes    int                        // most requests that one replica may run at a time
+	Load     float64                    // longest expected load time
+	Work     float64                    // longest expected work
+}
+
+// Session is one client connection. Responses are sent in any order; the stream of a request is its slot.
 type Session struct {
-	limits *Limits
-	in     framer
-	taker  RequestHandler
-	open   map[uint32]bool
-	last   uint32  // highest stream so far: each request has one of its own
-	began  float64 // when the half-read frame's first byte came
-	quiet  float64 // when the connection was last busy
-	spoke  bool    // a frame came
-	closed bool    // nothing more is read
-	told   bool    // it was told to send no more
-	out    []byte
-	gone   bool
+	limits       *Limits
+	framer       framer
+	handler      RequestHandler
+	open         map[uint32]bool // streams of open requests
+	lastStream   uint32          // the highest so far: each request has one of its own
+	frameStart   float64         // when the incomplete frame's first byte came
+	activeAt     float64         // when the connection was last busy
+	received     bool            // a complete frame came
+	closed       bool            // nothing more is read
+	goAwaySent   bool
+	disconnected bool
+	output       []byte
 }
 
 // NewSession begins a connection at the time now.
-func NewSession(l *Limits, taker RequestHandler, now float64) *Session {
-	return &Session{limits: l, taker: taker, open: map[uint32]bool{}, quiet: now, began: now}
+func NewSession(limits *Limits, handler RequestHandler, now float64) *Session {
+	return &Session{limits: limits, handler: handler, open: map[uint32]bool{}, activeAt: now, frameStart: now}
 }
 
 // Feed takes bytes from the client.
 func (s *Session) Feed(now float64, _ time.Time, data []byte) {
-	if s.closed || s.gone {
+	if s.closed || s.disconnected {
 		return
 	}
-	if s.in.idle() {
-		s.began = now
+	if s.framer.idle() {
+		s.frameStart = now
 	}
-	s.in.feed(data)
-	for !s.closed && !s.gone {
-		f, ok, err := s.in.next()
+	s.framer.feed(data)
+	for !s.closed && !s.disconnected {
+		f, ok, err := s.framer.next()
 		if err != nil {
-			s.fault(err.Error())
+			s.fail(err.Error())
 			break
 		}
 		if !ok {
 			break
 		}
-		s.spoke, s.quiet, s.began = true, now, now
-		s.take(now, f)
+		s.received, s.activeAt, s.frameStart = true, now, now
+		s.onFrame(f)
 	}
-	s.in.settle()
+	s.framer.compact()
 }
 
-// fault ends the connection with an error that belongs to no request. What is open on it is answered first.
-func (s *Session) fault(why string) {
-	s.out = putAnswer(s.out, answer, 0, codeFailed, nil, []byte(why))
+// fail ends the connection with an error that belongs to no request. What is open on it is answered first.
+func (s *Session) fail(reason string) {
+	s.output = appendResponse(s.output, frameResponse, 0, codeFailed, nil, []byte(reason))
 	s.closed = true
-	s.in = framer{} // hundreds such must not hold what they sent while they linger
+	s.framer = framer{} // hundreds of failed connections must not hold what they sent while they linger
 }
 
-func (s *Session) refuse(stream uint32, why string) {
-	s.out = putAnswer(s.out, answer, stream, codeRefused, nil, []byte(why))
+func (s *Session) reject(stream uint32, reason string) {
+	s.output = appendResponse(s.output, frameResponse, stream, codeRejected, nil, []byte(reason))
 }
 
-func (s *Session) take(now float64, f frame) {
+func (s *Session) onFrame(f frame) {
 	switch f.kind {
-	case request:
-		s.request(now, f)
-	case takeBack:
+	case frameRequest:
+		s.onRequest(f)
+	case frameCancel:
 		if s.open[f.stream] {
 			delete(s.open, f.stream)
-			s.taker.Cancel(uint64(f.stream))
+			s.handler.Cancel(uint64(f.stream))
 		}
-	case askReady:
-		code := byte(codeServed)
+	case frameReadinessQuery:
+		code := codeSucceeded
 		if !s.limits.Ready() {
-			code = codeRefused
+			code = codeRejected
 		}
-		s.out = putAnswer(s.out, isReady, f.stream, code, nil, nil)
+		s.output = appendResponse(s.output, frameReadiness, f.stream, code, nil, nil)
 	default:
-		s.fault(fmt.Sprintf("frame type %d is none that a client sends", f.kind))
+		s.fail(fmt.Sprintf("frame type %d is none that a client sends", f.kind))
 	}
 }
 
-func (s *Session) request(now float64, f frame) {
+func (s *Session) onRequest(f frame) {
 	switch {
 	case f.stream == 0:
-		s.fault("stream 0 carries no request")
+		s.fail("stream 0 carries no request")
 		return
-	case f.stream <= s.last:
-		// An answer on it could be taken for that of the first.
-		s.fault(fmt.Sprintf("stream %d: not above %d, the last one", f.stream, s.last))
+	case f.stream <= s.lastStream: // a response on it could be taken for that of the first
+		s.fail(fmt.Sprintf("stream %d: not above %d, the last one", f.stream, s.lastStream))
 		return
 	}
-	s.last = f.stream
-	if f.long {
-		s.refuse(f.stream, fmt.Sprintf("request: over %d bytes of body or of fields", BodyMost))
+	s.lastStream = f.stream
+	if f.oversize {
+		s.reject(f.stream, fmt.Sprintf("request: over %d bytes of body or of fields", BodyMost))
 		return
 	}
-	ask, err := s.limits.read(f.payload)
+	request, err := s.limits.parseRequest(f.payload)
 	switch {
 	case err != nil:
-		s.refuse(f.stream, err.Error())
+		s.reject(f.stream, err.Error())
 	case len(s.open) >= s.limits.Open:
-		s.refuse(f.stream, fmt.Sprintf("stream: %d requests are open on this connection", s.limits.Open))
+		s.reject(f.stream, fmt.Sprintf("stream: %d requests are open on this connection", s.limits.Open))
 	default:
 		s.open[f.stream] = true
-		s.taker.Submit(uint64(f.stream), ask)
-	}
-}
-
-// read turns a request's payload into an event; an error names the field that is at fault.
-func (l *Limits) read(payload []byte) (ask dispatch.Request, err error) {
-	fields, body, err := readFields(payload)
-	if err != nil {
-		return ask, fmt.Errorf("request: %w", err)
-	}
-	if len(body) > BodyMost {
-		return ask, fmt.Errorf("body: over %d bytes", BodyMost)
-	}
-	for _, f := range fields {
-		switch f.Name {
-		case "kind":
-			ask.Class = f.Value
-		case "req":
-			ask.ID = f.Value
-		case "timeout":
-			ask.Timeout, err = number(f.Name, f.Value, 1e-3)
-		case "owner":
-			ask.Tenant = f.Value
-		case "subject":
-			ask.Function = f.Value
-		case "ms":
-			ask.ExpectedWork, err = number(f.Name, f.Value, 1e-3)
-		case "more":
-			ask.StatedProfile, err = l.stated(f.Value)
-		case KeyField: // workers know repeats by it, so it goes on as it is
-			if len(f.Value) > keyMost || strings.ContainsFunc(f.Value, func(c rune) bool { return c <= ' ' || c > '~' || c == ',' || c == '=' }) {
-				err = fmt.Errorf("%s: %.40q is not a key of up to %d characters without comma, equals sign and spaces", f.Name, f.Value, keyMost)
-			}
-			ask.Fields = []dispatch.Field{{Name: f.Name, Value: f.Value}}
-		}
-		if err != nil {
-			return ask, err
-		}
-	}
-	age := l.MaxAge(ask.Class)
-	switch {
-	case !hex16(ask.ID):
-		err = fmt.Errorf("req: %.40q is not 16 hex digits", ask.ID)
-	case age <= 0:
-		err = fmt.Errorf("kind: the deployment names no %.40q", ask.Class)
-	case !l.Tenant(ask.Tenant):
-		err = fmt.Errorf("owner: the deployment names no %.40q", ask.Tenant)
-	case !hex16(ask.Function):
-		err = fmt.Errorf("subject: %.40q is not 16 hex digits", ask.Function)
-	case ask.Timeout <= 0 || ask.Timeout > age*1.001:
-		err = fmt.Errorf("timeout: %v s is not above 0 and up to %v", ask.Timeout, age)
-	case ask.ExpectedWork < 0 || ask.ExpectedWork > l.Work:
-		err = fmt.Errorf("ms: %v s is not from 0 to %v", ask.ExpectedWork, l.Work)
+		s.handler.Submit(uint64(f.stream), request)
 	}
-	ask.StatedProfile.Concurrency = max(ask.StatedProfile.Concurrency, 1)
-	ask.RejectDuplicates = true
-	ask.Body = bytes.Clone(body)
-	return ask, err
 }
 
-func (l *Limits) stated(text string) (f dispatch.FunctionProfile, err error) {
-	for text != "" && err == nil {
-		var pair string
-		pair, text, _ = strings.Cut(text, ";")
-		name, value, _ := strings.Cut(pair, ":")
-		v := 0.0
-		switch name {
-		case "memory_mb":
-			v, err = bounded(pair, value, l.MemoryMB)
-			f.MemoryMB = v
-		case "lanes":
-			if v, err = bounded(pair, value, float64(l.Lanes)); err == nil && v != math.Floor(v) {
-				err = fmt.Errorf("more: %.60q: not a whole number", pair)
-			}
-			f.Concurrency = int(v)
-		case "load_ms":
-			v, err = bounded(pair, value, l.Load*1000)
-			f.LoadTime = v / 1000
-		}
-	}
-	return f, err
-}
-
-func bounded(pair, value string, most float64) (float64, error) {
-	v, err := number("more: "+pair, value, 1)
-	if err == nil && (v <= 0 || v > most) {
-		err = fmt.Errorf("more: %.60q: not above 0 and up to %v", pair, most)
-	}
-	return v, err
-}
-
-func number(field, text string, unit float64) (float64, error) {
-	v, err := strconv.ParseFloat(text, 64)
-	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-		return 0, fmt.Errorf("%.60s: %.40q is not a number", field, text)
-	}
-	return v * unit, nil
-}
-
-func hex16(s string) bool {
-	for i := range len(s) {
-		if c := s[i] | 0x20; (s[i] < '0' || s[i] > '9') && (c < 'a' || c > 'f') {
-			return false
-		}
-	}
-	return len(s) == 16
-}
+// retryAfterField is the pause in milliseconds that a rejection asks for.
+const retryAfterField = "holdoff"
 
-// Respond is the final answer to a request.
-func (s *Session) Respond(now float64, slot uint64, a dispatch.Response) {
+// Respond sends the final response to a request.
+func (s *Session) Respond(now float64, slot uint64, r dispatch.Response) {
 	stream := uint32(slot)
-	if s.gone || !s.open[stream] {
+	if s.disconnected || !s.open[stream] {
 		return
 	}
 	delete(s.open, stream)
-	s.quiet = now
-	switch a.Kind {
+	s.activeAt = now
+	switch r.Kind {
 	case dispatch.Succeeded:
-		s.out = putAnswer(s.out, answer, stream, codeServed, nil, a.Body)
+		s.output = appendResponse(s.output, frameResponse, stream, codeSucceeded, nil, r.Body)
 	case dispatch.Rejected:
 		var fields []Field
-		if ms := math.Round(a.RetryAfter * 1000); ms > 0 {
-			fields = []Field{{"holdoff", strconv.FormatFloat(ms, 'f', 0, 64)}}
+		if ms := math.Round(r.RetryAfter * 1000); ms > 0 {
+			fields = []Field{{retryAfterField, strconv.FormatFloat(ms, 'f', 0, 64)}}
 		}
-		s.out = putAnswer(s.out, answer, stream, codeRefused, fields, []byte(a.Cause.String()))
+		s.output = appendResponse(s.output, frameResponse, stream, codeRejected, fields, []byte(r.Cause.String()))
 	default:
-		s.out = putAnswer(s.out, answer, stream, codeFailed, nil, []byte(a.Cause.String()))
+		s.output = appendResponse(s.output, frameResponse, stream, codeFailed, nil, []byte(r.Cause.String()))
 	}
 }
 
-// Advance has nothing to do: answers leave in any order.
+// Advance has nothing to do: responses are sent in any order.
 func (s *Session) Advance(float64) {}
 
-// Output hands out what is to be sent.
+// Output returns what is to be sent and forgets it.
 func (s *Session) Output() []byte {
-	out := s.out
-	s.out = nil
-	return out
+	output := s.output
+	s.output = nil
+	return output
 }
 
-// Done tells that the connection is to be closed once all output is sent.
+// Done reports that the connection is to be closed once all output is sent.
 func (s *Session) Done() bool { return s.closed && len(s.open) == 0 }
 
-// Idle tells that no request is open or half read, and since when.
-func (s *Session) Idle() (since float64, free bool) {
-	return s.quiet, len(s.open) == 0 && s.in.idle()
+// Idle reports whether no request is open or incomplete, and since when.
+func (s *Session) Idle() (since float64, idle bool) {
+	return s.activeAt, len(s.open) == 0 && s.framer.idle()
 }
 
-// Disconnected tells that the client left.
+// Disconnected reports that the client left.
 func (s *Session) Disconnected() {
-	s.gone = true
+	s.disconnected = true
 	for _, stream := range slices.Sorted(maps.Keys(s.open)) {
-		s.taker.Cancel(uint64(stream))
+		s.handler.Cancel(uint64(stream))
 	}
 	clear(s.open)
 }
 
-// Drain tells the client to send no more requests here. Those that cross this are still taken.
+// Drain tells the client to send no more requests here. Those that cross this are still accepted.
 func (s *Session) Drain() {
-	if !s.told && !s.closed {
-		s.told = true
-		b, at := putFrame(s.out, noMore, 0)
-		s.out = endFrame(b, at)
+	if !s.goAwaySent && !s.closed {
+		s.goAwaySent = true
+		b, start := beginFrame(s.output, frameGoAway, 0)
+		s.output = endFrame(b, start)
 	}
 }
 
-// Tick tells what time does: a frame that never ends gets an error and ends the connection; one that says nothing,
-// or nothing more, just ends.
+// Tick applies timeouts and reports whether there is output or the connection is done: a frame that is not complete in
+// time gets an error and ends the connection; a connection without a frame, or idle for too long, just ends.
 func (s *Session) Tick(now float64) bool {
+	noFirstFrame := !s.received && now-s.activeAt > s.limits.First
 	switch {
-	case s.closed || s.gone:
-	case !s.in.idle() && (now-s.began > s.limits.Arrival || !s.spoke && now-s.quiet > s.limits.First):
-		s.fault("frame: not whole in time")
-	case !s.in.idle() || len(s.open) > 0:
-	case !s.spoke && now-s.quiet > s.limits.First, now-s.quiet > s.limits.Idle:
+	case s.closed || s.disconnected:
+	case !s.framer.idle() && (now-s.frameStart > s.limits.Arrival || noFirstFrame):
+		s.fail("frame: not whole in time")
+	case !s.framer.idle() || len(s.open) > 0:
+	case noFirstFrame || now-s.activeAt > s.limits.Idle:
 		s.closed = true
 	}
-	return len(s.out) > 0 || s.Done()
+	return len(s.output) > 0 || s.Done()
 }
