--- a/internal/http1/h1_test.go
+++ b/internal/http1/framer_test.go
@@ -13,8 +13,9 @@
 
 var limits = Limits{Head: 400, Body: 100}
 
-func all(f *Framer, chunks ...string) (got []string, err error) {
-	for _, c := range chunks {
+// all feeds a framer in pieces and returns each complete message as text.
+func all(f *Framer, pieces ...string) (got []string, err error) {
+	for _, c := range pieces {
 		f.Feed([]byte(c))
 		for {
 			m, err := f.Next()
@@ -32,11 +33,28 @@
 	return got, nil
 }
 
+// checkRequests feeds a framer in pieces and compares its messages with want, or its error with want's status and word.
+func checkRequests(t *testing.T, how, want string, pieces ...string) {
+	t.Helper()
+	got, err := all(NewRequests(limits), pieces...)
+	if err == nil {
+		if s := fmt.Sprint(got); s != want {
+			t.Errorf("%s: %s, want %s", how, s, want)
+		}
+		return
+	}
+	var f *ProtocolError
+	status, word, _ := strings.Cut(want, " ")
+	if !errors.As(err, &f) || fmt.Sprint(f.Status) != status || !strings.Contains(f.Why, word) {
+		t.Errorf("%s: %v, want %s", how, err, want)
+	}
+}
+
 func TestRequests(t *testing.T) {
 	post := "POST /e HTTP/1.1\r\nHost: a\r\n"
 	for _, c := range []struct {
 		name, in string
-		want     string // messages, or the status and a word of the fault
+		want     string // messages, or the status and a word of the error
 	}{
 		{"no body", "GET / HTTP/1.1\r\nHost: a\r\n\r\n", "[GET/ 0 ]"},
 		{"length", post + "Content-Length: 3\r\n\r\nabc", "[POST/e 0 abc]"},
@@ -70,23 +88,18 @@
 		{"chunk line bare", post + "Transfer-Encoding: chunked\r\n\r\n1\na\r\n", "400 carriage return"},
 		{"trailer without colon", post + "Transfer-Encoding: chunked\r\n\r\n0\r\nxy\r\n\r\n", "400 colon"},
 	} {
-		want := c.want
-		check := func(how string, chunks ...string) {
-			got, err := all(NewRequests(limits), chunks...)
-			if err == nil {
-				if s := fmt.Sprint(got); s != want {
-					t.Errorf("%s, %s: %s, want %s", c.name, how, s, want)
-				}
-				return
-			}
-			var f *ProtocolError
-			status, word, _ := strings.Cut(want, " ")
-			if !errors.As(err, &f) || fmt.Sprint(f.Status) != status || !strings.Contains(f.Why, word) {
-				t.Errorf("%s, %s: %v, want %s", c.name, how, err, want)
-			}
-		}
-		check("at once", c.in)
-		check("byte by byte", strings.Split(c.in, "")...)
+		t.Run(c.name, func(t *testing.T) {
+			checkRequests(t, "at once", c.want, c.in)
+			checkRequests(t, "byte by byte", c.want, strings.Split(c.in, "")...)
+		})
+	}
+}
+
+// wait has a framer read what it holds, which must not complete a message.
+func wait(t *testing.T, f *Framer) {
+	t.Helper()
+	if m, err := f.Next(); m != nil || err != nil {
+		t.Fatal(m, err)
 	}
 }
 
@@ -103,13 +116,13 @@
 		t.Fatal(m, err)
 	}
 	f.Feed([]byte(" close"))
-	f.Next()
+	wait(t, f)
 	if m, err := f.End(); err != nil || string(m.Body) != "until close" || !m.Close {
 		t.Fatal(m, err)
 	}
 	f = NewResponses(limits)
 	f.Feed([]byte(ok + "Content-Length: 5\r\n\r\nhal"))
-	f.Next()
+	wait(t, f)
 	if m, err := f.End(); err == nil || m != nil {
 		t.Fatal("half an answer passed for a whole one")
 	}
@@ -156,7 +169,9 @@
 				if b, err := r.Peek(2); err != nil || string(b) != "\r\n" {
 					break
 				}
-				r.Discard(2)
+				if _, err := r.Discard(2); err != nil {
+					t.Fatal(err)
+				}
 			}
 		}
 	})
