--- /dev/null
+++ b/internal/ingress/http/attributes.go
@@ -0,0 +1,98 @@
+package http
+
+import (
+	"fmt"
+	"maps"
+	nethttp "net/http"
+	"net/url"
+	"slices"
+	"strings"
+	"time"
+
+	cloudevents "github.com/cloudevents/sdk-go/v2/event"
+
+	"streamcleat/internal/dispatch"
+)
+
+// binaryFields are an event's context attributes as ce- fields, in a fixed order, whichever mode it came in.
+func binaryFields(event *cloudevents.Event, extensions map[string]any) []dispatch.Field {
+	fields := []dispatch.Field{
+		{Name: "ce-specversion", Value: specVersion},
+		{Name: "ce-source", Value: encodeAttribute(event.Source())},
+		{Name: "ce-id", Value: encodeAttribute(event.ID())},
+		{Name: "ce-type", Value: encodeAttribute(event.Type())},
+	}
+	if v := event.Subject(); v != "" {
+		fields = append(fields, dispatch.Field{Name: "ce-subject", Value: encodeAttribute(v)})
+	}
+	if v := event.Time(); !v.IsZero() {
+		fields = append(fields, dispatch.Field{Name: "ce-time", Value: v.Format(time.RFC3339Nano)})
+	}
+	if v := event.DataSchema(); v != "" {
+		fields = append(fields, dispatch.Field{Name: "ce-dataschema", Value: encodeAttribute(v)})
+	}
+	if v := event.DataContentType(); v != "" {
+		fields = append(fields, dispatch.Field{Name: "Content-Type", Value: encodeAttribute(v)})
+	}
+	names := slices.AppendSeq(make([]string, 0, len(extensions)), maps.Keys(extensions))
+	slices.Sort(names)
+	for _, name := range names {
+		fields = append(fields, dispatch.Field{Name: "ce-" + name, Value: encodeAttribute(fmt.Sprint(extensions[name]))})
+	}
+	return fields
+}
+
+// unescapeQuoted takes the escapes off a quoted string.
+var unescapeQuoted = strings.NewReplacer(`\\`, `\`, `\"`, `"`)
+
+// decodeAttributes decodes the values of ce- fields (HTTP binding 3.1.3.2): double quotes first, then one round of
+// percent decoding. The library leaves both to its caller. What is no percent encoding stays as it is.
+func decodeAttributes(header nethttp.Header) nethttp.Header {
+	decoded := make(nethttp.Header, len(header))
+	for name, values := range header {
+		if strings.HasPrefix(name, attributePrefix) && len(values) > 0 {
+			values = []string{decodeAttribute(values[0])}
+		}
+		decoded[name] = values
+	}
+	return decoded
+}
+
+func decodeAttribute(value string) string {
+	if len(value) >= 2 && value[0] == '"' && value[len(value)-1] == '"' {
+		value = unescapeQuoted.Replace(value[1 : len(value)-1])
+	}
+	if !strings.Contains(value, "%") {
+		return value
+	}
+	plain, err := url.PathUnescape(value)
+	if err != nil {
+		return value
+	}
+	return plain
+}
+
+// encodeAttribute percent-encodes what a field value may not hold (HTTP binding 3.1.3.2), so that nothing in an
+// attribute can end the field.
+func encodeAttribute(value string) string {
+	for i := range len(value) {
+		if !isPlain(value[i]) {
+			return percentEncode(value)
+		}
+	}
+	return value
+}
+
+func percentEncode(value string) string {
+	var b strings.Builder
+	for i := range len(value) {
+		if isPlain(value[i]) {
+			b.WriteByte(value[i])
+		} else {
+			fmt.Fprintf(&b, "%%%02X", value[i])
+		}
+	}
+	return b.String()
+}
+
+func isPlain(c byte) bool { return c > ' ' && c < 0x7f && c != '"' && c != '%' }
--- /dev/null
+++ b/internal/ingress/http/problem.go
@@ -0,0 +1,76 @@
+package http
+
+import (
+	"encoding/json"
+	"fmt"
+	nethttp "net/http"
+
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/http1"
+)
+
+// problemType is the last part of a problem's type URI.
+type problemType string
+
+const (
+	problemInvalidRequest    problemType = "invalid-request"
+	problemInvalidEvent      problemType = "invalid-event"
+	problemInvalidPreference problemType = "invalid-preference"
+	problemUnsupportedFormat problemType = "unsupported-format"
+	problemNotFound          problemType = "not-found"
+	problemMethod            problemType = "method"
+	problemPipeline          problemType = "pipeline"
+)
+
+const problemURIPrefix = "urn:streamcleat:problem:"
+
+// requestError is why a request can't be accepted, with the status and problem type of its response.
+type requestError struct {
+	status  int
+	problem problemType
+	detail  string
+}
+
+func (e *requestError) Error() string { return e.detail }
+
+func requestErrorf(status int, problem problemType, format string, args ...any) *requestError {
+	return &requestError{status: status, problem: problem, detail: fmt.Sprintf(format, args...)}
+}
+
+func invalidEventf(format string, args ...any) *requestError {
+	return requestErrorf(nethttp.StatusBadRequest, problemInvalidEvent, format, args...)
+}
+
+// problemDetails is the body of an error response (RFC 9457). Members stand in the order of their names. Those that may
+// be left out describe the end of a request that was dispatched.
+type problemDetails struct {
+	Cause      string       `json:"cause,omitempty"`
+	Detail     string       `json:"detail"`
+	Event      *problemItem `json:"event,omitempty"`
+	Attempts   *int         `json:"launches,omitempty"`
+	Outcome    string       `json:"outcome,omitempty"`
+	RetryAfter *float64     `json:"retry-after,omitempty"`
+	Status     int          `json:"status"`
+	Title      string       `json:"title"`
+	Type       string       `json:"type"`
+	Worker     string       `json:"worker,omitempty"`
+}
+
+// problemItem is the identity of the event that a problem is about.
+type problemItem struct {
+	ID     string `json:"id"`
+	Source string `json:"source"`
+}
+
+// encodeProblem encodes a response with problem details, to which it adds status, title and type.
+func encodeProblem(status int, problem problemType, details problemDetails, fields []dispatch.Field, closes bool) []byte {
+	details.Status, details.Title, details.Type = status, nethttp.StatusText(status), problemURIPrefix+string(problem)
+	body, _ := json.Marshal(details) // strings and finite numbers: it can't fail
+	fields = append([]dispatch.Field{{Name: "Content-Type", Value: "application/problem+json"}}, fields...)
+	return encodeResponse(status, fields, append(body, '\n'), closes)
+}
+
+// requestTimedOut is the error of a request that is not complete after limit seconds.
+func requestTimedOut(limit float64) error {
+	return &http1.ProtocolError{Status: nethttp.StatusRequestTimeout, Why: fmt.Sprintf("the request was not whole after %v s", limit)}
+}
--- /dev/null
+++ b/internal/ingress/http/response.go
@@ -0,0 +1,107 @@
+package http
+
+import (
+	"bytes"
+	"fmt"
+	"math"
+	nethttp "net/http"
+	"strconv"
+
+	"streamcleat/control"
+	"streamcleat/internal/dispatch"
+)
+
+// encodedHeadSize is room for the status line and the usual fields.
+const encodedHeadSize = 160
+
+// encodeResponse encodes a response; closes tells the client that the connection closes after it.
+func encodeResponse(status int, fields []dispatch.Field, body []byte, closes bool) []byte {
+	var b bytes.Buffer
+	b.Grow(encodedHeadSize + len(body))
+	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n", status, nethttp.StatusText(status), len(body))
+	for _, f := range fields {
+		b.WriteString(f.Name)
+		b.WriteString(": ")
+		b.WriteString(f.Value)
+		b.WriteString("\r\n")
+	}
+	if closes {
+		b.WriteString("Connection: close\r\n")
+	}
+	b.WriteString("\r\n")
+	b.Write(body)
+	return b.Bytes()
+}
+
+// startMetrics are the Server-Timing metrics that tell how a request met its replica.
+var startMetrics = map[control.StartType]string{control.WarmStart: "warm", control.ColdStart: "load",
+	control.JoinedColdStart: "joined"}
+
+// proxyErrors are the error types of RFC 9209 2.3 for the causes that have one.
+var proxyErrors = map[dispatch.Cause]string{
+	dispatch.CauseDeadlineExceeded: "http_response_timeout", dispatch.CauseConnectionLost: "connection_terminated",
+	dispatch.CauseWorkerUnreachable: "destination_unavailable", dispatch.CauseWorkerFull: "connection_limit_reached",
+	dispatch.CauseNoCapacity: "destination_unavailable", dispatch.CauseWorkerFailed: "http_protocol_error",
+	dispatch.CauseLoadFailed: "destination_not_found",
+}
+
+// encodeFinal encodes a final response: 200 where the request succeeded; 503 with Retry-After where it was rejected;
+// 502, 504 or 422 where it failed. proxyName names this front end in Proxy-Status.
+func encodeFinal(r *dispatch.Response, proxyName string, closes bool) []byte {
+	fields := finalFields(r)
+	if r.Kind == dispatch.Succeeded {
+		return encodeResponse(nethttp.StatusOK, append(fields, r.Fields...), r.Body, closes)
+	}
+	fields = append(fields, dispatch.Field{Name: "Proxy-Status", Value: proxyStatus(r.Cause, proxyName)})
+	status, detail := finalStatus(r)
+	attempts, retryAfter := r.Attempts, r.RetryAfter // copies, so that r need not be allocated
+	details := problemDetails{Detail: detail, Cause: r.Cause.String(), Outcome: r.Kind.String(), Attempts: &attempts,
+		Event: &problemItem{Source: r.Identity.Source, ID: r.Identity.ID}, Worker: r.Worker}
+	if r.Kind == dispatch.Rejected {
+		details.RetryAfter = &retryAfter
+		seconds := strconv.Itoa(int(math.Ceil(retryAfter)))
+		fields = append(fields, dispatch.Field{Name: "Retry-After", Value: seconds})
+	}
+	return encodeProblem(status, problemType(r.Kind.String()), details, fields, closes)
+}
+
+// finalFields are the fields of every final response.
+func finalFields(r *dispatch.Response) []dispatch.Field {
+	timing := fmt.Sprintf("total;dur=%.1f", r.Elapsed*1000)
+	if metric, ok := startMetrics[r.Start]; ok && r.Kind == dispatch.Succeeded {
+		timing = metric + ", " + timing
+	}
+	fields := []dispatch.Field{{Name: "Server-Timing", Value: timing}}
+	if b := r.Binding; b.ID != "" { // which version it was, whatever the outcome
+		fields[0].Value = fmt.Sprintf("%s, version;desc=%q", timing, b.Version)
+		fields = append(fields, dispatch.Field{Name: "Docker-Content-Digest", Value: b.Digest})
+	}
+	if r.Replayed {
+		fields = append(fields, dispatch.Field{Name: "Idempotent-Replayed", Value: "true"})
+	}
+	return fields
+}
+
+// proxyStatus is the value of Proxy-Status (RFC 9209).
+func proxyStatus(cause dispatch.Cause, proxyName string) string {
+	if errorType := proxyErrors[cause]; errorType != "" {
+		return fmt.Sprintf("%s; error=%s; details=%q", proxyName, errorType, cause)
+	}
+	return fmt.Sprintf("%s; details=%q", proxyName, cause)
+}
+
+// finalStatus is the status of a request that did not succeed, with a detail for its sender.
+func finalStatus(r *dispatch.Response) (status int, detail string) {
+	const failed = "The event was given up; nothing is promised of what it did."
+	switch {
+	case r.Kind == dispatch.Rejected:
+		return nethttp.StatusServiceUnavailable, "The event was not handled; sending it again is harmless."
+	case r.Cause == dispatch.CauseDeadlineExceeded:
+		return nethttp.StatusGatewayTimeout, failed
+	case r.Cause == dispatch.CauseNoVersion:
+		return nethttp.StatusUnprocessableEntity, fmt.Sprintf("The reference %.100q names no version that may run events of type %.100q.", r.Function, r.Class)
+	case r.Cause == dispatch.CauseUnknownClass: // never dispatched: the sender's fault
+		return nethttp.StatusUnprocessableEntity, fmt.Sprintf("The configuration names no event type %.100q.", r.Class)
+	}
+	return nethttp.StatusBadGateway, failed
+}
--- a/internal/ingress/http/session.go
+++ b/internal/ingress/http/session.go
@@ -1,18 +1,12 @@
-// Package http is the HTTP/1.1 front: what one client connection says and is told, CloudEvents in, final answers
-// out. It has no socket and no clock. netloop carries its bytes; the core gets its events.
 package http
 
 import (
 	"bytes"
-	"encoding/json"
-	"fmt"
-	"math"
+	"errors"
 	nethttp "net/http"
-	"strconv"
 	"strings"
 	"time"
 
-	"streamcleat/control"
 	"streamcleat/internal/dispatch"
 	"streamcleat/internal/http1"
 )
@@ -20,328 +14,274 @@
 // Limits of one client connection; times in seconds.
 type Limits struct {
 	Message  http1.Limits
-	Pipeline int                            // requests of a connection that may wait for their answers at once
-	Arrival  float64                        // a request must be whole so long after its first byte
-	Idle     float64                        // a connection without a request is closed after this
-	Unread   int                            // bytes of answers that a client may leave unread
-	MaxAge   func(eventType string) float64 // the longest that an event of a type waits; 0 where the type is unknown
+	Pipeline int                        // requests of a connection that may wait for their responses at once
+	Arrival  float64                    // a request must be complete so long after its first byte
+	Idle     float64                    // a connection without a request is closed after this
+	Unread   int                        // bytes of responses that a client may leave unread
+	MaxAge   func(class string) float64 // the longest timeout of a request class; 0 where it is unknown
 }
 
-// RequestHandler takes events on behalf of a session.
+// RequestHandler takes requests on behalf of a session.
 type RequestHandler interface {
-	// Submit is answered by Session.Answer with the same slot, be it before Take returns.
-	Submit(slot uint64, ask dispatch.Request)
-	// Cancel tells that nobody waits for the slot any more.
+	// Submit is answered by Session.Respond with the same slot, which may be called before Submit returns.
+	Submit(slot uint64, request dispatch.Request)
+	// Cancel reports that nobody waits for the slot any more.
 	Cancel(slot uint64)
 }
 
-// slot is one request of the connection, in the order they came.
-type slot struct {
-	no    uint64
-	due   float64 // when its client stops waiting, if it is an event; else 0
-	ask   *dispatch.Request
-	out   []byte // the answer, once there is one
-	last  bool   // the connection closes behind it
-	taken bool
+// pendingRequest is one request of the connection that waits for its response.
+type pendingRequest struct {
+	slot      uint64
+	deadline  float64           // when its client stops waiting, if it is an event; else 0
+	request   *dispatch.Request // an event that is still to be submitted; nil otherwise
+	response  []byte            // encoded; nil until there is one
+	closes    bool              // the connection closes after the response
+	submitted bool
 }
 
-// Session is one client connection.
+// reject answers the request with problem details and these fields.
+func (p *pendingRequest) reject(failure *requestError, fields ...dispatch.Field) {
+	p.response = encodeProblem(failure.status, failure.problem, problemDetails{Detail: failure.detail}, fields, p.closes)
+}
+
+// Session is one client connection. Responses are sent in the order of requests, as HTTP/1.1 demands.
 type Session struct {
-	limits Limits
-	in     *http1.Framer
-	taker  RequestHandler
-	name   string // of this front end, for Proxy-Status
-	slots  []*slot
-	no     uint64
-	began  float64 // when the unfinished request's first byte came
-	quiet  float64 // when the connection was last busy
-	closed bool    // nothing more is read
-	out    bytes.Buffer
-	gone   bool
+	limits       Limits
+	framer       *http1.Framer
+	handler      RequestHandler
+	proxyName    string            // of this front end, for Proxy-Status
+	pending      []*pendingRequest // in the order they came
+	lastSlot     uint64
+	requestStart float64 // when the incomplete request's first byte came
+	activeAt     float64 // when the connection was last busy
+	closed       bool    // nothing more is read
+	disconnected bool
+	output       bytes.Buffer
 }
 
+const (
+	pathRoot   = "/"
+	pathEvents = "/events"
+	pathHealth = "/healthz"
+)
+
+// continueResponse asks for the body of a request.
+const continueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
+
+// maxKeptOutput is the largest output buffer in bytes that a connection keeps for later responses.
+const maxKeptOutput = 1 << 16
+
 // NewSession begins a connection at the time now.
-func NewSession(l Limits, name string, taker RequestHandler, now float64) *Session {
-	return &Session{limits: l, in: http1.NewRequests(l.Message), taker: taker, name: name, quiet: now}
+func NewSession(limits Limits, proxyName string, handler RequestHandler, now float64) *Session {
+	return &Session{limits: limits, framer: http1.NewRequests(limits.Message), handler: handler, proxyName: proxyName, activeAt: now}
 }
 
 // Feed takes bytes from the client. wall is the time of day, against which an expirytime is read.
 func (s *Session) Feed(now float64, wall time.Time, data []byte) {
-	if s.closed || s.gone {
+	if s.closed || s.disconnected {
 		return
 	}
-	if s.in.Idle() {
-		s.began = now
+	if s.framer.Idle() {
+		s.requestStart = now
 	}
-	s.in.Feed(data)
-	s.read(now, wall)
+	s.framer.Feed(data)
+	s.readRequests(now, wall)
+	s.Advance(now)
 }
 
-func (s *Session) read(now float64, wall time.Time) {
+func (s *Session) readRequests(now float64, wall time.Time) {
 	for !s.closed {
-		m, err := s.in.Next()
+		m, err := s.framer.Next()
 		if err != nil {
-			s.refuse(err)
-			break
+			s.fail(err)
+			return
 		}
 		if m == nil {
-			break
+			return
 		}
 		if m.Continue {
-			if len(s.slots) == 0 { // RFC 9110 10.1.1; behind another answer the client sends the body by itself
-				s.out.WriteString("HTTP/1.1 100 Continue\r\n\r\n")
+			if len(s.pending) == 0 { // RFC 9110 10.1.1; behind another response the client sends the body by itself
+				s.output.WriteString(continueResponse)
 			}
 			continue
 		}
-		s.began, s.quiet = now, now
-		s.request(now, wall, m)
+		s.requestStart, s.activeAt = now, now
+		s.onRequest(now, wall, m)
 	}
-	s.advance(now)
 }
 
-func (s *Session) refuse(err error) {
-	status := 400
-	var why string
-	if f, ok := err.(*http1.ProtocolError); ok {
-		status, why = f.Status, f.Why
-	} else {
-		why = err.Error()
+// fail answers a stream that can't be read any further and ends the connection.
+func (s *Session) fail(err error) {
+	status := nethttp.StatusBadRequest
+	var protocolError *http1.ProtocolError
+	if errors.As(err, &protocolError) {
+		status = protocolError.Status
 	}
-	sl := s.push()
-	sl.last, s.closed = true, true
-	sl.out = s.problem(status, "invalid-request", why, nil, nil, true)
+	pending := s.addPending()
+	pending.closes, s.closed = true, true
+	pending.reject(requestErrorf(status, problemInvalidRequest, "%s", err))
 }
 
-func (s *Session) push() *slot {
-	s.no++
-	sl := &slot{no: s.no}
-	s.slots = append(s.slots, sl)
-	return sl
+func (s *Session) addPending() *pendingRequest {
+	s.lastSlot++
+	pending := &pendingRequest{slot: s.lastSlot}
+	s.pending = append(s.pending, pending)
+	return pending
 }
 
-func (s *Session) request(now float64, wall time.Time, m *http1.Message) {
-	waiting := len(s.slots)
-	sl := s.push()
-	if sl.last = m.Close; m.Close {
+// onRequest takes one complete request and answers it where it is no event or can't be accepted.
+func (s *Session) onRequest(now float64, wall time.Time, m *http1.Message) {
+	waiting := len(s.pending)
+	pending := s.addPending()
+	pending.closes = m.Close
+	if m.Close {
 		s.closed = true
 	}
 	path, _, _ := strings.Cut(m.Target, "?")
 	switch {
-	case path == "/healthz" && m.Method == "GET":
-		sl.out = s.render(200, nil, []byte("ok\n"), sl.last)
+	case path == pathHealth && m.Method == nethttp.MethodGet:
+		pending.response = encodeResponse(nethttp.StatusOK, nil, []byte("ok\n"), m.Close)
 		return
-	case path != "/" && path != "/events":
-		sl.out = s.problem(404, "not-found", fmt.Sprintf("%.100q is neither / nor /events", path), nil, nil, sl.last)
+	case path != pathRoot && path != pathEvents:
+		pending.reject(requestErrorf(nethttp.StatusNotFound, problemNotFound, "%.100q is neither / nor /events", path))
 		return
-	case m.Method != "POST":
-		sl.out = s.problem(405, "method", fmt.Sprintf("method %.20q: events come by POST", m.Method),
-			[]dispatch.Field{{Name: "Allow", Value: "POST"}}, nil, sl.last)
+	case m.Method != nethttp.MethodPost:
+		pending.reject(requestErrorf(nethttp.StatusMethodNotAllowed, problemMethod, "method %.20q: events come by POST", m.Method),
+			dispatch.Field{Name: "Allow", Value: nethttp.MethodPost})
 		return
 	}
-	ask, f := readEvent(m, wall)
+	request, failure := readEvent(m, wall)
 	switch {
-	case f != nil:
-		sl.out = s.problem(f.status, f.kind, f.detail, nil, nil, sl.last)
+	case failure != nil:
+		pending.reject(failure)
 	case waiting >= s.limits.Pipeline:
-		sl.out = s.problem(429, "pipeline", fmt.Sprintf("over %d requests of this connection wait", s.limits.Pipeline),
-			[]dispatch.Field{{Name: "Retry-After", Value: "1"}}, nil, sl.last)
+		pending.reject(requestErrorf(nethttp.StatusTooManyRequests, problemPipeline, "over %d requests of this connection wait", s.limits.Pipeline),
+			dispatch.Field{Name: "Retry-After", Value: "1"})
 	default:
-		wait := s.limits.MaxAge(ask.Class)
-		if ask.Timeout == 0 || ask.Timeout > wait {
-			ask.Timeout = wait
+		if longest := s.limits.MaxAge(request.Class); request.Timeout == 0 || request.Timeout > longest {
+			request.Timeout = longest
 		}
-		sl.ask, sl.due = &ask, now+ask.Timeout
+		pending.request, pending.deadline = &request, now+request.Timeout
 	}
 }
 
-// advance takes events and sends answers, in order. HTTP/1.1 answers in the order of requests: an event whose
-// client leaves before those ahead of it must be answered could get its answer too late however soon it is done,
-// so it is taken only once the line is free. Others are taken at once.
-func (s *Session) advance(now float64) {
-	for progress := true; progress && !s.gone; {
-		progress = false
-		for len(s.slots) > 0 && s.slots[0].out != nil {
-			s.out.Write(s.slots[0].out)
-			last := s.slots[0].last
-			s.slots = s.slots[1:]
-			s.quiet = now
-			progress = true
-			if last {
-				s.closed = true
-				s.abandon()
-				return
-			}
+// Advance sends the responses whose turn it is and submits the events that need not wait any more. It is called after
+// Respond.
+func (s *Session) Advance(now float64) {
+	for progress := true; progress && !s.disconnected; {
+		sent := s.sendResponses(now)
+		submitted := s.submitEvents(now)
+		progress = sent || submitted
+	}
+}
+
+// sendResponses sends responses in the order of their requests, up to the first that is missing.
+func (s *Session) sendResponses(now float64) (sent bool) {
+	for len(s.pending) > 0 && s.pending[0].response != nil {
+		first := s.pending[0]
+		s.output.Write(first.response)
+		s.pending = s.pending[1:]
+		s.activeAt = now
+		sent = true
+		if first.closes {
+			s.closed = true
+			s.abandon()
 		}
-		ahead := 0.0
-		for _, sl := range s.slots {
-			if sl.ask != nil && !sl.taken {
-				if sl.due < ahead {
-					break
-				}
-				sl.taken = true
-				ask := *sl.ask
-				if left := sl.due - now; ask.Timeout != 0 && left <= 0 {
-					ask.Timeout = -1
-				} else {
-					ask.Timeout = left
-				}
-				sl.ask = &dispatch.Request{Identity: ask.Identity}
-				s.taker.Submit(sl.no, ask)
-				progress = true
+	}
+	return sent
+}
+
+// submitEvents submits events in order. Responses are sent in the order of requests: an event whose client leaves before
+// those ahead of it must be answered could get its response too late however soon it is done, so it is held back until
+// they are answered. Others are submitted at once.
+func (s *Session) submitEvents(now float64) (submitted bool) {
+	latestAhead := 0.0 // latest deadline of the requests ahead
+	for _, pending := range s.pending {
+		if pending.request != nil {
+			if pending.deadline < latestAhead {
+				break
 			}
-			ahead = max(ahead, sl.due)
+			s.submit(now, pending)
+			submitted = true
 		}
+		latestAhead = max(latestAhead, pending.deadline)
 	}
+	return submitted
 }
 
-// Respond is the final answer to a slot.
-func (s *Session) Respond(now float64, no uint64, a dispatch.Response) {
-	for _, sl := range s.slots {
-		if sl.no == no && sl.out == nil {
-			sl.out = s.final(a, sl.last)
-		}
+func (s *Session) submit(now float64, pending *pendingRequest) {
+	request := pending.request
+	pending.request, pending.submitted = nil, true
+	left := pending.deadline - now
+	if request.Timeout != 0 && left <= 0 {
+		left = expired
 	}
+	request.Timeout = left
+	s.handler.Submit(pending.slot, *request)
 }
 
-// Advance sends what may go out by now and takes what had to wait; it is called after answers came.
-func (s *Session) Advance(now float64) { s.advance(now) }
+// Respond takes the final response to a request; Advance sends it.
+func (s *Session) Respond(_ float64, slot uint64, r dispatch.Response) {
+	for _, pending := range s.pending {
+		if pending.slot == slot && pending.response == nil {
+			pending.response = encodeFinal(&r, s.proxyName, pending.closes)
+		}
+	}
+}
 
-// Output hands out what is to be sent.
+// Output returns what is to be sent and forgets it.
 func (s *Session) Output() []byte {
-	if s.out.Len() == 0 {
+	if s.output.Len() == 0 {
 		return nil
 	}
-	out := bytes.Clone(s.out.Bytes())
-	s.out.Reset()
-	if s.out.Cap() > 1<<16 {
-		s.out = bytes.Buffer{}
+	output := bytes.Clone(s.output.Bytes())
+	s.output.Reset()
+	if s.output.Cap() > maxKeptOutput {
+		s.output = bytes.Buffer{}
 	}
-	return out
+	return output
 }
 
-// Idle tells that no request is open or half read, and since when.
-func (s *Session) Idle() (since float64, free bool) {
-	return s.quiet, s.in.Idle() && len(s.slots) == 0
+// Idle reports whether no request is open or incomplete, and since when.
+func (s *Session) Idle() (since float64, idle bool) {
+	return s.activeAt, s.framer.Idle() && len(s.pending) == 0
 }
 
-// Done tells that the connection is to be closed once all output is sent.
-func (s *Session) Done() bool { return s.closed && len(s.slots) == 0 }
+// Done reports that the connection is to be closed once all output is sent.
+func (s *Session) Done() bool { return s.closed && len(s.pending) == 0 }
 
-// Disconnected tells that the client left.
+// Disconnected reports that the client left.
 func (s *Session) Disconnected() { s.abandon() }
 
+// abandon cancels what is open, since nothing more is sent.
 func (s *Session) abandon() {
-	s.gone = true
-	for _, sl := range s.slots {
-		if sl.taken && sl.out == nil {
-			s.taker.Cancel(sl.no)
+	s.disconnected = true
+	for _, pending := range s.pending {
+		if pending.submitted && pending.response == nil {
+			s.handler.Cancel(pending.slot)
 		}
 	}
-	s.slots = nil
+	s.pending = nil
 }
 
-// Drain ends the connection behind the requests that wait.
+// Drain ends the connection after the requests that wait.
 func (s *Session) Drain() {
 	s.closed = true
-	if len(s.slots) > 0 {
-		s.slots[len(s.slots)-1].last = true
+	if len(s.pending) > 0 {
+		s.pending[len(s.pending)-1].closes = true
 	}
 }
 
-// Tick tells what time does: a request that takes too long to come in is answered and ends the connection; a
-// connection that is idle too long just ends.
+// Tick applies timeouts and reports whether there is output or the connection is done: a request that takes too long to
+// come in is answered and ends the connection; a connection that is idle too long just ends.
 func (s *Session) Tick(now float64) bool {
 	switch {
-	case s.closed || s.gone:
-	case !s.in.Idle() && now-s.began > s.limits.Arrival:
-		s.refuse(&http1.ProtocolError{Status: 408, Why: fmt.Sprintf("the request was not whole after %v s", s.limits.Arrival)})
-		s.advance(now)
-	case s.in.Idle() && len(s.slots) == 0 && now-s.quiet > s.limits.Idle:
+	case s.closed || s.disconnected:
+	case !s.framer.Idle() && now-s.requestStart > s.limits.Arrival:
+		s.fail(requestTimedOut(s.limits.Arrival))
+		s.Advance(now)
+	case s.framer.Idle() && len(s.pending) == 0 && now-s.activeAt > s.limits.Idle:
 		s.closed = true
 	}
-	return s.out.Len() > 0 || s.Done()
-}
-
-func (s *Session) render(status int, fields []dispatch.Field, body []byte, last bool) []byte {
-	var b bytes.Buffer
-	b.Grow(160 + len(body))
-	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n", status, nethttp.StatusText(status), len(body))
-	for _, f := range fields {
-		b.WriteString(f.Name)
-		b.WriteString(": ")
-		b.WriteString(f.Value)
-		b.WriteString("\r\n")
-	}
-	if last {
-		b.WriteString("Connection: close\r\n")
-	}
-	b.WriteString("\r\n")
-	b.Write(body)
-	return b.Bytes()
-}
-
-// problem is an answer with problem details (RFC 9457).
-func (s *Session) problem(status int, kind, detail string, fields []dispatch.Field, more map[string]any, last bool) []byte {
-	details := map[string]any{"type": "urn:streamcleat:problem:" + kind, "title": nethttp.StatusText(status),
-		"status": status, "detail": detail}
-	for k, v := range more {
-		details[k] = v
-	}
-	body, _ := json.Marshal(details)
-	return s.render(status, append([]dispatch.Field{{Name: "Content-Type", Value: "application/problem+json"}}, fields...),
-		append(body, '\n'), last)
-}
-
-var warmths = map[control.StartType]string{control.WarmStart: "warm", control.ColdStart: "load",
-	control.JoinedColdStart: "joined"}
-
-// proxyErrors are the error types of RFC 9209 2.3 for the causes that have one.
-var proxyErrors = map[dispatch.Cause]string{
-	dispatch.CauseDeadlineExceeded: "http_response_timeout", dispatch.CauseConnectionLost: "connection_terminated",
-	dispatch.CauseWorkerUnreachable: "destination_unavailable", dispatch.CauseWorkerFull: "connection_limit_reached",
-	dispatch.CauseNoCapacity: "destination_unavailable", dispatch.CauseWorkerFailed: "http_protocol_error",
-	dispatch.CauseLoadFailed: "destination_not_found",
-}
-
-// final writes a final answer: 200 handled; 503 with Retry-After deferred; 502 or 504 dead-lettered.
-func (s *Session) final(a dispatch.Response, last bool) []byte {
-	timing := fmt.Sprintf("total;dur=%.1f", a.Elapsed*1000)
-	if w, ok := warmths[a.Start]; ok && a.Kind == dispatch.Succeeded {
-		timing = w + ", " + timing
-	}
-	fields := []dispatch.Field{{Name: "Server-Timing", Value: timing}}
-	if b := a.Binding; b.ID != "" { // which version it was, whatever became of it
-		fields[0].Value = fmt.Sprintf("%s, version;desc=%q", timing, b.Version)
-		fields = append(fields, dispatch.Field{Name: "Docker-Content-Digest", Value: b.Digest})
-	}
-	if a.Replayed {
-		fields = append(fields, dispatch.Field{Name: "Idempotent-Replayed", Value: "true"})
-	}
-	if a.Kind == dispatch.Succeeded {
-		return s.render(200, append(fields, a.Fields...), a.Body, last)
-	}
-	status := fmt.Sprintf("%s; details=%q", s.name, a.Cause)
-	if e := proxyErrors[a.Cause]; e != "" {
-		status = fmt.Sprintf("%s; error=%s; details=%q", s.name, e, a.Cause)
-	}
-	fields = append(fields, dispatch.Field{Name: "Proxy-Status", Value: status})
-	more := map[string]any{"cause": a.Cause.String(), "outcome": a.Kind.String(), "launches": a.Attempts,
-		"event": map[string]string{"source": a.Identity.Source, "id": a.Identity.ID}}
-	if a.Worker != "" {
-		more["worker"] = a.Worker
-	}
-	code, detail := 502, "The event was given up; nothing is promised of what it did."
-	switch {
-	case a.Kind == dispatch.Rejected:
-		code, detail = 503, "The event was not handled; sending it again is harmless."
-		more["retry-after"] = a.RetryAfter
-		fields = append(fields, dispatch.Field{Name: "Retry-After", Value: strconv.Itoa(int(math.Ceil(a.RetryAfter)))})
-	case a.Cause == dispatch.CauseDeadlineExceeded:
-		code = 504
-	case a.Cause == dispatch.CauseNoVersion:
-		code, detail = 422, fmt.Sprintf("The reference %.100q names no version that may run events of type %.100q.", a.Function, a.Class)
-	case a.Cause == dispatch.CauseUnknownClass: // never taken: the sender's fault
-		code, detail = 422, fmt.Sprintf("The configuration names no event type %.100q.", a.Class)
-	}
-	return s.problem(code, a.Kind.String(), detail, fields, more, last)
+	return s.output.Len() > 0 || s.Done()
 }
--- a/internal/ingress/http/session_test.go
+++ b/internal/ingress/http/session_test.go
@@ -18,28 +18,28 @@
 	wall = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 )
 
-// till is the core's side of a session: it notes what was taken.
-type till struct {
-	s     *Session
-	asks  map[uint64]dispatch.Request
-	order []uint64
-	left  []uint64
-	now   bool // answer within Take
+// fakeHandler is the dispatcher's side of a session: it records what was submitted.
+type fakeHandler struct {
+	session   *Session
+	requests  map[uint64]dispatch.Request
+	order     []uint64
+	cancelled []uint64
+	immediate bool // respond within Submit
 }
 
-func (k *till) Submit(slot uint64, ask dispatch.Request) {
-	k.asks[slot] = ask
-	k.order = append(k.order, slot)
-	if k.now {
-		k.s.Respond(0, slot, dispatch.Response{Kind: dispatch.Succeeded, Body: []byte(ask.ID)})
+func (h *fakeHandler) Submit(slot uint64, request dispatch.Request) {
+	h.requests[slot] = request
+	h.order = append(h.order, slot)
+	if h.immediate {
+		h.session.Respond(0, slot, dispatch.Response{Kind: dispatch.Succeeded, Body: []byte(request.ID)})
 	}
 }
-func (k *till) Cancel(slot uint64) { k.left = append(k.left, slot) }
+func (h *fakeHandler) Cancel(slot uint64) { h.cancelled = append(h.cancelled, slot) }
 
-func newTill() *till {
-	k := &till{asks: map[uint64]dispatch.Request{}}
-	k.s = NewSession(limits, "front-1", k, 0)
-	return k
+func newFakeHandler() *fakeHandler {
+	h := &fakeHandler{requests: map[uint64]dispatch.Request{}}
+	h.session = NewSession(limits, "front-1", h, 0)
+	return h
 }
 
 func event(id, more string, body string) string {
@@ -47,18 +47,18 @@
 		"ce-function: tally\r\n%sContent-Length: %d\r\n\r\n%s", id, more, len(body), body)
 }
 
-func (k *till) feed(now float64, text string) string {
-	k.s.Feed(now, wall, []byte(text))
-	return string(k.s.Output())
+func (h *fakeHandler) feed(text string) string {
+	h.session.Feed(0, wall, []byte(text))
+	return string(h.session.Output())
 }
 
-func (k *till) answer(slot uint64, a dispatch.Response) string {
-	k.s.Respond(1, slot, a)
-	k.s.Advance(1)
-	return string(k.s.Output())
+func (h *fakeHandler) respond(slot uint64, r dispatch.Response) string {
+	h.session.Respond(1, slot, r)
+	h.session.Advance(1)
+	return string(h.session.Output())
 }
 
-func TestBothModesAreTheSameEvent(t *testing.T) {
+func TestBothModesGiveTheSameRequest(t *testing.T) {
 	structured := `{"specversion":"1.0","source":"/t","id":"e 1","type":"shop-event","function":"tally","tenant":"shop-a",` +
 		`"expirytime":"2026-12-01T12:00:02Z","datacontenttype":"application/json","data":{"n":1}}`
 	for name, text := range map[string]string{
@@ -66,27 +66,29 @@
 		"structured": fmt.Sprintf("POST / HTTP/1.1\r\nHost: f\r\nContent-Type: application/cloudevents+json; charset=utf-8\r\n"+
 			"Content-Length: %d\r\n\r\n%s", len(structured), structured),
 	} {
-		k := newTill()
-		if out := k.feed(0, text); out != "" || len(k.order) != 1 {
-			t.Fatalf("%s: %q", name, out)
-		}
-		ask := k.asks[1]
-		if ask.Source != "/t" || ask.ID != "e 1" || ask.Class != "shop-event" || ask.Function != "tally" || ask.Tenant != "shop-a" ||
-			ask.Timeout != 2 || string(ask.Body) != `{"n":1}` {
-			t.Errorf("%s: %+v", name, ask)
-		}
-		var fields []string
-		for _, f := range ask.Fields {
-			fields = append(fields, f.Name+"="+f.Value)
-		}
-		if got := strings.Join(fields, " "); !strings.Contains(got, "ce-source=/t ce-id=e%20") ||
-			!strings.Contains(got, "Content-Type=application/json ce-expirytime") {
-			t.Errorf("%s: %s", name, got)
-		}
+		t.Run(name, func(t *testing.T) {
+			h := newFakeHandler()
+			if out := h.feed(text); out != "" || len(h.order) != 1 {
+				t.Fatalf("%q", out)
+			}
+			request := h.requests[1]
+			if request.Source != "/t" || request.ID != "e 1" || request.Class != "shop-event" || request.Function != "tally" || request.Tenant != "shop-a" ||
+				request.Timeout != 2 || string(request.Body) != `{"n":1}` {
+				t.Errorf("%+v", request)
+			}
+			var fields []string
+			for _, f := range request.Fields {
+				fields = append(fields, f.Name+"="+f.Value)
+			}
+			if got := strings.Join(fields, " "); !strings.Contains(got, "ce-source=/t ce-id=e%20") ||
+				!strings.Contains(got, "Content-Type=application/json ce-expirytime") {
+				t.Error(got)
+			}
+		})
 	}
 }
 
-func TestFaultyEventsNameWhatIsWrong(t *testing.T) {
+func TestInvalidEventsNameTheFault(t *testing.T) {
 	del := func(field string) string {
 		lines := strings.Split(event("1", "", ""), "\r\n")
 		var kept []string
@@ -113,21 +115,23 @@
 		{event("1", "", strings.Repeat("x", 501)), "413", "501"},
 		{event("1", "Content-Length: 2\r\n", ""), "400", "Content-Length"},
 	} {
-		k := newTill()
-		out := k.feed(0, c.in)
-		head, body, _ := strings.Cut(out, "\r\n\r\n")
-		var p struct{ Type, Detail string }
-		if !strings.HasPrefix(out, "HTTP/1.1 "+c.status) || json.Unmarshal([]byte(body), &p) != nil || !strings.Contains(p.Detail, c.word) ||
-			!strings.Contains(head, "application/problem+json") || len(k.order) != 0 {
-			t.Errorf("%.60q: %s", c.in, out)
-		}
+		t.Run(c.status+" "+c.word, func(t *testing.T) {
+			h := newFakeHandler()
+			out := h.feed(c.in)
+			head, body, _ := strings.Cut(out, "\r\n\r\n")
+			var p struct{ Type, Detail string }
+			if !strings.HasPrefix(out, "HTTP/1.1 "+c.status) || json.Unmarshal([]byte(body), &p) != nil || !strings.Contains(p.Detail, c.word) ||
+				!strings.Contains(head, "application/problem+json") || len(h.order) != 0 {
+				t.Errorf("%.60q: %s", c.in, out)
+			}
+		})
 	}
 }
 
-func TestFinalAnswers(t *testing.T) {
+func TestFinalResponses(t *testing.T) {
 	for _, c := range []struct {
-		a    dispatch.Response
-		want []string
+		response dispatch.Response
+		want     []string
 	}{
 		{dispatch.Response{Kind: dispatch.Succeeded, Start: control.WarmStart, Body: []byte("hi"),
 			Fields: []dispatch.Field{{Name: "Content-Type", Value: "text/plain"}}}, []string{"200 OK", "Server-Timing: warm", "text/plain", "\r\n\r\nhi"}},
@@ -139,17 +143,19 @@
 		{dispatch.Response{Kind: dispatch.Failed, Cause: dispatch.CauseDeadlineExceeded}, []string{"504 ", "http_response_timeout"}},
 		{dispatch.Response{Kind: dispatch.Failed, Cause: dispatch.CauseUnknownClass, Class: "odd"}, []string{"422 ", "odd"}},
 	} {
-		k := newTill()
-		k.feed(0, event("1", "", ""))
-		out := k.answer(1, c.a)
-		for _, w := range c.want {
-			if !strings.Contains(out, w) {
-				t.Errorf("%+v: no %q in %s", c.a, w, out)
+		t.Run(strings.Join(c.want, " "), func(t *testing.T) {
+			h := newFakeHandler()
+			h.feed(event("1", "", ""))
+			out := h.respond(1, c.response)
+			for _, w := range c.want {
+				if !strings.Contains(out, w) {
+					t.Errorf("%+v: no %q in %s", c.response, w, out)
+				}
 			}
-		}
-		if k.answer(1, c.a) != "" {
-			t.Error("answered twice")
-		}
+			if h.respond(1, c.response) != "" {
+				t.Error("answered twice")
+			}
+		})
 	}
 }
 
@@ -157,95 +163,111 @@
 	return dispatch.Response{Kind: dispatch.Succeeded, Body: fmt.Appendf(nil, "<%d>", n)}
 }
 
-func TestPipelineAnswersInOrder(t *testing.T) {
-	k := newTill()
-	k.feed(0, event("1", "", "")+event("2", "", "")+event("3", "", ""))
-	if len(k.order) != 3 {
-		t.Fatalf("taken %v", k.order)
+func TestPipelineRespondsInOrder(t *testing.T) {
+	h := newFakeHandler()
+	h.feed(event("1", "", "") + event("2", "", "") + event("3", "", ""))
+	if len(h.order) != 3 {
+		t.Fatalf("submitted %v", h.order)
 	}
-	if out := k.answer(3, body(3)) + k.answer(2, body(2)); out != "" {
+	if out := h.respond(3, body(3)) + h.respond(2, body(2)); out != "" {
 		t.Fatalf("out of order: %q", out)
 	}
-	out := k.answer(1, body(1))
+	out := h.respond(1, body(1))
 	if a, b, c := strings.Index(out, "<1>"), strings.Index(out, "<2>"), strings.Index(out, "<3>"); a < 0 || b < a || c < b {
 		t.Fatalf("%q", out)
 	}
-	k = newTill()
-	k.now = true
-	if out := k.feed(0, event("1", "", "")+event("2", "", "")); strings.Count(out, "200 OK") != 2 {
+}
+
+func TestPipelineRespondsWithinSubmit(t *testing.T) {
+	h := newFakeHandler()
+	h.immediate = true
+	if out := h.feed(event("1", "", "") + event("2", "", "")); strings.Count(out, "200 OK") != 2 {
 		t.Fatalf("%q", out)
 	}
-	k = newTill()
+}
+
+func TestPipelineIsLimited(t *testing.T) {
+	h := newFakeHandler()
 	var text strings.Builder
 	for i := range 6 {
 		text.WriteString(event(fmt.Sprint(i), "", ""))
 	}
-	k.feed(0, text.String())
-	if len(k.order) != 4 {
-		t.Fatalf("%d events of one connection taken, 4 are allowed", len(k.order))
+	h.feed(text.String())
+	if len(h.order) != 4 {
+		t.Fatalf("%d events of one connection submitted, 4 are allowed", len(h.order))
 	}
+	var out string
 	for i := range 4 {
-		out = k.answer(uint64(i+1), body(i))
+		out = h.respond(uint64(i+1), body(i)) // that of the last has all that waited behind it
 	}
 	if strings.Count(out, "429 ") != 2 || !strings.Contains(out, "Retry-After: 1") {
 		t.Fatalf("%q", out)
 	}
 }
 
-// An event behind one that may take longer than its own client waits is not taken before the line is free: HTTP/1.1
-// could not answer it in time.
-func TestStuckBehindASlowEvent(t *testing.T) {
-	k := newTill()
-	k.feed(0, event("slow", "Prefer: wait=4\r\n", "")+event("quick", "Prefer: wait=1\r\n", ""))
-	if len(k.order) != 1 {
-		t.Fatal("taken though its answer can't be sent in its time")
+// An event behind one that may take longer than its own client waits is not submitted before that one is answered:
+// HTTP/1.1 could not answer it in time.
+func TestEventHeldBackBehindASlowOne(t *testing.T) {
+	h := newFakeHandler()
+	h.feed(event("slow", "Prefer: wait=4\r\n", "") + event("quick", "Prefer: wait=1\r\n", ""))
+	if len(h.order) != 1 {
+		t.Fatal("submitted though its response can't be sent in time")
 	}
-	k.answer(1, body(1))
-	if len(k.order) != 2 || k.asks[2].Timeout != -1 {
-		t.Fatalf("%v %+v", k.order, k.asks[2])
+	h.respond(1, body(1))
+	if len(h.order) != 2 || h.requests[2].Timeout != -1 {
+		t.Fatalf("%v %+v", h.order, h.requests[2])
 	}
-	k = newTill()
-	k.feed(0, event("quick", "Prefer: wait=1\r\n", "")+event("slow", "Prefer: wait=4\r\n", ""))
-	if len(k.order) != 2 {
+	h = newFakeHandler()
+	h.feed(event("quick", "Prefer: wait=1\r\n", "") + event("slow", "Prefer: wait=4\r\n", ""))
+	if len(h.order) != 2 {
 		t.Fatal("an event with more time than those ahead had to wait")
 	}
 }
 
-func TestHangUpAndSlowSender(t *testing.T) {
-	k := newTill()
-	k.feed(0, event("1", "", "")+event("2", "", ""))
-	k.s.Disconnected()
-	if fmt.Sprint(k.left) != "[1 2]" || k.answer(1, body(1)) != "" {
-		t.Fatalf("left %v", k.left)
+func TestDisconnectCancelsOpenRequests(t *testing.T) {
+	h := newFakeHandler()
+	h.feed(event("1", "", "") + event("2", "", ""))
+	h.session.Disconnected()
+	if fmt.Sprint(h.cancelled) != "[1 2]" || h.respond(1, body(1)) != "" {
+		t.Fatalf("cancelled %v", h.cancelled)
 	}
-	k = newTill()
-	k.feed(0, event("1", "", "abc")[:100])
-	k.s.Tick(1.9)
-	if k.s.Done() {
+}
+
+func TestIncompleteRequestTimesOut(t *testing.T) {
+	h := newFakeHandler()
+	h.feed(event("1", "", "abc")[:100])
+	h.session.Tick(1.9)
+	if h.session.Done() {
 		t.Fatal("closed too soon")
 	}
-	k.s.Tick(2.1)
-	if out := string(k.s.Output()); !strings.HasPrefix(out, "HTTP/1.1 408") || !k.s.Done() {
+	h.session.Tick(2.1)
+	if out := string(h.session.Output()); !strings.HasPrefix(out, "HTTP/1.1 408") || !h.session.Done() {
 		t.Fatalf("%q", out)
 	}
-	k = newTill()
-	k.s.Tick(10.1)
-	if !k.s.Done() {
+}
+
+func TestIdleConnectionIsClosed(t *testing.T) {
+	h := newFakeHandler()
+	h.session.Tick(10.1)
+	if !h.session.Done() {
 		t.Fatal("an idle connection stays")
 	}
-	k = newTill()
-	k.feed(0, event("1", "", ""))
-	k.s.Drain()
-	if out := k.answer(1, body(1)); !strings.Contains(out, "Connection: close") || !k.s.Done() {
+}
+
+func TestDrainClosesAfterOpenRequests(t *testing.T) {
+	h := newFakeHandler()
+	h.feed(event("1", "", ""))
+	h.session.Drain()
+	if out := h.respond(1, body(1)); !strings.Contains(out, "Connection: close") || !h.session.Done() {
 		t.Fatalf("%q", out)
 	}
 }
 
-func TestNothingInAnAttributeEndsAField(t *testing.T) {
+func TestAttributesCannotEndAField(t *testing.T) {
 	s := `{"specversion":"1.0","source":"/t","id":"a\r\nX-Evil: 1","type":"shop-event","function":"tally","note":"ü %"}`
-	k := newTill()
-	k.feed(0, fmt.Sprintf("POST / HTTP/1.1\r\nHost: f\r\nContent-Type: application/cloudevents+json\r\nContent-Length: %d\r\n\r\n%s", len(s), s))
-	for _, f := range k.asks[1].Fields {
+	h := newFakeHandler()
+	h.feed(fmt.Sprintf("POST / HTTP/1.1\r\nHost: f\r\nContent-Type: application/cloudevents+json\r\nContent-Length: %d\r\n\r\n%s", len(s), s))
+	for _, f := range h.requests[1].Fields {
 		if strings.ContainsAny(f.Value, "\r\n ü") {
 			t.Errorf("%s: %q", f.Name, f.Value)
 		}
@@ -258,16 +280,16 @@
 	f.Fuzz(func(t *testing.T, data []byte, cut int) {
 		var outs [2]string
 		for i := range outs {
-			k := newTill()
-			k.now = true
+			h := newFakeHandler()
+			h.immediate = true
 			at := len(data)
 			if i == 1 {
 				at = min(max(cut, 0), len(data))
 			}
-			outs[i] = k.feed(0, string(data[:at])) + k.feed(0, string(data[at:]))
-			for _, ask := range k.asks {
-				if ask.ID == "" || ask.Source == "" || ask.Class == "" || ask.Function == "" {
-					t.Fatalf("took an event without its attributes: %+v", ask)
+			outs[i] = h.feed(string(data[:at])) + h.feed(string(data[at:]))
+			for _, request := range h.requests {
+				if request.ID == "" || request.Source == "" || request.Class == "" || request.Function == "" {
+					t.Fatalf("submitted an event without its attributes: %+v", request)
 				}
 			}
 		}
