--- a/internal/goldentest/script.go
+++ b/internal/goldentest/script.go
@@ -40,7 +40,7 @@
 			out.WriteString("\n" + line + "\n")
 			continue
 		}
-		words, err := split(line)
+		words, err := splitWords(line)
 		if err != nil || len(words) < 2 || actor == nil {
 			t.Fatalf("%s.script:%d: %q: %v", name, number+1, line, err)
 		}
@@ -75,22 +75,22 @@
 	gotLines, want := strings.Split(got, "\n"), strings.Split(string(data), "\n")
 	shown := 0
 	for i := range max(len(gotLines), len(want)) {
-		if a, b := at(gotLines, i), at(want, i); a != b && shown < 5 {
+		if a, b := lineAt(gotLines, i), lineAt(want, i); a != b && shown < 5 {
 			shown++
 			t.Errorf("%s:%d:\n got %.300s\nwant %.300s", file, i+1, a, b)
 		}
 	}
 }
 
-func at(lines []string, i int) string {
+func lineAt(lines []string, i int) string {
 	if i < len(lines) {
 		return lines[i]
 	}
 	return "(no line)"
 }
 
-// split cuts a line at spaces outside quoted parts and takes the quotes off.
-func split(line string) (words []string, err error) {
+// splitWords cuts a line at spaces outside quoted parts and takes the quotes off.
+func splitWords(line string) (words []string, err error) {
 	word, open := "", false
 	for line != "" {
 		switch c := line[0]; c {
--- a/internal/goldentest/show.go
+++ b/internal/goldentest/show.go
@@ -6,9 +6,12 @@
 	"encoding/hex"
 	"fmt"
 	"strings"
+
+	"streamcleat/internal/dispatch"
 )
 
-const longest = 400
+// maxShown is the longest frame or line in bytes that is shown whole.
+const maxShown = 400
 
 // Frames shows bytes as frames, each in hex and with its readable text. size is the length of the first frame; what is
 // left over where it is 0 or beyond the end is shown as one piece.
@@ -18,22 +21,22 @@
 		if n <= 0 || n > len(data) {
 			n = len(data)
 		}
-		list = append(list, frame(data[:n]))
+		list = append(list, showFrame(data[:n]))
 		data = data[n:]
 	}
 	return list
 }
 
-// frame is one frame in hex; of a very long one its beginning, length and hash.
-func frame(b []byte) string {
-	if len(b) > longest {
+// showFrame is one frame in hex; of a very long one its beginning, length and hash.
+func showFrame(b []byte) string {
+	if len(b) > maxShown {
 		return fmt.Sprintf("%x... %d bytes sha256=%x", b[:64], len(b), sha256.Sum256(b))
 	}
-	return fmt.Sprintf("%x %s", b, readable(b))
+	return fmt.Sprintf("%x %s", b, readableText(b))
 }
 
-// readable is the text in a frame, with dots for other bytes.
-func readable(b []byte) string {
+// readableText is the text in a frame, with dots for other bytes.
+func readableText(b []byte) string {
 	text := bytes.Clone(b)
 	for i, c := range text {
 		if c <= ' ' || c > '~' {
@@ -46,7 +49,7 @@
 // Lines shows text as quoted lines with their line ends.
 func Lines(data []byte) (list []string) {
 	for line := range strings.SplitAfterSeq(string(data), "\n") {
-		if len(line) > longest {
+		if len(line) > maxShown {
 			line = fmt.Sprintf("%s... %d bytes sha256=%x", line[:64], len(line), sha256.Sum256([]byte(line)))
 		}
 		if line != "" {
@@ -64,3 +67,18 @@
 	}
 	return b
 }
+
+func showFields(list []dispatch.Field) string {
+	var parts []string
+	for _, f := range list {
+		parts = append(parts, fmt.Sprintf("%q", f.Name+": "+f.Value))
+	}
+	return "[" + strings.Join(parts, " ") + "]"
+}
+
+func showBody(b []byte) string {
+	if len(b) > 200 {
+		return fmt.Sprintf("%q... %d bytes", b[:20], len(b))
+	}
+	return fmt.Sprintf("%q", b)
+}
--- /dev/null
+++ b/internal/goldentest/words.go
@@ -0,0 +1,100 @@
+package goldentest
+
+import (
+	"fmt"
+	"strings"
+
+	"streamcleat/control"
+	"streamcleat/internal/dispatch"
+)
+
+// outcomeWords and startWords are the words of transcripts for what other packages report.
+var outcomeWords = map[control.Outcome]string{control.Succeeded: "served", control.Failed: "error", control.TimedOut: "timed-out",
+	control.ConnectionLost: "broken", control.Cancelled: "cancelled", control.Rejected: "refused", control.Unreachable: "unreachable",
+	control.NotSent: "never-sent", control.ReplicaMissing: "not-loaded"}
+
+var startWords = map[control.StartType]string{control.StartUnknown: "unknown", control.WarmStart: "warm", control.ColdStart: "cold",
+	control.JoinedColdStart: "joined", control.StartFailed: "load-failed"}
+
+func parseStart(word string) control.StartType {
+	for start, text := range startWords {
+		if text == word {
+			return start
+		}
+	}
+	panic("no such word: " + word)
+}
+
+var responseKinds = map[string]dispatch.ResponseKind{"served": dispatch.Succeeded, "deferred": dispatch.Rejected, "failed": dispatch.Failed}
+
+// parseResponse reads "served|deferred|failed [cause=...] [pause=...] ...". Causes have the words that clients are sent.
+func parseResponse(words []string) dispatch.Response {
+	options := Options(words[1:])
+	kind, ok := responseKinds[words[0]]
+	if !ok {
+		panic(words[0])
+	}
+	r := dispatch.Response{Kind: kind, Worker: options["worker"], Replayed: options["repeat"] != "", Class: options["type"], Function: options["function"],
+		Body: []byte(options["body"]), Identity: dispatch.Identity{Source: options["source"], ID: options["id"]}}
+	if options["cause"] != "" {
+		r.Cause = parseCause(options["cause"])
+	}
+	if options["pause"] != "" {
+		r.RetryAfter = Number(options["pause"])
+	}
+	if options["after"] != "" {
+		r.Elapsed = Number(options["after"])
+	}
+	if options["attempts"] != "" {
+		r.Attempts = int(Number(options["attempts"]))
+	}
+	if options["found"] != "" {
+		r.Start = parseStart(options["found"])
+	}
+	r.Binding = parseBinding(options)
+	if name, value, ok := strings.Cut(options["field"], ": "); ok {
+		r.Fields = []dispatch.Field{{Name: name, Value: value}}
+	}
+	return r
+}
+
+func parseCause(word string) dispatch.Cause {
+	for c := dispatch.CauseAnswered; c <= dispatch.CauseDuplicate; c++ {
+		if c.String() == word {
+			return c
+		}
+	}
+	panic("no such cause: " + word)
+}
+
+func parseAttempt(id uint64, worker string, options map[string]string) dispatch.Attempt {
+	a := dispatch.Attempt{ID: id, Worker: control.WorkerID(worker), Function: "7f3a9c21e0b4d655", Class: "call", Timeout: 1.5,
+		Identity: dispatch.Identity{ID: fmt.Sprintf("%016x", id)}, Body: []byte(options["body"]), Binding: parseBinding(options)}
+	for name, field := range map[string]*string{"function": &a.Function, "type": &a.Class, "id": &a.Identity.ID} {
+		if v, ok := options[name]; ok {
+			*field = v
+		}
+	}
+	if options["limit"] != "" {
+		a.Timeout = Number(options["limit"])
+	}
+	if name, value, ok := strings.Cut(options["field"], ": "); ok {
+		a.Fields = []dispatch.Field{{Name: name, Value: value}}
+	}
+	return a
+}
+
+func parseLoadCommand(id uint64, worker string, options map[string]string) dispatch.LoadCommand {
+	command := dispatch.LoadCommand{ID: id, Worker: control.WorkerID(worker), Function: "7f3a9c21e0b4d655", Replicas: int(Number(options["copies"])), Binding: parseBinding(options)}
+	if v, ok := options["function"]; ok {
+		command.Function = v
+	}
+	return command
+}
+
+func parseBinding(options map[string]string) dispatch.Binding {
+	if options["version"] == "" {
+		return dispatch.Binding{}
+	}
+	return dispatch.Binding{ID: "f@" + options["digest"], Function: "f", Version: options["version"], Digest: options["digest"]}
+}
--- /dev/null
+++ b/internal/goldentest/workers.go
@@ -0,0 +1,155 @@
+package goldentest
+
+import (
+	"errors"
+	"fmt"
+	"strings"
+
+	"streamcleat/control"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/upstream"
+)
+
+// Pool is the worker side of a protocol.
+type Pool interface {
+	SetEndpoints(list *upstream.EndpointList)
+	SendAttempt(now float64, a dispatch.Attempt)
+	SendLoad(now float64, command dispatch.LoadCommand)
+	CancelUnsent(id uint64) bool
+	Abandon(now float64, id uint64)
+	OnDialed(now float64, c upstream.ConnID, err error)
+	OnData(now float64, c upstream.ConnID, data []byte)
+	OnClosed(now float64, c upstream.ConnID)
+	Tick(now float64)
+	CloseAll(now float64)
+	Flush()
+	Len() int
+	Check() error
+}
+
+// FakeWorkers plays all workers and the sockets to them. It is the transport of its pool and takes its results.
+type FakeWorkers struct {
+	Pool      Pool
+	Encode    func(verb string, words []string) []byte // what a worker sends; nil for a verb of no such kind
+	Show      func(data []byte) []string               // what is sent, piece by piece
+	unsent    map[upstream.ConnID]int                  // as the script states it
+	heldBack  []byte                                   // goes with the next bytes
+	pieceSize int                                      // bytes that are fed at a time; 0: all
+	lines     []string                                 // of the transcript, since the script's line
+}
+
+func (w *FakeWorkers) logf(format string, args ...any) {
+	w.lines = append(w.lines, fmt.Sprintf(format, args...))
+}
+
+// Dial records a dial.
+func (w *FakeWorkers) Dial(c upstream.ConnID, addr string) {
+	w.logf("dial connection %d to %q", c, addr)
+}
+
+// Write records what is sent to a worker.
+func (w *FakeWorkers) Write(c upstream.ConnID, data []byte) {
+	for _, text := range w.Show(data) {
+		w.logf("> worker on %d %s", c, text)
+	}
+}
+
+// Close records that the pool closes a connection.
+func (w *FakeWorkers) Close(c upstream.ConnID) { w.logf("close connection %d", c) }
+
+// Unsent is what the script states of a connection's buffer.
+func (w *FakeWorkers) Unsent(c upstream.ConnID) int { return w.unsent[c] }
+
+// OnAttemptReply records the end of an attempt.
+func (w *FakeWorkers) OnAttemptReply(id uint64, r dispatch.WorkerReply) {
+	w.logf("attempt %d ended: %s found=%s running=%v waiting=%v report=%v digest=%q fields=%s body=%s", id, outcomeWords[r.Outcome], startWords[r.Start],
+		r.Report.Running, r.Report.Waiting, r.Report.Known, r.Digest, showFields(r.Fields), showBody(r.Body))
+}
+
+// OnLoadReply records the end of a load command.
+func (w *FakeWorkers) OnLoadReply(id uint64, outcome control.Outcome, replicas int) {
+	w.logf("load %d ended: %s copies=%d", id, outcomeWords[outcome], replicas)
+}
+
+// Act carries out one line of the script.
+func (w *FakeWorkers) Act(now float64, verb string, words []string) []string {
+	w.lines = nil
+	w.act(now, verb, words)
+	w.Pool.Flush()
+	if err := w.Pool.Check(); err != nil {
+		w.logf("state contradicts itself: %v", err)
+	}
+	return w.lines
+}
+
+func (w *FakeWorkers) act(now float64, verb string, words []string) {
+	number := func() uint64 { return uint64(Number(words[0])) }
+	switch verb {
+	case "workers":
+		w.setEndpoints(words[0])
+	case "attempt":
+		w.Pool.SendAttempt(now, parseAttempt(number(), words[1], Options(words[2:])))
+	case "load":
+		w.Pool.SendLoad(now, parseLoadCommand(number(), words[1], Options(words[2:])))
+	case "withdraw":
+		w.logf("withdrawn: %v", w.Pool.CancelUnsent(number()))
+	case "cancel":
+		w.Pool.Abandon(now, number())
+	case "connected":
+		w.Pool.OnDialed(now, upstream.ConnID(number()), nil)
+	case "connect-failed":
+		w.Pool.OnDialed(now, upstream.ConnID(number()), errors.New("connection refused"))
+	case "closed":
+		w.Pool.OnClosed(now, upstream.ConnID(number()))
+	case "unsent":
+		w.unsent[upstream.ConnID(number())] = int(Number(words[1]))
+	case "pieces":
+		w.pieceSize = int(number())
+	case "tick":
+		w.Pool.Tick(now)
+	case "close-all":
+		w.Pool.CloseAll(now)
+	case "connections?":
+		w.logf("connections: %d", w.Pool.Len())
+	default:
+		w.receive(now, verb, words)
+	}
+}
+
+// receive takes "verb connection ...", what a worker sends; "+verb" holds it back to go with the next.
+func (w *FakeWorkers) receive(now float64, verb string, words []string) {
+	name, hold := strings.CutPrefix(verb, "+")
+	data := w.Encode(name, words[1:])
+	if data == nil {
+		panic("no such verb: " + verb)
+	}
+	w.heldBack = append(w.heldBack, data...)
+	if hold {
+		return
+	}
+	data, w.heldBack = w.heldBack, nil
+	c := upstream.ConnID(Number(words[0]))
+	for _, text := range w.Show(data) {
+		w.logf("< worker on %d %s", c, text)
+	}
+	inPieces(data, w.pieceSize, func(piece []byte) { w.Pool.OnData(now, c, piece) })
+}
+
+// setEndpoints reads the list of workers in the form of its file.
+func (w *FakeWorkers) setEndpoints(text string) {
+	list, err := upstream.ParseEndpointList([]byte(text), 100)
+	if err != nil {
+		for _, line := range strings.Split(err.Error(), "\n") {
+			w.logf("list refused: %s", line)
+		}
+		return
+	}
+	for _, worker := range list.Workers {
+		w.logf("worker %q at %q draining=%v zone=%q kind=%q cell=%d size=%v started=%v", worker.ID, list.Addresses[worker.ID], worker.State == control.Draining,
+			worker.Zone, worker.MachineType, worker.FailureDomain, worker.Weight, worker.StartedAt)
+	}
+	w.Pool.SetEndpoints(list)
+}
+
+// NewFakeWorkers makes workers without a pool, which the caller sets.
+func NewFakeWorkers() *FakeWorkers { return &FakeWorkers{unsent: map[upstream.ConnID]int{}} }
--- a/internal/ingress/http/golden_test.go
+++ b/internal/ingress/http/golden_test.go
@@ -14,20 +14,19 @@
 // The text to and from clients over scripted sessions is as it was.
 func TestGoldenSessions(t *testing.T) {
 	goldentest.Play(t, "session", func(*testing.T) goldentest.Actor {
-		c := &goldentest.Client{Encode: encode, Show: goldentest.Lines}
-		c.Session = http.NewSession(http.Limits{Message: http1.Limits{Head: 2000, Body: 500}, Pipeline: 3, Arrival: 2, Idle: 10, Unread: 1 << 16,
-			MaxAge: func(kind string) float64 { return map[string]float64{"call": 5, "long": 60}[kind] }}, "front-1", c, 0)
-		return c
+		client := &goldentest.FakeClient{Encode: encode, Show: goldentest.Lines}
+		client.Session = http.NewSession(http.Limits{Message: http1.Limits{Head: 2000, Body: 500}, Pipeline: 3, Arrival: 2, Idle: 10, Unread: 1 << 16,
+			MaxAge: func(class string) float64 { return map[string]float64{"call": 5, "long": 60}[class] }}, "front-1", client, 0)
+		return client
 	})
 }
 
 // encode writes what a client sends: "request ID [POST=/path] [-field] [body=text] [field: value]
-// [also=field: value]" is a request in
-// binary mode, changed; "structured TEXT" one in structured mode; "raw TEXT" is sent as it is.
+// [also=field: value]" is a request in binary mode, changed; "structured TEXT" one in structured mode; "raw TEXT" is sent as it is.
 func encode(verb string, words []string) []byte {
 	switch verb {
 	case "request":
-		return []byte(binary(words[0], words[1:]))
+		return []byte(encodeBinary(words[0], words[1:]))
 	case "structured":
 		return fmt.Appendf(nil, "POST / HTTP/1.1\r\nHost: f\r\nContent-Type: application/cloudevents+json\r\nContent-Length: %d\r\n\r\n%s", len(words[0]), words[0])
 	case "raw":
@@ -36,7 +35,7 @@
 	return nil
 }
 
-func binary(id string, changes []string) string {
+func encodeBinary(id string, changes []string) string {
 	start, body, length := "POST /events", "", true
 	lines := []string{"Host: f", "ce-specversion: 1.0", "ce-source: /t", "ce-id: " + id, "ce-type: call", "ce-function: tally"}
 	remove := func(name string) {
--- a/internal/platform/downstream/golden_test.go
+++ b/internal/platform/downstream/golden_test.go
@@ -14,15 +14,15 @@
 // The bytes to and from clients over scripted sessions are as they were.
 func TestGoldenSessions(t *testing.T) {
 	goldentest.Play(t, "session", func(*testing.T) goldentest.Actor {
-		c := &goldentest.Client{Encode: encode, Show: show}
-		c.Session = downstream.NewSession(&downstream.Limits{Open: 3, First: 2, Arrival: 1, Idle: 5, MaxAge: longestWait,
-			Tenant: func(name string) bool { return name == "acme" }, Ready: func() bool { return !c.Closed },
-			MemoryMB: 1 << 16, Lanes: 64, Load: 60, Work: 60}, c, 0)
-		return c
+		client := &goldentest.FakeClient{Encode: encode, Show: show}
+		client.Session = downstream.NewSession(&downstream.Limits{Open: 3, First: 2, Arrival: 1, Idle: 5, MaxAge: longestWait,
+			Tenant: func(name string) bool { return name == "acme" }, Ready: func() bool { return !client.NotReady },
+			MemoryMB: 1 << 16, Lanes: 64, Load: 60, Work: 60}, client, 0)
+		return client
 	})
 }
 
-func longestWait(kind string) float64 { return map[string]float64{"call": 4}[kind] }
+func longestWait(class string) float64 { return map[string]float64{"call": 4}[class] }
 
 // show cuts bytes at the lengths in front of frames.
 func show(data []byte) []string {
@@ -38,20 +38,20 @@
 func encode(verb string, words []string) []byte {
 	switch verb {
 	case "request":
-		return frame(1, words[0], payload(words[1:]))
+		return encodeFrame(1, words[0], encodePayload(words[1:]))
 	case "cancel":
-		return frame(3, words[0], nil)
+		return encodeFrame(3, words[0], nil)
 	case "ready?":
-		return frame(4, words[0], []byte{0})
+		return encodeFrame(4, words[0], []byte{0})
 	case "frame":
-		return frame(int(goldentest.Number(words[0])), words[1], goldentest.Hex(words[2]))
+		return encodeFrame(int(goldentest.Number(words[0])), words[1], goldentest.Hex(words[2]))
 	case "bytes":
 		return goldentest.Hex(words[0])
 	}
 	return nil
 }
 
-func frame(kind int, stream string, payload []byte) []byte {
+func encodeFrame(kind int, stream string, payload []byte) []byte {
 	number, err := strconv.ParseUint(stream, 10, 32)
 	if err != nil {
 		panic(err)
@@ -62,9 +62,9 @@
 
 const usual = "kind=call req=9b1f03aa5c7e2d41 timeout=1500 owner=acme subject=7f3a9c21e0b4d655"
 
-// payload is a good request's, changed: name=value replaces or adds a field, also=name=value adds one without a look at
+// encodePayload is a good request's, changed: name=value replaces or adds a field, also=name=value adds one without a look at
 // the others, -name removes one; body=text is the body, body*N one of N bytes, and name*N a field of N bytes.
-func payload(changes []string) []byte {
+func encodePayload(changes []string) []byte {
 	var fields [][2]string
 	var body string
 	remove := func(name string) {
@@ -84,8 +84,8 @@
 			name, value, _ = strings.Cut(value, "=")
 			fields = append(fields, [2]string{name, value})
 		default:
-			if at := slices.IndexFunc(fields, func(f [2]string) bool { return f[0] == name }); at >= 0 {
-				fields[at][1] = value
+			if i := slices.IndexFunc(fields, func(f [2]string) bool { return f[0] == name }); i >= 0 {
+				fields[i][1] = value
 				continue
 			}
 			fields = append(fields, [2]string{name, value})
--- a/internal/platform/upstream/golden_test.go
+++ b/internal/platform/upstream/golden_test.go
@@ -15,22 +15,23 @@
 // The bytes to and from workers over scripted sessions are as they were.
 func TestGoldenWorkers(t *testing.T) {
 	goldentest.Play(t, "workers", func(*testing.T) goldentest.Actor {
-		w := goldentest.NewWorkers()
-		w.Encode, w.Show = encode, show
-		w.Pool = upstream.NewPool(upstream.Limits{DialTimeout: 0.25, IdleTimeout: 10, MaxTotal: 8, MaxPerWorker: 2, MaxStreams: 3, IdempotencyKeyField: "opkey"}, w, w)
-		return w
+		workers := goldentest.NewFakeWorkers()
+		workers.Encode, workers.Show = encode, show
+		workers.Pool = upstream.NewPool(upstream.Limits{DialTimeout: 0.25, IdleTimeout: 10, MaxTotal: 8, MaxPerWorker: 2, MaxStreams: 3, IdempotencyKeyField: "opkey"}, workers, workers)
+		return workers
 	})
 }
 
-const head = 16
+// headSize is the length of a head in bytes.
+const headSize = 16
 
 // show cuts bytes at the lengths in the heads of frames.
 func show(data []byte) []string {
 	return goldentest.Frames(data, func(b []byte) int {
-		if len(b) < head {
+		if len(b) < headSize {
 			return 0
 		}
-		return head + int(binary.BigEndian.Uint16(b[2:])) + int(binary.BigEndian.Uint32(b[4:])) + 4
+		return headSize + int(binary.BigEndian.Uint16(b[2:])) + int(binary.BigEndian.Uint32(b[4:])) + 4
 	})
 }
 
@@ -39,16 +40,16 @@
 func encode(verb string, words []string) []byte {
 	switch verb {
 	case "answer":
-		return answer(words)
+		return encodeAnswer(words)
 	case "spoilt":
-		return spoilt(words[0])
+		return encodeSpoilt(words[0])
 	case "bytes":
 		return goldentest.Hex(words[0])
 	}
 	return nil
 }
 
-func answer(words []string) []byte {
+func encodeAnswer(words []string) []byte {
 	id, err := strconv.ParseUint(words[1], 10, 64)
 	if err != nil {
 		panic(err)
@@ -66,13 +67,13 @@
 	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
 	b = binary.BigEndian.AppendUint64(b, id)
 	b = append(b, fields+body...)
-	return binary.BigEndian.AppendUint32(b, crc32.ChecksumIEEE(b[head:]))
+	return binary.BigEndian.AppendUint32(b, crc32.ChecksumIEEE(b[headSize:]))
 }
 
-func spoilt(part string) []byte {
-	b := answer([]string{"64", "1", "detail=hit", "body=out"})
-	at := map[string]int{"check": len(b) - 1, "body": len(b) - 5, "length": 4}[part]
+func encodeSpoilt(part string) []byte {
+	b := encodeAnswer([]string{"64", "1", "detail=hit", "body=out"})
+	offset := map[string]int{"check": len(b) - 1, "body": len(b) - 5, "length": 4}[part]
 	b = slices.Clone(b)
-	b[at]++
+	b[offset]++
 	return b
 }
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -13,10 +13,10 @@
 // The text to and from workers over scripted sessions is as it was.
 func TestGoldenWorkers(t *testing.T) {
 	goldentest.Play(t, "workers", func(*testing.T) goldentest.Actor {
-		w := goldentest.NewWorkers()
-		w.Encode, w.Show = encode, goldentest.Lines
-		w.Pool = upstream.NewPool(upstream.Limits{DialTimeout: 0.25, IdleTimeout: 10, MaxPerWorker: 2, Message: http1.Limits{Head: 1000, Body: 500}, Via: "front-1"}, w, w)
-		return w
+		workers := goldentest.NewFakeWorkers()
+		workers.Encode, workers.Show = encode, goldentest.Lines
+		workers.Pool = upstream.NewPool(upstream.Limits{DialTimeout: 0.25, IdleTimeout: 10, MaxPerWorker: 2, Message: http1.Limits{Head: 1000, Body: 500}, Via: "front-1"}, workers, workers)
+		return workers
 	})
 }
 
