--- a/internal/goldentest/client.go
+++ b/internal/goldentest/client.go
@@ -40,9 +40,11 @@
 
 // Submit records a request.
 func (c *FakeClient) Submit(slot uint64, r dispatch.Request) {
-	c.logf("request %d taken: source=%q id=%q type=%q tenant=%q function=%q wait=%v work=%v slots=%d memory=%v load=%v alone=%v repeat=%v fields=%s body=%s",
-		slot, r.Source, r.ID, r.Class, r.Tenant, r.Function, r.Timeout, r.ExpectedWork, r.StatedProfile.Concurrency, r.StatedProfile.MemoryMB, r.StatedProfile.LoadTime, r.RejectDuplicates, r.Retried,
-		showFields(r.Fields), showBody(r.Body))
+	profile := r.StatedProfile
+	c.logf("request %d taken: source=%q id=%q type=%q tenant=%q function=%q wait=%v work=%v "+
+		"slots=%d memory=%v load=%v alone=%v repeat=%v fields=%s body=%s",
+		slot, r.Source, r.ID, r.Class, r.Tenant, r.Function, r.Timeout, r.ExpectedWork,
+		profile.Concurrency, profile.MemoryMB, profile.LoadTime, r.RejectDuplicates, r.Retried, showFields(r.Fields), showBody(r.Body))
 	if c.automatic != nil {
 		c.Session.Respond(c.now, slot, *c.automatic)
 	}
--- a/internal/goldentest/workers.go
+++ b/internal/goldentest/workers.go
@@ -62,8 +62,9 @@
 
 // OnAttemptReply records the end of an attempt.
 func (w *FakeWorkers) OnAttemptReply(id uint64, r dispatch.WorkerReply) {
-	w.logf("attempt %d ended: %s found=%s running=%v waiting=%v report=%v digest=%q fields=%s body=%s", id, outcomeWords[r.Outcome], startWords[r.Start],
-		r.Report.Running, r.Report.Waiting, r.Report.Known, r.Digest, showFields(r.Fields), showBody(r.Body))
+	w.logf("attempt %d ended: %s found=%s running=%v waiting=%v report=%v digest=%q fields=%s body=%s",
+		id, outcomeWords[r.Outcome], startWords[r.Start], r.Report.Running, r.Report.Waiting, r.Report.Known, r.Digest,
+		showFields(r.Fields), showBody(r.Body))
 }
 
 // OnLoadReply records the end of a load command.
@@ -145,8 +146,8 @@
 		return
 	}
 	for _, worker := range list.Workers {
-		w.logf("worker %q at %q draining=%v zone=%q kind=%q cell=%d size=%v started=%v", worker.ID, list.Addresses[worker.ID], worker.State == control.Draining,
-			worker.Zone, worker.MachineType, worker.FailureDomain, worker.Weight, worker.StartedAt)
+		w.logf("worker %q at %q draining=%v zone=%q kind=%q cell=%d size=%v started=%v",
+			worker.ID, list.Addresses[worker.ID], worker.State == control.Draining, worker.Zone, worker.MachineType, worker.FailureDomain, worker.Weight, worker.StartedAt)
 	}
 	w.Pool.SetEndpoints(list)
 }
--- a/internal/ingress/http/event.go
+++ b/internal/ingress/http/event.go
@@ -74,8 +74,8 @@
 	media = strings.ToLower(strings.TrimSpace(media))
 	if strings.HasPrefix(media, structuredPrefix) {
 		if media != structuredJSON {
-			return true, requestErrorf(nethttp.StatusUnsupportedMediaType, problemUnsupportedFormat, "content type %q: only application/cloudevents+json "+
-				"is taken in structured mode, one event in a request", media)
+			return true, requestErrorf(nethttp.StatusUnsupportedMediaType, problemUnsupportedFormat,
+				"content type %q: only application/cloudevents+json is taken in structured mode, one event in a request", media)
 		}
 		return true, nil
 	}
--- a/internal/ingress/http/response.go
+++ b/internal/ingress/http/response.go
@@ -99,7 +99,8 @@
 	case r.Cause == dispatch.CauseDeadlineExceeded:
 		return nethttp.StatusGatewayTimeout, failed
 	case r.Cause == dispatch.CauseNoVersion:
-		return nethttp.StatusUnprocessableEntity, fmt.Sprintf("The reference %.100q names no version that may run events of type %.100q.", r.Function, r.Class)
+		return nethttp.StatusUnprocessableEntity,
+			fmt.Sprintf("The reference %.100q names no version that may run events of type %.100q.", r.Function, r.Class)
 	case r.Cause == dispatch.CauseUnknownClass: // never dispatched: the sender's fault
 		return nethttp.StatusUnprocessableEntity, fmt.Sprintf("The configuration names no event type %.100q.", r.Class)
 	}
--- a/internal/ingress/http/session.go
+++ b/internal/ingress/http/session.go
@@ -155,7 +155,8 @@
 	case failure != nil:
 		pending.reject(failure)
 	case waiting >= s.limits.Pipeline:
-		pending.reject(requestErrorf(nethttp.StatusTooManyRequests, problemPipeline, "over %d requests of this connection wait", s.limits.Pipeline),
+		pending.reject(requestErrorf(nethttp.StatusTooManyRequests, problemPipeline,
+			"over %d requests of this connection wait", s.limits.Pipeline),
 			dispatch.Field{Name: "Retry-After", Value: "1"})
 	default:
 		if longest := s.limits.MaxAge(request.Class); request.Timeout == 0 || request.Timeout > longest {
--- a/internal/ingress/http/timeout.go
+++ b/internal/ingress/http/timeout.go
@@ -46,7 +46,8 @@
 			value, _, _ = strings.Cut(value, ";")
 			seconds, err := strconv.ParseFloat(strings.Trim(strings.TrimSpace(value), `"`), 64)
 			if err != nil || seconds < 0 || seconds > maxPreferredWait {
-				return 0, requestErrorf(nethttp.StatusBadRequest, problemInvalidPreference, "Prefer: wait=%.20q is not a number of seconds", value)
+				return 0, requestErrorf(nethttp.StatusBadRequest, problemInvalidPreference,
+					"Prefer: wait=%.20q is not a number of seconds", value)
 			}
 			wait = seconds
 			if seconds == 0 {
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -89,17 +89,17 @@
 
 // Dialed takes the end of a dial and returns its connection, which is established where err is nil. It returns nil
 // where there is nothing to do: the dial was given up meanwhile, or its end was reported before.
-func (r *Connections[C]) Dialed(now float64, id ConnID, err error) (c C) {
-	c, ok := r.byID[id]
-	if !ok {
+func (r *Connections[C]) Dialed(now float64, id ConnID, err error) C {
+	var none C
+	c, known := r.byID[id]
+	if !known {
 		if err == nil {
 			r.transport.Close(id)
 		}
-		return c
+		return none
 	}
 	base := c.connection()
 	if base.Established {
-		var none C
 		return none
 	}
 	if err == nil {
