--- a/cmd/streamcleat/box_test.go
+++ b/cmd/streamcleat/box_test.go
@@ -25,57 +25,64 @@
 	"streamcleat/internal/schedule"
 )
 
-// site is a box with stand-in workers, driven by terminals only.
+// site is a box with fake workers that is operated from terminals only.
 type site struct {
 	t       *testing.T
 	dir     string
-	tape    *invariants.Tape
+	records *invariants.Tape
 	workers []*fakes.Worker
 	front   string
 
-	mu      sync.Mutex
-	answers map[string][]int // statuses by event, 0 for a broken connection
+	mu       sync.Mutex
+	statuses map[string][]int // by event, 0 for a broken connection
 }
 
-// freeAddr is a loopback address that nobody uses at the moment; the box keeps it over its restarts.
-func freeAddr(t testing.TB) string {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// freeAddress is a loopback address that nobody uses at the moment; the box keeps it over its restarts.
+func freeAddress(t testing.TB) string {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	return l.Addr().String()
+	defer closeReader(listener)
+	return listener.Addr().String()
 }
 
 func newSite(t *testing.T, workers int) *site {
-	s := &site{t: t, dir: t.TempDir(), tape: invariants.NewTape(), front: freeAddr(t), answers: map[string][]int{}}
-	fns := fakes.Catalogue(6, 0.03, 5)
-	store, memory := fakes.NewStore(4, 16), fakes.NewMemory(60)
+	t.Helper()
+	s := &site{t: t, dir: t.TempDir(), records: invariants.NewTape(), front: freeAddress(t), statuses: map[string][]int{}}
+	functions := fakes.Catalogue(6, 0.03, 5)
+	store := fakes.NewStore(4, 16)
+	memory := fakes.NewMemory(60)
 	for i := range workers {
-		w, err := fakes.NewWorker(fakes.Spec{Name: fmt.Sprintf("wk-%d", i), Kind: "std", Cores: 2, Speed: 1, Memory: 8000, Queue: 64,
-			LoadsAtOnce: 4, Keep: 20, ColdShare: 0.5, WarmWithin: 1, FallFactor: 5, FallWindow: 1, MeanWork: 0.03, Functions: fns,
-			Store: store, Drops: memory, Keyed: map[string]bool{"till-entry": true}, Tape: s.tape, Seed: uint64(i)})
+		worker, err := fakes.NewWorker(fakes.Spec{Name: fmt.Sprintf("wk-%d", i), Kind: "std", Cores: 2, Speed: 1, Memory: 8000, Queue: 64,
+			LoadsAtOnce: 4, Keep: 20, ColdShare: 0.5, WarmWithin: 1, FallFactor: 5, FallWindow: 1, MeanWork: 0.03, Functions: functions,
+			Store: store, Drops: memory, Keyed: map[string]bool{"till-entry": true}, Tape: s.records, Seed: uint64(i)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(w.Close)
-		s.workers = append(s.workers, w)
+		t.Cleanup(worker.Close)
+		s.workers = append(s.workers, worker)
 	}
-	if _, err := fakes.NewList(filepath.Join(s.dir, "workers.json"), s.tape, s.workers); err != nil {
+	if _, err := fakes.NewList(filepath.Join(s.dir, "workers.json"), s.records, s.workers); err != nil {
 		t.Fatal(err)
 	}
 	s.write("crontab", "0 0 1 1 * price-reset shop-001 minato %{\"reset\":1}\n")
-	s.write("box.json", `{"name": "box-1", "listen": ["`+s.front+`"], "workers": {"file": "workers.json"}, "stop_within_s": 3,
-		"event_types": [{"name": "shop-event", "target_time_s": 1, "max_age_s": 3},
-			{"name": "till-entry", "target_time_s": 1, "max_age_s": 3, "repeat": "keyed", "remembered_s": 60},
-			{"name": "price-reset", "target_time_s": 1, "max_age_s": 3, "repeat": "at-most-once"}],
-		"functions": [{"match": "*", "lanes": 2, "load_s": 0.2}], "rules": {"cold_share": 0.5, "warm_within_s": 1},
-		"limits": {"answer_margin_s": 0.2}, "timers": {"crontab": "crontab"}, "state": {"dir": "state"},
-		"console": {"socket": "box.sock"}}`)
+	s.write("box.json", fmt.Sprintf(boxConfig, s.front))
 	return s
 }
 
+// boxConfig is the configuration of a site's box; %q is its front end's address.
+const boxConfig = `{"name": "box-1", "listen": [%q], "workers": {"file": "workers.json"}, "stop_within_s": 3,
+	"event_types": [{"name": "shop-event", "target_time_s": 1, "max_age_s": 3},
+		{"name": "till-entry", "target_time_s": 1, "max_age_s": 3, "repeat": "keyed", "remembered_s": 60},
+		{"name": "price-reset", "target_time_s": 1, "max_age_s": 3, "repeat": "at-most-once"}],
+	"functions": [{"match": "*", "lanes": 2, "load_s": 0.2}], "rules": {"cold_share": 0.5, "warm_within_s": 1},
+	"limits": {"answer_margin_s": 0.2}, "timers": {"crontab": "crontab"}, "state": {"dir": "state"},
+	"console": {"socket": "box.sock"}}`
+
 func (s *site) write(name, text string) {
+	s.t.Helper()
 	if err := os.WriteFile(filepath.Join(s.dir, name), []byte(text), 0o644); err != nil {
 		s.t.Fatal(err)
 	}
@@ -83,11 +90,11 @@
 
 // terminal is a program on a pseudo-terminal, 80 by 24, with its screen.
 type terminal struct {
-	t    *testing.T
-	cmd  *exec.Cmd
-	tty  *os.File
-	vt   *vt.SafeEmulator
-	over chan struct{}
+	t        *testing.T
+	cmd      *exec.Cmd
+	tty      *os.File
+	emulator *vt.SafeEmulator
+	ended    chan struct{}
 }
 
 func (s *site) terminal(args ...string) *terminal {
@@ -99,41 +106,48 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	x := &terminal{t: s.t, cmd: cmd, tty: tty, vt: vt.NewSafeEmulator(80, 24), over: make(chan struct{})}
-	go func() { // what the terminal itself answers to the program
-		buf := make([]byte, 1024)
-		for {
-			n, err := x.vt.Read(buf)
-			if err != nil {
-				return
-			}
-			tty.Write(buf[:n])
+	x := &terminal{t: s.t, cmd: cmd, tty: tty, emulator: vt.NewSafeEmulator(80, 24), ended: make(chan struct{})}
+	go x.sendReplies()
+	go x.readOutput()
+	s.t.Cleanup(x.kill)
+	return x
+}
+
+// sendReplies hands the program what the terminal itself answers.
+func (x *terminal) sendReplies() {
+	buf := make([]byte, 1024)
+	for {
+		n, err := x.emulator.Read(buf)
+		if err != nil {
+			return
 		}
-	}()
-	go func() {
-		defer close(x.over)
-		buf := make([]byte, 1<<16)
-		for {
-			n, err := tty.Read(buf)
-			x.vt.Write(buf[:n])
-			if err != nil {
-				return
-			}
+		_, _ = x.tty.Write(buf[:n]) // the program may have ended
+	}
+}
+
+// readOutput draws what the program writes until it ends.
+func (x *terminal) readOutput() {
+	defer close(x.ended)
+	buf := make([]byte, 1<<16)
+	for {
+		n, err := x.tty.Read(buf)
+		_, _ = x.emulator.Write(buf[:n]) // the emulator's Write doesn't fail
+		if err != nil {
+			return
 		}
-	}()
-	s.t.Cleanup(func() { x.kill() })
-	return x
+	}
 }
 
+// kill ends the program if it still runs.
 func (x *terminal) kill() {
-	x.cmd.Process.Kill()
-	x.cmd.Wait()
-	x.tty.Close()
+	_ = x.cmd.Process.Kill() // fails where the program has ended
+	_ = x.cmd.Wait()         // a killed program's status is no news
+	_ = x.tty.Close()        // nothing more is read
 }
 
 var escapes = regexp.MustCompile("\x1b\\[[0-9;?]*[a-zA-Z]")
 
-func (x *terminal) screen() string { return escapes.ReplaceAllString(x.vt.Render(), "") }
+func (x *terminal) screen() string { return escapes.ReplaceAllString(x.emulator.Render(), "") }
 
 func (x *terminal) press(keys string) {
 	x.t.Helper()
@@ -142,32 +156,31 @@
 	}
 }
 
-// see waits until the screen fits a pattern.
-func (x *terminal) see(pattern string) string {
+// see waits until the screen matches a pattern.
+func (x *terminal) see(pattern string) {
 	x.t.Helper()
 	re := regexp.MustCompile(pattern)
 	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
-		if screen := x.screen(); re.MatchString(screen) {
-			return screen
+		if re.MatchString(x.screen()) {
+			return
 		}
 	}
 	x.t.Fatalf("no %q on the screen:\n%s", pattern, x.screen())
-	return ""
 }
 
 // end waits until the program has ended.
 func (x *terminal) end() {
 	x.t.Helper()
 	select {
-	case <-x.over:
+	case <-x.ended:
 	case <-time.After(20 * time.Second):
 		x.t.Fatalf("does not end:\n%s", x.screen())
 	}
-	x.cmd.Wait()
+	_ = x.cmd.Wait() // what it printed is what the tests look at
 }
 
-// start starts the box and returns its process.
-func (s *site) start() int {
+// start starts the box; it is killed at the test's end if it still runs.
+func (s *site) start() {
 	s.t.Helper()
 	x := s.terminal("start", "box.json")
 	x.end()
@@ -176,42 +189,47 @@
 		log, _ := os.ReadFile(filepath.Join(s.dir, "box.sock.log"))
 		s.t.Fatalf("not started:\n%s\n%s", x.screen(), log)
 	}
-	pid, _ := strconv.Atoi(m[1])
-	s.t.Cleanup(func() {
-		if p, err := os.FindProcess(pid); err == nil {
-			p.Kill()
-		}
-	})
-	return pid
+	pid, err := strconv.Atoi(m[1])
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	s.t.Cleanup(func() { _ = kill(pid) }) // fails where the box was stopped
+}
+
+func kill(pid int) error {
+	process, err := os.FindProcess(pid)
+	if err != nil {
+		return err
+	}
+	return process.Kill()
 }
 
-// sale sends events from many tills until ctx ends, each event again until it has a final answer that is no
-// deferral: through stops, kills and restarts of the box.
+// sale sends events from many tills until ctx ends, each event again until it has a final answer other than a
+// rejection: through stops, kills and restarts of the box.
 func (s *site) sale(ctx context.Context, tills int) *sync.WaitGroup {
-	var wait sync.WaitGroup
+	var running sync.WaitGroup
 	for till := range tills {
-		wait.Add(1)
-		go func() {
-			defer wait.Done()
+		running.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
-				kind := []string{"shop-event", "till-entry", "price-reset"}[n%3]
-				s.send(kind, fmt.Sprintf("till-%d-%d", till, n), fmt.Sprintf("shop-00%d", (till+n)%6))
+				class := []string{"shop-event", "till-entry", "price-reset"}[n%3]
+				s.send(class, fmt.Sprintf("till-%d-%d", till, n), fmt.Sprintf("shop-00%d", (till+n)%6))
 				time.Sleep(15 * time.Millisecond)
 			}
-		}()
+		})
 	}
-	return &wait
+	return &running
 }
 
-func (s *site) send(kind, id, function string) {
-	const wait = 3 * time.Second
-	for try := 0; try < 60; try++ {
-		c := &schedule.Client{Source: "/sale", FrontEnds: []string{s.front}, HTTP: &http.Client{}, DefaultTimeout: wait, OnAttempt: s.note}
-		o := c.Fire(context.Background(), schedule.Firing{Entry: &schedule.Entry{Class: kind, Function: function}, ID: id})
+func (s *site) send(class, id, function string) {
+	const timeout = 3 * time.Second
+	const maxAttempts = 60
+	for range maxAttempts {
+		client := &schedule.Client{Source: "/sale", FrontEnds: []string{s.front}, HTTP: &http.Client{}, DefaultTimeout: timeout, OnAttempt: s.record}
+		result := client.Fire(context.Background(), schedule.Firing{Entry: &schedule.Entry{Class: class, Function: function}, ID: id})
 		s.mu.Lock()
-		s.answers[id] = append(s.answers[id], o.Status)
+		s.statuses[id] = append(s.statuses[id], result.Status)
 		s.mu.Unlock()
-		if o.Status != 0 && o.Status != 503 {
+		if result.Status != 0 && result.Status != http.StatusServiceUnavailable {
 			return
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -219,30 +237,33 @@
 	s.t.Errorf("%s: no final answer", id)
 }
 
-func (s *site) note(f schedule.Firing, _ string, left time.Duration) func(int, string, error) {
-	r := invariants.Record{Kind: invariants.Asked, Event: "/sale#" + f.ID, Type: f.Entry.Class, Front: "box-1", Call: s.tape.Call(), Wait: left.Seconds()}
-	s.tape.Add(r)
-	return func(status int, digest string, err error) {
+// record keeps an attempt and its answer for the rules.
+func (s *site) record(f schedule.Firing, _ string, remaining time.Duration) func(int, string, error) {
+	r := invariants.Record{Kind: invariants.Asked, Event: "/sale#" + f.ID, Type: f.Entry.Class, Front: "box-1", Call: s.records.Call(), Wait: remaining.Seconds()}
+	s.records.Add(r)
+	return func(status int, digest string, _ error) {
 		r.Digest = digest
 		r.Status = status
-		switch {
-		case status == 0: // the box was stopped or killed by the script
+		r.Kind = invariants.Answered
+		switch status {
+		case 0: // the test stopped or killed the box
 			r.Kind = invariants.Lost
-		case status == 200:
-			r.Kind, r.Outcome = invariants.Answered, invariants.Handled
-		case status == 503:
-			r.Kind, r.Outcome = invariants.Answered, invariants.Deferred
+		case http.StatusOK:
+			r.Outcome = invariants.Handled
+		case http.StatusServiceUnavailable:
+			r.Outcome = invariants.Deferred
 		default:
-			r.Kind, r.Outcome = invariants.Answered, invariants.DeadLettered
+			r.Outcome = invariants.DeadLettered
 		}
-		s.tape.Add(r)
+		s.records.Add(r)
 	}
 }
 
-func (s *site) judge() invariants.Verdict {
+// verify checks the rules on all that passed.
+func (s *site) verify() invariants.Verdict {
 	s.t.Helper()
 	v := invariants.Judge(invariants.Rules{Effect: map[string]string{"shop-event": "redeliverable", "till-entry": "keyed", "price-reset": "at-most-once"},
-		Remembered: map[string]float64{"till-entry": 60}, DrainGrace: 0.5, Grace: 0.15}, s.tape.Records())
+		Remembered: map[string]float64{"till-entry": 60}, DrainGrace: 0.5, Grace: 0.15}, s.records.Records())
 	if v.Broken > 0 {
 		s.t.Errorf("%d rules broken: %v", v.Broken, v.Faults)
 	}
@@ -253,15 +274,42 @@
 }
 
 // TestBoxFromTheConsole takes a box through a sale: started, looked at, a worker drained while the console is killed,
-// stopped in mid-sale and started again, killed and started again, stopped. Only terminals drive it.
+// stopped in mid-sale and started again, killed and started again, stopped. Only terminals operate it.
 func TestBoxFromTheConsole(t *testing.T) {
 	s := newSite(t, 3)
 	s.start()
-	x := s.terminal("console")
-	x.see(`streamcleat box-1  serving`)
-	ctx, over := context.WithCancel(context.Background())
-	defer over()
-	clients := s.sale(ctx, 8)
+	first := s.terminal("console")
+	first.see(`streamcleat box-1  serving`)
+	ctx, endSale := context.WithCancel(context.Background())
+	defer endSale()
+	tills := s.sale(ctx, 8)
+	drainAndDisappear(first)
+
+	second := s.terminal("console")
+	s.returnWorker(second)
+	fireAndSuspend(second)
+	time.Sleep(500 * time.Millisecond)
+	s.stopAndStart(second)
+	s.killAndStart(second)
+	endSale()
+	tills.Wait()
+	second.press("q")
+	second.end()
+	stop := s.terminal("stop", "--wait")
+	stop.end()
+	if got := stop.screen(); !strings.Contains(got, "stopped") {
+		t.Error(got)
+	}
+	v := s.verify()
+	if v.Lost == 0 {
+		t.Error("no client was waiting when the box was killed")
+	}
+	t.Logf("%d asks: %d handled, %d deferred, %d dead-lettered, %d lost with the box", v.Events, v.Handled, v.Deferred, v.DeadLettered, v.Lost)
+}
+
+// drainAndDisappear drains a worker, looks at requests and functions, and is killed in mid-drain without a word.
+func drainAndDisappear(x *terminal) {
+	x.t.Helper()
 	x.press("2")
 	x.see(`wk-2 +serving`)
 	x.press("d")
@@ -273,57 +321,58 @@
 	x.press("\x1b")
 	x.press("3")
 	x.see(`shop-001`)
-	x.kill() // in mid-drain, without a word
-
-	y := s.terminal("console")
-	y.press("2")
-	y.see(`wk-0 +draining \(by order\)`)
-	z := s.terminal("drain", "wk-1") // another console gives orders meanwhile
-	z.end()
-	if got := z.screen(); !strings.Contains(got, "gives orders now") {
-		t.Errorf("two consoles give orders at once: %s", got)
+	x.kill()
+}
+
+// returnWorker takes back the drain that another console ordered, while a third one gives orders too.
+func (s *site) returnWorker(x *terminal) {
+	s.t.Helper()
+	x.press("2")
+	x.see(`wk-0 +draining \(by order\)`)
+	other := s.terminal("drain", "wk-1")
+	other.end()
+	if got := other.screen(); !strings.Contains(got, "gives orders now") {
+		s.t.Errorf("two consoles give orders at once: %s", got)
 	}
-	y.press("r")
-	y.see(`worker wk-0: is as the list says`)
-	y.see(`wk-0 +(serving|set-aside)`)
-	y.press("5")
-	y.see(`price-reset/shop-001@minato`)
-	y.press("f")
-	y.see(`fired 0_0_1_1_`)
-	y.press("h")
-	y.see(`held +UTC`)
-	time.Sleep(500 * time.Millisecond)
-	y.press("s")
-	y.see(`stop \? y does it`)
-	y.press("y")
-	y.see(`no box answers`)
-	s.start() // while clients wait
-	y.see(`streamcleat box-1  serving`)
-	y.press("1")
-	y.see(`read back`)
+	x.press("r")
+	x.see(`worker wk-0: is as the list says`)
+	x.see(`wk-0 +(serving|set-aside)`)
+}
+
+func fireAndSuspend(x *terminal) {
+	x.t.Helper()
+	x.press("5")
+	x.see(`price-reset/shop-001@minato`)
+	x.press("f")
+	x.see(`fired 0_0_1_1_`)
+	x.press("h")
+	x.see(`held +UTC`)
+}
+
+// stopAndStart stops the box from the console and starts it again, while clients wait.
+func (s *site) stopAndStart(x *terminal) {
+	s.t.Helper()
+	x.press("s")
+	x.see(`stop \? y does it`)
+	x.press("y")
+	x.see(`no box answers`)
+	s.start()
+	x.see(`streamcleat box-1  serving`)
+	x.press("1")
+	x.see(`read back`)
 	time.Sleep(time.Second)
+}
 
-	pid := s.process()
-	p, _ := os.FindProcess(pid)
-	p.Kill() // in mid-sale
+// killAndStart kills the box in mid-sale and starts it again.
+func (s *site) killAndStart(x *terminal) {
+	s.t.Helper()
+	if err := kill(s.process()); err != nil {
+		s.t.Fatal(err)
+	}
 	time.Sleep(100 * time.Millisecond)
 	s.start()
-	y.see(`streamcleat box-1  serving`)
+	x.see(`streamcleat box-1  serving`)
 	time.Sleep(time.Second)
-	over()
-	clients.Wait()
-	y.press("q")
-	y.end()
-	x = s.terminal("stop", "--wait")
-	x.end()
-	if got := x.screen(); !strings.Contains(got, "stopped") {
-		t.Error(got)
-	}
-	v := s.judge()
-	if v.Lost == 0 {
-		t.Error("no client was waiting when the box was killed")
-	}
-	t.Logf("%d asks: %d handled, %d deferred, %d dead-lettered, %d lost with the box", v.Events, v.Handled, v.Deferred, v.DeadLettered, v.Lost)
 }
 
 // process finds the process of the box that serves.
--- /dev/null
+++ b/cmd/streamcleat/deprecated_test.go
@@ -0,0 +1,223 @@
+package main
+
+import (
+	"bytes"
+	"errors"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+
+	"github.com/opencontainers/go-digest"
+)
+
+// invocation is what a script sees of a command.
+type invocation struct {
+	stdout string
+	stderr string
+	status int
+}
+
+func (s *site) invoke(args ...string) invocation {
+	s.t.Helper()
+	cmd := exec.Command("streamcleat", args...)
+	cmd.Dir = s.dir
+	cmd.Env = append(cmd.Environ(), "STREAMCLEAT_SOCKET="+filepath.Join(s.dir, "box.sock"))
+	var stdout, stderr bytes.Buffer
+	cmd.Stdout = &stdout
+	cmd.Stderr = &stderr
+	err := cmd.Run()
+	var exited *exec.ExitError
+	if err != nil && !errors.As(err, &exited) {
+		s.t.Fatal(err)
+	}
+	return invocation{stdout: stdout.String(), stderr: stderr.String(), status: cmd.ProcessState.ExitCode()}
+}
+
+var (
+	deprecationNote = regexp.MustCompile(`(?m)^Command ".*" is deprecated, use ".*" instead\n`)
+	milliseconds    = regexp.MustCompile(`after \d+ ms`)
+	minutes         = regexp.MustCompile(`\d{4}-\d\d-\d\dT\d\d:\d\dZ`)
+	errorMessage    = regexp.MustCompile(`(?m)^streamcleat: .*`)
+)
+
+// withoutTimes blanks what differs from one run of the same command to the next.
+func withoutTimes(stdout string) string {
+	return minutes.ReplaceAllString(milliseconds.ReplaceAllString(stdout, "after N ms"), "MINUTE")
+}
+
+// deprecatedWord is a use of a deprecated command beside the same use of its replacement.
+type deprecatedWord struct {
+	name        string
+	old         string
+	replacement string
+	args        string
+	status      int
+	want        string // in standard output, or in the error message where the status is not 0
+	prepare     func() // before each of the two; may be nil
+}
+
+// Digests of the two versions that the registry has in TestDeprecatedCommands.
+var (
+	oldDigest = digest.FromString("old")
+	newDigest = digest.FromString("new")
+)
+
+func deprecatedWords(s *site) []deprecatedWord {
+	return []deprecatedWord{
+		{"scenario list", "drill", "scenario", "--list", 0, "bad-day", nil},
+		{"unknown scenario", "drill", "scenario", "--name nothing", 2, "bad-day", nil},
+		{"faulty scenario", "drill", "scenario", "--script script.json", 2, "troubles[0].kind: rain", nil},
+		{"unknown flag", "drill", "scenario", "--nothing", 1, "unknown flag", nil},
+		{"verified record", "referee", "verify", "--rules rules.json empty.jsonl", 0, `"rules_broken": 0`, nil},
+		{"broken rule", "referee", "verify", "--rules rules.json unanswered.jsonl", 1, "1 of five rules broken", nil},
+		{"faulty record", "referee", "verify", "--rules rules.json broken.jsonl", 2, "broken.jsonl", nil},
+		{"no rules file", "referee", "verify", "--rules none.json empty.jsonl", 2, "rules:", nil},
+		{"no flag for rules", "referee", "verify", "empty.jsonl", 1, "rules", nil},
+		{"too many workers", "standin worker", "fake worker", "--count 201", 2, "--count must be 1 to 200", nil},
+		{"fired timers", "standin timers", "fake timers", "--now --front " + s.front + " --crontab crontab", 0, "status 200", nil},
+		{"timers without front end", "standin timers", "fake timers", "--now --front 127.0.0.1:1 --crontab crontab", 1,
+			"1 of 1 firings were not handled", nil},
+		{"faulty crontab", "standin timers", "fake timers", "--now --crontab faulty", 2, "faulty:1: schedule", nil},
+		{"suspended entry", "hold", "suspend", "price-reset --name one", 0, "is held", nil},
+		{"resumed entry", "hold", "suspend", "price-reset --release --name one", 0, "fires again", nil},
+		{"unknown entry", "hold", "suspend", "nothing --name one", 1, `no timer entry fits "nothing"`, nil},
+		{"no entry", "hold", "suspend", "", 1, "accepts 1 arg", nil},
+		{"no box", "hold", "suspend", "price-reset --socket none.sock", 1, "no box answers", nil},
+		{"rollout", "handler roll", "handler rollout", "shop-001:current 1.1 --steps 0.5 --hold 600 --name one", 0, "goes over to " + string(newDigest), nil},
+		{"rollout as JSON", "handler roll", "handler rollout", "shop-001:current 1.1 --json --name one", 0, `{"said":"`, nil},
+		{"rollout to an unknown version", "handler roll", "handler rollout", "shop-001:current 7.7 --name one", 1, "not in the registry", nil},
+		{"rollout of a faulty reference", "handler roll", "handler rollout", "shop: 1.1 --name one", 2, "is not a tag", nil},
+		{"rollback", "handler back", "handler rollback", "shop-001:current --name one", 0, "names " + string(oldDigest), func() {
+			s.mustRun("handler rollout shop-001:current 1.1 --name one")
+		}},
+		{"rollback of an unknown function", "handler back", "handler rollback", "shop-009:current --name one", 1, "not in the registry", nil},
+		{"audit trail", "handler trail", "handler audit", "", 0, "shop-001", nil},
+		{"audit trail as JSON", "handler trail", "handler audit", "--json", 0, `"publish":`, nil},
+		{"audit without box", "handler trail", "handler audit", "--socket none.sock", 1, "no box answers", nil},
+		{"corrupt content", "handler scrub", "handler verify-content", "--folder content", 1, "1 pieces were wrong", s.putCorruptContent},
+		{"content", "handler scrub", "handler verify-content", "--folder content", 0, "0 pieces checked, 0 wrong", nil},
+		{"no folder", "handler scrub", "handler verify-content", "--folder none", 1, "no such file", nil},
+	}
+}
+
+// A deprecated word works as its replacement does, with the same standard output, error message and exit status; only
+// a note on standard error names the replacement.
+func TestDeprecatedCommands(t *testing.T) {
+	s := newSite(t, 1)
+	s.start()
+	s.write("rules.json", `{"Effect":{"shop-event":"redeliverable"}}`)
+	s.write("empty.jsonl", "")
+	s.write("broken.jsonl", "{")
+	s.write("unanswered.jsonl", `{"at":1,"kind":"asked","event":"/till#1","type":"shop-event","call":1,"wait":1}`)
+	s.write("script.json", `{"troubles": [{"at": 1, "kind": "rain"}]}`)
+	s.write("faulty", "61 * * * * shop-event shop-001\n")
+	s.mustRun("handler publish shop-001:1.0 --digest " + string(oldDigest))
+	s.mustRun("handler publish shop-001:1.1 --digest " + string(newDigest))
+	s.mustRun("handler alias shop-001:current 1.0")
+	for _, c := range deprecatedWords(s) {
+		t.Run(c.name, func(t *testing.T) { c.compare(t, s) })
+	}
+}
+
+// compare runs the old word and then its replacement.
+func (c deprecatedWord) compare(t *testing.T, s *site) {
+	t.Helper()
+	invoke := func(word string) invocation {
+		if c.prepare != nil {
+			c.prepare()
+		}
+		return s.invoke(append(strings.Fields(word), strings.Fields(c.args)...)...)
+	}
+	before := invoke(c.old)
+	after := invoke(c.replacement)
+	if before.status != c.status || after.status != c.status {
+		t.Errorf("%s: status %d, %s: %d, want %d\n%s", c.old, before.status, c.replacement, after.status, c.status, after.stderr)
+	}
+	if withoutTimes(before.stdout) != withoutTimes(after.stdout) {
+		t.Errorf("%s prints\n%s\n%s prints\n%s", c.old, before.stdout, c.replacement, after.stdout)
+	}
+	message := errorMessage.FindString(after.stderr)
+	if old := errorMessage.FindString(before.stderr); old != message {
+		t.Errorf("%s ends with %s, %s with %s", c.old, old, c.replacement, message)
+	}
+	said := after.stdout
+	if c.status != 0 {
+		said = message
+	}
+	if !strings.Contains(said, c.want) {
+		t.Errorf("%s: %s, want %q", c.replacement, said, c.want)
+	}
+	if deprecationNote.MatchString(after.stderr) {
+		t.Errorf("%s is noted as deprecated:\n%s", c.replacement, after.stderr)
+	}
+}
+
+// mustRun runs a command that has to succeed.
+func (s *site) mustRun(line string) {
+	s.t.Helper()
+	if out, err := s.run(strings.Fields(line)...); err != nil {
+		s.t.Fatal(line, err, out)
+	}
+}
+
+// putCorruptContent makes content whose digest is wrong; the next check removes it.
+func (s *site) putCorruptContent() {
+	s.t.Helper()
+	dir := filepath.Join(s.dir, "content", "sha256")
+	if err := os.MkdirAll(dir, 0o755); err != nil {
+		s.t.Fatal(err)
+	}
+	if err := os.WriteFile(filepath.Join(dir, oldDigest.Encoded()), []byte("rot"), 0o644); err != nil {
+		s.t.Fatal(err)
+	}
+}
+
+// The note names the replacement, on standard error alone.
+func TestDeprecationNote(t *testing.T) {
+	s := &site{t: t, dir: t.TempDir()}
+	for _, c := range []struct{ args, note string }{
+		{"drill --list", `Command "drill" is deprecated, use "scenario" instead`},
+		{"referee --rules none.json none.jsonl", `Command "referee" is deprecated, use "verify" instead`},
+		{"standin worker --count 0", `Command "standin" is deprecated, use "fake" instead`},
+		{"standin timers --crontab none", `Command "standin" is deprecated, use "fake" instead`},
+		{"hold ENTRY", `Command "hold" is deprecated, use "suspend" instead`},
+		{"handler roll shop:current 1.0", `Command "roll" is deprecated, use "rollout" instead`},
+		{"handler back shop:current", `Command "back" is deprecated, use "rollback" instead`},
+		{"handler trail", `Command "trail" is deprecated, use "audit" instead`},
+		{"handler scrub", `Command "scrub" is deprecated, use "verify-content" instead`},
+	} {
+		t.Run(c.args, func(t *testing.T) {
+			got := s.invoke(strings.Fields(c.args)...)
+			if !strings.HasPrefix(got.stderr, c.note+"\n") || strings.Contains(got.stdout, "deprecated") {
+				t.Errorf("standard error:\n%s\nstandard output:\n%s", got.stderr, got.stdout)
+			}
+		})
+	}
+}
+
+// The help text lists the new words only, and the old ones still have theirs.
+func TestDeprecatedCommandsAreHidden(t *testing.T) {
+	s := &site{t: t, dir: t.TempDir()}
+	for _, c := range []struct{ args, listed, hidden string }{
+		{"--help", "scenario verify fake suspend", "drill referee standin hold"},
+		{"handler --help", "rollout rollback audit verify-content", "roll back trail scrub"},
+		{"standin --help", "worker timers", ""},
+	} {
+		t.Run(c.args, func(t *testing.T) {
+			help := s.invoke(strings.Fields(c.args)...).stdout
+			for _, word := range strings.Fields(c.listed) {
+				if !regexp.MustCompile(`(?m)^  ` + word + ` `).MatchString(help) {
+					t.Errorf("%s is not listed:\n%s", word, help)
+				}
+			}
+			for _, word := range strings.Fields(c.hidden) {
+				if regexp.MustCompile(`(?m)^  ` + word + ` `).MatchString(help) {
+					t.Errorf("%s is listed:\n%s", word, help)
+				}
+			}
+		})
+	}
+}
--- /dev/null
+++ b/cmd/streamcleat/fake.go
@@ -0,0 +1,177 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"os"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"streamcleat/internal/config"
+	"streamcleat/internal/fakes"
+	"streamcleat/internal/schedule"
+)
+
+// fakeCommand runs test fakes as processes of their own.
+func fakeCommand(word string) *cobra.Command {
+	cmd := &cobra.Command{Use: word, Short: "Run a fake worker or timer client as a process of its own"}
+	cmd.AddCommand(fakeWorkerCommand(), fakeTimersCommand())
+	return cmd
+}
+
+const maxFakeWorkers = 200 // of one process
+
+// fakeWorkerOptions are the flags of the fake workers.
+type fakeWorkerOptions struct {
+	count, functions, cores int
+	listFile, address       string
+	seed                    uint64
+	loadOnEvent             bool
+}
+
+func fakeWorkerCommand() *cobra.Command {
+	var o fakeWorkerOptions
+	cmd := &cobra.Command{
+		Use:   "worker",
+		Short: "Run fake workers and write the endpoint list that names them",
+		Long: "worker runs fake workers that speak the Open Inference Protocol. POST /standin/fault at a worker injects\n" +
+			`a fault: {"kind":"hang","for":3}, further kinds are lose, errors, slow, stall, reset, cut, late-reports.`,
+		Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			return runFakeWorkers(cmd.Context(), o)
+		},
+	}
+	flags := cmd.Flags()
+	flags.IntVar(&o.count, "count", 4, "workers")
+	flags.IntVar(&o.functions, "functions", 40, "functions that they know: shop-000 and so on")
+	flags.IntVar(&o.cores, "cores", 2, "cores of each")
+	flags.StringVar(&o.listFile, "list", "workers.json", "file for the list of workers")
+	flags.StringVar(&o.address, "address", "", "host:port, for one worker")
+	flags.Uint64Var(&o.seed, "seed", 1, "seed of the functions' figures")
+	flags.BoolVar(&o.loadOnEvent, "load-on-event", false, "load a function that a request lacks; else answer 404")
+	return cmd
+}
+
+// runFakeWorkers runs the workers until ctx ends.
+func runFakeWorkers(ctx context.Context, o fakeWorkerOptions) error {
+	if o.count < 1 || o.count > maxFakeWorkers || o.functions < 1 {
+		return usageError(fmt.Errorf("--count must be 1 to %d and --functions at least 1", maxFakeWorkers))
+	}
+	store := fakes.NewStore(o.count, 4*o.count)
+	catalogue := fakes.Catalogue(o.functions, 0.04, o.seed)
+	var workers []*fakes.Worker
+	for i := range o.count {
+		spec := o.spec(i)
+		spec.Functions = catalogue
+		spec.Store = store
+		worker, err := fakes.NewWorker(spec)
+		if err != nil {
+			return err
+		}
+		defer worker.Close()
+		workers = append(workers, worker)
+		fmt.Printf("worker %s listens on %s\n", worker.Name(), worker.Addr())
+	}
+	if o.listFile != "" {
+		if _, err := fakes.NewList(o.listFile, nil, workers); err != nil {
+			return err
+		}
+	}
+	<-ctx.Done()
+	return nil
+}
+
+// spec describes the worker of an index, without what the workers share.
+func (o fakeWorkerOptions) spec(index int) fakes.Spec {
+	address := "127.0.0.1:0"
+	if o.address != "" && o.count == 1 {
+		address = o.address
+	}
+	return fakes.Spec{
+		Name:         fmt.Sprintf("wk-%02d", index),
+		Addr:         address,
+		Kind:         "std",
+		Cores:        o.cores,
+		Speed:        1,
+		Memory:       8000,
+		Queue:        64,
+		LoadsAtOnce:  4,
+		Keep:         9,
+		ColdShare:    0.29,
+		WarmWithin:   16,
+		FallFactor:   2.5,
+		FallWindow:   1.5,
+		LoadsOnEvent: o.loadOnEvent,
+		MeanWork:     0.04,
+		Drops:        fakes.NewMemory(60),
+		Keyed:        map[string]bool{"till-entry": true},
+		Seed:         o.seed + uint64(index),
+	}
+}
+
+// fakeTimersOptions are the flags of the timer client.
+type fakeTimersOptions struct {
+	crontab, source string
+	frontEnds       []string
+	maxRetries      int
+	once            bool
+}
+
+func fakeTimersCommand() *cobra.Command {
+	var o fakeTimersOptions
+	cmd := &cobra.Command{
+		Use:   "timers",
+		Short: "Fire a crontab's entries at front ends over HTTP",
+		Args:  cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			return runFakeTimers(cmd.Context(), o)
+		},
+	}
+	flags := cmd.Flags()
+	flags.StringVar(&o.crontab, "crontab", "crontab", "crontab file")
+	flags.StringVar(&o.source, "source", "/timers/streamcleat", "CloudEvents source, the same for all clients of one crontab")
+	flags.StringSliceVar(&o.frontEnds, "front", []string{"127.0.0.1:8080"}, "front ends, host:port")
+	flags.IntVar(&o.maxRetries, "repeat", 2, "retries after a rejection with Retry-After")
+	flags.BoolVar(&o.once, "now", false, "fire every entry once, for the present minute, and end")
+	return cmd
+}
+
+func runFakeTimers(ctx context.Context, o fakeTimersOptions) error {
+	entries, err := readCrontab(o.crontab)
+	if err != nil {
+		return err
+	}
+	client := &schedule.Client{
+		Source:         o.source,
+		FrontEnds:      o.frontEnds,
+		MaxRetries:     o.maxRetries,
+		DefaultTimeout: 4 * time.Second,
+		Log:            config.Default().Logger(os.Stderr),
+		HTTP:           &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}},
+	}
+	if o.once {
+		return fireOnce(ctx, client, entries)
+	}
+	client.Run(ctx, schedule.NewPlan(entries, time.Now()), time.Now, time.Until)
+	return nil
+}
+
+// fireOnce fires every entry for the present minute, one after the other.
+func fireOnce(ctx context.Context, client *schedule.Client, entries []schedule.Entry) error {
+	failed := 0
+	for i := range entries {
+		minute := time.Now().Truncate(time.Minute)
+		firing := schedule.Firing{Entry: &entries[i], Due: minute, ID: schedule.FiringID(&entries[i], minute)}
+		result := client.Fire(context.WithoutCancel(ctx), firing)
+		fmt.Printf("%s status %d after %.0f ms\n", firing.ID, result.Status, result.Latency.Seconds()*1000)
+		if result.Status != http.StatusOK {
+			failed++
+		}
+	}
+	if failed > 0 {
+		return fmt.Errorf("%d of %d firings were not handled", failed, len(entries))
+	}
+	return nil
+}
--- a/cmd/streamcleat/keys_test.go
+++ b/cmd/streamcleat/keys_test.go
@@ -20,13 +20,13 @@
 var documents = []any{appliance.Status{}, appliance.Worker{}, appliance.FunctionStatus{}, appliance.RequestStatus{}, appliance.Timer{}, appliance.Command{},
 	appliance.Change{}, config.Config{}, deployment.Terms{}, fakes.Fault{}, invariants.Record{}, invariants.Rules{}, invariants.Verdict{},
 	registry.Entry{}, registry.View{}, signing.Ring{}, scenario.Script{}, scenario.Report{}, scenario.BenchRow{}, scenario.KeepRow{},
-	scenario.RecoveryRow{}, simulation.Script{}, simulation.Report{}, simulation.Explored{}}
+	scenario.RecoveryRow{}, simulation.Script{}, simulation.Report{}, simulation.Explored{}, changeAnswer{}}
 
-// unspelt are the fields under a type of this program whose JSON key is their Go name.
-func unspelt(t reflect.Type, path string, seen map[reflect.Type]bool) (found []string) {
+// fieldsWithoutKey returns the fields under a type of this program whose JSON key is their Go name.
+func fieldsWithoutKey(t reflect.Type, path string, seen map[reflect.Type]bool) (found []string) {
 	switch t.Kind() {
 	case reflect.Slice, reflect.Pointer, reflect.Map, reflect.Array:
-		return unspelt(t.Elem(), path, seen)
+		return fieldsWithoutKey(t.Elem(), path, seen)
 	case reflect.Struct:
 	default:
 		return nil
@@ -43,7 +43,7 @@
 		if key, _, _ := strings.Cut(f.Tag.Get("json"), ","); key == "" && !f.Anonymous {
 			found = append(found, path+"."+f.Name)
 		}
-		found = append(found, unspelt(f.Type, path+"."+f.Name, seen)...)
+		found = append(found, fieldsWithoutKey(f.Type, path+"."+f.Name, seen)...)
 	}
 	return found
 }
@@ -52,7 +52,7 @@
 func TestDocumentsSpellTheirKeys(t *testing.T) {
 	seen := map[reflect.Type]bool{}
 	for _, d := range documents {
-		for _, f := range unspelt(reflect.TypeOf(d), reflect.TypeOf(d).String(), seen) {
+		for _, f := range fieldsWithoutKey(reflect.TypeOf(d), reflect.TypeOf(d).String(), seen) {
 			t.Errorf("%s has no key", f)
 		}
 	}
--- a/cmd/streamcleat/main.go
+++ b/cmd/streamcleat/main.go
@@ -1,9 +1,13 @@
-// Command streamcleat is a gateway that runs calls on workers which load functions on demand.
+// Command streamcleat is a gateway that routes calls to workers which load functions on demand.
+//
+// The package wires sub-commands to the packages that do the work; it holds no state of its own. Each file has the
+// commands of one concern: serve.go and check.go run and check a configuration, box.go and start.go operate a running
+// box, registry.go and its siblings manage versions of functions, scenario.go, simulate.go, verify.go, fake.go and
+// bench.go serve tests and measurements, node.go runs a front end of the utilities' platform.
 package main
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"os"
 	"os/signal"
@@ -12,35 +16,35 @@
 	"github.com/spf13/cobra"
 )
 
-// exit is an error with the status that the process ends with. An error without one ends it with 1.
-type exit struct {
-	code int
-	err  error
+func main() {
+	os.Exit(run())
 }
 
-func (e exit) Error() string { return e.err.Error() }
-func (e exit) Unwrap() error { return e.err }
-
-func main() {
+// run executes the command line and returns the exit status.
+func run() int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
+	err := rootCommand().ExecuteContext(ctx)
+	if err != nil {
+		fmt.Fprintln(os.Stderr, "streamcleat:", err)
+	}
+	return exitStatus(err)
+}
+
+func rootCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:   "streamcleat",
-		Short: "A gateway that runs calls on workers which load functions on demand",
-		Long: "streamcleat takes events (CloudEvents over HTTP, cron-style timers) and hands each to a worker that holds a\n" +
-			"loaded copy of its function, or has one loaded. Each event gets exactly one final answer.",
-		SilenceUsage: true, SilenceErrors: true,
-	}
-	root.AddCommand(serveCommand(), checkCommand(), schemaCommand(), standinCommand(), drillCommand(), simCommand(), refereeCommand(),
-		benchCommand(), nodeCommand())
-	root.AddCommand(operateCommands()...)
-	if err := root.ExecuteContext(ctx); err != nil {
-		fmt.Fprintln(os.Stderr, "streamcleat:", err)
-		code := 1
-		var e exit
-		if errors.As(err, &e) {
-			code = e.code
-		}
-		os.Exit(code)
+		Short: "A gateway that routes calls to workers which load functions on demand",
+		Long: "streamcleat takes requests (CloudEvents over HTTP, cron-style timers) and routes each to a worker that holds a\n" +
+			"loaded replica of its function, or has one loaded. Each request gets exactly one final answer.",
+		SilenceUsage:  true,
+		SilenceErrors: true,
 	}
+	root.AddCommand(serveCommand(), checkCommand(), schemaCommand(), nodeCommand())
+	root.AddCommand(boxCommands()...)
+	root.AddCommand(handlerCommand())
+	root.AddCommand(fakeCommand("fake"), scenarioCommand("scenario"), simulateCommand(), verifyCommand("verify"), benchCommand())
+	root.AddCommand(deprecated(fakeCommand("standin"), "fake"), deprecated(scenarioCommand("drill"), "scenario"),
+		deprecated(verifyCommand("referee"), "verify"), deprecated(suspendCommand("hold"), "suspend"))
+	return root
 }
--- a/cmd/streamcleat/handler_test.go
+++ b/cmd/streamcleat/registry_test.go
@@ -9,7 +9,17 @@
 	"streamcleat/internal/fakes"
 )
 
-// The registry's commands against a running box and a stand-in registry.
+// run runs a command against the site's box and returns its standard output and error together.
+func (s *site) run(args ...string) (string, error) {
+	cmd := exec.Command("streamcleat", args...)
+	cmd.Dir = s.dir
+	cmd.Env = append(cmd.Environ(), "STREAMCLEAT_SOCKET="+filepath.Join(s.dir, "box.sock"))
+	out, err := cmd.CombinedOutput()
+	return string(out), err
+}
+
+// The registry's commands against a running box and a fake registry. The cases run in order, each on what the ones
+// before it left.
 func TestHandlerCommands(t *testing.T) {
 	r := fakes.NewRegistry("", "")
 	t.Cleanup(r.Close)
@@ -19,13 +29,6 @@
 	d3 := r.Push("shop-001", nil, nil, "1.2")
 	s := newSite(t, 1)
 	s.start()
-	run := func(args ...string) (string, error) {
-		cmd := exec.Command("streamcleat", append([]string{"handler"}, args...)...)
-		cmd.Dir = s.dir
-		cmd.Env = append(cmd.Environ(), "STREAMCLEAT_SOCKET="+filepath.Join(s.dir, "box.sock"))
-		out, err := cmd.CombinedOutput()
-		return string(out), err
-	}
 	for _, c := range []struct {
 		args string
 		want string
@@ -37,14 +40,14 @@
 		{"publish shop-001:1.1 --digest " + string(d2) + " --lanes 3", "published", true},
 		{"alias shop-001:current 1.0", "names " + string(d), true},
 		{"alias shop-001:current 7.7", "not in the registry", false},
-		{"roll shop-001:current 1.1 --steps 0.5 --hold 600", "goes over to " + string(d2), true},
+		{"rollout shop-001:current 1.1 --steps 0.5 --hold 600", "goes over to " + string(d2), true},
 		{"list", "current for 50%", true},
 		{"show shop-001", "1.1", true},
 		{"show shop-009", "not in the registry", false},
-		{"back shop-001:current", "names " + string(d), true},
+		{"rollback shop-001:current", "names " + string(d), true},
 		{"withdraw shop-001:1.1", "withdrawn", true},
 		{"list --json", `"withdrawn":true`, true},
-		{"trail", "withdraw shop-001@" + string(d2), true},
+		{"audit", "withdraw shop-001@" + string(d2), true},
 		{"pull shop-001@" + string(d) + " --from " + r.URL(), "3 pieces held, 14 bytes of layers fetched", true},
 		{"pull shop-001@" + string(d2) + " --from " + r.URL(), "4 pieces held, 4 bytes of layers fetched", true},
 		{"verify shop-001:1.0 handlers/sha256/" + d.Encoded(), "is shop-001:1.0", true},
@@ -53,18 +56,18 @@
 		{"sign shop-001:1.0 --digest " + string(d) + " --key seal.pem -o seal.json", "", true},
 		{"sign shop-001:1.0 --digest sha256:0 --key seal.pem", "digest", false},
 		{"publish shop-001:1.2 --digest " + string(d3) + " --signature seal.json", "published", true},
-		{"scrub", "5 pieces checked, 0 wrong", true},
+		{"verify-content", "5 pieces checked, 0 wrong", true},
 		{"verify shop-001:1.0 handlers/sha256/" + d2.Encoded(), "has digest " + string(d2), false},
 	} {
-		out, err := run(strings.Fields(c.args)...)
+		out, err := s.run(append([]string{"handler"}, strings.Fields(c.args)...)...)
 		if (err == nil) != c.ok || !strings.Contains(out, c.want) {
 			t.Errorf("handler %s: %v\n%s\nwant %s", c.args, err, out, c.want)
 		}
 	}
 	s.send("shop-event", "one", "shop-001")
-	if got := s.answers["one"]; len(got) == 0 || got[len(got)-1] != 200 {
+	if got := s.statuses["one"]; len(got) == 0 || got[len(got)-1] != 200 {
 		t.Errorf("an event of a versioned function: %v", got)
 	}
-	x := s.terminal("stop", "--wait")
-	x.end()
+	stop := s.terminal("stop", "--wait")
+	stop.end()
 }
--- a/cmd/streamcleat/script_test.go
+++ b/cmd/streamcleat/script_test.go
@@ -10,7 +10,7 @@
 
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{Dir: "testdata", Setup: func(e *testscript.Env) error {
-		e.Setenv("FRONT", freeAddr(t))
+		e.Setenv("FRONT", freeAddress(t))
 		return nil
 	}})
 }
--- a/cmd/streamcleat/serve.go
+++ b/cmd/streamcleat/serve.go
@@ -11,7 +11,6 @@
 
 	"streamcleat/internal/appliance"
 	"streamcleat/internal/config"
-	"streamcleat/internal/schedule"
 )
 
 func serveCommand() *cobra.Command {
@@ -21,9 +20,12 @@
 		Short: "Run the front ends until a signal stops them",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			c, err := load(args)
-			if err != nil {
-				return err
+			c := config.Default()
+			if len(args) > 0 {
+				var err error
+				if c, err = loadConfig(args[0]); err != nil {
+					return err
+				}
 			}
 			if len(listen) > 0 {
 				c.Listen = listen
@@ -35,78 +37,27 @@
 	return cmd
 }
 
-func load(args []string) (*config.Config, error) {
-	if len(args) == 0 {
-		return config.Default(), nil
-	}
-	c, err := config.Load(args[0])
+func loadConfig(path string) (*config.Config, error) {
+	c, err := config.Load(path)
 	if err != nil {
-		return nil, exit{2, fmt.Errorf("%s:\n%w", args[0], err)}
+		return nil, usageError(fmt.Errorf("%s:\n%w", path, err))
 	}
 	return c, nil
 }
 
+// serve runs the box until ctx ends and open requests are answered. A second signal shortens the graceful shutdown.
 func serve(ctx context.Context, c *config.Config) error {
-	hurry := make(chan struct{})
-	go func() { // the first signal ends ctx; a second one shortens the stop
+	abort := make(chan struct{})
+	go func() {
 		<-ctx.Done()
-		again := make(chan os.Signal, 1)
-		signal.Notify(again, os.Interrupt, syscall.SIGTERM)
-		<-again
-		close(hurry)
+		signals := make(chan os.Signal, 1)
+		signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
+		<-signals
+		close(abort)
 	}()
-	return appliance.Run(ctx, c, c.Logger(os.Stderr), hurry, func(addrs []string) {
-		for _, a := range addrs {
-			fmt.Printf("front end listens on %s\n", a)
+	return appliance.Run(ctx, c, c.Logger(os.Stderr), abort, func(addresses []string) {
+		for _, address := range addresses {
+			fmt.Printf("front end listens on %s\n", address)
 		}
 	})
 }
-
-func readCrontab(path string) ([]schedule.Entry, error) {
-	file, err := os.Open(path)
-	if err != nil {
-		return nil, exit{2, fmt.Errorf("crontab: %w", err)}
-	}
-	defer file.Close()
-	entries, err := schedule.Parse(file, path)
-	if err != nil {
-		return nil, exit{2, err}
-	}
-	return entries, nil
-}
-
-func checkCommand() *cobra.Command {
-	return &cobra.Command{
-		Use:   "check CONFIG",
-		Short: "Check a configuration as a whole; exit 2 names every fault",
-		Args:  cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			c, err := load(args)
-			if err != nil {
-				return err
-			}
-			entries := 0
-			if c.Timers != nil {
-				list, err := readCrontab(c.Path(c.Timers.Crontab))
-				if err != nil {
-					return err
-				}
-				entries = len(list)
-			}
-			fmt.Printf("%s: %d front ends, %d event types, %d timer entries\n", args[0], len(c.Listen), len(c.RequestClasses), entries)
-			return nil
-		},
-	}
-}
-
-func schemaCommand() *cobra.Command {
-	return &cobra.Command{
-		Use:   "schema",
-		Short: "Print the JSON Schema of the configuration",
-		Args:  cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error {
-			_, err := os.Stdout.Write(config.Schema)
-			return err
-		},
-	}
-}
--- /dev/null
+++ b/cmd/streamcleat/simulate.go
@@ -0,0 +1,249 @@
+package main
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"runtime"
+	"strconv"
+	"strings"
+
+	"github.com/spf13/cobra"
+
+	"streamcleat/internal/console"
+	"streamcleat/internal/simulation"
+)
+
+const defaultProfile = "day"
+
+// sweepOptions are the flags of the sim command.
+type sweepOptions struct {
+	seeds, firstSeed uint64
+	profile          string
+	asJSON           bool
+	parallel         int
+}
+
+// simulateCommand runs the program in simulated worlds.
+func simulateCommand() *cobra.Command {
+	var o sweepOptions
+	cmd := &cobra.Command{
+		Use:   "sim",
+		Short: "Run the program on a virtual clock, with faults from seeds, and check every rule",
+		Args:  cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			return sweep(cmd.Context(), o)
+		},
+	}
+	flags := cmd.Flags()
+	flags.Uint64Var(&o.seeds, "seeds", 100, "how many seeds")
+	flags.Uint64Var(&o.firstSeed, "from", 0, "first seed")
+	flags.StringVar(&o.profile, "profile", defaultProfile, "sizes and kinds of fault: see sim profiles")
+	flags.BoolVar(&o.asJSON, "json", false, "a report of each seed as a JSON line")
+	flags.IntVar(&o.parallel, "at-once", runtime.GOMAXPROCS(0), "seeds at a time")
+	cmd.AddCommand(replayCommand(), shrinkCommand(), profilesCommand(), exploreCommand())
+	return cmd
+}
+
+func sweep(ctx context.Context, o sweepOptions) error {
+	if o.parallel < 1 || o.seeds < 1 {
+		return usageError(errors.New("--seeds and --at-once must be above 0"))
+	}
+	summary := simulation.NewSummary(o.profile)
+	encoder := json.NewEncoder(os.Stdout)
+	var writeErr error
+	err := simulation.Sweep(ctx, o.profile, o.firstSeed, o.seeds, o.parallel, func(r *simulation.Report) {
+		summary.Add(r)
+		if o.asJSON {
+			writeErr = errors.Join(writeErr, encoder.Encode(r))
+		} else if !r.OK() {
+			fmt.Printf("seed %d: %s\n", r.Seed, strings.Join(r.Broke, "\n    "))
+		}
+	})
+	if err := errors.Join(err, writeErr); err != nil {
+		return err
+	}
+	if !o.asJSON {
+		fmt.Print(summary)
+	}
+	if summary.Broken > 0 {
+		return fmt.Errorf("%d of %d seeds broke something", summary.Broken, summary.Seeds)
+	}
+	return nil
+}
+
+// readScript returns the script of a seed, or of a file.
+func readScript(profile, arg string) (*simulation.Script, error) {
+	if seed, err := strconv.ParseUint(arg, 10, 64); err == nil {
+		script, err := simulation.Generate(profile, seed)
+		if err != nil {
+			return nil, usageError(err)
+		}
+		return script, nil
+	}
+	data, err := os.ReadFile(arg)
+	if err != nil {
+		return nil, err
+	}
+	script, err := simulation.ReadScript(data)
+	if err != nil {
+		return nil, usageError(fmt.Errorf("%s: %w", arg, err))
+	}
+	return script, nil
+}
+
+// replayOptions are the flags of sim replay.
+type replayOptions struct {
+	profile, recordFile string
+	trace, printScript  bool
+	runs                int
+}
+
+func replayCommand() *cobra.Command {
+	var o replayOptions
+	cmd := &cobra.Command{
+		Use:   "replay SEED|FILE",
+		Short: "Run one seed or script again; the digest of its trace proves that it was the same",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(_ *cobra.Command, args []string) error {
+			script, err := readScript(o.profile, args[0])
+			if err != nil {
+				return err
+			}
+			if o.printScript {
+				return indentedJSON().Encode(script)
+			}
+			return replay(script, o)
+		},
+	}
+	flags := cmd.Flags()
+	flags.StringVar(&o.profile, "profile", defaultProfile, "profile of the seed")
+	flags.BoolVar(&o.trace, "trace", false, "print every step")
+	flags.BoolVar(&o.printScript, "script", false, "print the script and run nothing")
+	flags.StringVar(&o.recordFile, "tape", "", "file for what passed between clients, front ends and workers, JSON lines")
+	flags.IntVar(&o.runs, "times", 2, "run it so often and compare the digests")
+	return cmd
+}
+
+// replay runs a script, reports the first run and compares the digests of the further ones with it.
+func replay(script *simulation.Script, o replayOptions) (err error) {
+	var onStep func(string)
+	if o.trace {
+		trace := bufio.NewWriter(os.Stdout)
+		defer func() { err = errors.Join(err, trace.Flush()) }()
+		onStep = func(line string) {
+			_, _ = trace.WriteString(line + "\n") // Flush reports a failed write
+		}
+	}
+	first, records, err := simulation.Play(script, onStep)
+	if err != nil {
+		return err
+	}
+	if err := indentedJSON().Encode(first); err != nil {
+		return err
+	}
+	if o.recordFile != "" {
+		if err := writeRecords(o.recordFile, records); err != nil {
+			return err
+		}
+	}
+	for run := 2; run <= o.runs; run++ {
+		report, _, err := simulation.Play(script, nil)
+		if err != nil {
+			return err
+		}
+		if report.Digest != first.Digest {
+			return fmt.Errorf("run %d took another way: %s, before %s", run, report.Digest, first.Digest)
+		}
+	}
+	if !first.OK() {
+		return errors.New("the script broke something")
+	}
+	return nil
+}
+
+func shrinkCommand() *cobra.Command {
+	var profile, output string
+	cmd := &cobra.Command{
+		Use:   "shrink SEED|FILE",
+		Short: "Cut a script that breaks something to a small one that still does",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(_ *cobra.Command, args []string) error {
+			script, err := readScript(profile, args[0])
+			if err != nil {
+				return err
+			}
+			return shrink(script, output)
+		},
+	}
+	cmd.Flags().StringVar(&profile, "profile", defaultProfile, "profile of the seed")
+	cmd.Flags().StringVarP(&output, "output", "o", "", "file for the small script; standard output otherwise")
+	return cmd
+}
+
+func shrink(script *simulation.Script, output string) error {
+	small, report, runs, err := simulation.Shrink(script)
+	if err != nil {
+		return err
+	}
+	data, err := json.MarshalIndent(small, "", "  ")
+	if err != nil {
+		return err
+	}
+	fmt.Fprintf(os.Stderr, "%d faults of %d are left after %d runs; it breaks: %s\n", len(small.Faults), len(script.Faults), runs,
+		strings.Join(report.Broke, "; "))
+	if output == "" {
+		fmt.Println(string(data))
+		return nil
+	}
+	return os.WriteFile(output, append(data, '\n'), 0o644)
+}
+
+func profilesCommand() *cobra.Command {
+	return &cobra.Command{
+		Use:   "profiles",
+		Short: "What profiles there are",
+		Args:  cobra.NoArgs,
+		RunE: func(*cobra.Command, []string) error {
+			rows := [][]string{{"PROFILE", "ABOUT"}}
+			names, descriptions := simulation.Profiles()
+			for i := range names {
+				rows = append(rows, []string{names[i], descriptions[i]})
+			}
+			fmt.Print(console.Table(rows))
+			return nil
+		},
+	}
+}
+
+func exploreCommand() *cobra.Command {
+	var depth, maxStates int
+	cmd := &cobra.Command{
+		Use:   "explore",
+		Short: "Explore every order of messages in a small world to a depth, and check rules 1 to 3",
+		Args:  cobra.NoArgs,
+		RunE: func(*cobra.Command, []string) error {
+			return explore(depth, maxStates)
+		},
+	}
+	cmd.Flags().IntVar(&depth, "depth", 6, "moves")
+	cmd.Flags().IntVar(&maxStates, "states", 2_000_000, "worlds after which it ends")
+	return cmd
+}
+
+func explore(depth, maxStates int) error {
+	if depth < 1 || maxStates < 1 {
+		return usageError(errors.New("--depth and --states must be above 0"))
+	}
+	result := simulation.Explore(depth, maxStates)
+	if err := indentedJSON().Encode(result); err != nil {
+		return err
+	}
+	if len(result.Broke) > 0 {
+		return fmt.Errorf("%d ways broke a rule", len(result.Broke))
+	}
+	return nil
+}
--- /dev/null
+++ b/cmd/streamcleat/start.go
@@ -0,0 +1,115 @@
+package main
+
+import (
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"syscall"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"streamcleat/internal/appliance"
+	"streamcleat/internal/console"
+)
+
+const (
+	startTimeout      = 30 * time.Second // reading back the state takes this long at most
+	startPollInterval = 50 * time.Millisecond
+)
+
+// startCommand starts a box that goes on when the terminal closes.
+func startCommand() *cobra.Command {
+	var logFile string
+	cmd := &cobra.Command{
+		Use:   "start CONFIG",
+		Short: "Start a box that goes on when the terminal closes",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(_ *cobra.Command, args []string) error {
+			return startBox(args[0], logFile)
+		},
+	}
+	cmd.Flags().StringVar(&logFile, "log", "", "file for the box's log (the socket's name with .log)")
+	return cmd
+}
+
+func startBox(configFile, logFile string) error {
+	c, err := loadConfig(configFile)
+	if err != nil {
+		return err
+	}
+	if c.Console == nil {
+		return usageError(fmt.Errorf("%s: /console: not set; a box that is started needs a console's socket", configFile))
+	}
+	socket := c.Path(c.Console.Socket)
+	client := console.NewClient(socket, "start")
+	var status appliance.Status
+	if client.Get("status", &status) == nil {
+		return fmt.Errorf("box %s runs already and is %s", status.Name, status.State)
+	}
+	if logFile == "" {
+		logFile = socket + ".log"
+	}
+	box, err := startDetached(configFile, logFile)
+	if err != nil {
+		return err
+	}
+	return waitUntilServing(client, box, logFile)
+}
+
+// startDetached starts the serve command in a session of its own.
+func startDetached(configFile, logFile string) (*exec.Cmd, error) {
+	log, err := os.OpenFile(logFile, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o640)
+	if err != nil {
+		return nil, err
+	}
+	defer closeReader(log) // the box has a descriptor of its own
+	executable, err := os.Executable()
+	if err != nil {
+		return nil, err
+	}
+	path, err := filepath.Abs(configFile)
+	if err != nil {
+		return nil, err
+	}
+	box := exec.Command(executable, "serve", path)
+	box.Stdout = log
+	box.Stderr = log
+	box.SysProcAttr = &syscall.SysProcAttr{Setsid: true}
+	return box, box.Start()
+}
+
+// waitUntilServing returns when the box serves, has ended or has not served for startTimeout.
+func waitUntilServing(client *console.Client, box *exec.Cmd, logFile string) error {
+	ended := make(chan error, 1)
+	go func() { ended <- box.Wait() }()
+	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline); time.Sleep(startPollInterval) {
+		select {
+		case err := <-ended:
+			return earlyExitError{cause: err, logFile: logFile}
+		default:
+		}
+		var status appliance.Status
+		if client.Get("status", &status) == nil && status.State == "serving" {
+			fmt.Printf("box %s serves on %v, process %d, log in %s\n", status.Name, status.FrontEnds, box.Process.Pid, logFile)
+			return nil
+		}
+	}
+	return fmt.Errorf("the box does not serve after %.0f s and is left running as process %d; %s tells more",
+		startTimeout.Seconds(), box.Process.Pid, logFile)
+}
+
+// earlyExitError reports that the process of the box ended before it served. Its cause is nil after exit status 0.
+type earlyExitError struct {
+	cause   error
+	logFile string
+}
+
+// Error names the cause and the log file.
+func (e earlyExitError) Error() string {
+	return fmt.Sprintf("the box ended at once (%v); %s tells why", e.cause, e.logFile)
+}
+
+// Unwrap returns why the process ended.
+func (e earlyExitError) Unwrap() error { return e.cause }
--- /dev/null
+++ b/cmd/streamcleat/verify.go
@@ -0,0 +1,61 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+
+	"github.com/spf13/cobra"
+
+	"streamcleat/internal/invariants"
+)
+
+// verifyCommand checks the invariants on a recorded run.
+func verifyCommand(word string) *cobra.Command {
+	var rulesFile string
+	cmd := &cobra.Command{
+		Use:   word + " RECORD",
+		Short: "Check the five rules on a record of what passed on the sockets; a JSON file has the rules' figures",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(_ *cobra.Command, args []string) error {
+			return verifyRecord(rulesFile, args[0])
+		},
+	}
+	cmd.Flags().StringVar(&rulesFile, "rules", "", "figures of the rules, JSON")
+	require(cmd, "rules")
+	return cmd
+}
+
+func verifyRecord(rulesFile, recordFile string) error {
+	rules, err := readRules(rulesFile)
+	if err != nil {
+		return usageError(fmt.Errorf("rules: %w", err))
+	}
+	file, err := os.Open(recordFile)
+	if err != nil {
+		return usageError(err)
+	}
+	defer closeReader(file)
+	records, err := invariants.Read(file)
+	if err != nil {
+		return usageError(fmt.Errorf("%s: %w", recordFile, err))
+	}
+	verdict := invariants.Judge(rules, records)
+	if err := indentedJSON().Encode(verdict); err != nil {
+		return err
+	}
+	if verdict.Broken > 0 {
+		return fmt.Errorf("%d of five rules broken", verdict.Broken)
+	}
+	return nil
+}
+
+func readRules(path string) (invariants.Rules, error) {
+	var rules invariants.Rules
+	data, err := os.ReadFile(path)
+	if err != nil {
+		return rules, err
+	}
+	err = json.Unmarshal(data, &rules)
+	return rules, err
+}
