--- a/internal/schedule/client.go
+++ b/internal/schedule/client.go
@@ -4,11 +4,9 @@
 	"context"
 	"errors"
 	"fmt"
-	"hash/fnv"
 	"io"
 	"log/slog"
 	"net/http"
-	"sort"
 	"strconv"
 	"sync"
 	"syscall"
@@ -27,7 +25,7 @@
 	Latency    time.Duration
 	Attempts   int
 	Err        error
-	Replayed   bool // answered from an earlier asker of the same firing
+	Replayed   bool // answered from an earlier request of the same firing
 	RetryAfter time.Duration
 }
 
@@ -38,16 +36,26 @@
 	HTTP           *http.Client
 	Log            *slog.Logger
 	DefaultTimeout time.Duration   // how long it waits where the entry does not say
-	MaxRetries     int             // further tries after a deferral or a lost answer, with the same identity
-	AtMostOnce     map[string]bool // event types that are not tried again after a lost answer
-	// OnAttempt is told of each try with the time that the client still waits; what it returns is told the status that
-	// came back, 0 where none did, and the digest that the answer names. It may be nil.
-	OnAttempt func(f Firing, front string, left time.Duration) func(status int, digest string, err error)
-	OnResult  func(Result) // told of each firing that Run made; may be nil
+	MaxRetries     int             // after a rejection or a lost answer, with the same identity
+	AtMostOnce     map[string]bool // request classes that are not retried after a lost answer
+	// OnAttempt is called at each attempt with the time that the client still waits; the function that it returns is
+	// called with the status that came back, 0 where none did, and the digest that the answer names. It may be nil.
+	OnAttempt func(f Firing, frontEnd string, remaining time.Duration) func(status int, digest string, err error)
+	OnResult  func(Result) // called for each firing that Run made; may be nil
 }
 
-// leastWait is what must be left of a client's time for another try: no answer could come back in less.
-const leastWait = 100 * time.Millisecond
+const (
+	// minAttemptTime must be left of a client's time for a retry: no answer could come back in less.
+	minAttemptTime = 100 * time.Millisecond
+	// minRetryPause is the pause before a retry where no Retry-After asks for more.
+	minRetryPause = 20 * time.Millisecond
+	// maxAnswerBytes of an answer's body are read, so that the connection can be used again.
+	maxAnswerBytes = 1 << 20
+	// maxPlanPause bounds the sleep until the next firing: the wall clock may be set meanwhile.
+	maxPlanPause = time.Minute
+	// minPlanPause keeps Run from spinning where the clock has not quite reached a minute.
+	minPlanPause = time.Millisecond
+)
 
 // CloudEvent writes a firing as a CloudEvent.
 func CloudEvent(source string, f Firing) cloudevents.Event {
@@ -61,134 +69,110 @@
 		e.SetExtension("tenant", f.Entry.Tenant)
 	}
 	if len(f.Entry.Data) > 0 {
-		e.SetData("application/json", f.Entry.Data)
+		_ = e.SetData("application/json", f.Entry.Data) // bytes are taken as they are; only other types can fail
 	}
 	return e
 }
 
-// RendezvousOrder orders front ends for an identity alike at every client, by the highest of a hash of both: two clients
-// that fire the same minute ask the same front end, which joins the two.
-func RendezvousOrder(fronts []string, id string) []string {
-	type ranked struct {
-		front string
-		rank  uint64
-	}
-	list := make([]ranked, len(fronts))
-	for i, f := range fronts {
-		h := fnv.New64a()
-		io.WriteString(h, f)
-		h.Write([]byte{0})
-		io.WriteString(h, id)
-		x := h.Sum64()
-		x = (x ^ x>>33) * 0xff51afd7ed558ccd
-		list[i] = ranked{f, x ^ x>>33}
-	}
-	sort.Slice(list, func(i, j int) bool {
-		return list[i].rank > list[j].rank || list[i].rank == list[j].rank && list[i].front < list[j].front
-	})
-	out := make([]string, len(list))
-	for i, r := range list {
-		out[i] = r.front
-	}
-	return out
-}
-
-// Fire sends one firing and waits for its end. A deferral and a lost connection are tried again, the next time at
-// the same front end (its memory knows the event), or at the next by rank where it can't be reached.
+// Fire sends one firing and waits for its end. A rejection and a lost connection are retried, at the same front end
+// (which deduplicates) or at the next in rendezvous order where that one can't be reached.
 func (c *Client) Fire(ctx context.Context, f Firing) Result {
-	wait := f.Entry.Timeout
-	if wait == 0 {
-		wait = c.DefaultTimeout
+	timeout := f.Entry.Timeout
+	if timeout == 0 {
+		timeout = c.DefaultTimeout
 	}
-	begin := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, wait)
+	start := time.Now()
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	out := Result{Firing: f}
-	fronts := RendezvousOrder(c.FrontEnds, f.ID)
-	at := 0
+	result := Result{Firing: f}
+	frontEnds := RendezvousOrder(c.FrontEnds, f.ID)
+	next := 0
 	for {
-		out.FrontEnd, out.Attempts = fronts[at%len(fronts)], out.Attempts+1
-		left := wait - time.Since(begin)
-		tried := func(int, string, error) {}
-		if c.OnAttempt != nil {
-			tried = c.OnAttempt(f, out.FrontEnd, left)
-		}
-		reached := c.try(ctx, &out, left)
-		tried(out.Status, out.Digest, out.Err)
-		out.Latency = time.Since(begin)
-		final := out.Status != 0 && out.Status != http.StatusServiceUnavailable
-		lost := out.Status == 0 && reached && c.AtMostOnce[f.Entry.Class] // it may have run
-		if final || lost || out.Attempts > c.MaxRetries || ctx.Err() != nil || out.Latency+out.RetryAfter+leastWait > wait {
-			break
+		result.FrontEnd = frontEnds[next%len(frontEnds)]
+		result.Attempts++
+		reached := c.attempt(ctx, &result, timeout-time.Since(start))
+		result.Latency = time.Since(start)
+		if !c.mayRetry(&result, reached) || ctx.Err() != nil || result.Latency+result.RetryAfter+minAttemptTime > timeout {
+			return result
 		}
 		if !reached {
-			at++
+			next++
 		}
-		out.Latency = time.Since(begin)
 		select {
 		case <-ctx.Done():
-		case <-time.After(max(out.RetryAfter, 20*time.Millisecond)):
-			if wait-time.Since(begin) < leastWait {
-				return out
+		case <-time.After(max(result.RetryAfter, minRetryPause)):
+			if timeout-time.Since(start) < minAttemptTime {
+				return result
 			}
 		}
 	}
-	return out
 }
 
-func (c *Client) try(ctx context.Context, out *Result, left time.Duration) (reached bool) {
-	out.Status, out.Err, out.RetryAfter, out.Digest = 0, nil, 0, ""
-	e := CloudEvent(c.Source, out.Firing)
-	if out.Attempts > 1 {
+// mayRetry reports whether an attempt's outcome allows another one, time apart.
+func (c *Client) mayRetry(result *Result, reached bool) bool {
+	if result.Status != 0 && result.Status != http.StatusServiceUnavailable {
+		return false // a final answer
+	}
+	if result.Status == 0 && reached && c.AtMostOnce[result.Entry.Class] {
+		return false // it may have run
+	}
+	return result.Attempts <= c.MaxRetries
+}
+
+// attempt sends a firing once and reports whether the front end was reached.
+func (c *Client) attempt(ctx context.Context, result *Result, remaining time.Duration) (reached bool) {
+	onEnd := func(int, string, error) {}
+	if c.OnAttempt != nil {
+		onEnd = c.OnAttempt(result.Firing, result.FrontEnd, remaining)
+	}
+	reached = c.send(ctx, result, remaining)
+	onEnd(result.Status, result.Digest, result.Err)
+	return reached
+}
+
+func (c *Client) send(ctx context.Context, result *Result, remaining time.Duration) (reached bool) {
+	result.Status, result.Err, result.RetryAfter, result.Digest = 0, nil, 0, ""
+	e := CloudEvent(c.Source, result.Firing)
+	if result.Attempts > 1 {
 		e.SetExtension("repeat", "true")
 	}
-	req, err := cehttp.NewHTTPRequestFromEvent(ctx, "http://"+out.FrontEnd+"/events", e)
+	req, err := cehttp.NewHTTPRequestFromEvent(ctx, "http://"+result.FrontEnd+"/events", e)
 	if err != nil {
-		out.Err = err
+		result.Err = err
 		return true
 	}
-	req.Header.Set("Prefer", "wait="+strconv.FormatFloat(left.Seconds(), 'f', 3, 64))
+	req.Header.Set("Prefer", "wait="+strconv.FormatFloat(remaining.Seconds(), 'f', 3, 64))
 	resp, err := c.HTTP.Do(req)
 	if err != nil {
-		out.Err = err
+		result.Err = err
 		return !errors.Is(err, syscall.ECONNREFUSED)
 	}
-	defer resp.Body.Close()
-	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, 1<<20)); err != nil {
-		out.Err = fmt.Errorf("answer cut off: %w", err)
+	defer func() { _ = resp.Body.Close() }() // the answer was read, or its connection is given up
+	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxAnswerBytes)); err != nil {
+		result.Err = fmt.Errorf("answer cut off: %w", err)
 		return true
 	}
-	out.Status = resp.StatusCode
-	out.Digest = resp.Header.Get("Docker-Content-Digest")
-	out.Replayed = resp.Header.Get("Idempotent-Replayed") != ""
-	if n, err := strconv.Atoi(resp.Header.Get("Retry-After")); err == nil {
-		out.RetryAfter = time.Duration(n) * time.Second
+	result.Status = resp.StatusCode
+	result.Digest = resp.Header.Get("Docker-Content-Digest")
+	result.Replayed = resp.Header.Get("Idempotent-Replayed") != ""
+	if seconds, err := strconv.Atoi(resp.Header.Get("Retry-After")); err == nil {
+		result.RetryAfter = time.Duration(seconds) * time.Second
 	}
 	return true
 }
 
-// Run fires what the plan has due until the context ends, then waits for what is out. clock is the time of day and
-// until turns a wait of that clock into a real one.
+// Run fires what the plan has due until the context ends, then waits for the firings under way. clock is the time of
+// day and until turns a wait of that clock into a real one.
 func (c *Client) Run(ctx context.Context, p *Plan, clock func() time.Time, until func(time.Time) time.Duration) {
-	var out sync.WaitGroup
-	defer out.Wait()
+	var underWay sync.WaitGroup
+	defer underWay.Wait()
 	for {
-		for _, f := range p.Due(clock()) {
-			out.Add(1)
-			go func() {
-				defer out.Done()
-				o := c.Fire(context.WithoutCancel(ctx), f)
-				if c.OnResult != nil {
-					c.OnResult(o)
-				}
-				if c.Log != nil {
-					c.Log.Info("fired", "event", f.ID, "status", o.Status, "tries", o.Attempts, "took", o.Latency, "error", o.Err)
-				}
-			}()
+		for _, firing := range p.Due(clock()) {
+			underWay.Go(func() { c.fireAndReport(context.WithoutCancel(ctx), firing) })
 		}
-		pause := time.Minute // the clock may be set meanwhile
+		pause := maxPlanPause
 		if next, ok := p.Next(); ok {
-			pause = min(max(until(next), time.Millisecond), pause)
+			pause = min(max(until(next), minPlanPause), pause)
 		}
 		select {
 		case <-ctx.Done():
@@ -197,3 +181,14 @@
 		}
 	}
 }
+
+func (c *Client) fireAndReport(ctx context.Context, f Firing) {
+	result := c.Fire(ctx, f)
+	if c.OnResult != nil {
+		c.OnResult(result)
+	}
+	if c.Log != nil {
+		c.Log.Info("fired", "request_id", f.ID, "status", result.Status, "attempts", result.Attempts, "latency", result.Latency,
+			"error", result.Err)
+	}
+}
--- a/internal/schedule/crontab.go
+++ b/internal/schedule/crontab.go
@@ -1,5 +1,3 @@
-// Package schedule is the cron-style timer source: it reads crontabs, plans firings and names each by its entry and
-// the minute it was due. Plans have no clock of their own; whoever calls them brings the time of day.
 package schedule
 
 import (
@@ -14,154 +12,191 @@
 	"github.com/robfig/cron/v3"
 )
 
-// MisfirePolicy is what becomes of firings whose time passed while nobody could fire them.
-type MisfirePolicy uint8
+// Variables that a NAME=VALUE line of a crontab may set.
+const (
+	zoneVariable          = "CRON_TZ"
+	zoneVariableShort     = "TZ"
+	misfireVariable       = "MISFIRE"
+	catchUpWindowVariable = "MISFIRE_WITHIN"
+	timeoutVariable       = "WAIT"
+)
 
+// Fields that a ParseError may name beside the variables.
 const (
-	MisfireSkip MisfirePolicy = iota // they are let go
-	MisfireOnce                      // the newest one is made up for
-	MisfireAll                       // all of them are, within a bound
+	scheduleField = "schedule"
+	lineField     = "line" // the line as a whole
 )
 
-var misfires = map[string]MisfirePolicy{"skip": MisfireSkip, "once": MisfireOnce, "all": MisfireAll}
-
-// Entry is one line of a crontab.
-type Entry struct {
-	Line          int
-	Spec          string // the schedule as it was written
-	Zone          *time.Location
-	Class         string // event type
-	Function      string
-	Tenant        string
-	Data          []byte
-	Misfire       MisfirePolicy
-	CatchUpWindow time.Duration // how far back All and Once make up for
-	Timeout       time.Duration // how long the client waits for an answer; 0: the event type's max age
-	schedule      cron.Schedule
-}
+const (
+	defaultCatchUpWindow = time.Hour
+	maxLineBytes         = 1 << 20
+)
 
-// Key names an entry; two clients with the same crontab name it alike.
-func (e *Entry) Key() string {
-	key := strings.ReplaceAll(strings.Join(strings.Fields(e.Spec), "_"), "/", "~") + "/" + e.Class + "/" + e.Function
-	if e.Tenant != "" {
-		key += "@" + e.Tenant
-	}
-	if e.Zone != time.UTC {
-		key = e.Zone.String() + ":" + key
-	}
-	return key
+// ParseError is one fault of a crontab.
+type ParseError struct {
+	File  string
+	Line  int
+	Field string // a variable's name, "schedule" or "line"
+	Err   error
 }
 
-// The schedule is the five fields of POSIX crontab with names, steps and the @ words that stand for five fields.
-// @every and @reboot are turned away: they depend on when a client started, so that two clients would not agree.
-var parser = cron.NewParser(cron.Minute | cron.Hour | cron.Dom | cron.Month | cron.Dow | cron.Descriptor)
+// Error names the file, the line and the fault.
+func (e *ParseError) Error() string { return fmt.Sprintf("%s:%d: %v", e.File, e.Line, e.Err) }
+
+// Unwrap returns the fault.
+func (e *ParseError) Unwrap() error { return e.Err }
+
+// specParser takes the five fields of POSIX crontab with names, steps and the @ words that stand for five fields.
+var specParser = cron.NewParser(cron.Minute | cron.Hour | cron.Dom | cron.Month | cron.Dow | cron.Descriptor)
 
 // Parse reads a crontab: lines "minute hour day month weekday TYPE FUNCTION [TENANT] [%DATA]", or an @ word in
 // place of the five fields; # begins a comment line; NAME=VALUE lines bind for the lines after them: CRON_TZ (time
 // zone, UTC at first), MISFIRE (skip, once, all; skip at first), MISFIRE_WITHIN and WAIT (durations). As in POSIX
 // the first unescaped % ends the command and begins its input, further ones are line ends, \% is a plain one. All
-// faults are reported, each with its line.
+// faults are reported, each as a ParseError.
 func Parse(r io.Reader, name string) ([]Entry, error) {
-	var entries []Entry
-	var faults []error
-	zone, misfire, within, wait := time.UTC, MisfireSkip, time.Hour, time.Duration(0)
-	keys := map[string]int{}
-	scan := bufio.NewScanner(r)
-	scan.Buffer(nil, 1<<20)
-	no := 0
-	for scan.Scan() {
-		no++
-		fault := func(format string, args ...any) {
-			faults = append(faults, fmt.Errorf("%s:%d: %s", name, no, fmt.Sprintf(format, args...)))
-		}
-		line := strings.TrimSpace(scan.Text())
-		if line == "" || line[0] == '#' {
-			continue
-		}
-		if key, value, ok := strings.Cut(line, "="); ok && plainName(strings.TrimSpace(key)) {
-			value = strings.Trim(strings.TrimSpace(value), `"'`)
-			var err error
-			switch strings.TrimSpace(key) {
-			case "CRON_TZ", "TZ":
-				var z *time.Location
-				if z, err = time.LoadLocation(value); err == nil {
-					zone = z
-				}
-			case "MISFIRE":
-				m, known := misfires[value]
-				if !known {
-					err = fmt.Errorf("%q is none of skip, once, all", value)
-				}
-				misfire = m
-			case "MISFIRE_WITHIN":
-				within, err = positive(value)
-			case "WAIT":
-				wait, err = positive(value)
-			default:
-				err = errors.New("not a setting of this crontab (CRON_TZ, MISFIRE, MISFIRE_WITHIN, WAIT)")
-			}
-			if err != nil {
-				fault("%s: %v", strings.TrimSpace(key), err)
-			}
-			continue
-		}
-		command, data, hasData := cutPercent(line)
-		words := strings.Fields(command)
-		fields := 5
-		if strings.HasPrefix(words[0], "@") {
-			fields = 1
-		}
-		if len(words) < fields+2 || len(words) > fields+3 {
-			fault("%d words, not a schedule of %d and TYPE FUNCTION [TENANT] [%%DATA]", len(words), fields)
-			continue
-		}
-		e := Entry{Line: no, Spec: strings.Join(words[:fields], " "), Zone: zone, Class: words[fields],
-			Function: words[fields+1], Misfire: misfire, CatchUpWindow: within, Timeout: wait}
-		if len(words) == fields+3 {
-			e.Tenant = words[fields+2]
-		}
-		if hasData {
-			e.Data = []byte(data)
-		}
-		if w := strings.ToLower(words[0]); strings.HasPrefix(w, "@every") || w == "@reboot" {
-			fault("schedule %s depends on when a client started; two clients would not agree on it", words[0])
-			continue
+	p := &crontabParser{
+		file:          name,
+		zone:          time.UTC,
+		catchUpWindow: defaultCatchUpWindow,
+		lineByKey:     map[string]int{},
+	}
+	scanner := bufio.NewScanner(r)
+	scanner.Buffer(nil, maxLineBytes)
+	for scanner.Scan() {
+		p.line++
+		p.parseLine(strings.TrimSpace(scanner.Text()))
+	}
+	if err := scanner.Err(); err != nil {
+		p.line++
+		p.fail(lineField, err)
+	}
+	return p.entries, errors.Join(p.faults...)
+}
+
+// crontabParser has the variables in force for the next line, and what was read before it.
+type crontabParser struct {
+	file          string
+	line          int
+	zone          *time.Location
+	misfire       MisfirePolicy
+	catchUpWindow time.Duration
+	timeout       time.Duration
+
+	entries   []Entry
+	lineByKey map[string]int // of the entries
+	faults    []error
+}
+
+func (p *crontabParser) fail(field string, err error) {
+	p.faults = append(p.faults, &ParseError{File: p.file, Line: p.line, Field: field, Err: err})
+}
+
+func (p *crontabParser) parseLine(line string) {
+	if line == "" || line[0] == '#' {
+		return
+	}
+	if key, value, ok := strings.Cut(line, "="); ok && isVariableName(strings.TrimSpace(key)) {
+		key = strings.TrimSpace(key)
+		value = strings.Trim(strings.TrimSpace(value), `"'`)
+		if err := p.setVariable(key, value); err != nil {
+			p.fail(key, fmt.Errorf("%s: %w", key, err))
 		}
-		schedule, err := parser.Parse(sundays(e.Spec))
+		return
+	}
+	p.parseEntry(line)
+}
+
+func (p *crontabParser) setVariable(key, value string) (err error) {
+	switch key {
+	case zoneVariable, zoneVariableShort:
+		zone, err := time.LoadLocation(value)
 		if err != nil {
-			fault("schedule %q: %v", e.Spec, err)
-			continue
-		}
-		if s, ok := schedule.(*cron.SpecSchedule); ok {
-			s.Location = zone
+			return err
 		}
-		e.schedule = schedule
-		if first, twice := keys[e.Key()]; twice {
-			fault("the same entry as line %d", first)
-			continue
-		}
-		keys[e.Key()] = no
-		entries = append(entries, e)
+		p.zone = zone
+	case misfireVariable:
+		p.misfire, err = parseMisfirePolicy(value)
+	case catchUpWindowVariable:
+		p.catchUpWindow, err = parsePositiveDuration(value)
+	case timeoutVariable:
+		p.timeout, err = parsePositiveDuration(value)
+	default:
+		err = fmt.Errorf("not a setting of this crontab (%s, %s, %s, %s)",
+			zoneVariable, misfireVariable, catchUpWindowVariable, timeoutVariable)
+	}
+	return err
+}
+
+func (p *crontabParser) parseEntry(line string) {
+	command, data, hasData := cutPercent(line)
+	words := strings.Fields(command)
+	specWords := 5
+	if strings.HasPrefix(words[0], "@") {
+		specWords = 1
+	}
+	if len(words) < specWords+2 || len(words) > specWords+3 {
+		p.fail(lineField, fmt.Errorf("%d words, not a schedule of %d and TYPE FUNCTION [TENANT] [%%DATA]", len(words), specWords))
+		return
+	}
+	e := Entry{
+		Line:          p.line,
+		Spec:          strings.Join(words[:specWords], " "),
+		Zone:          p.zone,
+		Class:         words[specWords],
+		Function:      words[specWords+1],
+		Misfire:       p.misfire,
+		CatchUpWindow: p.catchUpWindow,
+		Timeout:       p.timeout,
+	}
+	if len(words) == specWords+3 {
+		e.Tenant = words[specWords+2]
+	}
+	if hasData {
+		e.Data = []byte(data)
+	}
+	var err error
+	if e.schedule, err = parseSpec(words[0], e.Spec, p.zone); err != nil {
+		p.fail(scheduleField, err)
+		return
+	}
+	if first, duplicate := p.lineByKey[e.Key()]; duplicate {
+		p.fail(lineField, fmt.Errorf("the same entry as line %d", first))
+		return
+	}
+	p.lineByKey[e.Key()] = p.line
+	p.entries = append(p.entries, e)
+}
+
+// parseSpec reads a schedule. @every and @reboot are rejected: they depend on when a client started, so that two
+// clients would not agree.
+func parseSpec(firstWord, spec string, zone *time.Location) (cron.Schedule, error) {
+	if w := strings.ToLower(firstWord); strings.HasPrefix(w, "@every") || w == "@reboot" {
+		return nil, fmt.Errorf("schedule %s depends on when a client started; two clients would not agree on it", firstWord)
+	}
+	schedule, err := specParser.Parse(normalizeSunday(spec))
+	if err != nil {
+		return nil, fmt.Errorf("schedule %q: %w", spec, err)
 	}
-	if err := scan.Err(); err != nil {
-		faults = append(faults, fmt.Errorf("%s:%d: %w", name, no+1, err))
+	if s, ok := schedule.(*cron.SpecSchedule); ok {
+		s.Location = zone
 	}
-	return entries, errors.Join(faults...)
+	return schedule, nil
 }
 
-// sundays writes weekday 7 as 0: POSIX knows 0 only, but crontabs in use have both.
-func sundays(spec string) string {
+// normalizeSunday writes weekday 7 as 0: POSIX knows 0 only, but crontabs in use have both.
+func normalizeSunday(spec string) string {
 	words := strings.Fields(spec)
 	if len(words) != 5 {
 		return spec
 	}
 	parts := strings.Split(words[4], ",")
-	for i, p := range parts {
+	for i, part := range parts {
 		switch {
-		case p == "7":
+		case part == "7":
 			parts[i] = "0"
-		case strings.HasSuffix(p, "-7"):
-			if from, err := strconv.Atoi(strings.TrimSuffix(p, "-7")); err == nil && from < 7 {
+		case strings.HasSuffix(part, "-7"):
+			if from, err := strconv.Atoi(strings.TrimSuffix(part, "-7")); err == nil && from < 7 {
 				parts[i] = "0," + strconv.Itoa(from) + "-6"
 			}
 		}
@@ -170,7 +205,7 @@
 	return strings.Join(words, " ")
 }
 
-func positive(value string) (time.Duration, error) {
+func parsePositiveDuration(value string) (time.Duration, error) {
 	d, err := time.ParseDuration(value)
 	if err == nil && d <= 0 {
 		err = fmt.Errorf("%q is not above 0", value)
@@ -178,24 +213,28 @@
 	return d, err
 }
 
-func plainName(s string) bool {
+// isVariableName reports whether s is a name as in C: letters, digits and _, no digit in front.
+func isVariableName(s string) bool {
 	for i, r := range s {
-		if !(r == '_' || r >= 'A' && r <= 'Z' || r >= 'a' && r <= 'z' || i > 0 && r >= '0' && r <= '9') {
+		isLetter := r == '_' || r >= 'A' && r <= 'Z' || r >= 'a' && r <= 'z'
+		isDigit := r >= '0' && r <= '9'
+		if !isLetter && (i == 0 || !isDigit) {
 			return false
 		}
 	}
 	return s != ""
 }
 
-func cutPercent(line string) (command, data string, ok bool) {
+// cutPercent cuts a line at its first unescaped %; in the data behind it further ones become line ends.
+func cutPercent(line string) (command, data string, found bool) {
 	var b strings.Builder
 	for i := 0; i < len(line); i++ {
 		switch c := line[i]; {
 		case c == '\\' && i+1 < len(line) && line[i+1] == '%':
 			b.WriteByte('%')
 			i++
-		case c == '%' && !ok:
-			command, ok = b.String(), true
+		case c == '%' && !found:
+			command, found = b.String(), true
 			b.Reset()
 		case c == '%':
 			b.WriteByte('\n')
@@ -203,7 +242,7 @@
 			b.WriteByte(c)
 		}
 	}
-	if !ok {
+	if !found {
 		return b.String(), "", false
 	}
 	return command, b.String(), true
