--- /dev/null
+++ b/internal/registry/reference.go
@@ -0,0 +1,69 @@
+package registry
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+
+	"github.com/opencontainers/go-digest"
+)
+
+// Current is the alias that a reference names which states none.
+const Current = "current"
+
+// Bounds of the names in a reference, by the OCI distribution specification's rules for tags and repositories.
+const (
+	maxTagLength          = 128
+	maxFunctionNameLength = 200
+)
+
+// Ref is what requests and people write: function, function:alias, function:version or function@digest.
+type Ref struct {
+	Function string
+	Tag      string // an alias or a version; Current where none was written
+	Digest   digest.Digest
+}
+
+// ParseRef reads a reference in the form of the OCI distribution specification. Its errors are of type *ReferenceError.
+func ParseRef(text string) (Ref, error) {
+	name, sum, pinned := strings.Cut(text, "@")
+	ref := Ref{Tag: Current}
+	if pinned {
+		parsed, err := digest.Parse(sum)
+		if err != nil {
+			return ref, &ReferenceError{Text: text, Err: fmt.Errorf("digest: %w", err)}
+		}
+		ref.Digest = parsed
+	}
+	name, tag, tagged := strings.Cut(name, ":")
+	if tagged {
+		if !isTag(tag) {
+			return ref, &ReferenceError{Text: text, Err: fmt.Errorf("%q is not a tag", tag)}
+		}
+		ref.Tag = tag
+	}
+	ref.Function = name
+	if !isFunctionName(name) {
+		return ref, &ReferenceError{Text: text, Err: fmt.Errorf("%q is not a function's name", name)}
+	}
+	return ref, nil
+}
+
+func isTag(s string) bool {
+	return s != "" && len(s) <= maxTagLength && !strings.ContainsFunc(s, func(c rune) bool { return !isTagCharacter(c) })
+}
+
+func isTagCharacter(c rune) bool {
+	switch {
+	case c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c >= '0' && c <= '9':
+		return true
+	default:
+		return c == '.' || c == '_' || c == '-'
+	}
+}
+
+// isFunctionName reports whether s is a path of tags.
+func isFunctionName(s string) bool {
+	return s != "" && len(s) <= maxFunctionNameLength &&
+		!slices.ContainsFunc(strings.Split(s, "/"), func(part string) bool { return !isTag(part) })
+}
--- a/internal/schedule/rendezvous.go
+++ b/internal/schedule/rendezvous.go
@@ -1,9 +1,10 @@
 package schedule
 
 import (
-	"hash/fnv"
 	"slices"
 	"strings"
+
+	"streamcleat/internal/stablehash"
 )
 
 // RendezvousOrder orders front ends for an identity alike at every client, by the highest of a hash of both: two clients
@@ -34,16 +35,7 @@
 	return ordered
 }
 
-// rendezvousWeight hashes a front end with an identity. FNV alone leaves similar names close to each other; the
-// multiplication is a step of MurmurHash3's finalizer, which spreads them.
 func rendezvousWeight(frontEnd, id string) uint64 {
-	const murmurMultiplier = 0xff51afd7ed558ccd
-	h := fnv.New64a()
-	// A hash's Write never fails.
-	_, _ = h.Write([]byte(frontEnd))
-	_, _ = h.Write([]byte{0})
-	_, _ = h.Write([]byte(id))
-	x := h.Sum64()
-	x = (x ^ x>>33) * murmurMultiplier
-	return x ^ x>>33
+	hash := stablehash.Pair(frontEnd, id)
+	return hash ^ hash>>33
 }
