--- a/cmd/streamcleat/registry_content.go
+++ b/cmd/streamcleat/registry_content.go
@@ -123,7 +123,7 @@
 	}
 	checked, corrupt := 0, 0
 	for start := time.Now(); ; checked++ {
-		digest, ok := folder.Scrub(max(minAge.Seconds(), time.Since(start).Seconds()+checkedMargin))
+		digest, ok := folder.VerifyOldest(max(minAge.Seconds(), time.Since(start).Seconds()+checkedMargin))
 		if digest == "" {
 			break
 		}
--- /dev/null
+++ b/internal/registry/signing/verify.go
@@ -0,0 +1,116 @@
+package signing
+
+import (
+	"context"
+	"crypto"
+	"crypto/ed25519"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"slices"
+	"time"
+
+	"github.com/opencontainers/go-digest"
+	"github.com/secure-systems-lab/go-securesystemslib/dsse"
+)
+
+// ErrUntrusted reports that too few keys vouch for a version.
+var ErrUntrusted = errors.New("not vouched for")
+
+// Vouched returns which keys vouch, by envelopes, for a version that is published at the time now. An envelope that
+// says something else, or whose key is unknown, too old, too new or revoked, counts for nothing; the error, which is
+// ErrUntrusted where too few keys are left, tells why.
+func (r *Ring) Vouched(now time.Time, function, version string, d digest.Digest, envelopes [][]byte) (ids []string, err error) {
+	var reasons []error
+	for i, data := range envelopes {
+		accepted, err := r.verifyEnvelope(now, function, version, d, data)
+		if err != nil {
+			reasons = append(reasons, fmt.Errorf("signature %d: %w", i+1, err))
+		}
+		ids = append(ids, accepted...)
+	}
+	slices.Sort(ids)
+	ids = slices.Compact(ids)
+	if len(ids) < r.Need {
+		return ids, fmt.Errorf("%s:%s: %w: %d of %d keys that it takes %w", function, version, ErrUntrusted, len(ids), r.Need, errors.Join(reasons...))
+	}
+	return ids, nil
+}
+
+// verifyEnvelope returns the ids of the keys whose signatures in an envelope count.
+func (r *Ring) verifyEnvelope(now time.Time, function, version string, d digest.Digest, data []byte) ([]string, error) {
+	envelope, err := decodeEnvelope(data)
+	if err != nil {
+		return nil, err
+	}
+	verifiers, rejections := r.usableKeys(envelope.Signatures, now, function)
+	if len(verifiers) == 0 {
+		return nil, errors.Join(append(rejections, dsse.ErrNoSignature)...)
+	}
+	envelopeVerifier, err := dsse.NewEnvelopeVerifier(verifiers...)
+	if err != nil {
+		return nil, err
+	}
+	accepted, payload, err := envelopeVerifier.VerifyAndDecode(context.Background(), envelope)
+	if err != nil {
+		return nil, errors.Join(append(rejections, err)...)
+	}
+	var s statement
+	if err := json.Unmarshal(payload, &s); err != nil {
+		return nil, fmt.Errorf("statement: %w", err)
+	}
+	if !s.isAbout(function, version, d) {
+		return nil, fmt.Errorf("it is about something else than %s:%s with %s", function, version, d)
+	}
+	var ids []string
+	for _, key := range accepted {
+		ids = append(ids, key.KeyID)
+	}
+	return ids, nil
+}
+
+// usableKeys returns the keys that the signatures name and that may vouch for a function now, and why others may not.
+func (r *Ring) usableKeys(signatures []dsse.Signature, now time.Time, function string) (usable []dsse.Verifier, rejections []error) {
+	for _, signature := range signatures {
+		k := r.findKey(signature.KeyID)
+		if err := k.check(signature.KeyID, now, function); err != nil {
+			rejections = append(rejections, err)
+			continue
+		}
+		usable = append(usable, verifier{k})
+	}
+	return usable, rejections
+}
+
+// check returns why a key may not vouch for a function now. The key is nil where the ring doesn't have the id.
+func (k *Key) check(id string, now time.Time, function string) error {
+	switch {
+	case k == nil:
+		return fmt.Errorf("key %q is not in the ring", id)
+	case k.Revoked:
+		return fmt.Errorf("key %q is revoked", id)
+	case !k.isValidAt(now):
+		return fmt.Errorf("key %q is not valid at %s", id, now.Format(time.RFC3339))
+	case !k.maySign(function):
+		return fmt.Errorf("key %q may not vouch for %s", id, function)
+	default:
+		return nil
+	}
+}
+
+// verifier is a key as the DSSE library takes it.
+type verifier struct{ key *Key }
+
+// Verify returns an error where a signature is not the key's.
+func (v verifier) Verify(_ context.Context, data, signature []byte) error {
+	if !ed25519.Verify(v.key.publicKey, data, signature) {
+		return fmt.Errorf("the signature of key %q is wrong", v.key.ID)
+	}
+	return nil
+}
+
+// KeyID returns the key's id.
+func (v verifier) KeyID() (string, error) { return v.key.ID, nil }
+
+// Public returns the public key.
+func (v verifier) Public() crypto.PublicKey { return v.key.publicKey }
