--- a/cmd/streamcleat/exit.go
+++ b/cmd/streamcleat/exit.go
@@ -5,8 +5,8 @@
 // Exit statuses of the process.
 const (
 	statusOK      = 0
-	statusFailure = 1 // the command was understood and failed, or a check did not hold
-	statusUsage   = 2 // the command line, a configuration or another input file is faulty
+	statusFailure = 1 // the command failed, a rule did not hold, or cobra rejected the command line
+	statusUsage   = 2 // a flag's value, a configuration or another input file can't be used
 )
 
 // exitError is an error with the status that the process ends with. An error without one ends it with statusFailure.
@@ -18,7 +18,7 @@
 // exit is the name under which node.go makes exit errors.
 type exit = exitError
 
-// usageError is an error of the command line or of an input file.
+// usageError is an error of a flag's value or of an input file.
 func usageError(err error) error { return exitError{status: statusUsage, err: err} }
 
 // Error returns the text of the wrapped error.
