--- a/internal/storage/format_test.go
+++ b/internal/storage/format_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"bytes"
 	"encoding/hex"
+	"errors"
 	"flag"
 	"fmt"
 	"math"
@@ -20,16 +21,16 @@
 	"streamcleat/internal/dispatch"
 )
 
-// The fixtures hold the keys and values of stores as users have them on disk. They are written once and for all: with
-// another form of records, files of their own are added. Run with -update only to write a new fixture.
+// The fixtures hold the keys and values of stores as users have them on disk. They never change: another format of
+// records gets fixtures of its own. Run with -update only to write a new fixture.
 var update = flag.Bool("update", false, "write the fixtures of the stored format")
 
-const fixtureRemember = 1000
+const fixtureRetention = 1000
 
 var (
-	fixtureDue   = time.Unix(1_800_000_060, 0)
-	fixtureUntil = time.Unix(1_800_000_360, 0)
-	fixtureTrail = [][]byte{
+	fixtureDue        = time.Unix(1_800_000_060, 0)
+	fixtureDeadline   = time.Unix(1_800_000_360, 0)
+	fixtureAuditTrail = [][]byte{
 		[]byte(`{"at":1800000000,"who":"ann","move":{"function":"f","alias":"current","digest":""},"why":"first"}`),
 		[]byte(`{"at":1800000001,"who":"bob","withdraw":"f@sha256:00"}`),
 	}
@@ -38,9 +39,9 @@
 	fixtureFields  = []dispatch.Field{{Name: "Content-Type", Value: "text/plain"}, {Name: "Ce-Subject", Value: ""}}
 )
 
-// fixtureNotes are events in every state that is kept: launched and open, ended with all that an answer has, and
-// ended with as little as can be.
-func fixtureNotes() []dispatch.Record {
+// fixtureRecords are requests in every state that is stored: open attempts, responses with every field set, and
+// responses with as few as possible.
+func fixtureRecords() []dispatch.Record {
 	return []dispatch.Record{
 		{Kind: dispatch.RecordAttemptStarted, MayHaveRun: true, FirstRunAgo: 2.5, Response: dispatch.Response{
 			Identity: dispatch.Identity{Source: "/shop", ID: "open-1"}, Class: "price-reset", Function: "f", Tenant: "north"}},
@@ -52,13 +53,14 @@
 			Fields: fixtureFields, Body: []byte("an answer\x00\xff"), Binding: fixtureBinding}},
 		{Kind: dispatch.RecordRequestEnded, Response: dispatch.Response{
 			Identity: dispatch.Identity{Source: "/shop", ID: "ended-2"}, Class: "once", Kind: dispatch.Rejected, Cause: dispatch.CauseNoCapacity}},
-		{Kind: dispatch.RecordRequestEnded, MayHaveRun: true, FirstRunAgo: math.Inf(1), Response: dispatch.Response{ // as salvage notes unknown spans
+		{Kind: dispatch.RecordRequestEnded, MayHaveRun: true, FirstRunAgo: math.Inf(1), Response: dispatch.Response{ // as a restored store has it for an unknown time
 			Identity: dispatch.Identity{Source: "/shop", ID: "ended-3"}, Class: "once", Function: "f", Fields: []dispatch.Field{}, Body: []byte{}}},
 	}
 }
 
-// fixtureOwn are the box's own open events: one with all fields set, and one with as few as can be.
-func fixtureOwn() []dispatch.Request {
+// fixtureScheduledRequests are open requests of the appliance itself: one with every field set, and others with as
+// few as possible.
+func fixtureScheduledRequests() []dispatch.Request {
 	return []dispatch.Request{
 		{Identity: dispatch.Identity{Source: "/timers", ID: "own-1"}, Class: "till-entry", Tenant: "north", Function: "team/f:current",
 			Timeout: 12.5, Fields: fixtureFields, Body: []byte("a body\x00\xff"), Retried: true,
@@ -68,7 +70,7 @@
 	}
 }
 
-func fixtureKnown() []dispatch.ReplicaSnapshot {
+func fixtureReplicas() []dispatch.ReplicaSnapshot {
 	return []dispatch.ReplicaSnapshot{
 		{Function: "team/f@sha256:ab", Binding: fixtureBinding, Concurrency: 4, LoadTime: 1.5, Worker: "w-7", WorkerStartedAt: 1_799_999_000.5, Age: 3.5},
 		{Function: "g", Worker: "w-8"},
@@ -76,36 +78,38 @@
 }
 
 // writeFull makes a store with one of everything, writeSparse one with empty lists; both by the store's own methods.
-func writeFull(s *Store, m *machine) error {
-	m.up++
-	if err := commit(s, fixtureNotes()...); err != nil {
+func writeFull(s *Store, clock *fakeClock) error {
+	clock.uptime++
+	if err := commit(s, fixtureRecords()...); err != nil {
 		return err
 	}
-	m.up++
-	own := fixtureOwn()
-	if err := s.RecordFirings([]Firing{{"* * * * * till-entry team/f", fixtureDue, fixtureUntil, own[0]},
-		{"5 * * * * once f", fixtureDue.Add(time.Minute), fixtureUntil.Add(time.Minute), own[1]},
-		{"@hourly once", fixtureDue, fixtureUntil, own[2]}}); err != nil {
+	clock.uptime++
+	scheduled := fixtureScheduledRequests()
+	if err := s.RecordFirings([]Firing{{"* * * * * till-entry team/f", fixtureDue, fixtureDeadline, scheduled[0]},
+		{"5 * * * * once f", fixtureDue.Add(time.Minute), fixtureDeadline.Add(time.Minute), scheduled[1]},
+		{"@hourly once", fixtureDue, fixtureDeadline, scheduled[2]}}); err != nil {
 		return err
 	}
 	if err := s.SaveConfig(fixtureConfig); err != nil {
 		return err
 	}
-	for i, entry := range fixtureTrail {
+	for i, entry := range fixtureAuditTrail {
 		if err := s.AppendAudit(i, entry); err != nil {
 			return err
 		}
 	}
-	m.up++
-	return s.SaveReplicas(fixtureKnown())
+	clock.uptime++
+	return s.SaveReplicas(fixtureReplicas())
 }
 
-func writeSparse(s *Store, m *machine) error { return s.SaveReplicas(nil) }
+func writeSparse(s *Store, _ *fakeClock) error { return s.SaveReplicas(nil) }
 
 // writeEmptyList differs from writeSparse by an empty list in place of none.
-func writeEmptyList(s *Store, m *machine) error { return s.SaveReplicas([]dispatch.ReplicaSnapshot{}) }
+func writeEmptyList(s *Store, _ *fakeClock) error {
+	return s.SaveReplicas([]dispatch.ReplicaSnapshot{})
+}
 
-var fixtures = map[string]func(*Store, *machine) error{"full": writeFull, "sparse": writeSparse, "empty-list": writeEmptyList}
+var fixtures = map[string]func(*Store, *fakeClock) error{"full": writeFull, "sparse": writeSparse, "empty-list": writeEmptyList}
 
 // dump is everything in a store, a line for each key: key and value as hexadecimal.
 func dump(t *testing.T, db *pebble.DB) string {
@@ -114,7 +118,6 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer it.Close()
 	var text strings.Builder
 	for ok := it.First(); ok; ok = it.Next() {
 		v, err := it.ValueAndErr()
@@ -123,7 +126,7 @@
 		}
 		fmt.Fprintf(&text, "%x %x\n", it.Key(), v)
 	}
-	if err := it.Error(); err != nil {
+	if err := errors.Join(it.Error(), it.Close()); err != nil {
 		t.Fatal(err)
 	}
 	return text.String()
@@ -132,7 +135,7 @@
 func fixturePath(name string) string { return filepath.Join("testdata", "store-1-"+name+".hex") }
 
 // load makes a store of what a fixture holds, with nothing of this package between.
-func load(t *testing.T, fs vfs.FS, name string) {
+func loadFixture(t *testing.T, fs vfs.FS, name string) {
 	t.Helper()
 	data, err := os.ReadFile(fixturePath(name))
 	if err != nil {
@@ -165,16 +168,16 @@
 }
 
 // What is written today has the very bytes that users' stores hold.
-func TestStoredBytesAreThoseOfTheFixture(t *testing.T) {
+func TestStoredBytesMatchFixtures(t *testing.T) {
 	for name, write := range fixtures {
 		t.Run(name, func(t *testing.T) {
-			m := &machine{up: 50, boot: "boot-a"}
-			s, _, err := OpenStore("state", Options{FS: vfs.NewMem(), Clock: m.stamp, Retention: fixtureRemember})
+			clock := &fakeClock{uptime: 50, boot: "boot-a"}
+			s, _, err := OpenStore("state", Options{FS: vfs.NewMem(), Clock: clock.now, Retention: fixtureRetention})
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer s.Close()
-			if err := write(s, m); err != nil {
+			defer closeStore(t, s)
+			if err := write(s, clock); err != nil {
 				t.Fatal(err)
 			}
 			got := dump(t, s.db)
@@ -196,96 +199,99 @@
 
 // Everything in a user's store comes back with each of its values.
 func TestFixtureIsRecovered(t *testing.T) {
-	fs, m := vfs.NewMem(), &machine{up: 60, boot: "boot-a"} // written until 53
-	load(t, fs, "full")
-	s, found, err := OpenStore("state", Options{FS: fs, Clock: m.stamp, Retention: fixtureRemember})
+	fs, clock := vfs.NewMem(), &fakeClock{uptime: 60, boot: "boot-a"} // written until 53
+	loadFixture(t, fs, "full")
+	s, state, err := OpenStore("state", Options{FS: fs, Clock: clock.now, Retention: fixtureRetention})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
-	if found.Created || found.CleanShutdown || found.UnreadableRecords != 0 || found.QuarantinePath != "" {
-		t.Errorf("fresh %v, clean %v, unread %d, set aside %q", found.Created, found.CleanShutdown, found.UnreadableRecords, found.QuarantinePath)
+	defer closeStore(t, s)
+	if state.Created || state.CleanShutdown || state.UnreadableRecords != 0 || state.QuarantinePath != "" {
+		t.Errorf("created %v, clean shutdown %v, unreadable %d, quarantine %q", state.Created, state.CleanShutdown, state.UnreadableRecords, state.QuarantinePath)
 	}
-	checkEvents(t, found.Records)
-	checkOwn(t, found.ScheduledRequests)
+	checkRecords(t, state.Records)
+	checkScheduledRequests(t, state.ScheduledRequests)
 	want := map[string]time.Time{"* * * * * till-entry team/f": fixtureDue, "5 * * * * once f": fixtureDue.Add(time.Minute), "@hourly once": fixtureDue}
-	if !reflect.DeepEqual(found.LastFirings, want) {
-		t.Errorf("last firings: %v, want %v", found.LastFirings, want)
+	if !reflect.DeepEqual(state.LastFirings, want) {
+		t.Errorf("last firings: %v, want %v", state.LastFirings, want)
 	}
-	known := fixtureKnown()
-	for i := range known {
-		known[i].Age += 7 // noted at 53
+	replicas := fixtureReplicas()
+	for i := range replicas {
+		replicas[i].Age += 7 // written at 53
 	}
-	if !reflect.DeepEqual(found.Replicas, known) {
-		t.Errorf("replicas: %+v, want %+v", found.Replicas, known)
+	if !reflect.DeepEqual(state.Replicas, replicas) {
+		t.Errorf("replicas: %+v, want %+v", state.Replicas, replicas)
 	}
-	if !reflect.DeepEqual(found.AuditTrail, fixtureTrail) {
-		t.Errorf("trail: %q, want %q", found.AuditTrail, fixtureTrail)
+	if !reflect.DeepEqual(state.AuditTrail, fixtureAuditTrail) {
+		t.Errorf("audit trail: %q, want %q", state.AuditTrail, fixtureAuditTrail)
 	}
-	if !bytes.Equal(found.Config, fixtureConfig) {
-		t.Errorf("configuration: %q, want %q", found.Config, fixtureConfig)
+	if !bytes.Equal(state.Config, fixtureConfig) {
+		t.Errorf("configuration: %q, want %q", state.Config, fixtureConfig)
 	}
 }
 
-func checkEvents(t *testing.T, events []dispatch.RecoveredRecord) {
+func checkRecords(t *testing.T, got []dispatch.RecoveredRecord) {
 	t.Helper()
-	have := map[string]dispatch.RecoveredRecord{}
-	for _, k := range events {
-		have[k.Response.Identity.ID] = k
+	byID := map[string]dispatch.RecoveredRecord{}
+	for _, record := range got {
+		byID[record.Response.Identity.ID] = record
 	}
-	notes := fixtureNotes()
-	if len(events) != len(notes) || len(have) != len(notes) {
-		t.Errorf("%d events, want %d", len(events), len(notes))
+	records := fixtureRecords()
+	if len(got) != len(records) || len(byID) != len(records) {
+		t.Errorf("%d records, want %d", len(got), len(records))
 	}
-	for _, n := range notes {
-		if len(n.Response.Fields) == 0 {
-			n.Response.Fields = nil // empty ones are not written
+	for _, record := range records {
+		if len(record.Response.Fields) == 0 {
+			record.Response.Fields = nil // empty ones are not written
 		}
-		if len(n.Response.Body) == 0 {
-			n.Response.Body = nil
+		if len(record.Response.Body) == 0 {
+			record.Response.Body = nil
 		}
-		n.FirstRunAgo += 9                                                  // noted at 51
-		want := dispatch.RecoveredRecord{Record: n, Age: 2, Reliable: true} // of service, the last note of which was at 53
-		if got := have[n.Response.Identity.ID]; !reflect.DeepEqual(got, want) {
-			t.Errorf("event %s:\n%+v, want\n%+v", n.Response.Identity.ID, got, want)
+		record.FirstRunAgo += 9                                                  // written at 51
+		want := dispatch.RecoveredRecord{Record: record, Age: 2, Reliable: true} // of service, whose last write was at 53
+		if got := byID[record.Response.Identity.ID]; !reflect.DeepEqual(got, want) {
+			t.Errorf("request %s:\n%+v, want\n%+v", record.Response.Identity.ID, got, want)
 		}
 	}
 }
 
-func checkOwn(t *testing.T, open []ScheduledRequest) {
+func checkScheduledRequests(t *testing.T, got []ScheduledRequest) {
 	t.Helper()
-	have := map[string]ScheduledRequest{}
-	for _, o := range open {
-		have[o.Request.ID] = o
+	byID := map[string]ScheduledRequest{}
+	for _, scheduled := range got {
+		byID[scheduled.Request.ID] = scheduled
+	}
+	requests := fixtureScheduledRequests()
+	want := map[string]ScheduledRequest{
+		"own-1": {requests[0], fixtureDue, fixtureDeadline},
+		"own-2": {requests[1], fixtureDue.Add(time.Minute), fixtureDeadline.Add(time.Minute)},
+		"own-3": {requests[2], fixtureDue, fixtureDeadline},
 	}
-	asks := fixtureOwn()
-	want := map[string]ScheduledRequest{"own-1": {asks[0], fixtureDue, fixtureUntil}, "own-2": {asks[1], fixtureDue.Add(time.Minute), fixtureUntil.Add(time.Minute)},
-		"own-3": {asks[2], fixtureDue, fixtureUntil}}
-	if len(open) != len(want) || !reflect.DeepEqual(have, want) {
-		t.Errorf("own events:\n%+v, want\n%+v", have, want)
+	if len(got) != len(want) || !reflect.DeepEqual(byID, want) {
+		t.Errorf("scheduled requests:\n%+v, want\n%+v", byID, want)
 	}
 }
 
-// A store in which nothing is known of replicas is read, too.
+// A store in which no replicas are known is read, too.
 func TestSparseFixturesAreRecovered(t *testing.T) {
 	for _, name := range []string{"sparse", "empty-list"} {
-		fs, m := vfs.NewMem(), &machine{up: 60, boot: "boot-a"}
-		load(t, fs, name)
-		s, found, err := OpenStore("state", Options{FS: fs, Clock: m.stamp, Retention: fixtureRemember})
+		fs, clock := vfs.NewMem(), &fakeClock{uptime: 60, boot: "boot-a"}
+		loadFixture(t, fs, name)
+		s, state, err := OpenStore("state", Options{FS: fs, Clock: clock.now, Retention: fixtureRetention})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if found.Created || found.UnreadableRecords != 0 || len(found.Replicas) != 0 || len(found.ScheduledRequests) != 0 || len(found.Records) != 0 || len(found.AuditTrail) != 0 {
-			t.Errorf("%s: %+v", name, found)
+		if state.Created || state.UnreadableRecords != 0 || len(state.Replicas) != 0 || len(state.ScheduledRequests) != 0 || len(state.Records) != 0 || len(state.AuditTrail) != 0 {
+			t.Errorf("%s: %+v", name, state)
 		}
-		s.Close()
+		closeStore(t, s)
 	}
 }
 
 // Outcomes and causes are stored as numbers, which must go on meaning the same.
 func TestStoredNumbersKeepTheirMeaning(t *testing.T) {
 	if dispatch.RecordAttemptStarted != 0 || dispatch.RecordRequestEnded != 1 {
-		t.Error("the numbers of notes have changed")
+		t.Error("the numbers of record kinds have changed")
 	}
 	for i, want := range []string{"handled", "deferred", "dead-lettered"} {
 		if got := dispatch.ResponseKind(i).String(); got != want {
@@ -300,14 +306,14 @@
 	}
 }
 
-// reaches tells whether a type from dispatch stands in a record.
-func reaches(t reflect.Type) bool {
+// containsDispatchType reports whether a type from dispatch stands in a record.
+func containsDispatchType(t reflect.Type) bool {
 	switch t.Kind() {
 	case reflect.Slice, reflect.Pointer, reflect.Map, reflect.Array:
-		return reaches(t.Elem())
+		return containsDispatchType(t.Elem())
 	case reflect.Struct:
 		for i := range t.NumField() {
-			if reaches(t.Field(i).Type) {
+			if containsDispatchType(t.Field(i).Type) {
 				return true
 			}
 		}
@@ -317,9 +323,9 @@
 
 // No record holds a type of dispatch, and each field of a record spells its key out.
 func TestRecordsSpellTheirKeys(t *testing.T) {
-	for _, v := range []any{storedEvent{}, storedOpenRequest{}, storedReplicas{}, storedField{}, storedBinding{}, storedFunction{}, storedRequest{}, storedReplica{}} {
+	for _, v := range []any{storedRecord{}, storedScheduledRequest{}, storedReplicaList{}, storedField{}, storedBinding{}, storedFunctionProfile{}, storedRequest{}, storedReplica{}} {
 		r := reflect.TypeOf(v)
-		if reaches(r) {
+		if containsDispatchType(r) {
 			t.Errorf("%s holds a type of dispatch", r)
 		}
 		for i := range r.NumField() {
--- /dev/null
+++ b/internal/storage/quarantine.go
@@ -0,0 +1,98 @@
+package storage
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"os"
+	"strings"
+
+	"github.com/cockroachdb/pebble/v2"
+	"github.com/cockroachdb/pebble/v2/vfs"
+)
+
+// replaceCorruptStore moves a corrupt store out of its folder and creates a new one with what could be read of it.
+func replaceCorruptStore(dir string, options Options, state *RecoveredState, cause error) (*Store, *RecoveredState, error) {
+	path := quarantinePath(dir, options.FS)
+	if err := options.FS.Rename(dir, path); err != nil {
+		return nil, nil, fmt.Errorf("state folder %s is corrupt (%w) and can't be put aside: %w", dir, cause, err)
+	}
+	options.Log.Error("the state was corrupt: it is set aside, and what could be read of it goes on", "folder", path,
+		"events", len(state.Records), "unread", state.UnreadableRecords, "error", cause)
+	if err := options.FS.MkdirAll(dir, stateFolderMode); err != nil {
+		return nil, nil, fmt.Errorf("state folder %s: %w", dir, err)
+	}
+	db, err := openDatabase(dir, options)
+	if err != nil {
+		return nil, nil, fmt.Errorf("state folder %s: %w", dir, err)
+	}
+	state.QuarantinePath, state.Created, state.CleanShutdown = path, false, false
+	s, err := newStore(db, options)
+	if err != nil {
+		return nil, nil, err
+	}
+	if err := s.restoreState(state); err != nil {
+		_ = s.Close() // the error of the copy is the one to report
+		return nil, nil, fmt.Errorf("state folder %s: taking over what was read: %w", dir, err)
+	}
+	return s, state, nil
+}
+
+// quarantinePath returns a name beside the folder that is not taken.
+func quarantinePath(dir string, fs vfs.FS) string {
+	for number := 1; ; number++ {
+		path := fmt.Sprintf("%s.set-aside-%d", strings.TrimRight(dir, "/"), number)
+		if _, err := fs.Stat(path); errors.Is(err, os.ErrNotExist) {
+			return path
+		}
+	}
+}
+
+// restoreState writes what was read of a corrupt store into this new one, as one batch.
+func (s *Store) restoreState(state *RecoveredState) error {
+	mutations, err := encodeRecords(state, s.now())
+	if err != nil {
+		return err
+	}
+	for entry, due := range state.LastFirings {
+		mutations = append(mutations, encodeLastFiring(entry, due))
+	}
+	for i := range state.ScheduledRequests {
+		scheduled := &state.ScheduledRequests[i]
+		m, err := encodeScheduledRequest(&scheduled.Request, scheduled.Due, scheduled.Deadline)
+		if err != nil {
+			return err
+		}
+		mutations = append(mutations, m)
+	}
+	for number, entry := range state.AuditTrail {
+		mutations = append(mutations, mutation{auditKey(number), entry})
+	}
+	batch := s.db.NewBatch()
+	for _, m := range mutations {
+		if err := batch.Set(m.key, m.value, nil); err != nil {
+			return err
+		}
+	}
+	return batch.Commit(pebble.Sync)
+}
+
+// encodeRecords returns the mutations that store recovered records as of now, with the ages they have. A first run of
+// unknown time counts as infinitely long ago.
+func encodeRecords(state *RecoveredState, now Timestamp) ([]mutation, error) {
+	var all []mutation
+	for _, recovered := range state.Records {
+		record := recovered.Record
+		if !recovered.Reliable {
+			record.FirstRunAgo = math.Inf(1)
+		}
+		recordedAt := now
+		recordedAt.ServiceTime -= recovered.Age
+		mutations, err := encodeRecord(record, recordedAt)
+		if err != nil {
+			return nil, err
+		}
+		all = append(all, mutations...)
+	}
+	return all, nil
+}
--- /dev/null
+++ b/internal/storage/quarantine_test.go
@@ -0,0 +1,107 @@
+package storage
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"streamcleat/internal/dispatch"
+)
+
+// corruptFiles damages the files of a closed store. The damage returns the new content of a file, or nil to remove it.
+func corruptFiles(t *testing.T, dir string, damage func(name string, data []byte) []byte) {
+	t.Helper()
+	entries, err := os.ReadDir(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, entry := range entries {
+		path := filepath.Join(dir, entry.Name())
+		data, err := os.ReadFile(path)
+		if err != nil {
+			continue
+		}
+		if changed := damage(entry.Name(), data); changed == nil {
+			err = os.Remove(path)
+		} else {
+			err = os.WriteFile(path, changed, 0o600)
+		}
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+func flipTables(name string, data []byte) []byte {
+	if strings.HasSuffix(name, ".sst") {
+		for i := range data {
+			data[i] ^= 0x5a
+		}
+	}
+	return data
+}
+
+func truncateManifest(name string, data []byte) []byte {
+	if strings.HasPrefix(name, "MANIFEST") {
+		return data[:len(data)/2]
+	}
+	return data
+}
+
+func removeTables(name string, data []byte) []byte {
+	if strings.HasSuffix(name, ".sst") {
+		return nil
+	}
+	return data
+}
+
+// A corrupt store is renamed, never silently replaced by an empty one.
+func TestCorruptStoreIsQuarantined(t *testing.T) {
+	tests := []struct {
+		name   string
+		damage func(name string, data []byte) []byte
+	}{
+		{"flipped tables", flipTables},
+		{"truncated manifest", truncateManifest},
+		{"missing tables", removeTables},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) { checkQuarantine(t, test.damage) })
+	}
+}
+
+func checkQuarantine(t *testing.T, damage func(name string, data []byte) []byte) {
+	t.Helper()
+	dir := filepath.Join(t.TempDir(), "state")
+	s, _, err := OpenStore(dir, Options{Retention: testRetention})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for i := range 100 {
+		mustCommit(t, s, newRecord(dispatch.RecordRequestEnded, "once", fmt.Sprint(i), 0))
+	}
+	if err := s.db.Flush(); err != nil {
+		t.Fatal(err)
+	}
+	closeStore(t, s)
+	corruptFiles(t, dir, damage)
+
+	s, state, err := OpenStore(dir, Options{Retention: testRetention})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if state.QuarantinePath == "" && len(state.Records) != 100 {
+		t.Errorf("%d of 100 records, and no quarantine", len(state.Records))
+	}
+	if state.QuarantinePath != "" {
+		if _, err := os.Stat(state.QuarantinePath); err != nil {
+			t.Error(err)
+		}
+	}
+	if err := commit(s, newRecord(dispatch.RecordRequestEnded, "once", "new", 0)); err != nil {
+		t.Error(err)
+	}
+	closeStore(t, s)
+}
--- /dev/null
+++ b/internal/storage/record_codec.go
@@ -0,0 +1,239 @@
+package storage
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"math"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"streamcleat/internal/dispatch"
+)
+
+// errInvalidRecord is a record that was decoded but whose values are outside their ranges.
+var errInvalidRecord = errors.New("invalid record")
+
+// mutation is one change of the database; a nil value deletes the key.
+type mutation struct{ key, value []byte }
+
+// encodeRecord returns the mutations that store a record. A newer record of the same request replaces the older one.
+// The older one's position in the order of expiry stays and is skipped when its time comes.
+func encodeRecord(record dispatch.Record, now Timestamp) ([]mutation, error) {
+	value, err := cbor.Marshal(newStoredRecord(record, now))
+	if err != nil {
+		return nil, fmt.Errorf("encoding the record of request %q: %w", record.Response.Identity.ID, err)
+	}
+	hash := identityHash(record.Response.Identity)
+	return []mutation{{joinKey(recordPrefix, hash), value}, {expiryKey(now.ServiceTime, hash), []byte{}}}, nil
+}
+
+// decodeRecord returns the record of a stored value, with its age at now.
+func decodeRecord(value []byte, now Timestamp) (dispatch.RecoveredRecord, error) {
+	var stored storedRecord
+	if err := cbor.Unmarshal(value, &stored); err != nil {
+		return dispatch.RecoveredRecord{}, fmt.Errorf("decoding a record: %w", err)
+	}
+	if stored.ID == "" || stored.Source == "" ||
+		stored.Kind > uint8(dispatch.RecordRequestEnded) || stored.ResponseKind > uint8(dispatch.Failed) {
+		return dispatch.RecoveredRecord{}, fmt.Errorf("%w of request %q", errInvalidRecord, stored.ID)
+	}
+	recovered := dispatch.RecoveredRecord{
+		Record: stored.record(),
+		Age:    max(now.ServiceTime-stored.RecordedAt.ServiceTime, 0),
+	}
+	recovered.FirstRunAgo, recovered.Reliable = stored.FirstRunAt.since(now)
+	return recovered, nil
+}
+
+// hasExpired reports whether the record that an expiry key points to is older than the retention. It reports false
+// when a newer record has replaced the one of that key, whose time is in milliseconds.
+func hasExpired(value []byte, keyTime, retention float64, now Timestamp) bool {
+	var stored storedRecord
+	if cbor.Unmarshal(value, &stored) != nil {
+		return true // an unreadable record is of no use
+	}
+	recordedAt := stored.RecordedAt.ServiceTime
+	return math.Floor(max(recordedAt, 0)*expiryUnitsPerSecond) <= keyTime && now.ServiceTime-recordedAt >= retention
+}
+
+// encodeLastFiring returns the mutation that stores the last minute for which a schedule entry fired.
+func encodeLastFiring(entry string, due time.Time) mutation {
+	return mutation{joinKey(firingPrefix, []byte(entry)), binary.BigEndian.AppendUint64(nil, uint64(due.Unix()))}
+}
+
+// decodeLastFiring returns the time of encodeLastFiring. It reports false for a value that is not one.
+func decodeLastFiring(value []byte) (time.Time, bool) {
+	if len(value) != uint64Size {
+		return time.Time{}, false
+	}
+	return time.Unix(int64(binary.BigEndian.Uint64(value)), 0), true
+}
+
+// encodeScheduledRequest returns the mutation that stores an open request of the appliance itself.
+func encodeScheduledRequest(request *dispatch.Request, due, deadline time.Time) (mutation, error) {
+	stored := storedScheduledRequest{Request: newStoredRequest(request), Due: due.Unix(), Deadline: deadline.Unix()}
+	value, err := cbor.Marshal(stored)
+	if err != nil {
+		return mutation{}, fmt.Errorf("encoding scheduled request %q: %w", request.ID, err)
+	}
+	return mutation{joinKey(scheduledPrefix, identityHash(request.Identity)), value}, nil
+}
+
+// encodeServiceTime returns the stored value of a service time in seconds.
+func encodeServiceTime(seconds float64) []byte {
+	return binary.BigEndian.AppendUint64(nil, math.Float64bits(seconds))
+}
+
+// decodeServiceTime returns the seconds of encodeServiceTime. It reports false for a value that is not one.
+func decodeServiceTime(value []byte) (float64, bool) {
+	if len(value) != uint64Size {
+		return 0, false
+	}
+	return math.Float64frombits(binary.BigEndian.Uint64(value)), true
+}
+
+// convert applies a conversion to each element. A nil list stays nil and an empty one empty: they differ on disk.
+func convert[From, To any](list []From, conversion func(From) To) []To {
+	if list == nil {
+		return nil
+	}
+	converted := make([]To, len(list))
+	for i := range list {
+		converted[i] = conversion(list[i])
+	}
+	return converted
+}
+
+func newStoredField(f dispatch.Field) storedField { return storedField{Name: f.Name, Value: f.Value} }
+
+func (f storedField) field() dispatch.Field { return dispatch.Field{Name: f.Name, Value: f.Value} }
+
+func newStoredBinding(b dispatch.Binding) storedBinding {
+	return storedBinding{ID: b.ID, Version: b.Version, Digest: b.Digest, Function: b.Function}
+}
+
+func (b storedBinding) binding() dispatch.Binding {
+	return dispatch.Binding{ID: b.ID, Version: b.Version, Digest: b.Digest, Function: b.Function}
+}
+
+func newStoredFunctionProfile(p dispatch.FunctionProfile) storedFunctionProfile {
+	return storedFunctionProfile{Concurrency: p.Concurrency, MemoryMB: p.MemoryMB, LoadTime: p.LoadTime}
+}
+
+func (p storedFunctionProfile) profile() dispatch.FunctionProfile {
+	return dispatch.FunctionProfile{Concurrency: p.Concurrency, MemoryMB: p.MemoryMB, LoadTime: p.LoadTime}
+}
+
+func newStoredRequest(r *dispatch.Request) storedRequest {
+	return storedRequest{
+		Source:           r.Source,
+		ID:               r.ID,
+		Class:            r.Class,
+		Tenant:           r.Tenant,
+		Function:         r.Function,
+		Timeout:          r.Timeout,
+		Fields:           convert(r.Fields, newStoredField),
+		Body:             r.Body,
+		Retried:          r.Retried,
+		StatedProfile:    newStoredFunctionProfile(r.StatedProfile),
+		ExpectedWork:     r.ExpectedWork,
+		RejectDuplicates: r.RejectDuplicates,
+	}
+}
+
+func (r storedRequest) request() dispatch.Request {
+	return dispatch.Request{
+		Identity:         dispatch.Identity{Source: r.Source, ID: r.ID},
+		Class:            r.Class,
+		Tenant:           r.Tenant,
+		Function:         r.Function,
+		Timeout:          r.Timeout,
+		Fields:           convert(r.Fields, storedField.field),
+		Body:             r.Body,
+		Retried:          r.Retried,
+		StatedProfile:    r.StatedProfile.profile(),
+		ExpectedWork:     r.ExpectedWork,
+		RejectDuplicates: r.RejectDuplicates,
+	}
+}
+
+func (r storedScheduledRequest) scheduledRequest() ScheduledRequest {
+	return ScheduledRequest{Request: r.Request.request(), Due: time.Unix(r.Due, 0), Deadline: time.Unix(r.Deadline, 0)}
+}
+
+func newStoredReplica(r dispatch.ReplicaSnapshot) storedReplica {
+	return storedReplica{
+		Function:        r.Function,
+		Binding:         newStoredBinding(r.Binding),
+		Concurrency:     r.Concurrency,
+		LoadTime:        r.LoadTime,
+		Worker:          r.Worker,
+		WorkerStartedAt: r.WorkerStartedAt,
+		Age:             r.Age,
+	}
+}
+
+func (r storedReplica) replica() dispatch.ReplicaSnapshot {
+	return dispatch.ReplicaSnapshot{
+		Function:        r.Function,
+		Binding:         r.Binding.binding(),
+		Concurrency:     r.Concurrency,
+		LoadTime:        r.LoadTime,
+		Worker:          r.Worker,
+		WorkerStartedAt: r.WorkerStartedAt,
+		Age:             r.Age,
+	}
+}
+
+// newStoredRecord returns the stored form of a record that is written at now.
+func newStoredRecord(record dispatch.Record, now Timestamp) storedRecord {
+	response := record.Response
+	firstRunAt := now
+	firstRunAt.Up -= record.FirstRunAgo
+	firstRunAt.ServiceTime -= record.FirstRunAgo
+	return storedRecord{
+		Kind:         uint8(record.Kind),
+		Source:       response.Identity.Source,
+		ID:           response.Identity.ID,
+		Class:        response.Class,
+		Function:     response.Function,
+		Tenant:       response.Tenant,
+		ResponseKind: uint8(response.Kind),
+		Cause:        uint8(response.Cause),
+		RetryAfter:   response.RetryAfter,
+		Worker:       response.Worker,
+		Attempts:     response.Attempts,
+		Fields:       convert(response.Fields, newStoredField),
+		Body:         response.Body,
+		MayHaveRun:   record.MayHaveRun,
+		FirstRunAt:   firstRunAt,
+		RecordedAt:   now,
+		Elapsed:      response.Elapsed,
+		Binding:      newStoredBinding(response.Binding),
+	}
+}
+
+// record returns the record without the time since its first run, which depends on the clock.
+func (r *storedRecord) record() dispatch.Record {
+	return dispatch.Record{
+		Kind:       dispatch.RecordKind(r.Kind),
+		MayHaveRun: r.MayHaveRun,
+		Response: dispatch.Response{
+			Identity:   dispatch.Identity{Source: r.Source, ID: r.ID},
+			Class:      r.Class,
+			Function:   r.Function,
+			Tenant:     r.Tenant,
+			Kind:       dispatch.ResponseKind(r.ResponseKind),
+			Cause:      dispatch.Cause(r.Cause),
+			RetryAfter: r.RetryAfter,
+			Worker:     r.Worker,
+			Attempts:   r.Attempts,
+			Fields:     convert(r.Fields, storedField.field),
+			Body:       r.Body,
+			Elapsed:    r.Elapsed,
+			Binding:    r.Binding.binding(),
+		},
+	}
+}
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -3,272 +3,170 @@
 import (
 	"errors"
 	"fmt"
-	"math/rand/v2"
-	"os"
 	"path/filepath"
 	"strings"
-	"sync/atomic"
-	"syscall"
 	"testing"
 	"time"
 
 	"github.com/cockroachdb/pebble/v2/vfs"
-	"github.com/cockroachdb/pebble/v2/vfs/errorfs"
 
 	"streamcleat/internal/dispatch"
 )
 
-// machine is a clock that tests move: up runs on, boot changes at a restart of the machine.
-type machine struct {
-	up   float64
-	boot string
+// testRetention is the retention, in seconds, of most stores in the tests.
+const testRetention = 100
+
+// fakeClock is a clock that tests advance: uptime runs on, boot changes when the machine restarts.
+type fakeClock struct {
+	uptime float64
+	boot   string
 }
 
-func (m *machine) stamp() Timestamp { return Timestamp{Boot: m.boot, Up: m.up} }
+func (c *fakeClock) now() Timestamp { return Timestamp{Boot: c.boot, Up: c.uptime} }
 
-func note(kind dispatch.RecordKind, typ, id string, outcome dispatch.ResponseKind, ranAgo float64) dispatch.Record {
-	return dispatch.Record{Kind: kind, MayHaveRun: true, FirstRunAgo: ranAgo, Response: dispatch.Response{Identity: dispatch.Identity{Source: "/t", ID: id},
-		Class: typ, Function: "f", Kind: outcome, Body: []byte("body of " + id), Fields: []dispatch.Field{{Name: "A", Value: "b"}}}}
+// newRecord returns a record of a request that succeeds, if it has ended.
+func newRecord(kind dispatch.RecordKind, class, id string, firstRunAgo float64) dispatch.Record {
+	return dispatch.Record{Kind: kind, MayHaveRun: true, FirstRunAgo: firstRunAgo, Response: dispatch.Response{
+		Identity: dispatch.Identity{Source: "/t", ID: id}, Class: class, Function: "f", Kind: dispatch.Succeeded,
+		Body: []byte("body of " + id), Fields: []dispatch.Field{{Name: "A", Value: "b"}}}}
 }
 
-func open(t *testing.T, fs vfs.FS, m *machine) (*Store, *RecoveredState) {
+func openStore(t *testing.T, fs vfs.FS, clock *fakeClock) (*Store, *RecoveredState) {
 	t.Helper()
-	s, found, err := OpenStore("state", Options{FS: fs, Clock: m.stamp, Retention: 100})
+	s, state, err := OpenStore("state", Options{FS: fs, Clock: clock.now, Retention: testRetention})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s, found
+	return s, state
 }
 
-func commit(s *Store, notes ...dispatch.Record) error {
-	ended := make(chan error, 1)
-	s.Commit(notes, func(err error) { ended <- err })
-	return <-ended
+func closeStore(t *testing.T, s *Store) {
+	t.Helper()
+	if err := s.Close(); err != nil {
+		t.Fatal(err)
+	}
 }
 
-func TestWhatIsKeptComesBack(t *testing.T) {
-	fs, m := vfs.NewCrashableMem(), &machine{up: 50, boot: "a"}
-	s, found := open(t, fs, m)
-	if !found.Created || len(found.Records) != 0 {
-		t.Fatalf("%+v", found)
+// commit stores records and waits for them.
+func commit(s *Store, records ...dispatch.Record) error {
+	result := make(chan error, 1)
+	s.Commit(records, func(err error) { result <- err })
+	return <-result
+}
+
+func mustCommit(t *testing.T, s *Store, records ...dispatch.Record) {
+	t.Helper()
+	if err := commit(s, records...); err != nil {
+		t.Fatal(err)
 	}
-	ask := dispatch.Request{Identity: dispatch.Identity{Source: "/timers", ID: "m1"}, Class: "once", Function: "f", Body: []byte("x")}
+}
+
+func mustSaveReplicas(t *testing.T, s *Store) {
+	t.Helper()
+	if err := s.SaveReplicas(nil); err != nil {
+		t.Fatal(err)
+	}
+}
+
+func TestStateSurvivesCrashAndRestart(t *testing.T) {
+	fs, clock := vfs.NewCrashableMem(), &fakeClock{uptime: 50, boot: "a"}
+	s, state := openStore(t, fs, clock)
+	if !state.Created || len(state.Records) != 0 {
+		t.Fatalf("%+v", state)
+	}
+	request := dispatch.Request{Identity: dispatch.Identity{Source: "/timers", ID: "m1"}, Class: "once", Function: "f", Body: []byte("x")}
 	due := time.Unix(1_800_000_000, 0)
-	for _, err := range []error{commit(s, note(dispatch.RecordAttemptStarted, "once", "1", 0, 0), note(dispatch.RecordAttemptStarted, "keyed", "2", 0, 3)),
-		commit(s, note(dispatch.RecordRequestEnded, "keyed", "2", dispatch.Succeeded, 4)), s.RecordFirings([]Firing{{"entry", due, due, ask}}), s.SaveConfig([]byte("{}"))} {
-		if err != nil {
-			t.Fatal(err)
-		}
+	mustCommit(t, s, newRecord(dispatch.RecordAttemptStarted, "once", "1", 0), newRecord(dispatch.RecordAttemptStarted, "keyed", "2", 3))
+	mustCommit(t, s, newRecord(dispatch.RecordRequestEnded, "keyed", "2", 4))
+	if err := s.RecordFirings([]Firing{{"entry", due, due, request}}); err != nil {
+		t.Fatal(err)
 	}
-	m.up += 10
+	if err := s.SaveConfig([]byte("{}")); err != nil {
+		t.Fatal(err)
+	}
+	clock.uptime += 10
 	crashed := fs.CrashClone(vfs.CrashCloneCfg{})
-	s.Close()
-	s, found = open(t, crashed, m)
-	defer s.Close()
-	if found.Created || found.CleanShutdown || len(found.Records) != 2 || string(found.Config) != "{}" || !found.LastFirings["entry"].Equal(due) ||
-		len(found.ScheduledRequests) != 1 || found.ScheduledRequests[0].Request.ID != "m1" || string(found.ScheduledRequests[0].Request.Body) != "x" {
-		t.Fatalf("%+v", found)
+	closeStore(t, s)
+
+	s, state = openStore(t, crashed, clock)
+	defer closeStore(t, s)
+	if state.Created || state.CleanShutdown || len(state.Records) != 2 || string(state.Config) != "{}" || !state.LastFirings["entry"].Equal(due) ||
+		len(state.ScheduledRequests) != 1 || state.ScheduledRequests[0].Request.ID != "m1" || string(state.ScheduledRequests[0].Request.Body) != "x" {
+		t.Fatalf("%+v", state)
 	}
-	for _, k := range found.Records {
-		want := note(dispatch.RecordAttemptStarted, "once", "1", 0, 0)
-		ago := 10.0
-		if k.Response.Class == "keyed" {
-			want, ago = note(dispatch.RecordRequestEnded, "keyed", "2", dispatch.Succeeded, 4), 14
+	for _, got := range state.Records {
+		want, ago := newRecord(dispatch.RecordAttemptStarted, "once", "1", 0), 10.0
+		if got.Response.Class == "keyed" {
+			want, ago = newRecord(dispatch.RecordRequestEnded, "keyed", "2", 4), 14
 		}
-		if k.Kind != want.Kind || k.Response.Identity != want.Response.Identity || string(k.Response.Body) != string(want.Response.Body) ||
-			!k.Reliable || k.FirstRunAgo != ago || len(k.Response.Fields) != 1 {
-			t.Errorf("%+v", k)
+		if got.Kind != want.Kind || got.Response.Identity != want.Response.Identity || string(got.Response.Body) != string(want.Response.Body) ||
+			!got.Reliable || got.FirstRunAgo != ago || len(got.Response.Fields) != 1 {
+			t.Errorf("%+v", got)
 		}
 	}
-	s.ScheduledRequestDone(ask.Identity)
-	s.SaveReplicas(nil)
-	s.Close()
-	m.boot, m.up = "b", 1 // the machine started anew: spans are unknown
-	s, found = open(t, crashed, m)
-	if !found.CleanShutdown || len(found.ScheduledRequests) != 0 || len(found.Records) != 2 || found.Records[0].Reliable {
-		t.Fatalf("%+v", found)
+	s.ScheduledRequestDone(request.Identity)
+	mustSaveReplicas(t, s)
+	closeStore(t, s)
+
+	clock.boot, clock.uptime = "b", 1 // after a reboot the times of first runs are unknown
+	s, state = openStore(t, crashed, clock)
+	if !state.CleanShutdown || len(state.ScheduledRequests) != 0 || len(state.Records) != 2 || state.Records[0].Reliable {
+		t.Fatalf("%+v", state)
 	}
-	s.Close()
+	closeStore(t, s)
 }
 
-// What is remembered lapses in time of service, whatever the time of day does; expiry takes it away in slices.
-func TestExpiryBySlices(t *testing.T) {
-	fs, m := vfs.NewMem(), &machine{boot: "a"}
-	s, _ := open(t, fs, m)
-	for i := range 50 {
-		commit(s, note(dispatch.RecordRequestEnded, "once", fmt.Sprint(i), dispatch.Succeeded, 0))
-		m.up++
-	}
-	commit(s, note(dispatch.RecordRequestEnded, "once", "0", dispatch.Succeeded, 0)) // the first once more: it is kept longer
-	m.up += 74.5                                                                     // 25 of them are a hundred seconds old
-	looked := 0
+// expireAll calls Expire until nothing more is due and returns how many keys it examined.
+func expireAll(t *testing.T, s *Store) int {
+	t.Helper()
+	const limit = 7
+	examined := 0
 	for {
-		n, err := s.Expire(7)
+		n, err := s.Expire(limit)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if looked += n; n < 7 {
-			break
+		examined += n
+		if n < limit {
+			return examined
 		}
 	}
-	s.SaveReplicas(nil)
-	s.Close()
-	s, found := open(t, fs, m)
-	if looked != 25 || len(found.Records) != 26 {
-		t.Errorf("looked at %d, %d left", looked, len(found.Records))
-	}
-	m.up += 1000
-	for n := 7; n == 7; {
-		n, _ = s.Expire(7)
-	}
-	s.SaveReplicas(nil)
-	s.Close()
-	s, found = open(t, fs, m)
-	left := 0
-	each(s.db, []byte("e/"), func(_, _ []byte) { left++ })
-	each(s.db, []byte("x/"), func(_, _ []byte) { left++ })
-	if left != 0 || len(found.Records) != 0 {
-		t.Errorf("%d keys left", left)
-	}
-	s.Close()
-}
-
-// failing makes the n-th write or sync, and all after it, fail: the process is killed there, or the disk is gone.
-type failing struct {
-	n, at atomic.Int64
-	err   error
-	crash func()
-}
-
-func (f *failing) MaybeError(op errorfs.Op) error {
-	if op.Kind.ReadOrWrite() == errorfs.OpIsRead {
-		return nil
-	}
-	n := f.n.Add(1)
-	if at := f.at.Load(); at == 0 || n < at {
-		return nil
-	} else if n == at && f.crash != nil {
-		f.crash()
-	}
-	return f.err
 }
-func (f *failing) String() string { return "failing" }
 
-// campaign plays one run against a store that is killed at its n-th write, and what a restart finds. Every note that
-// was said to be kept must be there; nothing may be there that was not noted. It returns the writes of the run.
-func campaign(t *testing.T, at int64, unsynced int, seed uint64) int64 {
-	mem := vfs.NewCrashableMem()
-	m := &machine{boot: "a"}
-	f := &failing{} // the killed process writes on, to a disk that nobody reads
-	var after *vfs.MemFS
-	var dead atomic.Bool
-	f.crash = func() {
-		dead.Store(true)
-		after = mem.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: unsynced, RNG: rand.New(rand.NewPCG(seed, 5))})
-	}
-	f.at.Store(at)
-	kept, noted, minutes := map[string]dispatch.RecordKind{}, map[string]bool{}, 0
-	tried := 0
-	s, _, err := OpenStore("state", Options{FS: errorfs.Wrap(mem, f), Clock: m.stamp, Retention: 100})
-	if err == nil {
-		rng := rand.New(rand.NewPCG(seed, 6))
-		for i := range 12 {
-			m.up++
-			id := fmt.Sprint(rng.IntN(8))
-			kind := dispatch.RecordKind(rng.IntN(2))
-			if dead.Load() {
-				break
-			}
-			noted[id] = true
-			if commit(s, note(kind, "once", id, dispatch.Succeeded, 0)) == nil && !dead.Load() {
-				kept[id] = kind
-			} else {
-				delete(kept, id) // either of the two notes may be there
-			}
-			tried = i
-			ask := dispatch.Request{Identity: dispatch.Identity{Source: "/own", ID: fmt.Sprint(i)}}
-			if s.RecordFirings([]Firing{{"entry", time.Unix(int64(i*60), 0), time.Unix(0, 0), ask}}) == nil && !dead.Load() {
-				minutes = i
-			}
-			if i == 6 {
-				s.Expire(5)
-			}
-		}
-		s.Close()
-	}
-	if after == nil {
-		after = mem
-	}
-	m.up += 2
-	s, found, err := OpenStore("state", Options{FS: after, Clock: m.stamp, Retention: 100})
-	if err != nil {
-		t.Fatalf("killed at write %d, %d%% unsynced: %v", at, unsynced, err)
-	}
-	defer s.Close()
-	// Half-made, before anything was kept, it may be of no use; later it must never count as corrupt.
-	if found.QuarantinePath != "" && len(kept)+minutes > 0 {
-		t.Fatalf("killed at write %d, %d%% unsynced: the store counts as corrupt", at, unsynced)
-	}
-	have := map[string]dispatch.RecoveredRecord{}
-	for _, k := range found.Records {
-		have[k.Response.Identity.ID] = k
-		if !noted[k.Response.Identity.ID] {
-			t.Fatalf("killed at write %d: event %s comes from nowhere", at, k.Response.Identity.ID)
-		}
-	}
-	for id, kind := range kept {
-		if k, ok := have[id]; !ok || k.Kind != kind {
-			t.Fatalf("killed at write %d, %d%% unsynced: event %s was kept, found %v %+v", at, unsynced, id, ok, k)
-		}
-	}
-	if last, ok := found.LastFirings["entry"]; minutes > 0 && (!ok || last.Unix() < int64(minutes*60) || last.Unix() > int64(tried*60)) {
-		t.Fatalf("killed at write %d: minute %d was noted, found %v", at, minutes, last)
-	}
-	if len(found.ScheduledRequests) < minutes { // each noted minute's event is open
-		t.Fatalf("killed at write %d: %d open events for minute %d", at, len(found.ScheduledRequests), minutes)
+// Records expire by service time, whatever the wall clock does, and in slices.
+func TestExpireInSlices(t *testing.T) {
+	fs, clock := vfs.NewMem(), &fakeClock{boot: "a"}
+	s, _ := openStore(t, fs, clock)
+	for i := range 50 {
+		mustCommit(t, s, newRecord(dispatch.RecordRequestEnded, "once", fmt.Sprint(i), 0))
+		clock.uptime++
 	}
-	return f.n.Load()
-}
+	mustCommit(t, s, newRecord(dispatch.RecordRequestEnded, "once", "0", 0)) // the first once more: it is kept longer
+	clock.uptime += 74.5                                                     // 25 of them are a hundred seconds old
+	examined := expireAll(t, s)
+	mustSaveReplicas(t, s)
+	closeStore(t, s)
 
-func TestKilledAtEachWrite(t *testing.T) {
-	writes := campaign(t, 0, 0, 1)
-	if writes < 40 {
-		t.Fatalf("only %d writes", writes)
+	s, state := openStore(t, fs, clock)
+	if examined != 25 || len(state.Records) != 26 {
+		t.Errorf("examined %d, %d left", examined, len(state.Records))
 	}
-	step := int64(1)
-	if testing.Short() {
-		step = 5
-	}
-	for seed := range uint64(3) {
-		for at := int64(1); at <= writes; at += step {
-			campaign(t, at, []int{0, 50, 100}[seed], seed)
-		}
-	}
-	t.Logf("%d writes, each with 3 seeds", writes)
-}
+	clock.uptime += 1000
+	expireAll(t, s)
+	mustSaveReplicas(t, s)
+	closeStore(t, s)
 
-func TestDiskFullAndFailedSync(t *testing.T) {
-	for _, cause := range []error{syscall.ENOSPC, syscall.EIO} {
-		f := &failing{err: cause}
-		s, _, err := OpenStore("state", Options{FS: errorfs.Wrap(vfs.NewMem(), f), Clock: (&machine{boot: "a"}).stamp, Retention: 100})
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := commit(s, note(dispatch.RecordAttemptStarted, "once", "1", 0, 0)); err != nil {
+	s, state = openStore(t, fs, clock)
+	left := 0
+	for _, prefix := range []string{"e/", "x/"} {
+		if err := iteratePrefix(s.db, []byte(prefix), func(_, _ []byte) { left++ }); err != nil {
 			t.Fatal(err)
 		}
-		f.at.Store(f.n.Load() + 1)
-		for range 2 { // it stays failed: nobody knows what a failed sync left
-			if err := commit(s, note(dispatch.RecordAttemptStarted, "once", "2", 0, 0)); err == nil {
-				t.Errorf("%v: a note counts as kept", cause)
-			}
-			f.at.Store(1 << 60)
-		}
-		if s.Err() == nil {
-			t.Errorf("%v: nothing is known of it", cause)
-		}
-		s.Close()
 	}
+	if left != 0 || len(state.Records) != 0 {
+		t.Errorf("%d keys left", left)
+	}
+	closeStore(t, s)
 }
 
 func TestTwoProcessesOnOneFolder(t *testing.T) {
@@ -280,90 +178,32 @@
 	if _, _, err := OpenStore(dir, Options{Retention: 10}); !errors.Is(err, ErrInUse) || !strings.Contains(err.Error(), dir) {
 		t.Error(err)
 	}
-	if err := s.Close(); err != nil {
-		t.Fatal(err)
-	}
+	closeStore(t, s)
 	if s, _, err = OpenStore(dir, Options{Retention: 10}); err != nil {
 		t.Fatal(err)
 	}
-	s.Close()
+	closeStore(t, s)
 }
 
-// A corrupt store is set aside under a name, never silently replaced by an empty one.
-func TestCorruptStoreIsSetAside(t *testing.T) {
-	for _, harm := range []func(name string, data []byte) []byte{
-		func(name string, data []byte) []byte { // the tables' bytes turn
-			if strings.HasSuffix(name, ".sst") {
-				for i := range data {
-					data[i] ^= 0x5a
-				}
-			}
-			return data
-		},
-		func(name string, data []byte) []byte { // the manifest is cut
-			if strings.HasPrefix(name, "MANIFEST") {
-				return data[:len(data)/2]
-			}
-			return data
-		},
-		func(name string, data []byte) []byte { // the tables are gone
-			if strings.HasSuffix(name, ".sst") {
-				return nil
-			}
-			return data
-		},
-	} {
-		dir := filepath.Join(t.TempDir(), "state")
-		s, _, err := OpenStore(dir, Options{Retention: 100})
-		if err != nil {
-			t.Fatal(err)
-		}
-		for i := range 100 {
-			commit(s, note(dispatch.RecordRequestEnded, "once", fmt.Sprint(i), dispatch.Succeeded, 0))
-		}
-		s.db.Flush()
-		s.Close()
-		entries, _ := os.ReadDir(dir)
-		for _, e := range entries {
-			path := filepath.Join(dir, e.Name())
-			data, err := os.ReadFile(path)
-			if err != nil {
-				continue
-			}
-			if changed := harm(e.Name(), data); changed == nil {
-				os.Remove(path)
-			} else {
-				os.WriteFile(path, changed, 0o600)
-			}
-		}
-		s, found, err := OpenStore(dir, Options{Retention: 100})
-		if err != nil {
-			t.Fatal(err)
-		}
-		if found.QuarantinePath == "" && len(found.Records) != 100 {
-			t.Errorf("%d of 100 events, and not a word", len(found.Records))
-		}
-		if found.QuarantinePath != "" {
-			if _, err := os.Stat(found.QuarantinePath); err != nil {
-				t.Error(err)
-			}
-		}
-		if err := commit(s, note(dispatch.RecordRequestEnded, "once", "new", dispatch.Succeeded, 0)); err != nil {
-			t.Error(err)
-		}
-		s.Close()
+// A store of another format, by a newer program say, is refused. In quarantine, its records of requests that must not
+// run twice would be forgotten.
+func TestUnsupportedFormatIsRefused(t *testing.T) {
+	fs, clock := vfs.NewMem(), &fakeClock{boot: "a"}
+	s, _ := openStore(t, fs, clock)
+	if err := s.write([]mutation{{formatKey, []byte("streamcleat 99")}}); err != nil {
+		t.Fatal(err)
+	}
+	closeStore(t, s)
+	_, _, err := OpenStore("state", Options{FS: fs, Clock: clock.now, Retention: testRetention})
+	if !errors.Is(err, ErrUnsupportedFormat) || !strings.Contains(err.Error(), "99") {
+		t.Error(err)
 	}
 }
 
-// A store of another form, by a newer program say, is refused: put aside, what must not run twice would be forgotten.
-func TestStoreOfAnotherFormIsRefused(t *testing.T) {
-	fs, m := vfs.NewMem(), &machine{boot: "a"}
-	s, _ := open(t, fs, m)
-	if err := s.write([]op{{formKey, []byte("streamcleat 99")}}); err != nil {
-		t.Fatal(err)
-	}
-	s.Close()
-	if _, _, err := OpenStore("state", Options{FS: fs, Clock: m.stamp, Retention: 100}); !errors.Is(err, errForm) || !strings.Contains(err.Error(), "99") {
+func TestWriteAfterCloseIsRefused(t *testing.T) {
+	s, _ := openStore(t, vfs.NewMem(), &fakeClock{boot: "a"})
+	closeStore(t, s)
+	if err := commit(s, newRecord(dispatch.RecordAttemptStarted, "once", "1", 0)); !errors.Is(err, ErrClosed) {
 		t.Error(err)
 	}
 }
--- /dev/null
+++ b/internal/storage/stored_types.go
@@ -0,0 +1,89 @@
+package storage
+
+// The types in this file are the values on disk. Their CBOR keys and the order of their fields are part of the stored
+// format: a change of either loses data or needs a migration. Fields of dispatch may be renamed freely, because each
+// value passes through the conversions of record_codec.go. The numbers of dispatch.RecordKind, dispatch.ResponseKind
+// and dispatch.Cause are stored as they are.
+
+// storedRecord is a dispatch.Record: a request with an attempt that is still open, or an answered one.
+type storedRecord struct {
+	Kind         uint8         `cbor:"1,keyasint"` // dispatch.RecordKind
+	Source       string        `cbor:"2,keyasint"`
+	ID           string        `cbor:"3,keyasint"`
+	Class        string        `cbor:"4,keyasint"`
+	Function     string        `cbor:"5,keyasint,omitempty"`
+	Tenant       string        `cbor:"6,keyasint,omitempty"`
+	ResponseKind uint8         `cbor:"7,keyasint,omitempty"` // dispatch.ResponseKind
+	Cause        uint8         `cbor:"8,keyasint,omitempty"` // dispatch.Cause
+	RetryAfter   float64       `cbor:"9,keyasint,omitempty"`
+	Worker       string        `cbor:"10,keyasint,omitempty"`
+	Attempts     int           `cbor:"11,keyasint,omitempty"`
+	Fields       []storedField `cbor:"12,keyasint,omitempty"`
+	Body         []byte        `cbor:"13,keyasint,omitempty"`
+	MayHaveRun   bool          `cbor:"14,keyasint,omitempty"`
+	FirstRunAt   Timestamp     `cbor:"15,keyasint"` // first attempt that may have run
+	RecordedAt   Timestamp     `cbor:"16,keyasint"`
+	Elapsed      float64       `cbor:"17,keyasint,omitempty"`
+	Binding      storedBinding `cbor:"18,keyasint,omitempty"` // written also when it is zero: the encoder omits no structs
+}
+
+// storedScheduledRequest is a ScheduledRequest: a request of the appliance itself that has no answer yet.
+type storedScheduledRequest struct {
+	Request  storedRequest `cbor:"1,keyasint"`
+	Due      int64         `cbor:"2,keyasint"` // Unix seconds of the minute at which it was due
+	Deadline int64         `cbor:"3,keyasint"` // Unix seconds
+}
+
+// storedReplicaList is the list of known replicas and the time of its writing. A nil list is stored as null.
+type storedReplicaList struct {
+	RecordedAt Timestamp       `cbor:"1,keyasint"`
+	Replicas   []storedReplica `cbor:"2,keyasint"`
+}
+
+// storedField is a dispatch.Field.
+type storedField struct {
+	Name  string `cbor:"Name"`
+	Value string `cbor:"Value"`
+}
+
+// storedBinding is a dispatch.Binding.
+type storedBinding struct {
+	ID       string `cbor:"ID"`
+	Version  string `cbor:"Version"`
+	Digest   string `cbor:"Digest"`
+	Function string `cbor:"Function"`
+}
+
+// storedFunctionProfile is a dispatch.FunctionProfile.
+type storedFunctionProfile struct {
+	Concurrency int     `cbor:"Lanes"`
+	MemoryMB    float64 `cbor:"Memory"`
+	LoadTime    float64 `cbor:"Load"`
+}
+
+// storedRequest is a dispatch.Request. The source and id of its identity are keys beside the others.
+type storedRequest struct {
+	Source           string                `cbor:"Source"`
+	ID               string                `cbor:"ID"`
+	Class            string                `cbor:"Type"`
+	Tenant           string                `cbor:"Tenant"`
+	Function         string                `cbor:"Function"`
+	Timeout          float64               `cbor:"Wait"`
+	Fields           []storedField         `cbor:"Fields"` // null for a nil list
+	Body             []byte                `cbor:"Body"`   // null for a nil body
+	Retried          bool                  `cbor:"Repeated"`
+	StatedProfile    storedFunctionProfile `cbor:"Stated"`
+	ExpectedWork     float64               `cbor:"Work"`
+	RejectDuplicates bool                  `cbor:"Alone"`
+}
+
+// storedReplica is a dispatch.ReplicaSnapshot.
+type storedReplica struct {
+	Function        string        `cbor:"Function"`
+	Binding         storedBinding `cbor:"Binding"`
+	Concurrency     int           `cbor:"Lanes"`
+	LoadTime        float64       `cbor:"Load"`
+	Worker          string        `cbor:"Worker"`
+	WorkerStartedAt float64       `cbor:"Started"`
+	Age             float64       `cbor:"Age"`
+}
