--- /dev/null
+++ b/internal/appliance/api_schedules.go
@@ -0,0 +1,95 @@
+package appliance
+
+import (
+	"fmt"
+	"net/http"
+	"strings"
+	"time"
+
+	"streamcleat/internal/schedule"
+)
+
+// Timer is the status of an entry of the crontab.
+type Timer struct {
+	Entry      string     `json:"entry"`
+	Spec       string     `json:"spec"`
+	Zone       string     `json:"zone"`
+	Suspended  bool       `json:"held"`
+	LastFiring *time.Time `json:"last,omitempty"`
+	NextFiring *time.Time `json:"next,omitempty"`
+}
+
+// scheduleStatuses returns the entries in the order of the crontab.
+func (a *Appliance) scheduleStatuses() []Timer {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	statuses := []Timer{}
+	for i := range a.entries {
+		entry := &a.entries[i]
+		key := entry.Key()
+		status := Timer{Entry: key, Spec: entry.Spec, Zone: entry.Zone.String(), Suspended: a.suspended[key]}
+		if last, ok := a.lastFirings[key]; ok {
+			status.LastFiring = &last
+		}
+		if next := entry.Next(time.Now()); !next.IsZero() {
+			status.NextFiring = &next
+		}
+		statuses = append(statuses, status)
+	}
+	return statuses
+}
+
+// suspendEntry makes an entry not fire, or fire again.
+func (a *Appliance) suspendEntry(target string, resume bool) (string, error) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	entry, err := a.findEntry(target)
+	if err != nil {
+		return "", err
+	}
+	key := entry.Key()
+	a.suspended[key] = !resume
+	if resume {
+		return "entry " + key + " fires again", nil
+	}
+	return "entry " + key + " is held", nil
+}
+
+// fireEntry fires an entry for the present minute.
+func (a *Appliance) fireEntry(target string) (string, error) {
+	a.mu.Lock()
+	entry, err := a.findEntry(target)
+	a.mu.Unlock()
+	if err != nil {
+		return "", err
+	}
+	due := time.Now().Truncate(time.Minute)
+	firing := schedule.Firing{Entry: entry, Due: due, ID: schedule.FiringID(entry, due)}
+	if err := a.fireSchedules([]schedule.Firing{firing}); err != nil {
+		return "", err
+	}
+	return "fired " + firing.ID, nil
+}
+
+// findEntry returns the entry with a key, else the only one whose key contains the target. The caller holds the lock.
+func (a *Appliance) findEntry(target string) (*schedule.Entry, error) {
+	var matches []*schedule.Entry
+	for i := range a.entries {
+		entry := &a.entries[i]
+		key := entry.Key()
+		if key == target {
+			return entry, nil
+		}
+		if target != "" && strings.Contains(key, target) {
+			matches = append(matches, entry)
+		}
+	}
+	switch len(matches) {
+	case 0:
+		return nil, statusError{http.StatusNotFound, fmt.Sprintf("no timer entry fits %q", target)}
+	case 1:
+		return matches[0], nil
+	}
+	message := fmt.Sprintf("%q fits %d timer entries, %s and others", target, len(matches), matches[0].Key())
+	return nil, statusError{http.StatusBadRequest, message}
+}
--- a/internal/appliance/box_test.go
+++ b/internal/appliance/appliance_test.go
@@ -187,7 +187,7 @@
 			t.Fatal(said)
 		}
 	}
-	r.wait("both are out", func() bool { return r.status().Out == 2 })
+	r.wait("both are out", func() bool { return r.status().InFlight == 2 })
 	if status, said := r.order(`{"order":"stop","now":true,"console":"a"}`); status != 200 {
 		t.Fatal(said)
 	}
@@ -266,7 +266,7 @@
 		r.workers[0].Inject(fakes.Fault{Kind: "stall", For: 0.6})
 		out := make(chan schedule.Result)
 		go func() { out <- r.fire("again", "open") }()
-		r.wait("it is out", func() bool { return r.status().Out == 1 })
+		r.wait("it is out", func() bool { return r.status().InFlight == 1 })
 		r.stop()
 		want := 200
 		if hurry {
@@ -298,7 +298,7 @@
 	write("61 0 1 1 * again tally\n")
 	r.wait("the fault is shown", func() bool {
 		for _, c := range r.status().Tasks {
-			if c.Name == "crontab" && strings.Contains(c.LastErr, "crontab:1: schedule") {
+			if c.Name == "crontab" && strings.Contains(c.LastError, "crontab:1: schedule") {
 				return true
 			}
 		}
--- a/internal/appliance/campaign_test.go
+++ b/internal/appliance/crash_test.go
@@ -226,7 +226,7 @@
 	}
 	var fire []storage.Firing
 	for _, f := range l.plan.Due(wallOf(l.m.now())) {
-		a := ask("/own", f)
+		a := newScheduledRequest("/own", f)
 		l.w.types[a.Identity] = a.Class
 		l.w.minutes[a.Identity] = true
 		l.own[a.Identity] = true
--- a/internal/appliance/registry_test.go
+++ b/internal/appliance/function_registry_test.go
@@ -346,7 +346,7 @@
 	}
 	log := slog.New(slog.DiscardHandler)
 	var g functionRegistry
-	if err := errors.Join(g.open(store, nil), g.rekey(path, log)); err != nil {
+	if err := errors.Join(g.open(store, nil), g.reloadKeys(path, log)); err != nil {
 		t.Fatal(err)
 	}
 	name, d := version(0)
@@ -354,7 +354,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := g.change(Change{Entry: registry.Entry{Actor: "test", Publish: &registry.Version{Function: "tally", Name: name, Digest: d}},
+	if _, err := g.applyChange(Change{Entry: registry.Entry{Actor: "test", Publish: &registry.Version{Function: "tally", Name: name, Digest: d}},
 		Signatures: [][]byte{e}}); err != nil {
 		t.Fatal(err)
 	}
@@ -364,7 +364,7 @@
 	k.Revoked = true
 	write()
 	for range 2 {
-		if err := g.rekey(path, log); err == nil {
+		if err := g.reloadKeys(path, log); err == nil {
 			t.Error("the version stands, and nobody is told")
 		}
 	}
--- a/internal/appliance/life_test.go
+++ b/internal/appliance/lifecycle_test.go
@@ -107,7 +107,7 @@
 		t.Fatalf("%q: starved for ever", name)
 	}
 	c.Done(26, "low", 0.1, false, errors.New("disk"))
-	if v := c.View(26)[0]; v.Failures != 1 || v.LastErr != "disk" || v.Due < 1.9 {
+	if v := c.View(26)[0]; v.Failures != 1 || v.LastError != "disk" || v.Due < 1.9 {
 		t.Fatalf("%+v", v)
 	}
 }
@@ -129,8 +129,8 @@
 			}
 		}
 		for i, v := range c.View(600) {
-			if v.Slices == 0 || v.Waited > list[i].MaxDelay+3 {
-				t.Fatalf("seed %d: chore %d waited %.1f s, its patience is %.1f; %d slices", seed, i, v.Waited, list[i].MaxDelay, v.Slices)
+			if v.Slices == 0 || v.LongestWait > list[i].MaxDelay+3 {
+				t.Fatalf("seed %d: chore %d waited %.1f s, its patience is %.1f; %d slices", seed, i, v.LongestWait, list[i].MaxDelay, v.Slices)
 			}
 		}
 	}
--- /dev/null
+++ b/internal/appliance/releases.go
@@ -0,0 +1,157 @@
+package appliance
+
+import (
+	"errors"
+	"fmt"
+	"log/slog"
+	"time"
+
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/registry"
+)
+
+// Release moves an alias of many functions to the version with the same tag, a few loads at a time.
+type Release struct {
+	Alias     string   `json:"alias"`
+	Tag       string   `json:"tag"`       // of the version that the alias moves to
+	Functions []string `json:"functions"` // empty: all that have the version
+	Loads     int      `json:"loads"`     // at the same time
+}
+
+// startRelease plans a release. Only one may be under way.
+func (g *functionRegistry) startRelease(release Release, actor string) (string, error) {
+	if g.pacer != nil {
+		return "", fmt.Errorf("a release by %s is under way", g.releasedBy)
+	}
+	migrations, err := g.planMigrations(release)
+	if err != nil {
+		return "", err
+	}
+	if len(migrations) == 0 {
+		return "", fmt.Errorf("no function goes to %s by that: none has the version, or all have it already", release.Tag)
+	}
+	g.pacer, g.releasedBy = registry.NewRolloutPacer(release.Alias, release.Loads, migrations), actor
+	return fmt.Sprintf("%d functions go to %s, the most asked for first, %d loads at a time",
+		len(migrations), release.Tag, max(release.Loads, 1)), nil
+}
+
+// planMigrations returns the functions that a release moves: those that have the version and do not use it already.
+// Functions that the release names must have it.
+func (g *functionRegistry) planMigrations(release Release) ([]registry.Migration, error) {
+	names := release.Functions
+	if len(names) == 0 {
+		for _, function := range g.registry.List() {
+			names = append(names, function.Function)
+		}
+	}
+	var migrations []registry.Migration
+	for _, name := range names {
+		version, err := g.registry.Find(name + ":" + release.Tag)
+		switch {
+		case errors.Is(err, registry.ErrUnknown) && len(release.Functions) == 0:
+			continue
+		case err != nil:
+			return nil, err
+		case version.Withdrawn:
+			return nil, fmt.Errorf("%s:%s: %w", name, release.Tag, registry.ErrWithdrawn)
+		}
+		if current, err := g.registry.Find(name + ":" + release.Alias); err == nil && current.Digest == version.Digest {
+			continue
+		}
+		migrations = append(migrations, registry.Migration{Function: name, To: version.Digest,
+			RequestRate: float64(g.requestCounts[name]), LoadTime: version.LoadTime})
+	}
+	return migrations, nil
+}
+
+// advanceRelease takes the release under way a step on. preload asks every server to load a version; isLoaded reports
+// whether all of them know a replica of it.
+func (g *functionRegistry) advanceRelease(now float64, log *slog.Logger, preload func(reference string) error,
+	isLoaded func(id string) bool,
+) error {
+	g.mu.Lock()
+	pacer := g.pacer
+	g.mu.Unlock()
+	if pacer == nil {
+		return nil
+	}
+	for _, migration := range pacer.Next(now) {
+		if err := preload(migration.Function + "@" + string(migration.To)); err != nil {
+			return err
+		}
+		pacer.OnRequest(migration.Function, now)
+	}
+	for _, migration := range pacer.Loading() {
+		if !isLoaded(migration.Function + "@" + string(migration.To)) {
+			continue
+		}
+		if move, due := pacer.OnLoaded(migration.Function, now); due {
+			g.moveReleased(&move, log)
+		}
+	}
+	if remaining, abandoned := pacer.Remaining(); remaining == 0 {
+		log.Info("release ended", "actor", g.releasedBy, "pauses", pacer.Pauses, "given_up", fmt.Sprint(abandoned))
+		g.mu.Lock()
+		g.pacer = nil
+		g.mu.Unlock()
+	}
+	return nil
+}
+
+// moveReleased moves an alias of the release. A version that was withdrawn meanwhile does not stop the others.
+func (g *functionRegistry) moveReleased(move *registry.Move, log *slog.Logger) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	entry := registry.Entry{At: unixSeconds(time.Now()), Actor: g.releasedBy, Move: move, Reason: reasonRelease}
+	if err := g.applyEntry(entry); err != nil {
+		log.Error("release: an alias does not move", "function", move.Function, "error", err)
+	}
+}
+
+// advanceRollouts takes rollouts a step on, or back.
+func (g *functionRegistry) advanceRollouts(log *slog.Logger) error {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	for _, entry := range g.registry.AdvanceRollouts(unixSeconds(time.Now())) {
+		if err := g.applyEntry(entry); err != nil {
+			return err
+		}
+		if move := entry.Move; move != nil {
+			log.Info("rollout ended", "function", move.Function, "alias", move.Alias, "digest", move.Digest, "reason", entry.Reason)
+			continue
+		}
+		rollout := entry.Rollout
+		log.Info("rollout goes on", "function", rollout.Function, "alias", rollout.Alias, "share", rollout.Share, "reason", entry.Reason)
+	}
+	return nil
+}
+
+// rolloutTargets returns references of the versions that rollouts lead to.
+func (g *functionRegistry) rolloutTargets() (references []string) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	for _, function := range g.registry.List() {
+		for _, rollout := range function.Rollouts {
+			references = append(references, rollout.Function+"@"+string(rollout.To))
+		}
+	}
+	return references
+}
+
+// recordResult counts a response for rollouts. A version is at fault for errors, failed loads and a wrong digest, not
+// for a worker that hangs or a fleet without capacity.
+func (g *functionRegistry) recordResult(response dispatch.Response) {
+	reference, err := registry.ParseRef(response.Binding.ID)
+	if response.Binding.ID == "" || err != nil {
+		return
+	}
+	atFault := response.Cause == dispatch.CauseWorkerFailed || response.Cause == dispatch.CauseLoadFailed ||
+		response.Cause == dispatch.CauseWrongDigest
+	if response.Kind != dispatch.Succeeded && !atFault {
+		return
+	}
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.requestCounts[reference.Function]++
+	g.registry.RecordResult(reference.Function, reference.Digest, atFault)
+}
--- /dev/null
+++ b/internal/appliance/schedules.go
@@ -0,0 +1,199 @@
+package appliance
+
+import (
+	"bytes"
+	"fmt"
+	"maps"
+	"os"
+	"time"
+
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/eventloop"
+	"streamcleat/internal/schedule"
+	"streamcleat/internal/storage"
+)
+
+// maxSchedulePause bounds the sleep until the next firing: the clock may be set meanwhile, and the appliance stopped.
+const maxSchedulePause = time.Second
+
+// planSchedules plans the crontab from the last firings of an earlier process.
+func (a *Appliance) planSchedules() error {
+	maps.Copy(a.lastFirings, a.recovered.LastFirings)
+	return a.reloadCrontab()
+}
+
+// reloadCrontab reads the crontab and replaces the plan if it has changed. An invalid crontab leaves the last one in
+// force.
+func (a *Appliance) reloadCrontab() error {
+	path := a.config.Path(a.config.Timers.Crontab)
+	data, err := os.ReadFile(path)
+	if err != nil {
+		return fmt.Errorf("crontab: %w", err)
+	}
+	if a.plan != nil && bytes.Equal(data, a.crontab) {
+		return nil
+	}
+	entries, err := schedule.Parse(bytes.NewReader(data), path)
+	if err != nil {
+		return err
+	}
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.plan != nil {
+		a.log.Info("the crontab changed", "entries", len(entries), "previous", len(a.entries))
+	}
+	// A new entry is planned from now on; one that stays continues from its last firing.
+	a.crontab, a.entries = data, entries
+	a.plan = schedule.Resume(entries, a.lastFirings, time.Now())
+	return nil
+}
+
+// dueFirings are the firings that are due, and when the next one is.
+type dueFirings struct {
+	firings []schedule.Firing
+	next    time.Time
+	planned bool // there is a next one
+}
+
+// pause returns how long to sleep until the next firing.
+func (d *dueFirings) pause() time.Duration {
+	if !d.planned {
+		return maxSchedulePause
+	}
+	return min(max(time.Until(d.next), time.Millisecond), maxSchedulePause)
+}
+
+// runSchedules fires what is due until schedules are suspended. A firing is on disk before its request is submitted:
+// a restart neither loses a minute nor fires it twice.
+func (a *Appliance) runSchedules() {
+	if a.config.Timers == nil {
+		return
+	}
+	for {
+		due, running := a.takeDue()
+		if !running {
+			return
+		}
+		if len(due.firings) > 0 {
+			if err := a.fireSchedules(due.firings); err != nil {
+				a.log.Error("timers were not noted and do not fire", "firings", len(due.firings), "error", err)
+			}
+		}
+		time.Sleep(due.pause())
+	}
+}
+
+// takeDue takes the firings that are due out of the plan, without those of suspended entries. It reports false when
+// all schedules are suspended.
+func (a *Appliance) takeDue() (due dueFirings, running bool) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.schedulesSuspended {
+		return due, false
+	}
+	for _, firing := range a.plan.Due(time.Now()) {
+		if a.suspended[firing.Entry.Key()] {
+			a.log.Info("not fired: the entry is suspended", "request_id", firing.ID)
+			continue
+		}
+		due.firings = append(due.firings, firing)
+	}
+	due.next, due.planned = a.plan.Next()
+	return due, true
+}
+
+// fireSchedules stores firings and submits their requests.
+func (a *Appliance) fireSchedules(firings []schedule.Firing) error {
+	var stored []storage.Firing
+	for _, f := range firings {
+		request := newScheduledRequest(a.scheduleSource(), f)
+		stored = append(stored, storage.Firing{Entry: f.Entry.Key(), Due: f.Due, Deadline: f.Deadline(), Request: request})
+	}
+	if a.store != nil {
+		if err := a.store.RecordFirings(stored); err != nil {
+			return err
+		}
+	}
+	a.mu.Lock()
+	for _, f := range stored {
+		a.lastFirings[f.Entry] = f.Due
+	}
+	a.mu.Unlock()
+	for _, f := range stored {
+		a.submitScheduled(f.Request, f.Deadline, 1)
+	}
+	return nil
+}
+
+// submitScheduled submits a request of the appliance itself. A rejected one is retried until its deadline.
+func (a *Appliance) submitScheduled(request dispatch.Request, deadline time.Time, attempt int) {
+	err := a.serverOf(request.ID).Submit(request, func(response dispatch.Response) {
+		a.onScheduledResponse(request, deadline, attempt, response)
+	})
+	if err != nil {
+		a.log.Warn("scheduled request not submitted", "request_id", request.String(), "error", err)
+	}
+}
+
+// onScheduledResponse retries a rejected request, or stores that it has its answer. One that is rejected by the
+// shutdown stays open for the next process.
+func (a *Appliance) onScheduledResponse(request dispatch.Request, deadline time.Time, attempt int, response dispatch.Response) {
+	if response.Kind == dispatch.Rejected {
+		if response.Cause == dispatch.CauseShuttingDown {
+			return
+		}
+		pause, retry := schedule.NextRetry(deadline, time.Now(), attempt, seconds(response.RetryAfter))
+		if retry {
+			time.AfterFunc(pause, func() { a.submitScheduled(request, deadline, attempt+1) })
+			return
+		}
+	}
+	if response.Kind != dispatch.Succeeded {
+		a.log.Error("a timer's event was not handled", "request_id", request.String(), "outcome", response.Kind.String(),
+			"cause", response.Cause.String(), "attempt", attempt)
+	}
+	if a.store != nil {
+		a.store.ScheduledRequestDone(request.Identity)
+	}
+}
+
+// serverOf returns the server to which a schedule client of the same crontab would send a firing.
+func (a *Appliance) serverOf(firingID string) *eventloop.Server {
+	return a.serverByAddress[schedule.RendezvousOrder(a.addresses, firingID)[0]]
+}
+
+// scheduleSource returns the source of the identities of scheduled requests.
+func (a *Appliance) scheduleSource() string {
+	if a.config.Timers != nil && a.config.Timers.Source != "" {
+		return a.config.Timers.Source
+	}
+	return "/timers/" + a.config.Name
+}
+
+// newScheduledRequest returns the request of a firing: a CloudEvent in binary mode.
+func newScheduledRequest(source string, firing schedule.Firing) dispatch.Request {
+	entry := firing.Entry
+	fields := []dispatch.Field{
+		{Name: "ce-specversion", Value: "1.0"},
+		{Name: "ce-source", Value: source},
+		{Name: "ce-id", Value: firing.ID},
+		{Name: "ce-type", Value: entry.Class},
+		{Name: "ce-time", Value: firing.Due.UTC().Format(time.RFC3339)},
+		{Name: "ce-function", Value: entry.Function},
+	}
+	if entry.Tenant != "" {
+		fields = append(fields, dispatch.Field{Name: "ce-tenant", Value: entry.Tenant})
+	}
+	if len(entry.Data) > 0 {
+		fields = append(fields, dispatch.Field{Name: "Content-Type", Value: "application/json"})
+	}
+	return dispatch.Request{
+		Identity: dispatch.Identity{Source: source, ID: firing.ID},
+		Class:    entry.Class,
+		Tenant:   entry.Tenant,
+		Function: entry.Function,
+		Timeout:  entry.Timeout.Seconds(),
+		Fields:   fields,
+		Body:     entry.Data,
+	}
+}
--- /dev/null
+++ b/internal/appliance/startup.go
@@ -0,0 +1,197 @@
+package appliance
+
+import (
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"time"
+
+	"streamcleat/internal/eventloop"
+	"streamcleat/internal/proxy"
+	"streamcleat/internal/storage"
+	"streamcleat/internal/telemetry"
+)
+
+// readHeaderTimeout bounds how long a client of the console or of the metrics may take to send its request head.
+const readHeaderTimeout = 5 * time.Second
+
+// openStore opens the state folder and reports it to the lifecycle.
+func (a *Appliance) openStore() {
+	if err := a.loadState(); err != nil {
+		a.fail(err)
+		return
+	}
+	a.mu.Lock()
+	a.tasks = NewTaskScheduler(a.uptime(), a.backgroundTasks()...)
+	a.mu.Unlock()
+	a.post(StoreOpened, "")
+}
+
+// loadState recovers the state and, from its audit trail, the function registry.
+func (a *Appliance) loadState() error {
+	if a.config.State != nil {
+		var err error
+		a.store, a.recovered, err = storage.OpenStore(a.config.Path(a.config.State.Dir),
+			storage.Options{Retention: a.config.Limits.Remember, Log: a.log})
+		if err != nil {
+			return err
+		}
+		a.log.Info("state", "records", len(a.recovered.Records), "scheduled_requests", len(a.recovered.ScheduledRequests),
+			"clean_shutdown", a.recovered.CleanShutdown, "created", a.recovered.Created, "quarantine", a.recovered.QuarantinePath)
+		if err := a.store.SaveConfig(a.config.Document()); err != nil {
+			return err
+		}
+	}
+	if err := a.functions.open(a.store, a.recovered.AuditTrail); err != nil {
+		return err
+	}
+	if a.config.Registry == nil {
+		return nil
+	}
+	return a.functions.reloadKeys(a.config.Path(a.config.Registry.Keys), a.log)
+}
+
+// recoverState starts the servers with what was recovered, and submits the appliance's own open requests again.
+func (a *Appliance) recoverState() {
+	if err := a.startServing(); err != nil {
+		a.fail(err)
+		return
+	}
+	for _, scheduled := range a.recovered.ScheduledRequests {
+		a.log.Info("begun again after a restart", "request_id", scheduled.Request.String(), "due", scheduled.Due)
+		a.submitScheduled(scheduled.Request, scheduled.Deadline, 1)
+	}
+	if a.onReady != nil {
+		a.onReady(a.addresses)
+	}
+	a.post(StateRecovered, "")
+}
+
+// startServing starts the exporters, the servers and the schedules.
+func (a *Appliance) startServing() error {
+	if err := a.startTelemetry(); err != nil {
+		return err
+	}
+	if err := a.startServers(); err != nil {
+		return err
+	}
+	if a.config.Timers == nil {
+		return nil
+	}
+	return a.planSchedules()
+}
+
+func (a *Appliance) startTelemetry() error {
+	settings := telemetry.Settings{Gauges: a.gauges, LatencyObjective: a.latencyObjective}
+	if traces := a.config.Traces; traces != nil {
+		file, err := telemetry.SpanFile(a.config.Path(traces.File))
+		if err != nil {
+			return err
+		}
+		settings.Spans, settings.Share = file, traces.Share
+		a.closers = append(a.closers, func() error { return errors.Join(a.recorder.Close(), file.Close()) })
+	}
+	var err error
+	if a.recorder, err = telemetry.New(settings); err != nil {
+		return err
+	}
+	if a.config.Metrics == nil {
+		return nil
+	}
+	return a.startMetricsServer(a.config.Metrics.Listen)
+}
+
+// latencyObjective returns the latency objective of a request class in seconds, or 0 when it has none.
+func (a *Appliance) latencyObjective(class string) float64 {
+	for _, c := range a.config.RequestClasses {
+		if c.Name == class {
+			return c.LatencyObjective
+		}
+	}
+	return 0
+}
+
+func (a *Appliance) startMetricsServer(address string) error {
+	server := &http.Server{Addr: address, Handler: a.recorder.Handler(), ReadHeaderTimeout: readHeaderTimeout}
+	listener, err := net.Listen("tcp", address)
+	if err != nil {
+		return fmt.Errorf("metrics: %w", err)
+	}
+	go a.serveHTTP(server, listener)
+	a.closers = append(a.closers, server.Close)
+	return nil
+}
+
+// serveHTTP serves until the server is closed.
+func (a *Appliance) serveHTTP(server *http.Server, listener net.Listener) {
+	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+		a.log.Error("HTTP server ended", "address", listener.Addr().String(), "error", err)
+	}
+}
+
+// startServers starts a server on each configured address.
+func (a *Appliance) startServers() error {
+	if a.config.Workers.File == "" {
+		a.log.Warn("no list of workers is configured (workers.file): every event will be deferred")
+	}
+	for i, address := range a.config.Listen {
+		server, err := eventloop.Start(a.serverSettings(i, address))
+		if err != nil {
+			return err
+		}
+		a.mu.Lock()
+		a.servers = append(a.servers, server)
+		a.addresses = append(a.addresses, server.Addr())
+		a.serverByAddress[server.Addr()] = server
+		a.mu.Unlock()
+	}
+	for _, lost := range a.servers[0].Lost() {
+		a.log.Error("dead-lettered at the restart: it may have run and must not run again", "request_id", lost.Identity.String(),
+			"class", lost.Class, "function", lost.Function)
+	}
+	return nil
+}
+
+// serverSettings returns the settings of the server with a number.
+func (a *Appliance) serverSettings(number int, address string) eventloop.Settings {
+	cfg := a.config
+	name := cfg.Name
+	if len(cfg.Listen) > 1 {
+		name = fmt.Sprintf("%s-%d", cfg.Name, number)
+	}
+	dispatchSettings := cfg.Dispatch(rand.Uint64())
+	dispatchSettings.ResolveVersion = a.resolveVersion
+	dispatchSettings.VersionAllowed = a.functions.isVersionAllowed
+	settings := eventloop.Settings{
+		Listen:      address,
+		WorkersFile: cfg.Path(cfg.Workers.File),
+		Settings: proxy.Settings{
+			Name:             name,
+			Dispatch:         dispatchSettings,
+			Upstream:         cfg.Upstream(name),
+			Downstream:       cfg.Downstream(),
+			MaxClients:       cfg.Limits.Connections,
+			Log:              a.log,
+			Recovered:        a.recovered.Records,
+			ReplicaSnapshots: a.recovered.Replicas,
+			OnRequestEnd:     a.onRequestEnd,
+			RecordTimeout:    cfg.Limits.Margin / 2,
+		},
+	}
+	if a.store != nil {
+		settings.RecordStore = a.store
+	}
+	if peers := cfg.Peers; peers != nil {
+		settings.PeerListen = peers.Listen[number]
+		settings.Cluster = peers.Cluster
+		settings.Peers = append(settings.Peers, peers.Others...)
+		for i, other := range peers.Listen {
+			if i != number {
+				settings.Peers = append(settings.Peers, other)
+			}
+		}
+	}
+	return settings
+}
--- /dev/null
+++ b/internal/appliance/statistics.go
@@ -0,0 +1,106 @@
+package appliance
+
+import (
+	"fmt"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"streamcleat/internal/dispatch"
+)
+
+const (
+	statisticsSeconds = 60         // seconds that the console shows
+	maxLatencyMicros  = 60_000_000 // the highest latency that the histogram takes
+	latencyDigits     = 2          // significant digits of a latency
+	microsPerSecond   = 1e6
+)
+
+// requestStatistics are the counts of requests that ended lately, for the console.
+type requestStatistics struct {
+	current secondCounts // the second that is under way
+	ring    [statisticsSeconds]secondCounts
+	written int                     // seconds written to the ring since the start
+	latency *hdrhistogram.Histogram // of succeeded requests since the start, in microseconds
+}
+
+// secondCounts are the requests that ended within a second. Late is always 0 and part of the documented JSON.
+type secondCounts struct {
+	Succeeded int `json:"Handled"`
+	Rejected  int `json:"Deferred"`
+	Failed    int `json:"DeadLettered"`
+	Late      int `json:"Late"`
+}
+
+func newRequestStatistics() requestStatistics {
+	return requestStatistics{latency: hdrhistogram.New(1, maxLatencyMicros, latencyDigits)}
+}
+
+// record counts an ended request.
+func (s *requestStatistics) record(response dispatch.Response) {
+	switch response.Kind {
+	case dispatch.Succeeded:
+		s.current.Succeeded++
+		// A latency above the highest one is left out.
+		_ = s.latency.RecordValue(max(int64(response.Elapsed*microsPerSecond), 1))
+	case dispatch.Rejected:
+		s.current.Rejected++
+	case dispatch.Failed:
+		s.current.Failed++
+	}
+}
+
+// endSecond begins the next second.
+func (s *requestStatistics) endSecond() {
+	s.ring[s.written%len(s.ring)] = s.current
+	s.written++
+	s.current = secondCounts{}
+}
+
+// lastSeconds returns the counts of the last minute, the oldest second first.
+func (s *requestStatistics) lastSeconds() []secondCounts {
+	var counts []secondCounts
+	n := min(s.written, len(s.ring))
+	for i := range n {
+		counts = append(counts, s.ring[(s.written-n+i)%len(s.ring)])
+	}
+	return counts
+}
+
+// latencyQuantiles returns latencies in milliseconds by the name of their quantile.
+func (s *requestStatistics) latencyQuantiles() map[string]float64 {
+	quantiles := map[string]float64{}
+	for _, q := range []float64{50, 90, 99} {
+		quantiles[fmt.Sprintf("p%g", q)] = float64(s.latency.ValueAtQuantile(q)) / 1000
+	}
+	return quantiles
+}
+
+// onRequestEnd records a request that has ended. It is called on the event loop of its server.
+func (a *Appliance) onRequestEnd(response dispatch.Response, trace *dispatch.Trace) {
+	a.recorder.OnRequestEnd(response, trace)
+	a.functions.recordResult(response)
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.statistics.record(response)
+}
+
+// gauges returns the present values of the metrics.
+func (a *Appliance) gauges() map[string]float64 {
+	values := map[string]float64{}
+	for _, server := range a.runningServers() {
+		counts, clients, workers, err := server.Counts()
+		if err != nil {
+			continue
+		}
+		values["open_events"] += float64(counts.Open)
+		values["launches_out"] += float64(counts.InFlight)
+		values["answers_kept"] += float64(counts.Cached)
+		values["answers_kept_bytes"] += float64(counts.CachedBytes)
+		values["client_connections"] += float64(clients)
+		values["worker_connections"] += float64(workers)
+	}
+	if a.store != nil {
+		values["state_bytes"] = float64(a.store.Size())
+	}
+	return values
+}
--- a/internal/console/tables.go
+++ b/internal/console/tables.go
@@ -69,15 +69,15 @@
 func StatusText(s appliance.Status, width int) string {
 	state := s.State
 	if s.State == "draining" {
-		state += fmt.Sprintf(" (%.0f s left)", s.DrainLeft)
+		state += fmt.Sprintf(" (%.0f s left)", s.DrainTimeLeft)
 	}
 	if s.Reason != "" {
 		state += ", by " + s.Reason
 	}
 	var rate, bad []float64
 	for _, x := range s.Seconds {
-		rate = append(rate, float64(x.Handled+x.Deferred+x.DeadLettered))
-		bad = append(bad, float64(x.Deferred+x.DeadLettered))
+		rate = append(rate, float64(x.Succeeded+x.Rejected+x.Failed))
+		bad = append(bad, float64(x.Rejected+x.Failed))
 	}
 	last := func(f []float64) string {
 		if len(f) == 0 {
@@ -95,32 +95,32 @@
 	rows := [][]string{
 		{"state", state},
 		{"up", span(s.Uptime) + ", front ends " + strings.Join(s.FrontEnds, ", ")},
-		{"events", fmt.Sprintf("%d open, %d out at workers, %d clients", s.Open, s.Out, s.Clients)},
+		{"events", fmt.Sprintf("%d open, %d out at workers, %d clients", s.Open, s.InFlight, s.Clients)},
 		{"ended", fmt.Sprintf("%d handled, %d deferred, %d dead-lettered; %d joined or repeated", s.Totals["handled"], s.Totals["deferred"],
 			s.Totals["dead_lettered"], s.Totals["joined"]+s.Totals["from_kept"])},
 		{"latency", fmt.Sprintf("p50 %.0f ms, p90 %.0f ms, p99 %.0f ms", s.Latency["p50"], s.Latency["p90"], s.Latency["p99"])},
 		{"a second", fmt.Sprintf("%4s %s", last(rate), Spark(rate, max(width-20, 10)))},
 		{"not handled", fmt.Sprintf("%4s %s", last(bad), Spark(bad, max(width-20, 10)))},
 		{"workers", strings.Join(workers, ", ")},
-		{"handlers", fmt.Sprint(s.Handlers)},
+		{"handlers", fmt.Sprint(s.FunctionCount)},
 	}
 	if st := s.Store; st != nil {
-		text := fmt.Sprintf("%s, %d notes in %d writes, %d read back", size(st.Bytes), st.Notes, st.Syncs, st.Restored)
-		if st.Failed != "" {
-			text = "FAILED: " + st.Failed
+		text := fmt.Sprintf("%s, %d notes in %d writes, %d read back", size(st.Bytes), st.Records, st.Commits, st.RecoveredRecords)
+		if st.Error != "" {
+			text = "FAILED: " + st.Error
 		}
-		if st.SetAside != "" {
-			text += "; an older one is set aside in " + st.SetAside
+		if st.QuarantinePath != "" {
+			text += "; an older one is set aside in " + st.QuarantinePath
 		}
 		rows = append(rows, []string{"state on disk", text})
 	}
-	if s.Writer != "" {
-		rows = append(rows, []string{"orders", fmt.Sprintf("given by console %s, %s ago", s.Writer, span(s.WriterIdle))})
+	if s.ActiveConsole != "" {
+		rows = append(rows, []string{"orders", fmt.Sprintf("given by console %s, %s ago", s.ActiveConsole, span(s.ActiveConsoleIdle))})
 	}
 	for _, c := range s.Tasks {
-		text := fmt.Sprintf("%d rounds, %s used, next in %s", c.Rounds, span(c.Used), span(math.Max(c.Due, 0)))
-		if c.LastErr != "" {
-			text = fmt.Sprintf("failed %d times: %s", c.Failures, c.LastErr)
+		text := fmt.Sprintf("%d rounds, %s used, next in %s", c.Rounds, span(c.TimeUsed), span(math.Max(c.Due, 0)))
+		if c.LastError != "" {
+			text = fmt.Sprintf("failed %d times: %s", c.Failures, c.LastError)
 		}
 		rows = append(rows, []string{c.Name, text})
 	}
@@ -141,11 +141,11 @@
 	rows := [][]string{{"WORKER", "STATE", "OUT", "ROOM", "LOAD", "WARM", "COPIES", "LOADING", "KIND"}}
 	for _, w := range list {
 		state := w.State
-		if w.Ordered {
+		if w.DrainedByCommand {
 			state += " (by order)"
 		}
-		rows = append(rows, []string{w.Name, state, fmt.Sprint(w.Out), fmt.Sprintf("%.0f", w.Room), fmt.Sprintf("%.1f", w.Load),
-			fmt.Sprintf("%.0f%%", w.Warmth*100), fmt.Sprint(w.Copies), fmt.Sprint(w.Loading), w.Kind})
+		rows = append(rows, []string{w.Name, state, fmt.Sprint(w.InFlight), fmt.Sprintf("%.0f", w.ConcurrencyLimit), fmt.Sprintf("%.1f", w.Load),
+			fmt.Sprintf("%.0f%%", w.WarmUpProgress*100), fmt.Sprint(w.Replicas), fmt.Sprint(w.PendingLoads), w.MachineType})
 	}
 	return rows
 }
@@ -153,12 +153,12 @@
 func HandlerRows(list []appliance.FunctionStatus) [][]string {
 	rows := [][]string{{"HANDLER", "OUT", "WAITING", "MEDIAN", "LANES", "LOADED ON"}}
 	for _, h := range list {
-		on := strings.Join(h.Warm, " ")
-		if len(h.Loading) > 0 {
-			on += " (loading on " + strings.Join(h.Loading, " ") + ")"
+		on := strings.Join(h.LoadedOn, " ")
+		if len(h.LoadingOn) > 0 {
+			on += " (loading on " + strings.Join(h.LoadingOn, " ") + ")"
 		}
-		rows = append(rows, []string{h.Name, fmt.Sprint(h.Out), fmt.Sprint(h.Waiting),
-			fmt.Sprintf("%.0f ms", h.Median), fmt.Sprint(h.Lanes), on})
+		rows = append(rows, []string{h.Name, fmt.Sprint(h.InFlight), fmt.Sprint(h.Waiters),
+			fmt.Sprintf("%.0f ms", h.MedianLatency), fmt.Sprint(h.Concurrency), on})
 	}
 	return rows
 }
@@ -166,9 +166,9 @@
 func EventRows(list []appliance.RequestStatus) [][]string {
 	rows := [][]string{{"AGO", "OUTCOME", "CAUSE", "TOOK", "TRIES", "FUNCTION", "WORKER", "EVENT"}}
 	for _, e := range list {
-		r := []string{span(e.Ago), e.Outcome, e.Cause, span(e.Took), fmt.Sprint(e.Launches), e.Function, e.Worker, e.ID}
+		r := []string{span(e.Age), e.Outcome, e.Cause, span(e.Elapsed), fmt.Sprint(e.Attempts), e.Function, e.Worker, e.ID}
 		if e.Open {
-			r[1], r[2], r[3] = "open", "", span(math.Max(e.Left, 0))+" left"
+			r[1], r[2], r[3] = "open", "", span(math.Max(e.TimeLeft, 0))+" left"
 		}
 		rows = append(rows, r)
 	}
@@ -185,10 +185,10 @@
 	}
 	for _, t := range list {
 		held := ""
-		if t.Held {
+		if t.Suspended {
 			held = "held"
 		}
-		rows = append(rows, []string{at(t.Next), at(t.Last), held, t.Zone, t.Entry})
+		rows = append(rows, []string{at(t.NextFiring), at(t.LastFiring), held, t.Zone, t.Entry})
 	}
 	return rows
 }
@@ -198,11 +198,11 @@
 
 // EventText shows the way of one event.
 func EventText(e appliance.RequestStatus) string {
-	end := fmt.Sprintf("%s (%s) after %s", e.Outcome, e.Cause, span(e.Took))
+	end := fmt.Sprintf("%s (%s) after %s", e.Outcome, e.Cause, span(e.Elapsed))
 	if e.Open {
-		end = fmt.Sprintf("open; its client waits %s more", span(math.Max(e.Left, 0)))
+		end = fmt.Sprintf("open; its client waits %s more", span(math.Max(e.TimeLeft, 0)))
 	}
-	rows := [][]string{{"event", e.Source + "#" + e.ID}, {"type", e.Type + ", function " + e.Function}, {"came in", span(e.Ago) + " ago, at " + e.Front},
+	rows := [][]string{{"event", e.Source + "#" + e.ID}, {"type", e.Class + ", function " + e.Function}, {"came in", span(e.Age) + " ago, at " + e.FrontEnd},
 		{"end", end}}
 	if e.Tenant != "" {
 		rows[1][1] += ", tenant " + e.Tenant
--- a/internal/console/tui.go
+++ b/internal/console/tui.go
@@ -203,7 +203,7 @@
 	case m.at == timetable && k == "f":
 		return &appliance.Command{Order: "fire", Target: target}
 	case m.at == timetable && k == "h":
-		return &appliance.Command{Order: "hold", Target: target, Release: m.data.timers[m.row].Held}
+		return &appliance.Command{Order: "hold", Target: target, Release: m.data.timers[m.row].Suspended}
 	}
 	return nil
 }
@@ -268,7 +268,7 @@
 	m.clamp()
 	var lines []string
 	head := fmt.Sprintf("streamcleat %s  %s", m.data.status.Name, m.data.status.State)
-	if w := m.data.status.Writer; w != "" && w != m.c.Name {
+	if w := m.data.status.ActiveConsole; w != "" && w != m.c.Name {
 		head += "  (orders by " + w + ")"
 	}
 	if m.data.err != nil {
