--- a/internal/appliance/function_registry_test.go
+++ b/internal/appliance/function_registry_test.go
@@ -1,12 +1,10 @@
 package appliance
 
 import (
-	"bytes"
 	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"log/slog"
 	"net/http"
 	"os"
@@ -26,49 +24,49 @@
 	"streamcleat/internal/storage"
 )
 
+// version returns the name and the digest of the version with a number.
 func version(n int) (string, digest.Digest) {
 	name := fmt.Sprintf("1.%d", n)
 	return name, digest.FromString(name)
 }
 
-func (r *running) change(text string) {
+// change makes a change of the registry that must succeed.
+func (r *testAppliance) change(document string) {
 	r.t.Helper()
-	resp, err := r.http.Post("http://box/v1/registry", "application/json", strings.NewReader(text))
-	if err != nil {
-		r.t.Fatal(err)
-	}
-	defer resp.Body.Close()
-	if data, _ := io.ReadAll(resp.Body); resp.StatusCode != 200 {
-		r.t.Fatalf("%s: %s", text, data)
+	if status, body := r.post("registry", document); status != http.StatusOK {
+		r.t.Fatalf("%s: %s", document, body)
 	}
 }
 
-func (r *running) publish(n int) {
+// publish publishes the version with a number.
+func (r *testAppliance) publish(n int) {
+	r.t.Helper()
 	name, d := version(n)
 	r.change(fmt.Sprintf(`{"who":"test","publish":{"function":"tally","version":%q,"digest":%q}}`, name, d))
 }
 
-func (r *running) alias(n int) {
+// alias moves the alias "current" to the version with a number.
+func (r *testAppliance) alias(n int) {
+	r.t.Helper()
 	_, d := version(n)
 	r.change(fmt.Sprintf(`{"who":"test","move":{"function":"tally","alias":"current","digest":%q}}`, d))
 }
 
-// ask sends one event and notes it for the referee.
-func (r *running) ask(tape *invariants.Tape, kind, function, id string) schedule.Result {
-	c := &schedule.Client{Source: "/t", FrontEnds: []string{r.addr}, HTTP: &http.Client{Transport: &http.Transport{}}, DefaultTimeout: 1500 * time.Millisecond}
-	rec := invariants.Record{Kind: invariants.Asked, Event: "/t#" + id, Type: kind, Call: tape.Call(), Wait: 1.5}
-	tape.Add(rec)
-	o := c.Fire(context.Background(), schedule.Firing{Entry: &schedule.Entry{Class: kind, Function: function}, ID: id})
-	rec.Kind, rec.Status, rec.Digest = invariants.Answered, o.Status, o.Digest
-	rec.Outcome = map[int]string{200: invariants.Handled, 503: invariants.Deferred, 502: invariants.DeadLettered, 504: invariants.DeadLettered}[o.Status]
-	tape.Add(rec)
-	return o
+// sendRecorded sends a request and records it for the invariants.
+func (r *testAppliance) sendRecorded(tape *invariants.Tape, class, function, id string) schedule.Result {
+	record := invariants.Record{Kind: invariants.Asked, Event: "/t#" + id, Type: class, Call: tape.Call(), Wait: 1.5}
+	tape.Add(record)
+	result := r.send(class, function, id)
+	record.Kind, record.Status, record.Digest = invariants.Answered, result.Status, result.Digest
+	record.Outcome = map[int]string{200: invariants.Handled, 503: invariants.Deferred, 502: invariants.DeadLettered, 504: invariants.DeadLettered}[result.Status]
+	tape.Add(record)
+	return result
 }
 
-// Fifty moves of an alias under steady load: every answer names the version that ran its event, also a repeat's.
+// Fifty moves of an alias under steady load: every response names the version that ran its request, also a retry's.
 func TestFiftyAliasMovesUnderLoad(t *testing.T) {
 	tape := invariants.NewTape()
-	r := newRunningWith(t, 3, "", tape)
+	r := newTestAppliance(t, 3, "", tape)
 	r.start()
 	for n := range 4 {
 		r.publish(n)
@@ -84,13 +82,13 @@
 			defer clients.Done()
 			for n := 0; ctx.Err() == nil; n++ {
 				kind, id := []string{"again", "once"}[n%2], fmt.Sprintf("%d-%d", till, n)
-				o := r.ask(tape, kind, "tally", id)
+				o := r.sendRecorded(tape, kind, "tally", id)
 				mu.Lock()
 				versions[o.Digest]++
 				status[o.Status]++
 				mu.Unlock()
-				if again := r.ask(tape, kind, "tally", id); o.Status == 200 && (again.Status != 200 || again.Digest != o.Digest) {
-					t.Errorf("%s: first %d of %s, its repeat %d of %s", id, o.Status, o.Digest, again.Status, again.Digest)
+				if again := r.sendRecorded(tape, kind, "tally", id); o.Status == 200 && (again.Status != 200 || again.Digest != o.Digest) {
+					t.Errorf("%s: first %d of %s, its retry %d of %s", id, o.Status, o.Digest, again.Status, again.Digest)
 				}
 			}
 		}()
@@ -103,47 +101,47 @@
 	clients.Wait()
 	v := invariants.Judge(invariants.Rules{Effect: map[string]string{"again": "redeliverable", "once": "at-most-once"}, Grace: 0.15}, tape.Records())
 	if v.Broken > 0 || v.Handled < 200 || len(versions) < 4 {
-		t.Errorf("%d versions answered, %v; %+v", len(versions), status, v)
+		t.Errorf("%d versions responded, %v; %+v", len(versions), status, v)
 	}
-	t.Logf("%d events handled on %d versions over 50 moves, %v", v.Handled, len(versions), status)
+	t.Logf("%d requests succeeded on %d versions over 50 moves, %v", v.Handled, len(versions), status)
 }
 
-func TestWrongDigestsNeverRunAndAreNeverAnswered(t *testing.T) {
+func TestWrongDigestNeverRunsOrResponds(t *testing.T) {
 	tape := invariants.NewTape()
-	r := newRunningWith(t, 1, "", tape)
+	r := newTestAppliance(t, 1, "", tape)
 	r.start()
 	r.publish(0)
 	r.publish(1)
 	r.alias(0)
 	_, d0 := version(0)
-	if o := r.ask(tape, "once", "tally", "fine"); o.Status != 200 || o.Digest != string(d0) {
+	if o := r.sendRecorded(tape, "once", "tally", "fine"); o.Status != 200 || o.Digest != string(d0) {
 		t.Fatalf("%+v", o)
 	}
-	// The store hands out something else: the worker throws it away, the event never runs.
-	r.workers[0].Inject(fakes.Fault{Kind: "wrong-digest"})
+	// The artifact store returns other content: the worker discards it, and the request never runs.
+	r.inject(0, fakes.Fault{Kind: "wrong-digest"})
 	r.alias(1)
-	if o := r.ask(tape, "once", "tally", "thrown-away"); o.Status != 503 {
-		t.Errorf("with a copy that can't be loaded: status %d", o.Status)
+	if o := r.sendRecorded(tape, "once", "tally", "thrown-away"); o.Status != 503 {
+		t.Errorf("with a replica that can't be loaded: status %d", o.Status)
 	}
 	r.alias(0) // back within a second: what was loaded before still serves
-	if o := r.ask(tape, "once", "tally", "back"); o.Status != 200 || o.Digest != string(d0) {
+	if o := r.sendRecorded(tape, "once", "tally", "back"); o.Status != 200 || o.Digest != string(d0) {
 		t.Errorf("%+v", o)
 	}
-	// A worker that proves another version than it was asked for: its answer is not handed on.
-	r.workers[0].Inject(fakes.Fault{Kind: "wrong-digest", For: 1e-9})
-	r.workers[0].Inject(fakes.Fault{Kind: "liar"})
-	if o := r.ask(tape, "once", "tally", "lied"); o.Status != 502 {
+	// A worker that runs another version than it was asked for: its response is not forwarded.
+	r.inject(0, fakes.Fault{Kind: "wrong-digest", For: 1e-9})
+	r.inject(0, fakes.Fault{Kind: "liar"})
+	if o := r.sendRecorded(tape, "once", "tally", "lied"); o.Status != 502 {
 		t.Errorf("a lying worker: status %d", o.Status)
 	}
-	if o := r.ask(tape, "again", "tally:nothing", "unknown"); o.Status != 422 {
-		t.Errorf("an alias that names nothing: status %d", o.Status)
+	if o := r.sendRecorded(tape, "again", "tally:nothing", "unknown"); o.Status != 422 {
+		t.Errorf("an alias that does not exist: status %d", o.Status)
 	}
-	if o := r.ask(tape, "again", "tally@"+string(d0), "pinned"); o.Status == 422 {
+	if o := r.sendRecorded(tape, "again", "tally@"+string(d0), "pinned"); o.Status == 422 {
 		t.Error("a pinned digest is not known")
 	}
 	for _, rec := range tape.Records() {
 		if rec.Kind == invariants.Ran && rec.Event == "/t#thrown-away" {
-			t.Error("a mismatched copy ran")
+			t.Error("a replica with the wrong digest ran")
 		}
 	}
 	if v := invariants.Judge(invariants.Rules{Effect: map[string]string{"again": "redeliverable", "once": "at-most-once"}, Grace: 0.15}, tape.Records()); v.Versions > 0 || v.RanTwice > 0 {
@@ -151,10 +149,10 @@
 	}
 }
 
-// A restart in mid-rollout goes on with it, and a version that fails goes back by itself.
-func TestRolloutOverARestartAndBack(t *testing.T) {
+// A rollout continues after a restart, and one whose version fails is rolled back.
+func TestRolloutContinuesAfterRestartAndRollsBack(t *testing.T) {
 	tape := invariants.NewTape()
-	r := newRunningWith(t, 2, "", tape)
+	r := newTestAppliance(t, 2, "", tape)
 	r.start()
 	r.publish(0)
 	r.publish(1)
@@ -164,30 +162,30 @@
 	r.change(fmt.Sprintf(`{"who":"test","rollout":{"function":"tally","alias":"current","to":%q,"steps":[0.5],"hold_s":100,"least":5,"most_bad":0.2}}`, d1))
 	seen := map[string]int{}
 	for n := range 30 {
-		seen[r.ask(tape, "again", "tally", fmt.Sprint("a", n)).Digest]++
+		seen[r.sendRecorded(tape, "again", "tally", fmt.Sprint("a", n)).Digest]++
 	}
 	if seen[string(d0)] == 0 || seen[string(d1)] == 0 {
-		t.Errorf("half of the events are meant to have the new version: %v", seen)
+		t.Errorf("half of the requests are meant to run on the new version: %v", seen)
 	}
-	first := r.ask(tape, "once", "tally", "kept")
+	first := r.sendRecorded(tape, "once", "tally", "kept")
 	r.stop()
-	r.end()
+	r.awaitEnd()
 	r.start()
-	if again := r.ask(tape, "once", "tally", "kept"); again.Status != first.Status || again.Digest != first.Digest {
-		t.Errorf("a repeat after the restart: %+v, first %+v", again, first)
+	if again := r.sendRecorded(tape, "once", "tally", "kept"); again.Status != first.Status || again.Digest != first.Digest {
+		t.Errorf("a retry after the restart: %+v, first %+v", again, first)
 	}
 	var list []registry.View
 	r.get("registry", &list)
 	if len(list) != 1 || len(list[0].Rollouts) != 1 || len(list[0].Versions) != 2 {
 		t.Fatalf("%+v", list)
 	}
-	for _, w := range r.workers { // the new version fails wherever it runs
-		w.Inject(fakes.Fault{Kind: "errors-of", Digest: string(d1)})
+	for w := range r.workers { // the new version fails wherever it runs
+		r.inject(w, fakes.Fault{Kind: "errors-of", Digest: string(d1)})
 	}
 	n := 0
-	r.wait("the rollout went back", func() bool {
+	r.eventually("the rollout went back", func() bool {
 		n++
-		r.ask(tape, "again", "tally", fmt.Sprint("b", n))
+		r.sendRecorded(tape, "again", "tally", fmt.Sprint("b", n))
 		list = nil
 		r.get("registry", &list)
 		return len(list[0].Rollouts) == 0 && list[0].Aliases["current"] == d0
@@ -199,28 +197,27 @@
 	}
 }
 
-// A release moves each alias only when a copy of the new version stands; a second one has to wait, and nothing is
-// asked to move twice.
+// A release moves each alias only when a replica of the new version is loaded, and loads no version twice.
 func TestPacedRelease(t *testing.T) {
 	tape := invariants.NewTape()
-	r := newRunningWith(t, 2, "", tape)
+	r := newTestAppliance(t, 2, "", tape)
 	r.start()
 	r.publish(0)
 	r.publish(1)
 	r.alias(0)
-	if o := r.ask(tape, "again", "tally", "before"); o.Status != 200 {
+	if o := r.sendRecorded(tape, "again", "tally", "before"); o.Status != 200 {
 		t.Fatal(o)
 	}
 	r.change(`{"who":"test","release":{"alias":"current","tag":"1.1","loads":2}}`)
 	_, d1 := version(1)
 	var list []registry.View
-	r.wait("the alias moved", func() bool {
+	r.eventually("the alias moved", func() bool {
 		list = nil
 		r.get("registry", &list)
 		return list[0].Aliases["current"] == d1
 	})
 	began := time.Now()
-	if o := r.ask(tape, "again", "tally", "after"); o.Status != 200 || o.Digest != string(d1) {
+	if o := r.sendRecorded(tape, "again", "tally", "after"); o.Status != 200 || o.Digest != string(d1) {
 		t.Errorf("%+v after %v", o, time.Since(began))
 	}
 	ordered := 0
@@ -230,103 +227,121 @@
 		}
 	}
 	if ordered > 3 {
-		t.Errorf("%d load orders for two versions", ordered)
+		t.Errorf("%d load commands for two versions", ordered)
 	}
 }
 
-// With a ring of keys only what they vouch for is published; what a revoked key vouched for is withdrawn, and what a
-// retired one did stays.
-func TestKeysVouchForVersions(t *testing.T) {
-	tape := invariants.NewTape()
-	r := newRunningWith(t, 1, "", tape)
-	r.more = `"handlers":{"keys":"keys.json"},`
-	ring := signing.Ring{Need: 1}
-	private := map[string][]byte{}
-	write := func() {
-		data, _ := json.Marshal(ring)
-		if err := os.WriteFile(filepath.Join(r.dir, "keys.json"), data, 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	for i, id := range []string{"first", "second"} {
+// signedRegistry is an appliance whose versions must be signed.
+type signedRegistry struct {
+	*testAppliance
+	keyring signing.Ring
+	private map[string][]byte // by the id of the key
+}
+
+func newSignedRegistry(t *testing.T, tape *invariants.Tape, keys ...string) *signedRegistry {
+	t.Helper()
+	s := &signedRegistry{testAppliance: newTestAppliance(t, 1, "", tape), keyring: signing.Ring{Need: 1}, private: map[string][]byte{}}
+	s.extraConfig = `"handlers":{"keys":"keys.json"},`
+	for i, id := range keys {
 		seed := make([]byte, 32)
 		seed[0] = byte(i)
-		p, k, err := signing.NewKey(id, seed)
+		private, key, err := signing.NewKey(id, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		private[id], ring.Keys = p, append(ring.Keys, k)
+		s.private[id] = private
+		s.keyring.Keys = append(s.keyring.Keys, key)
 	}
-	write()
-	r.start()
-	publish := func(n int, by string) int {
-		name, d := version(n)
-		ch := Change{Entry: registry.Entry{Actor: "test", Publish: &registry.Version{Function: "tally", Name: name, Digest: d, SignedBy: []string{"first"}}}}
-		if by != "" {
-			e, err := signing.Sign(by, private[by], "tally", name, d)
-			if err != nil {
-				t.Fatal(err)
-			}
-			ch.Signatures = [][]byte{e}
-		}
-		data, _ := json.Marshal(ch)
-		resp, err := r.http.Post("http://box/v1/registry", "application/json", bytes.NewReader(data))
+	s.writeKeyring()
+	return s
+}
+
+func (s *signedRegistry) writeKeyring() {
+	s.t.Helper()
+	data, err := json.Marshal(s.keyring)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	s.writeFile("keys.json", string(data))
+}
+
+// publishSigned publishes a version that claims to be signed by the first key, with the signature of a key or none. It
+// returns the status of the response.
+func (s *signedRegistry) publishSigned(n int, key string) int {
+	s.t.Helper()
+	name, d := version(n)
+	change := Change{Entry: registry.Entry{Actor: "test", Publish: &registry.Version{Function: "tally", Name: name, Digest: d, SignedBy: []string{"first"}}}}
+	if key != "" {
+		envelope, err := signing.Sign(key, s.private[key], "tally", name, d)
 		if err != nil {
-			t.Fatal(err)
+			s.t.Fatal(err)
 		}
-		resp.Body.Close()
-		return resp.StatusCode
+		change.Signatures = [][]byte{envelope}
 	}
-	if publish(0, "") == 200 {
-		t.Error("published with nobody's word but its own")
+	data, err := json.Marshal(change)
+	if err != nil {
+		s.t.Fatal(err)
 	}
-	if a, b := publish(0, "first"), publish(1, "second"); a != 200 || b != 200 {
+	status, _ := s.post("registry", string(data))
+	return status
+}
+
+// With a keyring only signed versions are published. What a revoked key has signed is withdrawn, and what a retired one
+// has signed stays.
+func TestKeysSignVersions(t *testing.T) {
+	tape := invariants.NewTape()
+	r := newSignedRegistry(t, tape, "first", "second")
+	r.start()
+	if r.publishSigned(0, "") == 200 {
+		t.Error("published without a signature")
+	}
+	if a, b := r.publishSigned(0, "first"), r.publishSigned(1, "second"); a != 200 || b != 200 {
 		t.Fatal(a, b)
 	}
 	r.alias(1)
 	r.alias(0)
-	if o := r.ask(tape, "again", "tally", "signed"); o.Status != 200 {
+	if o := r.sendRecorded(tape, "again", "tally", "signed"); o.Status != 200 {
 		t.Errorf("%+v", o)
 	}
-	ring.Keys[1].Until = time.Now().Add(-time.Second) // retired: it vouches for nothing new
-	ring.Keys[0].Revoked = true
-	write()
+	r.keyring.Keys[1].Until = time.Now().Add(-time.Second) // retired: it signs nothing new
+	r.keyring.Keys[0].Revoked = true
+	r.writeKeyring()
 	_, d1 := version(1)
-	r.wait("the alias left the version of the revoked key", func() bool {
+	r.eventually("the alias left the version of the revoked key", func() bool {
 		var list []registry.View
 		r.get("registry", &list)
 		return list[0].Aliases["current"] == d1 && list[0].Versions[0].Withdrawn && !list[0].Versions[1].Withdrawn
 	})
-	if o := r.ask(tape, "again", "tally", "after"); o.Status != 200 || o.Digest != string(d1) {
+	if o := r.sendRecorded(tape, "again", "tally", "after"); o.Status != 200 || o.Digest != string(d1) {
 		t.Errorf("%+v", o)
 	}
-	if publish(2, "second") == 200 {
-		t.Error("a retired key vouched for something new")
+	if r.publishSigned(2, "second") == 200 {
+		t.Error("a retired key signed something new")
 	}
 }
 
-// A repeat that comes to the other front end keeps the version of its first try.
-func TestRepeatAtTheOtherFrontEndKeepsItsVersion(t *testing.T) {
+// A retry that comes to the other front end keeps the version of its first attempt.
+func TestRetryAtOtherFrontEndKeepsVersion(t *testing.T) {
 	tape := invariants.NewTape()
-	r := newRunningWith(t, 2, "", tape)
+	r := newTestAppliance(t, 2, "", tape)
 	r.listen = `["127.0.0.1:0","localhost:0"]`
 	r.start()
 	r.publish(0)
 	r.publish(1)
 	for n := range 10 {
 		r.alias(0)
-		r.addr = r.addrs[0]
-		first := r.ask(tape, "again", "tally", fmt.Sprint(n))
+		r.address = r.addresses[0]
+		first := r.sendRecorded(tape, "again", "tally", fmt.Sprint(n))
 		r.alias(1)
-		r.addr = r.addrs[1]
-		if again := r.ask(tape, "again", "tally", fmt.Sprint(n)); first.Status != 200 || again.Status != 200 || again.Digest != first.Digest {
+		r.address = r.addresses[1]
+		if again := r.sendRecorded(tape, "again", "tally", fmt.Sprint(n)); first.Status != 200 || again.Status != 200 || again.Digest != first.Digest {
 			t.Fatalf("%d: first %+v, again %+v", n, first, again)
 		}
 	}
 }
 
-// A revocation that can't be carried out for the disk is not taken for done.
-func TestRevocationIsTriedAgain(t *testing.T) {
+// A revocation that can't be stored is tried again.
+func TestRevocationIsRetried(t *testing.T) {
 	dir := t.TempDir()
 	private, k, err := signing.NewKey("only", make([]byte, 32))
 	if err != nil {
@@ -365,7 +380,7 @@
 	write()
 	for range 2 {
 		if err := g.reloadKeys(path, log); err == nil {
-			t.Error("the version stands, and nobody is told")
+			t.Error("the version stays, and there is no error")
 		}
 	}
 }
--- /dev/null
+++ b/internal/appliance/task_scheduler_test.go
@@ -0,0 +1,72 @@
+package appliance
+
+import (
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"testing"
+)
+
+func TestTasksByPriorityTimeShareAndDelay(t *testing.T) {
+	s := NewTaskScheduler(0, BackgroundTask{Name: "low", Interval: 1, Priority: 1, SliceDuration: 0.1, MaxDelay: 20},
+		BackgroundTask{Name: "high", Interval: 1, Priority: 2, SliceDuration: 0.1, MaxTimeShare: 0.01, MaxDelay: 60},
+		BackgroundTask{Name: "urgent", Priority: 0, SliceDuration: 0.1, Urgent: true})
+	if name, _ := s.Next(0.5, 0); name != "" {
+		t.Fatal("early", name)
+	}
+	s.Request(1.5, "urgent")
+	for _, want := range []string{"high", "low", "urgent"} {
+		name, slice := s.Next(2, 0)
+		if name != want || slice != 0.1 {
+			t.Fatalf("%s, want %s", name, want)
+		}
+		if other, _ := s.Next(2, 0); other != "" {
+			t.Fatalf("%s runs beside %s", other, name)
+		}
+		s.Done(2, name, 0.5, false, nil)
+	}
+	// high has used half a second of the 0.6 that it may within a minute; one more and it waits.
+	name, _ := s.Next(4, 0)
+	s.Done(4, name, 0.5, true, nil)
+	if name, _ := s.Next(4.1, 0); name != "low" {
+		t.Fatalf("%s exceeds its share of time", name)
+	}
+	s.Done(4.1, "low", 0.1, false, nil)
+	// Under load only what is urgent runs, until the maximum delay is over.
+	for now := 6.0; now < 24; now++ {
+		if name, _ := s.Next(now, 0.9); name != "" {
+			t.Fatalf("%s runs at %v under load", name, now)
+		}
+	}
+	if name, _ := s.Next(26, 0.9); name != "low" {
+		t.Fatalf("%q: starved", name)
+	}
+	s.Done(26, "low", 0.1, false, errors.New("disk"))
+	if v := s.View(26)[0]; v.Failures != 1 || v.LastError != "disk" || v.Due < 1.9 {
+		t.Fatalf("%+v", v)
+	}
+}
+
+// Under any load every task that is due runs within its maximum delay and the slices ahead of it.
+func TestNoTaskStarves(t *testing.T) {
+	for seed := range uint64(200) {
+		rng := rand.New(rand.NewPCG(seed, 4))
+		var list []BackgroundTask
+		for i := range 4 {
+			list = append(list, BackgroundTask{Name: fmt.Sprint(i), Interval: 1 + 5*rng.Float64(), Priority: rng.IntN(3), SliceDuration: 0.1,
+				MaxTimeShare: 0.05 * rng.Float64(), MaxDelay: 5 + 20*rng.Float64()})
+		}
+		s := NewTaskScheduler(0, list...)
+		for now := 0.0; now < 600; now += 0.25 {
+			name, _ := s.Next(now, rng.Float64()*2)
+			if name != "" {
+				s.Done(now+0.1, name, 0.1, rng.IntN(3) == 0, nil)
+			}
+		}
+		for i, v := range s.View(600) {
+			if v.Slices == 0 || v.LongestWait > list[i].MaxDelay+3 {
+				t.Fatalf("seed %d: task %d waited %.1f s, its maximum delay is %.1f; %d slices", seed, i, v.LongestWait, list[i].MaxDelay, v.Slices)
+			}
+		}
+	}
+}
