--- a/internal/console/client.go
+++ b/internal/console/client.go
@@ -1,5 +1,3 @@
-// Package console shows a running box and gives it orders, over its Unix socket: plain tables for sub-commands, and a
-// terminal interface that does the same by keys.
 package console
 
 import (
@@ -17,89 +15,116 @@
 	"streamcleat/internal/appliance"
 )
 
-// Client speaks to a box.
+const (
+	requestTimeout         = 10 * time.Second
+	dialTimeout            = 2 * time.Second
+	maxResponseBytes int64 = 64 << 20
+)
+
+// Client calls the API of an appliance.
 type Client struct {
 	Socket string
-	Name   string // by which the box tells other consoles who gives orders
+	Name   string // by which the appliance tells other consoles who gives commands
 	http   http.Client
 }
 
-// NewClient makes a client for the box that listens on a socket.
+// NewClient returns a client of the appliance that listens on a socket.
 func NewClient(socket, name string) *Client {
-	c := &Client{Socket: socket, Name: name}
-	c.http = http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{
-		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
-			return (&net.Dialer{Timeout: 2 * time.Second}).DialContext(ctx, "unix", socket)
-		}}}
-	return c
+	dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
+		return (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "unix", socket)
+	}
+	return &Client{
+		Socket: socket,
+		Name:   name,
+		http:   http.Client{Timeout: requestTimeout, Transport: &http.Transport{DialContext: dial}},
+	}
 }
 
-// Unreached tells that no box answers at the socket.
-type Unreached struct {
+// Unreached is returned when no appliance answers at the socket.
+type Unreached struct { //nolint:errname // its users outside this package name it so
 	Socket string
 	Err    error
 }
 
-func (u *Unreached) Error() string {
-	return fmt.Sprintf("no box answers at %s: %v", u.Socket, errors.Unwrap(u.Err))
+// Error implements error.
+func (e *Unreached) Error() string {
+	return fmt.Sprintf("no box answers at %s: %v", e.Socket, errors.Unwrap(e.Err))
 }
-func (u *Unreached) Unwrap() error { return u.Err }
 
-func (c *Client) do(method, path string, body []byte, to any) error {
-	req, err := http.NewRequest(method, "http://box"+path, bytes.NewReader(body))
+// Unwrap returns the error of the connection.
+func (e *Unreached) Unwrap() error { return e.Err }
+
+// RefusedError is an error of the appliance itself.
+type RefusedError struct {
+	Status  int
+	Message string
+}
+
+// Error implements error.
+func (e *RefusedError) Error() string { return e.Message }
+
+// call sends a request and decodes the response.
+func (c *Client) call(method, path string, body []byte, into any) error {
+	request, err := http.NewRequest(method, "http://box"+path, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	resp, err := c.http.Do(req)
+	response, err := c.http.Do(request)
 	if err != nil {
 		return &Unreached{c.Socket, err}
 	}
-	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, 64<<20))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
+	_ = response.Body.Close() // the response is read, or its error is the one to report
 	if err != nil {
 		return &Unreached{c.Socket, fmt.Errorf("answer cut off: %w", err)}
 	}
-	if resp.StatusCode != http.StatusOK {
-		var said struct{ Error string }
-		if json.Unmarshal(data, &said) != nil || said.Error == "" {
-			said.Error = resp.Status
-		}
-		return errors.New(said.Error)
+	if response.StatusCode != http.StatusOK {
+		return refusedError(response, data)
 	}
-	return json.Unmarshal(data, to)
+	return json.Unmarshal(data, into)
 }
 
-// Get reads one of status, workers, handlers, events, timers.
-func (c *Client) Get(what string, to any) error { return c.do(http.MethodGet, "/v1/"+what, nil, to) }
+// refusedError returns the error in a response, or its status when it has none.
+func refusedError(response *http.Response, body []byte) error {
+	var document struct{ Error string }
+	if json.Unmarshal(body, &document) != nil || document.Error == "" {
+		document.Error = response.Status
+	}
+	return &RefusedError{response.StatusCode, document.Error}
+}
 
-// Explain reads the way of one event.
-func (c *Client) Explain(id string) (e appliance.RequestStatus, err error) {
-	err = c.Get("explain?id="+url.QueryEscape(id), &e)
-	return
+// Get reads a resource: status, workers, handlers, events, timers, registry or trail.
+func (c *Client) Get(resource string, into any) error {
+	return c.call(http.MethodGet, "/v1/"+resource, nil, into)
 }
 
-// Order asks the box to do something and returns what it says.
-func (c *Client) Order(o appliance.Command) (string, error) {
-	o.Console = c.Name
-	body, err := json.Marshal(o)
-	if err != nil {
-		return "", err
-	}
-	var said struct{ Said string }
-	err = c.do(http.MethodPost, "/v1/orders", body, &said)
-	return said.Said, err
+// Explain reads a request with its steps.
+func (c *Client) Explain(id string) (request appliance.RequestStatus, err error) {
+	err = c.Get("explain?id="+url.QueryEscape(id), &request)
+	return request, err
 }
 
-// Change asks the box to change its registry of functions and returns what it says.
+// Order gives a command and returns what was done.
+func (c *Client) Order(command appliance.Command) (string, error) {
+	command.Console = c.Name
+	return c.post("/v1/orders", command)
+}
+
+// Change makes a change of the function registry and returns what was done.
 func (c *Client) Change(change appliance.Change) (string, error) {
 	if change.Actor == "" {
 		change.Actor = c.Name
 	}
-	body, err := json.Marshal(change)
+	return c.post("/v1/registry", change)
+}
+
+// post sends a document and returns the text of the response.
+func (c *Client) post(path string, document any) (string, error) {
+	body, err := json.Marshal(document)
 	if err != nil {
 		return "", err
 	}
-	var said struct{ Said string }
-	err = c.do(http.MethodPost, "/v1/registry", body, &said)
-	return said.Said, err
+	var result struct{ Said string }
+	err = c.call(http.MethodPost, path, body, &result)
+	return result.Said, err
 }
--- /dev/null
+++ b/internal/console/keys.go
@@ -0,0 +1,142 @@
+package console
+
+import (
+	tea "charm.land/bubbletea/v2"
+
+	"streamcleat/internal/appliance"
+)
+
+// keyHints name the keys of each screen.
+var keyHints = [...]string{
+	overviewScreen:  "",
+	workersScreen:   "up/down choose  d drain  r return",
+	functionsScreen: "up/down choose  u unload",
+	requestsScreen:  "up/down choose  enter explain",
+	schedulesScreen: "up/down choose  f fire now  h hold or release",
+}
+
+// commonKeyHints name the keys of all screens.
+const commonKeyHints = "  tab 1-5 screens  s stop  S stop now  q leave"
+
+// handleKey carries out what a key asks for.
+func (m *model) handleKey(key string) (tea.Model, tea.Cmd) {
+	if m.unconfirmed != nil {
+		return m, m.handleConfirmation(key)
+	}
+	if m.detail != "" && key != "q" && key != "ctrl+c" {
+		m.detail = ""
+		if key == "esc" || key == "enter" {
+			return m, nil
+		}
+	}
+	m.notice = ""
+	if cmd, handled := m.handleNavigation(key); handled {
+		return m, cmd
+	}
+	if !m.moveSelection(key) {
+		if cmd := m.handleCommandKey(key); cmd != nil {
+			return m, cmd
+		}
+	}
+	m.clampSelection()
+	return m, nil
+}
+
+// handleConfirmation executes the command that awaits confirmation, or drops it.
+func (m *model) handleConfirmation(key string) tea.Cmd {
+	command := *m.unconfirmed
+	m.unconfirmed, m.notice = nil, "left as it is"
+	if key != "y" {
+		return nil
+	}
+	m.notice = ""
+	return m.execute(command)
+}
+
+// handleNavigation switches screens or leaves the console.
+func (m *model) handleNavigation(key string) (cmd tea.Cmd, handled bool) {
+	switch key {
+	case "q", "ctrl+c":
+		return tea.Quit, true
+	case "1", "2", "3", "4", "5":
+		return m.showScreen(screen(key[0] - '1')), true
+	case "tab", "right":
+		return m.showScreen((m.screen + 1) % screenCount), true
+	case "shift+tab", "left":
+		return m.showScreen((m.screen + screenCount - 1) % screenCount), true
+	}
+	return nil, false
+}
+
+// moveSelection moves the selected row.
+func (m *model) moveSelection(key string) (handled bool) {
+	switch key {
+	case "up", "k":
+		m.selected--
+	case "down", "j":
+		m.selected++
+	case "pgup":
+		m.selected -= m.height / 2
+	case "pgdown":
+		m.selected += m.height / 2
+	default:
+		return false
+	}
+	return true
+}
+
+// handleCommandKey gives the command of a key, or asks for its confirmation.
+func (m *model) handleCommandKey(key string) tea.Cmd {
+	switch key {
+	case "enter":
+		if m.screen == requestsScreen && m.target() != "" {
+			return m.explain(m.target())
+		}
+	case "s":
+		m.unconfirmed = &appliance.Command{Order: "stop"}
+	case "S":
+		m.unconfirmed = &appliance.Command{Order: "stop", Now: true}
+	default:
+		if command := m.commandForKey(key); command != nil {
+			return m.execute(*command)
+		}
+	}
+	return nil
+}
+
+// commandForKey returns the command that a key gives for the selected row, or nil. To drain the last worker asks for
+// confirmation.
+func (m *model) commandForKey(key string) *appliance.Command {
+	target := m.target()
+	if target == "" {
+		return nil
+	}
+	switch {
+	case m.screen == workersScreen && key == "d":
+		command := &appliance.Command{Order: "drain", Target: target}
+		if m.servingWorkers() <= 1 {
+			m.unconfirmed = command
+			return nil
+		}
+		return command
+	case m.screen == workersScreen && key == "r":
+		return &appliance.Command{Order: "return", Target: target}
+	case m.screen == functionsScreen && key == "u":
+		return &appliance.Command{Order: "unload", Target: target}
+	case m.screen == schedulesScreen && key == "f":
+		return &appliance.Command{Order: "fire", Target: target}
+	case m.screen == schedulesScreen && key == "h":
+		return &appliance.Command{Order: "hold", Target: target, Release: m.snapshot.schedules[m.selected].Suspended}
+	}
+	return nil
+}
+
+func (m *model) servingWorkers() int {
+	serving := 0
+	for i := range m.snapshot.workers {
+		if m.snapshot.workers[i].State != "draining" {
+			serving++
+		}
+	}
+	return serving
+}
--- /dev/null
+++ b/internal/console/view.go
@@ -0,0 +1,132 @@
+package console
+
+import (
+	"fmt"
+	"strings"
+
+	tea "charm.land/bubbletea/v2"
+	"charm.land/lipgloss/v2"
+)
+
+// fixedLines are the lines beside the body: the heading, the tabs, the notice and the keys.
+const fixedLines = 4
+
+var (
+	screenTitles = [...]string{"1 overview", "2 workers", "3 handlers", "4 events", "5 timers"}
+
+	headingStyle  = lipgloss.NewStyle().Bold(true)
+	selectedStyle = lipgloss.NewStyle().Reverse(true)
+)
+
+// View implements tea.Model.
+func (m *model) View() tea.View {
+	m.clampSelection()
+	lines := []string{
+		headingStyle.Render(truncate(m.heading(), m.width)),
+		truncate(m.tabs(), m.width),
+	}
+	body := m.body()
+	lines = append(lines, body[:min(len(body), m.bodyHeight())]...)
+	for len(lines) < m.height-2 {
+		lines = append(lines, "")
+	}
+	lines = append(lines, truncate(m.noticeLine(), m.width), truncate(m.keyLine(), m.width))
+	view := tea.NewView(strings.Join(lines, "\n"))
+	view.AltScreen = true
+	return view
+}
+
+func (m *model) bodyHeight() int { return max(m.height-fixedLines, 1) }
+
+// heading names the appliance and its state, and the console that gives commands if it is another one.
+func (m *model) heading() string {
+	if m.snapshot.err != nil {
+		return "streamcleat  " + m.snapshot.err.Error() + "; trying again"
+	}
+	status := &m.snapshot.status
+	heading := fmt.Sprintf("streamcleat %s  %s", status.Name, status.State)
+	if active := status.ActiveConsole; active != "" && active != m.client.Name {
+		heading += "  (orders by " + active + ")"
+	}
+	return heading
+}
+
+func (m *model) tabs() string {
+	tabs := make([]string, len(screenTitles))
+	for i, title := range screenTitles {
+		if screen(i) == m.screen {
+			tabs[i] = "[" + title + "]"
+		} else {
+			tabs[i] = " " + title + " "
+		}
+	}
+	return strings.Join(tabs, " ")
+}
+
+// body returns the lines of the detail, the overview or the table.
+func (m *model) body() []string {
+	switch {
+	case m.detail != "":
+		return truncateAll(strings.Split(m.detail, "\n"), m.width)
+	case m.screen == overviewScreen:
+		return truncateAll(strings.Split(StatusText(m.snapshot.status, m.width), "\n"), m.width)
+	}
+	return m.tableLines()
+}
+
+// tableLines returns the heading of the table and the visible rows.
+func (m *model) tableLines() []string {
+	lines := strings.Split(Table(m.rows()), "\n")
+	body := []string{headingStyle.Render(truncate(lines[0], m.width))}
+	rows := lines[1:]
+	if len(rows) == 0 {
+		return append(body, "none")
+	}
+	for i := m.firstVisible; i < len(rows) && len(body) < m.bodyHeight(); i++ {
+		row := truncate(rows[i], m.width-2)
+		if i == m.selected {
+			body = append(body, selectedStyle.Render("> "+row))
+		} else {
+			body = append(body, "  "+row)
+		}
+	}
+	return body
+}
+
+// noticeLine returns the last notice, or the question for confirmation.
+func (m *model) noticeLine() string {
+	switch {
+	case m.unconfirmed == nil:
+		return m.notice
+	case m.unconfirmed.Now:
+		return "stop now, answering what is open at once? y does it, any other key leaves it"
+	}
+	return fmt.Sprintf("%s %s? y does it, any other key leaves it", m.unconfirmed.Order, m.unconfirmed.Target)
+}
+
+func (m *model) keyLine() string {
+	keys := keyHints[m.screen]
+	if m.detail != "" {
+		keys = "esc back"
+	}
+	return strings.TrimSpace(keys + commonKeyHints)
+}
+
+func truncateAll(lines []string, width int) []string {
+	for i := range lines {
+		lines[i] = truncate(lines[i], width)
+	}
+	return lines
+}
+
+// truncate shortens a line to a width in cells.
+func truncate(line string, width int) string {
+	if lipgloss.Width(line) <= width {
+		return line
+	}
+	runes := []rune(line)
+	for len(runes) > 0 && lipgloss.Width(string(runes)) > width-1 {
+		runes = runes[:len(runes)-1]
+	}
+	return string(runes) + "~"
+}
