--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,12 +8,12 @@
 	"streamcleat/control"
 )
 
-func TestEveryFaultIsNamedInOneRun(t *testing.T) {
+func TestAllInvalidValuesAreNamed(t *testing.T) {
 	_, err := Parse([]byte(`{"name":"bad name","listen":[],"event_types":[{"name":"a","target_time_s":"soon","max_age_s":4},
 		{"name":"b","target_time_s":1,"max_age_s":-1,"repeat":"sometimes"},{"name":"c","target_time_s":1,"max_age_s":2,"repeat":"keyed"}],
 		"limits":{"pipeline":0},"colour":1,"log":{"level":"loud"}}`), ".")
-	var faults Faults
-	if !errors.As(err, &faults) {
+	var invalid ValidationErrors
+	if !errors.As(err, &invalid) {
 		t.Fatal(err)
 	}
 	for _, want := range []string{`/name: "bad name": `, "/listen: ", `/event_types/0/target_time_s: "soon"`, "/event_types/1/max_age_s: -1",
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestWhatASchemaCantSay(t *testing.T) {
+func TestChecksBesideSchema(t *testing.T) {
 	_, err := Parse([]byte(`{"event_types":[{"name":"a","target_time_s":3,"max_age_s":2},{"name":"a","target_time_s":0.01,"max_age_s":0.04}],
 		"functions":[{"match":"[a"}],"tenants":[{"name":"t"},{"name":"t"}],"peers":{"listen":["h:1","h:2"],"front_ends":1}}`), ".")
 	for _, want := range []string{"/event_types/0/target_time_s: 3", "/event_types/1/name: \"a\"", "/event_types/1/max_age_s: 0.04",
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestDefaultStarts(t *testing.T) {
+func TestDeployment(t *testing.T) {
 	c := Default()
 	d := c.Deployment()
 	if len(d.RequestClasses) != 3 || d.RequestClasses[1].Semantics != control.IdempotentByKey || d.RequestClasses[2].Semantics != control.AtMostOnce ||
--- /dev/null
+++ b/internal/config/settings.go
@@ -0,0 +1,144 @@
+package config
+
+import (
+	"io"
+	"log/slog"
+	"path"
+
+	"streamcleat/control"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/http1"
+	ingress "streamcleat/internal/ingress/http"
+	"streamcleat/internal/upstream"
+)
+
+const (
+	// minRoundInterval is the least time, in seconds, between two looks of the routing decisions at the same thing: a
+	// turn of the event loop.
+	minRoundInterval = 0.004
+	// minResponseBody is the least limit, in bytes, of a worker's response body, also when clients' bodies are smaller.
+	minResponseBody = 1 << 20
+)
+
+// deliverySemantics are the values of RequestClass.Semantics.
+var deliverySemantics = map[string]control.DeliverySemantics{
+	"":              control.Idempotent,
+	"redeliverable": control.Idempotent,
+	"keyed":         control.IdempotentByKey,
+	"at-most-once":  control.AtMostOnce,
+}
+
+// deduplicationScopes are the values of RequestClass.DeduplicationScope.
+var deduplicationScopes = map[string]control.DeduplicationScope{
+	"":     control.ScopeFleet,
+	"all":  control.ScopeFleet,
+	"zone": control.ScopeZone,
+	"cell": control.ScopeFailureDomain,
+}
+
+// Logger returns the program's log. The schema allows only known levels.
+func (c *Config) Logger(w io.Writer) *slog.Logger {
+	var level slog.Level
+	if err := level.UnmarshalText([]byte(c.Log.Level)); err != nil {
+		level = slog.LevelInfo
+	}
+	options := &slog.HandlerOptions{Level: level}
+	if c.Log.Form == "json" {
+		return slog.New(slog.NewJSONHandler(w, options))
+	}
+	return slog.New(slog.NewTextHandler(w, options))
+}
+
+// Deployment returns the settings of the routing decisions.
+func (c *Config) Deployment() *control.Deployment {
+	d := &control.Deployment{
+		FrontEnds:              len(c.Listen),
+		MissIsAnswered:         !c.Workers.LoadOnEvent,
+		LoadCommandsAllowed:    c.Workers.LoadOrders,
+		MaxAttempts:            c.Rules.Launches,
+		MaxRetryAfter:          c.Rules.MaxPause,
+		IdleReplicaLifetime:    c.Workers.KeepWarm,
+		LoadCommandWindow:      c.Rules.LoadWindow,
+		LoadCommandAllowance:   c.Rules.LoadFree,
+		LoadCommandsPerRequest: c.Rules.LoadShare,
+		MinRoundInterval:       minRoundInterval,
+		ColdShare:              c.Rules.ColdShare,
+		WarmUpTime:             c.Rules.WarmWithin,
+		OverloadFactor:         c.Rules.FallFactor,
+		OverloadWindow:         c.Rules.FallWindow,
+	}
+	if c.Peers != nil {
+		d.FrontEnds, d.GossipAllowed = c.Peers.FrontEnds, true
+	}
+	for _, class := range c.RequestClasses {
+		d.RequestClasses = append(d.RequestClasses, control.RequestClass{
+			Name:                class.Name,
+			LatencyObjective:    class.LatencyObjective,
+			Timeout:             class.Timeout,
+			Semantics:           deliverySemantics[class.Semantics],
+			DeduplicationScope:  deduplicationScopes[class.DeduplicationScope],
+			DeduplicationWindow: class.DeduplicationWindow,
+		})
+	}
+	for _, tenant := range c.Tenants {
+		d.Tenants = append(d.Tenants, control.Tenant{Name: control.TenantID(tenant.Name), Quota: tenant.Quota})
+	}
+	return d
+}
+
+// Function returns the profile of a function by its name, from the first pattern that matches.
+func (c *Config) Function(name string) dispatch.FunctionProfile {
+	for _, function := range c.Functions {
+		if matches, _ := path.Match(function.Match, name); matches { // the patterns were validated
+			return dispatch.FunctionProfile{Concurrency: max(function.Lanes, 1), MemoryMB: function.Memory, LoadTime: function.Load}
+		}
+	}
+	return dispatch.FunctionProfile{Concurrency: 1}
+}
+
+// Dispatch returns the settings of the dispatcher.
+func (c *Config) Dispatch(seed uint64) dispatch.Settings {
+	return dispatch.Settings{
+		Deployment:          c.Deployment(),
+		Functions:           c.Function,
+		ResponseMargin:      c.Limits.Margin,
+		LoadTimeout:         c.Workers.OrderLimit,
+		MaxOpen:             c.Limits.Open,
+		DeduplicationWindow: c.Limits.Remember,
+		MaxCachedBytes:      c.Limits.RememberBytes,
+		Seed:                seed,
+	}
+}
+
+// Upstream returns the limits of the connections to workers.
+func (c *Config) Upstream(via string) upstream.Limits {
+	return upstream.Limits{
+		DialTimeout:  c.Workers.Dial,
+		IdleTimeout:  c.Workers.Idle,
+		MaxPerWorker: c.Workers.Connections,
+		Via:          via,
+		Message:      http1.Limits{Head: c.Limits.Head, Body: max(c.Limits.Body, minResponseBody)},
+	}
+}
+
+// Downstream returns the limits of the connections from clients.
+func (c *Config) Downstream() ingress.Limits {
+	return ingress.Limits{
+		Message:  http1.Limits{Head: c.Limits.Head, Body: c.Limits.Body},
+		Pipeline: c.Limits.Pipeline,
+		Arrival:  c.Limits.Arrival,
+		Idle:     c.Limits.Idle,
+		Unread:   c.Limits.Unread,
+		MaxAge:   c.requestTimeout,
+	}
+}
+
+// requestTimeout returns the timeout of a request class, or 0 for an unknown one.
+func (c *Config) requestTimeout(class string) float64 {
+	for i := range c.RequestClasses {
+		if c.RequestClasses[i].Name == class {
+			return c.RequestClasses[i].Timeout
+		}
+	}
+	return 0
+}
--- /dev/null
+++ b/internal/config/validation.go
@@ -0,0 +1,198 @@
+package config
+
+import (
+	"bytes"
+	_ "embed"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"path"
+	"sort"
+	"strconv"
+	"strings"
+
+	"github.com/santhosh-tekuri/jsonschema/v6"
+	"golang.org/x/text/language"
+	"golang.org/x/text/message"
+)
+
+// Schema is the JSON Schema (2020-12) of the configuration.
+//
+//go:embed schema.json
+var Schema []byte
+
+const (
+	schemaURL       = "urn:streamcleat:config"
+	maxExcerptBytes = 60 // of a value in an error
+)
+
+// ValidationError is one invalid value of a document: a JSON pointer to it (RFC 6901), the value, and what is allowed.
+type ValidationError struct{ Pointer, Value, Want string }
+
+// Error implements error.
+func (e ValidationError) Error() string {
+	if e.Value == "" {
+		return fmt.Sprintf("%s: %s", e.Pointer, e.Want)
+	}
+	return fmt.Sprintf("%s: %s: %s", e.Pointer, e.Value, e.Want)
+}
+
+// ValidationErrors are all invalid values of a document.
+type ValidationErrors []ValidationError
+
+// Error implements error, with one line for each value.
+func (e ValidationErrors) Error() string {
+	lines := make([]string, len(e))
+	for i := range e {
+		lines[i] = e[i].Error()
+	}
+	return strings.Join(lines, "\n")
+}
+
+// validate checks a document against the schema.
+func validate(document any) error {
+	schema, err := compileSchema()
+	if err != nil {
+		return err
+	}
+	err = schema.Validate(document)
+	var invalid *jsonschema.ValidationError
+	if !errors.As(err, &invalid) {
+		return err
+	}
+	return schemaErrors(invalid, document)
+}
+
+func compileSchema() (*jsonschema.Schema, error) {
+	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(Schema))
+	if err != nil {
+		return nil, err
+	}
+	compiler := jsonschema.NewCompiler()
+	if err := compiler.AddResource(schemaURL, document); err != nil {
+		return nil, err
+	}
+	return compiler.Compile(schemaURL)
+}
+
+// schemaErrors returns the innermost causes of an error of the schema, by their pointers.
+func schemaErrors(root *jsonschema.ValidationError, document any) ValidationErrors {
+	var invalid ValidationErrors
+	printer := message.NewPrinter(language.English)
+	var collect func(e *jsonschema.ValidationError)
+	collect = func(e *jsonschema.ValidationError) {
+		for _, cause := range e.Causes {
+			collect(cause)
+		}
+		if len(e.Causes) == 0 {
+			invalid = append(invalid, ValidationError{jsonPointer(e.InstanceLocation), excerpt(document, e.InstanceLocation),
+				e.ErrorKind.LocalizedString(printer)})
+		}
+	}
+	collect(root)
+	sort.SliceStable(invalid, func(i, j int) bool { return invalid[i].Pointer < invalid[j].Pointer })
+	return invalid
+}
+
+func jsonPointer(location []string) string {
+	if len(location) == 0 {
+		return "/"
+	}
+	escape := strings.NewReplacer("~", "~0", "/", "~1")
+	var pointer strings.Builder
+	for _, member := range location {
+		pointer.WriteString("/" + escape.Replace(member))
+	}
+	return pointer.String()
+}
+
+// excerpt returns the value at a location as JSON, shortened; nothing for an object or a list.
+func excerpt(value any, location []string) string {
+	for _, member := range location {
+		switch container := value.(type) {
+		case map[string]any:
+			value = container[member]
+		case []any:
+			if i, err := strconv.Atoi(member); err == nil && i < len(container) {
+				value = container[i]
+			}
+		}
+	}
+	switch value.(type) {
+	case map[string]any, []any:
+		return ""
+	}
+	text, err := json.Marshal(value)
+	if err != nil {
+		return ""
+	}
+	if len(text) > maxExcerptBytes {
+		text = append(text[:maxExcerptBytes-3], "..."...)
+	}
+	return string(text)
+}
+
+// check finds what a schema can't express.
+func (c *Config) check() ValidationErrors {
+	var invalid ValidationErrors
+	invalid = append(invalid, c.checkRequestClasses()...)
+	invalid = append(invalid, c.checkFunctions()...)
+	invalid = append(invalid, c.checkPeers()...)
+	return append(invalid, c.checkTenants()...)
+}
+
+func (c *Config) checkRequestClasses() (invalid ValidationErrors) {
+	indexByName := map[string]int{}
+	for i, class := range c.RequestClasses {
+		pointer := fmt.Sprintf("/event_types/%d", i)
+		if first, duplicate := indexByName[class.Name]; duplicate {
+			invalid = append(invalid, ValidationError{pointer + "/name", fmt.Sprintf("%q", class.Name),
+				fmt.Sprintf("already stated at /event_types/%d", first)})
+		}
+		indexByName[class.Name] = i
+		if class.LatencyObjective > class.Timeout {
+			invalid = append(invalid, ValidationError{pointer + "/target_time_s", fmt.Sprint(class.LatencyObjective),
+				fmt.Sprintf("not above max_age_s, %v", class.Timeout)})
+		}
+		if c.Limits.Margin >= class.Timeout {
+			invalid = append(invalid, ValidationError{pointer + "/max_age_s", fmt.Sprint(class.Timeout),
+				fmt.Sprintf("above /limits/answer_margin_s, %v", c.Limits.Margin)})
+		}
+	}
+	return invalid
+}
+
+func (c *Config) checkFunctions() (invalid ValidationErrors) {
+	for i, function := range c.Functions {
+		if _, err := path.Match(function.Match, ""); err != nil {
+			invalid = append(invalid, ValidationError{fmt.Sprintf("/functions/%d/match", i), fmt.Sprintf("%q", function.Match), err.Error()})
+		}
+	}
+	return invalid
+}
+
+func (c *Config) checkPeers() (invalid ValidationErrors) {
+	if c.Peers == nil {
+		return nil
+	}
+	if len(c.Peers.Listen) != len(c.Listen) {
+		invalid = append(invalid, ValidationError{"/peers/listen", fmt.Sprintf("%d entries", len(c.Peers.Listen)),
+			fmt.Sprintf("one for each entry of /listen, %d", len(c.Listen))})
+	}
+	if named := len(c.Listen) + len(c.Peers.Others); c.Peers.FrontEnds < named {
+		invalid = append(invalid, ValidationError{"/peers/front_ends", fmt.Sprint(c.Peers.FrontEnds),
+			fmt.Sprintf("at least the %d named here", named)})
+	}
+	return invalid
+}
+
+func (c *Config) checkTenants() (invalid ValidationErrors) {
+	seen := map[string]bool{}
+	for i, tenant := range c.Tenants {
+		if seen[tenant.Name] {
+			invalid = append(invalid, ValidationError{fmt.Sprintf("/tenants/%d/name", i), fmt.Sprintf("%q", tenant.Name), "stated twice"})
+		}
+		seen[tenant.Name] = true
+	}
+	return invalid
+}
