--- a/internal/appliance/api_commands.go
+++ b/internal/appliance/api_commands.go
@@ -97,7 +97,7 @@
 		return "the box answers what is open and stops"
 	}
 	a.post(StopRequested, "console "+command.Console)
-	return fmt.Sprintf("the box drains for up to %v s and stops", a.config.StopWithin)
+	return fmt.Sprintf("the box drains for up to %v s and stops", a.config.DrainTime)
 }
 
 // drainWorker makes every server send nothing new to a worker.
--- a/internal/appliance/appliance.go
+++ b/internal/appliance/appliance.go
@@ -187,7 +187,7 @@
 
 // startDrainTimer reports when the drain time is over, or all requests have ended.
 func (a *Appliance) startDrainTimer() {
-	drainTime := seconds(a.config.StopWithin)
+	drainTime := seconds(a.config.DrainTime)
 	a.mu.Lock()
 	a.drainDeadline = time.Now().Add(drainTime)
 	a.mu.Unlock()
--- a/internal/appliance/background_tasks.go
+++ b/internal/appliance/background_tasks.go
@@ -149,5 +149,5 @@
 			open += counts.Open
 		}
 	}
-	return float64(open) / float64(max(a.config.Limits.Open*len(a.config.Listen), 1))
+	return float64(open) / float64(max(a.config.Limits.MaxOpenRequests*len(a.config.Listen), 1))
 }
--- a/internal/appliance/preload.go
+++ b/internal/appliance/preload.go
@@ -75,7 +75,7 @@
 	entries, suspended := a.entries, maps.Clone(a.suspended)
 	a.mu.Unlock()
 	budget := preloadBudget{deadline: deadline}
-	within := seconds(a.config.Workers.KeepWarm / 2)
+	within := seconds(a.config.Workers.IdleReplicaLifetime / 2)
 	for _, firing := range schedule.DueWithin(entries, time.Now(), within) {
 		if suspended[firing.Entry.Key()] {
 			continue
--- a/internal/appliance/startup.go
+++ b/internal/appliance/startup.go
@@ -34,7 +34,7 @@
 	if a.config.State != nil {
 		var err error
 		a.store, a.recovered, err = storage.OpenStore(a.config.Path(a.config.State.Dir),
-			storage.Options{Retention: a.config.Limits.Remember, Log: a.log})
+			storage.Options{Retention: a.config.Limits.DeduplicationWindow, Log: a.log})
 		if err != nil {
 			return err
 		}
@@ -100,7 +100,7 @@
 	if a.config.Metrics == nil {
 		return nil
 	}
-	return a.startMetricsServer(a.config.Metrics.Listen)
+	return a.startMetricsServer(a.config.Metrics.Address)
 }
 
 // latencyObjective returns the latency objective of a request class in seconds, or 0 when it has none.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -38,7 +38,7 @@
 	Console        *Console          `json:"console"` // nil: no console
 	Metrics        *Metrics          `json:"metrics"` // nil: metrics only on the console's socket
 	Traces         *Traces           `json:"traces"`  // nil: no traces
-	StopWithin     float64           `json:"stop_within_s"`
+	DrainTime      float64           `json:"stop_within_s"`
 
 	dir      string // folder at which relative paths begin
 	document []byte
@@ -54,14 +54,14 @@
 
 // Workers says where the workers are and how they are connected and loaded.
 type Workers struct {
-	File        string  `json:"file"`
-	Dial        float64 `json:"dial_s"`
-	Idle        float64 `json:"idle_s"`
-	Connections int     `json:"connections"`
-	LoadOnEvent bool    `json:"load_on_event"`
-	LoadOrders  bool    `json:"load_orders"`
-	OrderLimit  float64 `json:"order_limit_s"`
-	KeepWarm    float64 `json:"keep_warm_s"`
+	File                string  `json:"file"`
+	Dial                float64 `json:"dial_s"`
+	IdleTimeout         float64 `json:"idle_s"`
+	MaxConnections      int     `json:"connections"`
+	LoadsOnRequest      bool    `json:"load_on_event"`
+	LoadCommands        bool    `json:"load_orders"`
+	LoadTimeout         float64 `json:"order_limit_s"`
+	IdleReplicaLifetime float64 `json:"keep_warm_s"`
 }
 
 // RequestClass is a class of requests, a CloudEvents type.
@@ -76,10 +76,10 @@
 
 // FunctionPattern is the profile of the functions whose names match a pattern.
 type FunctionPattern struct {
-	Match  string  `json:"match"`
-	Lanes  int     `json:"lanes"`
-	Memory float64 `json:"memory_mb"`
-	Load   float64 `json:"load_s"`
+	Pattern     string  `json:"match"`
+	Concurrency int     `json:"lanes"`
+	MemoryMB    float64 `json:"memory_mb"`
+	LoadTime    float64 `json:"load_s"`
 }
 
 // Tenant is a tenant with its quota.
@@ -90,30 +90,30 @@
 
 // Rules tune the routing decisions.
 type Rules struct {
-	Launches   int     `json:"launches"`
-	MaxPause   float64 `json:"max_pause_s"`
-	ColdShare  float64 `json:"cold_share"`
-	WarmWithin float64 `json:"warm_within_s"`
-	FallFactor float64 `json:"fall_multiple"`
-	FallWindow float64 `json:"fall_window_s"`
-	LoadWindow float64 `json:"load_window_s"`
-	LoadFree   float64 `json:"load_free"`
-	LoadShare  float64 `json:"load_share"`
+	MaxAttempts            int     `json:"launches"`
+	MaxRetryAfter          float64 `json:"max_pause_s"`
+	ColdShare              float64 `json:"cold_share"`
+	WarmUpTime             float64 `json:"warm_within_s"`
+	OverloadFactor         float64 `json:"fall_multiple"`
+	OverloadWindow         float64 `json:"fall_window_s"`
+	LoadCommandWindow      float64 `json:"load_window_s"`
+	LoadCommandAllowance   float64 `json:"load_free"`
+	LoadCommandsPerRequest float64 `json:"load_share"`
 }
 
 // Limits bound what clients may use.
 type Limits struct {
-	Head          int     `json:"head_bytes"`
-	Body          int     `json:"body_bytes"`
-	Pipeline      int     `json:"pipeline"`
-	Arrival       float64 `json:"arrival_s"`
-	Idle          float64 `json:"idle_s"`
-	Connections   int     `json:"connections"`
-	Open          int     `json:"open_events"`
-	Unread        int     `json:"unread_bytes"`
-	Margin        float64 `json:"answer_margin_s"`
-	Remember      float64 `json:"remember_s"`
-	RememberBytes int     `json:"remember_bytes"`
+	MaxHeadBytes        int     `json:"head_bytes"`
+	MaxBodyBytes        int     `json:"body_bytes"`
+	MaxPipelined        int     `json:"pipeline"`
+	ReadTimeout         float64 `json:"arrival_s"`
+	IdleTimeout         float64 `json:"idle_s"`
+	Connections         int     `json:"connections"`
+	MaxOpenRequests     int     `json:"open_events"`
+	MaxUnreadBytes      int     `json:"unread_bytes"`
+	Margin              float64 `json:"answer_margin_s"`
+	DeduplicationWindow float64 `json:"remember_s"`
+	MaxCachedBytes      int     `json:"remember_bytes"`
 }
 
 // Timers says where the schedules are.
@@ -129,8 +129,8 @@
 
 // Log is the form of the log.
 type Log struct {
-	Level string `json:"level"`
-	Form  string `json:"form"`
+	Level  string `json:"level"`
+	Format string `json:"form"`
 }
 
 // State says where the state folder is.
@@ -146,7 +146,7 @@
 
 // Metrics is the address of the metrics.
 type Metrics struct {
-	Listen string `json:"listen"`
+	Address string `json:"listen"`
 }
 
 // Traces says where traces go and which share of them.
@@ -218,31 +218,31 @@
 // defaults returns the values of members that a document leaves out.
 func defaults() *Config {
 	return &Config{
-		Name:       "streamcleat",
-		Listen:     []string{"127.0.0.1:8080"},
-		StopWithin: 5,
-		Workers:    Workers{Dial: 0.25, Idle: 30, Connections: 1024, LoadOrders: true, OrderLimit: 10, KeepWarm: 8},
+		Name:      "streamcleat",
+		Listen:    []string{"127.0.0.1:8080"},
+		DrainTime: 5,
+		Workers:   Workers{Dial: 0.25, IdleTimeout: 30, MaxConnections: 1024, LoadCommands: true, LoadTimeout: 10, IdleReplicaLifetime: 8},
 		Rules: Rules{
-			Launches:   4,
-			MaxPause:   0.5,
-			ColdShare:  0.25,
-			WarmWithin: 16,
-			FallFactor: 2.5,
-			FallWindow: 1.5,
+			MaxAttempts:    4,
+			MaxRetryAfter:  0.5,
+			ColdShare:      0.25,
+			WarmUpTime:     16,
+			OverloadFactor: 2.5,
+			OverloadWindow: 1.5,
 		},
 		Limits: Limits{
-			Head:          16 << 10,
-			Body:          1 << 20,
-			Pipeline:      64,
-			Arrival:       10,
-			Idle:          60,
-			Connections:   10000,
-			Open:          20000,
-			Unread:        4 << 20,
-			Margin:        0.05,
-			Remember:      600,
-			RememberBytes: 64 << 20,
+			MaxHeadBytes:        16 << 10,
+			MaxBodyBytes:        1 << 20,
+			MaxPipelined:        64,
+			ReadTimeout:         10,
+			IdleTimeout:         60,
+			Connections:         10000,
+			MaxOpenRequests:     20000,
+			MaxUnreadBytes:      4 << 20,
+			Margin:              0.05,
+			DeduplicationWindow: 600,
+			MaxCachedBytes:      64 << 20,
 		},
-		Log: Log{Level: "info", Form: "text"},
+		Log: Log{Level: "info", Format: "text"},
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -43,7 +43,7 @@
 		level = slog.LevelInfo
 	}
 	options := &slog.HandlerOptions{Level: level}
-	if c.Log.Form == "json" {
+	if c.Log.Format == "json" {
 		return slog.New(slog.NewJSONHandler(w, options))
 	}
 	return slog.New(slog.NewTextHandler(w, options))
@@ -53,19 +53,19 @@
 func (c *Config) Deployment() *control.Deployment {
 	d := &control.Deployment{
 		FrontEnds:              len(c.Listen),
-		MissIsAnswered:         !c.Workers.LoadOnEvent,
-		LoadCommandsAllowed:    c.Workers.LoadOrders,
-		MaxAttempts:            c.Rules.Launches,
-		MaxRetryAfter:          c.Rules.MaxPause,
-		IdleReplicaLifetime:    c.Workers.KeepWarm,
-		LoadCommandWindow:      c.Rules.LoadWindow,
-		LoadCommandAllowance:   c.Rules.LoadFree,
-		LoadCommandsPerRequest: c.Rules.LoadShare,
+		MissIsAnswered:         !c.Workers.LoadsOnRequest,
+		LoadCommandsAllowed:    c.Workers.LoadCommands,
+		MaxAttempts:            c.Rules.MaxAttempts,
+		MaxRetryAfter:          c.Rules.MaxRetryAfter,
+		IdleReplicaLifetime:    c.Workers.IdleReplicaLifetime,
+		LoadCommandWindow:      c.Rules.LoadCommandWindow,
+		LoadCommandAllowance:   c.Rules.LoadCommandAllowance,
+		LoadCommandsPerRequest: c.Rules.LoadCommandsPerRequest,
 		MinRoundInterval:       minRoundInterval,
 		ColdShare:              c.Rules.ColdShare,
-		WarmUpTime:             c.Rules.WarmWithin,
-		OverloadFactor:         c.Rules.FallFactor,
-		OverloadWindow:         c.Rules.FallWindow,
+		WarmUpTime:             c.Rules.WarmUpTime,
+		OverloadFactor:         c.Rules.OverloadFactor,
+		OverloadWindow:         c.Rules.OverloadWindow,
 	}
 	if c.Peers != nil {
 		d.FrontEnds, d.GossipAllowed = c.Peers.FrontEnds, true
@@ -89,8 +89,8 @@
 // Function returns the profile of a function by its name, from the first pattern that matches.
 func (c *Config) Function(name string) dispatch.FunctionProfile {
 	for _, function := range c.Functions {
-		if matches, _ := path.Match(function.Match, name); matches { // the patterns were validated
-			return dispatch.FunctionProfile{Concurrency: max(function.Lanes, 1), MemoryMB: function.Memory, LoadTime: function.Load}
+		if matches, _ := path.Match(function.Pattern, name); matches { // the patterns were validated
+			return dispatch.FunctionProfile{Concurrency: max(function.Concurrency, 1), MemoryMB: function.MemoryMB, LoadTime: function.LoadTime}
 		}
 	}
 	return dispatch.FunctionProfile{Concurrency: 1}
@@ -102,10 +102,10 @@
 		Deployment:          c.Deployment(),
 		Functions:           c.Function,
 		ResponseMargin:      c.Limits.Margin,
-		LoadTimeout:         c.Workers.OrderLimit,
-		MaxOpen:             c.Limits.Open,
-		DeduplicationWindow: c.Limits.Remember,
-		MaxCachedBytes:      c.Limits.RememberBytes,
+		LoadTimeout:         c.Workers.LoadTimeout,
+		MaxOpen:             c.Limits.MaxOpenRequests,
+		DeduplicationWindow: c.Limits.DeduplicationWindow,
+		MaxCachedBytes:      c.Limits.MaxCachedBytes,
 		Seed:                seed,
 	}
 }
@@ -114,21 +114,21 @@
 func (c *Config) Upstream(via string) upstream.Limits {
 	return upstream.Limits{
 		DialTimeout:  c.Workers.Dial,
-		IdleTimeout:  c.Workers.Idle,
-		MaxPerWorker: c.Workers.Connections,
+		IdleTimeout:  c.Workers.IdleTimeout,
+		MaxPerWorker: c.Workers.MaxConnections,
 		Via:          via,
-		Message:      http1.Limits{Head: c.Limits.Head, Body: max(c.Limits.Body, minResponseBody)},
+		Message:      http1.Limits{Head: c.Limits.MaxHeadBytes, Body: max(c.Limits.MaxBodyBytes, minResponseBody)},
 	}
 }
 
 // Downstream returns the limits of the connections from clients.
 func (c *Config) Downstream() ingress.Limits {
 	return ingress.Limits{
-		Message:  http1.Limits{Head: c.Limits.Head, Body: c.Limits.Body},
-		Pipeline: c.Limits.Pipeline,
-		Arrival:  c.Limits.Arrival,
-		Idle:     c.Limits.Idle,
-		Unread:   c.Limits.Unread,
+		Message:  http1.Limits{Head: c.Limits.MaxHeadBytes, Body: c.Limits.MaxBodyBytes},
+		Pipeline: c.Limits.MaxPipelined,
+		Arrival:  c.Limits.ReadTimeout,
+		Idle:     c.Limits.IdleTimeout,
+		Unread:   c.Limits.MaxUnreadBytes,
 		MaxAge:   c.requestTimeout,
 	}
 }
--- a/internal/config/validation.go
+++ b/internal/config/validation.go
@@ -164,8 +164,8 @@
 
 func (c *Config) checkFunctions() (invalid ValidationErrors) {
 	for i, function := range c.Functions {
-		if _, err := path.Match(function.Match, ""); err != nil {
-			invalid = append(invalid, ValidationError{fmt.Sprintf("/functions/%d/match", i), fmt.Sprintf("%q", function.Match), err.Error()})
+		if _, err := path.Match(function.Pattern, ""); err != nil {
+			invalid = append(invalid, ValidationError{fmt.Sprintf("/functions/%d/match", i), fmt.Sprintf("%q", function.Pattern), err.Error()})
 		}
 	}
 	return invalid
