--- a/internal/appliance/function_registry_test.go
+++ b/internal/appliance/function_registry_test.go
@@ -45,6 +45,14 @@
 	r.change(fmt.Sprintf(`{"who":"test","publish":{"function":"tally","version":%q,"digest":%q}}`, name, d))
 }
 
+// publishTwo publishes the first two versions and moves the alias "current" to the first.
+func (r *testAppliance) publishTwo() {
+	r.t.Helper()
+	r.publish(0)
+	r.publish(1)
+	r.alias(0)
+}
+
 // alias moves the alias "current" to the version with a number.
 func (r *testAppliance) alias(n int) {
 	r.t.Helper()
@@ -110,9 +118,7 @@
 	tape := invariants.NewTape()
 	r := newTestAppliance(t, 1, "", tape)
 	r.start()
-	r.publish(0)
-	r.publish(1)
-	r.alias(0)
+	r.publishTwo()
 	_, d0 := version(0)
 	if o := r.sendRecorded(tape, "once", "tally", "fine"); o.Status != 200 || o.Digest != string(d0) {
 		t.Fatalf("%+v", o)
@@ -154,9 +160,7 @@
 	tape := invariants.NewTape()
 	r := newTestAppliance(t, 2, "", tape)
 	r.start()
-	r.publish(0)
-	r.publish(1)
-	r.alias(0)
+	r.publishTwo()
 	_, d0 := version(0)
 	_, d1 := version(1)
 	r.change(fmt.Sprintf(`{"who":"test","rollout":{"function":"tally","alias":"current","to":%q,"steps":[0.5],"hold_s":100,"least":5,"most_bad":0.2}}`, d1))
@@ -202,9 +206,7 @@
 	tape := invariants.NewTape()
 	r := newTestAppliance(t, 2, "", tape)
 	r.start()
-	r.publish(0)
-	r.publish(1)
-	r.alias(0)
+	r.publishTwo()
 	if o := r.sendRecorded(tape, "again", "tally", "before"); o.Status != 200 {
 		t.Fatal(o)
 	}
