--- /dev/null
+++ b/internal/proxy/endpoints_test.go
@@ -0,0 +1,52 @@
+package proxy
+
+import (
+	"fmt"
+	"testing"
+
+	"streamcleat/control"
+	"streamcleat/internal/dispatch"
+)
+
+// Times of day in the list never make a worker seem older or newer than it can be, however the clock here is set.
+func TestStartsOfWorkersUnderAWrongClock(t *testing.T) {
+	host := &fakeHost{now: 1000}
+	p := New(Settings{Dispatch: dispatch.Settings{
+		Deployment:     &control.Deployment{FrontEnds: 1, MaxAttempts: 2, MinRoundInterval: 0.004},
+		MaxOpen:        10,
+		MaxCachedBytes: 1,
+	}}, host)
+	readStart := func(stated float64) float64 {
+		t.Helper()
+		label := ""
+		if stated != 0 {
+			label = fmt.Sprintf(`,"started":"%.3f"`, stated)
+		}
+		if err := p.ReadEndpointList(fmt.Appendf(nil, `[{"targets":["h:1"],"labels":{"instance":"wk"%s}}]`, label)); err != nil {
+			t.Fatal(err)
+		}
+		return p.endpoints.configured.Workers[0].StartedAt
+	}
+	unix := func(at float64) float64 { return hostEpoch + at }
+	if start := readStart(unix(990)); start != 990 {
+		t.Errorf("started 10 s ago: %v", start)
+	}
+	host.skew, host.now = 120, 1010
+	if start := readStart(unix(990)); start != 990 {
+		t.Errorf("the clock was set, and the worker seems to have started at %v", start)
+	}
+	host.now = 1020
+	if start := readStart(unix(1015)); start < 1010 || start > 1020 {
+		t.Errorf("it restarted between two readings, and seems to at %v", start)
+	}
+	host.skew, host.now = -300, 1030
+	if start := readStart(unix(1025)); start < 1020 || start > 1030 {
+		t.Errorf("it restarted by a clock ahead of this one, and seems to at %v", start)
+	}
+	if start := readStart(0); start != 0 {
+		t.Errorf("it is said to run for long: %v", start)
+	}
+	if p.endpoints.statedStart("wk") != 0 || p.ReadEndpointList([]byte("[")) == nil || len(p.endpoints.configured.Workers) != 1 {
+		t.Error("a faulty list changed something")
+	}
+}
--- /dev/null
+++ b/internal/proxy/eviction.go
@@ -0,0 +1,30 @@
+package proxy
+
+// evictIdleClient closes the client connection that has been idle longest and tells whether there was one. A
+// connection with a request open, or on which a part of one came, is never closed; nor is one on which a request lies
+// unread, which closing would cut off.
+func (p *Proxy) evictIdleClient() bool {
+	for p.settings.EvictIdleClients {
+		oldest, idleSince := p.longestIdleClient()
+		if oldest == nil {
+			return false
+		}
+		p.readAhead(oldest)
+		p.Flush()
+		if since, idle := oldest.session.Idle(); oldest.closed || idle && since == idleSince {
+			p.closeClient(oldest)
+			return true
+		}
+	}
+	return false
+}
+
+// longestIdleClient returns the client that has been idle longest, nil where none is idle.
+func (p *Proxy) longestIdleClient() (oldest *Client, idleSince float64) {
+	for _, client := range p.clients {
+		if since, idle := client.session.Idle(); idle && (oldest == nil || since < idleSince) {
+			oldest, idleSince = client, since
+		}
+	}
+	return oldest, idleSince
+}
--- /dev/null
+++ b/internal/proxy/host_test.go
@@ -0,0 +1,56 @@
+package proxy
+
+import (
+	"time"
+
+	"streamcleat/internal/upstream"
+)
+
+// hostEpoch is the Unix time at which the clock of a fakeHost is 0.
+const hostEpoch = 1_800_000_000
+
+// fakeHost is a host whose clocks the test sets.
+type fakeHost struct {
+	now    float64
+	skew   float64 // of the time of day
+	timers []fakeTimer
+	dials  int
+}
+
+type fakeTimer struct {
+	at float64
+	f  func()
+}
+
+// fireTimers calls what is due.
+func (h *fakeHost) fireTimers() {
+	timers := h.timers
+	h.timers = nil
+	for _, timer := range timers {
+		if timer.at <= h.now {
+			timer.f()
+		} else {
+			h.timers = append(h.timers, timer)
+		}
+	}
+}
+
+// run lets some seconds pass in steps of 50 ms.
+func (h *fakeHost) run(p *Proxy, seconds float64) {
+	for end := h.now + seconds; h.now < end; h.now += 0.05 {
+		h.fireTimers()
+		p.Tick()
+	}
+}
+
+func (h *fakeHost) Now() float64 { return h.now }
+func (h *fakeHost) Wall() time.Time {
+	return time.Unix(hostEpoch, 0).Add(time.Duration((h.now + h.skew) * float64(time.Second)))
+}
+func (h *fakeHost) SetTimer(float64) {}
+func (h *fakeHost) After(seconds float64, f func()) {
+	h.timers = append(h.timers, fakeTimer{at: h.now + seconds, f: f})
+}
+func (h *fakeHost) Post(func())                  {}
+func (h *fakeHost) Dial(upstream.ConnID, string) { h.dials++ }
+func (h *fakeHost) Broadcast([]byte)             {}
--- /dev/null
+++ b/internal/proxy/upstream.go
@@ -0,0 +1,93 @@
+package proxy
+
+import (
+	"streamcleat/control"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/upstream"
+)
+
+// operation is something that the pool asked to be done on a connection to a worker.
+type operation struct {
+	conn  upstream.ConnID
+	data  []byte
+	close bool
+}
+
+// upstreamTransport carries the pool's bytes. Writes and closes wait for Flush, until the pool's call is over.
+type upstreamTransport struct{ proxy *Proxy }
+
+// Write implements Transport.
+func (t upstreamTransport) Write(conn upstream.ConnID, data []byte) {
+	t.proxy.operations = append(t.proxy.operations, operation{conn: conn, data: data})
+}
+
+// Close implements Transport.
+func (t upstreamTransport) Close(conn upstream.ConnID) {
+	t.proxy.operations = append(t.proxy.operations, operation{conn: conn, close: true})
+}
+
+// Unsent implements Transport.
+func (t upstreamTransport) Unsent(conn upstream.ConnID) int {
+	if c := t.proxy.upstreamConns[conn]; c != nil {
+		return c.Unsent()
+	}
+	return 0
+}
+
+// Dial implements Transport.
+func (t upstreamTransport) Dial(conn upstream.ConnID, addr string) { t.proxy.host.Dial(conn, addr) }
+
+// upstreamResults hands what workers replied to the dispatcher.
+type upstreamResults struct{ proxy *Proxy }
+
+// OnAttemptReply implements upstream.Results.
+func (r upstreamResults) OnAttemptReply(attempt uint64, reply dispatch.WorkerReply) {
+	r.proxy.dispatcher.OnAttemptReply(r.proxy.host.Now(), attempt, reply)
+}
+
+// OnLoadReply implements upstream.Results.
+func (r upstreamResults) OnLoadReply(command uint64, outcome control.Outcome, replicas int) {
+	r.proxy.dispatcher.OnLoadReply(r.proxy.host.Now(), command, outcome, replicas)
+}
+
+// OnDialed tells how a dial ended: with a connection or an error.
+func (p *Proxy) OnDialed(id upstream.ConnID, conn Conn, err error) {
+	if err == nil {
+		p.upstreamConns[id] = conn
+	}
+	p.pool.OnDialed(p.host.Now(), id, err)
+	p.Flush()
+}
+
+// OnUpstreamData takes bytes from a worker.
+func (p *Proxy) OnUpstreamData(id upstream.ConnID, data []byte) {
+	if p.upstreamConns[id] == nil {
+		return
+	}
+	p.pool.OnData(p.host.Now(), id, data)
+	p.Flush()
+}
+
+// OnUpstreamClosed tells that a connection to a worker closed or broke.
+func (p *Proxy) OnUpstreamClosed(id upstream.ConnID) {
+	if p.upstreamConns[id] == nil {
+		return
+	}
+	delete(p.upstreamConns, id)
+	p.pool.OnClosed(p.host.Now(), id)
+	p.Flush()
+}
+
+// applyOperation writes to or closes a connection to a worker, unless it has ended meanwhile.
+func (p *Proxy) applyOperation(o operation) {
+	conn := p.upstreamConns[o.conn]
+	if conn == nil {
+		return
+	}
+	if o.close {
+		delete(p.upstreamConns, o.conn)
+		conn.Close()
+		return
+	}
+	conn.Write(o.data)
+}
