--- /dev/null
+++ b/internal/eventloop/fixture_test.go
@@ -0,0 +1,163 @@
+package eventloop_test
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"streamcleat/internal/config"
+	"streamcleat/internal/eventloop"
+	"streamcleat/internal/fakes"
+	"streamcleat/internal/invariants"
+	"streamcleat/internal/proxy"
+	"streamcleat/internal/schedule"
+)
+
+// fixture is a front end with fake workers on loopback.
+type fixture struct {
+	t       *testing.T
+	tape    *invariants.Tape
+	workers []*fakes.Worker
+	list    *fakes.List
+	path    string // of the endpoint list
+	server  *eventloop.Server
+}
+
+// newFixture starts a front end and so many workers; limits are members of the configuration's limits.
+func newFixture(t *testing.T, workers int, limits string) *fixture {
+	t.Helper()
+	f := &fixture{t: t, tape: invariants.NewTape(), path: filepath.Join(t.TempDir(), "workers.json")}
+	f.startWorkers(workers)
+	var err error
+	if f.list, err = fakes.NewList(f.path, f.tape, f.workers); err != nil {
+		t.Fatal(err)
+	}
+	c, err := config.Parse([]byte(`{"event_types":[{"name":"again","target_time_s":0.5,"max_age_s":1.2},
+		{"name":"keyed","target_time_s":0.5,"max_age_s":1.2,"repeat":"keyed","remembered_s":30},
+		{"name":"once","target_time_s":0.5,"max_age_s":1.2,"repeat":"at-most-once"}],"functions":[{"match":"*","lanes":4,"load_s":0.03}],
+		"rules":{"cold_share":0.5,"warm_within_s":1,"fall_multiple":5,"fall_window_s":1},"limits":{`+limits+`}}`), ".")
+	if err != nil {
+		t.Fatal(err)
+	}
+	f.server, err = eventloop.Start(eventloop.Settings{
+		Listen:      "127.0.0.1:0",
+		WorkersFile: f.path,
+		Settings: proxy.Settings{
+			Name:       "front",
+			Dispatch:   c.Dispatch(1),
+			Upstream:   c.Upstream("front"),
+			Downstream: c.Downstream(),
+			MaxClients: c.Limits.Connections,
+		},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		if err := f.server.Stop(0); err != nil {
+			t.Error("stop:", err)
+		}
+	})
+	return f
+}
+
+func (f *fixture) startWorkers(n int) {
+	f.t.Helper()
+	functions := []fakes.Function{{Name: "tally", Memory: 100, Lanes: 4, Fetch: 0.02, Begin: 0.01, Work: 0.05}}
+	store, memory := fakes.NewStore(8, 32), fakes.NewMemory(30)
+	for i := range n {
+		worker, err := fakes.NewWorker(fakes.Spec{Name: fmt.Sprintf("wk-%d", i), Cores: 4, Speed: 1, Memory: 1000, Queue: 50, LoadsAtOnce: 4,
+			Keep: 20, ColdShare: 0.5, WarmWithin: 1, FallFactor: 5, FallWindow: 1, MeanWork: 0.05, Functions: functions, Store: store,
+			Drops: memory, Keyed: map[string]bool{"keyed": true}, Tape: f.tape, Seed: uint64(i)})
+		if err != nil {
+			f.t.Fatal(err)
+		}
+		f.t.Cleanup(worker.Close)
+		f.workers = append(f.workers, worker)
+	}
+}
+
+// request sends a request of a class as a client without retries does.
+func (f *fixture) request(class, id string) schedule.Result {
+	client := &schedule.Client{Source: "/t", FrontEnds: []string{f.server.Addr()}, HTTP: &http.Client{Transport: &http.Transport{}},
+		DefaultTimeout: 1200 * time.Millisecond}
+	return client.Fire(context.Background(), schedule.Firing{Entry: &schedule.Entry{Class: class, Function: "tally"}, ID: id})
+}
+
+// warmUp has a replica loaded.
+func (f *fixture) warmUp() {
+	f.t.Helper()
+	if result := f.request("again", "warm"); result.Status != 200 {
+		f.t.Fatal(result)
+	}
+}
+
+// inject puts a fault into every worker.
+func (f *fixture) inject(fault fakes.Fault) {
+	f.t.Helper()
+	for _, worker := range f.workers {
+		if err := worker.Inject(fault); err != nil {
+			f.t.Fatal(err)
+		}
+	}
+}
+
+// count tells how many records of a kind there are of a request, "" for any.
+func (f *fixture) count(kind invariants.Kind, id string) (n int) {
+	for _, record := range f.tape.Records() {
+		if record.Kind == kind && (id == "" || record.Event == "/t#"+id) {
+			n++
+		}
+	}
+	return n
+}
+
+// waitIdle waits until no request is open.
+func (f *fixture) waitIdle() {
+	f.t.Helper()
+	for range 200 {
+		counts, _, _, err := f.server.Counts()
+		if err != nil {
+			f.t.Fatal(err)
+		}
+		if counts.Open == 0 && counts.InFlight == 0 {
+			return
+		}
+		time.Sleep(10 * time.Millisecond)
+	}
+	f.t.Fatal("requests are still open")
+}
+
+// requestText is a request as it stands on the wire.
+func requestText(class, id string) string {
+	return fmt.Sprintf("POST /events HTTP/1.1\r\nHost: f\r\nce-specversion: 1.0\r\nce-source: /t\r\nce-id: %s\r\nce-type: %s\r\n"+
+		"ce-function: tally\r\nContent-Length: 0\r\n\r\n", id, class)
+}
+
+// dial opens a client's connection.
+func (f *fixture) dial() (net.Conn, *bufio.Reader) {
+	f.t.Helper()
+	conn, err := net.Dial("tcp", f.server.Addr())
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	f.t.Cleanup(func() { _ = conn.Close() }) // the test may have closed it already
+	if err := conn.SetDeadline(time.Now().Add(5 * time.Second)); err != nil {
+		f.t.Fatal(err)
+	}
+	return conn, bufio.NewReader(conn)
+}
+
+// send writes to a connection of dial.
+func (f *fixture) send(conn net.Conn, text string) {
+	f.t.Helper()
+	if _, err := io.WriteString(conn, text); err != nil {
+		f.t.Error(err)
+	}
+}
--- a/internal/eventloop/server_test.go
+++ b/internal/eventloop/server_test.go
@@ -7,164 +7,69 @@
 	"fmt"
 	"io"
 	"net"
-	"net/http"
 	"os"
-	"path/filepath"
 	"strings"
 	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
-	"streamcleat/internal/config"
 	"streamcleat/internal/eventloop"
 	"streamcleat/internal/fakes"
 	"streamcleat/internal/invariants"
-	"streamcleat/internal/proxy"
 	"streamcleat/internal/schedule"
 )
 
-// room is a front end with stand-in workers on loopback.
-type room struct {
-	t       *testing.T
-	tape    *invariants.Tape
-	workers []*fakes.Worker
-	list    *fakes.List
-	path    string
-	front   *eventloop.Server
-}
-
-func newRoom(t *testing.T, n int, limits string) *room {
-	r := &room{t: t, tape: invariants.NewTape(), path: filepath.Join(t.TempDir(), "workers.json")}
-	fns := []fakes.Function{{Name: "tally", Memory: 100, Lanes: 4, Fetch: 0.02, Begin: 0.01, Work: 0.05}}
-	store, memory := fakes.NewStore(8, 32), fakes.NewMemory(30)
-	for i := range n {
-		w, err := fakes.NewWorker(fakes.Spec{Name: fmt.Sprintf("wk-%d", i), Cores: 4, Speed: 1, Memory: 1000, Queue: 50, LoadsAtOnce: 4,
-			Keep: 20, ColdShare: 0.5, WarmWithin: 1, FallFactor: 5, FallWindow: 1, MeanWork: 0.05, Functions: fns, Store: store,
-			Drops: memory, Keyed: map[string]bool{"keyed": true}, Tape: r.tape, Seed: uint64(i)})
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(w.Close)
-		r.workers = append(r.workers, w)
-	}
-	var err error
-	if r.list, err = fakes.NewList(r.path, r.tape, r.workers); err != nil {
-		t.Fatal(err)
-	}
-	c, err := config.Parse([]byte(`{"event_types":[{"name":"again","target_time_s":0.5,"max_age_s":1.2},
-		{"name":"keyed","target_time_s":0.5,"max_age_s":1.2,"repeat":"keyed","remembered_s":30},
-		{"name":"once","target_time_s":0.5,"max_age_s":1.2,"repeat":"at-most-once"}],"functions":[{"match":"*","lanes":4,"load_s":0.03}],
-		"rules":{"cold_share":0.5,"warm_within_s":1,"fall_multiple":5,"fall_window_s":1},"limits":{`+limits+`}}`), ".")
-	if err != nil {
-		t.Fatal(err)
-	}
-	r.front, err = eventloop.Start(eventloop.Settings{Listen: "127.0.0.1:0", WorkersFile: r.path, Settings: proxy.Settings{
-		Name: "front", Dispatch: c.Dispatch(1), Upstream: c.Upstream("front"), Downstream: c.Downstream(), MaxClients: c.Limits.Connections}})
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { r.front.Stop(0) })
-	return r
-}
-
-func (r *room) client(repeat int) *schedule.Client {
-	return &schedule.Client{Source: "/t", FrontEnds: []string{r.front.Addr()}, HTTP: &http.Client{Transport: &http.Transport{}},
-		DefaultTimeout: 1200 * time.Millisecond, MaxRetries: repeat}
-}
-
-func (r *room) fire(kind, id string) schedule.Result {
-	return r.client(0).Fire(context.Background(), schedule.Firing{Entry: &schedule.Entry{Class: kind, Function: "tally"}, ID: id})
-}
-
-// count tells how many records of a kind there are of an event, "" for any.
-func (r *room) count(kind invariants.Kind, event string) (n int) {
-	for _, rec := range r.tape.Records() {
-		if rec.Kind == kind && (event == "" || rec.Event == "/t#"+event) {
-			n++
-		}
-	}
-	return n
-}
-
-func (r *room) quiet() {
-	r.t.Helper()
-	for range 200 {
-		n, _, _, err := r.front.Counts()
-		if err != nil {
-			r.t.Fatal(err)
-		}
-		if n.Open == 0 && n.InFlight == 0 {
-			return
-		}
-		time.Sleep(10 * time.Millisecond)
-	}
-	r.t.Fatal("events are still open")
-}
-
-func event(kind, id, more string) string {
-	return fmt.Sprintf("POST /events HTTP/1.1\r\nHost: f\r\nce-specversion: 1.0\r\nce-source: /t\r\nce-id: %s\r\nce-type: %s\r\n"+
-		"ce-function: tally\r\n%sContent-Length: 0\r\n\r\n", id, kind, more)
-}
-
-func (r *room) dial() (net.Conn, *bufio.Reader) {
-	c, err := net.Dial("tcp", r.front.Addr())
-	if err != nil {
-		r.t.Fatal(err)
-	}
-	r.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(5 * time.Second))
-	return c, bufio.NewReader(c)
-}
-
+// Whoever asks for the same again, while it is open or after its end, gets the one response.
 func TestSameMinuteFromTwoClients(t *testing.T) {
-	for _, kind := range []string{"again", "keyed", "once"} {
-		r := newRoom(t, 3, "")
-		var wait sync.WaitGroup
-		outs := make([]schedule.Result, 3)
-		for i, lag := range []time.Duration{0, 0, 700 * time.Millisecond} {
-			wait.Add(1)
-			go func() { defer wait.Done(); time.Sleep(lag); outs[i] = r.fire(kind, "minute") }()
-		}
-		wait.Wait()
-		replays := 0
-		for _, o := range outs {
-			if o.Status != 200 {
-				t.Errorf("%s: %+v", kind, o)
+	for _, class := range []string{"again", "keyed", "once"} {
+		t.Run(class, func(t *testing.T) {
+			f := newFixture(t, 3, "")
+			var clients sync.WaitGroup
+			results := make([]schedule.Result, 3)
+			for i, delay := range []time.Duration{0, 0, 700 * time.Millisecond} {
+				clients.Go(func() {
+					time.Sleep(delay)
+					results[i] = f.request(class, "minute")
+				})
 			}
-			if o.Replayed {
-				replays++
+			clients.Wait()
+			replays := 0
+			for _, result := range results {
+				if result.Status != 200 {
+					t.Errorf("%+v", result)
+				}
+				if result.Replayed {
+					replays++
+				}
 			}
-		}
-		if n := r.count(invariants.Launched, "minute"); n != 1 || replays != 2 {
-			t.Errorf("%s: %d launches, %d replays", kind, n, replays)
-		}
+			if n := f.count(invariants.Launched, "minute"); n != 1 || replays != 2 {
+				t.Errorf("%d attempts, %d replays", n, replays)
+			}
+		})
 	}
 }
 
 func TestHungWorkerIsAnsweredForInTime(t *testing.T) {
-	r := newRoom(t, 2, `"answer_margin_s":0.1`)
-	if o := r.fire("again", "warm"); o.Status != 200 {
-		t.Fatal(o)
-	}
-	for _, w := range r.workers {
-		w.Inject(fakes.Fault{Kind: "hang"})
-	}
-	for kind, want := range map[string]int{"again": 503, "keyed": 503, "once": 504} {
-		o := r.fire(kind, kind)
-		if o.Status != want || o.Latency < 900*time.Millisecond || o.Latency > 1190*time.Millisecond {
-			t.Errorf("%s: status %d after %v", kind, o.Status, o.Latency)
+	f := newFixture(t, 2, `"answer_margin_s":0.1`)
+	f.warmUp()
+	f.inject(fakes.Fault{Kind: "hang"})
+	for class, want := range map[string]int{"again": 503, "keyed": 503, "once": 504} {
+		result := f.request(class, class)
+		if result.Status != want || result.Latency < 900*time.Millisecond || result.Latency > 1190*time.Millisecond {
+			t.Errorf("%s: status %d after %v", class, result.Status, result.Latency)
 		}
-		if n := r.count(invariants.Launched, kind); n != 1 {
-			t.Errorf("%s: %d launches", kind, n)
+		if n := f.count(invariants.Launched, class); n != 1 {
+			t.Errorf("%s: %d attempts", class, n)
 		}
 	}
-	r.quiet()
+	f.waitIdle()
 }
 
 func TestResetsByKindOfEvent(t *testing.T) {
 	for _, c := range []struct {
 		fault  fakes.Fault
-		kind   string
+		class  string
 		status int
 		runs   int
 	}{
@@ -174,172 +79,189 @@
 		{fakes.Fault{Kind: "reset"}, "again", 200, 1},
 		{fakes.Fault{Kind: "reset"}, "once", 502, 0}, // it never ran, but nobody can know
 	} {
-		r := newRoom(t, 2, "")
-		if o := r.fire("again", "warm"); o.Status != 200 {
-			t.Fatal(o)
-		}
-		for _, w := range r.workers { // whoever is warm fails until it is taken back
-			w.Inject(c.fault)
-		}
-		done := make(chan schedule.Result)
-		go func() { done <- r.fire(c.kind, "e") }()
-		for r.count(invariants.Ended, "e") == 0 {
-			time.Sleep(time.Millisecond)
-		}
-		for _, w := range r.workers {
-			f := c.fault
-			f.For = 1e-9
-			w.Inject(f)
-		}
-		if o := <-done; o.Status != c.status && !(c.status == 200 && o.Status == 503) {
-			t.Errorf("%s, %s: status %d, want %d", c.fault.Kind, c.kind, o.Status, c.status)
-		}
-		if n := r.count(invariants.Ran, "e"); c.kind != "again" && n > c.runs {
-			t.Errorf("%s, %s: ran %d times, want %d", c.fault.Kind, c.kind, n, c.runs)
-		}
+		t.Run(c.fault.Kind+" "+c.class, func(t *testing.T) {
+			f := newFixture(t, 2, "")
+			f.warmUp()
+			f.inject(c.fault) // whoever is warm fails until it is taken back
+			done := make(chan schedule.Result)
+			go func() { done <- f.request(c.class, "e") }()
+			for f.count(invariants.Ended, "e") == 0 {
+				time.Sleep(time.Millisecond)
+			}
+			over := c.fault
+			over.For = 1e-9
+			f.inject(over)
+			result := <-done
+			rejected := c.status == 200 && result.Status == 503
+			if result.Status != c.status && !rejected {
+				t.Errorf("status %d, want %d", result.Status, c.status)
+			}
+			if n := f.count(invariants.Ran, "e"); c.class != "again" && n > c.runs {
+				t.Errorf("ran %d times, want %d", n, c.runs)
+			}
+		})
 	}
 }
 
-// A worker that is listed but does not run has proven not to have run anything: every kind goes elsewhere.
+// A worker that is listed but does not run has proven not to have run anything: every class goes elsewhere.
 func TestRefusedConnectionsProveNothingRan(t *testing.T) {
-	r := newRoom(t, 2, "")
-	if o := r.fire("once", "warm"); o.Status != 200 {
-		t.Fatal(o)
-	}
-	warm := r.tape.Records()
-	var at string
-	for _, rec := range warm {
-		if rec.Kind == invariants.Launched {
-			at = rec.Worker
+	f := newFixture(t, 2, "")
+	if result := f.request("once", "warm"); result.Status != 200 {
+		t.Fatal(result)
+	}
+	var warm string
+	for _, record := range f.tape.Records() {
+		if record.Kind == invariants.Launched {
+			warm = record.Worker
 		}
 	}
-	for _, w := range r.workers {
-		if w.Name() == at {
-			w.Crash()
+	for _, worker := range f.workers {
+		if worker.Name() == warm {
+			worker.Crash()
 		}
 	}
-	for _, kind := range []string{"again", "keyed", "once"} {
+	for _, class := range []string{"again", "keyed", "once"} {
 		// The first goes over the kept connection, whose end the front end has seen; all get to the other worker.
 		time.Sleep(20 * time.Millisecond)
-		if o := r.fire(kind, kind); o.Status != 200 || r.count(invariants.Ran, kind) != 1 {
-			t.Errorf("%s: status %d, ran %d times", kind, o.Status, r.count(invariants.Ran, kind))
+		if result := f.request(class, class); result.Status != 200 || f.count(invariants.Ran, class) != 1 {
+			t.Errorf("%s: status %d, ran %d times", class, result.Status, f.count(invariants.Ran, class))
 		}
 	}
 }
 
 func TestHangUpAndRepeat(t *testing.T) {
-	r := newRoom(t, 2, "")
-	r.fire("again", "warm")
-	c, _ := r.dial()
-	io.WriteString(c, event("once", "e", ""))
-	for r.count(invariants.Ran, "e") == 0 {
+	f := newFixture(t, 2, "")
+	f.request("again", "warm")
+	conn, _ := f.dial()
+	f.send(conn, requestText("once", "e"))
+	for f.count(invariants.Ran, "e") == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	c.Close()
-	if o := r.fire("once", "e"); o.Status != 200 || r.count(invariants.Ran, "e") != 1 {
-		t.Errorf("status %d, ran %d times", o.Status, r.count(invariants.Ran, "e"))
+	if err := conn.Close(); err != nil {
+		t.Error(err)
+	}
+	if result := f.request("once", "e"); result.Status != 200 || f.count(invariants.Ran, "e") != 1 {
+		t.Errorf("status %d, ran %d times", result.Status, f.count(invariants.Ran, "e"))
 	}
 }
 
-func TestDrainToldWhileLaunchesAndOrdersAreOut(t *testing.T) {
-	r := newRoom(t, 3, "")
-	ctx, stop := context.WithTimeout(context.Background(), 2500*time.Millisecond)
-	defer stop()
-	var wait sync.WaitGroup
-	bad := 0
-	var mu sync.Mutex
-	for i := range 6 {
-		wait.Add(1)
-		go func() {
-			defer wait.Done()
+// requestUntil has clients send requests of all classes until ctx ends and counts the responses that were neither
+// success nor rejection.
+func (f *fixture) requestUntil(ctx context.Context, clients int) (wait func() (failed int64)) {
+	var running sync.WaitGroup
+	var failed atomic.Int64
+	for i := range clients {
+		running.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
-				if o := r.fire([]string{"again", "keyed", "once"}[n%3], fmt.Sprintf("%d-%d", i, n)); o.Status != 200 && o.Status != 503 {
-					mu.Lock()
-					bad++
-					mu.Unlock()
+				result := f.request([]string{"again", "keyed", "once"}[n%3], fmt.Sprintf("%d-%d", i, n))
+				if result.Status != 200 && result.Status != 503 {
+					failed.Add(1)
 				}
 			}
-		}()
+		})
+	}
+	return func() int64 {
+		running.Wait()
+		return failed.Load()
 	}
-	for _, w := range r.workers[:2] {
+}
+
+func TestDrainToldWhileLaunchesAndOrdersAreOut(t *testing.T) {
+	f := newFixture(t, 3, "")
+	ctx, stop := context.WithTimeout(context.Background(), 2500*time.Millisecond)
+	defer stop()
+	wait := f.requestUntil(ctx, 6)
+	for _, worker := range f.workers[:2] {
 		time.Sleep(500 * time.Millisecond)
-		if err := r.list.Set(w, "draining"); err != nil {
+		if err := f.list.Set(worker, "draining"); err != nil {
 			t.Fatal(err)
 		}
 	}
 	time.Sleep(300 * time.Millisecond)
-	if err := r.workers[0].Restart(); err != nil { // a new process under the same name and address
+	if err := f.workers[0].Restart(); err != nil { // a new process under the same name and address
 		t.Fatal(err)
 	}
-	r.list.Set(r.workers[0], "serving")
-	wait.Wait()
-	v := invariants.Judge(invariants.Rules{DrainGrace: 0.5, Grace: 0.1}, r.tape.Records())
-	if v.AfterDrain > 0 || v.AtOnce > 0 || bad > 0 || v.Launches < 50 {
-		t.Errorf("%d answers were neither handled nor deferred; %+v", bad, v)
+	if err := f.list.Set(f.workers[0], "serving"); err != nil {
+		t.Fatal(err)
+	}
+	failed := wait()
+	verdict := invariants.Judge(invariants.Rules{DrainGrace: 0.5, Grace: 0.1}, f.tape.Records())
+	if verdict.AfterDrain > 0 || verdict.AtOnce > 0 || failed > 0 || verdict.Launches < 50 {
+		t.Errorf("%d responses were neither success nor rejection; %+v", failed, verdict)
 	}
 }
 
 func TestFaultyListKeepsTheLastInForce(t *testing.T) {
-	r := newRoom(t, 2, "")
-	for _, text := range []string{"[", `[{"targets":["x"]}]`} {
-		if err := os.WriteFile(r.path, []byte(text), 0o644); err != nil {
+	f := newFixture(t, 2, "")
+	writeList := func(text string) {
+		t.Helper()
+		if err := os.WriteFile(f.path, []byte(text), 0o644); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(50 * time.Millisecond)
-		if o := r.fire("again", text); o.Status != 200 {
-			t.Errorf("with list %q: status %d", text, o.Status)
+	}
+	for _, text := range []string{"[", `[{"targets":["x"]}]`} {
+		writeList(text)
+		if result := f.request("again", text); result.Status != 200 {
+			t.Errorf("with list %q: status %d", text, result.Status)
 		}
 	}
-	os.WriteFile(r.path, []byte("[]"), 0o644)
-	time.Sleep(50 * time.Millisecond)
-	if o := r.fire("again", "none"); o.Status != 503 || o.Latency > 300*time.Millisecond {
-		t.Errorf("all gone: status %d after %v", o.Status, o.Latency)
+	writeList("[]")
+	if result := f.request("again", "none"); result.Status != 503 || result.Latency > 300*time.Millisecond {
+		t.Errorf("all gone: status %d after %v", result.Status, result.Latency)
 	}
 }
 
-func TestMalformedAndSlowSenders(t *testing.T) {
-	r := newRoom(t, 1, `"arrival_s":0.3,"idle_s":0.4`)
-	c, in := r.dial()
-	io.WriteString(c, event("again", "a", "")+"POST / HTTP/1.1\r\nHost: f\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /smuggled HTTP/1.1\r\n\r\n")
-	var status []string
+// readStatuses reads the statuses of all responses up to the connection's end.
+func readStatuses(t *testing.T, in *bufio.Reader) string {
+	t.Helper()
+	var statuses []string
 	for {
 		line, err := in.ReadString('\n')
 		if err != nil {
 			if !errors.Is(err, io.EOF) {
 				t.Error(err)
 			}
-			break
+			return strings.Join(statuses, " ")
 		}
 		if strings.HasPrefix(line, "HTTP/") {
-			status = append(status, strings.Fields(line)[1])
+			statuses = append(statuses, strings.Fields(line)[1])
 		}
 	}
-	if got := strings.Join(status, " "); got != "200 400" {
-		t.Errorf("answers %s", got)
-	}
-	c, in = r.dial()
-	io.WriteString(c, "POST / HTTP/1.1\r\nHo")
+}
+
+func TestMalformedAndSlowSenders(t *testing.T) {
+	f := newFixture(t, 1, `"arrival_s":0.3,"idle_s":0.4`)
+	conn, in := f.dial()
+	f.send(conn, requestText("again", "a")+"POST / HTTP/1.1\r\nHost: f\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /smuggled HTTP/1.1\r\n\r\n")
+	if got := readStatuses(t, in); got != "200 400" {
+		t.Errorf("responses %s", got)
+	}
+	conn, in = f.dial()
+	f.send(conn, "POST / HTTP/1.1\r\nHo")
 	if line, err := in.ReadString('\n'); !strings.HasPrefix(line, "HTTP/1.1 408") {
 		t.Error(line, err)
 	}
-	c, in = r.dial()
+	_, in = f.dial()
 	if _, err := in.ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("an idle connection: %v", err)
 	}
 }
 
 func TestClientThatNeverReads(t *testing.T) {
-	r := newRoom(t, 1, `"unread_bytes":4096,"pipeline":10000`)
-	c, _ := r.dial()
-	c.(*net.TCPConn).SetReadBuffer(2048)
+	f := newFixture(t, 1, `"unread_bytes":4096,"pipeline":10000`)
+	conn, _ := f.dial()
+	if err := conn.(*net.TCPConn).SetReadBuffer(2048); err != nil {
+		t.Fatal(err)
+	}
 	text := strings.Repeat("GET /none HTTP/1.1\r\nHost: f\r\n\r\n", 2000)
 	for range 100 {
-		if _, err := io.WriteString(c, text); err != nil {
+		if _, err := io.WriteString(conn, text); err != nil {
 			break
 		}
 	}
 	for range 100 {
-		if _, clients, _, _ := r.front.Counts(); clients == 0 {
+		if _, clients, _, err := f.server.Counts(); err == nil && clients == 0 {
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -348,33 +270,33 @@
 }
 
 func TestStopAnswersWhatIsOpen(t *testing.T) {
-	r := newRoom(t, 1, "")
-	r.fire("again", "warm")
-	r.workers[0].Inject(fakes.Fault{Kind: "hang"})
-	outs := make(chan schedule.Result, 2)
-	for _, kind := range []string{"again", "once"} {
-		go func() { outs <- r.fire(kind, kind) }()
-	}
-	for r.count(invariants.Launched, "again")+r.count(invariants.Launched, "once") < 2 {
+	f := newFixture(t, 1, "")
+	f.request("again", "warm")
+	f.inject(fakes.Fault{Kind: "hang"})
+	results := make(chan schedule.Result, 2)
+	for _, class := range []string{"again", "once"} {
+		go func() { results <- f.request(class, class) }()
+	}
+	for f.count(invariants.Launched, "again")+f.count(invariants.Launched, "once") < 2 {
 		time.Sleep(time.Millisecond)
 	}
-	if err := r.front.Stop(100 * time.Millisecond); err != nil {
+	if err := f.server.Stop(100 * time.Millisecond); err != nil {
 		t.Fatal(err)
 	}
 	for range 2 {
-		if o := <-outs; o.Status != map[string]int{"again": 503, "once": 502}[o.ID] {
-			t.Errorf("%s: status %d, %v", o.ID, o.Status, o.Err)
+		if result := <-results; result.Status != map[string]int{"again": 503, "once": 502}[result.ID] {
+			t.Errorf("%s: status %d, %v", result.ID, result.Status, result.Err)
 		}
 	}
-	if _, err := net.DialTimeout("tcp", r.front.Addr(), time.Second); err == nil {
+	if _, err := net.DialTimeout("tcp", f.server.Addr(), time.Second); err == nil {
 		t.Error("still listening")
 	}
 }
 
 func TestAddressInUse(t *testing.T) {
-	r := newRoom(t, 1, "")
-	_, err := eventloop.Start(eventloop.Settings{Listen: r.front.Addr()})
-	if err == nil || !strings.Contains(err.Error(), r.front.Addr()) {
+	f := newFixture(t, 1, "")
+	_, err := eventloop.Start(eventloop.Settings{Listen: f.server.Addr()})
+	if err == nil || !strings.Contains(err.Error(), f.server.Addr()) {
 		t.Error(err)
 	}
 }
