--- a/cmd/streamcleat/crossing_test.go
+++ b/cmd/streamcleat/crossing_test.go
@@ -3,10 +3,7 @@
 import (
 	"bufio"
 	"bytes"
-	"encoding/binary"
 	"fmt"
-	"hash/crc32"
-	"io"
 	"net"
 	"os"
 	"os/exec"
@@ -22,202 +19,229 @@
 	"streamcleat/internal/proxy"
 )
 
-// stall holds the event loop until the function it returns is called: what comes meanwhile is found in one turn.
-func (h *hall) stall() (release func()) {
-	in, out := make(chan struct{}), make(chan struct{})
-	h.front.Post(func(*proxy.Proxy) { close(in); <-out })
-	<-in
-	release = sync.OnceFunc(func() { close(out) })
-	h.t.Cleanup(release) // also after a test that failed
+// stallLoop holds the event loop until the function it returns is called: what comes meanwhile is found in one turn.
+func (f *nodeFixture) stallLoop() (release func()) {
+	f.t.Helper()
+	stalled, released := make(chan struct{}), make(chan struct{})
+	err := f.server.Post(func(*proxy.Proxy) {
+		close(stalled)
+		<-released
+	})
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	<-stalled
+	release = sync.OnceFunc(func() { close(released) })
+	f.t.Cleanup(release) // also after a test that failed
 	return release
 }
 
-// warm is a client that has been served, so that a copy stands.
-func (h *hall) warm() *caller {
-	k := h.dial()
-	k.ask("warm")
-	k.hear()
-	return k
+// resetConnection closes a connection with a reset.
+func resetConnection(t *testing.T, conn net.Conn) {
+	t.Helper()
+	if err := conn.(*net.TCPConn).SetLinger(0); err != nil {
+		t.Error(err)
+	}
+	closeConnection(t, conn)
+}
+
+func closeConnection(t *testing.T, conn net.Conn) {
+	t.Helper()
+	if err := conn.Close(); err != nil {
+		t.Error(err)
+	}
 }
 
-// A client that left must find no launch after that, though the worker's answer that asks for one is read first.
+// A client that left must find no attempt after that, though the worker's reply that asks for one is read first.
 func TestNothingIsLaunchedForAClientThatLeft(t *testing.T) {
 	t.Parallel()
-	cancel := func(k *caller) []byte {
-		return append([]byte{0, 0, 0, 5, 3}, binary.BigEndian.AppendUint32(nil, k.n)...)
-	}
-	leaves := map[string]func(k *caller){
-		"cancel": func(k *caller) { k.c.Write(cancel(k)) },
-		"close":  func(k *caller) { k.c.Close() },
-		"reset":  func(k *caller) { k.c.(*net.TCPConn).SetLinger(0); k.c.Close() },
-		"cancel behind much else": func(k *caller) {
-			c := cancel(k)
+	leaves := map[string]func(t *testing.T, client *nodeClient){
+		"cancel": func(_ *testing.T, client *nodeClient) { client.sendBytes(client.cancellation()) },
+		"close":  func(t *testing.T, client *nodeClient) { closeConnection(t, client.conn) },
+		"reset":  func(t *testing.T, client *nodeClient) { resetConnection(t, client.conn) },
+		"cancel behind much else": func(_ *testing.T, client *nodeClient) {
+			cancellation := client.cancellation()
 			var much []byte
 			for len(much) < 100_000 {
-				much = append(much, k.request("no function", strings.Repeat("x", 10_000))...)
+				much = append(much, client.request("no function", strings.Repeat("x", 10_000))...)
 			}
-			k.c.Write(append(much, c...))
+			client.sendBytes(append(much, cancellation...))
 		},
 	}
 	for name, leave := range leaves {
-		for waits, command := range map[string]byte{"between launches": 48, "for a load": 52} {
+		for waits, command := range map[string]byte{"between launches": commandAttempt, "for a load": commandLoad} {
 			t.Run(name+" "+waits, func(t *testing.T) {
 				t.Parallel()
-				h := newHall(t, 256)
-				k := h.warm()
-				got, answer := make(chan struct{}, 1), make(chan struct{})
-				reply := func(c byte) byte {
-					if c != command {
-						return 64
-					}
-					got <- struct{}{}
-					<-answer
-					return map[byte]byte{48: 68, 52: 64}[c] // an error, after which it is tried again; a copy that stands
-				}
-				h.reply.Store(&reply)
-				before := h.ran.Load()
-				if command == 48 {
-					k.ask("again")
-					before++
-				} else {
-					k.c.Write(k.request("00000000000000f2", "cold"))
-				}
-				<-got
-				release := h.stall()
-				close(answer)
-				if c := <-h.wrote; c != command {
-					t.Fatal("answered", c)
-				}
-				leave(k)
-				release()
-				time.Sleep(100 * time.Millisecond)
-				if n := h.ran.Load() - before; n != 0 {
-					t.Errorf("%d launches for a client that left", n)
-				}
+				testClientThatLeaves(t, command, leave)
 			})
 		}
 	}
 }
 
-// A worker's connection that ends under a launch, at whatever point: what may run again is launched anew and handled, what
-// must not is launched once. A second answer some milliseconds after the first belongs to nobody.
+// testClientThatLeaves has a client leave while the reply to a command, after which an attempt would follow, lies unread.
+func testClientThatLeaves(t *testing.T, command byte, leave func(t *testing.T, client *nodeClient)) {
+	f := newNodeFixture(t, 256)
+	client := f.dialWarm()
+	got, proceed := make(chan struct{}, 1), make(chan struct{})
+	replyCode := func(c byte) byte {
+		if c != command {
+			return replySucceeded
+		}
+		got <- struct{}{}
+		<-proceed
+		if c == commandAttempt {
+			return replyFailed // after which it is tried again
+		}
+		return replySucceeded // a replica that is loaded
+	}
+	f.replyCode.Store(&replyCode)
+	before := f.attempts.Load()
+	if command == commandAttempt {
+		client.send("again")
+		before++
+	} else {
+		client.sendBytes(client.request("00000000000000f2", "cold"))
+	}
+	<-got
+	release := f.stallLoop()
+	close(proceed)
+	if c := <-f.replied; c != command {
+		t.Fatal("replied to", c)
+	}
+	leave(t, client)
+	release()
+	time.Sleep(100 * time.Millisecond)
+	if n := f.attempts.Load() - before; n != 0 {
+		t.Errorf("%d attempts for a client that left", n)
+	}
+}
+
+// readSome reads what a connection has, or its end.
+func readSome(conn net.Conn) {
+	_, _ = conn.Read(make([]byte, 64<<10)) // what was read does not matter
+}
+
+// A worker's connection that ends under an attempt, at whatever point: what may run again is retried and succeeds, what
+// must not is sent once.
 func TestWorkerConnectionsThatEndUnderALaunch(t *testing.T) {
 	t.Parallel()
-	reset := func(c net.Conn) { c.(*net.TCPConn).SetLinger(0); c.Close() }
-	read := func(c net.Conn) []byte {
-		b := make([]byte, 64<<10)
-		n, _ := c.Read(b)
-		return b[:n]
-	}
-	for name, end := range map[string]func(c net.Conn){
-		"reset behind the accept":  reset,
-		"closed behind the accept": func(c net.Conn) { c.Close() },
-		"reset over the launch":    func(c net.Conn) { time.Sleep(20 * time.Millisecond); reset(c) }, // it lies there unread
-		"reset after reading it":   func(c net.Conn) { read(c); reset(c) },
-		"closed in mid-answer":     func(c net.Conn) { read(c); c.Write([]byte{193, 64, 0}); c.Close() },
+	for name, end := range map[string]func(t *testing.T, conn net.Conn){
+		"reset behind the accept":  resetConnection,
+		"closed behind the accept": closeConnection,
+		"reset over the launch": func(t *testing.T, conn net.Conn) { // it lies there unread
+			time.Sleep(20 * time.Millisecond)
+			resetConnection(t, conn)
+		},
+		"reset after reading it": func(t *testing.T, conn net.Conn) {
+			readSome(conn)
+			resetConnection(t, conn)
+		},
+		"closed in mid-answer": func(t *testing.T, conn net.Conn) {
+			readSome(conn)
+			if _, err := conn.Write([]byte{workerReplyMark, replySucceeded, 0}); err != nil {
+				t.Error(err)
+			}
+			closeConnection(t, conn)
+		},
 	} {
-		for kind, tries := range map[string]int32{"call": 2, "once": 1} {
-			t.Run(name+" "+kind, func(t *testing.T) {
+		for class, tries := range map[string]int32{"call": 2, "once": 1} {
+			t.Run(name+" "+class, func(t *testing.T) {
 				t.Parallel()
-				h := newHall(t, 256)
-				k := h.warm()
-				var met atomic.Int32
-				meet := func(c net.Conn) bool {
-					if met.Add(1) == 1 {
-						end(c)
-						return true
-					}
-					return false
-				}
-				h.meet.Store(&meet)
-				h.silent.Store(true) // the connection that stands is kept busy, so that the next launch takes a new one
-				k.ask("holds the first connection")
-				for h.ran.Load() < 2 {
-					time.Sleep(time.Millisecond)
-				}
-				h.silent.Store(false)
-				k.c.Write(bytes.Replace(k.request("00000000000000f1", "again"), []byte("\x00\x04call"), []byte("\x00\x04"+kind), 1))
-				got := k.hear()
-				if strings.HasSuffix(name, "the accept") && strings.HasPrefix(got, `2/3 "\b`) && h.ran.Load() == 2 {
-					return // it ended before the loop had it: never sent, and refused as that
-				}
-				if handled := strings.Contains(got, "again"); handled != (tries == 2) || h.ran.Load() > 1+tries {
-					t.Errorf("%s; %d launches came whole, %d connections", got, h.ran.Load()-2, met.Load())
-				}
-				if kind == "once" && !strings.HasPrefix(got, `2/3 "\r`) {
-					t.Error("not dead-lettered:", got)
-				}
+				neverSent := strings.HasSuffix(name, "the accept") // possibly: it may end before the loop has it
+				testConnectionThatEnds(t, class, tries, neverSent, end)
 			})
 		}
 	}
 }
 
-// The mark by which workers know a keyed event's repeat reaches them unchanged; where there is none, none is made up.
+// testConnectionThatEnds ends the connection of an attempt of a class that may be tried so often.
+func testConnectionThatEnds(t *testing.T, class string, tries int32, neverSent bool, end func(t *testing.T, conn net.Conn)) {
+	f := newNodeFixture(t, 256)
+	client := f.dialWarm()
+	var connections atomic.Int32
+	take := func(conn net.Conn) bool {
+		if connections.Add(1) > 1 {
+			return false
+		}
+		end(t, conn)
+		return true
+	}
+	f.takeConnection.Store(&take)
+	f.silent.Store(true) // the connection that stands is kept busy, so that the next attempt takes a new one
+	client.send("holds the first connection")
+	for f.attempts.Load() < 2 {
+		time.Sleep(time.Millisecond)
+	}
+	f.silent.Store(false)
+	client.sendBytes(bytes.Replace(client.request(warmFunction, "again"), []byte("\x00\x04call"), []byte("\x00\x04"+class), 1))
+	got := client.receive()
+	if neverSent && strings.HasPrefix(got, `2/3 "\b`) && f.attempts.Load() == 2 {
+		return // it ended before the loop had it: never sent, and refused as that
+	}
+	if succeeded := strings.Contains(got, "again"); succeeded != (tries == 2) || f.attempts.Load() > 1+tries {
+		t.Errorf("%s; %d attempts came whole, %d connections", got, f.attempts.Load()-2, connections.Load())
+	}
+	if class == "once" && !strings.HasPrefix(got, `2/3 "\r`) {
+		t.Error("not failed:", got)
+	}
+}
+
+// The mark by which workers know a keyed request's repeat reaches them unchanged; where there is none, none is made up.
 func TestKeyReachesTheWorker(t *testing.T) {
 	t.Parallel()
 	for key, want := range map[string]string{"k-81f3:7": ",uniq=k-81f3:7", "": ""} {
-		h := newHall(t, 256)
-		got := make(chan string, 1)
-		meet := func(c net.Conn) bool {
+		f := newNodeFixture(t, 256)
+		attemptFields := make(chan string, 1)
+		f.handleWorkerConnections(func(conn net.Conn) {
 			for {
-				head := make([]byte, 16)
-				if _, err := io.ReadFull(c, head); err != nil {
-					return true
+				frame, err := readWorkerFrame(conn)
+				if err != nil {
+					return
 				}
-				rest := make([]byte, int(binary.BigEndian.Uint16(head[2:]))+int(binary.BigEndian.Uint32(head[4:]))+4)
-				io.ReadFull(c, rest)
-				if head[1] == 48 {
-					got <- string(rest[:binary.BigEndian.Uint16(head[2:])])
-					return true
+				if frame.command() == commandAttempt {
+					attemptFields <- string(frame.fields)
+					return
 				}
-				out := append([]byte{193, 64, 0, 10, 0, 0, 0, 0}, head[8:]...)
-				out = append(out, "slots_up=1"...)
-				c.Write(binary.BigEndian.AppendUint32(out, crc32.ChecksumIEEE(out[16:])))
+				_, _ = conn.Write(frame.reply(replySucceeded, replyOneReplica, nil, 0)) // the front end may have left
 			}
-		}
-		h.meet.Store(&meet)
-		k := h.dial()
-		frame := k.request("00000000000000f1", "")
+		})
+		client := f.dial()
+		frame := client.request(warmFunction, "")
 		if key != "" {
 			field := append(append([]byte{5}, "opkey"...), 0, byte(len(key)))
 			frame = append(frame, append(field, key...)...)
 			frame[3], frame[9] = byte(len(frame)-4), frame[9]+1
 		}
-		k.c.Write(frame)
-		if fields := <-got; !strings.HasSuffix(fields, want) || strings.Contains(fields, "uniq") != (want != "") {
+		client.sendBytes(frame)
+		if fields := <-attemptFields; !strings.HasSuffix(fields, want) || strings.Contains(fields, "uniq") != (want != "") {
 			t.Errorf("%q, want %q at the end", fields, want)
 		}
 	}
 }
 
+// A second reply some milliseconds after the first belongs to nobody.
 func TestSecondAnswerBelongsToNobody(t *testing.T) {
 	t.Parallel()
-	h := newHall(t, 256)
-	meet := func(c net.Conn) bool {
+	f := newNodeFixture(t, 256)
+	f.handleWorkerConnections(func(conn net.Conn) {
 		var last []byte
 		for {
-			head := make([]byte, 16)
-			if _, err := io.ReadFull(c, head); err != nil {
-				return true
+			frame, err := readWorkerFrame(conn)
+			if err != nil {
+				return
 			}
-			rest := make([]byte, int(binary.BigEndian.Uint16(head[2:]))+int(binary.BigEndian.Uint32(head[4:]))+4)
-			io.ReadFull(c, rest)
-			body := rest[binary.BigEndian.Uint16(head[2:]) : len(rest)-4]
-			out := append([]byte{193, 64, 0, 10}, binary.BigEndian.AppendUint32(nil, uint32(len(body)))...)
-			out = append(append(append(out, head[8:]...), "slots_up=1"...), body...)
-			out = binary.BigEndian.AppendUint32(out, crc32.ChecksumIEEE(out[16:]))
-			c.Write(last) // again, while the next launch is out
+			reply := frame.reply(replySucceeded, replyOneReplica, frame.body, 0)
+			_, _ = conn.Write(last) // again, while the next attempt is out; the front end may have left
 			time.Sleep(2 * time.Millisecond)
-			c.Write(out)
-			last = out
+			_, _ = conn.Write(reply)
+			last = reply
 		}
-	}
-	h.meet.Store(&meet)
-	k := h.dial()
+	})
+	client := f.dial()
 	for n := range 20 {
 		body := fmt.Sprint("number ", n)
-		k.ask(body)
-		if got := k.hear(); !strings.HasSuffix(got, body+`"`) {
+		client.send(body)
+		if got := client.receive(); !strings.HasSuffix(got, body+`"`) {
 			t.Fatal(n, got)
 		}
 	}
@@ -226,84 +250,120 @@
 // A request that lies unread when room is made for another connection is served; a truly idle connection goes.
 func TestEvictionReadsWhatLiesUnread(t *testing.T) {
 	t.Parallel()
-	h := newHall(t, 64)
-	k := h.warm()
-	var others []*caller
+	f := newNodeFixture(t, 64)
+	client := f.dialWarm()
+	var others []*nodeClient
 	for range 23 { // 24 are held: 64 less 28 kept back, less a third of the rest for workers
-		others = append(others, h.dial())
+		others = append(others, f.dial())
 	}
-	for n := 0; n < 24; {
-		_, n, _, _ = h.front.Counts()
+	for clients := 0; clients < 24; {
+		var err error
+		if _, clients, _, err = f.server.Counts(); err != nil {
+			t.Fatal(err)
+		}
 	}
-	release := h.stall()
-	one := h.dial()
-	k.ask("crossing the eviction")
+	release := f.stallLoop()
+	newcomer := f.dial()
+	client.send("crossing the eviction")
 	release()
-	if got := k.hear(); !strings.Contains(got, "crossing the eviction") {
+	if got := client.receive(); !strings.Contains(got, "crossing the eviction") {
 		t.Error(got)
 	}
-	one.ask("for which room was made")
-	if got := one.hear(); !strings.Contains(got, "for which room was made") {
+	newcomer.send("for which room was made")
+	if got := newcomer.receive(); !strings.Contains(got, "for which room was made") {
 		t.Error(got)
 	}
-	if got := others[0].hear(); got != "EOF" {
+	if got := others[0].receive(); got != "EOF" {
 		t.Error("the longest idle ended by", got)
 	}
 }
 
-// As a process under its limit of descriptors, with the journal service down from the start: hundreds of silent clients
-// keep neither usual ones nor the watch out, nor does it end of them. Told to stop it ends in order.
-func TestProcessUnderItsDescriptorLimit(t *testing.T) {
-	t.Parallel()
-	journal, front := listen(t), listen(t)
-	h := &hall{t: t, worker: listen(t), wrote: make(chan byte, 64)}
-	go h.work()
-	journal.Close()
-	front.Close()
+// freeAddresses are loopback addresses that nobody uses at the moment.
+func freeAddresses(t *testing.T, n int) (addrs []string) {
+	t.Helper()
+	var listeners []net.Listener
+	for range n {
+		listener := listenOnLoopback(t)
+		listeners = append(listeners, listener)
+		addrs = append(addrs, listener.Addr().String())
+	}
+	for _, listener := range listeners {
+		if err := listener.Close(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return addrs
+}
+
+// nodeProcess is a front end as a process of its own.
+type nodeProcess struct {
+	process *os.Process
+	stderr  bytes.Buffer // to be read once it has ended
+	done    chan error
+}
+
+// startNodeProcess runs a front end under a limit of descriptors and waits until it listens.
+func startNodeProcess(t *testing.T, document, addr string, descriptors int) *nodeProcess {
+	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(path, []byte(document(front.Addr().String(), journal.Addr().String(), h.worker.Addr().String(), 96)), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(document), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	node := exec.Command("sh", "-c", "ulimit -n 96; exec streamcleat node")
-	node.Env = append(os.Environ(), "RELAY_CONFIG="+path)
-	var said bytes.Buffer
-	node.Stderr = &said
-	if err := node.Start(); err != nil {
+	cmd := exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d; exec streamcleat node", descriptors))
+	cmd.Env = append(os.Environ(), documentVariable+"="+path)
+	node := &nodeProcess{done: make(chan error, 1)}
+	cmd.Stderr = &node.stderr
+	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	done := make(chan error, 1)
-	go func() { done <- node.Wait() }()
-	t.Cleanup(func() { node.Process.Kill() })
+	node.process = cmd.Process
+	go func() { node.done <- cmd.Wait() }()
+	t.Cleanup(func() { _ = node.process.Kill() }) // it has usually ended
 	for range 200 {
-		if c, err := net.Dial("tcp", front.Addr().String()); err == nil {
-			c.Close()
+		if conn, err := net.Dial("tcp", addr); err == nil {
+			closeConnection(t, conn)
 			break
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	silent := func(n int) {
-		for range n {
-			if c, err := net.Dial("tcp", front.Addr().String()); err == nil {
-				t.Cleanup(func() { c.Close() })
-			}
+	return node
+}
+
+// dialSilently opens connections on which nothing is sent, as many as come up.
+func dialSilently(t *testing.T, addr string, n int) {
+	t.Helper()
+	for range n {
+		if conn, err := net.Dial("tcp", addr); err == nil {
+			closeAtEnd(t, conn)
 		}
 	}
-	silent(200)
-	k := call(t, front.Addr().String())
-	k.ask("among silent ones")
-	if got := k.hear(); !strings.Contains(got, "among silent ones") {
+}
+
+// As a process under its limit of descriptors, with the journal service down from the start: hundreds of silent clients
+// keep neither usual ones nor the watch out, nor does it end of them. Told to stop it ends in order.
+func TestProcessUnderItsDescriptorLimit(t *testing.T) {
+	t.Parallel()
+	const descriptors = 96
+	f := newWorkerFixture(t)
+	addrs := freeAddresses(t, 2)
+	journalAddr, nodeAddr := addrs[0], addrs[1]
+	node := startNodeProcess(t, documentText(nodeAddr, journalAddr, f.worker.Addr().String(), descriptors), nodeAddr, descriptors)
+	dialSilently(t, nodeAddr, 200)
+	client := dialNode(t, nodeAddr)
+	client.send("among silent ones")
+	if got := client.receive(); !strings.Contains(got, "among silent ones") {
 		t.Error(got)
 	}
-	again, err := net.Listen("tcp", journal.Addr().String())
+	journal, err := net.Listen("tcp", journalAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer again.Close()
-	silent(100)
+	closeAtEnd(t, journal)
+	dialSilently(t, nodeAddr, 100)
 	asked := make(chan string, 1)
 	go func() {
-		if c, err := again.Accept(); err == nil {
-			line, _ := bufio.NewReader(c).ReadString('\n')
+		if conn, err := journal.Accept(); err == nil {
+			line, _ := bufio.NewReader(conn).ReadString('\n') // one that breaks off is compared as far as it came
 			asked <- line
 		}
 	}()
@@ -315,23 +375,26 @@
 	case <-time.After(3 * time.Second):
 		t.Error("the journal service is back and is not asked")
 	}
-	node.Process.Signal(syscall.SIGTERM)
-	ends(t, done)
-	if strings.Contains(said.String(), "too many open files") {
-		t.Error(said.String())
+	if err := node.process.Signal(syscall.SIGTERM); err != nil {
+		t.Error(err)
+	}
+	waitForExit(t, node.done)
+	if said := node.stderr.String(); strings.Contains(said, "too many open files") {
+		t.Error(said)
 	}
 }
 
-// stopping is a node that is told to stop.
-func (h *hall) stopping(hup chan os.Signal, read func() (*platform.Document, error)) (done chan error) {
+// serveStopped runs a front end that is told to stop at once.
+func (f *nodeFixture) serveStopped(reload chan os.Signal, read func() (*platform.Document, error)) (done chan error) {
 	stop := make(chan struct{})
 	done = make(chan error, 1)
 	close(stop)
-	go func() { done <- h.node.run(stop, hup, read) }()
+	go func() { done <- f.node.serve(stop, reload, read) }()
 	return done
 }
 
-func ends(t *testing.T, done chan error) {
+// waitForExit waits until a front end that was told to stop has ended.
+func waitForExit(t *testing.T, done chan error) {
 	t.Helper()
 	select {
 	case err := <-done:
@@ -345,67 +408,67 @@
 
 func TestStopIsToldAtOnceAndTakesWhatIsHalfSent(t *testing.T) {
 	t.Parallel()
-	h := newHall(t, 256)
-	k := h.warm()
+	f := newNodeFixture(t, 256)
+	client := f.dialWarm()
 	ready := func() string {
-		k.c.Write([]byte{0, 0, 0, 6, 4, 0, 0, 0, 0, 0})
-		return k.hear()
+		client.sendBytes(readinessQuery())
+		return client.receive()
 	}
 	if got := ready(); got != `5/0 "\x00\x00"` {
 		t.Error("before the stop:", got)
 	}
-	half := h.dial()
-	frame := half.request("00000000000000f1", "in two parts")
-	half.c.Write(frame[:20])
-	done := h.stopping(nil, nil)
+	half := f.dial()
+	frame := half.request(warmFunction, "in two parts")
+	half.sendBytes(frame[:20])
+	done := f.serveStopped(nil, nil)
 	time.Sleep(100 * time.Millisecond)
 	if got := ready(); got != `5/0 "\b\x00"` {
 		t.Error("after it:", got)
 	}
 	time.Sleep(1000 * time.Millisecond) // past the window in which whole requests may come
-	half.c.Write(frame[20:])
-	if got := half.hear(); got != `6/0 ""` {
+	half.sendBytes(frame[20:])
+	if got := half.receive(); got != `6/0 ""` {
 		t.Error(got)
 	}
-	if got := half.hear(); !strings.Contains(got, "in two parts") {
+	if got := half.receive(); !strings.Contains(got, "in two parts") {
 		t.Error("a request half sent at the signal:", got)
 	}
-	ends(t, done)
-	if got := half.hear(); got != "EOF" {
+	waitForExit(t, done)
+	if got := half.receive(); got != "EOF" {
 		t.Error("closed by", got)
 	}
 }
 
-// A launch that is out at the signal and fails is launched anew, and its answer leaves.
+// An attempt that is out at the signal and fails is retried, and its response leaves.
 func TestStopWithARetryToCome(t *testing.T) {
 	t.Parallel()
-	h := newHall(t, 256)
-	k := h.warm()
-	got, answer := make(chan struct{}, 4), make(chan struct{}, 1)
+	f := newNodeFixture(t, 256)
+	client := f.dialWarm()
+	got, proceed := make(chan struct{}, 4), make(chan struct{}, 1)
 	tries := 0
-	reply := func(byte) byte {
+	replyCode := func(byte) byte {
 		got <- struct{}{}
-		<-answer
+		<-proceed
 		if tries++; tries == 1 {
-			return 68
+			return replyFailed
 		}
-		return 64
+		return replySucceeded
 	}
-	h.reply.Store(&reply)
-	k.ask("twice")
+	f.replyCode.Store(&replyCode)
+	client.send("twice")
 	<-got
-	done := h.stopping(nil, nil)
+	done := f.serveStopped(nil, nil)
 	time.Sleep(1100 * time.Millisecond)
-	answer <- struct{}{}
+	proceed <- struct{}{}
 	<-got
-	answer <- struct{}{}
-	if got := k.hear(); got != `6/0 ""` {
+	proceed <- struct{}{}
+	if got := client.receive(); got != `6/0 ""` {
 		t.Error(got)
 	}
-	if got := k.hear(); !strings.Contains(got, "twice") {
+	if got := client.receive(); !strings.Contains(got, "twice") {
 		t.Error(got)
 	}
-	ends(t, done)
+	waitForExit(t, done)
 }
 
 // A reload counts while the front end drains; a document of another front end, or one that is faulty, changes nothing.
@@ -416,34 +479,33 @@
 		err    error
 		moves  bool
 	}{
-		"another journal":         {func(m *platform.Document) {}, nil, true},
-		"of another front end":    {func(m *platform.Document) { m.Name = "n1" }, nil, false},
-		"for another address":     {func(m *platform.Document) { m.Listen = "127.0.0.1:1" }, nil, false},
-		"a document with a fault": {func(m *platform.Document) {}, os.ErrInvalid, false},
+		"another journal":         {func(*platform.Document) {}, nil, true},
+		"of another front end":    {func(document *platform.Document) { document.Name = "n1" }, nil, false},
+		"for another address":     {func(document *platform.Document) { document.Listen = "127.0.0.1:1" }, nil, false},
+		"a document with a fault": {func(*platform.Document) {}, os.ErrInvalid, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			h := newHall(t, 256)
-			next := listen(t)
+			f := newNodeFixture(t, 256)
+			journal := listenOnLoopback(t)
 			asked := make(chan struct{}, 1)
 			go func() {
-				conn, err := next.Accept()
+				conn, err := journal.Accept()
 				if err != nil {
 					return
 				}
 				asked <- struct{}{}
-				conn.Write([]byte(`{"pos":2,"hosts":{"seq":2,"whole":false,"hosts":[{"host":"a","dial":"` + h.worker.Addr().String() +
-					`","health":"leaving"}]}}` + "\n"))
+				_, _ = fmt.Fprintln(conn, drainingWorkerLine(f.worker.Addr().String())) // the test sees whether it acts
 			}()
-			hup := make(chan os.Signal, 1)
-			done := h.stopping(hup, func() (*platform.Document, error) {
-				m := *h.machine
-				m.DiscoveryAddress = next.Addr().String()
-				c.change(&m)
-				return &m, c.err
+			reload := make(chan os.Signal, 1)
+			done := f.serveStopped(reload, func() (*platform.Document, error) {
+				document := *f.document
+				document.DiscoveryAddress = journal.Addr().String()
+				c.change(&document)
+				return &document, c.err
 			})
-			k := h.warm()
-			hup <- os.Interrupt
+			client := f.dialWarm()
+			reload <- os.Interrupt
 			select {
 			case <-asked:
 				if !c.moves {
@@ -455,35 +517,35 @@
 				}
 			}
 			time.Sleep(50 * time.Millisecond)
-			before := h.ran.Load()
-			k.ask("after the move")
-			if got := k.hear(); strings.HasPrefix(got, `2/2 "\x00`) == c.moves || (h.ran.Load() > before) == c.moves {
-				t.Error("drain told to a draining front end:", got, h.ran.Load()-before)
+			before := f.attempts.Load()
+			client.send("after the move")
+			if got := client.receive(); strings.HasPrefix(got, `2/2 "\x00`) == c.moves || (f.attempts.Load() > before) == c.moves {
+				t.Error("drain told to a draining front end:", got, f.attempts.Load()-before)
 			}
-			ends(t, done)
+			waitForExit(t, done)
 		})
 	}
 }
 
-// Much that a worker answers and a client reads late has left before the end, and the end is no reset.
+// Much that a worker replies and a client reads late has left before the end, and the end is no reset.
 func TestStopFlushesToASlowReader(t *testing.T) {
 	t.Parallel()
-	h := newHall(t, 256)
-	k := h.dial()
+	f := newNodeFixture(t, 256)
+	client := f.dial()
 	body := bytes.Repeat([]byte("0123456789abcdef"), 1000)
 	for range 8 {
-		k.ask(string(body))
+		client.send(string(body))
 	}
-	for h.ran.Load() < 8 {
+	for f.attempts.Load() < 8 {
 		time.Sleep(5 * time.Millisecond)
 	}
-	done := h.stopping(nil, nil)
+	done := f.serveStopped(nil, nil)
 	time.Sleep(1200 * time.Millisecond)
-	k.c.Write([]byte{0, 0, 0, 6, 4, 0, 0, 0, 0, 0}) // lies unread at the front end or is dropped: no answer must be lost by it
+	client.sendBytes(readinessQuery()) // lies unread at the front end or is dropped: no response must be lost by it
 	time.Sleep(100 * time.Millisecond)
 	whole := 0
 	for {
-		got := k.hear()
+		got := client.receive()
 		if strings.HasPrefix(got, "2/") && len(got) > len(body) {
 			whole++
 		} else if !strings.HasPrefix(got, "6/") {
@@ -494,7 +556,7 @@
 		}
 	}
 	if whole != 8 {
-		t.Errorf("%d of 8 answers came whole", whole)
+		t.Errorf("%d of 8 responses came whole", whole)
 	}
-	ends(t, done)
+	waitForExit(t, done)
 }
