--- /dev/null
+++ b/cmd/streamcleat/node_process_test.go
@@ -0,0 +1,121 @@
+package main
+
+import (
+	"bufio"
+	"bytes"
+	"fmt"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// freeAddresses are loopback addresses that nobody uses at the moment.
+func freeAddresses(t *testing.T, n int) (addrs []string) {
+	t.Helper()
+	var listeners []net.Listener
+	for range n {
+		listener := listenOnLoopback(t)
+		listeners = append(listeners, listener)
+		addrs = append(addrs, listener.Addr().String())
+	}
+	for _, listener := range listeners {
+		if err := listener.Close(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return addrs
+}
+
+// nodeProcess is a front end as a process of its own.
+type nodeProcess struct {
+	process *os.Process
+	stderr  bytes.Buffer // to be read once it has ended
+	done    chan error
+}
+
+// startNodeProcess runs a front end under a limit of descriptors and waits until it listens.
+func startNodeProcess(t *testing.T, document, addr string, descriptors int) *nodeProcess {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "config.json")
+	if err := os.WriteFile(path, []byte(document), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	cmd := exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d; exec streamcleat node", descriptors))
+	cmd.Env = append(os.Environ(), documentVariable+"="+path)
+	node := &nodeProcess{done: make(chan error, 1)}
+	cmd.Stderr = &node.stderr
+	if err := cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	node.process = cmd.Process
+	go func() { node.done <- cmd.Wait() }()
+	t.Cleanup(func() { _ = node.process.Kill() }) // it has usually ended
+	for range 200 {
+		if conn, err := net.Dial("tcp", addr); err == nil {
+			closeConnection(t, conn)
+			break
+		}
+		time.Sleep(20 * time.Millisecond)
+	}
+	return node
+}
+
+// dialSilently opens connections on which nothing is sent, as many as come up.
+func dialSilently(t *testing.T, addr string, n int) {
+	t.Helper()
+	for range n {
+		if conn, err := net.Dial("tcp", addr); err == nil {
+			closeAtEnd(t, conn)
+		}
+	}
+}
+
+// As a process under its limit of descriptors, with the journal service down from the start: hundreds of silent clients
+// keep neither usual ones nor the watch out, nor does it end of them. Told to stop it ends in order.
+func TestProcessUnderItsDescriptorLimit(t *testing.T) {
+	t.Parallel()
+	const descriptors = 96
+	f := newWorkerFixture(t)
+	addrs := freeAddresses(t, 2)
+	journalAddr, nodeAddr := addrs[0], addrs[1]
+	node := startNodeProcess(t, documentText(nodeAddr, journalAddr, f.worker.Addr().String(), descriptors), nodeAddr, descriptors)
+	dialSilently(t, nodeAddr, 200)
+	client := dialNode(t, nodeAddr)
+	client.send("among silent ones")
+	if got := client.receive(); !strings.Contains(got, "among silent ones") {
+		t.Error(got)
+	}
+	journal, err := net.Listen("tcp", journalAddr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	closeAtEnd(t, journal)
+	dialSilently(t, nodeAddr, 100)
+	asked := make(chan string, 1)
+	go func() {
+		if conn, err := journal.Accept(); err == nil {
+			line, _ := bufio.NewReader(conn).ReadString('\n') // one that breaks off is compared as far as it came
+			asked <- line
+		}
+	}()
+	select {
+	case line := <-asked:
+		if line != "tail 1\n" {
+			t.Errorf("%q", line)
+		}
+	case <-time.After(3 * time.Second):
+		t.Error("the journal service is back and is not asked")
+	}
+	if err := node.process.Signal(syscall.SIGTERM); err != nil {
+		t.Error(err)
+	}
+	waitForExit(t, node.done)
+	if said := node.stderr.String(); strings.Contains(said, "too many open files") {
+		t.Error(said)
+	}
+}
