--- a/cmd/streamcleat/exit.go
+++ b/cmd/streamcleat/exit.go
@@ -15,9 +15,6 @@
 	err    error
 }
 
-// exit is the name under which node.go makes exit errors.
-type exit = exitError
-
 // usageError is an error of a flag's value or of an input file.
 func usageError(err error) error { return exitError{status: statusUsage, err: err} }
 
--- a/cmd/streamcleat/node.go
+++ b/cmd/streamcleat/node.go
@@ -20,8 +20,6 @@
 const (
 	// documentVariable names the platform's configuration document.
 	documentVariable = "RELAY_CONFIG"
-	// exitNoDocument is the exit status where there is no document that can be used.
-	exitNoDocument = 2
 	// nodeLogRate is the most log records a second, unless a flag says otherwise.
 	nodeLogRate = 20
 )
@@ -48,15 +46,15 @@
 func readDocument() (*platform.Document, error) {
 	path := os.Getenv(documentVariable)
 	if path == "" {
-		return nil, exit{exitNoDocument, errors.New(documentVariable + " is not set: it names the platform's configuration document")}
+		return nil, usageError(errors.New(documentVariable + " is not set: it names the platform's configuration document"))
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, exit{exitNoDocument, err}
+		return nil, usageError(err)
 	}
 	document, err := platform.ReadDocument(data)
 	if err != nil {
-		return nil, exit{exitNoDocument, fmt.Errorf("%s:\n%w", path, err)}
+		return nil, usageError(fmt.Errorf("%s:\n%w", path, err))
 	}
 	return document, nil
 }
