--- a/internal/invariants/format_test.go
+++ b/internal/invariants/format_test.go
@@ -10,8 +10,8 @@
 const rulesText = `{"Effect":{"a":"keyed"},"Remembered":{"a":30},"Work":0.5,"WorkOf":{"f":0.25},"Capacity":{"w":2},"DrainGrace":0.5,` +
 	`"ColdShare":0.29,"WarmWithin":4,"FallFactor":2.5,"FallWindow":1.5,"LoadWindow":8,"LoadFree":3,"LoadShare":0.75,"Lag":0.125,"Apart":true,"Grace":0.1}`
 
-// The file of referee --rules has these keys, whatever their case.
-func TestRulesHaveTheirKeys(t *testing.T) {
+// The rules file that users write has these keys, whatever their case.
+func TestRulesKeys(t *testing.T) {
 	want := Rules{Effect: map[string]string{"a": "keyed"}, Remembered: map[string]float64{"a": 30}, Work: 0.5,
 		WorkOf: map[string]float64{"f": 0.25}, Capacity: map[string]float64{"w": 2}, DrainGrace: 0.5, ColdShare: 0.29, WarmWithin: 4,
 		FallFactor: 2.5, FallWindow: 1.5, LoadWindow: 8, LoadFree: 3, LoadShare: 0.75, Lag: 0.125, Apart: true, Grace: 0.1}
--- a/internal/invariants/record.go
+++ b/internal/invariants/record.go
@@ -1,132 +1,83 @@
-// Package invariants judges the five rules from what passed on the sockets of clients and workers, as the stand-ins at
-// both ends recorded it. It knows nothing of how the program decides and shares no code with it.
 package invariants
 
 import (
 	"bufio"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
-	"sync"
-	"time"
 )
 
-// Kind is what happened.
+// Kind is what a record says happened.
 type Kind string
 
+// Kinds of records, as they stand in files.
 const (
-	Asked    Kind = "asked"    // a client sent an event; Wait is how long it waits
-	Answered Kind = "answered" // and got an answer: Outcome
-	Left     Kind = "left"     // or hung up itself, or its front end was stopped by the script
-	Lost     Kind = "lost"     // or its connection closed without an answer
-	Launched Kind = "launched" // an event reached a worker
-	Ran      Kind = "ran"      // and had its effect there
-	Ended    Kind = "ended"    // the worker's answer left, or the connection was closed by either side
-	Ordered  Kind = "ordered"  // a load order reached a worker
-	Told     Kind = "told"     // the list of workers said something new: Phase, Born
-	Down     Kind = "down"     // a cold worker was pushed over
+	Asked    Kind = "asked"    // a client sent a request; Wait is how long it waits
+	Answered Kind = "answered" // the client got a response: Outcome
+	Left     Kind = "left"     // the client cancelled, or the script stopped its front end
+	Lost     Kind = "lost"     // the client's connection closed without a response
+	Launched Kind = "launched" // an attempt reached a worker
+	Ran      Kind = "ran"      // the request was executed there
+	Ended    Kind = "ended"    // the worker's response left, or either side closed the connection
+	Ordered  Kind = "ordered"  // a load command reached a worker
+	Told     Kind = "told"     // the endpoint list changed: Phase, Born
+	Down     Kind = "down"     // a cold worker failed under too much load
 	Born     Kind = "born"     // a worker process started cold
 )
 
-// Outcomes as the client saw them.
+// Outcomes as the client saw them, as they stand in files.
 const (
 	Handled      = "handled"
 	Deferred     = "deferred"
 	DeadLettered = "dead-lettered"
-	Refused      = "refused" // not taken as an event: malformed, or not wanted
+	Refused      = "refused" // not accepted as a request: malformed, or not wanted
 )
 
-// Record is one thing that happened. At is seconds since the recording began.
+// Record is one thing that happened.
 type Record struct {
-	At       float64 `json:"at"`
+	At       float64 `json:"at"` // seconds since the recording began
 	Kind     Kind    `json:"kind"`
-	Front    string  `json:"front,omitempty"`
+	Front    string  `json:"front,omitempty"` // front end
 	Worker   string  `json:"worker,omitempty"`
-	Event    string  `json:"event,omitempty"` // identity
-	Type     string  `json:"type,omitempty"`  // event type
+	Event    string  `json:"event,omitempty"` // identity of the request
+	Type     string  `json:"type,omitempty"`  // request class
 	Function string  `json:"function,omitempty"`
-	Call     uint64  `json:"call,omitempty"` // one ask with its answer, or one launch with its end
+	Call     uint64  `json:"call,omitempty"` // joins a request with its response, or an attempt with its end
 	Wait     float64 `json:"wait,omitempty"`
 	Outcome  string  `json:"outcome,omitempty"`
 	Status   int     `json:"status,omitempty"` // 0 where a connection closed without one
-	Phase    string  `json:"phase,omitempty"`
-	Born     float64 `json:"born,omitempty"`
-	Copies   int     `json:"copies,omitempty"`
-	Digest   string  `json:"digest,omitempty"` // of the version: asked for (Launched), run (Ran), told to the client (Answered)
+	Phase    string  `json:"phase,omitempty"`  // of the worker in the endpoint list
+	Born     float64 `json:"born,omitempty"`   // start of the worker
+	Copies   int     `json:"copies,omitempty"` // replicas that a load command asks for
+	Digest   string  `json:"digest,omitempty"` // of the version: asked for (Launched), executed (Ran), named to the client (Answered)
 }
 
-// Tape collects records from many goroutines in the order they were made.
-type Tape struct {
-	mu      sync.Mutex
-	clock   func() float64
-	records []Record
-	calls   uint64
-}
-
-// NewTape begins a recording now.
-func NewTape() *Tape {
-	began := time.Now()
-	return NewTapeOn(func() float64 { return time.Since(began).Seconds() })
-}
-
-// NewTapeOn begins a recording on a clock, in seconds since its beginning.
-func NewTapeOn(clock func() float64) *Tape { return &Tape{clock: clock} }
-
-// Now is seconds since the recording began.
-func (t *Tape) Now() float64 { return t.clock() }
-
-// Add notes a record with the present time. A nil tape notes nothing.
-func (t *Tape) Add(r Record) {
-	if t == nil {
-		return
-	}
-	t.mu.Lock()
-	r.At = t.Now()
-	t.records = append(t.records, r)
-	t.mu.Unlock()
-}
-
-// Call is a new number for one ask or launch.
-func (t *Tape) Call() uint64 {
-	if t == nil {
-		return 0
-	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.calls++
-	return t.calls
-}
-
-// Records is a copy of all that was noted.
-func (t *Tape) Records() []Record {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return append([]Record(nil), t.records...)
-}
-
-// Write puts records down as JSON lines.
+// Write writes records as JSON lines.
 func Write(w io.Writer, records []Record) error {
-	b := bufio.NewWriter(w)
-	enc := json.NewEncoder(b)
+	buffer := bufio.NewWriter(w)
+	enc := json.NewEncoder(buffer)
 	for _, r := range records {
 		if err := enc.Encode(r); err != nil {
 			return err
 		}
 	}
-	return b.Flush()
+	return buffer.Flush()
 }
 
-// Read takes records from JSON lines.
+// Read reads records from JSON lines. Its errors name the record by its number, from 1.
 func Read(r io.Reader) ([]Record, error) {
 	var records []Record
 	dec := json.NewDecoder(r)
 	for {
-		var rec Record
-		if err := dec.Decode(&rec); err == io.EOF {
+		var record Record
+		err := dec.Decode(&record)
+		if errors.Is(err, io.EOF) {
 			return records, nil
-		} else if err != nil {
+		}
+		if err != nil {
 			return nil, fmt.Errorf("record %d: %w", len(records)+1, err)
 		}
-		records = append(records, rec)
+		records = append(records, record)
 	}
 }
