--- /dev/null
+++ b/internal/fakes/catalogue.go
@@ -0,0 +1,40 @@
+package fakes
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"time"
+)
+
+// catalogueStream tells the random numbers of Catalogue from others of the same seed.
+const catalogueStream = 0xca7a
+
+// Function is what workers know of one function. Times are seconds.
+type Function struct {
+	Name   string
+	Memory float64 // MB of one replica
+	Lanes  int     // requests that a replica runs concurrently
+	Fetch  float64 // of a fetch from a store without other fetches
+	Begin  float64 // from the fetched image to a ready replica
+	Work   float64 // mean work of a request on a core of speed 1
+}
+
+// Catalogue draws n functions from a seed, with the figures of a small site. work is the mean work of a request.
+func Catalogue(n int, work float64, seed uint64) []Function {
+	rng := rand.New(rand.NewPCG(seed, catalogueStream))
+	list := make([]Function, n)
+	for i := range list {
+		loadTime := 0.12 + 0.1*rng.Float64()
+		list[i] = Function{
+			Name:   fmt.Sprintf("shop-%03d", i),
+			Memory: 200 + 600*rng.Float64(),
+			Lanes:  1 + rng.IntN(2),
+			Fetch:  loadTime * 0.7,
+			Begin:  loadTime * 0.3,
+			Work:   work * (0.6 + 0.8*rng.Float64()),
+		}
+	}
+	return list
+}
+
+func seconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
--- /dev/null
+++ b/internal/fakes/deduplicator.go
@@ -0,0 +1,30 @@
+package fakes
+
+import (
+	"sync"
+	"time"
+)
+
+// Memory is what a group of workers remembers of keyed requests, so that a repeat has no second effect.
+type Memory struct {
+	mu     sync.Mutex
+	window time.Duration
+	seen   map[string]time.Time
+}
+
+// NewMemory returns a memory that remembers each request for a window in seconds.
+func NewMemory(window float64) *Memory {
+	return &Memory{window: seconds(window), seen: map[string]time.Time{}}
+}
+
+// First returns whether a request is new to the group, and remembers it.
+func (m *Memory) First(id string) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	now := time.Now()
+	if at, known := m.seen[id]; known && now.Sub(at) < m.window {
+		return false
+	}
+	m.seen[id] = now
+	return true
+}
--- /dev/null
+++ b/internal/fakes/endpoint_list.go
@@ -0,0 +1,108 @@
+package fakes
+
+import (
+	"encoding/json"
+	"fmt"
+	"sync"
+	"time"
+
+	"github.com/google/renameio/v2"
+
+	"streamcleat/internal/invariants"
+)
+
+// Phases of a worker in the endpoint list.
+const (
+	phaseServing = "serving"
+	phaseGone    = "gone" // has no entry
+)
+
+// List is the endpoint list as a file in the form of Prometheus file service discovery.
+type List struct {
+	mu      sync.Mutex
+	path    string
+	tape    *invariants.Tape
+	entries []listEntry
+}
+
+type listEntry struct {
+	worker *Worker
+	phase  string
+}
+
+// targetGroup is one entry of the file. Its fields stand in the order of their keys.
+type targetGroup struct {
+	Labels  targetLabels `json:"labels"`
+	Targets []string     `json:"targets"`
+}
+
+type targetLabels struct {
+	Instance string `json:"instance"`
+	Kind     string `json:"kind"`
+	Phase    string `json:"phase"`
+	Size     string `json:"size"`
+	Started  string `json:"started,omitempty"`
+	Zone     string `json:"zone"`
+}
+
+// NewList writes the list for the first time, with all workers serving.
+func NewList(path string, tape *invariants.Tape, workers []*Worker) (*List, error) {
+	l := &List{path: path, tape: tape}
+	for _, w := range workers {
+		l.entries = append(l.entries, listEntry{w, phaseServing})
+	}
+	return l, l.write()
+}
+
+// Set changes or adds a worker's entry; phase "gone" removes it. The change is recorded before the file is written, so
+// no front end learns of it earlier than the recording says.
+func (l *List) Set(w *Worker, phase string) error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	startedAt, cold := w.Began()
+	started := 0.0
+	if cold {
+		started = unixSeconds(startedAt)
+	}
+	kept := l.entries[:0]
+	for _, entry := range l.entries {
+		if entry.worker != w {
+			kept = append(kept, entry)
+		}
+	}
+	l.entries = kept
+	if phase != phaseGone {
+		l.entries = append(l.entries, listEntry{w, phase})
+	}
+	l.tape.Add(invariants.Record{Kind: invariants.Told, Worker: w.Name(), Phase: phase, Born: started})
+	return l.write()
+}
+
+func (l *List) write() error {
+	groups := []targetGroup{}
+	for _, entry := range l.entries {
+		groups = append(groups, entry.targetGroup())
+	}
+	data, err := json.MarshalIndent(groups, "", " ")
+	if err != nil {
+		return err
+	}
+	return renameio.WriteFile(l.path, data, 0o644)
+}
+
+func (e listEntry) targetGroup() targetGroup {
+	spec := e.worker.spec
+	labels := targetLabels{
+		Instance: spec.Name,
+		Kind:     spec.Kind,
+		Phase:    e.phase,
+		Size:     fmt.Sprintf("%g", float64(spec.Cores)*spec.Speed),
+		Zone:     "room-1",
+	}
+	if startedAt, cold := e.worker.Began(); cold {
+		labels.Started = fmt.Sprintf("%.3f", unixSeconds(startedAt))
+	}
+	return targetGroup{Labels: labels, Targets: []string{e.worker.Addr()}}
+}
+
+func unixSeconds(t time.Time) float64 { return float64(t.UnixNano()) / 1e9 }
--- /dev/null
+++ b/internal/fakes/handlers.go
@@ -0,0 +1,170 @@
+package fakes
+
+import (
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"time"
+
+	"streamcleat/internal/invariants"
+)
+
+const (
+	maxCommandBody   = 1 << 16
+	loadPollInterval = 2 * time.Millisecond
+)
+
+// routes are the worker's endpoints: the Open Inference Protocol, and one for faults.
+func (w *Worker) routes() *http.ServeMux {
+	mux := http.NewServeMux()
+	mux.HandleFunc("POST /v2/models/{f}/infer", w.infer)
+	mux.HandleFunc("POST /v2/models/{f}/versions/{v}/infer", w.infer)
+	mux.HandleFunc("GET /v2/models/{f}/ready", w.handleReady)
+	mux.HandleFunc("GET /v2/health/ready", handleHealth)
+	mux.HandleFunc("POST /v2/repository/models/{f}/load", w.handleLoad)
+	mux.HandleFunc("POST /v2/repository/models/{f}/unload", w.handleUnload)
+	mux.HandleFunc("POST /v2/repository/index", w.handleIndex)
+	mux.HandleFunc("POST /standin/fault", w.handleFault)
+	return mux
+}
+
+// reply sends a response with the worker's load report. timing, which may be empty, tells how the request started.
+func (w *Worker) reply(rw http.ResponseWriter, status int, timing string, message any) {
+	h := rw.Header()
+	h.Set("Content-Type", "application/json")
+	if timing != "" {
+		h.Set("Server-Timing", timing)
+	}
+	h.Set("Endpoint-Load-Metrics", w.loadReport())
+	if status == http.StatusServiceUnavailable {
+		h.Set("Retry-After", "1")
+	}
+	rw.WriteHeader(status)
+	_ = json.NewEncoder(rw).Encode(message) // the client may be gone
+}
+
+// loadReport is the present load, or an old report under FaultStaleReports.
+func (w *Worker) loadReport() string {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if _, stale := w.active(FaultStaleReports); !stale || w.report == "" {
+		w.report = fmt.Sprintf("TEXT cpu_utilization=%.2f, named_metrics.running=%d, named_metrics.waiting=%d",
+			float64(w.running)/float64(w.spec.Cores), w.running, len(w.queue))
+	}
+	return w.report
+}
+
+func handleHealth(rw http.ResponseWriter, _ *http.Request) {
+	_, _ = rw.Write([]byte("{}")) // the client may be gone
+}
+
+// handleLoad serves a load command: it answers when the replicas are ready, or when it is clear that they won't be.
+func (w *Worker) handleLoad(rw http.ResponseWriter, r *http.Request) {
+	var command loadRequest
+	command.Parameters.Copies = 1
+	_ = json.NewDecoder(io.LimitReader(r.Body, maxCommandBody)).Decode(&command) // without a body one replica is meant
+	want, function := command.Parameters.Copies, r.PathValue("f")
+	w.spec.Tape.Add(invariants.Record{Kind: invariants.Ordered, Worker: w.spec.Name, Front: frontEndOf(r), Function: function,
+		Copies: want})
+	w.mu.Lock()
+	s, _ := w.replicasOf(function, command.Parameters.Digest)
+	if s == nil {
+		w.mu.Unlock()
+		w.reply(rw, http.StatusNotFound, "", errorMessage{"no such function"})
+		return
+	}
+	stop := w.stop
+	if _, hangs := w.active(FaultHang); hangs {
+		w.mu.Unlock()
+		awaitEither(r.Context().Done(), stop)
+		abort()
+	}
+	for s.ready+s.loading < want {
+		if !w.startLoad(s) {
+			w.mu.Unlock()
+			w.reply(rw, http.StatusServiceUnavailable, "", errorMessage{"no room"})
+			return
+		}
+	}
+	s.idleSince = time.Now()
+	w.mu.Unlock()
+	ready := w.awaitReplicas(r, s, want, stop)
+	if ready == 0 {
+		w.reply(rw, http.StatusInternalServerError, "", errorMessage{"the load failed"})
+		return
+	}
+	w.nameVersion(rw, s.digest)
+	w.reply(rw, http.StatusOK, "", loadResponse{loadParameters{ready}})
+}
+
+// awaitReplicas waits until so many replicas are ready or none is loading, and returns how many are ready.
+func (w *Worker) awaitReplicas(r *http.Request, s *replicaSet, want int, stop <-chan struct{}) int {
+	for {
+		w.mu.Lock()
+		ready, loading := s.ready, s.loading
+		w.mu.Unlock()
+		if ready >= want || loading == 0 {
+			return ready
+		}
+		select {
+		case <-r.Context().Done():
+			abort()
+		case <-stop:
+			abort()
+		case <-time.After(loadPollInterval):
+		}
+	}
+}
+
+// handleUnload lets go of the idle replicas of all versions of a function.
+func (w *Worker) handleUnload(rw http.ResponseWriter, r *http.Request) {
+	w.mu.Lock()
+	for _, s := range w.replicas {
+		if s.function.Name == r.PathValue("f") && s.busy == 0 {
+			s.ready = 0
+		}
+	}
+	w.mu.Unlock()
+	w.reply(rw, http.StatusOK, "", emptyMessage{})
+}
+
+func (w *Worker) handleReady(rw http.ResponseWriter, r *http.Request) {
+	w.mu.Lock()
+	s := w.byName[r.PathValue("f")]
+	ready := s != nil && s.ready > 0
+	w.mu.Unlock()
+	status := http.StatusOK
+	if !ready {
+		status = http.StatusNotFound
+	}
+	w.reply(rw, status, "", readyResponse{ready})
+}
+
+func (w *Worker) handleIndex(rw http.ResponseWriter, _ *http.Request) {
+	list := []indexEntry{}
+	w.mu.Lock()
+	for _, s := range w.replicas {
+		switch {
+		case s.ready > 0:
+			list = append(list, indexEntry{s.function.Name, modelReady})
+		case s.loading > 0:
+			list = append(list, indexEntry{s.function.Name, modelLoading})
+		}
+	}
+	w.mu.Unlock()
+	w.reply(rw, http.StatusOK, "", list)
+}
+
+func (w *Worker) handleFault(rw http.ResponseWriter, r *http.Request) {
+	var f Fault
+	err := json.NewDecoder(io.LimitReader(r.Body, maxCommandBody)).Decode(&f)
+	if err == nil {
+		err = w.Inject(f)
+	}
+	if err != nil {
+		w.reply(rw, http.StatusBadRequest, "", errorMessage{err.Error()})
+		return
+	}
+	w.reply(rw, http.StatusOK, "", emptyMessage{})
+}
--- a/internal/fakes/registry.go
+++ b/internal/fakes/registry.go
@@ -12,99 +12,68 @@
 	ocispec "github.com/opencontainers/image-spec/specs-go/v1"
 )
 
-// Registry is a stand-in registry of the OCI distribution specification, for reading: manifests by tag and digest,
-// blobs, and a basic challenge. It goes wrong on order.
+// Registry is an OCI registry, for reading: manifests by tag and digest, blobs, referrers, and authentication by a
+// basic challenge or by bearer tokens. It fails on command.
 type Registry struct {
-	mu     sync.Mutex
 	server *httptest.Server
-	tags   map[string]digest.Digest // repository:tag
-	blobs  map[digest.Digest][]byte
-	refers map[digest.Digest][]ocispec.Descriptor // by subject
-	user   string
+	user   string // empty: no authentication
 	secret string
-	cut    int // answers of content that are cut off in the middle
-	wrong  int // answers of content that hold something else
-	fail   int // requests that are answered with a status
-	status int
-	Reads  int // requests for content
-	uses   int // requests that a bearer token is good for; 0: the registry asks for user and secret itself
-	token  int // number of the newest one
-	left   int
-}
 
-// Tokens makes the registry hand out bearer tokens, each of which expires after so many requests.
-func (r *Registry) Tokens(uses int) {
-	r.mu.Lock()
-	r.uses = uses
-	r.mu.Unlock()
-}
+	mu        sync.Mutex
+	tags      map[string]digest.Digest // by repository:tag
+	blobs     map[digest.Digest][]byte
+	referrers map[digest.Digest][]ocispec.Descriptor // by subject
 
-// Issued is how many tokens were handed out.
-func (r *Registry) Issued() int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.token
-}
+	truncated  int // next responses whose content is cut off
+	corrupted  int // next responses whose content is something else
+	failing    int // next requests that are answered with failStatus
+	failStatus int
 
-// allowed checks who asks, by the Docker token scheme or by a basic challenge.
-func (r *Registry) allowed(w http.ResponseWriter, req *http.Request) bool {
-	user, secret, _ := req.BasicAuth()
-	known := user == r.user && secret == r.secret
-	switch {
-	case r.user == "" || r.uses == 0 && known:
-		return true
-	case r.uses == 0:
-		w.Header().Set("WWW-Authenticate", `Basic realm="registry"`)
-	case req.URL.Path == "/token" && known:
-		r.token++
-		r.left = r.uses
-		fmt.Fprintf(w, `{"token":"t%d"}`, r.token)
-		return false
-	case req.Header.Get("Authorization") == fmt.Sprintf("Bearer t%d", r.token) && r.left > 0:
-		r.left--
-		return true
-	default:
-		w.Header().Set("WWW-Authenticate", fmt.Sprintf(`Bearer realm="%s/token",service="registry",scope="repository:any:pull"`, r.server.URL))
-	}
-	w.WriteHeader(http.StatusUnauthorized)
-	return false
+	tokenUses     int // requests that a bearer token is good for; 0: basic authentication
+	tokenUsesLeft int // of the newest token
+	tokensIssued  int
 }
 
-// NewRegistry starts one. Where user is not empty it asks for it.
+// NewRegistry starts a registry. Where user is not empty it asks for it and the secret.
 func NewRegistry(user, secret string) *Registry {
 	r := &Registry{tags: map[string]digest.Digest{}, blobs: map[digest.Digest][]byte{},
-		refers: map[digest.Digest][]ocispec.Descriptor{}, user: user, secret: secret}
+		referrers: map[digest.Digest][]ocispec.Descriptor{}, user: user, secret: secret}
 	r.server = httptest.NewServer(r)
 	return r
 }
 
-// URL is where it listens.
+// URL returns where it listens.
 func (r *Registry) URL() string { return r.server.URL }
 
 // Close ends it.
 func (r *Registry) Close() { r.server.Close() }
 
+// Tokens makes the registry hand out bearer tokens, each of which expires after so many requests.
+func (r *Registry) Tokens(uses int) {
+	r.mu.Lock()
+	r.tokenUses = uses
+	r.mu.Unlock()
+}
+
+// Issued returns how many tokens were handed out.
+func (r *Registry) Issued() int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.tokensIssued
+}
+
 // Push adds a version with its layers and makes tags name it.
 func (r *Registry) Push(repository string, annotations map[string]string, layers [][]byte, tags ...string) digest.Digest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	add := func(media string, data []byte) ocispec.Descriptor {
-		d := digest.FromBytes(data)
-		r.blobs[d] = data
-		return ocispec.Descriptor{MediaType: media, Digest: d, Size: int64(len(data))}
-	}
-	m := ocispec.Manifest{MediaType: ocispec.MediaTypeImageManifest, Config: add(ocispec.MediaTypeImageConfig, []byte("{}")), Annotations: annotations}
-	m.SchemaVersion = 2
-	for _, l := range layers {
-		m.Layers = append(m.Layers, add(ocispec.MediaTypeImageLayer, l))
+	m := ocispec.Manifest{MediaType: ocispec.MediaTypeImageManifest, Config: r.addBlob(ocispec.MediaTypeImageConfig, []byte("{}")),
+		Annotations: annotations}
+	for _, layer := range layers {
+		m.Layers = append(m.Layers, r.addBlob(ocispec.MediaTypeImageLayer, layer))
 	}
-	data, err := json.Marshal(m)
-	if err != nil {
-		panic(err)
-	}
-	d := add(m.MediaType, data).Digest
-	for _, t := range tags {
-		r.tags[repository+":"+t] = d
+	d := r.addManifest(m).Digest
+	for _, tag := range tags {
+		r.tags[repository+":"+tag] = d
 	}
 	return d
 }
@@ -113,19 +82,17 @@
 func (r *Registry) Attach(subject digest.Digest, artifactType, layerType string, data []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	layer := digest.FromBytes(data)
-	r.blobs[layer], r.blobs[ocispec.DescriptorEmptyJSON.Digest] = data, []byte("{}")
-	m := ocispec.Manifest{MediaType: ocispec.MediaTypeImageManifest, ArtifactType: artifactType, Config: ocispec.DescriptorEmptyJSON,
-		Layers:  []ocispec.Descriptor{{MediaType: layerType, Digest: layer, Size: int64(len(data))}},
-		Subject: &ocispec.Descriptor{MediaType: ocispec.MediaTypeImageManifest, Digest: subject, Size: int64(len(r.blobs[subject]))}}
-	m.SchemaVersion = 2
-	text, err := json.Marshal(m)
-	if err != nil {
-		panic(err)
-	}
-	d := digest.FromBytes(text)
-	r.blobs[d] = text
-	r.refers[subject] = append(r.refers[subject], ocispec.Descriptor{MediaType: m.MediaType, ArtifactType: artifactType, Digest: d, Size: int64(len(text))})
+	r.blobs[ocispec.DescriptorEmptyJSON.Digest] = []byte("{}")
+	d := r.addManifest(ocispec.Manifest{
+		MediaType:    ocispec.MediaTypeImageManifest,
+		ArtifactType: artifactType,
+		Config:       ocispec.DescriptorEmptyJSON,
+		Layers:       []ocispec.Descriptor{r.addBlob(layerType, data)},
+		Subject: &ocispec.Descriptor{MediaType: ocispec.MediaTypeImageManifest, Digest: subject,
+			Size: int64(len(r.blobs[subject]))},
+	})
+	d.ArtifactType = artifactType
+	r.referrers[subject] = append(r.referrers[subject], d)
 }
 
 // Untag deletes a tag.
@@ -135,48 +102,107 @@
 	r.mu.Unlock()
 }
 
-// Break makes the next answers go wrong: content cut off, content that is something else, requests answered with a
-// status.
-func (r *Registry) Break(cut, wrong, fail, status int) {
+// Break makes the next responses fail: so many with truncated content, so many with corrupted content, and so many
+// requests answered with a status.
+func (r *Registry) Break(truncated, corrupted, failing, status int) {
 	r.mu.Lock()
-	r.cut, r.wrong, r.fail, r.status = cut, wrong, fail, status
+	r.truncated, r.corrupted, r.failing, r.failStatus = truncated, corrupted, failing, status
 	r.mu.Unlock()
 }
 
+func (r *Registry) addBlob(mediaType string, data []byte) ocispec.Descriptor {
+	d := digest.FromBytes(data)
+	r.blobs[d] = data
+	return ocispec.Descriptor{MediaType: mediaType, Digest: d, Size: int64(len(data))}
+}
+
+func (r *Registry) addManifest(m ocispec.Manifest) ocispec.Descriptor {
+	m.SchemaVersion = 2
+	data, err := json.Marshal(m)
+	if err != nil {
+		panic(err) // a manifest always has a JSON form
+	}
+	return r.addBlob(m.MediaType, data)
+}
+
 // ServeHTTP implements http.Handler.
 func (r *Registry) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.allowed(w, req) {
+	if !r.authorize(w, req) {
 		return
 	}
-	if r.fail > 0 {
-		r.fail--
+	if r.failing > 0 {
+		r.failing--
 		w.Header().Set("Retry-After", "0")
-		w.WriteHeader(r.status)
+		w.WriteHeader(r.failStatus)
 		return
 	}
 	path := strings.TrimPrefix(req.URL.Path, "/v2/")
-	var d digest.Digest
+	if path == "" {
+		return
+	}
+	if _, subject, ok := strings.Cut(path, "/referrers/"); ok {
+		r.serveReferrers(w, digest.Digest(subject))
+		return
+	}
+	d, mediaType := r.resolve(path)
+	if mediaType != "" {
+		w.Header().Set("Content-Type", mediaType)
+	}
+	r.serveContent(w, req, d)
+}
+
+// authorize checks who asks, by the Docker token scheme or by a basic challenge, and answers where the request goes no
+// further.
+func (r *Registry) authorize(w http.ResponseWriter, req *http.Request) bool {
+	user, secret, _ := req.BasicAuth()
+	known := user == r.user && secret == r.secret
+	switch {
+	case r.user == "" || r.tokenUses == 0 && known:
+		return true
+	case r.tokenUses == 0:
+		w.Header().Set("WWW-Authenticate", `Basic realm="registry"`)
+	case req.URL.Path == "/token" && known:
+		r.tokensIssued++
+		r.tokenUsesLeft = r.tokenUses
+		_, _ = fmt.Fprintf(w, `{"token":"t%d"}`, r.tokensIssued) // the client may be gone
+		return false
+	case req.Header.Get("Authorization") == fmt.Sprintf("Bearer t%d", r.tokensIssued) && r.tokenUsesLeft > 0:
+		r.tokenUsesLeft--
+		return true
+	default:
+		w.Header().Set("WWW-Authenticate",
+			fmt.Sprintf(`Bearer realm="%s/token",service="registry",scope="repository:any:pull"`, r.server.URL))
+	}
+	w.WriteHeader(http.StatusUnauthorized)
+	return false
+}
+
+// resolve returns the digest that a path names, and the media type of what it names.
+func (r *Registry) resolve(path string) (d digest.Digest, mediaType string) {
 	if repository, ref, ok := strings.Cut(path, "/manifests/"); ok {
 		if d = r.tags[repository+":"+ref]; d == "" {
 			d = digest.Digest(ref)
 		}
-		w.Header().Set("Content-Type", ocispec.MediaTypeImageManifest)
-	} else if _, ref, ok := strings.Cut(path, "/blobs/"); ok {
-		d = digest.Digest(ref)
-		w.Header().Set("Content-Type", "application/octet-stream")
-	} else if _, ref, ok := strings.Cut(path, "/referrers/"); ok {
-		w.Header().Set("Content-Type", ocispec.MediaTypeImageIndex)
-		index := ocispec.Index{MediaType: ocispec.MediaTypeImageIndex, Manifests: append([]ocispec.Descriptor{}, r.refers[digest.Digest(ref)]...)}
-		index.SchemaVersion = 2
-		json.NewEncoder(w).Encode(index)
-		return
-	} else if path == "" {
-		return
+		return d, ocispec.MediaTypeImageManifest
+	}
+	if _, ref, ok := strings.Cut(path, "/blobs/"); ok {
+		return digest.Digest(ref), "application/octet-stream"
 	}
-	data, ok := r.blobs[d]
-	if !ok {
+	return "", ""
+}
+
+func (r *Registry) serveReferrers(w http.ResponseWriter, subject digest.Digest) {
+	w.Header().Set("Content-Type", ocispec.MediaTypeImageIndex)
+	index := ocispec.Index{MediaType: ocispec.MediaTypeImageIndex, Manifests: append([]ocispec.Descriptor{}, r.referrers[subject]...)}
+	index.SchemaVersion = 2
+	_ = json.NewEncoder(w).Encode(index) // the client may be gone
+}
+
+func (r *Registry) serveContent(w http.ResponseWriter, req *http.Request, d digest.Digest) {
+	data, known := r.blobs[d]
+	if !known {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
@@ -185,16 +211,17 @@
 	if req.Method == http.MethodHead {
 		return
 	}
-	r.Reads++
+	content, truncate := data, false
 	switch {
-	case r.cut > 0 && len(data) > 1:
-		r.cut--
-		w.Write(data[:len(data)/2])
+	case r.truncated > 0 && len(data) > 1:
+		r.truncated--
+		content, truncate = data[:len(data)/2], true
+	case r.corrupted > 0:
+		r.corrupted--
+		content = []byte(strings.Repeat("x", len(data)))
+	}
+	_, _ = w.Write(content) // the client may be gone
+	if truncate {
 		panic(http.ErrAbortHandler)
-	case r.wrong > 0:
-		r.wrong--
-		w.Write([]byte(strings.Repeat("x", len(data))))
-	default:
-		w.Write(data)
 	}
 }
--- a/internal/scenario/trouble.go
+++ b/internal/scenario/trouble.go
@@ -46,14 +46,14 @@
 	switch t.Kind {
 	case "hang", "lose", "errors", "slow", "stall", "reset", "cut", "late-reports":
 		for _, w := range d.part(t.Part, rng) {
-			if err := w.Inject(fakes.Fault{Kind: t.Kind, For: t.For, Part: t.Hit, Times: t.Times, Bytes: t.Bytes}); err != nil {
+			if err := w.Inject(fakes.Fault{Kind: fakes.FaultKind(t.Kind), For: t.For, Part: t.Hit, Times: t.Times, Bytes: t.Bytes}); err != nil {
 				return err
 			}
 		}
 	case "pauses", "neighbour": // on and off
-		kind, on := "stall", t.For
+		kind, on := fakes.FaultStall, t.For
 		if t.Kind == "neighbour" {
-			kind = "slow"
+			kind = fakes.FaultSlow
 		}
 		list := d.part(t.Part, rng)
 		for ctx.Err() == nil {
