--- /dev/null
+++ b/internal/fakes/site_config.go
@@ -0,0 +1,106 @@
+package fakes
+
+import "encoding/json"
+
+// Request classes of a fake site, by what they promise about running a request more than once.
+const (
+	ClassIdempotent      = "shop-event"
+	ClassIdempotentByKey = "till-entry"
+	ClassAtMostOnce      = "price-reset"
+)
+
+// RequestClasses returns all of them, in the order in which clients draw from them.
+func RequestClasses() []string { return []string{ClassIdempotent, ClassIdempotentByKey, ClassAtMostOnce} }
+
+// MachineType returns the machine type of a worker by its number, and its speed: every third one is slower.
+func MachineType(number int) (kind string, speed float64) {
+	if number%3 == 2 {
+		return "eco", 0.7
+	}
+	return "std", 1
+}
+
+// ClassSemantics returns what each request class promises, as invariants.Rules has it.
+func ClassSemantics() map[string]string {
+	return map[string]string{ClassIdempotent: "redeliverable", ClassIdempotentByKey: "keyed", ClassAtMostOnce: "at-most-once"}
+}
+
+// SiteConfig is the configuration document of the front ends of a fake site, in the program's own keys. Times are
+// seconds.
+type SiteConfig struct {
+	Name      string           `json:"name,omitempty"`
+	Listen    []string         `json:"listen,omitempty"`
+	Classes   []ClassConfig    `json:"event_types"`
+	Functions []FunctionConfig `json:"functions"`
+	Workers   WorkersConfig    `json:"workers"`
+	Rules     RulesConfig      `json:"rules"`
+	Limits    LimitsConfig     `json:"limits"`
+}
+
+// ClassConfig is a request class in a SiteConfig.
+type ClassConfig struct {
+	Name                string  `json:"name"`
+	LatencyObjective    float64 `json:"target_time_s"`
+	Timeout             float64 `json:"max_age_s"`
+	Semantics           string  `json:"repeat,omitempty"`
+	DeduplicationWindow float64 `json:"remembered_s,omitempty"`
+}
+
+// FunctionConfig is a function in a SiteConfig.
+type FunctionConfig struct {
+	Match       string  `json:"match"`
+	Concurrency int     `json:"lanes"`
+	MemoryMB    float64 `json:"memory_mb"`
+	LoadTime    float64 `json:"load_s"`
+}
+
+// WorkersConfig is how a SiteConfig reaches workers. What is 0 has the program's default.
+type WorkersConfig struct {
+	IdleReplicaLifetime float64 `json:"keep_warm_s"`
+	LoadsOnRequest      bool    `json:"load_on_event"`
+	DialTimeout         float64 `json:"dial_s,omitempty"`
+	IdleTimeout         float64 `json:"idle_s,omitempty"`
+	LoadTimeout         float64 `json:"order_limit_s,omitempty"`
+}
+
+// RulesConfig is the limits of the routing rules in a SiteConfig.
+type RulesConfig struct {
+	ColdShare       float64 `json:"cold_share"`
+	WarmUpTime      float64 `json:"warm_within_s"`
+	OverloadFactor  float64 `json:"fall_multiple"`
+	OverloadWindow  float64 `json:"fall_window_s"`
+	MaxRetryAfter   float64 `json:"max_pause_s"`
+	LoadWindow      float64 `json:"load_window_s"` // 0: load commands are not limited
+	LoadBurst       float64 `json:"load_free"`
+	LoadsPerRequest float64 `json:"load_share"`
+}
+
+// LimitsConfig is the limits of clients in a SiteConfig. What is 0 has the program's default.
+type LimitsConfig struct {
+	ResponseMargin    float64 `json:"answer_margin_s"`
+	IdleTimeout       float64 `json:"idle_s,omitempty"`
+	ResponseRetention float64 `json:"remember_s,omitempty"`
+}
+
+// ClassConfigs returns the request classes with one latency objective and timeout, and the time for which workers drop
+// repeats of keyed requests.
+func ClassConfigs(latencyObjective, timeout, deduplicationWindow float64) []ClassConfig {
+	return []ClassConfig{
+		{Name: ClassIdempotent, LatencyObjective: latencyObjective, Timeout: timeout},
+		{Name: ClassIdempotentByKey, LatencyObjective: latencyObjective, Timeout: timeout, Semantics: "keyed",
+			DeduplicationWindow: deduplicationWindow},
+		{Name: ClassAtMostOnce, LatencyObjective: latencyObjective, Timeout: timeout, Semantics: "at-most-once"},
+	}
+}
+
+// FunctionConfigs returns the figures of functions as the front ends are told them.
+func FunctionConfigs(functions []Function) []FunctionConfig {
+	var list []FunctionConfig
+	for _, f := range functions {
+		list = append(list, FunctionConfig{Match: f.Name, Concurrency: f.Lanes, MemoryMB: f.Memory, LoadTime: f.Fetch + f.Begin})
+	}
+	return list
+}
+
+// JSON returns the document.
+func (c *SiteConfig) JSON() ([]byte, error) { return json.Marshal(c) }
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -2,347 +2,294 @@
 
 import (
 	"fmt"
-	"math"
 	"math/rand/v2"
+	"net/http"
+	"slices"
 	"strconv"
 
+	"streamcleat/internal/fakes"
 	"streamcleat/internal/http1"
 	"streamcleat/internal/invariants"
 )
 
-// event is what a client wants done, over all its tries.
-type event struct {
-	id, kind, fn string
-	no           int
-	tries        int
-	front        int
-	first, until float64 // when it was first asked; no try begins after until
-	wait         float64 // that it says it waits; 0: says nothing, and waits as long as its kind may
-	twin         bool    // asked for by two programs, neither of which knows where the other asked
-	leaves       float64 // hangs up so long after its ask; 0: waits
-	checks       int     // repeats of what was handled, to see that the answer is the same
+const (
+	clientSource      = "/tills" // of all requests of clients
+	maxCalls          = 6        // of one request
+	retryWindow       = 3        // multiple of the timeout for which a request is retried
+	maxPipelined      = 3        // calls on one connection
+	usualCancelShare  = 0.02     // of requests whose client cancels
+	minClientTimeout  = 0.4      // seconds that a client says it waits
+	brokenRetryDelay  = 0.02     // seconds from a broken connection to a retry, at least
+	brokenRetrySpread = 0.3      // seconds over which such retries are spread
+	closedRetryDelay  = 0.05     // seconds from a connection that a client closed to a retry
+	eagerRetryDelay   = 0.01     // seconds from a rejection to a retry by clients that ignore Retry-After
+	reconnectDelay    = 0.01     // seconds until clients that dropped all connections retry
+	maxStartDelay     = 0.2      // seconds over which the clients' first requests are spread
+	maxDuplicateDelay = 0.1      // seconds from a request to its duplicate
+)
+
+// request is what a client wants done, over all its calls.
+type request struct {
+	id, class, function string
+	number              int // among the client's
+	calls               int
+	frontEnd            int
+	firstSent           float64
+	retryUntil          float64 // no call begins later
+	timeout             float64 // that the client states; 0: none, and it waits as long as the class may take
+	duplicated          bool    // sent by two programs, neither of which knows where the other sent it
+	cancelAfter         float64 // seconds from each call until the client cancels it; 0: it waits
+	rechecks            int     // repeats after the response, to see that it is the same
+}
+
+// mayMove returns whether a retry may go to another front end. What must not run twice stays with its front end, which
+// knows it.
+func (r *request) mayMove() bool {
+	if r.class == fakes.ClassAtMostOnce {
+		return false
+	}
+	return !r.duplicated || r.class != fakes.ClassIdempotentByKey
+}
+
+// clientCall is one call of a request, with its response.
+type clientCall struct {
+	request    *request
+	number     uint64
+	frontEnd   *frontEnd
+	processTag string // of the front end's process that it was sent to
+	sentAt     float64
+	ended      bool
+	timeout    *event
+	conn       *clientConn
 }
 
-// try is one ask with its answer.
-type try struct {
-	evt   *event
-	call  uint64
-	front *front
-	tag   string // of the process that it was asked of
-	at    float64
-	over  bool
-	limit *step
-	line  *line
+// record returns the record of something that happened to the call.
+func (c *clientCall) record(kind invariants.Kind) invariants.Record {
+	return invariants.Record{Kind: kind, Call: c.number, Event: clientSource + "#" + c.request.id, Type: c.request.class,
+		Front: c.processTag}
 }
 
-// line is one connection of a client.
-type line struct {
-	c    *client
-	e    *end // nil while it is being dialed
-	to   *front
-	out  []*try // in the order they were sent
-	in   *http1.Framer
-	shut bool
-	used float64 // when it was last asked on
+// end ends the call.
+func (c *clientCall) end() {
+	c.ended = true
+	c.timeout.cancel()
 }
 
-// client is a machine of tills: it sends events at random times, repeats what was deferred or lost as the event's
-// kind allows, and now and then asks again for what it knows the answer of.
+// client is a program that sends requests at random times, retries what was rejected or lost as the request's class
+// allows, and now and then repeats a request whose response it knows.
 type client struct {
-	proc
-	s     *site
-	rng   *rand.Rand
-	zipf  *rand.Zipf
-	rate  float64
-	lines []*line
-	no    int
-	slow  float64 // bytes a second that it reads
-	quit  bool
+	process
+	site      *site
+	rng       *rand.Rand
+	functions *rand.Zipf // popularity of functions
+	rate      float64    // requests a second
+	conns     []*clientConn
+	requests  int     // so far
+	readRate  float64 // bytes a second that it reads; 0: all
+	finishing bool    // it begins no further requests
 }
 
-func (s *site) newClient(no int) *client {
-	name := fmt.Sprintf("till-%d", no)
-	c := &client{proc: proc{w: s.w, name: name, power: true, up: true}, s: s, rng: chance(s.script.Seed, name), rate: s.script.Rate / float64(s.script.Clients)}
-	c.zipf = rand.NewZipf(c.rng, 1.2, 2, uint64(len(s.functions)-1))
-	c.in(c.rng.Float64()*0.2, "begins", c.next)
+func clientName(number int) string { return fmt.Sprintf("till-%d", number) }
+
+func (s *site) newClient(number int) *client {
+	name := clientName(number)
+	c := &client{process: process{scheduler: s.scheduler, name: name, powered: true, running: true}, site: s,
+		rng: newRand(s.script.Seed, name), rate: s.script.Rate / float64(s.script.Clients)}
+	c.functions = rand.NewZipf(c.rng, 1.2, 2, uint64(len(s.functions)-1))
+	c.after(c.rng.Float64()*maxStartDelay, "begins", c.sendNext)
 	return c
 }
 
-var mix = []struct {
-	kind  string
+// classShares are the shares of the request classes, in the order of the draw.
+var classShares = []struct {
+	class string
 	share float64
-}{{"shop-event", 0.5}, {"till-entry", 0.3}, {"price-reset", 0.2}}
+}{{fakes.ClassIdempotent, 0.5}, {fakes.ClassIdempotentByKey, 0.3}, {fakes.ClassAtMostOnce, 0.2}}
 
-func (c *client) next() {
-	if c.quit {
-		return
-	}
-	rate := c.rate * c.s.boost()
-	c.in(c.rng.ExpFloat64()/rate, "next", c.next)
-	c.no++
-	pick, kind := c.rng.Float64(), ""
-	for _, m := range mix {
-		if kind = m.kind; pick < m.share {
+func (c *client) drawClass() (class string) {
+	draw := c.rng.Float64()
+	for _, s := range classShares {
+		class = s.class
+		if draw < s.share {
 			break
 		}
-		pick -= m.share
+		draw -= s.share
 	}
-	e := &event{id: fmt.Sprintf("%s-%d", c.name, c.no), kind: kind, no: c.no, fn: c.s.functions[c.zipf.Uint64()].Name,
-		front: c.rng.IntN(len(c.s.fronts)), first: c.w.now, until: c.w.now + 3*maxAge}
-	if c.rng.Float64() < c.s.leaving() {
-		e.leaves = 0.01 + c.rng.Float64()*maxAge
-	}
-	if c.rng.IntN(6) == 0 {
-		e.checks = 1 + c.rng.IntN(2)
-	}
-	e.twin = c.rng.IntN(12) == 0
-	if c.rng.IntN(8) == 0 {
-		e.wait = 0.4 + (maxAge-0.4)*c.rng.Float64()
+	return class
+}
+
+// sendNext sends a new request and schedules the one after it.
+func (c *client) sendNext() {
+	if c.finishing {
+		return
 	}
-	c.try(e)
-	if e.twin { // another program of the same machine asks for the same event
-		twin := *e
-		twin.wait = 0
-		twin.leaves, twin.checks = 0, 0
-		c.in(c.rng.Float64()*0.1, "twin", func() { c.try(&twin) })
+	rate := c.rate * max(c.site.rateFactor, 1)
+	c.after(c.rng.ExpFloat64()/rate, "next", c.sendNext)
+	r := c.drawRequest()
+	c.send(r)
+	if r.duplicated { // another program of the same machine sends the same request
+		duplicate := *r
+		duplicate.timeout = 0
+		duplicate.cancelAfter, duplicate.rechecks = 0, 0
+		c.after(c.rng.Float64()*maxDuplicateDelay, "twin", func() { c.send(&duplicate) })
 	}
 }
 
-// try asks once.
-func (c *client) try(e *event) {
-	e.tries++
-	f, wait := c.s.fronts[e.front], maxAge
-	if e.wait > 0 {
-		wait = e.wait
+func (c *client) drawRequest() *request {
+	c.requests++
+	now := c.scheduler.now
+	r := &request{
+		class:      c.drawClass(),
+		id:         fmt.Sprintf("%s-%d", c.name, c.requests),
+		number:     c.requests,
+		function:   c.site.functions[c.functions.Uint64()].Name,
+		frontEnd:   c.rng.IntN(len(c.site.frontEnds)),
+		firstSent:  now,
+		retryUntil: now + retryWindow*requestTimeout,
 	}
-	t := &try{evt: e, call: c.s.tape.Call(), front: f, tag: f.tag(), at: c.w.now}
-	var l *line
-	for _, x := range c.lines {
-		if x.to == f && !x.shut && c.w.now-x.used < idleClient/2 && (e.kind != "price-reset" && e.wait == 0 || len(x.out) == 0) && (len(x.out) == 0 || x.e != nil && len(x.out) < 3 && c.rng.IntN(6) == 0) {
-			l = x
-			break
-		}
+	if c.rng.Float64() < max(c.site.cancelShare, usualCancelShare) {
+		r.cancelAfter = 0.01 + c.rng.Float64()*requestTimeout
 	}
-	c.s.tape.Add(invariants.Record{Kind: invariants.Asked, Event: source + "#" + e.id, Type: e.kind, Function: e.fn, Front: f.tag(), Call: t.call,
-		Wait: wait})
-	c.s.asked(t)
-	t.limit = c.in(wait, "gives up "+e.id, func() { c.late(t) })
-	if e.leaves > 0 {
-		c.in(e.leaves, "leaves "+e.id, func() { c.leave(t) })
+	if c.rng.IntN(6) == 0 {
+		r.rechecks = 1 + c.rng.IntN(2)
 	}
-	if l != nil {
-		c.send(l, t)
-		return
+	r.duplicated = c.rng.IntN(12) == 0
+	if c.rng.IntN(8) == 0 {
+		r.timeout = minClientTimeout + (requestTimeout-minClientTimeout)*c.rng.Float64()
 	}
-	l = &line{c: c, to: f, out: []*try{t}, used: c.w.now, in: http1.NewResponses(http1.Limits{Head: 1 << 16, Body: 1 << 20})}
-	t.line = l
-	c.lines = append(c.lines, l)
-	c.s.net.dial(&c.proc, f.addr, maxAge, func(x *end, err error) {
-		switch {
-		case err != nil:
-			c.lost(l)
-		case l.shut:
-			x.close()
-		default:
-			l.e = x
-			x.slow = c.slow
-			x.c.harmed = x.c.harmed || c.slow > 0
-			x.data = func(data []byte) { c.heard(l, data) }
-			x.closed = func() { x.close(); c.lost(l) }
-			for _, t := range l.out {
-				c.write(l, t)
-			}
-		}
-	})
+	return r
 }
 
-func (c *client) send(l *line, t *try) {
-	t.line, l.used = l, c.w.now
-	l.out = append(l.out, t)
-	if l.e != nil {
-		c.write(l, t)
+// send sends one call of a request.
+func (c *client) send(r *request) {
+	r.calls++
+	f, timeout := c.site.frontEnds[r.frontEnd], requestTimeout
+	if r.timeout > 0 {
+		timeout = r.timeout
 	}
-}
-
-const source = "/tills"
-
-func (c *client) write(l *line, t *try) {
-	e := t.evt
-	body, prefer := fmt.Sprintf(`{"count":%d}`, e.no), ""
-	if e.wait > 0 { // what is left of it when it is sent
-		prefer = fmt.Sprintf("Prefer: wait=%.3f\r\n", max(t.at+e.wait-c.w.now, 0))
+	call := &clientCall{request: r, number: c.site.recorder.Call(), frontEnd: f, processTag: f.processTag(), sentAt: c.scheduler.now}
+	conn := c.reusableConn(f, r)
+	record := call.record(invariants.Asked)
+	record.Function, record.Wait = r.function, timeout
+	c.site.recorder.Add(record)
+	c.site.callSent(call)
+	call.timeout = c.after(timeout, "gives up "+r.id, func() { c.onTimeout(call) })
+	if r.cancelAfter > 0 {
+		c.after(r.cancelAfter, "leaves "+r.id, func() { c.cancel(call) })
 	}
-	l.e.write(fmt.Appendf(nil, "POST /events HTTP/1.1\r\nHost: f\r\nce-specversion: 1.0\r\nce-source: %s\r\nce-id: %s\r\nce-type: %s\r\n"+
-		"ce-function: %s\r\nce-tenant: shop\r\n%sContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", source, e.id, e.kind, e.fn, prefer, len(body), body))
-}
-
-func (c *client) heard(l *line, data []byte) {
-	l.in.Feed(data)
-	for {
-		m, err := l.in.Next()
-		if err != nil {
-			c.s.fault("client", "%s can't read an answer of %s: %v", c.name, l.to.name, err)
-			l.e.close()
-			c.lost(l)
-			return
-		}
-		if m == nil {
-			return
-		}
-		if len(l.out) == 0 {
-			c.s.fault("client", "%s got an answer that it did not ask for, status %d", c.name, m.Status)
-			return
-		}
-		t := l.out[0]
-		l.out = l.out[1:]
-		c.answered(t, m)
-		if m.Close {
-			l.e.close()
-			c.lost(l)
-			return
-		}
+	if conn == nil {
+		c.dial(call)
+	} else {
+		conn.send(call)
 	}
 }
 
-var outcomes = map[int]string{200: invariants.Handled, 503: invariants.Deferred, 429: invariants.Deferred, 502: invariants.DeadLettered, 504: invariants.DeadLettered}
+// outcomes are the outcomes of statuses.
+var outcomes = map[int]string{
+	http.StatusOK:                 invariants.Handled,
+	http.StatusServiceUnavailable: invariants.Deferred,
+	http.StatusTooManyRequests:    invariants.Deferred,
+	http.StatusBadGateway:         invariants.DeadLettered,
+	http.StatusGatewayTimeout:     invariants.DeadLettered,
+}
 
-func (c *client) answered(t *try, m *http1.Message) {
-	t.limit.drop()
-	if t.over {
+func (c *client) onResponse(call *clientCall, m *http1.Message) {
+	call.timeout.cancel()
+	if call.ended {
 		return
 	}
-	t.over = true
-	out, known := outcomes[m.Status]
+	call.ended = true
+	r := call.request
+	outcome, known := outcomes[m.Status]
 	if !known {
-		out = invariants.Refused
-		c.s.fault("client", "%s: status %d: %s", t.evt.id, m.Status, m.Body)
+		outcome = invariants.Refused
+		c.site.violation("client", "%s: status %d: %s", r.id, m.Status, m.Body)
 	}
-	c.s.tape.Add(invariants.Record{Kind: invariants.Answered, Event: source + "#" + t.evt.id, Type: t.evt.kind, Front: t.tag, Call: t.call,
-		Status: m.Status, Outcome: out, Digest: m.Header.Get("Docker-Content-Digest")})
-	c.s.answered(t, out)
-	e := t.evt
+	record := call.record(invariants.Answered)
+	record.Status, record.Outcome, record.Digest = m.Status, outcome, m.Header.Get("Docker-Content-Digest")
+	c.site.recorder.Add(record)
+	c.site.callAnswered(call, outcome)
 	switch {
-	case out == invariants.Deferred:
-		pause, err := strconv.ParseFloat(m.Header.Get("Retry-After"), 64)
-		if err != nil {
-			c.s.fault("client", "%s: deferred without a time to come back", e.id)
-		}
-		if m.Status == 503 && !c.s.abuse() {
-			c.retry(e, pause+c.rng.Float64()*0.2, true)
-		} else if c.s.abuse() {
-			c.retry(e, 0.01, true)
-		}
-	case e.checks > 0 && out != invariants.Refused:
-		e.checks--
-		c.retry(e, 0.05+c.rng.Float64(), false)
+	case outcome == invariants.Deferred:
+		c.onRejected(r, m)
+	case r.rechecks > 0 && outcome != invariants.Refused:
+		r.rechecks--
+		c.retry(r, closedRetryDelay+c.rng.Float64(), false)
 	}
 }
 
-// retry asks for an event once more. One that must not run twice stays with its front end, which knows it.
-func (c *client) retry(e *event, pause float64, move bool) {
-	if c.w.now+pause > e.until || e.tries >= 6 || c.quit && c.w.now+pause > c.s.script.Seconds+lastTry {
-		return
+// onRejected retries a request after the time that the response states, or at once by clients that ignore it.
+func (c *client) onRejected(r *request, m *http1.Message) {
+	retryAfter, err := strconv.ParseFloat(m.Header.Get("Retry-After"), 64)
+	if err != nil {
+		c.site.violation("client", "%s: deferred without a time to come back", r.id)
 	}
-	if move && e.kind != "price-reset" && !(e.twin && e.kind == "till-entry") && len(c.s.fronts) > 1 && c.rng.IntN(3) == 0 {
-		// Front ends share nothing: one that never heard of the event can't know when workers forget it.
-		if known := e.first + c.s.script.Remember - maxAge; e.kind == "till-entry" {
-			if c.w.now+pause >= known {
-				return
-			}
-			e.until = min(e.until, known)
-		}
-		e.front = (e.front + 1) % len(c.s.fronts)
+	if c.site.ignoreRetryAfter {
+		c.retry(r, eagerRetryDelay, true)
+	} else if m.Status == http.StatusServiceUnavailable {
+		c.retry(r, retryAfter+c.rng.Float64()*0.2, true)
 	}
-	c.in(pause, "asks again for "+e.id, func() { c.try(e) })
 }
 
-// late is when a client's time is up without an answer.
-func (c *client) late(t *try) {
-	if t.over {
+// retry sends a request once more after a delay, to another front end where that is allowed and drawn.
+func (c *client) retry(r *request, delay float64, move bool) {
+	at := c.scheduler.now + delay
+	if at > r.retryUntil || r.calls >= maxCalls || c.finishing && at > c.site.script.Seconds+lastRetry {
 		return
 	}
-	t.over = true
-	c.s.unanswered(t)
-	c.drop(t, true)
-}
-
-// leave is when a client hangs up.
-func (c *client) leave(t *try) {
-	if t.over {
-		return
+	frontEnds := len(c.site.frontEnds)
+	if move && r.mayMove() && frontEnds > 1 && c.rng.IntN(3) == 0 {
+		// Front ends share nothing: one that never heard of the request can't know when workers forget it.
+		if r.class == fakes.ClassIdempotentByKey {
+			forgotten := r.firstSent + c.site.script.DeduplicationWindow - requestTimeout
+			if at >= forgotten {
+				return
+			}
+			r.retryUntil = min(r.retryUntil, forgotten)
+		}
+		r.frontEnd = (r.frontEnd + 1) % frontEnds
 	}
-	t.over = true
-	t.limit.drop()
-	c.s.left(t)
-	c.drop(t, false)
+	c.after(delay, "asks again for "+r.id, func() { c.send(r) })
 }
 
-// drop closes the connection that a try waited on; what else waited there is asked for again.
-func (c *client) drop(t *try, again bool) {
-	l := t.line
-	if l.shut {
+// onTimeout ends a call whose time is up.
+func (c *client) onTimeout(call *clientCall) {
+	if call.ended {
 		return
 	}
-	c.quitLine(l, 0.05, true)
-	if again {
-		c.retry(t.evt, 0.05, true)
-	}
-}
-
-// quitLine closes a connection by this client's own doing; what waited on it is asked for again after a pause.
-func (c *client) quitLine(l *line, pause float64, move bool) {
-	for _, x := range l.out {
-		if !x.over {
-			x.over = true
-			x.limit.drop()
-			c.s.left(x)
-			c.retry(x.evt, pause, move)
-		}
-	}
-	if l.e != nil {
-		l.e.close()
+	call.ended = true
+	c.site.callUnanswered(call)
+	if call.conn.closed {
+		return
 	}
-	c.lost(l)
+	call.conn.closeByClient(closedRetryDelay, true)
+	c.retry(call.request, closedRetryDelay, true)
 }
 
-// lost ends a connection.
-func (c *client) lost(l *line) {
-	if l.shut {
+// cancel ends a call whose client hangs up.
+func (c *client) cancel(call *clientCall) {
+	if call.ended {
 		return
 	}
-	l.shut = true
-	for i, x := range c.lines {
-		if x == l {
-			c.lines = append(c.lines[:i], c.lines[i+1:]...)
-			break
-		}
+	call.end()
+	c.site.callCancelled(call)
+	if !call.conn.closed {
+		call.conn.closeByClient(closedRetryDelay, true)
 	}
-	for _, t := range l.out {
-		if t.over {
-			continue
-		}
-		t.over = true
-		t.limit.drop()
-		c.s.broken(t)
-		c.retry(t.evt, 0.02+c.rng.Float64()*0.3, true)
-	}
-	l.out = nil
 }
 
-// stampede drops all connections; what waited on them is asked for again.
-func (c *client) stampede() {
-	for _, l := range append([]*line(nil), c.lines...) {
-		c.quitLine(l, 0.01, false)
+// reconnect drops all connections; the calls that waited on them are retried.
+func (c *client) reconnect() {
+	for _, conn := range slices.Clone(c.conns) {
+		conn.closeByClient(reconnectDelay, false)
 	}
 }
 
-// hang closes the connections that nothing waits on.
-func (c *client) hang() {
-	for _, l := range append([]*line(nil), c.lines...) {
-		if len(l.out) == 0 && l.e != nil {
-			c.quitLine(l, 0, false)
+// closeIdle closes the connections that no call waits on.
+func (c *client) closeIdle() {
+	for _, conn := range slices.Clone(c.conns) {
+		if len(conn.calls) == 0 && conn.end != nil {
+			conn.closeByClient(0, false)
 		}
 	}
 }
-
-var never = math.Inf(1)
--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -9,124 +9,158 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 )
 
-// disk is the disk of one machine: in memory, with what was synced told apart from what was not. It goes wrong on
-// order. The store's library calls it from goroutines of its own.
+// noTear is the number of bytes to a torn write of a disk that no fault tears.
+const noTear = -1
+
+// errMachineStopped is the error of a write to the disk of a machine that stopped within an earlier one.
+var errMachineStopped = errors.New("the machine has stopped")
+
+// disk is the disk of one machine: in memory, with what was synced told apart from what was not. The storage library
+// calls it from goroutines of its own, so fields that those read are behind the lock.
 type disk struct {
-	mu    sync.Mutex
-	fs    *vfs.MemFS
-	full  bool
-	tear  int     // bytes of the next record that still get onto the disk, after which nothing does; below 0: no order
-	cut   bool    // nothing gets onto the disk any more
-	lying bool    // it says that it synced and has not
-	slow  float64 // seconds that a sync takes beside the usual
-	Torn  int
+	syncDelay float64 // seconds that a sync takes beside the usual; only the simulation's goroutine reads it
+
+	mu         sync.Mutex
+	fs         *vfs.MemFS
+	full       bool
+	tearAfter  int  // bytes of the next log record that still get onto the disk, after which nothing does
+	stopped    bool // nothing gets onto the disk any more
+	ignoreSync bool // it reports success of syncs that it did not do
+	tornWrites int
 }
 
-var errCut = errors.New("the machine has stopped")
+func newDisk() *disk { return &disk{fs: vfs.NewCrashableMem(), tearAfter: noTear} }
 
-func newDisk() *disk { return &disk{fs: vfs.NewCrashableMem(), tear: -1} }
+// restart leaves what the next process finds: all that was written, or after a loss of power what was synced.
+func (d *disk) restart(powerLost bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.tearAfter, d.stopped = noTear, false
+	crash := vfs.CrashCloneCfg{}
+	if !powerLost {
+		crash.UnsyncedDataPercent, crash.RNG = 100, newRand(0, "all of it")
+	}
+	d.fs = d.fs.CrashClone(crash)
+}
+
+// snapshot is a disk with what a restart of the process would find on this one.
+func (d *disk) snapshot() *disk {
+	copied := &disk{fs: d.fs, tearAfter: noTear}
+	copied.restart(false)
+	return copied
+}
+
+// view returns the disk for one process. What an earlier process still does changes nothing for a later one.
+func (d *disk) view() vfs.FS { return &diskView{d.fs, d} }
+
+// writeError is the error of a write now, if any.
+func (d *disk) writeError() error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	switch {
+	case d.stopped:
+		return errMachineStopped
+	case d.full:
+		return syscall.ENOSPC
+	}
+	return nil
+}
 
-// restart is what the next process finds: all that was written, or after a loss of power what was synced.
-func (d *disk) restart(power bool) {
+// takeTear returns the fault for the write of a log record at hand, which stops the machine.
+func (d *disk) takeTear() (bytes int, torn bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.tear, d.cut = -1, false
-	percent := vfs.CrashCloneCfg{}
-	if !power {
-		percent.UnsyncedDataPercent, percent.RNG = 100, chance(0, "all of it")
+	bytes = d.tearAfter
+	if bytes == noTear {
+		return 0, false
 	}
-	d.fs = d.fs.CrashClone(percent)
+	d.tearAfter, d.stopped = noTear, true
+	d.tornWrites++
+	return bytes, true
 }
 
-// view is the disk for one process. What an earlier process still does changes nothing for a later one.
-func (d *disk) view() vfs.FS { return &view{d.fs, d} }
+func (d *disk) ignoresSync() bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.ignoreSync
+}
 
-type view struct {
+// diskView is a file system that fails as its disk does.
+type diskView struct {
 	vfs.FS
-	d *disk
+	disk *disk
 }
 
-func (v *view) Create(name string, c vfs.DiskWriteCategory) (vfs.File, error) {
-	if err := v.d.refuse(); err != nil {
+// Create implements vfs.FS.
+func (v *diskView) Create(name string, category vfs.DiskWriteCategory) (vfs.File, error) {
+	if err := v.disk.writeError(); err != nil {
 		return nil, err
 	}
-	f, err := v.FS.Create(name, c)
-	return v.d.file(f, name), err
-}
-
-func (v *view) OpenReadWrite(name string, c vfs.DiskWriteCategory, o ...vfs.OpenOption) (vfs.File, error) {
-	f, err := v.FS.OpenReadWrite(name, c, o...)
-	return v.d.file(f, name), err
+	f, err := v.FS.Create(name, category)
+	return v.wrap(f, name), err
 }
 
-func (v *view) ReuseForWrite(from, to string, c vfs.DiskWriteCategory) (vfs.File, error) {
-	f, err := v.FS.ReuseForWrite(from, to, c)
-	return v.d.file(f, to), err
+// OpenReadWrite implements vfs.FS.
+func (v *diskView) OpenReadWrite(name string, category vfs.DiskWriteCategory, options ...vfs.OpenOption) (vfs.File, error) {
+	f, err := v.FS.OpenReadWrite(name, category, options...)
+	return v.wrap(f, name), err
 }
 
-type file struct {
-	vfs.File
-	d   *disk
-	log bool // a write-ahead log
+// ReuseForWrite implements vfs.FS.
+func (v *diskView) ReuseForWrite(from, to string, category vfs.DiskWriteCategory) (vfs.File, error) {
+	f, err := v.FS.ReuseForWrite(from, to, category)
+	return v.wrap(f, to), err
 }
 
-func (d *disk) file(f vfs.File, name string) vfs.File {
+func (v *diskView) wrap(f vfs.File, name string) vfs.File {
 	if f == nil {
 		return nil
 	}
-	return &file{f, d, strings.HasSuffix(name, ".log")}
+	return &diskFile{f, v.disk, strings.HasSuffix(name, ".log")}
 }
 
-func (d *disk) refuse() error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	switch {
-	case d.cut:
-		return errCut
-	case d.full:
-		return syscall.ENOSPC
-	}
-	return nil
+// diskFile is a file that fails as its disk does.
+type diskFile struct {
+	vfs.File
+	disk  *disk
+	isLog bool // a write-ahead log
 }
 
-func (f *file) Write(p []byte) (int, error) {
-	if err := f.d.refuse(); err != nil {
+// Write implements vfs.File.
+func (f *diskFile) Write(p []byte) (int, error) {
+	if err := f.disk.writeError(); err != nil {
 		return 0, err
 	}
-	f.d.mu.Lock()
-	tear := f.d.tear
-	if f.log && tear >= 0 {
-		f.d.tear, f.d.cut = -1, true
-		f.d.Torn++
-	}
-	f.d.mu.Unlock()
-	if f.log && tear >= 0 {
-		n, err := f.File.Write(p[:min(tear, len(p))])
-		return n, errors.Join(err, errCut)
+	if f.isLog {
+		if bytes, torn := f.disk.takeTear(); torn {
+			n, err := f.File.Write(p[:min(bytes, len(p))])
+			return n, errors.Join(err, errMachineStopped)
+		}
 	}
 	return f.File.Write(p)
 }
 
-func (f *file) synced(sync func() error) error {
-	if err := f.d.refuse(); err != nil {
-		return err
-	}
-	f.d.mu.Lock()
-	lying := f.d.lying
-	f.d.mu.Unlock()
-	if lying {
-		return nil
-	}
-	return sync()
-}
+// Sync implements vfs.File.
+func (f *diskFile) Sync() error { return f.syncWith(f.File.Sync) }
 
-func (f *file) Sync() error     { return f.synced(f.File.Sync) }
-func (f *file) SyncData() error { return f.synced(f.File.SyncData) }
+// SyncData implements vfs.File.
+func (f *diskFile) SyncData() error { return f.syncWith(f.File.SyncData) }
 
-func (f *file) SyncTo(n int64) (full bool, err error) {
-	err = f.synced(func() error {
-		full, err = f.File.SyncTo(n)
+// SyncTo implements vfs.File.
+func (f *diskFile) SyncTo(length int64) (full bool, err error) {
+	err = f.syncWith(func() error {
+		full, err = f.File.SyncTo(length)
 		return err
 	})
-	return
+	return full, err
+}
+
+func (f *diskFile) syncWith(doSync func() error) error {
+	if err := f.disk.writeError(); err != nil {
+		return err
+	}
+	if f.disk.ignoresSync() {
+		return nil
+	}
+	return doSync()
 }
--- a/internal/simulation/disk_test.go
+++ b/internal/simulation/disk_test.go
@@ -2,58 +2,59 @@
 
 import (
 	"testing"
-	"time"
 
 	"streamcleat/internal/dispatch"
 	"streamcleat/internal/storage"
 )
 
-func keep(t *testing.T, d *disk, id string) (*storage.Store, error) {
+func openStore(t testing.TB, d *disk) (*storage.Store, *storage.RecoveredState) {
 	t.Helper()
-	s, found, err := storage.OpenStore("state", storage.Options{FS: d.view(), Retention: 600, Synchronous: true, Clock: func() storage.Timestamp { return storage.Timestamp{Boot: "a", Up: 1} }})
+	clock := func() storage.Timestamp { return storage.Timestamp{Boot: "a", Up: 1} }
+	store, recovered, err := storage.OpenStore("state", storage.Options{FS: d.view(), Retention: 600, Synchronous: true, Clock: clock})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, e := range found.Records {
-		t.Log("found ", e.Response.Identity)
-	}
-	s.Commit([]dispatch.Record{{Response: dispatch.Response{Identity: dispatch.Identity{Source: "/t", ID: id}, Class: "once"}, MayHaveRun: true}}, func(e error) { err = e })
-	s.Step()
-	return s, err
+	return store, recovered
+}
+
+// commit writes the record of a request and returns the result.
+func commit(store *storage.Store, id string) (err error) {
+	record := dispatch.Record{Response: dispatch.Response{Identity: dispatch.Identity{Source: "/t", ID: id}, Class: "once"}, MayHaveRun: true}
+	store.Commit([]dispatch.Record{record}, func(e error) { err = e })
+	store.Step()
+	return err
 }
 
 func TestTornRecordIsNotFoundAndTheRestIs(t *testing.T) {
-	for _, power := range []bool{false, true} {
-		d := newDisk()
-		s, err := keep(t, d, "one")
-		if err != nil {
-			t.Fatal(err)
-		}
-		d.tear = 20
-		s.Commit([]dispatch.Record{{Response: dispatch.Response{Identity: dispatch.Identity{Source: "/t", ID: "two"}, Class: "once"}, MayHaveRun: true}}, func(e error) { err = e })
-		began := time.Now()
-		s.Step()
-		if err == nil {
-			t.Fatal("a torn write passed")
-		}
-		d.restart(power)
-		s.Close()
-		s2, found, err := storage.OpenStore("state", storage.Options{FS: d.view(), Retention: 600, Synchronous: true})
-		if err != nil || len(found.Records) != 1 || found.Records[0].Response.Identity.ID != "one" || found.QuarantinePath != "" {
-			t.Fatalf("power %v: %+v %v", power, found, err)
-		}
-		s2.Close()
-		t.Log(time.Since(began))
+	for name, powerLost := range map[string]bool{"process": false, "power": true} {
+		t.Run(name, func(t *testing.T) {
+			d := newDisk()
+			store, _ := openStore(t, d)
+			if err := commit(store, "one"); err != nil {
+				t.Fatal(err)
+			}
+			d.tearAfter = 20
+			if err := commit(store, "two"); err == nil {
+				t.Fatal("a torn write passed")
+			}
+			d.restart(powerLost)
+			_ = store.Close() // its machine has stopped
+			again, recovered := openStore(t, d)
+			if len(recovered.Records) != 1 || recovered.Records[0].Response.Identity.ID != "one" || recovered.QuarantinePath != "" {
+				t.Fatalf("%+v", recovered)
+			}
+			if err := again.Close(); err != nil {
+				t.Error(err)
+			}
+		})
 	}
 }
 
 func BenchmarkOpen(b *testing.B) {
 	for b.Loop() {
-		d := newDisk()
-		s, _, err := storage.OpenStore("state", storage.Options{FS: d.view(), Retention: 600, Synchronous: true})
-		if err != nil {
+		store, _ := openStore(b, newDisk())
+		if err := store.Close(); err != nil {
 			b.Fatal(err)
 		}
-		s.Close()
 	}
 }
--- /dev/null
+++ b/internal/simulation/inject.go
@@ -0,0 +1,160 @@
+package simulation
+
+// Times of faults, in seconds.
+const (
+	clientOutageMargin = 0.3 // after the end of a partition or a pause, until clients can rely on the appliance again
+	leaveDelay         = 0.5 // from a worker's leaving the endpoint list to its end
+)
+
+// injection is one fault that is being injected, with what it may concern.
+type injection struct {
+	*site
+	fault      Fault
+	appliance  *applianceProcess
+	worker     *worker
+	clientName string
+}
+
+// inject makes a fault happen now.
+func (s *site) inject(f Fault) {
+	i := &injection{site: s, fault: f, appliance: s.appliances[f.Appliance], worker: s.workers[f.Worker], clientName: clientName(f.Client)}
+	kind := faultKindByName(f.Kind)
+	i.countCoverage(kind)
+	kind.inject(i)
+}
+
+// undoLater ends the fault after its duration. The name stands in the trace.
+func (i *injection) undoLater(name string, undo func()) {
+	i.scheduler.after(i.fault.Duration, name, undo)
+}
+
+// outageEnd is when clients can rely on an appliance again that the fault keeps from serving them.
+func (i *injection) outageEnd() float64 {
+	return i.scheduler.now + i.fault.Duration + clientOutageMargin
+}
+
+// Faults of disks and of the appliances' processes.
+
+func (i *injection) slowDisk() {
+	d := i.appliance.disk
+	d.syncDelay = i.fault.Size
+	i.undoLater("disk as usual", func() { d.syncDelay = 0 })
+}
+
+func (i *injection) fillDisk() {
+	a := i.appliance
+	a.disk.full = true
+	i.undoLater("room on the disk", func() {
+		if !a.disk.full {
+			return
+		}
+		a.disk.full = false
+		if a.store != nil && a.store.Err() != nil {
+			i.restartAfterDiskFailure(a)
+		}
+	})
+}
+
+func (i *injection) ignoreSyncs() {
+	d := i.appliance.disk
+	d.ignoreSync = true
+	i.undoLater("disk is honest", func() { d.ignoreSync = false })
+}
+
+func (i *injection) tearWrite() {
+	if i.appliance.store != nil {
+		i.appliance.disk.tearAfter = i.fault.Bytes
+	}
+}
+
+func (i *injection) killAppliance() { i.crashAppliance(false) }
+
+func (i *injection) powerOffAppliance() { i.crashAppliance(true) }
+
+func (i *injection) crashAppliance(losePower bool) {
+	a := i.appliance
+	if !a.running {
+		return
+	}
+	i.beginOutage(a)
+	i.restarts++
+	a.crash(losePower, i.fault.Size)
+}
+
+func (i *injection) stopAppliance() { i.site.stopAppliance(i.appliance, i.fault.Size) }
+
+func (i *injection) pauseAppliance() {
+	a := i.appliance
+	if a.running && !a.paused {
+		i.addOutage(a.number, everyone, i.outageEnd())
+		a.pause(i.fault.Duration)
+	}
+}
+
+func (i *injection) stepClock() { i.appliance.clockSkew += i.fault.Size }
+
+func (i *injection) delayEndpointList() {
+	a := i.appliance
+	a.ignoreList = true
+	i.undoLater("list as usual", func() { a.ignoreList = false })
+}
+
+// Faults of releases.
+
+// canRelease returns whether the appliance can change its registry now.
+func (i *injection) canRelease() bool {
+	a := i.appliance
+	return i.script.Versions && a.running && !a.paused && a.isServing()
+}
+
+// functionNumber draws a function from the fault's other numbers.
+func (i *injection) functionNumber() int { return i.fault.Worker*7 + i.fault.Client }
+
+func (i *injection) moveAlias() {
+	if i.canRelease() {
+		i.appliance.switchVersion(i.functionNumber(), int(i.fault.Size))
+	}
+}
+
+func (i *injection) releaseAll() {
+	if !i.canRelease() {
+		return
+	}
+	for function := range i.functions {
+		if i.appliance.running {
+			i.appliance.switchVersion(function, int(i.fault.Size))
+		}
+	}
+}
+
+func (i *injection) moveAliasBack() {
+	if !i.canRelease() {
+		return
+	}
+	a, function := i.appliance, i.functionNumber()
+	a.switchVersion(function, 1)
+	a.after(i.fault.Size, "takes the alias back", func() { a.switchVersion(function, 0) })
+}
+
+// Faults of the clients' behaviour.
+
+func (i *injection) raiseTraffic() {
+	i.rateFactor = i.fault.Size
+	i.undoLater("usual rate", func() { i.rateFactor = 0 })
+}
+
+func (i *injection) cancelMany() {
+	i.cancelShare = i.fault.Size
+	i.undoLater("clients wait", func() { i.cancelShare = 0 })
+}
+
+func (i *injection) ignoreRetryAfter() {
+	i.site.ignoreRetryAfter = true
+	i.undoLater("no abuse", func() { i.site.ignoreRetryAfter = false })
+}
+
+func (i *injection) reconnectClients() {
+	for _, c := range i.clients {
+		c.reconnect()
+	}
+}
--- /dev/null
+++ b/internal/simulation/inject_worker.go
@@ -0,0 +1,105 @@
+package simulation
+
+func (i *injection) crashWorker() { i.stopWorker(false) }
+
+func (i *injection) powerOffWorker() { i.stopWorker(true) }
+
+// stopWorker ends a worker's process, and starts it anew after a time.
+func (i *injection) stopWorker(losePower bool) {
+	w := i.worker
+	w.stop(losePower)
+	i.scheduler.after(i.fault.Size, w.name+" starts", func() { i.site.restartWorker(w) })
+}
+
+func (i *injection) restartWorker() {
+	i.worker.stop(false)
+	i.site.restartWorker(i.worker)
+}
+
+func (i *injection) pauseWorker() { i.worker.pause(i.fault.Duration) }
+
+// misbehave makes a worker treat requests as the kind of fault has it.
+func (i *injection) misbehave() {
+	until := i.worker.faultUntil
+	until[i.fault.Kind] = max(until[i.fault.Kind], i.scheduler.now+i.fault.Duration)
+}
+
+func (i *injection) drain() {
+	i.announceDrain()
+	i.endDrainLater()
+}
+
+func (i *injection) drainThenCrash() {
+	w := i.worker
+	i.announceDrain()
+	i.scheduler.after(i.fault.Size, w.name+" ends", func() { w.stop(false) })
+	i.endDrainLater()
+}
+
+func (i *injection) crashThenDrain() {
+	w := i.worker
+	w.stop(false)
+	i.scheduler.after(i.fault.Size, w.name+" drains", i.announceDrain)
+	i.endDrainLater()
+}
+
+func (i *injection) announceDrain() {
+	i.worker.phase = phaseDraining
+	i.writeEndpointList()
+}
+
+// endDrainLater lets the worker serve again after the fault, under the same name and address.
+func (i *injection) endDrainLater() {
+	w := i.worker
+	i.scheduler.after(max(i.fault.Duration, i.fault.Size+0.01), w.name+" serves again", func() {
+		w.phase = phaseServing
+		if !w.running && w.listed {
+			w.start(true)
+		}
+		i.writeEndpointList()
+	})
+}
+
+// removeWorker takes a worker out of the endpoint list, unless it is the last one, and ends it.
+func (i *injection) removeWorker() {
+	w := i.worker
+	if !w.listed || i.listedWorkers() <= 1 {
+		return
+	}
+	w.listed = false
+	i.writeEndpointList()
+	i.scheduler.after(leaveDelay, w.name+" ends", func() { w.stop(false) })
+}
+
+func (s *site) listedWorkers() int {
+	n := 0
+	for _, w := range s.workers {
+		if w.listed {
+			n++
+		}
+	}
+	return n
+}
+
+func (i *injection) addWorker() {
+	if len(i.workers) < maxWorkers {
+		i.workers = append(i.workers, i.newWorker(len(i.workers), true))
+		i.writeEndpointList()
+	}
+}
+
+func (i *injection) slowStore() {
+	i.store.slowdown, i.store.slowUntil = i.fault.Size, i.scheduler.now+i.fault.Duration
+}
+
+func (i *injection) stopStore() { i.store.outUntil = i.scheduler.now + i.fault.Duration }
+
+func (i *injection) evictAll() {
+	for _, w := range i.workers {
+		if w.running {
+			w.evictAll()
+		}
+	}
+}
+
+func (i *injection) forgetKeys() { clear(i.executedKeys) }
--- a/internal/simulation/mutants/main.go
+++ b/internal/simulation/mutants/main.go
@@ -1,6 +1,6 @@
-// Command mutants proves that the simulation sees faults of the program: it puts deliberate ones into it, one at a
-// time, and counts the seeds until each is caught. The tree is not touched: the build takes the changed file in place
-// of the one that stands there.
+// Command mutants proves that the simulation sees faults of the program: it plants deliberate ones, one at a time, and
+// counts the seeds until each is caught. The tree is not touched: the build takes the changed file in place of the one
+// that stands there.
 package main
 
 import (
@@ -20,8 +20,17 @@
 	"streamcleat/internal/simulation"
 )
 
+const (
+	program        = "./cmd/streamcleat"
+	defaultProfile = "day"
+	exploreDepth   = "6"
+
+	exitSurvived = 1
+	exitFailed   = 2
+)
+
 //go:embed mutants.json
-var list []byte
+var mutantList []byte
 
 // edit is a text of a file, where it stands exactly once, and what takes its place.
 type edit struct {
@@ -35,10 +44,15 @@
 	Name string `json:"name"`
 	edit
 	Also    *edit  `json:"also,omitempty"`
-	Profile string `json:"profile,omitempty"` // day where it says nothing
+	Profile string `json:"profile,omitempty"` // the default one where it is empty
 	About   string `json:"about"`
 }
 
+// overlay is the file of go build -overlay.
+type overlay struct {
+	Replace map[string]string
+}
+
 func main() {
 	seeds := flag.Uint64("seeds", 600, "seeds that a fault may survive")
 	only := flag.String("only", "", "names that hold this text alone")
@@ -46,47 +60,37 @@
 	survived, err := run(*seeds, *only)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "mutants:", err)
-		os.Exit(2)
+		os.Exit(exitFailed)
 	}
 	if survived > 0 {
 		fmt.Fprintf(os.Stderr, "mutants: %d survived\n", survived)
-		os.Exit(1)
+		os.Exit(exitSurvived)
 	}
 }
 
+// run tries the mutants whose names hold a text, and prints a table of what caught them.
 func run(seeds uint64, only string) (survived int, err error) {
 	var mutants []mutant
-	if err := json.Unmarshal(list, &mutants); err != nil {
+	if err := json.Unmarshal(mutantList, &mutants); err != nil {
 		return 0, err
 	}
 	dir, err := os.MkdirTemp("", "mutants")
 	if err != nil {
 		return 0, err
 	}
-	defer os.RemoveAll(dir)
+	defer func() { _ = os.RemoveAll(dir) }() // temporary files
 	rows := [][]string{{"FAULT", "IN", "SEEDS UNTIL CAUGHT", "BY"}}
 	for _, m := range mutants {
 		if !strings.Contains(m.Name, only) {
 			continue
 		}
-		binary, err := m.build(dir)
+		caught, by, err := m.try(dir, seeds)
 		if err != nil {
 			return survived, fmt.Errorf("%s: %w", m.Name, err)
 		}
-		n, by, err := m.hunt(binary, seeds)
-		if err != nil {
-			return survived, fmt.Errorf("%s: %w", m.Name, err)
-		}
-		caught := fmt.Sprint(n)
-		if n == 0 {
-			caught = fmt.Sprintf("none of %d", seeds)
-			if by, err = m.explore(binary); err != nil {
-				return survived, fmt.Errorf("%s: %w", m.Name, err)
-			}
-			if by == "" {
-				survived++
-				by = "survives"
-			}
+		if by == "" {
+			survived++
+			by = "survives"
 		}
 		rows = append(rows, []string{m.About, m.File, caught, by})
 		fmt.Fprintf(os.Stderr, "%s: %s (%s)\n", m.Name, caught, by)
@@ -95,106 +99,142 @@
 	return survived, nil
 }
 
-func (m mutant) build(dir string) (string, error) {
-	replace := map[string]string{}
+// try builds a mutant and returns how many seeds it took to catch it and what caught it; by is empty where it survives.
+func (m mutant) try(dir string, seeds uint64) (caught, by string, err error) {
+	binary, err := m.build(dir)
+	if err != nil {
+		return "", "", err
+	}
+	n, by, err := m.simulate(binary, seeds)
+	if err != nil {
+		return "", "", err
+	}
+	if n > 0 {
+		return fmt.Sprint(n), by, nil
+	}
+	by, err = explore(binary)
+	return fmt.Sprintf("none of %d", seeds), by, err
+}
+
+// build builds the program with the mutant's edits.
+func (m mutant) build(dir string) (binary string, err error) {
+	changed := overlay{Replace: map[string]string{}}
 	edits := []edit{m.edit}
 	if m.Also != nil {
 		edits = append(edits, *m.Also)
 	}
 	for i, e := range edits {
-		file, err := filepath.Abs(e.File)
-		if err != nil {
-			return "", err
-		}
-		from := file
-		if replace[file] != "" {
-			from = replace[file]
-		}
-		text, err := os.ReadFile(from)
-		if err != nil {
-			return "", err
-		}
-		if n := bytes.Count(text, []byte(e.Old)); n != 1 {
-			return "", fmt.Errorf("its text stands in %s %d times, not once", e.File, n)
-		}
-		replace[file] = filepath.Join(dir, fmt.Sprintf("%s-%d.go", m.Name, i))
-		if err := os.WriteFile(replace[file], bytes.Replace(text, []byte(e.Old), []byte(e.New), 1), 0o644); err != nil {
+		if err := e.apply(changed, filepath.Join(dir, fmt.Sprintf("%s-%d.go", m.Name, i))); err != nil {
 			return "", err
 		}
 	}
-	overlay, err := json.Marshal(map[string]any{"Replace": replace})
+	data, err := json.Marshal(changed)
 	if err != nil {
 		return "", err
 	}
 	path := filepath.Join(dir, m.Name+".json")
-	if err := os.WriteFile(path, overlay, 0o644); err != nil {
+	if err := os.WriteFile(path, data, 0o644); err != nil {
 		return "", err
 	}
-	binary := filepath.Join(dir, m.Name)
-	out, err := exec.Command("go", "build", "-overlay", path, "-o", binary, "./cmd/streamcleat").CombinedOutput()
+	binary = filepath.Join(dir, m.Name)
+	out, err := exec.Command("go", "build", "-overlay", path, "-o", binary, program).CombinedOutput()
 	if err != nil {
 		return "", fmt.Errorf("it does not build: %w\n%s", err, out)
 	}
 	return binary, nil
 }
 
-// explore goes every order of the small world, in which cores stand without what guards them from outside.
-func (m mutant) explore(binary string) (by string, err error) {
-	out, err := exec.Command(binary, "sim", "explore", "--depth", "6").Output()
-	var ended *exec.ExitError
-	if err != nil && !errors.As(err, &ended) {
+// apply writes the edited file to a path and adds it to the overlay.
+func (e edit) apply(changed overlay, path string) error {
+	file, err := filepath.Abs(e.File)
+	if err != nil {
+		return err
+	}
+	from := file
+	if earlier := changed.Replace[file]; earlier != "" {
+		from = earlier
+	}
+	text, err := os.ReadFile(from)
+	if err != nil {
+		return err
+	}
+	if n := bytes.Count(text, []byte(e.Old)); n != 1 {
+		return fmt.Errorf("its text stands in %s %d times, not once", e.File, n)
+	}
+	changed.Replace[file] = path
+	return os.WriteFile(path, bytes.Replace(text, []byte(e.Old), []byte(e.New), 1), 0o644)
+}
+
+// explore goes every order of the small world, in which dispatchers stand without what guards them from outside.
+func explore(binary string) (by string, err error) {
+	out, err := exec.Command(binary, "sim", "explore", "--depth", exploreDepth).Output()
+	var exit *exec.ExitError
+	if err != nil && !errors.As(err, &exit) {
 		return "", err
 	}
-	var x simulation.Explored
-	if err := json.Unmarshal(out, &x); err != nil {
+	var explored simulation.Explored
+	if err := json.Unmarshal(out, &explored); err != nil {
 		return "", err
 	}
-	if len(x.Broke) == 0 {
+	if len(explored.Broke) == 0 {
 		return "", nil
 	}
-	by, _, _ = strings.Cut(x.Broke[0], ":")
+	by, _, _ = strings.Cut(explored.Broke[0], ":")
 	return "every order: " + by, nil
 }
 
-// hunt runs seeds until one breaks something. A program that ends or panics is caught too.
-func (m mutant) hunt(binary string, seeds uint64) (n int, by string, err error) {
+// simulate plays seeds until one breaks something, and returns how many that took. A program that panics is caught too.
+func (m mutant) simulate(binary string, seeds uint64) (n int, by string, err error) {
 	profile := m.Profile
 	if profile == "" {
-		profile = "day"
+		profile = defaultProfile
 	}
 	cmd := exec.Command(binary, "sim", "--profile", profile, "--seeds", fmt.Sprint(seeds), "--json")
 	out, err := cmd.StdoutPipe()
 	if err != nil {
 		return 0, "", err
 	}
-	var said bytes.Buffer
-	cmd.Stderr = &said
+	var stderr bytes.Buffer
+	cmd.Stderr = &stderr
 	if err := cmd.Start(); err != nil {
 		return 0, "", err
 	}
+	n, by, err = readReports(out)
+	if err != nil {
+		return 0, "", errors.Join(err, cmd.Process.Kill(), cmd.Wait())
+	}
+	if by != "" {
+		_ = cmd.Process.Kill() // it may have ended by itself
+		_ = cmd.Wait()         // it was killed
+		return n, by, nil
+	}
+	switch err := cmd.Wait(); {
+	case err == nil:
+		return 0, "", nil
+	case strings.Contains(stderr.String(), "panic"):
+		return n + 1, "panic", nil
+	default:
+		return 0, "", fmt.Errorf("seeds of %s: %w: %s", profile, err, stderr.String())
+	}
+}
+
+// readReports reads reports until one tells that something broke, and returns their number and what broke.
+func readReports(out io.Reader) (n int, by string, err error) {
 	dec := json.NewDecoder(out)
 	for {
 		var r simulation.Report
-		if err := dec.Decode(&r); errors.Is(err, io.EOF) {
-			break
-		} else if err != nil {
-			return 0, "", errors.Join(err, cmd.Process.Kill(), cmd.Wait())
+		err := dec.Decode(&r)
+		if errors.Is(err, io.EOF) {
+			return n, "", nil
+		}
+		if err != nil {
+			return n, "", err
 		}
 		n++
 		if !r.OK() {
-			cmd.Process.Kill()
-			cmd.Wait()
 			by, _, _ = strings.Cut(r.Broke[0], ":")
 			by, _, _ = strings.Cut(by, " at ")
 			return n, by, nil
 		}
 	}
-	switch err := cmd.Wait(); {
-	case err == nil:
-		return 0, "", nil
-	case strings.Contains(said.String(), "panic"):
-		return n + 1, "panic", nil
-	default:
-		return 0, "", fmt.Errorf("seeds of %s: %w: %s", profile, err, said.String())
-	}
 }
--- /dev/null
+++ b/internal/simulation/report.go
@@ -0,0 +1,74 @@
+package simulation
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"streamcleat/internal/invariants"
+)
+
+const (
+	maxViolations = 50        // after which a script is not played on
+	maxEvents     = 4_000_000 // of one script, against a world that goes round in circles
+)
+
+// Report is the result of playing one script.
+type Report struct {
+	Seed    uint64 `json:"seed"`
+	Profile string `json:"profile"`
+	invariants.Verdict
+	Broke    []string       `json:"broke,omitempty"` // the first violations of each rule and invariant
+	Digest   string         `json:"digest"`          // of the trace
+	Steps    int            `json:"steps"`
+	Virtual  float64        `json:"virtual_s"`
+	Real     float64        `json:"real_s"`
+	Restarts int            `json:"restarts"`
+	Met      map[string]int `json:"met,omitempty"` // how often a kind of fault met a state of a front end
+}
+
+// OK returns whether nothing broke.
+func (r *Report) OK() bool { return len(r.Broke) == 0 }
+
+// Play plays a script. onTrace, which may be nil, gets the trace in words.
+func Play(script *Script, onTrace func(string)) (*Report, []invariants.Record, error) {
+	began := time.Now()
+	s, err := newSite(script)
+	if err != nil {
+		return nil, nil, err
+	}
+	if onTrace != nil {
+		s.scheduler.onTrace = func(name string) { onTrace(fmt.Sprintf("%10.6f %s", s.scheduler.now, name)) }
+	}
+	s.run(script.Seconds + recoveryPeriod)
+	s.checkEnd()
+	records := s.recorder.Records()
+	verdict := invariants.Judge(s.rules, records)
+	s.checkRepeats()
+	s.closing.Wait()
+	broke := slices.Concat(verdict.Faults, s.violations)
+	verdict.Faults = nil
+	return &Report{
+		Seed:     script.Seed,
+		Profile:  script.Profile,
+		Verdict:  verdict,
+		Broke:    broke,
+		Digest:   s.scheduler.digest(),
+		Steps:    s.scheduler.executed,
+		Virtual:  s.scheduler.now,
+		Real:     time.Since(began).Seconds(),
+		Restarts: s.restarts,
+		Met:      s.coverage,
+	}, records, nil
+}
+
+// run runs events until a time, or until too much broke.
+func (s *site) run(until float64) {
+	for s.scheduler.runNext(until) && len(s.violations) < maxViolations {
+		s.checkTouched()
+		if s.scheduler.executed > maxEvents {
+			s.violation("liveness", "%d steps, the last %q", s.scheduler.executed, s.scheduler.lastName)
+			return
+		}
+	}
+}
--- /dev/null
+++ b/internal/simulation/schedules.go
@@ -0,0 +1,130 @@
+package simulation
+
+import (
+	"time"
+
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/invariants"
+	"streamcleat/internal/schedule"
+	"streamcleat/internal/storage"
+)
+
+const (
+	maxScheduleWait = 1.0   // seconds between looks at the schedules
+	minScheduleWait = 0.001 // seconds
+)
+
+// fireSchedules fires what is due, as the real appliance does: on disk first.
+func (a *applianceProcess) fireSchedules() {
+	s := a.site
+	if s.script.Timers == 0 || a.schedulesSuspended || a.scheduler.now > s.script.Seconds+lastRetry {
+		return
+	}
+	if due := a.schedules.Due(a.wallClock()); len(due) > 0 {
+		a.fire(due)
+		if !a.running {
+			return
+		}
+	}
+	wait := maxScheduleWait
+	if next, ok := a.schedules.Next(); ok {
+		wait = min(max(next.Sub(a.wallClock()).Seconds(), minScheduleWait), wait)
+	}
+	a.after(wait, "timers", a.fireSchedules)
+}
+
+// fire writes firings to disk and submits their requests.
+func (a *applianceProcess) fire(due []schedule.Firing) {
+	var firings []storage.Firing
+	for _, f := range due {
+		firings = append(firings, storage.Firing{Entry: f.Entry.Key(), Due: f.Due, Deadline: f.Deadline(), Request: a.requestOf(f)})
+	}
+	if a.store != nil {
+		err := a.withStore(func() error { return a.store.RecordFirings(firings) })
+		if err != nil || !a.running {
+			return
+		}
+	}
+	for _, f := range firings {
+		a.lastFirings[f.Entry] = f.Due
+		identity := f.Request.Identity
+		minute := identity.String()
+		if a.site.firedMinutes[minute] {
+			a.site.violation("timers", "%s fires %s a second time", a.name, minute)
+		}
+		a.site.firedMinutes[minute] = a.store != nil
+		a.submitScheduled(f.Request, f.Deadline, 1)
+	}
+}
+
+// requestOf returns the request of a firing.
+func (a *applianceProcess) requestOf(f schedule.Firing) dispatch.Request {
+	entry, source := f.Entry, "/timers/"+a.name
+	return dispatch.Request{
+		Identity: dispatch.Identity{Source: source, ID: f.ID},
+		Class:    entry.Class,
+		Function: entry.Function,
+		Tenant:   entry.Tenant,
+		Fields: []dispatch.Field{
+			{Name: "ce-specversion", Value: "1.0"},
+			{Name: "ce-source", Value: source},
+			{Name: "ce-id", Value: f.ID},
+			{Name: "ce-type", Value: entry.Class},
+			{Name: "ce-function", Value: entry.Function},
+		},
+	}
+}
+
+// scheduledCall is one try of a scheduled request.
+type scheduledCall struct {
+	request  dispatch.Request
+	deadline time.Time
+	tries    int // with this one
+	number   uint64
+	began    float64
+}
+
+// submitScheduled submits a request of the appliance itself. A rejected one is retried until its deadline.
+func (a *applianceProcess) submitScheduled(request dispatch.Request, deadline time.Time, tries int) {
+	f := a.frontEnds[0]
+	c := scheduledCall{request: request, deadline: deadline, tries: tries, number: a.site.recorder.Call(), began: a.scheduler.now}
+	identity := request.Identity
+	a.scheduled[identity] = c.number
+	a.site.recorder.Add(invariants.Record{Kind: invariants.Asked, Event: identity.String(), Type: request.Class,
+		Function: request.Function, Front: f.processTag(), Call: c.number, Wait: requestTimeout})
+	f.proxy.Submit(request, func(response dispatch.Response) { a.onScheduledResponse(c, response) })
+}
+
+func (a *applianceProcess) onScheduledResponse(c scheduledCall, response dispatch.Response) {
+	id := c.request.Identity
+	delete(a.scheduled, id)
+	if a.scheduler.now-c.began > requestTimeout && a.site.hadOutage(a, c.began) { // it was paused
+		a.site.addUnknownEnd(invariants.Record{Kind: invariants.Lost, Call: c.number})
+	} else {
+		a.site.recorder.Add(invariants.Record{Kind: invariants.Answered, Event: id.String(), Type: c.request.Class,
+			Front: a.frontEnds[0].processTag(), Call: c.number, Outcome: response.Kind.String(), Digest: response.Binding.Digest})
+	}
+	if response.Kind == dispatch.Rejected && (response.Cause == dispatch.CauseShuttingDown || a.retryScheduled(c, response)) {
+		return
+	}
+	if a.store != nil {
+		a.store.ScheduledRequestDone(id)
+		a.sync()
+	}
+}
+
+// retryScheduled schedules a retry of a rejected request, and returns whether there is time for one.
+func (a *applianceProcess) retryScheduled(c scheduledCall, response dispatch.Response) bool {
+	retryAfter := time.Duration(response.RetryAfter * float64(time.Second))
+	identity := c.request.Identity
+	wait, ok := schedule.NextRetry(c.deadline, a.wallClock(), c.tries, retryAfter)
+	if !ok || a.scheduler.now+wait.Seconds() >= a.site.script.Seconds+lastRetry {
+		return false
+	}
+	a.after(wait.Seconds(), "again "+identity.ID, func() {
+		if a.isServing() {
+			a.submitScheduled(c.request, c.deadline, c.tries+1)
+		}
+	})
+	return true
+}
--- a/internal/simulation/shrink.go
+++ b/internal/simulation/shrink.go
@@ -6,12 +6,15 @@
 	"strings"
 )
 
-// ErrWhole tells that a script breaks nothing.
+// ErrWhole is the error of shrinking a script that breaks nothing.
 var ErrWhole = errors.New("the script breaks nothing")
 
-// Shrink cuts a script that breaks something to a smaller one that breaks the same kind of thing: fewer faults by
-// halves and one by one (delta debugging, Zeller and Hildebrandt 2002), then fewer boxes, workers, clients and events,
-// then shorter. It tells how many runs that took.
+// maxShrinkRuns limits the runs of one Shrink.
+const maxShrinkRuns = 400
+
+// Shrink reduces a script that breaks something to a smaller one that breaks the same kind of thing: fewer faults by
+// halves and one by one (delta debugging, Zeller and Hildebrandt 2002), then fewer appliances, workers, clients and
+// requests, then shorter. It returns how many runs that took.
 func Shrink(s *Script) (small *Script, r *Report, runs int, err error) {
 	r, _, err = Play(s, nil)
 	if err != nil {
@@ -20,74 +23,126 @@
 	if r.OK() {
 		return nil, r, 1, ErrWhole
 	}
-	kind := func(broke string) string {
-		name, _, _ := strings.Cut(broke, ":")
-		name, _, _ = strings.Cut(name, " at ")
-		return name
+	x := &shrinker{violation: violationKind(r.Broke[0]), best: *s, report: r, runs: 1}
+	x.removeFaults()
+	for x.reduceSizes() {
 	}
-	want := kind(r.Broke[0])
-	runs = 1
-	best := *s
-	try := func(c Script) bool {
-		if runs >= 400 || c.Check() != nil {
-			return false
-		}
-		runs++
-		x, _, err := Play(&c, nil)
-		if err != nil || !slices.ContainsFunc(x.Broke, func(b string) bool { return kind(b) == want }) {
-			return false
+	x.removeFaults()
+	x.shortenFaults()
+	return &x.best, x.report, x.runs, nil
+}
+
+// shrinker is a search for a smaller script.
+type shrinker struct {
+	violation string // the kind that the script is to keep
+	best      Script
+	report    *Report // of best
+	runs      int
+}
+
+// violationKind returns the kind of a violation from its description.
+func violationKind(description string) string {
+	kind, _, _ := strings.Cut(description, ":")
+	kind, _, _ = strings.Cut(kind, " at ")
+	return kind
+}
+
+// try plays a candidate, and takes it where it still breaks the same kind of thing.
+func (x *shrinker) try(candidate Script) bool {
+	if x.runs >= maxShrinkRuns || candidate.Check() != nil {
+		return false
+	}
+	x.runs++
+	r, _, err := Play(&candidate, nil)
+	if err != nil {
+		return false
+	}
+	if !slices.ContainsFunc(r.Broke, func(b string) bool { return violationKind(b) == x.violation }) {
+		return false
+	}
+	x.best, x.report = candidate, r
+	return true
+}
+
+// removeFaults removes parts of the faults, of a size that halves where no part can go.
+func (x *shrinker) removeFaults() {
+	for parts := 2; len(x.best.Faults) > 0; {
+		size := (len(x.best.Faults) + parts - 1) / parts
+		switch {
+		case x.removeOnePart(size):
+			parts = max(parts-1, 2)
+		case size == 1:
+			return
+		default:
+			parts = min(parts*2, len(x.best.Faults))
 		}
-		best, r = c, x
-		return true
 	}
-	faults := func() {
-		for n := 2; len(best.Faults) > 0; {
-			size := (len(best.Faults) + n - 1) / n
-			cut := false
-			for at := 0; at < len(best.Faults); at += size {
-				c := best
-				c.Faults = append(slices.Clone(best.Faults[:at]), best.Faults[min(at+size, len(best.Faults)):]...)
-				if try(c) {
-					cut = true
-					break
-				}
-			}
-			switch {
-			case cut:
-				n = max(n-1, 2)
-			case size == 1:
-				return
-			default:
-				n = min(n*2, len(best.Faults))
-			}
+}
+
+// removeOnePart removes the first part of so many faults that can go.
+func (x *shrinker) removeOnePart(size int) bool {
+	faults := x.best.Faults
+	for from := 0; from < len(faults); from += size {
+		candidate := x.best
+		candidate.Faults = append(slices.Clone(faults[:from]), faults[min(from+size, len(faults)):]...)
+		if x.try(candidate) {
+			return true
 		}
 	}
-	faults()
-	for again := true; again; {
-		again = false
-		for _, change := range []func(*Script){
-			func(c *Script) { c.Timers = 0 }, func(c *Script) { c.PerBox = 1 }, func(c *Script) { c.Boxes-- }, func(c *Script) { c.Workers-- },
-			func(c *Script) { c.Clients-- }, func(c *Script) { c.Functions = max(c.Functions/2, 1) }, func(c *Script) { c.Rate /= 2 },
-			func(c *Script) { c.Ration = false }, func(c *Script) { c.Cold = false }, func(c *Script) { c.Seconds -= 1 },
-		} {
-			c := best
-			change(&c)
-			if (c.Boxes != best.Boxes || c.Workers != best.Workers || c.Clients != best.Clients || c.PerBox != best.PerBox || c.Functions != best.Functions ||
-				c.Timers != best.Timers || c.Ration != best.Ration || c.Cold != best.Cold || c.Rate >= 1 && c.Rate != best.Rate || c.Seconds != best.Seconds) && try(c) {
-				again = true
-			}
+	return false
+}
+
+// reduction makes a script smaller in one way, and returns whether it did.
+type reduction func(s *Script) bool
+
+var reductions = []reduction{
+	func(s *Script) bool { return setSmaller(&s.Timers, 0) },
+	func(s *Script) bool { return setSmaller(&s.FrontEndsPerAppliance, 1) },
+	func(s *Script) bool { return setSmaller(&s.Appliances, s.Appliances-1) },
+	func(s *Script) bool { return setSmaller(&s.Workers, s.Workers-1) },
+	func(s *Script) bool { return setSmaller(&s.Clients, s.Clients-1) },
+	func(s *Script) bool { return setSmaller(&s.Functions, max(s.Functions/2, 1)) },
+	func(s *Script) bool {
+		s.Rate /= 2
+		return s.Rate >= 1
+	},
+	func(s *Script) bool { return setSmaller(&s.LimitLoads, false) },
+	func(s *Script) bool { return setSmaller(&s.Cold, false) },
+	func(s *Script) bool {
+		s.Seconds--
+		return true
+	},
+}
+
+func setSmaller[T comparable](value *T, smaller T) bool {
+	changed := *value != smaller
+	*value = smaller
+	return changed
+}
+
+// reduceSizes tries each reduction once, and returns whether any was taken.
+func (x *shrinker) reduceSizes() bool {
+	reduced := false
+	for _, reduce := range reductions {
+		candidate := x.best
+		if reduce(&candidate) && x.try(candidate) {
+			reduced = true
 		}
 	}
-	faults()
-	for i := range best.Faults {
-		for _, part := range []float64{0, 0.5} {
-			c := best
-			c.Faults = slices.Clone(best.Faults)
-			c.Faults[i].For *= part
-			if c.Faults[i].For != best.Faults[i].For && try(c) {
+	return reduced
+}
+
+// shortenFaults takes the duration off faults, or half of it.
+func (x *shrinker) shortenFaults() {
+	for i := range x.best.Faults {
+		for _, share := range []float64{0, 0.5} {
+			candidate := x.best
+			candidate.Faults = slices.Clone(x.best.Faults)
+			fault := &candidate.Faults[i]
+			fault.Duration *= share
+			if fault.Duration != x.best.Faults[i].Duration && x.try(candidate) {
 				break
 			}
 		}
 	}
-	return &best, r, runs, nil
 }
--- a/internal/simulation/sim_test.go
+++ b/internal/simulation/sim_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"flag"
 	"os"
 	"path/filepath"
@@ -83,17 +84,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Boxes, s.PerBox, s.Rate = 1, 1, 30
-	s.Faults = append([]Fault{{At: 0.5, Kind: "lying-disk", For: 6}}, s.Faults...)
+	s.Appliances, s.FrontEndsPerAppliance, s.Rate = 1, 1, 30
+	s.Faults = append([]Fault{{At: 0.5, Kind: "lying-disk", Duration: 6}}, s.Faults...)
 	s.Faults = append(s.Faults, Fault{At: 4, Kind: "power", Size: 0.5})
 	for i := range s.Faults {
-		s.Faults[i].Box = 0
+		s.Faults[i].Appliance = 0
 	}
 	small, r, runs, err := Shrink(s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	kinds := map[string]bool{}
+	kinds := map[FaultKind]bool{}
 	for _, f := range small.Faults {
 		kinds[f.Kind] = true
 	}
@@ -104,7 +105,8 @@
 	if again, err := ReadScript(data); err != nil || len(again.Faults) != len(small.Faults) {
 		t.Error(err)
 	}
-	if _, _, _, err := Shrink(&Script{Seed: 1, Profile: "day", Seconds: 2, Boxes: 1, PerBox: 1, Workers: 2, Cores: 1, Functions: 2, Clients: 1, Rate: 5, Work: 0.02, Remember: 30}); err != ErrWhole {
+	if _, _, _, err := Shrink(&Script{Seed: 1, Profile: "day", Seconds: 2, Appliances: 1, FrontEndsPerAppliance: 1, Workers: 2, Cores: 1, Functions: 2, Clients: 1,
+		Rate: 5, Work: 0.02, DeduplicationWindow: 30}); !errors.Is(err, ErrWhole) {
 		t.Error("a script that breaks nothing: ", err)
 	}
 }
--- /dev/null
+++ b/internal/simulation/summary.go
@@ -0,0 +1,102 @@
+package simulation
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+)
+
+// Summary adds up the reports of many seeds.
+type Summary struct {
+	Profile  string
+	Seeds    int
+	Broken   int
+	First    uint64 // the first seed that broke something
+	Events   int
+	Handled  int
+	Launches int
+	Steps    int
+	Restarts int
+	Virtual  float64
+	Met      map[string]int // as in Report
+	began    time.Time
+}
+
+// NewSummary begins a summary now.
+func NewSummary(profile string) *Summary {
+	return &Summary{Profile: profile, Met: map[string]int{}, began: time.Now()}
+}
+
+// Add adds a report.
+func (s *Summary) Add(r *Report) {
+	s.Seeds++
+	if !r.OK() {
+		s.Broken++
+		if s.Broken == 1 {
+			s.First = r.Seed
+		}
+	}
+	s.Events += r.Events
+	s.Handled += r.Handled
+	s.Launches += r.Launches
+	s.Steps += r.Steps
+	s.Restarts += r.Restarts
+	s.Virtual += r.Virtual
+	for key, n := range r.Met {
+		s.Met[key] += n
+	}
+}
+
+// Missed returns the kinds of fault that met no state of any front end.
+func (s *Summary) Missed() []string {
+	var missed []string
+	for _, k := range faultKinds {
+		if !s.hasMet(k.name) {
+			missed = append(missed, string(k.name))
+		}
+	}
+	return missed
+}
+
+func (s *Summary) hasMet(kind FaultKind) bool {
+	return slices.ContainsFunc(faultStates(), func(state string) bool { return s.Met[coverageKey(kind, state)] > 0 })
+}
+
+// String returns the summary with a table of which faults met which states.
+func (s *Summary) String() string {
+	var b strings.Builder
+	elapsed := time.Since(s.began).Seconds()
+	fmt.Fprintf(&b, "%d seeds of %s, %d broke something; %d events, %d handled, %d launches, %d restarts of boxes\n", s.Seeds, s.Profile, s.Broken,
+		s.Events, s.Handled, s.Launches, s.Restarts)
+	fmt.Fprintf(&b, "%.0f virtual seconds in %.1f: %.0f for one; %.0f steps and %.0f events a second\n\n", s.Virtual, elapsed, s.Virtual/elapsed,
+		float64(s.Steps)/elapsed, float64(s.Events)/elapsed)
+	s.writeCoverage(&b)
+	return b.String()
+}
+
+// writeCoverage writes a line for each kind of fault that met a state, with a column for each state.
+func (s *Summary) writeCoverage(b *strings.Builder) {
+	states := faultStates()
+	width := 0
+	var kinds []string
+	for _, k := range faultKinds {
+		if s.hasMet(k.name) {
+			kinds = append(kinds, string(k.name))
+			width = max(width, len(k.name))
+		}
+	}
+	slices.Sort(kinds)
+	fmt.Fprintf(b, "%-*s", width, "fault met")
+	for _, state := range states {
+		fmt.Fprintf(b, "  %s", state)
+	}
+	b.WriteString("\n")
+	for _, kind := range kinds {
+		fmt.Fprintf(b, "%-*s", width, kind)
+		for _, state := range states {
+			fmt.Fprintf(b, "  %*d", len(state), s.Met[coverageKey(FaultKind(kind), state)])
+		}
+		b.WriteString("\n")
+	}
+}
--- a/internal/simulation/versions.go
+++ b/internal/simulation/versions.go
@@ -10,85 +10,98 @@
 	"streamcleat/internal/registry"
 )
 
-// versionsOf are the versions that every function has in a site with versions.
-const versionsOf = 3
+const (
+	versionsPerFunction = 3        // in a site with versions
+	registryActor       = "script" // of every change of a registry
+)
 
-func versionOf(fn string, no int) *registry.Version {
-	name := fmt.Sprintf("1.%d", no)
-	return &registry.Version{Function: fn, Name: name, Digest: digest.FromString(fn + ":" + name)}
+func newVersion(function string, number int) *registry.Version {
+	name := fmt.Sprintf("1.%d", number)
+	return &registry.Version{Function: function, Name: name, Digest: digest.FromString(function + ":" + name)}
 }
 
-// library takes up the registry of functions from the audit trail, and makes it where there is none.
-func (b *box) library(trail [][]byte) {
-	b.reg = registry.New()
-	if !b.s.script.Versions {
+// openRegistry restores the registry of functions from the audit trail, and fills it where there is none.
+func (a *applianceProcess) openRegistry(auditTrail [][]byte) {
+	a.registry = registry.New()
+	if !a.site.script.Versions {
 		return
 	}
-	for i, data := range trail {
-		var e registry.Entry
-		err := json.Unmarshal(data, &e)
+	for i, data := range auditTrail {
+		var entry registry.Entry
+		err := json.Unmarshal(data, &entry)
 		if err == nil {
-			err = b.reg.Apply(e)
+			err = a.registry.Apply(entry)
 		}
 		if err != nil {
-			b.s.fault("trail", "%s: entry %d: %v", b.name, i, err)
+			a.site.violation("trail", "%s: entry %d: %v", a.name, i, err)
 		}
 	}
-	if n := len(b.reg.AuditTrail); n < b.trail {
-		b.s.fault("trail", "%s was told that %d entries are kept and found %d", b.name, b.trail, n)
+	if n := len(a.registry.AuditTrail); n < a.auditEntries {
+		a.site.violation("trail", "%s was told that %d entries are kept and found %d", a.name, a.auditEntries, n)
 	}
-	for _, f := range b.s.functions {
-		for no := range versionsOf {
-			v := versionOf(f.Name, no)
-			if _, err := b.reg.Find(f.Name + ":" + v.Name); err != nil {
-				b.change(registry.Entry{Publish: v})
-			}
-		}
-		if _, err := b.reg.Find(f.Name); err != nil {
-			b.change(registry.Entry{Move: &registry.Move{Function: f.Name, Alias: registry.Current, Digest: versionOf(f.Name, 0).Digest}})
+	for _, f := range a.site.functions {
+		a.publishVersions(f.Name)
+	}
+}
+
+// publishVersions publishes the versions of a function that the registry lacks, and its current alias.
+func (a *applianceProcess) publishVersions(function string) {
+	for number := range versionsPerFunction {
+		v := newVersion(function, number)
+		if _, err := a.registry.Find(function + ":" + v.Name); err != nil {
+			a.changeRegistry(registry.Entry{Publish: v})
 		}
 	}
+	if _, err := a.registry.Find(function); err != nil {
+		a.moveAlias(function, newVersion(function, 0))
+	}
 }
 
-// change makes a change of the registry, which is in force once it is on disk.
-func (b *box) change(e registry.Entry) {
-	e.At, e.Actor = b.w.now, "script"
-	if !b.up {
+// changeRegistry makes a change of the registry, which is in force once it is on disk.
+func (a *applianceProcess) changeRegistry(entry registry.Entry) {
+	entry.At, entry.Actor = a.scheduler.now, registryActor
+	if !a.running {
 		return
 	}
-	if b.store != nil {
-		data, err := json.Marshal(e)
+	if a.store != nil {
+		data, err := json.Marshal(entry)
 		if err == nil {
-			err = b.written(func() error { return b.store.AppendAudit(len(b.reg.AuditTrail), data) })
+			err = a.withStore(func() error { return a.store.AppendAudit(len(a.registry.AuditTrail), data) })
 		}
-		if err != nil || !b.up {
+		if err != nil || !a.running {
 			return
 		}
 	}
-	if err := b.reg.Apply(e); err != nil {
-		b.s.fault("trail", "%s: %v", b.name, err)
+	if err := a.registry.Apply(entry); err != nil {
+		a.site.violation("trail", "%s: %v", a.name, err)
 	}
-	b.trail = len(b.reg.AuditTrail)
+	a.auditEntries = len(a.registry.AuditTrail)
+}
+
+func (a *applianceProcess) moveAlias(function string, to *registry.Version) {
+	a.changeRegistry(registry.Entry{Move: &registry.Move{Function: function, Alias: registry.Current, Digest: to.Digest}})
 }
 
-// turn moves the alias of a function to another version.
-func (b *box) turn(no, to int) {
-	f := b.s.functions[no%len(b.s.functions)]
-	v := versionOf(f.Name, to%versionsOf)
-	if _, err := b.reg.Find(f.Name + ":" + v.Name); err == nil {
-		b.change(registry.Entry{Move: &registry.Move{Function: f.Name, Alias: registry.Current, Digest: v.Digest}})
+// switchVersion moves the alias of a function to another version, both by their numbers, if the registry has that.
+func (a *applianceProcess) switchVersion(function, version int) {
+	name := a.site.functions[function%len(a.site.functions)].Name
+	v := newVersion(name, version%versionsPerFunction)
+	if _, err := a.registry.Find(name + ":" + v.Name); err == nil {
+		a.moveAlias(name, v)
 	}
 }
 
-func (b *box) bind(ask *dispatch.Request) (dispatch.Binding, dispatch.FunctionProfile, error) {
-	fn := b.s.cfg.Function(ask.Function)
-	v, err := b.reg.Resolve(ask.Function, ask.Class, ask.Tenant, ask.Identity.String())
+// resolveVersion returns the version that a request runs on.
+func (a *applianceProcess) resolveVersion(request *dispatch.Request) (dispatch.Binding, dispatch.FunctionProfile, error) {
+	profile := a.site.config.Function(request.Function)
+	identity := request.Identity
+	v, err := a.registry.Resolve(request.Function, request.Class, request.Tenant, identity.String())
 	if err != nil {
-		return dispatch.Binding{}, fn, err
+		return dispatch.Binding{}, profile, err
 	}
-	return dispatch.Binding{ID: v.ID(), Function: v.Function, Version: v.Name, Digest: string(v.Digest)}, fn, nil
+	return dispatch.Binding{ID: v.ID(), Function: v.Function, Version: v.Name, Digest: string(v.Digest)}, profile, nil
 }
 
-func (b *box) mayRun(x dispatch.Binding) bool {
-	return b.reg.IsAllowed(x.Function, digest.Digest(x.Digest))
+func (a *applianceProcess) isVersionAllowed(b dispatch.Binding) bool {
+	return a.registry.IsAllowed(b.Function, digest.Digest(b.Digest))
 }
--- /dev/null
+++ b/internal/simulation/worker_http.go
@@ -0,0 +1,167 @@
+package simulation
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"net/url"
+	"strings"
+
+	"streamcleat/internal/http1"
+)
+
+// messageLimits are those of both ends of a connection to a worker, and of clients.
+var messageLimits = http1.Limits{Head: 1 << 16, Body: 1 << 20}
+
+// Messages of the Open Inference Protocol. Fields stand in the order of their keys.
+type (
+	emptyMessage struct{}
+
+	errorMessage struct {
+		Error string `json:"error"`
+	}
+
+	inferResponse struct {
+		ID         string           `json:"id"`
+		ModelName  string           `json:"model_name"`
+		Outputs    []struct{}       `json:"outputs"`
+		Parameters *inferParameters `json:"parameters,omitempty"`
+	}
+
+	inferParameters struct {
+		Repeat bool `json:"repeat"` // the request had run before and was not run again
+	}
+
+	loadRequest struct {
+		Parameters struct {
+			Copies int    `json:"copies"`
+			Digest string `json:"digest"`
+		} `json:"parameters"`
+	}
+
+	loadResponse struct {
+		Parameters loadParameters `json:"parameters"`
+	}
+
+	loadParameters struct {
+		Copies int `json:"copies"`
+	}
+)
+
+// responder sends the response to one request of a front end.
+type responder struct {
+	worker *worker
+	end    *endpoint
+}
+
+// send sends a response. header holds further header fields, each with its line end.
+func (r responder) send(status int, header string, body any) {
+	w := r.worker
+	text, err := json.Marshal(body)
+	if err != nil {
+		panic(err) // every message has a JSON form
+	}
+	report := fmt.Sprintf("TEXT named_metrics.running=%d, named_metrics.waiting=%d", w.active, len(w.queue))
+	out := fmt.Appendf(nil, "HTTP/1.1 %d x\r\nContent-Length: %d\r\nContent-Type: application/json\r\nEndpoint-Load-Metrics: %s\r\n%s\r\n%s",
+		status, len(text), report, header, text)
+	if w.faultHits(FaultCutResponses) && status == http.StatusOK {
+		r.end.write(out[:w.rng.IntN(len(out))])
+		r.end.close()
+		return
+	}
+	r.end.write(out)
+}
+
+func (r responder) fail(status int, text string) { r.send(status, "", errorMessage{text}) }
+
+// serve serves one request. A request to run a function is returned, so that a closed connection takes it out of the
+// queue.
+func (w *worker) serve(e *endpoint, m *http1.Message) *workerRequest {
+	path := splitPath(m.Target)
+	respond := responder{w, e}
+	isRepository := len(path) == 5 && path[1] == "repository"
+	switch {
+	case len(path) >= 4 && path[0] == "v2" && path[1] == "models" && path[len(path)-1] == "infer":
+		return w.serveInfer(respond, m, path[2])
+	case isRepository && path[4] == "load":
+		var command loadRequest
+		_ = json.Unmarshal(m.Body, &command) // without a body one replica is meant
+		w.serveLoad(respond, w.replicasOf(path[3], command.Parameters.Digest), max(command.Parameters.Copies, 1))
+	case isRepository && path[4] == "unload":
+		if r := w.byName[path[3]]; r != nil && r.busy == 0 {
+			r.ready = 0
+		}
+		respond.send(http.StatusOK, "", emptyMessage{})
+	default:
+		respond.fail(http.StatusNotFound, "no such thing")
+	}
+	return nil
+}
+
+func splitPath(target string) []string {
+	path := strings.Split(strings.Trim(target, "/"), "/")
+	for i := range path {
+		if v, err := url.PathUnescape(path[i]); err == nil {
+			path[i] = v
+		}
+	}
+	return path
+}
+
+// digestHeader names the version whose replicas ran or are ready.
+func digestHeader(r *replicaSet) string {
+	if r.digest == "" {
+		return ""
+	}
+	return "Docker-Content-Digest: " + r.digest + "\r\n"
+}
+
+// serveInfer puts a request in the queue, unless a fault meets it or it is rejected.
+func (w *worker) serveInfer(respond responder, m *http1.Message, function string) *workerRequest {
+	id := m.Header.Get("Ce-Source") + "#" + m.Header.Get("Ce-Id")
+	_, frontEnd, _ := strings.Cut(m.Header.Get("Via"), " ")
+	r := &workerRequest{id: id, class: m.Header.Get("Ce-Type"), respond: respond, startKind: startWarm,
+		attempt: w.site.newestAttempt[frontEnd+" "+id]}
+	switch {
+	case w.faultHits(FaultHang):
+	case w.faultHits(FaultResetResponses):
+		respond.end.vanish()
+	case w.faultHits(FaultErrors):
+		respond.fail(http.StatusInternalServerError, "the function failed")
+	case w.faultHits(FaultReject):
+		respond.fail(http.StatusServiceUnavailable, "full")
+	default:
+		w.enqueue(r, w.replicasOf(function, strings.Trim(m.Header.Get("If-Match"), `"`)))
+	}
+	return r
+}
+
+// serveLoad serves a load command: it answers once the replicas are ready, or once none is loading.
+func (w *worker) serveLoad(respond responder, r *replicaSet, replicas int) {
+	switch {
+	case r == nil:
+		respond.fail(http.StatusNotFound, "no such function")
+		return
+	case w.hasFault(FaultHang):
+		return
+	}
+	for r.ready+r.loading < replicas {
+		if !w.startLoad(r) {
+			respond.fail(http.StatusServiceUnavailable, "no room")
+			return
+		}
+	}
+	r.idleSince = w.scheduler.now
+	var check func()
+	check = func() {
+		switch {
+		case r.ready >= replicas || r.loading == 0 && r.ready > 0:
+			respond.send(http.StatusOK, digestHeader(r), loadResponse{loadParameters{r.ready}})
+		case r.loading == 0:
+			respond.fail(http.StatusInternalServerError, "the load failed")
+		default:
+			r.onLoaded = append(r.onLoaded, check)
+		}
+	}
+	check()
+}
