--- /dev/null
+++ b/internal/scenario/bench_recovery.go
@@ -0,0 +1,123 @@
+package scenario
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"path/filepath"
+	"time"
+
+	"streamcleat/internal/config"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/storage"
+)
+
+const (
+	recoveryBatch      = 1000 // records of one commit
+	microsPerSecond    = 1e6
+	unlimitedRetention = 1e6 // seconds: longer than a measurement takes
+)
+
+// RecoveryRow is how long a restart takes with a number of stored requests.
+type RecoveryRow struct {
+	Events   int     `json:"events"`
+	Bytes    uint64  `json:"bytes"`
+	Open     float64 `json:"open_s"`    // until the state is read
+	Restore  float64 `json:"restore_s"` // until the dispatcher has it
+	PerEvent float64 `json:"us_per_event"`
+}
+
+// BenchRecovery fills stores with requests and measures the restart.
+func BenchRecovery(ctx context.Context, sizes []int) ([]RecoveryRow, error) {
+	dir, err := os.MkdirTemp("", "bench")
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = os.RemoveAll(dir) }() // temporary files
+	var rows []RecoveryRow
+	for _, n := range sizes {
+		path := filepath.Join(dir, fmt.Sprint(n))
+		options := storage.Options{Retention: unlimitedRetention, NoSync: true}
+		if err := fillStore(ctx, path, options, n); err != nil {
+			return nil, err
+		}
+		row, err := measureRecovery(path, options)
+		if err != nil {
+			return nil, err
+		}
+		if row.Events != n {
+			return nil, fmt.Errorf("%d of %d events came back", row.Events, n)
+		}
+		rows = append(rows, row)
+	}
+	return rows, nil
+}
+
+// fillStore writes the records of n requests to a new store.
+func fillStore(ctx context.Context, path string, options storage.Options, n int) error {
+	store, _, err := storage.OpenStore(path, options)
+	if err != nil {
+		return err
+	}
+	var records []dispatch.Record
+	for i := range n {
+		records = append(records, dispatch.Record{Kind: dispatch.RecordRequestEnded, MayHaveRun: true, Response: dispatch.Response{
+			Class:    benchStoreClass,
+			Identity: dispatch.Identity{Source: "/till", ID: fmt.Sprint(i)},
+			Body:     []byte(`{"model_name":"tally","outputs":[]}`),
+		}})
+		if len(records) == recoveryBatch || i == n-1 {
+			if err := commit(store, records); err != nil {
+				return err
+			}
+			records = nil
+		}
+		if ctx.Err() != nil {
+			return ctx.Err()
+		}
+	}
+	return store.Close()
+}
+
+// measureRecovery opens a store and hands what it recovers to a dispatcher.
+func measureRecovery(path string, options storage.Options) (RecoveryRow, error) {
+	began := time.Now()
+	store, recovered, err := storage.OpenStore(path, options)
+	if err != nil {
+		return RecoveryRow{}, err
+	}
+	row := RecoveryRow{Events: len(recovered.Records), Bytes: store.Size(), Open: time.Since(began).Seconds()}
+	began = time.Now()
+	dispatcher := dispatch.New(config.Default().Dispatch(1), noEffects{}, 0)
+	dispatcher.Recover(0, recovered.Records)
+	row.Restore = time.Since(began).Seconds()
+	row.PerEvent = (row.Open + row.Restore) / float64(max(row.Events, 1)) * microsPerSecond
+	return row, store.Close()
+}
+
+// noEffects are effects of a dispatcher that nothing comes of.
+type noEffects struct{}
+
+// Respond implements dispatch.Effects.
+func (noEffects) Respond(dispatch.WaiterID, dispatch.Response) {}
+
+// SendAttempt implements dispatch.Effects.
+func (noEffects) SendAttempt(dispatch.Attempt) {}
+
+// SendLoad implements dispatch.Effects.
+func (noEffects) SendLoad(dispatch.LoadCommand) {}
+
+// Abandon implements dispatch.Effects.
+func (noEffects) Abandon(uint64) {}
+
+// CancelUnsent implements dispatch.Effects.
+func (noEffects) CancelUnsent(uint64) bool { return false }
+
+// Broadcast implements dispatch.Effects.
+func (noEffects) Broadcast([]byte) {}
+
+// Store implements dispatch.Effects.
+func (noEffects) Store(dispatch.Record) {}
+
+// OnRequestEnd implements dispatch.Effects.
+func (noEffects) OnRequestEnd(dispatch.Response, *dispatch.Trace) {}
--- /dev/null
+++ b/internal/scenario/bench_store.go
@@ -0,0 +1,156 @@
+package scenario
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"runtime"
+	"time"
+
+	"streamcleat/internal/config"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/eventloop"
+	"streamcleat/internal/storage"
+)
+
+const (
+	benchStoreConfig = `{"event_types":[{"name":"price-reset","target_time_s":1.5,"max_age_s":4,"repeat":"at-most-once"}],
+		"functions":[{"match":"*","lanes":64}]}`
+	benchStoreClass     = "price-reset"
+	benchStoreRetention = 600 // seconds
+	bytesPerMegabyte    = 1 << 20
+)
+
+// KeepRow compares the ways of storing the records of requests that must not run twice.
+type KeepRow struct {
+	Way           string  `json:"way"`
+	Connections   int     `json:"connections"`
+	Rate          float64 `json:"rate"`
+	P50           float64 `json:"p50_ms"`
+	RateRatio     float64 `json:"rate_ratio"` // to no store
+	SyncsAnEvent  float64 `json:"syncs_an_event"`
+	NotesAnEvent  float64 `json:"notes_an_event"`
+	HeapMegabytes float64 `json:"heap_mb"`
+}
+
+// storeMode is one way of storing records.
+type storeMode struct {
+	name     string
+	stores   bool
+	noSync   bool // nobody waits for the disk
+	unpooled bool // each record is committed by itself
+}
+
+var storeModes = []storeMode{
+	{name: "no store"},
+	{name: "a sync for each note", stores: true, unpooled: true},
+	{name: "group commit", stores: true},
+	{name: "no waiting for the disk", stores: true, noSync: true},
+}
+
+// unpooledStore commits each record by itself, and waits for the disk each time: what group commit is compared with.
+type unpooledStore struct{ store *storage.Store }
+
+// Commit implements proxy.RecordStore.
+func (s unpooledStore) Commit(records []dispatch.Record, done func(error)) {
+	go func() {
+		for _, r := range records {
+			if err := commit(s.store, []dispatch.Record{r}); err != nil {
+				done(err)
+				return
+			}
+		}
+		done(nil)
+	}()
+}
+
+// commit stores records and waits for the disk.
+func commit(store *storage.Store, records []dispatch.Record) error {
+	done := make(chan error, 1)
+	store.Commit(records, func(err error) { done <- err })
+	return <-done
+}
+
+// BenchKeeping measures at-most-once requests through a front end: without a store, with each record synced by itself,
+// with group commit, and with records for which nobody waits for the disk.
+func BenchKeeping(ctx context.Context, connections []int, requests int) ([]KeepRow, error) {
+	dir, err := os.MkdirTemp("", "bench")
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = os.RemoveAll(dir) }() // temporary files
+	workers, err := startIdleServers(dir)
+	if err != nil {
+		return nil, err
+	}
+	defer workers.close()
+	c, err := config.Parse([]byte(benchStoreConfig), dir)
+	if err != nil {
+		return nil, err
+	}
+	var rows []KeepRow
+	for _, n := range connections {
+		withoutStore := 0.0
+		for i, mode := range storeModes {
+			settings := benchSettings(c, workers)
+			path := filepath.Join(dir, fmt.Sprintf("state-%d-%d", n, i))
+			row, err := mode.measure(ctx, settings, path, n, requests, fmt.Sprint(i))
+			if err != nil {
+				return nil, err
+			}
+			if !mode.stores {
+				withoutStore = row.Rate
+			}
+			row.RateRatio = row.Rate / withoutStore
+			rows = append(rows, row)
+		}
+	}
+	return rows, nil
+}
+
+// measure measures one way of storing records, with a store at a path.
+func (m storeMode) measure(ctx context.Context, settings eventloop.Settings, path string, connections, requests int, runName string) (row KeepRow, err error) {
+	row = KeepRow{Way: m.name, Connections: connections}
+	var store *storage.Store
+	if m.stores {
+		if store, _, err = storage.OpenStore(path, storage.Options{Retention: benchStoreRetention, NoSync: m.noSync}); err != nil {
+			return row, err
+		}
+		settings.RecordStore = store
+		if m.unpooled {
+			settings.RecordStore = unpooledStore{store}
+		}
+		defer func() { err = errors.Join(err, store.Close()) }()
+	}
+	frontEnd, err := eventloop.Start(settings)
+	if err != nil {
+		return row, err
+	}
+	defer func() { _ = frontEnd.Stop(time.Second) }() // no request is open any more
+	g := &generator{url: func(int) string { return frontEndURL(frontEnd.Addr()) }, class: benchStoreClass, inFlight: connections,
+		requests: requests, runName: runName}
+	side, err := g.measure(ctx)
+	if err != nil {
+		return row, err
+	}
+	row.Rate, row.P50 = side.Rate, side.P50
+	counts, _, _, err := frontEnd.Counts()
+	if err != nil {
+		return row, err
+	}
+	if store != nil && counts.Succeeded > 0 {
+		row.SyncsAnEvent = float64(store.Syncs.Load()) / float64(counts.Succeeded)
+		row.NotesAnEvent = float64(store.Records.Load()) / float64(counts.Succeeded)
+	}
+	row.HeapMegabytes = heapMegabytes()
+	return row, nil
+}
+
+func heapMegabytes() float64 {
+	var stats runtime.MemStats
+	runtime.GC()
+	runtime.ReadMemStats(&stats)
+	return float64(stats.HeapAlloc) / bytesPerMegabyte
+}
--- /dev/null
+++ b/internal/scenario/load_generator.go
@@ -0,0 +1,168 @@
+package scenario
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"strings"
+	"sync"
+	"time"
+
+	"github.com/HdrHistogram/hdrhistogram-go"
+)
+
+const (
+	benchWorkers      = 16
+	benchFunctions    = 64
+	benchMaxClients   = 1000
+	maxBenchRetries   = 1000
+	minWarmUpRequests = 50
+)
+
+// Side is one side of a comparison: requests a second, and latencies in ms.
+type Side struct {
+	Rate float64 `json:"rate"`
+	P50  float64 `json:"p50_ms"`
+	P99  float64 `json:"p99_ms"`
+}
+
+// idleServers are workers that answer at once, and the file that lists them.
+type idleServers struct {
+	addrs    []string
+	listPath string
+	servers  []*http.Server
+}
+
+// targetGroup is one entry of the endpoint list.
+type targetGroup struct {
+	Targets []string `json:"targets"`
+}
+
+func startIdleServers(dir string) (*idleServers, error) {
+	s := &idleServers{listPath: filepath.Join(dir, "workers.json")}
+	for range benchWorkers {
+		listener, err := net.Listen("tcp", anyPort)
+		if err != nil {
+			s.close()
+			return nil, err
+		}
+		server := &http.Server{Handler: http.HandlerFunc(answerAtOnce)}
+		go func() { _ = server.Serve(listener) }() // it returns when the server is closed
+		s.servers = append(s.servers, server)
+		s.addrs = append(s.addrs, listener.Addr().String())
+	}
+	list, err := json.Marshal([]targetGroup{{s.addrs}})
+	if err == nil {
+		err = os.WriteFile(s.listPath, list, 0o644)
+	}
+	if err != nil {
+		s.close()
+		return nil, err
+	}
+	return s, nil
+}
+
+func (s *idleServers) close() {
+	for _, server := range s.servers {
+		_ = server.Close() // nothing waits for them any more
+	}
+}
+
+func answerAtOnce(w http.ResponseWriter, r *http.Request) {
+	_, _ = io.Copy(io.Discard, r.Body) // the client may be gone
+	w.Header().Set("Server-Timing", "warm")
+	_, _ = io.WriteString(w, `{"model_name":"tally","outputs":[]}`) // the client may be gone
+}
+
+// generator keeps a number of requests in flight. A rejected one is sent again until it succeeds; only succeeded ones
+// count, and their time runs from the first try.
+type generator struct {
+	url      func(number int) string
+	class    string
+	inFlight int
+	requests int
+	runName  string // tells the identities of requests from those of other measurements
+
+	client *http.Client
+	warmUp int // first requests that do not count
+
+	mu        sync.Mutex
+	latencies *hdrhistogram.Histogram // microseconds
+	firstErr  error
+}
+
+// measure sends the requests.
+func (g *generator) measure(ctx context.Context) (Side, error) {
+	g.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: g.inFlight}}
+	defer g.client.CloseIdleConnections()
+	g.latencies = hdrhistogram.New(1, maxLatency, latencyDigits)
+	g.warmUp = max(g.inFlight, minWarmUpRequests)
+	var running sync.WaitGroup
+	numbers := make(chan int)
+	began := time.Now()
+	for range g.inFlight {
+		running.Go(func() {
+			for number := range numbers {
+				g.sendUntilSucceeded(ctx, number)
+			}
+		})
+	}
+	for number := range g.warmUp + g.requests {
+		if number == g.warmUp {
+			began = time.Now()
+		}
+		numbers <- number
+	}
+	close(numbers)
+	running.Wait()
+	elapsed := time.Since(began).Seconds()
+	return Side{
+		Rate: float64(g.requests) / elapsed,
+		P50:  float64(g.latencies.ValueAtQuantile(50)) / microsPerMilli,
+		P99:  float64(g.latencies.ValueAtQuantile(99)) / microsPerMilli,
+	}, g.firstErr
+}
+
+func (g *generator) sendUntilSucceeded(ctx context.Context, number int) {
+	began := time.Now()
+	status, err := http.StatusServiceUnavailable, error(nil)
+	for try := 0; status == http.StatusServiceUnavailable && err == nil && try < maxBenchRetries; try++ {
+		status, err = g.send(ctx, number)
+	}
+	if err == nil && status != http.StatusOK {
+		err = fmt.Errorf("%s: status %d", g.url(number), status)
+	}
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if err != nil && g.firstErr == nil {
+		g.firstErr = err
+	}
+	if number >= g.warmUp {
+		_ = g.latencies.RecordValue(max(time.Since(began).Microseconds(), 1)) // no request waits for longer than it holds
+	}
+}
+
+func (g *generator) send(ctx context.Context, number int) (status int, err error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, g.url(number), strings.NewReader(`{"count":1}`))
+	if err != nil {
+		return 0, err
+	}
+	req.Header.Set("ce-specversion", "1.0")
+	req.Header.Set("ce-source", "/bench/"+g.runName)
+	req.Header.Set("ce-id", fmt.Sprint(number))
+	req.Header.Set("ce-type", g.class)
+	req.Header.Set("ce-function", fmt.Sprintf("tally-%d", number%benchFunctions))
+	req.Header.Set("Content-Type", "application/json")
+	resp, err := g.client.Do(req)
+	if err != nil {
+		return 0, err
+	}
+	defer func() { _ = resp.Body.Close() }() // it was read to its end
+	_, err = io.Copy(io.Discard, resp.Body)
+	return resp.StatusCode, err
+}
--- /dev/null
+++ b/internal/scenario/schedules.go
@@ -0,0 +1,116 @@
+package scenario
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"time"
+
+	"streamcleat/internal/fakes"
+	"streamcleat/internal/schedule"
+)
+
+const (
+	scheduleSource  = "/timers/drill"
+	preloadInterval = 0.1 // seconds between looks at schedules that are due soon
+	secondsPerMin   = 60
+	afterTheEnd     = 10 // seconds from the end to midnight where the script has none
+)
+
+// firstDay is the day of the schedules' clock whose beginning is the script's midnight.
+var firstDay = time.Date(2026, 12, 24, 0, 0, 0, 0, time.UTC)
+
+// scheduleClock is the clock of one client's schedules: it runs faster than time does, and midnight comes when the script
+// says.
+type scheduleClock struct {
+	began    time.Time
+	lag      float64 // seconds behind the other clients
+	midnight float64 // seconds from the beginning
+	minute   float64 // seconds that a minute takes
+}
+
+func (c scheduleClock) now() time.Time {
+	minutes := (time.Since(c.began).Seconds() - c.lag - c.midnight) / c.minute
+	return firstDay.Add(time.Duration(minutes * float64(time.Minute)))
+}
+
+// until returns how long it takes until a time on the clock.
+func (c scheduleClock) until(t time.Time) time.Duration {
+	return time.Duration(float64(t.Sub(c.now())) / secondsPerMin * c.minute)
+}
+
+// runSchedules is one client with schedules. All of them have the same crontab, so each of them fires every minute.
+func (r *run) runSchedules(ctx context.Context, number int) {
+	rng := rand.New(rand.NewPCG(r.seed, scheduleStream))
+	crontab, midnight := r.drawCrontab(rng)
+	entries, err := schedule.Parse(strings.NewReader(withoutDuplicates(crontab)), "drill")
+	if err != nil {
+		r.fail("crontab: %v", err)
+		return
+	}
+	// One client runs ahead of the other by anything up to a second.
+	lags := []float64{0, rng.Float64(), 0, 1}
+	clock := scheduleClock{began: time.Now(), lag: lags[number%len(lags)], midnight: midnight, minute: r.script.Minute}
+	if r.script.PreloadAhead > 0 && number == 0 {
+		go r.preload(ctx, entries, clock)
+	}
+	client := r.newClient(scheduleSource, r.script.Retries)
+	plan := schedule.NewPlan(entries, clock.now())
+	client.OnResult = r.countResult
+	client.Run(ctx, plan, clock.now, clock.until)
+}
+
+// drawCrontab draws a crontab whose entries fire each minute, and at midnight where the script has one. The result also
+// says when that is, in seconds from the beginning.
+func (r *run) drawCrontab(rng *rand.Rand) (crontab string, midnight float64) {
+	s := r.script
+	var text strings.Builder
+	text.WriteString("CRON_TZ=UTC\n")
+	classes := fakes.RequestClasses()
+	for i := range s.Timers {
+		fmt.Fprintf(&text, "* * * * * %s %s kitaboshi-wear %%{\"entry\":%d}\n", classes[rng.IntN(len(classes))],
+			r.functions[i%s.Functions].Name, i)
+	}
+	midnight = s.Seconds + afterTheEnd
+	for _, f := range s.Faults {
+		if f.Kind != FaultMidnight {
+			continue
+		}
+		midnight = f.At
+		for i := range int(f.Times) {
+			fmt.Fprintf(&text, "0 0 * * * %s %s minato-shoes %%{\"reset\":%d}\n", classes[rng.IntN(len(classes))],
+				r.functions[i%s.Functions].Name, i)
+		}
+	}
+	return text.String(), midnight
+}
+
+// preload has functions loaded whose schedules are due soon, as the appliance does.
+func (r *run) preload(ctx context.Context, entries []schedule.Entry, clock scheduleClock) {
+	ahead := time.Duration(r.script.PreloadAhead / r.script.Minute * float64(time.Minute))
+	for sleep(ctx, preloadInterval) {
+		for _, f := range schedule.DueWithin(entries, clock.now(), ahead) {
+			first := schedule.RendezvousOrder(r.addrs, f.ID)[0]
+			frontEnd := r.frontEnds[slices.Index(r.addrs, first)]
+			if _, err := frontEnd.Preload(f.Entry.Class, f.Entry.Function); err != nil {
+				return
+			}
+		}
+	}
+}
+
+// withoutDuplicates drops lines that stand twice, as entries of a crontab may not.
+func withoutDuplicates(crontab string) string {
+	seen := map[string]bool{}
+	var out strings.Builder
+	for _, line := range strings.SplitAfter(crontab, "\n") {
+		key, _, _ := strings.Cut(line, "%")
+		if !seen[key] {
+			out.WriteString(line)
+		}
+		seen[key] = true
+	}
+	return out.String()
+}
--- /dev/null
+++ b/internal/scenario/site.go
@@ -0,0 +1,225 @@
+package scenario
+
+import (
+	"fmt"
+	"net"
+	"path/filepath"
+
+	"streamcleat/internal/config"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/eventloop"
+	"streamcleat/internal/fakes"
+	"streamcleat/internal/invariants"
+	"streamcleat/internal/proxy"
+)
+
+// Figures of every worker.
+const (
+	workerMemoryMB     = 8000
+	workerQueueLimit   = 64
+	maxConcurrentLoads = 4
+)
+
+const (
+	phaseServing  = "serving"
+	phaseDraining = "draining"
+	phaseGone     = "gone"
+
+	anyPort      = "127.0.0.1:0"
+	clusterName  = "drill"
+	seedDistance = 1000003 // between the seeds of two scenarios' front ends
+)
+
+// start starts workers and front ends.
+func (r *run) start() error {
+	s := r.script
+	r.functions = fakes.Catalogue(s.Functions+hotFunctions, s.Work, r.seed)
+	r.rules = invariants.Rules{
+		Effect:     fakes.ClassSemantics(),
+		Remembered: map[string]float64{fakes.ClassIdempotentByKey: deduplicationWindow},
+		Work:       r.meanWork(),
+		Capacity:   map[string]float64{},
+		DrainGrace: drainGrace,
+		ColdShare:  coldShare,
+		WarmWithin: warmUpTime,
+		FallFactor: overloadFactor,
+		FallWindow: overloadWindow,
+		LoadWindow: s.LoadLimit[0],
+		LoadFree:   s.LoadLimit[1],
+		LoadShare:  s.LoadLimit[2],
+		Grace:      recordingGrace,
+	}
+	for range s.Workers {
+		w, err := r.startWorker(s.Cold)
+		if err != nil {
+			return err
+		}
+		r.workers = append(r.workers, w)
+	}
+	path := filepath.Join(r.dir, "workers.json")
+	var err error
+	if r.list, err = fakes.NewList(path, r.recorder, r.workers); err != nil {
+		return err
+	}
+	return r.startFrontEnds(path)
+}
+
+func (r *run) meanWork() float64 {
+	mean := 0.0
+	for _, f := range r.functions {
+		mean += f.Work / float64(len(r.functions))
+	}
+	return mean
+}
+
+// startWorker starts one more worker. A cold one starts within the recording.
+func (r *run) startWorker(cold bool) (*fakes.Worker, error) {
+	r.mu.Lock()
+	number := r.nextWorker
+	r.nextWorker++
+	r.mu.Unlock()
+	kind, speed := fakes.MachineType(number)
+	name := fmt.Sprintf("wk-%02d", number)
+	w, err := fakes.NewWorker(fakes.Spec{
+		Name:         name,
+		Kind:         kind,
+		Cores:        r.script.Cores,
+		Speed:        speed,
+		Memory:       workerMemoryMB,
+		Queue:        workerQueueLimit,
+		LoadsAtOnce:  maxConcurrentLoads,
+		Keep:         idleReplicaLifetime + 0.5,
+		ColdShare:    coldShare,
+		WarmWithin:   warmUpTime,
+		FallFactor:   overloadFactor,
+		FallWindow:   overloadWindow,
+		LoadsOnEvent: r.script.LoadOnRequest,
+		MeanWork:     r.meanWork(),
+		Functions:    r.functions,
+		Store:        r.store,
+		Drops:        r.executed,
+		Keyed:        map[string]bool{fakes.ClassIdempotentByKey: true},
+		Tape:         r.recorder,
+		Seed:         r.seed + uint64(number),
+	})
+	if err != nil {
+		return nil, err
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.rules.Capacity[name] = float64(r.script.Cores) * speed
+	r.started = append(r.started, w)
+	if cold {
+		return w, w.Restart()
+	}
+	return w, nil
+}
+
+// startFrontEnds starts front ends that read the endpoint list at a path, and tell each other what they know.
+func (r *run) startFrontEnds(listPath string) error {
+	s := r.script
+	peers, err := freeUDPAddrs(s.FrontEnds)
+	if err != nil {
+		return err
+	}
+	c, err := r.configure()
+	if err != nil {
+		return err
+	}
+	if s.Versions {
+		if r.versions, err = newVersions(r.functions, s.FrontEnds); err != nil {
+			return err
+		}
+	}
+	for i := range s.FrontEnds {
+		f, err := eventloop.Start(r.frontEndSettings(c, i, listPath, peers))
+		if err != nil {
+			return err
+		}
+		r.frontEnds = append(r.frontEnds, f)
+		r.addrs = append(r.addrs, f.Addr())
+	}
+	return nil
+}
+
+// configure makes the configuration of the front ends.
+func (r *run) configure() (*config.Config, error) {
+	s := r.script
+	document := fakes.SiteConfig{
+		Name:      "front",
+		Listen:    []string{anyPort},
+		Classes:   fakes.ClassConfigs(latencyObjective, requestTimeout, deduplicationWindow),
+		Functions: fakes.FunctionConfigs(r.functions),
+		Workers:   fakes.WorkersConfig{IdleReplicaLifetime: idleReplicaLifetime, LoadsOnRequest: s.LoadOnRequest},
+		Rules: fakes.RulesConfig{ColdShare: coldShare, WarmUpTime: warmUpTime, OverloadFactor: overloadFactor,
+			OverloadWindow: overloadWindow, MaxRetryAfter: 0.5,
+			LoadWindow: s.LoadLimit[0], LoadBurst: s.LoadLimit[1], LoadsPerRequest: s.LoadLimit[2]},
+		Limits: fakes.LimitsConfig{ResponseMargin: responseMargin},
+	}
+	data, err := document.JSON()
+	if err != nil {
+		return nil, err
+	}
+	return config.Parse(data, r.dir)
+}
+
+func (r *run) frontEndSettings(c *config.Config, number int, listPath string, peers []string) eventloop.Settings {
+	s, name := r.script, frontEndName(number)
+	decisions := c.Dispatch(r.seed*seedDistance + uint64(number))
+	decisions.Deployment.FrontEnds, decisions.Deployment.GossipAllowed = s.FrontEnds, s.FrontEnds > 1
+	if r.versions != nil {
+		decisions.ResolveVersion = r.versions.resolver(number, c.Function)
+		decisions.VersionAllowed = r.versions.isAllowed(number)
+	}
+	settings := eventloop.Settings{Listen: c.Listen[0], WorkersFile: listPath, Settings: proxy.Settings{
+		Name:         name,
+		Cluster:      clusterName,
+		Dispatch:     decisions,
+		Upstream:     c.Upstream(name),
+		Downstream:   c.Downstream(),
+		MaxClients:   c.Limits.Connections,
+		Log:          r.log,
+		OnRequestEnd: r.countCause,
+	}}
+	if s.FrontEnds > 1 {
+		settings.PeerListen = peers[number]
+		for i, peer := range peers {
+			if i != number {
+				settings.Peers = append(settings.Peers, peer)
+			}
+		}
+	}
+	return settings
+}
+
+// countCause counts why a request did not succeed.
+func (r *run) countCause(response dispatch.Response, _ *dispatch.Trace) {
+	if response.Kind == dispatch.Succeeded {
+		return
+	}
+	r.mu.Lock()
+	r.causes[response.Cause.String()]++
+	r.mu.Unlock()
+}
+
+func frontEndName(number int) string { return fmt.Sprintf("front-%d", number) }
+
+// freeUDPAddrs finds loopback addresses that nobody uses at the moment.
+func freeUDPAddrs(n int) ([]string, error) {
+	var list []string
+	var conns []*net.UDPConn
+	defer func() {
+		for _, c := range conns {
+			_ = c.Close() // nothing was sent on it
+		}
+	}()
+	for range n {
+		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+		if err != nil {
+			return nil, err
+		}
+		conns = append(conns, c)
+		list = append(list, c.LocalAddr().String())
+	}
+	return list, nil
+}
