--- a/internal/fakes/site_config.go
+++ b/internal/fakes/site_config.go
@@ -10,7 +10,9 @@
 )
 
 // RequestClasses returns all of them, in the order in which clients draw from them.
-func RequestClasses() []string { return []string{ClassIdempotent, ClassIdempotentByKey, ClassAtMostOnce} }
+func RequestClasses() []string {
+	return []string{ClassIdempotent, ClassIdempotentByKey, ClassAtMostOnce}
+}
 
 // MachineType returns the machine type of a worker by its number, and its speed: every third one is slower.
 func MachineType(number int) (kind string, speed float64) {
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -14,6 +14,8 @@
 )
 
 const (
+	anyPort = "127.0.0.1:0"
+
 	workerStream = 0x30e4 // tells the workers' random numbers from others of the same seed
 
 	// A port may be held for moments after a crash.
@@ -52,6 +54,7 @@
 // Worker is one fake worker. Its process may end and start anew; its name and address stay.
 type Worker struct {
 	spec Spec
+	addr string // where it is reached, also after a restart
 
 	mu          sync.Mutex
 	rng         *rand.Rand
@@ -68,20 +71,22 @@
 	incarnation int
 	stop        chan struct{} // closed when the process ends
 	server      *http.Server
-	addr        string
 	conns       map[net.Conn]bool
 	report      string // the newest load report
 }
 
 // NewWorker starts a worker that has run for long: it is warm, and has no replicas.
 func NewWorker(spec Spec) (*Worker, error) {
-	w := &Worker{spec: spec, rng: rand.New(rand.NewPCG(spec.Seed, workerStream)), addr: spec.Addr}
-	if w.addr == "" {
-		w.addr = "127.0.0.1:0"
+	addr := spec.Addr
+	if addr == "" {
+		addr = anyPort
 	}
-	if err := w.start(false); err != nil {
+	listener, err := listen(addr)
+	if err != nil {
 		return nil, fmt.Errorf("worker %s: %w", spec.Name, err)
 	}
+	w := &Worker{spec: spec, addr: listener.Addr().String(), rng: rand.New(rand.NewPCG(spec.Seed, workerStream))}
+	w.start(listener, false)
 	return w, nil
 }
 
@@ -108,20 +113,21 @@
 // Restart starts the process anew at the same address, cold.
 func (w *Worker) Restart() error {
 	w.Crash()
-	return w.start(true)
+	listener, err := listen(w.addr)
+	if err != nil {
+		return err
+	}
+	w.start(listener, true)
+	return nil
 }
 
 // Close ends the worker.
 func (w *Worker) Close() { w.Crash() }
 
-func (w *Worker) start(cold bool) error {
-	listener, err := listen(w.addr)
-	if err != nil {
-		return err
-	}
+// start starts the process on a listener.
+func (w *Worker) start(listener net.Listener, cold bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.addr = listener.Addr().String()
 	w.byName, w.replicas = map[string]*replicaSet{}, nil
 	for i := range w.spec.Functions {
 		s := &replicaSet{function: &w.spec.Functions[i]}
@@ -139,7 +145,6 @@
 	if cold {
 		w.spec.Tape.Add(invariants.Record{Kind: invariants.Born, Worker: w.spec.Name})
 	}
-	return nil
 }
 
 func listen(addr string) (listener net.Listener, err error) {
