--- a/internal/fakes/catalogue.go
+++ b/internal/fakes/catalogue.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// catalogueStream tells the random numbers of Catalogue from others of the same seed.
+// catalogueStream separates the random numbers of Catalogue from others of the same seed.
 const catalogueStream = 0xca7a
 
 // Function is what workers know of one function. Times are seconds.
--- a/internal/fakes/deduplicator.go
+++ b/internal/fakes/deduplicator.go
@@ -17,8 +17,8 @@
 	return &Memory{window: seconds(window), seen: map[string]time.Time{}}
 }
 
-// First returns whether a request is new to the group, and remembers it.
-func (m *Memory) First(id string) bool {
+// IsFirst returns whether a request is new to the group, and remembers it.
+func (m *Memory) IsFirst(id string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
--- a/internal/fakes/endpoint_list.go
+++ b/internal/fakes/endpoint_list.go
@@ -59,7 +59,7 @@
 func (l *List) Set(w *Worker, phase string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	startedAt, cold := w.Began()
+	startedAt, cold := w.StartedAt()
 	started := 0.0
 	if cold {
 		started = unixSeconds(startedAt)
@@ -74,7 +74,7 @@
 	if phase != phaseGone {
 		l.entries = append(l.entries, listEntry{w, phase})
 	}
-	l.tape.Add(invariants.Record{Kind: invariants.Told, Worker: w.Name(), Phase: phase, Born: started})
+	l.tape.Add(invariants.Record{Kind: invariants.EndpointUpdated, Worker: w.Name(), EndpointState: phase, StartedAt: started})
 	return l.write()
 }
 
@@ -99,7 +99,7 @@
 		Size:     fmt.Sprintf("%g", float64(spec.Cores)*spec.Speed),
 		Zone:     "room-1",
 	}
-	if startedAt, cold := e.worker.Began(); cold {
+	if startedAt, cold := e.worker.StartedAt(); cold {
 		labels.Started = fmt.Sprintf("%.3f", unixSeconds(startedAt))
 	}
 	return targetGroup{Labels: labels, Targets: []string{e.worker.Addr()}}
--- a/internal/fakes/faults.go
+++ b/internal/fakes/faults.go
@@ -33,12 +33,12 @@
 
 // Fault is what goes wrong with a worker, for a time or until another fault of its kind takes its place.
 type Fault struct {
-	Kind   FaultKind `json:"kind"`
-	For    float64   `json:"for"`    // seconds; 0: until replaced
-	Part   float64   `json:"part"`   // share of the requests that it meets; 0: all
-	Times  float64   `json:"times"`  // slowdown factor
-	Bytes  int       `json:"bytes"`  // of the response that are sent before a cut
-	Digest string    `json:"digest"` // version that fails
+	Kind     FaultKind `json:"kind"`
+	For      float64   `json:"for"`    // seconds; 0: until replaced
+	Share    float64   `json:"part"`   // share of the requests that it meets; 0: all
+	Slowdown float64   `json:"times"`  // slowdown factor
+	Bytes    int       `json:"bytes"`  // of the response that are sent before a cut
+	Digest   string    `json:"digest"` // version that fails
 }
 
 // UnknownFaultError is the error of Inject for a kind of fault that does not exist.
@@ -74,7 +74,7 @@
 	if !known || time.Now().After(f.until) {
 		return f, false
 	}
-	if f.Part > 0 && w.rng.Float64() >= f.Part {
+	if f.Share > 0 && w.rng.Float64() >= f.Share {
 		return f, false
 	}
 	return f, true
--- a/internal/fakes/handlers.go
+++ b/internal/fakes/handlers.go
@@ -29,7 +29,7 @@
 	return mux
 }
 
-// reply sends a response with the worker's load report. timing, which may be empty, tells how the request started.
+// reply sends a response with the worker's load report. timing, which may be empty, is how the request started.
 func (w *Worker) reply(rw http.ResponseWriter, status int, timing string, message any) {
 	h := rw.Header()
 	h.Set("Content-Type", "application/json")
@@ -66,7 +66,7 @@
 	_ = json.NewDecoder(io.LimitReader(r.Body, maxCommandBody)).Decode(&command) // without a body one replica is meant
 	want, function := command.Parameters.Copies, r.PathValue("f")
 	w.spec.Tape.Add(invariants.Record{Kind: invariants.Ordered, Worker: w.spec.Name, Front: frontEndOf(r), Function: function,
-		Copies: want})
+		Replicas: want})
 	w.mu.Lock()
 	s, _ := w.replicasOf(function, command.Parameters.Digest)
 	if s == nil {
--- a/internal/fakes/infer.go
+++ b/internal/fakes/infer.go
@@ -160,7 +160,7 @@
 // isFirst returns whether the request has its effect: it is not a repeat that the workers drop.
 func (c *inference) isFirst() bool {
 	spec := &c.w.spec
-	return !spec.Keyed[c.record.Type] || spec.Drops == nil || spec.Drops.First(c.record.Event)
+	return !spec.Keyed[c.record.Type] || spec.Drops == nil || spec.Drops.IsFirst(c.record.Event)
 }
 
 // execute takes the time of the work, and gives the replica back. It does not return where the process ends meanwhile.
@@ -169,7 +169,7 @@
 	w.mu.Lock()
 	duration := q.replicas.function.Work / w.spec.Speed / w.warmth() * (0.7 + 0.6*w.rng.Float64())
 	if f, slow := w.active(FaultSlow); slow {
-		duration *= max(f.Times, 1)
+		duration *= max(f.Slowdown, 1)
 	}
 	w.mu.Unlock()
 	select {
--- a/internal/fakes/replicas.go
+++ b/internal/fakes/replicas.go
@@ -52,8 +52,8 @@
 	return set, other
 }
 
-// Void lets go of all replicas and images of functions: idle replicas at once, those at work when they are done.
-func (w *Worker) Void(names map[string]bool) {
+// Evict lets go of all replicas and images of functions: idle replicas at once, those at work when they are done.
+func (w *Worker) Evict(names map[string]bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, s := range w.replicas {
--- a/internal/fakes/site_config.go
+++ b/internal/fakes/site_config.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// FunctionConfigs returns the figures of functions as the front ends are told them.
+// FunctionConfigs returns the figures of functions as the front ends are configured with them.
 func FunctionConfigs(functions []Function) []FunctionConfig {
 	var list []FunctionConfig
 	for _, f := range functions {
--- a/internal/fakes/store.go
+++ b/internal/fakes/store.go
@@ -14,9 +14,9 @@
 // Store is the function store that all workers share. It slows down when more fetch at once than it can serve, and
 // rejects fetches past a limit.
 type Store struct {
-	Pace    int // concurrent fetches without slowing down
-	Most    int // concurrent fetches; further ones are rejected
-	Fetches int // accepted so far
+	FullSpeedFetches int // concurrent fetches without slowing down
+	MaxFetches       int // concurrent fetches; further ones are rejected
+	Fetches          int // accepted so far
 
 	mu       sync.Mutex
 	slowdown float64 // factor, by a fault
@@ -25,7 +25,9 @@
 }
 
 // NewStore returns a store that serves pace fetches at full speed and at most most of them at once.
-func NewStore(pace, most int) *Store { return &Store{Pace: pace, Most: most, slowdown: 1} }
+func NewStore(pace, most int) *Store {
+	return &Store{FullSpeedFetches: pace, MaxFetches: most, slowdown: 1}
+}
 
 // Fetch takes as long as the store needs now for a fetch that takes base seconds on an idle one.
 func (s *Store) Fetch(base float64, stop <-chan struct{}) error {
@@ -45,12 +47,12 @@
 func (s *Store) admit(base float64) (time.Duration, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if time.Now().Before(s.outUntil) || s.inFlight >= s.Most {
+	if time.Now().Before(s.outUntil) || s.inFlight >= s.MaxFetches {
 		return 0, ErrFetchRejected
 	}
 	s.inFlight++
 	s.Fetches++
-	return seconds(base * s.slowdown * math.Max(1, float64(s.inFlight)/float64(s.Pace))), nil
+	return seconds(base * s.slowdown * math.Max(1, float64(s.inFlight)/float64(s.FullSpeedFetches))), nil
 }
 
 func (s *Store) release() {
@@ -59,15 +61,15 @@
 	s.mu.Unlock()
 }
 
-// Slow makes fetches take a multiple of their time; 1 is the usual speed.
-func (s *Store) Slow(factor float64) {
+// SetSlowdown makes fetches take a multiple of their time; 1 is the usual speed.
+func (s *Store) SetSlowdown(factor float64) {
 	s.mu.Lock()
 	s.slowdown = factor
 	s.mu.Unlock()
 }
 
-// Stop makes the store reject all fetches for a time in seconds.
-func (s *Store) Stop(duration float64) {
+// RejectFor makes the store reject all fetches for a time in seconds.
+func (s *Store) RejectFor(duration float64) {
 	s.mu.Lock()
 	s.outUntil = time.Now().Add(seconds(duration))
 	s.mu.Unlock()
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -16,7 +16,7 @@
 const (
 	anyPort = "127.0.0.1:0"
 
-	workerStream = 0x30e4 // tells the workers' random numbers from others of the same seed
+	workerStream = 0x30e4 // separates the workers' random numbers from others of the same seed
 
 	// A port may be held for moments after a crash.
 	listenAttempts      = 50
@@ -96,8 +96,8 @@
 // Name returns its name in the endpoint list.
 func (w *Worker) Name() string { return w.spec.Name }
 
-// Began returns when its process started. cold tells that it did so within the recording.
-func (w *Worker) Began() (at time.Time, cold bool) {
+// StartedAt returns when its process started. cold is whether it did so within the recording.
+func (w *Worker) StartedAt() (at time.Time, cold bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.startedAt, w.cold
@@ -143,7 +143,7 @@
 	go func() { _ = server.Serve(listener) }() // it returns when the server is closed
 	go w.evictIdle(w.stop)
 	if cold {
-		w.spec.Tape.Add(invariants.Record{Kind: invariants.Born, Worker: w.spec.Name})
+		w.spec.Tape.Add(invariants.Record{Kind: invariants.WorkerStarted, Worker: w.spec.Name})
 	}
 }
 
@@ -213,7 +213,7 @@
 	if float64(len(w.arrivals)-overloadAllowance)*w.spec.MeanWork <= w.spec.FallFactor*capacity {
 		return false
 	}
-	w.spec.Tape.Add(invariants.Record{Kind: invariants.Down, Worker: w.spec.Name})
+	w.spec.Tape.Add(invariants.Record{Kind: invariants.WorkerOverloaded, Worker: w.spec.Name})
 	w.crash()
 	return true
 }
--- a/internal/fakes/worker_test.go
+++ b/internal/fakes/worker_test.go
@@ -95,7 +95,7 @@
 		{Fault{Kind: "stall", For: 0.01}, 200, 1},
 		{Fault{Kind: "hang", For: 600}, 0, 0},
 		{Fault{Kind: "lose", For: 600}, 0, 1},
-		{Fault{Kind: "slow", Times: 2}, 200, 1},
+		{Fault{Kind: "slow", Slowdown: 2}, 200, 1},
 		{Fault{Kind: "late-reports"}, 200, 1},
 	} {
 		t.Run(string(c.fault.Kind), func(t *testing.T) {
--- a/internal/invariants/check_test.go
+++ b/internal/invariants/check_test.go
@@ -9,7 +9,7 @@
 
 var rules = Rules{Effect: map[string]string{"again": "redeliverable", "keyed": "keyed", "once": "at-most-once"},
 	Remembered: map[string]float64{"keyed": 10}, Work: 0.1, Capacity: map[string]float64{"a": 2, "b": 2}, DrainGrace: 0.5,
-	ColdShare: 0.25, WarmWithin: 10, FallFactor: 2, FallWindow: 1, LoadWindow: 5, LoadFree: 2, LoadShare: 0.5, Grace: 0.01}
+	ColdShare: 0.25, WarmWithin: 10, FallFactor: 2, FallWindow: 1, LoadWindow: 5, LoadBurst: 2, LoadsPerRequest: 0.5, Grace: 0.01}
 
 func request(at float64, call uint64, id, class string) Record {
 	return Record{At: at, Kind: Asked, Call: call, Event: id, Type: class, Front: "f", Wait: 4}
@@ -30,15 +30,15 @@
 }
 
 func loadCommand(at float64) Record {
-	return Record{At: at, Kind: Ordered, Worker: "a", Front: "f", Copies: 1}
+	return Record{At: at, Kind: Ordered, Worker: "a", Front: "f", Replicas: 1}
 }
 
 // validRecording keeps every rule.
 func validRecording() []Record {
 	list := []Record{request(1, 1, "e1", "again"), response(1.4, 1, "e1", "again", Handled), request(2, 2, "e2", "once"),
 		response(2.5, 2, "e2", "once", DeadLettered), request(3, 3, "e3", "keyed"), response(3.6, 3, "e3", "keyed", Deferred),
-		request(4, 4, "e4", "again"), {At: 4.2, Kind: Left, Call: 4}, {At: 5, Kind: Told, Worker: "a", Phase: "draining"},
-		{At: 6, Kind: Born, Worker: "b"}, loadCommand(1.1), loadCommand(2.1), loadCommand(3.1)}
+		request(4, 4, "e4", "again"), {At: 4.2, Kind: ClientCancelled, Call: 4}, {At: 5, Kind: EndpointUpdated, Worker: "a", EndpointState: "draining"},
+		{At: 6, Kind: WorkerStarted, Worker: "b"}, loadCommand(1.1), loadCommand(2.1), loadCommand(3.1)}
 	list = append(list, attemptRecords(1.1, 1.3, 11, "a", "e1", "again", true)...)
 	list = append(list, attemptRecords(2.1, 2.4, 12, "a", "e2", "once", true)...)
 	list = append(list, attemptRecords(3.1, 3.2, 13, "a", "e3", "keyed", true)...)
@@ -79,7 +79,7 @@
 			response(5.8, 52, "x", "again", Handled)), func(v Verdict) int { return v.AfterDrain }},
 		{"load command after drain", []Record{loadCommand(5.6)}, func(v Verdict) int { return v.AfterDrain }},
 		{"cold worker overloaded", overload, func(v Verdict) int { return v.ColdPushed }},
-		{"cold worker failed", []Record{{At: 7, Kind: Down, Worker: "b"}}, func(v Verdict) int { return v.ColdPushed }},
+		{"cold worker failed", []Record{{At: 7, Kind: WorkerOverloaded, Worker: "b"}}, func(v Verdict) int { return v.ColdPushed }},
 		{"too many load commands", []Record{loadCommand(3.2), loadCommand(3.3)}, func(v Verdict) int { return v.Flooded }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/invariants/executions.go
+++ b/internal/invariants/executions.go
@@ -57,7 +57,7 @@
 func (c *checker) checkConcurrentAttempts(id string, attempts []*attempt) {
 	for i := 1; i < len(attempts); i++ {
 		before, next := attempts[i-1], attempts[i]
-		if c.rules.Apart && next.start.Front != before.start.Front {
+		if c.rules.IndependentFrontEnds && next.start.Front != before.start.Front {
 			continue
 		}
 		if next.from < before.to-c.rules.Grace {
--- a/internal/invariants/format_test.go
+++ b/internal/invariants/format_test.go
@@ -13,8 +13,8 @@
 // The rules file that users write has these keys, whatever their case.
 func TestRulesKeys(t *testing.T) {
 	want := Rules{Effect: map[string]string{"a": "keyed"}, Remembered: map[string]float64{"a": 30}, Work: 0.5,
-		WorkOf: map[string]float64{"f": 0.25}, Capacity: map[string]float64{"w": 2}, DrainGrace: 0.5, ColdShare: 0.29, WarmWithin: 4,
-		FallFactor: 2.5, FallWindow: 1.5, LoadWindow: 8, LoadFree: 3, LoadShare: 0.75, Lag: 0.125, Apart: true, Grace: 0.1}
+		FunctionWork: map[string]float64{"f": 0.25}, Capacity: map[string]float64{"w": 2}, DrainGrace: 0.5, ColdShare: 0.29, WarmWithin: 4,
+		FallFactor: 2.5, FallWindow: 1.5, LoadWindow: 8, LoadBurst: 3, LoadsPerRequest: 0.75, SubmissionDelay: 0.125, IndependentFrontEnds: true, Grace: 0.1}
 	for _, text := range []string{rulesText, strings.ToLower(rulesText)} {
 		var got Rules
 		if err := json.Unmarshal([]byte(text), &got); err != nil || !reflect.DeepEqual(got, want) {
--- a/internal/invariants/loads.go
+++ b/internal/invariants/loads.go
@@ -17,13 +17,13 @@
 			requests[address] = append(requests[address], r.At)
 		case Ordered:
 			c.verdict.Orders++
-			if r.Copies == 0 || c.rules.LoadWindow == 0 {
+			if r.Replicas == 0 || c.rules.LoadWindow == 0 {
 				continue
 			}
 			commands[r.Front] = within(append(commands[r.Front], r.At), r.At, c.rules.LoadWindow-c.rules.Grace)
 			address := addressOf(r.Front)
-			requests[address] = within(requests[address], r.At, c.rules.LoadWindow+c.rules.Grace+c.rules.Lag)
-			limit := c.rules.LoadFree + c.rules.LoadShare*float64(len(requests[address]))
+			requests[address] = within(requests[address], r.At, c.rules.LoadWindow+c.rules.Grace+c.rules.SubmissionDelay)
+			limit := c.rules.LoadBurst + c.rules.LoadsPerRequest*float64(len(requests[address]))
 			if n := len(commands[r.Front]); float64(n) > limit+roundingTolerance {
 				c.violation(&c.verdict.Flooded, "load orders", "%s gave %d within %.1f s until %.3f, %.1f are allowed", r.Front, n,
 					c.rules.LoadWindow, r.At, limit)
--- a/internal/invariants/record.go
+++ b/internal/invariants/record.go
@@ -13,17 +13,17 @@
 
 // Kinds of records, as they stand in files.
 const (
-	Asked    Kind = "asked"    // a client sent a request; Wait is how long it waits
-	Answered Kind = "answered" // the client got a response: Outcome
-	Left     Kind = "left"     // the client cancelled, or the script stopped its front end
-	Lost     Kind = "lost"     // the client's connection closed without a response
-	Launched Kind = "launched" // an attempt reached a worker
-	Ran      Kind = "ran"      // the request was executed there
-	Ended    Kind = "ended"    // the worker's response left, or either side closed the connection
-	Ordered  Kind = "ordered"  // a load command reached a worker
-	Told     Kind = "told"     // the endpoint list changed: Phase, Born
-	Down     Kind = "down"     // a cold worker failed under too much load
-	Born     Kind = "born"     // a worker process started cold
+	Asked            Kind = "asked"    // a client sent a request; Wait is how long it waits
+	Answered         Kind = "answered" // the client got a response: Outcome
+	ClientCancelled  Kind = "left"     // the client cancelled, or the script stopped its front end
+	Lost             Kind = "lost"     // the client's connection closed without a response
+	Launched         Kind = "launched" // an attempt reached a worker
+	Ran              Kind = "ran"      // the request was executed there
+	Ended            Kind = "ended"    // the worker's response left, or either side closed the connection
+	Ordered          Kind = "ordered"  // a load command reached a worker
+	EndpointUpdated  Kind = "told"     // the endpoint list changed: Phase, Born
+	WorkerOverloaded Kind = "down"     // a cold worker failed under too much load
+	WorkerStarted    Kind = "born"     // a worker process started cold
 )
 
 // Outcomes as the client saw them, as they stand in files.
@@ -36,21 +36,21 @@
 
 // Record is one thing that happened.
 type Record struct {
-	At       float64 `json:"at"` // seconds since the recording began
-	Kind     Kind    `json:"kind"`
-	Front    string  `json:"front,omitempty"` // front end
-	Worker   string  `json:"worker,omitempty"`
-	Event    string  `json:"event,omitempty"` // identity of the request
-	Type     string  `json:"type,omitempty"`  // request class
-	Function string  `json:"function,omitempty"`
-	Call     uint64  `json:"call,omitempty"` // joins a request with its response, or an attempt with its end
-	Wait     float64 `json:"wait,omitempty"`
-	Outcome  string  `json:"outcome,omitempty"`
-	Status   int     `json:"status,omitempty"` // 0 where a connection closed without one
-	Phase    string  `json:"phase,omitempty"`  // of the worker in the endpoint list
-	Born     float64 `json:"born,omitempty"`   // start of the worker
-	Copies   int     `json:"copies,omitempty"` // replicas that a load command asks for
-	Digest   string  `json:"digest,omitempty"` // of the version: asked for (Launched), executed (Ran), named to the client (Answered)
+	At            float64 `json:"at"` // seconds since the recording began
+	Kind          Kind    `json:"kind"`
+	Front         string  `json:"front,omitempty"` // front end
+	Worker        string  `json:"worker,omitempty"`
+	Event         string  `json:"event,omitempty"` // identity of the request
+	Type          string  `json:"type,omitempty"`  // request class
+	Function      string  `json:"function,omitempty"`
+	Call          uint64  `json:"call,omitempty"` // joins a request with its response, or an attempt with its end
+	Wait          float64 `json:"wait,omitempty"`
+	Outcome       string  `json:"outcome,omitempty"`
+	Status        int     `json:"status,omitempty"` // 0 where a connection closed without one
+	EndpointState string  `json:"phase,omitempty"`  // of the worker in the endpoint list
+	StartedAt     float64 `json:"born,omitempty"`   // start of the worker
+	Replicas      int     `json:"copies,omitempty"` // replicas that a load command asks for
+	Digest        string  `json:"digest,omitempty"` // of the version: asked for (Launched), executed (Ran), named to the client (Answered)
 }
 
 // Write writes records as JSON lines.
--- a/internal/invariants/recorder.go
+++ b/internal/invariants/recorder.go
@@ -16,11 +16,11 @@
 // NewTape begins a recording now, on the machine's clock.
 func NewTape() *Tape {
 	began := time.Now()
-	return NewTapeOn(func() float64 { return time.Since(began).Seconds() })
+	return NewRecorderWithClock(func() float64 { return time.Since(began).Seconds() })
 }
 
-// NewTapeOn begins a recording on a clock that returns seconds since the beginning.
-func NewTapeOn(clock func() float64) *Tape { return &Tape{clock: clock} }
+// NewRecorderWithClock begins a recording on a clock that returns seconds since the beginning.
+func NewRecorderWithClock(clock func() float64) *Tape { return &Tape{clock: clock} }
 
 // Now returns the seconds since the recording began.
 func (t *Tape) Now() float64 { return t.clock() }
--- a/internal/invariants/responses.go
+++ b/internal/invariants/responses.go
@@ -35,7 +35,7 @@
 			x := &call{request: r}
 			byID[r.Call] = x
 			calls = append(calls, x)
-		case Answered, Left, Lost:
+		case Answered, ClientCancelled, Lost:
 			x := byID[r.Call]
 			if x == nil {
 				c.violation(&c.verdict.Twice, "answer", "call %d: %s without an ask", r.Call, r.Kind)
@@ -66,7 +66,7 @@
 	switch {
 	case !x.ended:
 		c.violation(&c.verdict.Unanswered, "unanswered", "%s asked at %.3f of %s", x.request.Event, x.request.At, x.request.Front)
-	case x.end.Kind == Left:
+	case x.end.Kind == ClientCancelled:
 		c.verdict.Left++
 	case x.end.Kind == Lost:
 		c.verdict.Lost++
--- a/internal/invariants/rules.go
+++ b/internal/invariants/rules.go
@@ -15,8 +15,8 @@
 	Remembered map[string]float64 `json:"Remembered"`
 	// Work is the mean work of a request on a core of speed 1.
 	Work float64 `json:"Work"`
-	// WorkOf is the same by function, where it is known.
-	WorkOf map[string]float64 `json:"WorkOf"`
+	// FunctionWork is the same by function, where it is known.
+	FunctionWork map[string]float64 `json:"WorkOf"`
 	// Capacity is cores times speed, by worker.
 	Capacity map[string]float64 `json:"Capacity"`
 	// DrainGrace is how long after the notice a draining worker may still be sent something.
@@ -31,14 +31,14 @@
 	FallWindow float64 `json:"FallWindow"`
 	// LoadWindow is the time over which load commands are limited; 0 switches rule 5 off.
 	LoadWindow float64 `json:"LoadWindow"`
-	// LoadFree is the number of load commands within the window that need no request.
-	LoadFree float64 `json:"LoadFree"`
-	// LoadShare is the number of further load commands for each request within the window.
-	LoadShare float64 `json:"LoadShare"`
-	// Lag is the longest time from a client's sending a request to its front end's accepting it.
-	Lag float64 `json:"Lag"`
-	// Apart exempts attempts by different front ends from each other: repeats of a request went to several of them.
-	Apart bool `json:"Apart"`
+	// LoadBurst is the number of load commands within the window that need no request.
+	LoadBurst float64 `json:"LoadFree"`
+	// LoadsPerRequest is the number of further load commands for each request within the window.
+	LoadsPerRequest float64 `json:"LoadShare"`
+	// SubmissionDelay is the longest time from a client's sending a request to its front end's accepting it.
+	SubmissionDelay float64 `json:"Lag"`
+	// IndependentFrontEnds exempts attempts by different front ends from each other: repeats of a request went to several of them.
+	IndependentFrontEnds bool `json:"Apart"`
 	// Grace is the longest time from a front end's sending bytes to the worker's seeing them.
 	Grace float64 `json:"Grace"`
 }
--- a/internal/invariants/versions.go
+++ b/internal/invariants/versions.go
@@ -25,7 +25,7 @@
 // checkNamedVersion checks that a response names a version that ran the request. Workers drop a keyed request that ran
 // for another front end, maybe on another version, so those are exempt where front ends are independent.
 func (c *checker) checkNamedVersion(response Record, ran map[string]bool) {
-	if c.rules.Apart && c.rules.Effect[response.Type] == effectIdempotentByKey {
+	if c.rules.IndependentFrontEnds && c.rules.Effect[response.Type] == effectIdempotentByKey {
 		return
 	}
 	if response.Outcome == Handled && len(ran) > 0 && !ran[response.Digest] {
--- a/internal/invariants/workers.go
+++ b/internal/invariants/workers.go
@@ -8,16 +8,16 @@
 	notices := map[frontEndWorker]float64{}
 	for _, r := range records {
 		switch r.Kind {
-		case Told:
+		case EndpointUpdated:
 			key := frontEndWorker{r.Front, r.Worker}
-			if r.Phase == phaseServing {
+			if r.EndpointState == phaseServing {
 				delete(notices, key)
 			} else if _, known := notices[key]; !known {
 				notices[key] = r.At
 			}
 		case Launched, Ordered:
 			at, draining := timeFor(notices, r.Front, r.Worker)
-			sent := r.Kind == Launched || r.Copies > 0
+			sent := r.Kind == Launched || r.Replicas > 0
 			if draining && sent && r.At > at+c.rules.DrainGrace {
 				c.violation(&c.verdict.AfterDrain, "after drain", "%s reached %s at %.3f, told at %.3f", r.Kind, r.Worker, r.At, at)
 			}
@@ -40,9 +40,9 @@
 	state := &warmUp{started: map[frontEndWorker]float64{}, sent: map[string][]Record{}}
 	for _, r := range records {
 		switch r.Kind {
-		case Born:
+		case WorkerStarted:
 			state.start(r)
-		case Down:
+		case WorkerOverloaded:
 			c.violation(&c.verdict.ColdPushed, "pushed over", "%s fell over at %.3f", r.Worker, r.At)
 		case Launched:
 			c.checkWarmUpLoad(state, r)
@@ -54,7 +54,7 @@
 // names none is the start itself, and what was sent before it no longer counts.
 func (s *warmUp) start(r Record) {
 	if r.Front != "" {
-		s.started[frontEndWorker{r.Front, r.Worker}] = r.Born
+		s.started[frontEndWorker{r.Front, r.Worker}] = r.StartedAt
 		return
 	}
 	s.started[frontEndWorker{"", r.Worker}] = r.At
@@ -88,7 +88,7 @@
 
 // workOf is the mean work of a request for a function.
 func (c *checker) workOf(function string) float64 {
-	if work, known := c.rules.WorkOf[function]; known {
+	if work, known := c.rules.FunctionWork[function]; known {
 		return work
 	}
 	return c.rules.Work
--- a/internal/scenario/bench_front.go
+++ b/internal/scenario/bench_front.go
@@ -22,12 +22,12 @@
 
 // BenchRow compares the way through a front end with the direct one, front end over direct.
 type BenchRow struct {
-	Connections int     `json:"connections"`
-	Direct      Side    `json:"direct"`
-	Front       Side    `json:"front"`
-	RateRatio   float64 `json:"rate_ratio"`
-	P50Ratio    float64 `json:"p50_ratio"`
-	P99Ratio    float64 `json:"p99_ratio"`
+	Connections int         `json:"connections"`
+	Direct      Measurement `json:"direct"`
+	Front       Measurement `json:"front"`
+	RateRatio   float64     `json:"rate_ratio"`
+	P50Ratio    float64     `json:"p50_ratio"`
+	P99Ratio    float64     `json:"p99_ratio"`
 }
 
 // Bench measures workers that answer at once, directly and through a front end, with numbers of connections.
@@ -79,7 +79,7 @@
 func benchBothWays(ctx context.Context, workers *idleServers, frontEnd string, connections, requests int) (BenchRow, error) {
 	row := BenchRow{Connections: connections}
 	ways := []struct {
-		side *Side
+		side *Measurement
 		url  func(number int) string
 	}{
 		{&row.Direct, func(number int) string {
--- a/internal/scenario/inject.go
+++ b/internal/scenario/inject.go
@@ -131,7 +131,7 @@
 func (i *injection) misbehave() error {
 	f := i.fault
 	for _, w := range i.affected() {
-		fault := fakes.Fault{Kind: fakes.FaultKind(f.Kind), For: f.Duration, Part: f.HitShare, Times: f.Times, Bytes: f.Bytes}
+		fault := fakes.Fault{Kind: fakes.FaultKind(f.Kind), For: f.Duration, Share: f.HitShare, Slowdown: f.Times, Bytes: f.Bytes}
 		if err := w.Inject(fault); err != nil {
 			return err
 		}
@@ -145,7 +145,7 @@
 	list := i.affected()
 	for i.ctx.Err() == nil {
 		for _, w := range list {
-			if err := w.Inject(fakes.Fault{Kind: kind, For: f.Duration, Times: f.Times}); err != nil {
+			if err := w.Inject(fakes.Fault{Kind: kind, For: f.Duration, Slowdown: f.Times}); err != nil {
 				return err
 			}
 		}
@@ -251,20 +251,20 @@
 		names[i.functions[index].Name] = true
 	}
 	for _, w := range i.allWorkers() {
-		w.Void(names)
+		w.Evict(names)
 	}
 	return nil
 }
 
 func (i *injection) slowStore() error {
-	i.store.Slow(i.fault.Times)
+	i.store.SetSlowdown(i.fault.Times)
 	i.hold()
-	i.store.Slow(1)
+	i.store.SetSlowdown(1)
 	return nil
 }
 
 func (i *injection) stopStore() error {
-	i.store.Stop(i.fault.Duration)
+	i.store.RejectFor(i.fault.Duration)
 	return nil
 }
 
--- a/internal/scenario/load_generator.go
+++ b/internal/scenario/load_generator.go
@@ -24,8 +24,8 @@
 	minWarmUpRequests = 50
 )
 
-// Side is one side of a comparison: requests a second, and latencies in ms.
-type Side struct {
+// Measurement is one side of a comparison: requests a second, and latencies in ms.
+type Measurement struct {
 	Rate float64 `json:"rate"`
 	P50  float64 `json:"p50_ms"`
 	P99  float64 `json:"p99_ms"`
@@ -86,7 +86,7 @@
 	class    string
 	inFlight int
 	requests int
-	runName  string // tells the identities of requests from those of other measurements
+	runName  string // separates the identities of requests from those of other measurements
 
 	client *http.Client
 	warmUp int // first requests that do not count
@@ -97,7 +97,7 @@
 }
 
 // measure sends the requests.
-func (g *generator) measure(ctx context.Context) (Side, error) {
+func (g *generator) measure(ctx context.Context) (Measurement, error) {
 	g.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: g.inFlight}}
 	defer g.client.CloseIdleConnections()
 	g.latencies = hdrhistogram.New(1, maxLatency, latencyDigits)
@@ -121,7 +121,7 @@
 	close(numbers)
 	running.Wait()
 	elapsed := time.Since(began).Seconds()
-	return Side{
+	return Measurement{
 		Rate: float64(g.requests) / elapsed,
 		P50:  float64(g.latencies.ValueAtQuantile(50)) / microsPerMilli,
 		P99:  float64(g.latencies.ValueAtQuantile(99)) / microsPerMilli,
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -33,7 +33,7 @@
 	Failures []string           `json:"failures,omitempty"` // of the scenario itself
 }
 
-// OK returns whether all rules held and the scenario did what it was told.
+// OK returns whether all rules held and the scenario ran as its script says.
 func (r *Report) OK() bool { return r.Broken == 0 && len(r.Failures) == 0 }
 
 // Figures of every scenario. Times are seconds.
@@ -62,7 +62,7 @@
 	microsPerMilli    = 1000
 	usualRatePercent  = 100
 	thousandths       = 1000
-	faultStreamOffset = 77     // tells the random numbers of the faults from each other
+	faultStreamOffset = 77     // separates the random numbers of the faults from each other
 	trafficStream     = 0x57ea // and those of the clients
 	scheduleStream    = 0x71e5 // and of the schedules
 	hotFunctions      = 3      // functions that nobody asks for until they turn hot
--- a/internal/scenario/site.go
+++ b/internal/scenario/site.go
@@ -35,19 +35,19 @@
 	s := r.script
 	r.functions = fakes.Catalogue(s.Functions+hotFunctions, s.Work, r.seed)
 	r.rules = invariants.Rules{
-		Effect:     fakes.ClassSemantics(),
-		Remembered: map[string]float64{fakes.ClassIdempotentByKey: deduplicationWindow},
-		Work:       r.meanWork(),
-		Capacity:   map[string]float64{},
-		DrainGrace: drainGrace,
-		ColdShare:  coldShare,
-		WarmWithin: warmUpTime,
-		FallFactor: overloadFactor,
-		FallWindow: overloadWindow,
-		LoadWindow: s.LoadLimit[0],
-		LoadFree:   s.LoadLimit[1],
-		LoadShare:  s.LoadLimit[2],
-		Grace:      recordingGrace,
+		Effect:          fakes.ClassSemantics(),
+		Remembered:      map[string]float64{fakes.ClassIdempotentByKey: deduplicationWindow},
+		Work:            r.meanWork(),
+		Capacity:        map[string]float64{},
+		DrainGrace:      drainGrace,
+		ColdShare:       coldShare,
+		WarmWithin:      warmUpTime,
+		FallFactor:      overloadFactor,
+		FallWindow:      overloadWindow,
+		LoadWindow:      s.LoadLimit[0],
+		LoadBurst:       s.LoadLimit[1],
+		LoadsPerRequest: s.LoadLimit[2],
+		Grace:           recordingGrace,
 	}
 	for range s.Workers {
 		w, err := r.startWorker(s.Cold)
@@ -115,7 +115,7 @@
 	return w, nil
 }
 
-// startFrontEnds starts front ends that read the endpoint list at a path, and tell each other what they know.
+// startFrontEnds starts front ends that read the endpoint list at a path, and gossip.
 func (r *run) startFrontEnds(listPath string) error {
 	s := r.script
 	peers, err := freeUDPAddrs(s.FrontEnds)
--- a/internal/scenario/traffic.go
+++ b/internal/scenario/traffic.go
@@ -44,7 +44,7 @@
 	}
 	switch {
 	case status == 0 && errors.Is(err, context.Canceled):
-		record.Kind = invariants.Left
+		record.Kind = invariants.ClientCancelled
 	case status == 0 && errors.Is(err, context.DeadlineExceeded):
 		return // nobody answered in time: the checker finds no response
 	case status == 0:
--- a/internal/simulation/appliance.go
+++ b/internal/simulation/appliance.go
@@ -65,10 +65,10 @@
 	scheduled          map[dispatch.Identity]uint64 // its own requests that are open: their call numbers
 
 	// What the checks know of the state.
-	acknowledged   map[dispatch.Identity]dispatch.Record // on disk, for all that the program was told
+	acknowledged   map[dispatch.Identity]dispatch.Record // reported to the program as on disk
 	acknowledgedAt map[dispatch.Identity]float64
-	unacknowledged map[dispatch.Identity][]dispatch.Record // submitted, and not yet told to be on disk
-	auditEntries   int                                     // on disk, for all that the program was told
+	unacknowledged map[dispatch.Identity][]dispatch.Record // submitted, and not yet reported as on disk
+	auditEntries   int                                     // reported to the program as on disk
 }
 
 func (s *site) newAppliance(number, frontEnds int) *applianceProcess {
@@ -257,7 +257,7 @@
 	a.after(taskInterval, "chores", a.runTask)
 }
 
-// runTaskSlice runs one slice of a background task. more tells that the task has more to do.
+// runTaskSlice runs one slice of a background task. more is whether the task has more to do.
 func (a *applianceProcess) runTaskSlice(name string) (more bool, err error) {
 	switch name {
 	case taskTick:
--- a/internal/simulation/connection.go
+++ b/internal/simulation/connection.go
@@ -10,8 +10,8 @@
 	network    *network
 	name       string
 	ends       [2]*endpoint
-	blackholed bool // nothing of it travels any more, and nobody is told
-	harmed     bool // a fault strikes it
+	blackholed bool // all its packets are lost, and neither side learns of that
+	harmed     bool // a fault concerns it
 }
 
 // segment is a part of a stream that travels together; nil data closes the direction.
@@ -172,7 +172,7 @@
 	}
 }
 
-// onPeerGone tells this side that the other closed or broke the connection.
+// onPeerGone informs this side that the other closed or broke the connection.
 func (e *endpoint) onPeerGone() {
 	if e.finished {
 		return
@@ -266,7 +266,7 @@
 	e.breakAfter = bytes
 }
 
-// blackhole loses all further packets of a connection; nobody is told.
+// blackhole loses all further packets of a connection; neither side learns of that.
 func (c *connection) blackhole() {
 	c.harmed = true
 	c.blackholed = true
--- a/internal/simulation/coverage.go
+++ b/internal/simulation/coverage.go
@@ -1,6 +1,6 @@
 package simulation
 
-// States of front ends that coverage tells apart, beside those of the appliance's life cycle.
+// States of front ends that coverage distinguishes, beside those of the appliance's life cycle.
 const (
 	stateIdle         = "idle"
 	stateRequestOpen  = "event open"
@@ -13,7 +13,7 @@
 	coverageSeparator = " " // between a kind of fault and a state
 )
 
-// faultStates returns the states that coverage tells apart, in the order of a table.
+// faultStates returns the states that coverage distinguishes, in the order of a table.
 func faultStates() []string {
 	return []string{stateIdle, stateRequestOpen, stateAttempt, stateLoad, stateAwaitsDisk, stateWriting,
 		"starting", "recovering", "draining", "finishing", statePaused, stateDown}
--- a/internal/simulation/disk.go
+++ b/internal/simulation/disk.go
@@ -15,7 +15,7 @@
 // errMachineStopped is the error of a write to the disk of a machine that stopped within an earlier one.
 var errMachineStopped = errors.New("the machine has stopped")
 
-// disk is the disk of one machine: in memory, with what was synced told apart from what was not. The storage library
+// disk is the disk of one machine: in memory, with what was synced kept apart from what was not. The storage library
 // calls it from goroutines of its own, so fields that those read are behind the lock.
 type disk struct {
 	syncDelay float64 // seconds that a sync takes beside the usual; only the simulation's goroutine reads it
--- a/internal/simulation/explore.go
+++ b/internal/simulation/explore.go
@@ -17,17 +17,17 @@
 
 // Explored is the result of an exploration.
 type Explored struct {
-	Depth  int      `json:"depth"`
-	States int      `json:"states"` // worlds that differ
-	Merged int      `json:"merged"` // ways that led to a world that was known
-	Ways   int      `json:"ways"`   // run to their end, with nothing more coming from outside
-	Whole  bool     `json:"whole"`  // false: the limit of states ended it
-	Broke  []string `json:"broke,omitempty"`
+	Depth    int      `json:"depth"`
+	States   int      `json:"states"` // worlds that differ
+	Merged   int      `json:"merged"` // ways that led to a world that was known
+	Ways     int      `json:"ways"`   // run to their end, with nothing more coming from outside
+	Complete bool     `json:"whole"`  // false: the limit of states ended it
+	Broke    []string `json:"broke,omitempty"`
 }
 
 // Explore goes every way of depth actions, as far as it leads to maxStates worlds, and lets each end by itself.
 func Explore(depth, maxStates int) *Explored {
-	e := &exploration{result: &Explored{Depth: depth, Whole: true}, maxStates: maxStates, seen: map[worldKey]int{}}
+	e := &exploration{result: &Explored{Depth: depth, Complete: true}, maxStates: maxStates, seen: map[worldKey]int{}}
 	e.visit(depth)
 	return e.result
 }
@@ -56,7 +56,7 @@
 		return
 	}
 	if e.result.States >= e.maxStates {
-		e.result.Whole = false
+		e.result.Complete = false
 		return
 	}
 	if left == 0 {
--- a/internal/simulation/explore_front_end.go
+++ b/internal/simulation/explore_front_end.go
@@ -216,7 +216,7 @@
 	return false
 }
 
-// Broadcast implements dispatch.Effects: front ends of the small world tell each other nothing.
+// Broadcast implements dispatch.Effects: front ends of the small world do not gossip.
 func (f *smallFrontEnd) Broadcast([]byte) {}
 
 // Store implements dispatch.Effects: the small world has no disk.
--- a/internal/simulation/explore_world.go
+++ b/internal/simulation/explore_world.go
@@ -172,7 +172,7 @@
 // worldKey names a world.
 type worldKey [sha256.Size]byte
 
-// key names the world by what each front end was told and when.
+// key names the world by the inputs of each front end and their times.
 func (w *smallWorld) key() worldKey {
 	return sha256.Sum256(fmt.Appendf(nil, "%s|%s|%.6f", w.frontEnds[0].history, w.frontEnds[1].history, w.now))
 }
--- a/internal/simulation/fault_kinds.go
+++ b/internal/simulation/fault_kinds.go
@@ -17,8 +17,8 @@
 	FaultLossy            FaultKind = "lossy"            // datagrams are lost, duplicated and reordered
 	FaultResetWorker      FaultKind = "reset-worker"     // connections break after some bytes
 	FaultResetClient      FaultKind = "reset-client"     // connections break after some bytes
-	FaultHalfOpenWorker   FaultKind = "half-open-worker" // connections lose all packets, and nobody is told
-	FaultHalfOpenClient   FaultKind = "half-open-client" // connections lose all packets, and nobody is told
+	FaultHalfOpenWorker   FaultKind = "half-open-worker" // connections lose all packets silently
+	FaultHalfOpenClient   FaultKind = "half-open-client" // connections lose all packets silently
 	FaultSlowClient       FaultKind = "slow-client"      // a client reads slowly
 	FaultSmallBuffer      FaultKind = "small-buffer"     // all kernels take few bytes off a sender
 	FaultDiskSlow         FaultKind = "disk-slow"        // syncs take long
--- a/internal/simulation/front_end.go
+++ b/internal/simulation/front_end.go
@@ -98,11 +98,11 @@
 		}
 		if w.startedCold > 0 && f.started[w.name] != w.startedCold {
 			f.started[w.name] = w.startedCold
-			s.recorder.Add(invariants.Record{Kind: invariants.Born, Worker: w.name, Front: f.processTag(), Born: w.startedCold})
+			s.recorder.Add(invariants.Record{Kind: invariants.WorkerStarted, Worker: w.name, Front: f.processTag(), StartedAt: w.startedCold})
 		}
 		if f.phases[w.name] != phase {
 			f.phases[w.name] = phase
-			s.recorder.Add(invariants.Record{Kind: invariants.Told, Worker: w.name, Phase: phase, Front: f.processTag()})
+			s.recorder.Add(invariants.Record{Kind: invariants.EndpointUpdated, Worker: w.name, EndpointState: phase, Front: f.processTag()})
 		}
 	}
 }
@@ -179,7 +179,7 @@
 // Post calls do once the present event is done.
 func (h *host) Post(do func()) { h.appliance.after(0, h.name+" posted", do) }
 
-// Dial connects to a worker, and tells the proxy what comes of it and of the connection.
+// Dial connects to a worker, and reports the result and what happens on the connection to the proxy.
 func (h *host) Dial(id upstream.ConnID, addr string) {
 	f := (*frontEnd)(h)
 	s := f.appliance.site
@@ -267,7 +267,7 @@
 		s.recorder.Add(r.open)
 		s.newestAttempt[f.name+" "+r.open.Event] = r.open.Call
 	case strings.HasSuffix(m.Target, "/load"):
-		s.recorder.Add(invariants.Record{Kind: invariants.Ordered, Worker: r.worker, Front: f.processTag(), Copies: 1})
+		s.recorder.Add(invariants.Record{Kind: invariants.Ordered, Worker: r.worker, Front: f.processTag(), Replicas: 1})
 	}
 }
 
--- a/internal/simulation/golden_test.go
+++ b/internal/simulation/golden_test.go
@@ -23,7 +23,7 @@
 
 // Whole runs go as they did. There are two golden files, with a line for each seed:
 //
-//   - outcome.golden has the counts of the report, and a digest of what the referee saw: times, numbers, statuses and
+//   - outcome.golden has the counts of the report, and a digest of the records: times, numbers, statuses and
 //     outcomes, with each name and word replaced by the order in which it first came. A rename can't change it; a
 //     change of behaviour does.
 //   - trace.golden has the report's own digest. That is made of the words by which steps are named in the code and of
@@ -68,12 +68,12 @@
 // counts are the report's figures but for real time.
 func counts(r *Report) string {
 	met := 0
-	for _, n := range r.Met {
+	for _, n := range r.FaultCoverage {
 		met += n
 	}
 	return fmt.Sprintf("steps=%d virtual=%v restarts=%d faults_met=%d violations=%d requests=%d served=%d deferred=%d failed=%d refused=%d left=%d "+
 		"lost=%d attempts=%d loads=%d unanswered=%d answered_twice=%d sent_after_end=%d at_once=%d ran_twice=%d bad_deferrals=%d after_drain=%d "+
-		"cold_pushed=%d load_floods=%d wrong_versions=%d rules_broken=%d", r.Steps, r.Virtual, r.Restarts, met, len(r.Broke), r.Events, r.Handled,
+		"cold_pushed=%d load_floods=%d wrong_versions=%d rules_broken=%d", r.SimulatedEvents, r.VirtualSeconds, r.Restarts, met, len(r.Broke), r.Events, r.Handled,
 		r.Deferred, r.DeadLettered, r.Refused, r.Left, r.Lost, r.Launches, r.Orders, r.Unanswered, r.Twice, r.AfterEnd, r.AtOnce, r.RanTwice,
 		r.BadDeferral, r.AfterDrain, r.ColdPushed, r.Flooded, r.Versions, r.Broken)
 }
@@ -86,7 +86,7 @@
 		seen[i] = map[string]int{"": 0}
 	}
 	for _, r := range records {
-		for i, word := range []string{string(r.Kind), r.Front, r.Worker, r.Event, r.Type + " " + r.Function, r.Outcome, r.Phase, r.Digest} {
+		for i, word := range []string{string(r.Kind), r.Front, r.Worker, r.Event, r.Type + " " + r.Function, r.Outcome, r.EndpointState, r.Digest} {
 			n, ok := seen[i][word]
 			if !ok {
 				n = len(seen[i])
@@ -94,12 +94,12 @@
 			}
 			put(h, uint64(n))
 		}
-		for _, v := range []float64{r.At, r.Wait, r.Born} {
+		for _, v := range []float64{r.At, r.Wait, r.StartedAt} {
 			put(h, math.Float64bits(v))
 		}
 		put(h, r.Call)
 		put(h, uint64(r.Status))
-		put(h, uint64(r.Copies))
+		put(h, uint64(r.Replicas))
 	}
 	return fmt.Sprintf("%d:%x", len(records), h.Sum(nil))
 }
--- a/internal/simulation/mutants/main.go
+++ b/internal/simulation/mutants/main.go
@@ -218,7 +218,7 @@
 	}
 }
 
-// readReports reads reports until one tells that something broke, and returns their number and what broke.
+// readReports reads reports until one in which something broke, and returns their number and what broke.
 func readReports(out io.Reader) (n int, by string, err error) {
 	dec := json.NewDecoder(out)
 	for {
--- a/internal/simulation/outages.go
+++ b/internal/simulation/outages.go
@@ -110,7 +110,7 @@
 			return
 		}
 		delete(s.openOperation, c)
-		s.recorder.Add(c.record(invariants.Left))
+		s.recorder.Add(c.record(invariants.ClientCancelled))
 	})
 }
 
--- a/internal/simulation/report.go
+++ b/internal/simulation/report.go
@@ -18,13 +18,13 @@
 	Seed    uint64 `json:"seed"`
 	Profile string `json:"profile"`
 	invariants.Verdict
-	Broke    []string       `json:"broke,omitempty"` // the first violations of each rule and invariant
-	Digest   string         `json:"digest"`          // of the trace
-	Steps    int            `json:"steps"`
-	Virtual  float64        `json:"virtual_s"`
-	Real     float64        `json:"real_s"`
-	Restarts int            `json:"restarts"`
-	Met      map[string]int `json:"met,omitempty"` // how often a kind of fault met a state of a front end
+	Broke           []string       `json:"broke,omitempty"` // the first violations of each rule and invariant
+	Digest          string         `json:"digest"`          // of the trace
+	SimulatedEvents int            `json:"steps"`
+	VirtualSeconds  float64        `json:"virtual_s"`
+	RealSeconds     float64        `json:"real_s"`
+	Restarts        int            `json:"restarts"`
+	FaultCoverage   map[string]int `json:"met,omitempty"` // how often a kind of fault met a state of a front end
 }
 
 // OK returns whether nothing broke.
@@ -49,16 +49,16 @@
 	broke := slices.Concat(verdict.Faults, s.violations)
 	verdict.Faults = nil
 	return &Report{
-		Seed:     script.Seed,
-		Profile:  script.Profile,
-		Verdict:  verdict,
-		Broke:    broke,
-		Digest:   s.scheduler.digest(),
-		Steps:    s.scheduler.executed,
-		Virtual:  s.scheduler.now,
-		Real:     time.Since(began).Seconds(),
-		Restarts: s.restarts,
-		Met:      s.coverage,
+		Seed:            script.Seed,
+		Profile:         script.Profile,
+		Verdict:         verdict,
+		Broke:           broke,
+		Digest:          s.scheduler.digest(),
+		SimulatedEvents: s.scheduler.executed,
+		VirtualSeconds:  s.scheduler.now,
+		RealSeconds:     time.Since(began).Seconds(),
+		Restarts:        s.restarts,
+		FaultCoverage:   s.coverage,
 	}, records, nil
 }
 
--- a/internal/simulation/shrink.go
+++ b/internal/simulation/shrink.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// ErrWhole is the error of shrinking a script that breaks nothing.
-var ErrWhole = errors.New("the script breaks nothing")
+// ErrNothingBroken is the error of shrinking a script that breaks nothing.
+var ErrNothingBroken = errors.New("the script breaks nothing")
 
 // maxShrinkRuns limits the runs of one Shrink.
 const maxShrinkRuns = 400
@@ -21,7 +21,7 @@
 		return nil, nil, 1, err
 	}
 	if r.OK() {
-		return nil, r, 1, ErrWhole
+		return nil, r, 1, ErrNothingBroken
 	}
 	x := &shrinker{violation: violationKind(r.Broke[0]), best: *s, report: r, runs: 1}
 	x.removeFaults()
--- a/internal/simulation/sim_test.go
+++ b/internal/simulation/sim_test.go
@@ -44,7 +44,7 @@
 				t.Errorf("faults that met nothing: %v", never)
 			}
 		}
-		t.Logf("%s: %d seeds, %d events, %.0f virtual seconds", name, sum.Seeds, sum.Events, sum.Virtual)
+		t.Logf("%s: %d seeds, %d events, %.0f virtual seconds", name, sum.Seeds, sum.Events, sum.VirtualSeconds)
 	}
 	err := Sweep(context.Background(), "day", 0, min(*seeds, 8), 1, func(r *Report) {
 		if r.Digest != digests[r.Seed] {
@@ -106,14 +106,14 @@
 		t.Error(err)
 	}
 	if _, _, _, err := Shrink(&Script{Seed: 1, Profile: "day", Seconds: 2, Appliances: 1, FrontEndsPerAppliance: 1, Workers: 2, Cores: 1, Functions: 2, Clients: 1,
-		Rate: 5, Work: 0.02, DeduplicationWindow: 30}); !errors.Is(err, ErrWhole) {
+		Rate: 5, Work: 0.02, DeduplicationWindow: 30}); !errors.Is(err, ErrNothingBroken) {
 		t.Error("a script that breaks nothing: ", err)
 	}
 }
 
 func TestExploreSmallWorld(t *testing.T) {
 	x := Explore(5, 1<<20)
-	if len(x.Broke) > 0 || !x.Whole || x.Merged == 0 {
+	if len(x.Broke) > 0 || !x.Complete || x.Merged == 0 {
 		t.Errorf("%+v", x)
 	}
 	t.Logf("%+v", x)
--- a/internal/simulation/site.go
+++ b/internal/simulation/site.go
@@ -101,7 +101,7 @@
 		functions:     fakes.Catalogue(script.Functions, script.Work, script.Seed),
 		machineTypes:  map[string]string{},
 		executedKeys:  map[string]float64{},
-		recorder:      invariants.NewTapeOn(func() float64 { return scheduler.now }),
+		recorder:      invariants.NewRecorderWithClock(func() float64 { return scheduler.now }),
 		reboots:       map[int]int{},
 		firedMinutes:  map[string]bool{},
 		openOutages:   map[int]*outage{},
@@ -148,25 +148,25 @@
 
 func (s *site) newRules() invariants.Rules {
 	rules := invariants.Rules{
-		Effect:     fakes.ClassSemantics(),
-		Remembered: map[string]float64{fakes.ClassIdempotentByKey: s.script.DeduplicationWindow},
-		WorkOf:     map[string]float64{},
-		Capacity:   map[string]float64{},
-		DrainGrace: drainGrace,
-		ColdShare:  coldShare,
-		WarmWithin: warmUpTime,
-		FallFactor: overloadFactor,
-		FallWindow: overloadWindow,
-		Lag:        requestTimeout,
-		Apart:      true,
-		Grace:      recordingGrace,
+		Effect:               fakes.ClassSemantics(),
+		Remembered:           map[string]float64{fakes.ClassIdempotentByKey: s.script.DeduplicationWindow},
+		FunctionWork:         map[string]float64{},
+		Capacity:             map[string]float64{},
+		DrainGrace:           drainGrace,
+		ColdShare:            coldShare,
+		WarmWithin:           warmUpTime,
+		FallFactor:           overloadFactor,
+		FallWindow:           overloadWindow,
+		SubmissionDelay:      requestTimeout,
+		IndependentFrontEnds: true,
+		Grace:                recordingGrace,
 	}
 	for _, f := range s.functions {
 		rules.Work += f.Work / float64(len(s.functions))
-		rules.WorkOf[f.Name] = f.Work
+		rules.FunctionWork[f.Name] = f.Work
 	}
 	if s.script.LimitLoads {
-		rules.LoadWindow, rules.LoadFree, rules.LoadShare = loadWindow, loadBurst, loadsPerRequest
+		rules.LoadWindow, rules.LoadBurst, rules.LoadsPerRequest = loadWindow, loadBurst, loadsPerRequest
 	}
 	return rules
 }
@@ -180,7 +180,7 @@
 			DialTimeout: 1, IdleTimeout: 3, LoadTimeout: 4},
 		Rules: fakes.RulesConfig{ColdShare: coldShare, WarmUpTime: warmUpTime, OverloadFactor: overloadFactor,
 			OverloadWindow: overloadWindow, MaxRetryAfter: 0.5,
-			LoadWindow: s.rules.LoadWindow, LoadBurst: s.rules.LoadFree, LoadsPerRequest: s.rules.LoadShare},
+			LoadWindow: s.rules.LoadWindow, LoadBurst: s.rules.LoadBurst, LoadsPerRequest: s.rules.LoadsPerRequest},
 		Limits: fakes.LimitsConfig{ResponseMargin: responseMargin, IdleTimeout: clientIdleTimeout, ResponseRetention: responseRetention},
 	}
 	data, err := document.JSON()
--- a/internal/simulation/state_checks.go
+++ b/internal/simulation/state_checks.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// recordsAcknowledged notes that the front end was told that they are on disk.
+// recordsAcknowledged notes that they were reported to the front end as on disk.
 func (a *applianceProcess) recordsAcknowledged(list []dispatch.Record) {
 	for _, r := range list {
 		id := r.Response.Identity
@@ -65,7 +65,7 @@
 	return found
 }
 
-// checkRecoveredRecords compares what a restart recovered with what the process before it was told to be on disk:
+// checkRecoveredRecords compares what a restart recovered with what was reported to the process before it as on disk:
 // nothing of that may be missing or older.
 func (s *site) checkRecoveredRecords(a *applianceProcess, recovered *storage.RecoveredState) {
 	found := recoveredRecords(recovered)
@@ -90,7 +90,7 @@
 	}
 }
 
-// mayHaveFound returns whether a record on disk is the acknowledged one, or a later one that nobody was told of.
+// mayHaveFound returns whether a record on disk is the acknowledged one, or a later one that was not yet acknowledged.
 func (a *applianceProcess) mayHaveFound(id dispatch.Identity, written, found dispatch.Record) bool {
 	if isEquivalent(written, found) {
 		return true
--- a/internal/simulation/summary.go
+++ b/internal/simulation/summary.go
@@ -9,23 +9,23 @@
 
 // Summary adds up the reports of many seeds.
 type Summary struct {
-	Profile  string
-	Seeds    int
-	Broken   int
-	First    uint64 // the first seed that broke something
-	Events   int
-	Handled  int
-	Launches int
-	Steps    int
-	Restarts int
-	Virtual  float64
-	Met      map[string]int // as in Report
-	began    time.Time
+	Profile         string
+	Seeds           int
+	Broken          int
+	First           uint64 // the first seed that broke something
+	Events          int
+	Handled         int
+	Launches        int
+	SimulatedEvents int
+	Restarts        int
+	VirtualSeconds  float64
+	FaultCoverage   map[string]int // as in Report
+	began           time.Time
 }
 
 // NewSummary begins a summary now.
 func NewSummary(profile string) *Summary {
-	return &Summary{Profile: profile, Met: map[string]int{}, began: time.Now()}
+	return &Summary{Profile: profile, FaultCoverage: map[string]int{}, began: time.Now()}
 }
 
 // Add adds a report.
@@ -40,11 +40,11 @@
 	s.Events += r.Events
 	s.Handled += r.Handled
 	s.Launches += r.Launches
-	s.Steps += r.Steps
+	s.SimulatedEvents += r.SimulatedEvents
 	s.Restarts += r.Restarts
-	s.Virtual += r.Virtual
-	for key, n := range r.Met {
-		s.Met[key] += n
+	s.VirtualSeconds += r.VirtualSeconds
+	for key, n := range r.FaultCoverage {
+		s.FaultCoverage[key] += n
 	}
 }
 
@@ -60,7 +60,7 @@
 }
 
 func (s *Summary) hasMet(kind FaultKind) bool {
-	return slices.ContainsFunc(faultStates(), func(state string) bool { return s.Met[coverageKey(kind, state)] > 0 })
+	return slices.ContainsFunc(faultStates(), func(state string) bool { return s.FaultCoverage[coverageKey(kind, state)] > 0 })
 }
 
 // String returns the summary with a table of which faults met which states.
@@ -69,8 +69,8 @@
 	elapsed := time.Since(s.began).Seconds()
 	fmt.Fprintf(&b, "%d seeds of %s, %d broke something; %d events, %d handled, %d launches, %d restarts of boxes\n", s.Seeds, s.Profile, s.Broken,
 		s.Events, s.Handled, s.Launches, s.Restarts)
-	fmt.Fprintf(&b, "%.0f virtual seconds in %.1f: %.0f for one; %.0f steps and %.0f events a second\n\n", s.Virtual, elapsed, s.Virtual/elapsed,
-		float64(s.Steps)/elapsed, float64(s.Events)/elapsed)
+	fmt.Fprintf(&b, "%.0f virtual seconds in %.1f: %.0f for one; %.0f steps and %.0f events a second\n\n", s.VirtualSeconds, elapsed, s.VirtualSeconds/elapsed,
+		float64(s.SimulatedEvents)/elapsed, float64(s.Events)/elapsed)
 	s.writeCoverage(&b)
 	return b.String()
 }
@@ -95,7 +95,7 @@
 	for _, kind := range kinds {
 		fmt.Fprintf(b, "%-*s", width, kind)
 		for _, state := range states {
-			fmt.Fprintf(b, "  %*d", len(state), s.Met[coverageKey(FaultKind(kind), state)])
+			fmt.Fprintf(b, "  %*d", len(state), s.FaultCoverage[coverageKey(FaultKind(kind), state)])
 		}
 		b.WriteString("\n")
 	}
--- a/internal/simulation/worker.go
+++ b/internal/simulation/worker.go
@@ -41,7 +41,7 @@
 	loads       int // that are under way
 	faultUntil  map[FaultKind]float64
 	startedCold float64 // 0: long ago, and warm
-	startedUnix float64 // as the endpoint list tells it; 0: not
+	startedUnix float64 // as the endpoint list states it; 0: not stated
 	listed      bool
 	phase       string
 }
