--- a/internal/fakes/endpoint_list.go
+++ b/internal/fakes/endpoint_list.go
@@ -30,19 +30,20 @@
 	phase  string
 }
 
-// targetGroup is one entry of the file. Its fields stand in the order of their keys.
-type targetGroup struct {
-	Labels  targetLabels `json:"labels"`
-	Targets []string     `json:"targets"`
+// TargetGroup is one entry of the file. Its fields stand in the order of their keys.
+type TargetGroup struct {
+	Labels  *TargetLabels `json:"labels,omitempty"`
+	Targets []string      `json:"targets"`
 }
 
-type targetLabels struct {
+// TargetLabels describe the worker of an entry.
+type TargetLabels struct {
 	Instance string `json:"instance"`
 	Kind     string `json:"kind"`
 	Phase    string `json:"phase"`
-	Size     string `json:"size"`
-	Started  string `json:"started,omitempty"`
-	Zone     string `json:"zone"`
+	Size     string `json:"size,omitempty"`
+	Started  string `json:"started,omitempty"` // Unix seconds
+	Zone     string `json:"zone,omitempty"`
 }
 
 // NewList writes the list for the first time, with all workers serving.
@@ -79,7 +80,7 @@
 }
 
 func (l *List) write() error {
-	groups := []targetGroup{}
+	groups := []TargetGroup{}
 	for _, entry := range l.entries {
 		groups = append(groups, entry.targetGroup())
 	}
@@ -90,9 +91,9 @@
 	return renameio.WriteFile(l.path, data, 0o644)
 }
 
-func (e listEntry) targetGroup() targetGroup {
+func (e listEntry) targetGroup() TargetGroup {
 	spec := e.worker.spec
-	labels := targetLabels{
+	labels := &TargetLabels{
 		Instance: spec.Name,
 		Kind:     spec.Kind,
 		Phase:    e.phase,
@@ -102,7 +103,7 @@
 	if startedAt, cold := e.worker.StartedAt(); cold {
 		labels.Started = fmt.Sprintf("%.3f", unixSeconds(startedAt))
 	}
-	return targetGroup{Labels: labels, Targets: []string{e.worker.Addr()}}
+	return TargetGroup{Labels: labels, Targets: []string{e.worker.Addr()}}
 }
 
 func unixSeconds(t time.Time) float64 { return float64(t.UnixNano()) / 1e9 }
--- a/internal/fakes/handlers.go
+++ b/internal/fakes/handlers.go
@@ -61,7 +61,7 @@
 
 // handleLoad serves a load command: it answers when the replicas are ready, or when it is clear that they won't be.
 func (w *Worker) handleLoad(rw http.ResponseWriter, r *http.Request) {
-	var command loadRequest
+	var command LoadRequest
 	command.Parameters.Copies = 1
 	_ = json.NewDecoder(io.LimitReader(r.Body, maxCommandBody)).Decode(&command) // without a body one replica is meant
 	want, function := command.Parameters.Copies, r.PathValue("f")
@@ -71,7 +71,7 @@
 	s, _ := w.replicasOf(function, command.Parameters.Digest)
 	if s == nil {
 		w.mu.Unlock()
-		w.reply(rw, http.StatusNotFound, "", errorMessage{"no such function"})
+		w.reply(rw, http.StatusNotFound, "", ErrorMessage{"no such function"})
 		return
 	}
 	stop := w.stop
@@ -83,7 +83,7 @@
 	for s.ready+s.loading < want {
 		if !w.startLoad(s) {
 			w.mu.Unlock()
-			w.reply(rw, http.StatusServiceUnavailable, "", errorMessage{"no room"})
+			w.reply(rw, http.StatusServiceUnavailable, "", ErrorMessage{"no room"})
 			return
 		}
 	}
@@ -91,11 +91,11 @@
 	w.mu.Unlock()
 	ready := w.awaitReplicas(r, s, want, stop)
 	if ready == 0 {
-		w.reply(rw, http.StatusInternalServerError, "", errorMessage{"the load failed"})
+		w.reply(rw, http.StatusInternalServerError, "", ErrorMessage{"the load failed"})
 		return
 	}
 	w.nameVersion(rw, s.digest)
-	w.reply(rw, http.StatusOK, "", loadResponse{loadParameters{ready}})
+	w.reply(rw, http.StatusOK, "", LoadResponse{LoadParameters{ready}})
 }
 
 // awaitReplicas waits until so many replicas are ready or none is loading, and returns how many are ready.
@@ -126,7 +126,7 @@
 		}
 	}
 	w.mu.Unlock()
-	w.reply(rw, http.StatusOK, "", emptyMessage{})
+	w.reply(rw, http.StatusOK, "", EmptyMessage{})
 }
 
 func (w *Worker) handleReady(rw http.ResponseWriter, r *http.Request) {
@@ -163,8 +163,8 @@
 		err = w.Inject(f)
 	}
 	if err != nil {
-		w.reply(rw, http.StatusBadRequest, "", errorMessage{err.Error()})
+		w.reply(rw, http.StatusBadRequest, "", ErrorMessage{err.Error()})
 		return
 	}
-	w.reply(rw, http.StatusOK, "", emptyMessage{})
+	w.reply(rw, http.StatusOK, "", EmptyMessage{})
 }
--- a/internal/fakes/infer.go
+++ b/internal/fakes/infer.go
@@ -80,7 +80,7 @@
 // fail answers with an error.
 func (c *inference) fail(status int, timing, text string) {
 	c.status = status
-	c.w.reply(c.rw, status, timing, errorMessage{text})
+	c.w.reply(c.rw, status, timing, ErrorMessage{text})
 }
 
 // admit puts the request in the worker's queue, unless a fault meets it or it is rejected: then it is answered and the
@@ -145,7 +145,7 @@
 	select {
 	case signal := <-q.start:
 		if signal == startFailed {
-			c.fail(http.StatusNotFound, startLoadFailed, "the load failed")
+			c.fail(http.StatusNotFound, StartLoadFailed, "the load failed")
 			return false
 		}
 	case <-c.r.Context().Done():
@@ -202,13 +202,13 @@
 	}
 }
 
-func (c *inference) response(q *queuedRequest, first bool) inferResponse {
-	m := inferResponse{ID: unescaped(c.r.Header.Get("Ce-Id")), ModelName: q.replicas.function.Name, Outputs: []struct{}{}}
+func (c *inference) response(q *queuedRequest, first bool) InferResponse {
+	m := InferResponse{ID: unescaped(c.r.Header.Get("Ce-Id")), ModelName: q.replicas.function.Name, Outputs: []struct{}{}}
 	switch {
 	case len(c.body) > 0:
-		m.Parameters = &inferParameters{Bytes: len(c.body)}
+		m.Parameters = &InferParameters{Bytes: len(c.body)}
 	case !first:
-		m.Parameters = &inferParameters{Repeat: true}
+		m.Parameters = &InferParameters{Repeat: true}
 	}
 	return m
 }
--- a/internal/fakes/messages.go
+++ b/internal/fakes/messages.go
@@ -1,40 +1,55 @@
 package fakes
 
-// Messages of the Open Inference Protocol. Fields stand in the order of their keys.
+// Messages of the Open Inference Protocol, as workers send and take them. Fields stand in the order of their keys.
 
-type emptyMessage struct{}
+// EmptyMessage is a response without content.
+type EmptyMessage struct{}
 
-type errorMessage struct {
+// ErrorMessage is the response to a request that failed.
+type ErrorMessage struct {
 	Error string `json:"error"`
 }
 
-type inferResponse struct {
+// InferResponse is the response to a request that ran.
+type InferResponse struct {
 	ID         string           `json:"id"`
 	ModelName  string           `json:"model_name"`
 	Outputs    []struct{}       `json:"outputs"`
-	Parameters *inferParameters `json:"parameters,omitempty"`
+	Parameters *InferParameters `json:"parameters,omitempty"`
 }
 
-type inferParameters struct {
+// InferParameters are what a worker reports of a request that ran.
+type InferParameters struct {
 	Bytes  int  `json:"bytes,omitempty"`  // of the request's body
 	Repeat bool `json:"repeat,omitempty"` // the request had run before and was not run again
 }
 
-type loadRequest struct {
+// LoadRequest is a load command.
+type LoadRequest struct {
 	Parameters struct {
 		Copies int    `json:"copies"`
 		Digest string `json:"digest"`
 	} `json:"parameters"`
 }
 
-type loadResponse struct {
-	Parameters loadParameters `json:"parameters"`
+// LoadResponse is the response to a load command.
+type LoadResponse struct {
+	Parameters LoadParameters `json:"parameters"`
 }
 
-type loadParameters struct {
+// LoadParameters are how many replicas are ready.
+type LoadParameters struct {
 	Copies int `json:"copies"`
 }
 
+// How a request found its function, as the header Server-Timing names it.
+const (
+	StartWarm       = "warm"
+	StartJoined     = "joined"      // waited for a load that another began
+	StartLoad       = "load"        // began the load
+	StartLoadFailed = "load-failed" // the load failed
+)
+
 type readyResponse struct {
 	Ready bool `json:"ready"`
 }
--- a/internal/fakes/queue.go
+++ b/internal/fakes/queue.go
@@ -6,14 +6,6 @@
 	"time"
 )
 
-// How a request found its function, as the header Server-Timing names it.
-const (
-	startWarm       = "warm"
-	startJoined     = "joined" // waited for a load that another began
-	startLoad       = "load"   // began the load
-	startLoadFailed = "load-failed"
-)
-
 // startSignal ends the wait of a queued request.
 type startSignal int
 
@@ -38,14 +30,14 @@
 	if s.ready+s.loading == 0 && other != nil && !w.spec.LoadsOnEvent {
 		return nil, http.StatusPreconditionFailed // another version is ready, which must not run this
 	}
-	q := &queuedRequest{replicas: s, startKind: startWarm, start: make(chan startSignal, 1)}
+	q := &queuedRequest{replicas: s, startKind: StartWarm, start: make(chan startSignal, 1)}
 	if s.ready == 0 {
-		q.startKind = startJoined
+		q.startKind = StartJoined
 		if s.loading == 0 {
 			if !w.spec.LoadsOnEvent {
 				return nil, http.StatusNotFound
 			}
-			q.startKind = startLoad
+			q.startKind = StartLoad
 			if !w.startLoad(s) {
 				return nil, http.StatusServiceUnavailable
 			}
--- a/internal/scenario/bench_front.go
+++ b/internal/scenario/bench_front.go
@@ -32,28 +32,19 @@
 
 // Bench measures workers that answer at once, directly and through a front end, with numbers of connections.
 func Bench(ctx context.Context, connections []int, requests int) ([]BenchRow, error) {
-	dir, err := os.MkdirTemp("", "bench")
-	if err != nil {
-		return nil, err
-	}
-	defer func() { _ = os.RemoveAll(dir) }() // temporary files
-	workers, err := startIdleServers(dir)
+	b, err := newBench(benchFrontConfig)
 	if err != nil {
 		return nil, err
 	}
-	defer workers.close()
-	c, err := config.Parse([]byte(benchFrontConfig), dir)
-	if err != nil {
-		return nil, err
-	}
-	frontEnd, err := eventloop.Start(benchSettings(c, workers))
+	defer b.close()
+	frontEnd, err := eventloop.Start(b.frontEndSettings())
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = frontEnd.Stop(time.Second) }() // no request is open any more
 	var rows []BenchRow
 	for _, n := range connections {
-		row, err := benchBothWays(ctx, workers, frontEnd.Addr(), n, requests)
+		row, err := b.measureBothWays(ctx, frontEnd.Addr(), n, requests)
 		if err != nil {
 			return nil, err
 		}
@@ -62,28 +53,59 @@
 	return rows, nil
 }
 
-// benchSettings are those of a front end before idle servers.
-func benchSettings(c *config.Config, workers *idleServers) eventloop.Settings {
-	return eventloop.Settings{Listen: anyPort, WorkersFile: workers.listPath, Settings: proxy.Settings{
+// bench is what a benchmark of a front end runs on.
+type bench struct {
+	dir     string // for temporary files
+	config  *config.Config
+	workers *idleServers
+}
+
+// newBench starts the workers of a benchmark, whose front ends have a configuration.
+func newBench(configuration string) (*bench, error) {
+	dir, err := os.MkdirTemp("", "bench")
+	if err != nil {
+		return nil, err
+	}
+	b := &bench{dir: dir}
+	if b.config, err = config.Parse([]byte(configuration), dir); err == nil {
+		b.workers, err = startIdleServers(dir)
+	}
+	if err != nil {
+		b.close()
+		return nil, err
+	}
+	return b, nil
+}
+
+func (b *bench) close() {
+	if b.workers != nil {
+		b.workers.close()
+	}
+	_ = os.RemoveAll(b.dir) // temporary files
+}
+
+// frontEndSettings are those of a front end before the workers.
+func (b *bench) frontEndSettings() eventloop.Settings {
+	return eventloop.Settings{Listen: anyPort, WorkersFile: b.workers.listPath, Settings: proxy.Settings{
 		Name:       "front",
-		Dispatch:   c.Dispatch(1),
-		Upstream:   c.Upstream("front"),
-		Downstream: c.Downstream(),
+		Dispatch:   b.config.Dispatch(1),
+		Upstream:   b.config.Upstream("front"),
+		Downstream: b.config.Downstream(),
 		MaxClients: benchMaxClients,
 	}}
 }
 
 func frontEndURL(addr string) string { return "http://" + addr + "/events" }
 
-// benchBothWays measures one number of connections.
-func benchBothWays(ctx context.Context, workers *idleServers, frontEnd string, connections, requests int) (BenchRow, error) {
+// measureBothWays measures one number of connections.
+func (b *bench) measureBothWays(ctx context.Context, frontEnd string, connections, requests int) (BenchRow, error) {
 	row := BenchRow{Connections: connections}
 	ways := []struct {
 		side *Measurement
 		url  func(number int) string
 	}{
 		{&row.Direct, func(number int) string {
-			return "http://" + workers.addrs[number%benchWorkers] + "/v2/models/tally/infer"
+			return "http://" + b.workers.addrs[number%benchWorkers] + "/v2/models/tally/infer"
 		}},
 		{&row.Front, func(int) string { return frontEndURL(frontEnd) }},
 	}
--- a/internal/scenario/bench_store.go
+++ b/internal/scenario/bench_store.go
@@ -4,12 +4,10 @@
 	"context"
 	"errors"
 	"fmt"
-	"os"
 	"path/filepath"
 	"runtime"
 	"time"
 
-	"streamcleat/internal/config"
 	"streamcleat/internal/dispatch"
 	"streamcleat/internal/eventloop"
 	"streamcleat/internal/storage"
@@ -76,26 +74,17 @@
 // BenchKeeping measures at-most-once requests through a front end: without a store, with each record synced by itself,
 // with group commit, and with records for which nobody waits for the disk.
 func BenchKeeping(ctx context.Context, connections []int, requests int) ([]KeepRow, error) {
-	dir, err := os.MkdirTemp("", "bench")
-	if err != nil {
-		return nil, err
-	}
-	defer func() { _ = os.RemoveAll(dir) }() // temporary files
-	workers, err := startIdleServers(dir)
-	if err != nil {
-		return nil, err
-	}
-	defer workers.close()
-	c, err := config.Parse([]byte(benchStoreConfig), dir)
+	b, err := newBench(benchStoreConfig)
 	if err != nil {
 		return nil, err
 	}
+	defer b.close()
 	var rows []KeepRow
 	for _, n := range connections {
 		withoutStore := 0.0
 		for i, mode := range storeModes {
-			settings := benchSettings(c, workers)
-			path := filepath.Join(dir, fmt.Sprintf("state-%d-%d", n, i))
+			settings := b.frontEndSettings()
+			path := filepath.Join(b.dir, fmt.Sprintf("state-%d-%d", n, i))
 			row, err := mode.measure(ctx, settings, path, n, requests, fmt.Sprint(i))
 			if err != nil {
 				return nil, err
--- a/internal/scenario/load_generator.go
+++ b/internal/scenario/load_generator.go
@@ -14,6 +14,8 @@
 	"time"
 
 	"github.com/HdrHistogram/hdrhistogram-go"
+
+	"streamcleat/internal/fakes"
 )
 
 const (
@@ -38,11 +40,6 @@
 	servers  []*http.Server
 }
 
-// targetGroup is one entry of the endpoint list.
-type targetGroup struct {
-	Targets []string `json:"targets"`
-}
-
 func startIdleServers(dir string) (*idleServers, error) {
 	s := &idleServers{listPath: filepath.Join(dir, "workers.json")}
 	for range benchWorkers {
@@ -56,7 +53,7 @@
 		s.servers = append(s.servers, server)
 		s.addrs = append(s.addrs, listener.Addr().String())
 	}
-	list, err := json.Marshal([]targetGroup{{s.addrs}})
+	list, err := json.Marshal([]fakes.TargetGroup{{Targets: s.addrs}})
 	if err == nil {
 		err = os.WriteFile(s.listPath, list, 0o644)
 	}
--- a/internal/simulation/site.go
+++ b/internal/simulation/site.go
@@ -206,31 +206,18 @@
 	return err
 }
 
-// targetGroup is one entry of the endpoint list. Its fields stand in the order of their keys.
-type targetGroup struct {
-	Labels  targetLabels `json:"labels"`
-	Targets []string     `json:"targets"`
-}
-
-type targetLabels struct {
-	Instance string `json:"instance"`
-	Kind     string `json:"kind"`
-	Phase    string `json:"phase"`
-	Started  string `json:"started,omitempty"`
-}
-
 // writeEndpointList writes the list of workers; front ends learn of it a moment later.
 func (s *site) writeEndpointList() {
-	groups := []targetGroup{}
+	groups := []fakes.TargetGroup{}
 	for _, w := range s.workers {
 		if !w.listed {
 			continue
 		}
-		labels := targetLabels{Instance: w.name, Kind: s.machineTypes[w.name], Phase: w.phase}
+		labels := &fakes.TargetLabels{Instance: w.name, Kind: s.machineTypes[w.name], Phase: w.phase}
 		if w.startedUnix > 0 {
 			labels.Started = fmt.Sprintf("%.3f", w.startedUnix)
 		}
-		groups = append(groups, targetGroup{labels, []string{w.name + ":80"}})
+		groups = append(groups, fakes.TargetGroup{Labels: labels, Targets: []string{w.name + ":80"}})
 	}
 	data, err := json.Marshal(groups)
 	if err != nil {
--- a/internal/simulation/worker_http.go
+++ b/internal/simulation/worker_http.go
@@ -7,47 +7,13 @@
 	"net/url"
 	"strings"
 
+	"streamcleat/internal/fakes"
 	"streamcleat/internal/http1"
 )
 
 // messageLimits are those of both ends of a connection to a worker, and of clients.
 var messageLimits = http1.Limits{Head: 1 << 16, Body: 1 << 20}
 
-// Messages of the Open Inference Protocol. Fields stand in the order of their keys.
-type (
-	emptyMessage struct{}
-
-	errorMessage struct {
-		Error string `json:"error"`
-	}
-
-	inferResponse struct {
-		ID         string           `json:"id"`
-		ModelName  string           `json:"model_name"`
-		Outputs    []struct{}       `json:"outputs"`
-		Parameters *inferParameters `json:"parameters,omitempty"`
-	}
-
-	inferParameters struct {
-		Repeat bool `json:"repeat"` // the request had run before and was not run again
-	}
-
-	loadRequest struct {
-		Parameters struct {
-			Copies int    `json:"copies"`
-			Digest string `json:"digest"`
-		} `json:"parameters"`
-	}
-
-	loadResponse struct {
-		Parameters loadParameters `json:"parameters"`
-	}
-
-	loadParameters struct {
-		Copies int `json:"copies"`
-	}
-)
-
 // responder sends the response to one request of a front end.
 type responder struct {
 	worker *worker
@@ -72,7 +38,7 @@
 	r.end.write(out)
 }
 
-func (r responder) fail(status int, text string) { r.send(status, "", errorMessage{text}) }
+func (r responder) fail(status int, text string) { r.send(status, "", fakes.ErrorMessage{Error: text}) }
 
 // serve serves one request. A request to run a function is returned, so that a closed connection takes it out of the
 // queue.
@@ -84,14 +50,14 @@
 	case len(path) >= 4 && path[0] == "v2" && path[1] == "models" && path[len(path)-1] == "infer":
 		return w.serveInfer(respond, m, path[2])
 	case isRepository && path[4] == "load":
-		var command loadRequest
+		var command fakes.LoadRequest
 		_ = json.Unmarshal(m.Body, &command) // without a body one replica is meant
 		w.serveLoad(respond, w.replicasOf(path[3], command.Parameters.Digest), max(command.Parameters.Copies, 1))
 	case isRepository && path[4] == "unload":
 		if r := w.byName[path[3]]; r != nil && r.busy == 0 {
 			r.ready = 0
 		}
-		respond.send(http.StatusOK, "", emptyMessage{})
+		respond.send(http.StatusOK, "", fakes.EmptyMessage{})
 	default:
 		respond.fail(http.StatusNotFound, "no such thing")
 	}
@@ -120,7 +86,7 @@
 func (w *worker) serveInfer(respond responder, m *http1.Message, function string) *workerRequest {
 	id := m.Header.Get("Ce-Source") + "#" + m.Header.Get("Ce-Id")
 	_, frontEnd, _ := strings.Cut(m.Header.Get("Via"), " ")
-	r := &workerRequest{id: id, class: m.Header.Get("Ce-Type"), respond: respond, startKind: startWarm,
+	r := &workerRequest{id: id, class: m.Header.Get("Ce-Type"), respond: respond, startKind: fakes.StartWarm,
 		attempt: w.site.newestAttempt[frontEnd+" "+id]}
 	switch {
 	case w.faultHits(FaultHang):
@@ -156,7 +122,7 @@
 	check = func() {
 		switch {
 		case r.ready >= replicas || r.loading == 0 && r.ready > 0:
-			respond.send(http.StatusOK, digestHeader(r), loadResponse{loadParameters{r.ready}})
+			respond.send(http.StatusOK, digestHeader(r), fakes.LoadResponse{Parameters: fakes.LoadParameters{Copies: r.ready}})
 		case r.loading == 0:
 			respond.fail(http.StatusInternalServerError, "the load failed")
 		default:
--- a/internal/simulation/worker_replicas.go
+++ b/internal/simulation/worker_replicas.go
@@ -7,14 +7,6 @@
 	"streamcleat/internal/invariants"
 )
 
-// How a request found its function, as the header Server-Timing names it.
-const (
-	startWarm       = "warm"
-	startJoined     = "joined" // waited for a load that another began
-	startLoad       = "load"   // began the load
-	startLoadFailed = "load-failed"
-)
-
 // replicaSet is the replicas of one version of a function on a worker.
 type replicaSet struct {
 	function  *fakes.Function
@@ -77,11 +69,11 @@
 
 // awaitLoad lets a request wait for a load that is under way or that it begins, or rejects it.
 func (w *worker) awaitLoad(r *workerRequest) bool {
-	r.startKind = startJoined
+	r.startKind = fakes.StartJoined
 	if r.replicas.loading > 0 {
 		return true
 	}
-	r.startKind = startLoad
+	r.startKind = fakes.StartLoad
 	switch {
 	case !w.site.script.LoadOnRequest:
 		r.respond.fail(http.StatusNotFound, "not loaded")
@@ -104,7 +96,7 @@
 		coreFree, replicaFree := w.active < w.cores, replicas.busy < replicas.capacity()
 		switch {
 		case replicas.ready == 0 && replicas.loading == 0:
-			r.respond.send(http.StatusNotFound, "Server-Timing: "+startLoadFailed+"\r\n", errorMessage{"the load failed"})
+			r.respond.send(http.StatusNotFound, "Server-Timing: "+fakes.StartLoadFailed+"\r\n", fakes.ErrorMessage{Error: "the load failed"})
 		case coreFree && replicaFree:
 			w.run(r)
 		default:
@@ -143,9 +135,9 @@
 		replicas.idleSince = w.scheduler.now
 	}
 	if !r.cancelled && !w.faultHits(FaultLoseResponses) {
-		response := inferResponse{ID: r.id, ModelName: replicas.function.Name, Outputs: []struct{}{}}
+		response := fakes.InferResponse{ID: r.id, ModelName: replicas.function.Name, Outputs: []struct{}{}}
 		if !first {
-			response.Parameters = &inferParameters{Repeat: true}
+			response.Parameters = &fakes.InferParameters{Repeat: true}
 		}
 		r.respond.send(http.StatusOK, "Server-Timing: "+r.startKind+"\r\n"+digestHeader(replicas), response)
 	}
