--- a/internal/invariants/record.go
+++ b/internal/invariants/record.go
@@ -21,7 +21,7 @@
 	Ran              Kind = "ran"      // the request was executed there
 	Ended            Kind = "ended"    // the worker's response left, or either side closed the connection
 	Ordered          Kind = "ordered"  // a load command reached a worker
-	EndpointUpdated  Kind = "told"     // the endpoint list changed: Phase, Born
+	EndpointUpdated  Kind = "told"     // the endpoint list changed: EndpointState, StartedAt
 	WorkerOverloaded Kind = "down"     // a cold worker failed under too much load
 	WorkerStarted    Kind = "born"     // a worker process started cold
 )
@@ -50,7 +50,7 @@
 	EndpointState string  `json:"phase,omitempty"`  // of the worker in the endpoint list
 	StartedAt     float64 `json:"born,omitempty"`   // start of the worker
 	Replicas      int     `json:"copies,omitempty"` // replicas that a load command asks for
-	Digest        string  `json:"digest,omitempty"` // of the version: asked for (Launched), executed (Ran), named to the client (Answered)
+	Digest        string  `json:"digest,omitempty"` // of the version: asked for by an attempt, executed, or named to the client
 }
 
 // Write writes records as JSON lines.
