--- a/cmd/streamcleat/architecture_test.go
+++ b/cmd/streamcleat/architecture_test.go
@@ -96,17 +96,17 @@
 	qualified := regexp.MustCompile(`^[a-z][a-z0-9]*(\.[A-Z][A-Za-z0-9]*){1,2}$`)
 	checked := 0
 	for _, match := range regexp.MustCompile("`([^`\n]+)`").FindAllSubmatch(page, -1) {
-		token := string(match[1])
+		name := string(match[1])
 		switch {
-		case path.MatchString(token):
+		case path.MatchString(name):
 			checked++
-			if _, err := os.Stat(filepath.Join(root, token)); err != nil {
-				t.Errorf("`%s`: %v", token, err)
+			if _, err := os.Stat(filepath.Join(root, name)); err != nil {
+				t.Errorf("`%s`: %v", name, err)
 			}
-		case qualified.MatchString(token):
+		case qualified.MatchString(name):
 			checked++
-			if !names[token] {
-				t.Errorf("`%s`: no such declaration", token)
+			if !names[name] {
+				t.Errorf("`%s`: no such declaration", name)
 			}
 		}
 	}
--- a/internal/eventloop/server_test.go
+++ b/internal/eventloop/server_test.go
@@ -79,7 +79,7 @@
 		{fakes.Fault{Kind: "reset"}, "again", 200, 1},
 		{fakes.Fault{Kind: "reset"}, "once", 502, 0}, // it never ran, but nobody can know
 	} {
-		t.Run(c.fault.Kind+" "+c.class, func(t *testing.T) {
+		t.Run(string(c.fault.Kind)+" "+c.class, func(t *testing.T) {
 			f := newFixture(t, 2, "")
 			f.warmUp()
 			f.inject(c.fault) // whoever is warm fails until it is taken back
