--- a/cmd/streamcleat/bench.go
+++ b/cmd/streamcleat/bench.go
@@ -15,9 +15,9 @@
 	cmd := &cobra.Command{Use: "bench", Short: "Measurements, each with its baseline in the same run"}
 	cmd.AddCommand(
 		loadBenchCommand("front", "The way through a front end beside the same client straight at fake workers", 5000,
-			scenario.Bench, formatFrontRow),
+			scenario.BenchFrontEnd, formatFrontRow),
 		loadBenchCommand("keeping", "What it costs to keep records of at-most-once requests on disk, with and without group commit", 2000,
-			scenario.BenchKeeping, formatKeepingRow),
+			scenario.BenchStore, formatKeepingRow),
 		recoveryBenchCommand())
 	return cmd
 }
@@ -46,16 +46,16 @@
 	return cmd
 }
 
-func formatFrontRow(r scenario.BenchRow) string {
+func formatFrontRow(r scenario.FrontEndRow) string {
 	return fmt.Sprintf("%3d connections: %.2f of the direct events a second; p50 %.2f times, p99 %.2f times the direct one "+
 		"(%.0f against %.0f a second, p50 %.2f against %.2f ms, p99 %.2f against %.2f ms)", r.Connections, r.RateRatio,
-		r.P50Ratio, r.P99Ratio, r.Front.Rate, r.Direct.Rate, r.Front.P50, r.Direct.P50, r.Front.P99, r.Direct.P99)
+		r.P50Ratio, r.P99Ratio, r.FrontEnd.Rate, r.Direct.Rate, r.FrontEnd.P50, r.Direct.P50, r.FrontEnd.P99, r.Direct.P99)
 }
 
-func formatKeepingRow(r scenario.KeepRow) string {
+func formatKeepingRow(r scenario.StoreRow) string {
 	return fmt.Sprintf("%3d connections, %-24s %.2f of the events a second without a store (%.0f), p50 %.2f ms, "+
 		"%.2f syncs and %.2f notes an event, heap %.0f MB",
-		r.Connections, r.Way+":", r.RateRatio, r.Rate, r.P50, r.SyncsAnEvent, r.NotesAnEvent, r.HeapMegabytes)
+		r.Connections, r.Mode+":", r.RateRatio, r.Rate, r.P50, r.SyncsPerRequest, r.RecordsPerRequest, r.HeapMegabytes)
 }
 
 func recoveryBenchCommand() *cobra.Command {
@@ -79,8 +79,8 @@
 }
 
 func formatRecoveryRow(r scenario.RecoveryRow) string {
-	return fmt.Sprintf("%8d events, %4d MB: state read in %.2f s, taken up in %.2f s, %.1f us an event", r.Events, r.Bytes>>20,
-		r.Open, r.Restore, r.PerEvent)
+	return fmt.Sprintf("%8d events, %4d MB: state read in %.2f s, taken up in %.2f s, %.1f us an event", r.Requests, r.Bytes>>20,
+		r.OpenTime, r.RestoreTime, r.PerRequest)
 }
 
 // printRows prints measurements, as one JSON list or a line for each.
--- a/cmd/streamcleat/box.go
+++ b/cmd/streamcleat/box.go
@@ -32,10 +32,10 @@
 		consoleCommand(),
 		statusCommand(),
 		listCommand("workers", "Workers as the front ends believe them to be", console.WorkerRows),
-		listCommand("handlers", "Functions that were requested lately, and where they are loaded", console.HandlerRows),
-		listCommand("events", "Requests that are open or ended lately", console.EventRows),
-		listCommand("timers", "Timer entries with their last and next firing", func(list []appliance.Timer) [][]string {
-			return console.TimerRows(list, time.Now())
+		listCommand("handlers", "Functions that were requested lately, and where they are loaded", console.FunctionRows),
+		listCommand("events", "Requests that are open or ended lately", console.RequestRows),
+		listCommand("timers", "Timer entries with their last and next firing", func(list []appliance.ScheduleStatus) [][]string {
+			return console.ScheduleRows(list, time.Now())
 		}),
 		explainCommand(),
 		orderCommand("drain WORKER", "Send a worker no new requests", orderDrain),
@@ -138,7 +138,7 @@
 	cmd := queryCommand("explain ID", "The trace of one request: replicas known, each attempt, load and wait, and why it ended so", cobra.ExactArgs(1),
 		func(c *console.Client, args []string) (any, func() string, error) {
 			request, err := c.Explain(args[0])
-			return request, func() string { return console.EventText(request) }, err
+			return request, func() string { return console.RequestText(request) }, err
 		})
 	cmd.Long = "explain takes an event's id, or source#id."
 	return cmd
@@ -149,7 +149,7 @@
 	cmd := &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(1)}
 	client := clientFlags(cmd)
 	cmd.RunE = func(_ *cobra.Command, args []string) error {
-		return sendOrder(client, appliance.Command{Order: order, Target: args[0]})
+		return sendOrder(client, appliance.Command{Name: order, Target: args[0]})
 	}
 	return cmd
 }
@@ -161,7 +161,7 @@
 	client := clientFlags(cmd)
 	cmd.Flags().BoolVar(&release, "release", false, "let it fire again")
 	cmd.RunE = func(_ *cobra.Command, args []string) error {
-		return sendOrder(client, appliance.Command{Order: orderSuspend, Target: args[0], Release: release})
+		return sendOrder(client, appliance.Command{Name: orderSuspend, Target: args[0], Resume: release})
 	}
 	return cmd
 }
@@ -172,7 +172,7 @@
 	if err != nil {
 		return err
 	}
-	answer, err := c.Order(order)
+	answer, err := c.Execute(order)
 	if err != nil {
 		return err
 	}
@@ -187,7 +187,7 @@
 	cmd.Flags().BoolVar(&immediate, "now", false, "answer what is open at once")
 	cmd.Flags().BoolVar(&wait, "wait", false, "return when the box has stopped")
 	cmd.RunE = func(*cobra.Command, []string) error {
-		if err := sendOrder(client, appliance.Command{Order: orderStop, Now: immediate}); err != nil || !wait {
+		if err := sendOrder(client, appliance.Command{Name: orderStop, Immediate: immediate}); err != nil || !wait {
 			return err
 		}
 		c, err := client()
@@ -203,7 +203,7 @@
 func waitUntilStopped(c *console.Client) error {
 	for {
 		var status appliance.Status
-		var unreached *console.Unreached
+		var unreached *console.UnreachableError
 		err := c.Get("status", &status)
 		switch {
 		case errors.As(err, &unreached):
--- a/cmd/streamcleat/box_test.go
+++ b/cmd/streamcleat/box_test.go
@@ -29,7 +29,7 @@
 type site struct {
 	t       *testing.T
 	dir     string
-	records *invariants.Tape
+	records *invariants.Recorder
 	workers []*fakes.Worker
 	front   string
 
@@ -50,21 +50,21 @@
 
 func newSite(t *testing.T, workers int) *site {
 	t.Helper()
-	s := &site{t: t, dir: t.TempDir(), records: invariants.NewTape(), front: freeAddress(t), statuses: map[string][]int{}}
+	s := &site{t: t, dir: t.TempDir(), records: invariants.NewRecorder(), front: freeAddress(t), statuses: map[string][]int{}}
 	functions := fakes.Catalogue(6, 0.03, 5)
 	store := fakes.NewStore(4, 16)
-	memory := fakes.NewMemory(60)
+	memory := fakes.NewDeduplicator(60)
 	for i := range workers {
-		worker, err := fakes.NewWorker(fakes.Spec{Name: fmt.Sprintf("wk-%d", i), Kind: "std", Cores: 2, Speed: 1, Memory: 8000, Queue: 64,
-			LoadsAtOnce: 4, Keep: 20, ColdShare: 0.5, WarmWithin: 1, FallFactor: 5, FallWindow: 1, MeanWork: 0.03, Functions: functions,
-			Store: store, Drops: memory, Keyed: map[string]bool{"till-entry": true}, Tape: s.records, Seed: uint64(i)})
+		worker, err := fakes.NewWorker(fakes.WorkerConfig{Name: fmt.Sprintf("wk-%d", i), MachineType: "std", Cores: 2, Speed: 1, Memory: 8000, QueueLimit: 64,
+			MaxConcurrentLoads: 4, IdleReplicaLifetime: 20, ColdShare: 0.5, WarmUpTime: 1, OverloadFactor: 5, OverloadWindow: 1, MeanWork: 0.03, Functions: functions,
+			Store: store, Deduplicator: memory, KeyedClasses: map[string]bool{"till-entry": true}, Recorder: s.records, Seed: uint64(i)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(worker.Close)
 		s.workers = append(s.workers, worker)
 	}
-	if _, err := fakes.NewList(filepath.Join(s.dir, "workers.json"), s.records, s.workers); err != nil {
+	if _, err := fakes.NewEndpointList(filepath.Join(s.dir, "workers.json"), s.records, s.workers); err != nil {
 		t.Fatal(err)
 	}
 	s.write("crontab", "0 0 1 1 * price-reset shop-001 minato %{\"reset\":1}\n")
@@ -239,21 +239,21 @@
 
 // record keeps an attempt and its answer for the rules.
 func (s *site) record(f schedule.Firing, _ string, remaining time.Duration) func(int, string, error) {
-	r := invariants.Record{Kind: invariants.Asked, Event: "/sale#" + f.ID, Type: f.Entry.Class, Front: "box-1", Call: s.records.Call(), Wait: remaining.Seconds()}
+	r := invariants.Record{Kind: invariants.RequestSent, RequestID: "/sale#" + f.ID, Class: f.Entry.Class, FrontEnd: "box-1", CallID: s.records.NextCallID(), Timeout: remaining.Seconds()}
 	s.records.Add(r)
 	return func(status int, digest string, _ error) {
 		r.Digest = digest
 		r.Status = status
-		r.Kind = invariants.Answered
+		r.Kind = invariants.ResponseReceived
 		switch status {
 		case 0: // the test stopped or killed the box
-			r.Kind = invariants.Lost
+			r.Kind = invariants.ConnectionLost
 		case http.StatusOK:
-			r.Outcome = invariants.Handled
+			r.Outcome = invariants.Succeeded
 		case http.StatusServiceUnavailable:
-			r.Outcome = invariants.Deferred
+			r.Outcome = invariants.Rejected
 		default:
-			r.Outcome = invariants.DeadLettered
+			r.Outcome = invariants.Failed
 		}
 		s.records.Add(r)
 	}
@@ -262,12 +262,12 @@
 // verify checks the rules on all that passed.
 func (s *site) verify() invariants.Verdict {
 	s.t.Helper()
-	v := invariants.Judge(invariants.Rules{Effect: map[string]string{"shop-event": "redeliverable", "till-entry": "keyed", "price-reset": "at-most-once"},
-		Remembered: map[string]float64{"till-entry": 60}, DrainGrace: 0.5, Grace: 0.15}, s.records.Records())
-	if v.Broken > 0 {
-		s.t.Errorf("%d rules broken: %v", v.Broken, v.Faults)
+	v := invariants.Check(invariants.Rules{Semantics: map[string]string{"shop-event": "redeliverable", "till-entry": "keyed", "price-reset": "at-most-once"},
+		DeduplicationWindow: map[string]float64{"till-entry": 60}, DrainGrace: 0.5, ObservationDelay: 0.15}, s.records.Records())
+	if v.RulesBroken > 0 {
+		s.t.Errorf("%d rules broken: %v", v.RulesBroken, v.Violations)
 	}
-	if v.Handled < 100 {
+	if v.Succeeded < 100 {
 		s.t.Errorf("nothing much happened: %+v", v)
 	}
 	return v
@@ -301,10 +301,10 @@
 		t.Error(got)
 	}
 	v := s.verify()
-	if v.Lost == 0 {
+	if v.ConnectionsLost == 0 {
 		t.Error("no client was waiting when the box was killed")
 	}
-	t.Logf("%d asks: %d handled, %d deferred, %d dead-lettered, %d lost with the box", v.Events, v.Handled, v.Deferred, v.DeadLettered, v.Lost)
+	t.Logf("%d asks: %d handled, %d deferred, %d dead-lettered, %d lost with the box", v.Requests, v.Succeeded, v.Rejected, v.Failed, v.ConnectionsLost)
 }
 
 // drainAndDisappear drains a worker, looks at requests and functions, and is killed in mid-drain without a word.
--- a/cmd/streamcleat/check.go
+++ b/cmd/streamcleat/check.go
@@ -21,8 +21,8 @@
 				return err
 			}
 			entries := 0
-			if c.Timers != nil {
-				list, err := readCrontab(c.Path(c.Timers.Crontab))
+			if c.Schedules != nil {
+				list, err := readCrontab(c.Path(c.Schedules.Crontab))
 				if err != nil {
 					return err
 				}
--- a/cmd/streamcleat/fake.go
+++ b/cmd/streamcleat/fake.go
@@ -75,7 +75,7 @@
 		fmt.Printf("worker %s listens on %s\n", worker.Name(), worker.Addr())
 	}
 	if o.listFile != "" {
-		if _, err := fakes.NewList(o.listFile, nil, workers); err != nil {
+		if _, err := fakes.NewEndpointList(o.listFile, nil, workers); err != nil {
 			return err
 		}
 	}
@@ -84,30 +84,30 @@
 }
 
 // spec describes the worker of an index, without what the workers share.
-func (o fakeWorkerOptions) spec(index int) fakes.Spec {
+func (o fakeWorkerOptions) spec(index int) fakes.WorkerConfig {
 	address := "127.0.0.1:0"
 	if o.address != "" && o.count == 1 {
 		address = o.address
 	}
-	return fakes.Spec{
-		Name:         fmt.Sprintf("wk-%02d", index),
-		Addr:         address,
-		Kind:         "std",
-		Cores:        o.cores,
-		Speed:        1,
-		Memory:       8000,
-		Queue:        64,
-		LoadsAtOnce:  4,
-		Keep:         9,
-		ColdShare:    0.29,
-		WarmWithin:   16,
-		FallFactor:   2.5,
-		FallWindow:   1.5,
-		LoadsOnEvent: o.loadOnEvent,
-		MeanWork:     0.04,
-		Drops:        fakes.NewMemory(60),
-		Keyed:        map[string]bool{"till-entry": true},
-		Seed:         o.seed + uint64(index),
+	return fakes.WorkerConfig{
+		Name:                fmt.Sprintf("wk-%02d", index),
+		Addr:                address,
+		MachineType:         "std",
+		Cores:               o.cores,
+		Speed:               1,
+		Memory:              8000,
+		QueueLimit:          64,
+		MaxConcurrentLoads:  4,
+		IdleReplicaLifetime: 9,
+		ColdShare:           0.29,
+		WarmUpTime:          16,
+		OverloadFactor:      2.5,
+		OverloadWindow:      1.5,
+		LoadsOnRequest:      o.loadOnEvent,
+		MeanWork:            0.04,
+		Deduplicator:        fakes.NewDeduplicator(60),
+		KeyedClasses:        map[string]bool{"till-entry": true},
+		Seed:                o.seed + uint64(index),
 	}
 }
 
--- a/cmd/streamcleat/keys_test.go
+++ b/cmd/streamcleat/keys_test.go
@@ -17,9 +17,9 @@
 )
 
 // documents are the types that are read from or written to files, sockets and standard output as JSON.
-var documents = []any{appliance.Status{}, appliance.Worker{}, appliance.FunctionStatus{}, appliance.RequestStatus{}, appliance.Timer{}, appliance.Command{},
+var documents = []any{appliance.Status{}, appliance.WorkerStatus{}, appliance.FunctionStatus{}, appliance.RequestStatus{}, appliance.ScheduleStatus{}, appliance.Command{},
 	appliance.Change{}, config.Config{}, deployment.Terms{}, fakes.Fault{}, invariants.Record{}, invariants.Rules{}, invariants.Verdict{},
-	registry.Entry{}, registry.View{}, signing.Ring{}, scenario.Script{}, scenario.Report{}, scenario.BenchRow{}, scenario.KeepRow{},
+	registry.Entry{}, registry.View{}, signing.Ring{}, scenario.Script{}, scenario.Report{}, scenario.FrontEndRow{}, scenario.StoreRow{},
 	scenario.RecoveryRow{}, simulation.Script{}, simulation.Report{}, simulation.Explored{}, changeAnswer{}}
 
 // fieldsWithoutKey returns the fields under a type of this program whose JSON key is their Go name.
--- a/cmd/streamcleat/node_limits.go
+++ b/cmd/streamcleat/node_limits.go
@@ -63,8 +63,8 @@
 
 // maxOpenRequests is how many requests may be open: as many as the platform takes, and as their bodies fit into memory.
 func maxOpenRequests(document *platform.Document) int {
-	fit := int(document.MemoryMB * mebibyte / bodyMemoryDivisor / (downstream.BodyMost + requestOverheadBytes))
-	return min(document.Terms.Caps.MaxOpen, fit)
+	fit := int(document.MemoryMB * mebibyte / bodyMemoryDivisor / (downstream.MaxBody + requestOverheadBytes))
+	return min(document.Terms.Limits.MaxOpen, fit)
 }
 
 // connectionLimits divides the descriptors between clients and workers.
@@ -81,14 +81,14 @@
 
 // upstreamLimits are those of all connections to workers.
 func upstreamLimits(document *platform.Document, connections int) platformupstream.Limits {
-	caps := &document.Terms.Caps
+	caps := &document.Terms.Limits
 	return platformupstream.Limits{
 		DialTimeout:         caps.DialTimeoutMs / millisecondsPerSecond,
-		IdleTimeout:         caps.IdleCloseMs / millisecondsPerSecond * upstreamIdleShare,
+		IdleTimeout:         caps.IdleTimeoutMs / millisecondsPerSecond * upstreamIdleShare,
 		MaxTotal:            connections,
 		MaxPerWorker:        max(connections/perWorkerDivisor, minConnectionsPerWorker),
 		MaxStreams:          max(caps.MaxStreams, 1),
-		IdempotencyKeyField: downstream.KeyField,
+		IdempotencyKeyField: downstream.IdempotencyKeyField,
 	}
 }
 
@@ -103,16 +103,16 @@
 		tenants[string(tenant.Name)] = true
 	}
 	return &downstream.Limits{
-		Open:     maxRequestsPerConnection,
-		First:    firstFrameTimeout,
-		Arrival:  frameArrivalTimeout,
-		Idle:     clientIdleTimeout,
-		MaxAge:   func(class string) float64 { return timeouts[class] },
-		Tenant:   func(name string) bool { return len(tenants) == 0 || tenants[name] },
-		Ready:    ready,
-		MemoryMB: maxReplicaMemoryMB,
-		Lanes:    maxReplicaConcurrency,
-		Load:     maxLoadSeconds,
-		Work:     maxWorkSeconds,
+		MaxOpen:           maxRequestsPerConnection,
+		FirstFrameTimeout: firstFrameTimeout,
+		FrameTimeout:      frameArrivalTimeout,
+		IdleTimeout:       clientIdleTimeout,
+		ClassTimeout:      func(class string) float64 { return timeouts[class] },
+		HasTenant:         func(name string) bool { return len(tenants) == 0 || tenants[name] },
+		IsReady:           ready,
+		MaxMemoryMB:       maxReplicaMemoryMB,
+		MaxConcurrency:    maxReplicaConcurrency,
+		MaxLoadTime:       maxLoadSeconds,
+		MaxExpectedWork:   maxWorkSeconds,
 	}
 }
--- a/cmd/streamcleat/node_runtime.go
+++ b/cmd/streamcleat/node_runtime.go
@@ -35,7 +35,7 @@
 	n := &nodeRuntime{document: document, log: log}
 	// The workers' starts are Unix times in the journal, and on the event loop's clock in the endpoint list.
 	clockOffset := eventloop.Now() - float64(time.Now().UnixNano())/1e9
-	journal := document.Known
+	journal := document.Discovery
 	settings := n.serverSettings()
 	// The list of the start is in force before a client's first byte is read: nothing waits for the watch.
 	settings.OnStart = func(p *proxy.Proxy) {
@@ -70,8 +70,8 @@
 		Peers:         document.Peers,
 		PeerBroadcast: document.PeerBroadcast,
 	}
-	if document.PeerListen != "" && document.Terms.Me < len(document.Peers) {
-		settings.Self = document.Peers[document.Terms.Me]
+	if document.PeerListen != "" && document.Terms.FrontEndIndex < len(document.Peers) {
+		settings.Self = document.Peers[document.Terms.FrontEndIndex]
 	}
 	return settings
 }
@@ -90,7 +90,7 @@
 		Dispatch: dispatch.Settings{
 			Deployment:      deployment,
 			ResponseMargin:  responseMargin,
-			LoadTimeout:     document.Terms.Domain.OrderTimeoutMs / millisecondsPerSecond,
+			LoadTimeout:     document.Terms.Loading.LoadTimeoutMs / millisecondsPerSecond,
 			MaxOpen:         maxOpenRequests(document),
 			Seed:            document.Seed,
 			CancelAbandoned: true,
@@ -103,7 +103,7 @@
 			return platformupstream.NewPool(poolLimits, transport, results)
 		},
 	}
-	settings.Downstream.Unread = maxUnreadBytes(document, clients)
+	settings.Downstream.MaxUnread = maxUnreadBytes(document, clients)
 	settings.Upstream.DialTimeout = poolLimits.DialTimeout
 	return settings
 }
--- a/cmd/streamcleat/node_shutdown.go
+++ b/cmd/streamcleat/node_shutdown.go
@@ -18,7 +18,7 @@
 func (n *nodeRuntime) serve(stop <-chan struct{}, reload <-chan os.Signal, read func() (*platform.Document, error)) error {
 	loopEnded := make(chan error, 1)
 	go func() { loopEnded <- n.server.Wait() }() // ends with the loop, which every return below follows or ends
-	shutdown := platform.Shutdown{MaxAge: n.maxRequestTimeout()}
+	shutdown := platform.Shutdown{MaxRequestTimeout: n.maxRequestTimeout()}
 	var stoppedAt time.Time
 	var poll <-chan time.Time
 	for {
@@ -47,8 +47,8 @@
 
 // maxRequestTimeout is the longest time, in seconds, that a client waits for a response.
 func (n *nodeRuntime) maxRequestTimeout() (longest float64) {
-	for _, class := range n.document.Terms.Classes {
-		longest = max(longest, class.GiveUpMs/millisecondsPerSecond)
+	for _, class := range n.document.Terms.RequestClasses {
+		longest = max(longest, class.TimeoutMs/millisecondsPerSecond)
 	}
 	return longest
 }
--- a/cmd/streamcleat/registry.go
+++ b/cmd/streamcleat/registry.go
@@ -41,7 +41,7 @@
 		func(c *console.Client, _ []string) (any, func() string, error) {
 			var entries []registry.Entry
 			err := c.Get(auditTrailResource, &entries)
-			return entries, func() string { return console.Table(console.TrailRows(entries)) }, err
+			return entries, func() string { return console.Table(console.AuditRows(entries)) }, err
 		})
 }
 
--- a/cmd/streamcleat/registry_change.go
+++ b/cmd/streamcleat/registry_change.go
@@ -199,7 +199,7 @@
 	flags := cmd.Flags()
 	flags.StringVar(&release.Alias, "alias", registry.Current, "alias that moves")
 	flags.StringSliceVar(&release.Functions, "functions", nil, "functions; none: all that have the version")
-	flags.IntVar(&release.Loads, "loads", 4, "loads at a time")
+	flags.IntVar(&release.MaxConcurrentLoads, "loads", 4, "loads at a time")
 	return changeCommand(cmd, func(_ *console.Client, args []string) (appliance.Change, error) {
 		release.Tag = args[0]
 		return appliance.Change{Release: &release}, nil
@@ -213,7 +213,7 @@
 		if err != nil {
 			return appliance.Change{}, err
 		}
-		change := appliance.Change{Back: &struct {
+		change := appliance.Change{Rollback: &struct {
 			Function string `json:"function"`
 			Alias    string `json:"alias"`
 		}{ref.Function, ref.Tag}}
--- a/cmd/streamcleat/registry_signing.go
+++ b/cmd/streamcleat/registry_signing.go
@@ -89,7 +89,7 @@
 	if err := writeNewFile(id+keyFileSuffix, private); err != nil {
 		return err
 	}
-	return indentedJSON().Encode(signing.Ring{Need: 1, Keys: []signing.Key{key}})
+	return indentedJSON().Encode(signing.Ring{Threshold: 1, Keys: []signing.Key{key}})
 }
 
 // writeNewFile writes a file that only its owner may read; one that exists is an error.
--- a/cmd/streamcleat/scenario.go
+++ b/cmd/streamcleat/scenario.go
@@ -121,14 +121,14 @@
 
 func printReport(r *scenario.Report) {
 	verdict := "all five rules held"
-	if r.Broken > 0 {
-		verdict = fmt.Sprintf("%d of five rules BROKEN", r.Broken)
+	if r.RulesBroken > 0 {
+		verdict = fmt.Sprintf("%d of five rules BROKEN", r.RulesBroken)
 	}
 	fmt.Printf("%s, seed %d, %.1f s: %s\n", r.Script, r.Seed, r.Seconds, verdict)
 	fmt.Printf("  events     %d asked: %d handled, %d deferred, %d dead-lettered, %d refused, %d clients left, %d unanswered\n",
-		r.Events, r.Handled, r.Deferred, r.DeadLettered, r.Refused, r.Left, r.Unanswered)
-	fmt.Printf("  service    %.1f%% of %d firings handled in time, %.1f%% in the worst 2 s; %d asks joined another's event\n", 100*r.InTime, r.Firings, 100*r.Worst, r.Joined)
-	fmt.Printf("  launches   %d, load orders %d, store fetches %d\n", r.Launches, r.Orders, r.Fetches)
+		r.Requests, r.Succeeded, r.Rejected, r.Failed, r.Invalid, r.Cancelled, r.Unanswered)
+	fmt.Printf("  service    %.1f%% of %d firings handled in time, %.1f%% in the worst 2 s; %d asks joined another's event\n", 100*r.InTime, r.Firings, 100*r.WorstInTime, r.Deduplicated)
+	fmt.Printf("  launches   %d, load orders %d, store fetches %d\n", r.Attempts, r.LoadCommands, r.Fetches)
 	fmt.Printf("  latency    p50 %.0f ms, p90 %.0f ms, p99 %.0f ms, max %.0f ms\n", r.Latency["p50"], r.Latency["p90"],
 		r.Latency["p99"], r.Latency["max"])
 	var causes []string
@@ -141,8 +141,8 @@
 	}
 	fmt.Printf("  rule 1 %d unanswered, %d answered twice, %d sent after the end; rule 2 %d launches at once, %d ran twice, "+
 		"%d bad deferrals\n  rule 3 %d after drain; rule 4 %d cold pushes; rule 5 %d load floods\n",
-		r.Unanswered, r.Twice, r.AfterEnd, r.AtOnce, r.RanTwice, r.BadDeferral, r.AfterDrain, r.ColdPushed, r.Flooded)
-	for _, f := range append(r.Faults, r.Failures...) {
+		r.Unanswered, r.DuplicateResponses, r.AttemptsAfterEnd, r.ConcurrentAttempts, r.DuplicateExecutions, r.WrongRejections, r.SentAfterDrain, r.ColdOverloads, r.ExcessLoadCommands)
+	for _, f := range append(r.Violations, r.Failures...) {
 		fmt.Println("  !", f)
 	}
 }
--- a/cmd/streamcleat/simulate.go
+++ b/cmd/streamcleat/simulate.go
@@ -60,7 +60,7 @@
 		if o.asJSON {
 			writeErr = errors.Join(writeErr, encoder.Encode(r))
 		} else if !r.OK() {
-			fmt.Printf("seed %d: %s\n", r.Seed, strings.Join(r.Broke, "\n    "))
+			fmt.Printf("seed %d: %s\n", r.Seed, strings.Join(r.Findings, "\n    "))
 		}
 	})
 	if err := errors.Join(err, writeErr); err != nil {
@@ -194,7 +194,7 @@
 		return err
 	}
 	fmt.Fprintf(os.Stderr, "%d faults of %d are left after %d runs; it breaks: %s\n", len(small.Faults), len(script.Faults), runs,
-		strings.Join(report.Broke, "; "))
+		strings.Join(report.Findings, "; "))
 	if output == "" {
 		fmt.Println(string(data))
 		return nil
@@ -242,8 +242,8 @@
 	if err := indentedJSON().Encode(result); err != nil {
 		return err
 	}
-	if len(result.Broke) > 0 {
-		return fmt.Errorf("%d ways broke a rule", len(result.Broke))
+	if len(result.Violations) > 0 {
+		return fmt.Errorf("%d ways broke a rule", len(result.Violations))
 	}
 	return nil
 }
--- a/cmd/streamcleat/verify.go
+++ b/cmd/streamcleat/verify.go
@@ -40,12 +40,12 @@
 	if err != nil {
 		return usageError(fmt.Errorf("%s: %w", recordFile, err))
 	}
-	verdict := invariants.Judge(rules, records)
+	verdict := invariants.Check(rules, records)
 	if err := indentedJSON().Encode(verdict); err != nil {
 		return err
 	}
-	if verdict.Broken > 0 {
-		return fmt.Errorf("%d of five rules broken", verdict.Broken)
+	if verdict.RulesBroken > 0 {
+		return fmt.Errorf("%d of five rules broken", verdict.RulesBroken)
 	}
 	return nil
 }
--- a/internal/appliance/api_commands.go
+++ b/internal/appliance/api_commands.go
@@ -26,11 +26,11 @@
 
 // Command is what a console asks the appliance to do.
 type Command struct {
-	Order   string `json:"order"` // drain, return, hold, fire, unload, stop
-	Target  string `json:"target,omitempty"`
-	Now     bool   `json:"now,omitempty"`     // stop: do not wait for open requests
-	Release bool   `json:"release,omitempty"` // hold: let the entry fire again
-	Console string `json:"console"`           // name of the console
+	Name      string `json:"order"` // drain, return, hold, fire, unload, stop
+	Target    string `json:"target,omitempty"`
+	Immediate bool   `json:"now,omitempty"`     // stop: do not wait for open requests
+	Resume    bool   `json:"release,omitempty"` // hold: let the entry fire again
+	Console   string `json:"console"`           // name of the console
 }
 
 // consoleSession is the console that may give commands; the others are told its name.
@@ -58,8 +58,8 @@
 	if err := a.admitCommand(command); err != nil {
 		return "", err
 	}
-	a.log.Info("command", "command", command.Order, "target", command.Target, "console", command.Console, "now", command.Now)
-	switch command.Order {
+	a.log.Info("command", "command", command.Name, "target", command.Target, "console", command.Console, "now", command.Immediate)
+	switch command.Name {
 	case commandStop:
 		return a.requestStop(command), nil
 	case commandDrain:
@@ -69,7 +69,7 @@
 	case commandUnload:
 		return a.unloadReplicas(command.Target)
 	case commandHold:
-		return a.suspendEntry(command.Target, command.Release)
+		return a.suspendEntry(command.Target, command.Resume)
 	}
 	return a.fireEntry(command.Target)
 }
@@ -84,7 +84,7 @@
 	if active.name != "" && active.name != command.Console && now.Sub(active.lastCommand) < consoleTimeout {
 		return fmt.Errorf("console %s gives orders now; it gives way %v after its last", active.name, consoleTimeout)
 	}
-	if err := a.lifecycle.Allows(command.Order); err != nil {
+	if err := a.lifecycle.Allows(command.Name); err != nil {
 		return err
 	}
 	*active = consoleSession{name: command.Console, lastCommand: now}
@@ -92,7 +92,7 @@
 }
 
 func (a *Appliance) requestStop(command Command) string {
-	if command.Now {
+	if command.Immediate {
 		a.post(ImmediateStopRequested, "console "+command.Console)
 		return "the box answers what is open and stops"
 	}
--- a/internal/appliance/api_schedules.go
+++ b/internal/appliance/api_schedules.go
@@ -9,8 +9,8 @@
 	"streamcleat/internal/schedule"
 )
 
-// Timer is the status of an entry of the crontab.
-type Timer struct {
+// ScheduleStatus is the status of an entry of the crontab.
+type ScheduleStatus struct {
 	Entry      string     `json:"entry"`
 	Spec       string     `json:"spec"`
 	Zone       string     `json:"zone"`
@@ -20,14 +20,14 @@
 }
 
 // scheduleStatuses returns the entries in the order of the crontab.
-func (a *Appliance) scheduleStatuses() []Timer {
+func (a *Appliance) scheduleStatuses() []ScheduleStatus {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	statuses := []Timer{}
+	statuses := []ScheduleStatus{}
 	for i := range a.entries {
 		entry := &a.entries[i]
 		key := entry.Key()
-		status := Timer{Entry: key, Spec: entry.Spec, Zone: entry.Zone.String(), Suspended: a.suspended[key]}
+		status := ScheduleStatus{Entry: key, Spec: entry.Spec, Zone: entry.Zone.String(), Suspended: a.suspended[key]}
 		if last, ok := a.lastFirings[key]; ok {
 			status.LastFiring = &last
 		}
--- a/internal/appliance/api_status.go
+++ b/internal/appliance/api_status.go
@@ -112,8 +112,8 @@
 func newStoreStatus(store *storage.Store, recovered *storage.RecoveredState) *StoreStatus {
 	status := &StoreStatus{
 		Bytes:            store.Size(),
-		Records:          int(store.Records.Load()),
-		Commits:          int(store.Syncs.Load()),
+		Records:          int(store.CommittedRecords.Load()),
+		Commits:          int(store.CommittedBatches.Load()),
 		QuarantinePath:   recovered.QuarantinePath,
 		RecoveredRecords: len(recovered.Records),
 	}
--- a/internal/appliance/api_workers.go
+++ b/internal/appliance/api_workers.go
@@ -15,8 +15,8 @@
 	workerDraining  = "draining"
 )
 
-// Worker is a worker as the servers know it.
-type Worker struct {
+// WorkerStatus is a worker as the servers know it.
+type WorkerStatus struct {
 	Name             string  `json:"name"`
 	State            string  `json:"state"` // serving, cold, set-aside, draining
 	DrainedByCommand bool    `json:"drained_by_order"`
@@ -31,8 +31,8 @@
 }
 
 // workerStatuses merges what the servers know of the workers; each server sees only its own traffic.
-func (a *Appliance) workerStatuses() []Worker {
-	workers := []Worker{}
+func (a *Appliance) workerStatuses() []WorkerStatus {
+	workers := []WorkerStatus{}
 	index := map[string]int{}
 	for _, server := range a.runningServers() {
 		drained := server.DrainedWorkers()
@@ -46,7 +46,7 @@
 				if !known {
 					position = len(workers)
 					index[name] = position
-					workers = append(workers, Worker{Name: name, MachineType: string(view.MachineType), Zone: string(view.Zone)})
+					workers = append(workers, WorkerStatus{Name: name, MachineType: string(view.MachineType), Zone: string(view.Zone)})
 				}
 				worker := &workers[position]
 				worker.merge(view)
@@ -58,7 +58,7 @@
 }
 
 // merge adds what a server knows of the worker.
-func (w *Worker) merge(view *control.WorkerView) {
+func (w *WorkerStatus) merge(view *control.WorkerView) {
 	switch {
 	case view.State == control.Draining:
 		w.State = workerDraining
--- a/internal/appliance/appliance_test.go
+++ b/internal/appliance/appliance_test.go
@@ -32,7 +32,7 @@
 	if !r.log.contains("a timer's event was not handled") || !r.log.contains("outcome=dead-lettered") {
 		t.Error("what may have run and must not run again was not reported")
 	}
-	r.inject(0, fakes.Fault{Kind: "hang", For: 1e-9})
+	r.inject(0, fakes.Fault{Kind: "hang", Duration: 1e-9})
 	r.start()
 	r.eventually("the idempotent one has succeeded", func() bool { return r.status().Totals["handled"] == 1 })
 	if r.log.contains("once/tally") {
@@ -110,7 +110,7 @@
 			r := newTestAppliance(t, 1, "", nil)
 			r.start()
 			r.sendAgain("warm")
-			r.inject(0, fakes.Fault{Kind: "stall", For: 0.6})
+			r.inject(0, fakes.Fault{Kind: "stall", Duration: 0.6})
 			result := make(chan schedule.Result)
 			go func() { result <- r.sendAgain("open") }()
 			r.eventually("it is in flight", func() bool { return r.status().InFlight == 1 })
@@ -132,7 +132,7 @@
 	r := newTestAppliance(t, 1, "0 0 1 1 * again tally\n", nil)
 	r.start()
 	entries := func() int {
-		var list []Timer
+		var list []ScheduleStatus
 		r.get("timers", &list)
 		return len(list)
 	}
--- a/internal/appliance/background_tasks.go
+++ b/internal/appliance/background_tasks.go
@@ -26,7 +26,7 @@
 	tasks := []BackgroundTask{
 		{Name: taskRollouts, Interval: 0.2, Priority: 4, SliceDuration: 0.05, Urgent: true},
 	}
-	if a.config.Timers != nil {
+	if a.config.Schedules != nil {
 		tasks = append(tasks,
 			BackgroundTask{Name: taskPreload, Interval: 1, Priority: 4, SliceDuration: 0.05, MaxTimeShare: 0.05},
 			BackgroundTask{Name: taskCrontab, Interval: 2, Priority: 1, SliceDuration: 0.1, MaxTimeShare: 0.02, MaxDelay: 60})
--- a/internal/appliance/crash_process_test.go
+++ b/internal/appliance/crash_process_test.go
@@ -107,7 +107,7 @@
 		scheduled: map[dispatch.Identity]bool{},
 	}
 	store, recovered, err := storage.OpenStore("state", storage.Options{FS: fs, Retention: 600,
-		Clock: func() storage.Timestamp { return storage.Timestamp{Boot: "a", Up: clock.now()} }})
+		Clock: func() storage.Timestamp { return storage.Timestamp{BootID: "a", Uptime: clock.now()} }})
 	if err != nil {
 		if killed.Load() {
 			return nil
--- a/internal/appliance/function_registry.go
+++ b/internal/appliance/function_registry.go
@@ -50,7 +50,7 @@
 	registry.Entry
 	Release    *Release `json:"release,omitempty"`
 	Signatures [][]byte `json:"signatures,omitempty"` // envelopes that sign what is published
-	Back       *struct {
+	Rollback   *struct {
 		Function string `json:"function"`
 		Alias    string `json:"alias"`
 	} `json:"back,omitempty"` // the alias returns to its previous version
@@ -114,8 +114,8 @@
 	if change.Release != nil {
 		return g.startRelease(*change.Release, entry.Actor)
 	}
-	if change.Back != nil {
-		move, err := g.registry.Rollback(change.Back.Function, change.Back.Alias)
+	if change.Rollback != nil {
+		move, err := g.registry.Rollback(change.Rollback.Function, change.Rollback.Alias)
 		if err != nil {
 			return "", err
 		}
@@ -138,7 +138,7 @@
 	if g.keyring == nil {
 		return nil
 	}
-	version.SignedBy, err = g.keyring.Vouched(time.Now(), version.Function, version.Name, version.Digest, signatures)
+	version.SignedBy, err = g.keyring.Verify(time.Now(), version.Function, version.Name, version.Digest, signatures)
 	return err
 }
 
@@ -185,7 +185,7 @@
 func (g *functionRegistry) withdrawUnsigned(log *slog.Logger) error {
 	for _, function := range g.registry.List() {
 		for _, version := range function.Versions {
-			if version.Withdrawn || g.keyring.Stands(version.SignedBy) {
+			if version.Withdrawn || g.keyring.IsTrusted(version.SignedBy) {
 				continue
 			}
 			entry := registry.Entry{
--- a/internal/appliance/function_registry_test.go
+++ b/internal/appliance/function_registry_test.go
@@ -61,19 +61,19 @@
 }
 
 // sendRecorded sends a request and records it for the invariants.
-func (r *testAppliance) sendRecorded(tape *invariants.Tape, class, function, id string) schedule.Result {
-	record := invariants.Record{Kind: invariants.Asked, Event: "/t#" + id, Type: class, Call: tape.Call(), Wait: 1.5}
+func (r *testAppliance) sendRecorded(tape *invariants.Recorder, class, function, id string) schedule.Result {
+	record := invariants.Record{Kind: invariants.RequestSent, RequestID: "/t#" + id, Class: class, CallID: tape.NextCallID(), Timeout: 1.5}
 	tape.Add(record)
 	result := r.send(class, function, id)
-	record.Kind, record.Status, record.Digest = invariants.Answered, result.Status, result.Digest
-	record.Outcome = map[int]string{200: invariants.Handled, 503: invariants.Deferred, 502: invariants.DeadLettered, 504: invariants.DeadLettered}[result.Status]
+	record.Kind, record.Status, record.Digest = invariants.ResponseReceived, result.Status, result.Digest
+	record.Outcome = map[int]string{200: invariants.Succeeded, 503: invariants.Rejected, 502: invariants.Failed, 504: invariants.Failed}[result.Status]
 	tape.Add(record)
 	return result
 }
 
 // Fifty moves of an alias under steady load: every response names the version that ran its request, also a retry's.
 func TestFiftyAliasMovesUnderLoad(t *testing.T) {
-	tape := invariants.NewTape()
+	tape := invariants.NewRecorder()
 	r := newTestAppliance(t, 3, "", tape)
 	r.start()
 	for n := range 4 {
@@ -107,15 +107,15 @@
 	}
 	stop()
 	clients.Wait()
-	v := invariants.Judge(invariants.Rules{Effect: map[string]string{"again": "redeliverable", "once": "at-most-once"}, Grace: 0.15}, tape.Records())
-	if v.Broken > 0 || v.Handled < 200 || len(versions) < 4 {
+	v := invariants.Check(invariants.Rules{Semantics: map[string]string{"again": "redeliverable", "once": "at-most-once"}, ObservationDelay: 0.15}, tape.Records())
+	if v.RulesBroken > 0 || v.Succeeded < 200 || len(versions) < 4 {
 		t.Errorf("%d versions responded, %v; %+v", len(versions), status, v)
 	}
-	t.Logf("%d requests succeeded on %d versions over 50 moves, %v", v.Handled, len(versions), status)
+	t.Logf("%d requests succeeded on %d versions over 50 moves, %v", v.Succeeded, len(versions), status)
 }
 
 func TestWrongDigestNeverRunsOrResponds(t *testing.T) {
-	tape := invariants.NewTape()
+	tape := invariants.NewRecorder()
 	r := newTestAppliance(t, 1, "", tape)
 	r.start()
 	r.publishTwo()
@@ -134,7 +134,7 @@
 		t.Errorf("%+v", o)
 	}
 	// A worker that runs another version than it was asked for: its response is not forwarded.
-	r.inject(0, fakes.Fault{Kind: "wrong-digest", For: 1e-9})
+	r.inject(0, fakes.Fault{Kind: "wrong-digest", Duration: 1e-9})
 	r.inject(0, fakes.Fault{Kind: "liar"})
 	if o := r.sendRecorded(tape, "once", "tally", "lied"); o.Status != 502 {
 		t.Errorf("a lying worker: status %d", o.Status)
@@ -146,18 +146,18 @@
 		t.Error("a pinned digest is not known")
 	}
 	for _, rec := range tape.Records() {
-		if rec.Kind == invariants.Ran && rec.Event == "/t#thrown-away" {
+		if rec.Kind == invariants.Executed && rec.RequestID == "/t#thrown-away" {
 			t.Error("a replica with the wrong digest ran")
 		}
 	}
-	if v := invariants.Judge(invariants.Rules{Effect: map[string]string{"again": "redeliverable", "once": "at-most-once"}, Grace: 0.15}, tape.Records()); v.Versions > 0 || v.RanTwice > 0 {
-		t.Errorf("%v", v.Faults)
+	if v := invariants.Check(invariants.Rules{Semantics: map[string]string{"again": "redeliverable", "once": "at-most-once"}, ObservationDelay: 0.15}, tape.Records()); v.VersionMismatches > 0 || v.DuplicateExecutions > 0 {
+		t.Errorf("%v", v.Violations)
 	}
 }
 
 // A rollout continues after a restart, and one whose version fails is rolled back.
 func TestRolloutContinuesAfterRestartAndRollsBack(t *testing.T) {
-	tape := invariants.NewTape()
+	tape := invariants.NewRecorder()
 	r := newTestAppliance(t, 2, "", tape)
 	r.start()
 	r.publishTwo()
@@ -203,7 +203,7 @@
 
 // A release moves each alias only when a replica of the new version is loaded, and loads no version twice.
 func TestPacedRelease(t *testing.T) {
-	tape := invariants.NewTape()
+	tape := invariants.NewRecorder()
 	r := newTestAppliance(t, 2, "", tape)
 	r.start()
 	r.publishTwo()
@@ -224,7 +224,7 @@
 	}
 	ordered := 0
 	for _, rec := range tape.Records() {
-		if rec.Kind == invariants.Ordered {
+		if rec.Kind == invariants.LoadCommanded {
 			ordered++
 		}
 	}
@@ -240,9 +240,9 @@
 	private map[string][]byte // by the id of the key
 }
 
-func newSignedRegistry(t *testing.T, tape *invariants.Tape, keys ...string) *signedRegistry {
+func newSignedRegistry(t *testing.T, tape *invariants.Recorder, keys ...string) *signedRegistry {
 	t.Helper()
-	s := &signedRegistry{testAppliance: newTestAppliance(t, 1, "", tape), keyring: signing.Ring{Need: 1}, private: map[string][]byte{}}
+	s := &signedRegistry{testAppliance: newTestAppliance(t, 1, "", tape), keyring: signing.Ring{Threshold: 1}, private: map[string][]byte{}}
 	s.extraConfig = `"handlers":{"keys":"keys.json"},`
 	for i, id := range keys {
 		seed := make([]byte, 32)
@@ -291,7 +291,7 @@
 // With a keyring only signed versions are published. What a revoked key has signed is withdrawn, and what a retired one
 // has signed stays.
 func TestKeysSignVersions(t *testing.T) {
-	tape := invariants.NewTape()
+	tape := invariants.NewRecorder()
 	r := newSignedRegistry(t, tape, "first", "second")
 	r.start()
 	if r.publishSigned(0, "") == 200 {
@@ -305,7 +305,7 @@
 	if o := r.sendRecorded(tape, "again", "tally", "signed"); o.Status != 200 {
 		t.Errorf("%+v", o)
 	}
-	r.keyring.Keys[1].Until = time.Now().Add(-time.Second) // retired: it signs nothing new
+	r.keyring.Keys[1].ValidUntil = time.Now().Add(-time.Second) // retired: it signs nothing new
 	r.keyring.Keys[0].Revoked = true
 	r.writeKeyring()
 	_, d1 := version(1)
@@ -324,7 +324,7 @@
 
 // A retry that comes to the other front end keeps the version of its first attempt.
 func TestRetryAtOtherFrontEndKeepsVersion(t *testing.T) {
-	tape := invariants.NewTape()
+	tape := invariants.NewRecorder()
 	r := newTestAppliance(t, 2, "", tape)
 	r.listen = `["127.0.0.1:0","localhost:0"]`
 	r.start()
@@ -351,7 +351,7 @@
 	}
 	path := filepath.Join(dir, "keys.json")
 	write := func() {
-		data, _ := json.Marshal(signing.Ring{Need: 1, Keys: []signing.Key{k}})
+		data, _ := json.Marshal(signing.Ring{Threshold: 1, Keys: []signing.Key{k}})
 		if err := os.WriteFile(path, data, 0o644); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/appliance/harness_test.go
+++ b/internal/appliance/harness_test.go
@@ -64,21 +64,21 @@
 
 // newTestAppliance prepares the folder and the workers of an appliance. The workers record what they run on the tape,
 // which may be nil.
-func newTestAppliance(t *testing.T, workers int, crontab string, tape *invariants.Tape) *testAppliance {
+func newTestAppliance(t *testing.T, workers int, crontab string, tape *invariants.Recorder) *testAppliance {
 	t.Helper()
 	r := &testAppliance{t: t, dir: t.TempDir()}
-	functions := []fakes.Function{{Name: "tally", Memory: 100, Lanes: 4, Fetch: 0.02, Begin: 0.01, Work: 0.03}}
+	functions := []fakes.Function{{Name: "tally", MemoryMB: 100, Concurrency: 4, FetchTime: 0.02, StartTime: 0.01, MeanWork: 0.03}}
 	for i := range workers {
-		w, err := fakes.NewWorker(fakes.Spec{Name: fmt.Sprintf("wk-%d", i), Cores: 4, Speed: 1, Memory: 1000, Queue: 50, LoadsAtOnce: 4,
-			Keep: 20, Functions: functions, Store: fakes.NewStore(8, 32), MeanWork: 0.03, Seed: uint64(i),
-			Tape: tape})
+		w, err := fakes.NewWorker(fakes.WorkerConfig{Name: fmt.Sprintf("wk-%d", i), Cores: 4, Speed: 1, Memory: 1000, QueueLimit: 50, MaxConcurrentLoads: 4,
+			IdleReplicaLifetime: 20, Functions: functions, Store: fakes.NewStore(8, 32), MeanWork: 0.03, Seed: uint64(i),
+			Recorder: tape})
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(w.Close)
 		r.workers = append(r.workers, w)
 	}
-	if _, err := fakes.NewList(filepath.Join(r.dir, "workers.json"), tape, r.workers); err != nil {
+	if _, err := fakes.NewEndpointList(filepath.Join(r.dir, "workers.json"), tape, r.workers); err != nil {
 		t.Fatal(err)
 	}
 	r.writeFile("crontab", crontab)
--- a/internal/appliance/releases.go
+++ b/internal/appliance/releases.go
@@ -12,10 +12,10 @@
 
 // Release moves an alias of many functions to the version with the same tag, a few loads at a time.
 type Release struct {
-	Alias     string   `json:"alias"`
-	Tag       string   `json:"tag"`       // of the version that the alias moves to
-	Functions []string `json:"functions"` // empty: all that have the version
-	Loads     int      `json:"loads"`     // at the same time
+	Alias              string   `json:"alias"`
+	Tag                string   `json:"tag"`       // of the version that the alias moves to
+	Functions          []string `json:"functions"` // empty: all that have the version
+	MaxConcurrentLoads int      `json:"loads"`     // at the same time
 }
 
 // startRelease plans a release. Only one may be under way.
@@ -30,9 +30,9 @@
 	if len(migrations) == 0 {
 		return "", fmt.Errorf("no function goes to %s by that: none has the version, or all have it already", release.Tag)
 	}
-	g.pacer, g.releasedBy = registry.NewRolloutPacer(release.Alias, release.Loads, migrations), actor
+	g.pacer, g.releasedBy = registry.NewRolloutPacer(release.Alias, release.MaxConcurrentLoads, migrations), actor
 	return fmt.Sprintf("%d functions go to %s, the most asked for first, %d loads at a time",
-		len(migrations), release.Tag, max(release.Loads, 1)), nil
+		len(migrations), release.Tag, max(release.MaxConcurrentLoads, 1)), nil
 }
 
 // planMigrations returns the functions that a release moves: those that have the version and do not use it already.
--- a/internal/appliance/schedules.go
+++ b/internal/appliance/schedules.go
@@ -25,7 +25,7 @@
 // reloadCrontab reads the crontab and replaces the plan if it has changed. An invalid crontab leaves the last one in
 // force.
 func (a *Appliance) reloadCrontab() error {
-	path := a.config.Path(a.config.Timers.Crontab)
+	path := a.config.Path(a.config.Schedules.Crontab)
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return fmt.Errorf("crontab: %w", err)
@@ -66,7 +66,7 @@
 // runSchedules fires what is due until schedules are suspended. A firing is on disk before its request is submitted:
 // a restart neither loses a minute nor fires it twice.
 func (a *Appliance) runSchedules() {
-	if a.config.Timers == nil {
+	if a.config.Schedules == nil {
 		return
 	}
 	for {
@@ -164,8 +164,8 @@
 
 // scheduleSource returns the source of the identities of scheduled requests.
 func (a *Appliance) scheduleSource() string {
-	if a.config.Timers != nil && a.config.Timers.Source != "" {
-		return a.config.Timers.Source
+	if a.config.Schedules != nil && a.config.Schedules.Source != "" {
+		return a.config.Schedules.Source
 	}
 	return "/timers/" + a.config.Name
 }
--- a/internal/appliance/startup.go
+++ b/internal/appliance/startup.go
@@ -77,7 +77,7 @@
 	if err := a.startServers(); err != nil {
 		return err
 	}
-	if a.config.Timers == nil {
+	if a.config.Schedules == nil {
 		return nil
 	}
 	return a.planSchedules()
@@ -90,7 +90,7 @@
 		if err != nil {
 			return err
 		}
-		settings.Spans, settings.Share = file, traces.Share
+		settings.Spans, settings.SamplingRatio = file, traces.Share
 		a.closers = append(a.closers, func() error { return errors.Join(a.recorder.Close(), file.Close()) })
 	}
 	var err error
@@ -147,7 +147,7 @@
 		a.serverByAddress[server.Addr()] = server
 		a.mu.Unlock()
 	}
-	for _, lost := range a.servers[0].Lost() {
+	for _, lost := range a.servers[0].Unanswered() {
 		a.log.Error("dead-lettered at the restart: it may have run and must not run again", "request_id", lost.Identity.String(),
 			"class", lost.Class, "function", lost.Function)
 	}
@@ -172,12 +172,12 @@
 			Dispatch:         dispatchSettings,
 			Upstream:         cfg.Upstream(name),
 			Downstream:       cfg.Downstream(),
-			MaxClients:       cfg.Limits.Connections,
+			MaxClients:       cfg.Limits.MaxConnections,
 			Log:              a.log,
 			Recovered:        a.recovered.Records,
 			ReplicaSnapshots: a.recovered.Replicas,
 			OnRequestEnd:     a.onRequestEnd,
-			RecordTimeout:    cfg.Limits.Margin / 2,
+			RecordTimeout:    cfg.Limits.ResponseMargin / 2,
 		},
 	}
 	if a.store != nil {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -31,7 +31,7 @@
 	Tenants        []Tenant          `json:"tenants"`
 	Rules          Rules             `json:"rules"`
 	Limits         Limits            `json:"limits"`
-	Timers         *Timers           `json:"timers"`   // nil: no schedules
+	Schedules      *Schedules        `json:"timers"`   // nil: no schedules
 	Registry       *Registry         `json:"handlers"` // nil: versions need no signature
 	Log            Log               `json:"log"`
 	State          *State            `json:"state"`   // nil: nothing outlives the process
@@ -55,7 +55,7 @@
 // Workers says where the workers are and how they are connected and loaded.
 type Workers struct {
 	File                string  `json:"file"`
-	Dial                float64 `json:"dial_s"`
+	DialTimeout         float64 `json:"dial_s"`
 	IdleTimeout         float64 `json:"idle_s"`
 	MaxConnections      int     `json:"connections"`
 	LoadsOnRequest      bool    `json:"load_on_event"`
@@ -108,16 +108,16 @@
 	MaxPipelined        int     `json:"pipeline"`
 	ReadTimeout         float64 `json:"arrival_s"`
 	IdleTimeout         float64 `json:"idle_s"`
-	Connections         int     `json:"connections"`
+	MaxConnections      int     `json:"connections"`
 	MaxOpenRequests     int     `json:"open_events"`
 	MaxUnreadBytes      int     `json:"unread_bytes"`
-	Margin              float64 `json:"answer_margin_s"`
+	ResponseMargin      float64 `json:"answer_margin_s"`
 	DeduplicationWindow float64 `json:"remember_s"`
 	MaxCachedBytes      int     `json:"remember_bytes"`
 }
 
-// Timers says where the schedules are.
-type Timers struct {
+// Schedules says where the schedules are.
+type Schedules struct {
 	Crontab string `json:"crontab"`
 	Source  string `json:"source"` // of the identities of their requests
 }
@@ -221,7 +221,7 @@
 		Name:      "streamcleat",
 		Listen:    []string{"127.0.0.1:8080"},
 		DrainTime: 5,
-		Workers:   Workers{Dial: 0.25, IdleTimeout: 30, MaxConnections: 1024, LoadCommands: true, LoadTimeout: 10, IdleReplicaLifetime: 8},
+		Workers:   Workers{DialTimeout: 0.25, IdleTimeout: 30, MaxConnections: 1024, LoadCommands: true, LoadTimeout: 10, IdleReplicaLifetime: 8},
 		Rules: Rules{
 			MaxAttempts:    4,
 			MaxRetryAfter:  0.5,
@@ -236,10 +236,10 @@
 			MaxPipelined:        64,
 			ReadTimeout:         10,
 			IdleTimeout:         60,
-			Connections:         10000,
+			MaxConnections:      10000,
 			MaxOpenRequests:     20000,
 			MaxUnreadBytes:      4 << 20,
-			Margin:              0.05,
+			ResponseMargin:      0.05,
 			DeduplicationWindow: 600,
 			MaxCachedBytes:      64 << 20,
 		},
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -101,7 +101,7 @@
 	return dispatch.Settings{
 		Deployment:          c.Deployment(),
 		Functions:           c.Function,
-		ResponseMargin:      c.Limits.Margin,
+		ResponseMargin:      c.Limits.ResponseMargin,
 		LoadTimeout:         c.Workers.LoadTimeout,
 		MaxOpen:             c.Limits.MaxOpenRequests,
 		DeduplicationWindow: c.Limits.DeduplicationWindow,
@@ -113,7 +113,7 @@
 // Upstream returns the limits of the connections to workers.
 func (c *Config) Upstream(via string) upstream.Limits {
 	return upstream.Limits{
-		DialTimeout:  c.Workers.Dial,
+		DialTimeout:  c.Workers.DialTimeout,
 		IdleTimeout:  c.Workers.IdleTimeout,
 		MaxPerWorker: c.Workers.MaxConnections,
 		Via:          via,
@@ -124,12 +124,12 @@
 // Downstream returns the limits of the connections from clients.
 func (c *Config) Downstream() ingress.Limits {
 	return ingress.Limits{
-		Message:  http1.Limits{Head: c.Limits.MaxHeadBytes, Body: c.Limits.MaxBodyBytes},
-		Pipeline: c.Limits.MaxPipelined,
-		Arrival:  c.Limits.ReadTimeout,
-		Idle:     c.Limits.IdleTimeout,
-		Unread:   c.Limits.MaxUnreadBytes,
-		MaxAge:   c.requestTimeout,
+		Message:        http1.Limits{Head: c.Limits.MaxHeadBytes, Body: c.Limits.MaxBodyBytes},
+		MaxPipelined:   c.Limits.MaxPipelined,
+		RequestTimeout: c.Limits.ReadTimeout,
+		IdleTimeout:    c.Limits.IdleTimeout,
+		MaxUnread:      c.Limits.MaxUnreadBytes,
+		ClassTimeout:   c.requestTimeout,
 	}
 }
 
--- a/internal/config/validation.go
+++ b/internal/config/validation.go
@@ -154,9 +154,9 @@
 			invalid = append(invalid, ValidationError{pointer + "/target_time_s", fmt.Sprint(class.LatencyObjective),
 				fmt.Sprintf("not above max_age_s, %v", class.Timeout)})
 		}
-		if c.Limits.Margin >= class.Timeout {
+		if c.Limits.ResponseMargin >= class.Timeout {
 			invalid = append(invalid, ValidationError{pointer + "/max_age_s", fmt.Sprint(class.Timeout),
-				fmt.Sprintf("above /limits/answer_margin_s, %v", c.Limits.Margin)})
+				fmt.Sprintf("above /limits/answer_margin_s, %v", c.Limits.ResponseMargin)})
 		}
 	}
 	return invalid
--- a/internal/console/client.go
+++ b/internal/console/client.go
@@ -40,19 +40,19 @@
 	}
 }
 
-// Unreached is returned when no appliance answers at the socket.
-type Unreached struct { //nolint:errname // its users outside this package name it so
+// UnreachableError is returned when no appliance answers at the socket.
+type UnreachableError struct {
 	Socket string
 	Err    error
 }
 
 // Error implements error.
-func (e *Unreached) Error() string {
+func (e *UnreachableError) Error() string {
 	return fmt.Sprintf("no box answers at %s: %v", e.Socket, errors.Unwrap(e.Err))
 }
 
 // Unwrap returns the error of the connection.
-func (e *Unreached) Unwrap() error { return e.Err }
+func (e *UnreachableError) Unwrap() error { return e.Err }
 
 // RefusedError is an error of the appliance itself.
 type RefusedError struct {
@@ -71,12 +71,12 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		return &Unreached{c.Socket, err}
+		return &UnreachableError{c.Socket, err}
 	}
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	_ = response.Body.Close() // the response is read, or its error is the one to report
 	if err != nil {
-		return &Unreached{c.Socket, fmt.Errorf("answer cut off: %w", err)}
+		return &UnreachableError{c.Socket, fmt.Errorf("answer cut off: %w", err)}
 	}
 	if response.StatusCode != http.StatusOK {
 		return refusedError(response, data)
@@ -104,8 +104,8 @@
 	return request, err
 }
 
-// Order gives a command and returns what was done.
-func (c *Client) Order(command appliance.Command) (string, error) {
+// Execute gives a command and returns what was done.
+func (c *Client) Execute(command appliance.Command) (string, error) {
 	command.Console = c.Name
 	return c.post("/v1/orders", command)
 }
--- a/internal/console/keys.go
+++ b/internal/console/keys.go
@@ -93,9 +93,9 @@
 			return m.explain(m.target())
 		}
 	case "s":
-		m.unconfirmed = &appliance.Command{Order: "stop"}
+		m.unconfirmed = &appliance.Command{Name: "stop"}
 	case "S":
-		m.unconfirmed = &appliance.Command{Order: "stop", Now: true}
+		m.unconfirmed = &appliance.Command{Name: "stop", Immediate: true}
 	default:
 		if command := m.commandForKey(key); command != nil {
 			return m.execute(*command)
@@ -113,20 +113,20 @@
 	}
 	switch {
 	case m.screen == workersScreen && key == "d":
-		command := &appliance.Command{Order: "drain", Target: target}
+		command := &appliance.Command{Name: "drain", Target: target}
 		if m.servingWorkers() <= 1 {
 			m.unconfirmed = command
 			return nil
 		}
 		return command
 	case m.screen == workersScreen && key == "r":
-		return &appliance.Command{Order: "return", Target: target}
+		return &appliance.Command{Name: "return", Target: target}
 	case m.screen == functionsScreen && key == "u":
-		return &appliance.Command{Order: "unload", Target: target}
+		return &appliance.Command{Name: "unload", Target: target}
 	case m.screen == schedulesScreen && key == "f":
-		return &appliance.Command{Order: "fire", Target: target}
+		return &appliance.Command{Name: "fire", Target: target}
 	case m.screen == schedulesScreen && key == "h":
-		return &appliance.Command{Order: "hold", Target: target, Release: m.snapshot.schedules[m.selected].Suspended}
+		return &appliance.Command{Name: "hold", Target: target, Resume: m.snapshot.schedules[m.selected].Suspended}
 	}
 	return nil
 }
--- a/internal/console/tables.go
+++ b/internal/console/tables.go
@@ -12,7 +12,7 @@
 )
 
 // WorkerRows returns the table of workers, the heading first.
-func WorkerRows(workers []appliance.Worker) [][]string {
+func WorkerRows(workers []appliance.WorkerStatus) [][]string {
 	rows := [][]string{{"WORKER", "STATE", "OUT", "ROOM", "LOAD", "WARM", "COPIES", "LOADING", "KIND"}}
 	for i := range workers {
 		w := &workers[i]
@@ -35,8 +35,8 @@
 	return rows
 }
 
-// HandlerRows returns the table of functions, the heading first.
-func HandlerRows(functions []appliance.FunctionStatus) [][]string {
+// FunctionRows returns the table of functions, the heading first.
+func FunctionRows(functions []appliance.FunctionStatus) [][]string {
 	rows := [][]string{{"HANDLER", "OUT", "WAITING", "MEDIAN", "LANES", "LOADED ON"}}
 	for i := range functions {
 		f := &functions[i]
@@ -56,8 +56,8 @@
 	return rows
 }
 
-// EventRows returns the table of requests, the heading first.
-func EventRows(requests []appliance.RequestStatus) [][]string {
+// RequestRows returns the table of requests, the heading first.
+func RequestRows(requests []appliance.RequestStatus) [][]string {
 	rows := [][]string{{"AGO", "OUTCOME", "CAUSE", "TOOK", "TRIES", "FUNCTION", "WORKER", "EVENT"}}
 	for i := range requests {
 		r := &requests[i]
@@ -70,8 +70,8 @@
 	return rows
 }
 
-// TimerRows returns the table of schedule entries, the heading first.
-func TimerRows(schedules []appliance.Timer, _ time.Time) [][]string {
+// ScheduleRows returns the table of schedule entries, the heading first.
+func ScheduleRows(schedules []appliance.ScheduleStatus, _ time.Time) [][]string {
 	rows := [][]string{{"NEXT", "LAST", "HELD", "ZONE", "ENTRY"}}
 	for i := range schedules {
 		s := &schedules[i]
@@ -84,8 +84,8 @@
 	return rows
 }
 
-// EventText shows a request with its steps.
-func EventText(r appliance.RequestStatus) string {
+// RequestText shows a request with its steps.
+func RequestText(r appliance.RequestStatus) string {
 	class := r.Class + ", function " + r.Function
 	if r.Tenant != "" {
 		class += ", tenant " + r.Tenant
@@ -147,8 +147,8 @@
 	return names
 }
 
-// TrailRows returns the table of the registry's audit trail, the heading first.
-func TrailRows(entries []registry.Entry) [][]string {
+// AuditRows returns the table of the registry's audit trail, the heading first.
+func AuditRows(entries []registry.Entry) [][]string {
 	rows := [][]string{{"WHEN", "WHO", "WHAT", "WHY"}}
 	for i := range entries {
 		e := &entries[i]
--- a/internal/console/tui.go
+++ b/internal/console/tui.go
@@ -32,10 +32,10 @@
 // snapshot is what was last read from the appliance.
 type snapshot struct {
 	status    appliance.Status
-	workers   []appliance.Worker
+	workers   []appliance.WorkerStatus
 	functions []appliance.FunctionStatus
 	requests  []appliance.RequestStatus
-	schedules []appliance.Timer
+	schedules []appliance.ScheduleStatus
 	err       error
 }
 
@@ -125,7 +125,7 @@
 func (m *model) execute(command appliance.Command) tea.Cmd {
 	client := m.client
 	return func() tea.Msg {
-		result, err := client.Order(command)
+		result, err := client.Execute(command)
 		if err != nil {
 			return noticeMsg{"not done: " + err.Error()}
 		}
@@ -141,7 +141,7 @@
 		if err != nil {
 			return noticeMsg{err.Error()}
 		}
-		return detailMsg{EventText(request)}
+		return detailMsg{RequestText(request)}
 	}
 }
 
@@ -156,11 +156,11 @@
 	case workersScreen:
 		return WorkerRows(m.snapshot.workers)
 	case functionsScreen:
-		return HandlerRows(m.snapshot.functions)
+		return FunctionRows(m.snapshot.functions)
 	case requestsScreen:
-		return EventRows(m.snapshot.requests)
+		return RequestRows(m.snapshot.requests)
 	case schedulesScreen:
-		return TimerRows(m.snapshot.schedules, time.Now())
+		return ScheduleRows(m.snapshot.schedules, time.Now())
 	}
 	return nil
 }
--- a/internal/console/view.go
+++ b/internal/console/view.go
@@ -98,10 +98,10 @@
 	switch {
 	case m.unconfirmed == nil:
 		return m.notice
-	case m.unconfirmed.Now:
+	case m.unconfirmed.Immediate:
 		return "stop now, answering what is open at once? y does it, any other key leaves it"
 	}
-	return fmt.Sprintf("%s %s? y does it, any other key leaves it", m.unconfirmed.Order, m.unconfirmed.Target)
+	return fmt.Sprintf("%s %s? y does it, any other key leaves it", m.unconfirmed.Name, m.unconfirmed.Target)
 }
 
 func (m *model) keyLine() string {
--- a/internal/console/view_test.go
+++ b/internal/console/view_test.go
@@ -27,7 +27,7 @@
 			Store: &appliance.StoreStatus{Bytes: 30 << 10, Records: 4, Commits: 3, RecoveredRecords: 2, QuarantinePath: "/x"},
 			Tasks: []appliance.TaskStatus{{Name: "tick", Rounds: 3, TimeUsed: 0.5, Due: 1}, {Name: "keys", Failures: 2, LastError: "no file"}},
 		},
-		workers: []appliance.Worker{
+		workers: []appliance.WorkerStatus{
 			{Name: "w-1", State: "serving", InFlight: 1, ConcurrencyLimit: 8, Load: 0.5, WarmUpProgress: 1, Replicas: 2, PendingLoads: 1, MachineType: "std"},
 			{Name: "w-2", State: "draining", DrainedByCommand: true}},
 		functions: []appliance.FunctionStatus{
@@ -36,7 +36,7 @@
 			{ID: "1", Source: "/s", Class: "t", Function: "f", Open: true, Attempts: 1, Age: 0.5, TimeLeft: 1.5, FrontEnd: "a:1"},
 			{ID: "2", Source: "/s", Class: "t", Function: "f", Tenant: "n", Outcome: "handled", Cause: "answered", Worker: "w-1", Attempts: 2,
 				Age: 70, Elapsed: 0.25, FrontEnd: "a:2", Steps: []dispatch.TraceStep{{At: 0.1, What: "launch", Worker: "w-1", Detail: "x"}}}},
-		schedules: []appliance.Timer{
+		schedules: []appliance.ScheduleStatus{
 			{Entry: "* * * * * a f", Zone: "UTC", Suspended: true, LastFiring: &last, NextFiring: &next},
 			{Entry: "0 0 1 1 * b f", Zone: "Local"}},
 	}
@@ -51,7 +51,7 @@
 		m.handleKey(key)
 		draw()
 	}
-	m.detail = EventText(m.snapshot.requests[1])
+	m.detail = RequestText(m.snapshot.requests[1])
 	draw()
 	m.detail = ""
 	m.snapshot.err = errors.New("gone")
@@ -88,9 +88,9 @@
 		key    string
 		want   appliance.Command
 	}{
-		{"stop", overviewScreen, "s", appliance.Command{Order: "stop"}},
-		{"stop now", overviewScreen, "S", appliance.Command{Order: "stop", Now: true}},
-		{"drain the last worker", workersScreen, "d", appliance.Command{Order: "drain", Target: "w-1"}},
+		{"stop", overviewScreen, "s", appliance.Command{Name: "stop"}},
+		{"stop now", overviewScreen, "S", appliance.Command{Name: "stop", Immediate: true}},
+		{"drain the last worker", workersScreen, "d", appliance.Command{Name: "drain", Target: "w-1"}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -13,15 +13,15 @@
 // Terms are the parts of the document that are read; any other key is skipped. Keys are matched whatever their case.
 // Times are in the document's unit, milliseconds.
 type Terms struct {
-	Tenants     []Tenant       `json:"Accounts"`
-	FrontEnds   int            `json:"Balancers"`
-	Me          int            `json:"Me"` // index of this front end among all
-	Caps        Limits         `json:"Caps"`
-	Classes     []RequestClass `json:"Classes"`
-	Discovery   string         `json:"Discovery"`
-	Domain      LoadingTerms   `json:"Domain"`
-	RoundMs     float64        `json:"RoundMs"` // least time between two rounds of routing
-	HealthRules HealthRules    `json:"Rules"`
+	Tenants        []Tenant       `json:"Accounts"`
+	FrontEnds      int            `json:"Balancers"`
+	FrontEndIndex  int            `json:"Me"` // index of this front end among all
+	Limits         Limits         `json:"Caps"`
+	RequestClasses []RequestClass `json:"Classes"`
+	Discovery      string         `json:"Discovery"`
+	Loading        LoadingTerms   `json:"Domain"`
+	RoundMs        float64        `json:"RoundMs"` // least time between two rounds of routing
+	HealthRules    HealthRules    `json:"Rules"`
 }
 
 // Tenant is a customer and its agreed rate.
@@ -36,7 +36,7 @@
 	RetryAfterAllowed bool    `json:"RetryAfter"`
 	MaxRetryAfterMs   float64 `json:"MaxRetryAfterMs"`
 	DialTimeoutMs     float64 `json:"DialTimeoutMs"`
-	IdleCloseMs       float64 `json:"IdleCloseMs"` // after which a worker closes an idle connection
+	IdleTimeoutMs     float64 `json:"IdleCloseMs"` // after which a worker closes an idle connection
 	MaxAttempts       int     `json:"MostTries"`
 	MaxStreams        int     `json:"MaxStreams"` // requests in flight on one connection
 	MaxOpen           int     `json:"MaxOpen"`    // open requests
@@ -48,7 +48,7 @@
 	Semantics             string  `json:"Idempotency"` // one of semanticsByWord
 	DeduplicationScope    string  `json:"Group"`       // one of scopeByWord
 	LatencyObjectiveMs    float64 `json:"AimMs"`
-	GiveUpMs              float64 `json:"GiveUpMs"` // timeout of a request
+	TimeoutMs             float64 `json:"GiveUpMs"` // timeout of a request
 	DeduplicationWindowMs float64 `json:"MemorySpanMs"`
 }
 
@@ -58,7 +58,7 @@
 	LoadCommandsPerRequest float64 `json:"LoadPart"`
 	LoadCommandWindowMs    float64 `json:"LoadWindowMs"`
 	IdleReplicaLifetimeMs  float64 `json:"StaysLoadedMs"`
-	OrderTimeoutMs         float64 `json:"OrderTimeoutMs"` // of a load command
+	LoadTimeoutMs          float64 `json:"OrderTimeoutMs"` // of a load command
 	LoadCommandsAllowed    bool    `json:"MayOrder"`
 	WhenAbsent             string  `json:"WhenAbsent"` // what a worker does without a replica
 }
@@ -106,7 +106,7 @@
 	if err := json.Unmarshal(document, &terms); err != nil {
 		return nil, err
 	}
-	for _, class := range terms.Classes {
+	for _, class := range terms.RequestClasses {
 		_, semanticsKnown := semanticsByWord[class.Semantics]
 		_, scopeKnown := scopeByWord[class.DeduplicationScope]
 		if !semanticsKnown || !scopeKnown {
@@ -121,27 +121,27 @@
 	d := &control.Deployment{
 		FrontEnds:              max(t.FrontEnds, 1),
 		PollEndpoints:          t.Discovery == discoverySubscribe,
-		MissIsAnswered:         t.Domain.WhenAbsent == absentMiss,
-		LoadCommandsAllowed:    t.Domain.LoadCommandsAllowed,
-		GossipAllowed:          t.Caps.GossipAllowed,
-		MaxAttempts:            max(t.Caps.MaxAttempts, 1),
-		IdleReplicaLifetime:    seconds(t.Domain.IdleReplicaLifetimeMs),
-		LoadCommandWindow:      seconds(t.Domain.LoadCommandWindowMs),
-		LoadCommandAllowance:   t.Domain.LoadCommandAllowance,
-		LoadCommandsPerRequest: t.Domain.LoadCommandsPerRequest,
+		MissIsAnswered:         t.Loading.WhenAbsent == absentMiss,
+		LoadCommandsAllowed:    t.Loading.LoadCommandsAllowed,
+		GossipAllowed:          t.Limits.GossipAllowed,
+		MaxAttempts:            max(t.Limits.MaxAttempts, 1),
+		IdleReplicaLifetime:    seconds(t.Loading.IdleReplicaLifetimeMs),
+		LoadCommandWindow:      seconds(t.Loading.LoadCommandWindowMs),
+		LoadCommandAllowance:   t.Loading.LoadCommandAllowance,
+		LoadCommandsPerRequest: t.Loading.LoadCommandsPerRequest,
 		MinRoundInterval:       seconds(t.RoundMs),
 		ColdShare:              t.HealthRules.ColdShare,
 		WarmUpTime:             seconds(t.HealthRules.WarmUpTimeMs),
 		OverloadFactor:         t.HealthRules.OverloadFactor,
 		OverloadWindow:         seconds(t.HealthRules.OverloadWindowMs),
 	}
-	if t.Caps.RetryAfterAllowed {
-		d.MaxRetryAfter = seconds(t.Caps.MaxRetryAfterMs)
+	if t.Limits.RetryAfterAllowed {
+		d.MaxRetryAfter = seconds(t.Limits.MaxRetryAfterMs)
 	}
 	for _, tenant := range t.Tenants {
 		d.Tenants = append(d.Tenants, control.Tenant{Name: control.TenantID(tenant.Name), Quota: tenant.QuotaPerSecond})
 	}
-	for _, class := range t.Classes {
+	for _, class := range t.RequestClasses {
 		d.RequestClasses = append(d.RequestClasses, class.routing())
 	}
 	return d
@@ -152,7 +152,7 @@
 	return control.RequestClass{
 		Name:                c.Name,
 		LatencyObjective:    seconds(c.LatencyObjectiveMs),
-		Timeout:             seconds(c.GiveUpMs),
+		Timeout:             seconds(c.TimeoutMs),
 		Semantics:           semanticsByWord[c.Semantics],
 		DeduplicationScope:  scopeByWord[c.DeduplicationScope],
 		DeduplicationWindow: seconds(c.DeduplicationWindowMs),
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -51,8 +51,8 @@
 
 func checkTerms(t *testing.T, terms *Terms) {
 	t.Helper()
-	if terms.Me != 2 || !terms.Caps.GossipAllowed || terms.Caps.DialTimeoutMs != 250 || terms.Caps.IdleCloseMs != 30000 ||
-		terms.Caps.MaxStreams != 32 || terms.Caps.MaxOpen != 2000 || terms.Domain.OrderTimeoutMs != 1000 {
+	if terms.FrontEndIndex != 2 || !terms.Limits.GossipAllowed || terms.Limits.DialTimeoutMs != 250 || terms.Limits.IdleTimeoutMs != 30000 ||
+		terms.Limits.MaxStreams != 32 || terms.Limits.MaxOpen != 2000 || terms.Loading.LoadTimeoutMs != 1000 {
 		t.Errorf("%+v", terms)
 	}
 	want := &control.Deployment{
--- a/internal/eventloop/fixture_test.go
+++ b/internal/eventloop/fixture_test.go
@@ -22,9 +22,9 @@
 // fixture is a front end with fake workers on loopback.
 type fixture struct {
 	t       *testing.T
-	tape    *invariants.Tape
+	tape    *invariants.Recorder
 	workers []*fakes.Worker
-	list    *fakes.List
+	list    *fakes.EndpointList
 	path    string // of the endpoint list
 	server  *eventloop.Server
 }
@@ -32,10 +32,10 @@
 // newFixture starts a front end and so many workers; limits are members of the configuration's limits.
 func newFixture(t *testing.T, workers int, limits string) *fixture {
 	t.Helper()
-	f := &fixture{t: t, tape: invariants.NewTape(), path: filepath.Join(t.TempDir(), "workers.json")}
+	f := &fixture{t: t, tape: invariants.NewRecorder(), path: filepath.Join(t.TempDir(), "workers.json")}
 	f.startWorkers(workers)
 	var err error
-	if f.list, err = fakes.NewList(f.path, f.tape, f.workers); err != nil {
+	if f.list, err = fakes.NewEndpointList(f.path, f.tape, f.workers); err != nil {
 		t.Fatal(err)
 	}
 	c, err := config.Parse([]byte(`{"event_types":[{"name":"again","target_time_s":0.5,"max_age_s":1.2},
@@ -53,7 +53,7 @@
 			Dispatch:   c.Dispatch(1),
 			Upstream:   c.Upstream("front"),
 			Downstream: c.Downstream(),
-			MaxClients: c.Limits.Connections,
+			MaxClients: c.Limits.MaxConnections,
 		},
 	})
 	if err != nil {
@@ -69,12 +69,12 @@
 
 func (f *fixture) startWorkers(n int) {
 	f.t.Helper()
-	functions := []fakes.Function{{Name: "tally", Memory: 100, Lanes: 4, Fetch: 0.02, Begin: 0.01, Work: 0.05}}
-	store, memory := fakes.NewStore(8, 32), fakes.NewMemory(30)
+	functions := []fakes.Function{{Name: "tally", MemoryMB: 100, Concurrency: 4, FetchTime: 0.02, StartTime: 0.01, MeanWork: 0.05}}
+	store, memory := fakes.NewStore(8, 32), fakes.NewDeduplicator(30)
 	for i := range n {
-		worker, err := fakes.NewWorker(fakes.Spec{Name: fmt.Sprintf("wk-%d", i), Cores: 4, Speed: 1, Memory: 1000, Queue: 50, LoadsAtOnce: 4,
-			Keep: 20, ColdShare: 0.5, WarmWithin: 1, FallFactor: 5, FallWindow: 1, MeanWork: 0.05, Functions: functions, Store: store,
-			Drops: memory, Keyed: map[string]bool{"keyed": true}, Tape: f.tape, Seed: uint64(i)})
+		worker, err := fakes.NewWorker(fakes.WorkerConfig{Name: fmt.Sprintf("wk-%d", i), Cores: 4, Speed: 1, Memory: 1000, QueueLimit: 50, MaxConcurrentLoads: 4,
+			IdleReplicaLifetime: 20, ColdShare: 0.5, WarmUpTime: 1, OverloadFactor: 5, OverloadWindow: 1, MeanWork: 0.05, Functions: functions, Store: store,
+			Deduplicator: memory, KeyedClasses: map[string]bool{"keyed": true}, Recorder: f.tape, Seed: uint64(i)})
 		if err != nil {
 			f.t.Fatal(err)
 		}
@@ -111,7 +111,7 @@
 // count tells how many records of a kind there are of a request, "" for any.
 func (f *fixture) count(kind invariants.Kind, id string) (n int) {
 	for _, record := range f.tape.Records() {
-		if record.Kind == kind && (id == "" || record.Event == "/t#"+id) {
+		if record.Kind == kind && (id == "" || record.RequestID == "/t#"+id) {
 			n++
 		}
 	}
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -106,7 +106,7 @@
 		s.postIfRunning(func() { s.proxy.Tick() })
 	})
 	s.proxy = proxy.New(s.settings.Settings, loopHost{s})
-	s.unanswered = s.proxy.Lost()
+	s.unanswered = s.proxy.Unanswered()
 	if s.settings.OnStart != nil {
 		s.settings.OnStart(s.proxy)
 	}
--- a/internal/eventloop/server.go
+++ b/internal/eventloop/server.go
@@ -143,8 +143,8 @@
 	close(s.loopEnded)
 }
 
-// Lost are requests of an earlier process that may have run and must not run again; nobody was told how they ended.
-func (s *Server) Lost() []dispatch.Response { return s.unanswered }
+// Unanswered are requests of an earlier process that may have run and must not run again; nobody was told how they ended.
+func (s *Server) Unanswered() []dispatch.Response { return s.unanswered }
 
 // Addr is where clients connect.
 func (s *Server) Addr() string { return s.settings.Listen }
--- a/internal/eventloop/server_test.go
+++ b/internal/eventloop/server_test.go
@@ -43,7 +43,7 @@
 					replays++
 				}
 			}
-			if n := f.count(invariants.Launched, "minute"); n != 1 || replays != 2 {
+			if n := f.count(invariants.AttemptStarted, "minute"); n != 1 || replays != 2 {
 				t.Errorf("%d attempts, %d replays", n, replays)
 			}
 		})
@@ -59,7 +59,7 @@
 		if result.Status != want || result.Latency < 900*time.Millisecond || result.Latency > 1190*time.Millisecond {
 			t.Errorf("%s: status %d after %v", class, result.Status, result.Latency)
 		}
-		if n := f.count(invariants.Launched, class); n != 1 {
+		if n := f.count(invariants.AttemptStarted, class); n != 1 {
 			t.Errorf("%s: %d attempts", class, n)
 		}
 	}
@@ -85,18 +85,18 @@
 			f.inject(c.fault) // whoever is warm fails until it is taken back
 			done := make(chan schedule.Result)
 			go func() { done <- f.request(c.class, "e") }()
-			for f.count(invariants.Ended, "e") == 0 {
+			for f.count(invariants.AttemptEnded, "e") == 0 {
 				time.Sleep(time.Millisecond)
 			}
 			over := c.fault
-			over.For = 1e-9
+			over.Duration = 1e-9
 			f.inject(over)
 			result := <-done
 			rejected := c.status == 200 && result.Status == 503
 			if result.Status != c.status && !rejected {
 				t.Errorf("status %d, want %d", result.Status, c.status)
 			}
-			if n := f.count(invariants.Ran, "e"); c.class != "again" && n > c.runs {
+			if n := f.count(invariants.Executed, "e"); c.class != "again" && n > c.runs {
 				t.Errorf("ran %d times, want %d", n, c.runs)
 			}
 		})
@@ -111,7 +111,7 @@
 	}
 	var warm string
 	for _, record := range f.tape.Records() {
-		if record.Kind == invariants.Launched {
+		if record.Kind == invariants.AttemptStarted {
 			warm = record.Worker
 		}
 	}
@@ -123,8 +123,8 @@
 	for _, class := range []string{"again", "keyed", "once"} {
 		// The first goes over the kept connection, whose end the front end has seen; all get to the other worker.
 		time.Sleep(20 * time.Millisecond)
-		if result := f.request(class, class); result.Status != 200 || f.count(invariants.Ran, class) != 1 {
-			t.Errorf("%s: status %d, ran %d times", class, result.Status, f.count(invariants.Ran, class))
+		if result := f.request(class, class); result.Status != 200 || f.count(invariants.Executed, class) != 1 {
+			t.Errorf("%s: status %d, ran %d times", class, result.Status, f.count(invariants.Executed, class))
 		}
 	}
 }
@@ -134,14 +134,14 @@
 	f.request("again", "warm")
 	conn, _ := f.dial()
 	f.send(conn, requestText("once", "e"))
-	for f.count(invariants.Ran, "e") == 0 {
+	for f.count(invariants.Executed, "e") == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	if err := conn.Close(); err != nil {
 		t.Error(err)
 	}
-	if result := f.request("once", "e"); result.Status != 200 || f.count(invariants.Ran, "e") != 1 {
-		t.Errorf("status %d, ran %d times", result.Status, f.count(invariants.Ran, "e"))
+	if result := f.request("once", "e"); result.Status != 200 || f.count(invariants.Executed, "e") != 1 {
+		t.Errorf("status %d, ran %d times", result.Status, f.count(invariants.Executed, "e"))
 	}
 }
 
@@ -173,7 +173,7 @@
 	wait := f.requestUntil(ctx, 6)
 	for _, worker := range f.workers[:2] {
 		time.Sleep(500 * time.Millisecond)
-		if err := f.list.Set(worker, "draining"); err != nil {
+		if err := f.list.SetPhase(worker, "draining"); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -181,12 +181,12 @@
 	if err := f.workers[0].Restart(); err != nil { // a new process under the same name and address
 		t.Fatal(err)
 	}
-	if err := f.list.Set(f.workers[0], "serving"); err != nil {
+	if err := f.list.SetPhase(f.workers[0], "serving"); err != nil {
 		t.Fatal(err)
 	}
 	failed := wait()
-	verdict := invariants.Judge(invariants.Rules{DrainGrace: 0.5, Grace: 0.1}, f.tape.Records())
-	if verdict.AfterDrain > 0 || verdict.AtOnce > 0 || failed > 0 || verdict.Launches < 50 {
+	verdict := invariants.Check(invariants.Rules{DrainGrace: 0.5, ObservationDelay: 0.1}, f.tape.Records())
+	if verdict.SentAfterDrain > 0 || verdict.ConcurrentAttempts > 0 || failed > 0 || verdict.Attempts < 50 {
 		t.Errorf("%d responses were neither success nor rejection; %+v", failed, verdict)
 	}
 }
@@ -277,7 +277,7 @@
 	for _, class := range []string{"again", "once"} {
 		go func() { results <- f.request(class, class) }()
 	}
-	for f.count(invariants.Launched, "again")+f.count(invariants.Launched, "once") < 2 {
+	for f.count(invariants.AttemptStarted, "again")+f.count(invariants.AttemptStarted, "once") < 2 {
 		time.Sleep(time.Millisecond)
 	}
 	if err := f.server.Stop(100 * time.Millisecond); err != nil {
--- a/internal/fakes/catalogue.go
+++ b/internal/fakes/catalogue.go
@@ -11,12 +11,12 @@
 
 // Function is what workers know of one function. Times are seconds.
 type Function struct {
-	Name   string
-	Memory float64 // MB of one replica
-	Lanes  int     // requests that a replica runs concurrently
-	Fetch  float64 // of a fetch from a store without other fetches
-	Begin  float64 // from the fetched image to a ready replica
-	Work   float64 // mean work of a request on a core of speed 1
+	Name        string
+	MemoryMB    float64 // MB of one replica
+	Concurrency int     // requests that a replica runs concurrently
+	FetchTime   float64 // of a fetch from a store without other fetches
+	StartTime   float64 // from the fetched image to a ready replica
+	MeanWork    float64 // mean work of a request on a core of speed 1
 }
 
 // Catalogue draws n functions from a seed, with the figures of a small site. work is the mean work of a request.
@@ -26,12 +26,12 @@
 	for i := range list {
 		loadTime := 0.12 + 0.1*rng.Float64()
 		list[i] = Function{
-			Name:   fmt.Sprintf("shop-%03d", i),
-			Memory: 200 + 600*rng.Float64(),
-			Lanes:  1 + rng.IntN(2),
-			Fetch:  loadTime * 0.7,
-			Begin:  loadTime * 0.3,
-			Work:   work * (0.6 + 0.8*rng.Float64()),
+			Name:        fmt.Sprintf("shop-%03d", i),
+			MemoryMB:    200 + 600*rng.Float64(),
+			Concurrency: 1 + rng.IntN(2),
+			FetchTime:   loadTime * 0.7,
+			StartTime:   loadTime * 0.3,
+			MeanWork:    work * (0.6 + 0.8*rng.Float64()),
 		}
 	}
 	return list
--- a/internal/fakes/deduplicator.go
+++ b/internal/fakes/deduplicator.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// Memory is what a group of workers remembers of keyed requests, so that a repeat has no second effect.
-type Memory struct {
+// Deduplicator is what a group of workers remembers of keyed requests, so that a repeat has no second effect.
+type Deduplicator struct {
 	mu     sync.Mutex
 	window time.Duration
 	seen   map[string]time.Time
 }
 
-// NewMemory returns a memory that remembers each request for a window in seconds.
-func NewMemory(window float64) *Memory {
-	return &Memory{window: seconds(window), seen: map[string]time.Time{}}
+// NewDeduplicator returns a memory that remembers each request for a window in seconds.
+func NewDeduplicator(window float64) *Deduplicator {
+	return &Deduplicator{window: seconds(window), seen: map[string]time.Time{}}
 }
 
 // IsFirst returns whether a request is new to the group, and remembers it.
-func (m *Memory) IsFirst(id string) bool {
+func (m *Deduplicator) IsFirst(id string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
--- a/internal/fakes/endpoint_list.go
+++ b/internal/fakes/endpoint_list.go
@@ -17,11 +17,11 @@
 	phaseGone    = "gone" // has no entry
 )
 
-// List is the endpoint list as a file in the form of Prometheus file service discovery.
-type List struct {
+// EndpointList is the endpoint list as a file in the form of Prometheus file service discovery.
+type EndpointList struct {
 	mu      sync.Mutex
 	path    string
-	tape    *invariants.Tape
+	tape    *invariants.Recorder
 	entries []listEntry
 }
 
@@ -46,18 +46,18 @@
 	Zone     string `json:"zone,omitempty"`
 }
 
-// NewList writes the list for the first time, with all workers serving.
-func NewList(path string, tape *invariants.Tape, workers []*Worker) (*List, error) {
-	l := &List{path: path, tape: tape}
+// NewEndpointList writes the list for the first time, with all workers serving.
+func NewEndpointList(path string, tape *invariants.Recorder, workers []*Worker) (*EndpointList, error) {
+	l := &EndpointList{path: path, tape: tape}
 	for _, w := range workers {
 		l.entries = append(l.entries, listEntry{w, phaseServing})
 	}
 	return l, l.write()
 }
 
-// Set changes or adds a worker's entry; phase "gone" removes it. The change is recorded before the file is written, so
+// SetPhase changes or adds a worker's entry; phase "gone" removes it. The change is recorded before the file is written, so
 // no front end learns of it earlier than the recording says.
-func (l *List) Set(w *Worker, phase string) error {
+func (l *EndpointList) SetPhase(w *Worker, phase string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	startedAt, cold := w.StartedAt()
@@ -79,7 +79,7 @@
 	return l.write()
 }
 
-func (l *List) write() error {
+func (l *EndpointList) write() error {
 	groups := []TargetGroup{}
 	for _, entry := range l.entries {
 		groups = append(groups, entry.targetGroup())
@@ -95,7 +95,7 @@
 	spec := e.worker.spec
 	labels := &TargetLabels{
 		Instance: spec.Name,
-		Kind:     spec.Kind,
+		Kind:     spec.MachineType,
 		Phase:    e.phase,
 		Size:     fmt.Sprintf("%g", float64(spec.Cores)*spec.Speed),
 		Zone:     "room-1",
--- a/internal/fakes/faults.go
+++ b/internal/fakes/faults.go
@@ -34,7 +34,7 @@
 // Fault is what goes wrong with a worker, for a time or until another fault of its kind takes its place.
 type Fault struct {
 	Kind     FaultKind `json:"kind"`
-	For      float64   `json:"for"`    // seconds; 0: until replaced
+	Duration float64   `json:"for"`    // seconds; 0: until replaced
 	Share    float64   `json:"part"`   // share of the requests that it meets; 0: all
 	Slowdown float64   `json:"times"`  // slowdown factor
 	Bytes    int       `json:"bytes"`  // of the response that are sent before a cut
@@ -61,8 +61,8 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	until := time.Now().Add(untilLifted)
-	if f.For > 0 {
-		until = time.Now().Add(seconds(f.For))
+	if f.Duration > 0 {
+		until = time.Now().Add(seconds(f.Duration))
 	}
 	w.faults[f.Kind] = activeFault{f, until}
 	return nil
--- a/internal/fakes/infer.go
+++ b/internal/fakes/infer.go
@@ -34,7 +34,7 @@
 // infer serves one attempt.
 func (w *Worker) infer(rw http.ResponseWriter, r *http.Request) {
 	c, err := w.newInference(rw, r)
-	defer func() { c.note(invariants.Ended, c.status) }()
+	defer func() { c.note(invariants.AttemptEnded, c.status) }()
 	if err != nil {
 		abort()
 	}
@@ -45,7 +45,7 @@
 	first := c.isFirst()
 	if first {
 		c.record.Digest = q.replicas.digest
-		c.note(invariants.Ran, 0)
+		c.note(invariants.Executed, 0)
 	}
 	c.execute(q, stop)
 	c.respond(q, stop, first)
@@ -60,21 +60,21 @@
 		digest:   strings.Trim(r.Header.Get("If-Match"), `"`),
 	}
 	c.record = invariants.Record{
-		Worker:   w.spec.Name,
-		Event:    unescaped(r.Header.Get("Ce-Source")) + "#" + unescaped(r.Header.Get("Ce-Id")),
-		Type:     unescaped(r.Header.Get("Ce-Type")),
-		Function: c.function,
-		Front:    frontEndOf(r),
-		Call:     w.spec.Tape.Call(),
-		Digest:   c.digest,
+		Worker:    w.spec.Name,
+		RequestID: unescaped(r.Header.Get("Ce-Source")) + "#" + unescaped(r.Header.Get("Ce-Id")),
+		Class:     unescaped(r.Header.Get("Ce-Type")),
+		Function:  c.function,
+		FrontEnd:  frontEndOf(r),
+		CallID:    w.spec.Recorder.NextCallID(),
+		Digest:    c.digest,
 	}
-	c.note(invariants.Launched, 0)
+	c.note(invariants.AttemptStarted, 0)
 	return c, err
 }
 
 func (c *inference) note(kind invariants.Kind, status int) {
 	c.record.Kind, c.record.Status = kind, status
-	c.w.spec.Tape.Add(c.record)
+	c.w.spec.Recorder.Add(c.record)
 }
 
 // fail answers with an error.
@@ -160,14 +160,14 @@
 // isFirst returns whether the request has its effect: it is not a repeat that the workers drop.
 func (c *inference) isFirst() bool {
 	spec := &c.w.spec
-	return !spec.Keyed[c.record.Type] || spec.Drops == nil || spec.Drops.IsFirst(c.record.Event)
+	return !spec.KeyedClasses[c.record.Class] || spec.Deduplicator == nil || spec.Deduplicator.IsFirst(c.record.RequestID)
 }
 
 // execute takes the time of the work, and gives the replica back. It does not return where the process ends meanwhile.
 func (c *inference) execute(q *queuedRequest, stop <-chan struct{}) {
 	w := c.w
 	w.mu.Lock()
-	duration := q.replicas.function.Work / w.spec.Speed / w.warmth() * (0.7 + 0.6*w.rng.Float64())
+	duration := q.replicas.function.MeanWork / w.spec.Speed / w.warmth() * (0.7 + 0.6*w.rng.Float64())
 	if f, slow := w.active(FaultSlow); slow {
 		duration *= max(f.Slowdown, 1)
 	}
--- a/internal/fakes/queue.go
+++ b/internal/fakes/queue.go
@@ -27,14 +27,14 @@
 	if s == nil {
 		return nil, http.StatusNotFound
 	}
-	if s.ready+s.loading == 0 && other != nil && !w.spec.LoadsOnEvent {
+	if s.ready+s.loading == 0 && other != nil && !w.spec.LoadsOnRequest {
 		return nil, http.StatusPreconditionFailed // another version is ready, which must not run this
 	}
 	q := &queuedRequest{replicas: s, startKind: StartWarm, start: make(chan startSignal, 1)}
 	if s.ready == 0 {
 		q.startKind = StartJoined
 		if s.loading == 0 {
-			if !w.spec.LoadsOnEvent {
+			if !w.spec.LoadsOnRequest {
 				return nil, http.StatusNotFound
 			}
 			q.startKind = StartLoad
@@ -43,7 +43,7 @@
 			}
 		}
 	}
-	if len(w.queue) >= w.spec.Queue {
+	if len(w.queue) >= w.spec.QueueLimit {
 		return nil, http.StatusServiceUnavailable
 	}
 	w.queue = append(w.queue, q)
@@ -96,7 +96,7 @@
 	s := q.replicas
 	s.busy--
 	w.running--
-	if s.outdated > 0 && s.busy <= (s.ready-1)*s.function.Lanes {
+	if s.outdated > 0 && s.busy <= (s.ready-1)*s.function.Concurrency {
 		s.outdated--
 		s.ready--
 	}
--- a/internal/fakes/registry.go
+++ b/internal/fakes/registry.go
@@ -48,15 +48,15 @@
 // Close ends it.
 func (r *Registry) Close() { r.server.Close() }
 
-// Tokens makes the registry hand out bearer tokens, each of which expires after so many requests.
-func (r *Registry) Tokens(uses int) {
+// RequireTokens makes the registry hand out bearer tokens, each of which expires after so many requests.
+func (r *Registry) RequireTokens(uses int) {
 	r.mu.Lock()
 	r.tokenUses = uses
 	r.mu.Unlock()
 }
 
-// Issued returns how many tokens were handed out.
-func (r *Registry) Issued() int {
+// TokensIssued returns how many tokens were handed out.
+func (r *Registry) TokensIssued() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.tokensIssued
@@ -102,9 +102,9 @@
 	r.mu.Unlock()
 }
 
-// Break makes the next responses fail: so many with truncated content, so many with corrupted content, and so many
+// FailNext makes the next responses fail: so many with truncated content, so many with corrupted content, and so many
 // requests answered with a status.
-func (r *Registry) Break(truncated, corrupted, failing, status int) {
+func (r *Registry) FailNext(truncated, corrupted, failing, status int) {
 	r.mu.Lock()
 	r.truncated, r.corrupted, r.failing, r.failStatus = truncated, corrupted, failing, status
 	r.mu.Unlock()
--- a/internal/fakes/replicas.go
+++ b/internal/fakes/replicas.go
@@ -28,7 +28,7 @@
 }
 
 // capacity is the number of requests that the ready replicas run concurrently.
-func (s *replicaSet) capacity() int { return s.ready * s.function.Lanes }
+func (s *replicaSet) capacity() int { return s.ready * s.function.Concurrency }
 
 // replicasOf returns the replicas of a version, nil for an unknown function, and those of another version of it that
 // are ready, if there are any. The caller holds the lock.
@@ -59,7 +59,7 @@
 	for _, s := range w.replicas {
 		if names[s.function.Name] {
 			s.hasImage = false
-			atWork := (s.busy + s.function.Lanes - 1) / s.function.Lanes
+			atWork := (s.busy + s.function.Concurrency - 1) / s.function.Concurrency
 			s.outdated = min(atWork, s.ready)
 			s.ready = s.outdated
 		}
@@ -69,7 +69,7 @@
 // startLoad loads one more replica in the background, and returns false where there is no room for it. The caller holds
 // the lock.
 func (w *Worker) startLoad(s *replicaSet) bool {
-	if w.loads >= loadQueueFactor*w.spec.LoadsAtOnce || !w.makeRoom(s) {
+	if w.loads >= loadQueueFactor*w.spec.MaxConcurrentLoads || !w.makeRoom(s) {
 		return false
 	}
 	s.loading++
@@ -80,7 +80,7 @@
 
 // makeRoom evicts idle replicas, the longest idle first, until one more of a set fits.
 func (w *Worker) makeRoom(s *replicaSet) bool {
-	for w.usedMemory()+s.function.Memory > w.spec.Memory {
+	for w.usedMemory()+s.function.MemoryMB > w.spec.Memory {
 		var oldest *replicaSet
 		for _, other := range w.replicas {
 			idle := other != s && other.busy == 0 && other.ready > 0
@@ -99,7 +99,7 @@
 func (w *Worker) usedMemory() float64 {
 	sum := 0.0
 	for _, s := range w.replicas {
-		sum += float64(s.ready+s.loading) * s.function.Memory
+		sum += float64(s.ready+s.loading) * s.function.MemoryMB
 	}
 	return sum
 }
@@ -124,7 +124,7 @@
 
 func (w *Worker) fetchAndStart(s *replicaSet, stop <-chan struct{}, hasImage bool) error {
 	if !hasImage {
-		if err := w.spec.Store.Fetch(s.function.Fetch, stop); err != nil {
+		if err := w.spec.Store.Fetch(s.function.FetchTime, stop); err != nil {
 			return err
 		}
 	}
@@ -135,7 +135,7 @@
 		return errWrongDigest
 	}
 	select {
-	case <-time.After(seconds(s.function.Begin)):
+	case <-time.After(seconds(s.function.StartTime)):
 		return nil
 	case <-stop:
 		return errStopped
@@ -152,7 +152,7 @@
 		}
 		w.mu.Lock()
 		for _, s := range w.replicas {
-			if s.ready > 0 && s.busy == 0 && time.Since(s.idleSince) > seconds(w.spec.Keep) {
+			if s.ready > 0 && s.busy == 0 && time.Since(s.idleSince) > seconds(w.spec.IdleReplicaLifetime) {
 				s.ready = 0
 			}
 		}
--- a/internal/fakes/site_config.go
+++ b/internal/fakes/site_config.go
@@ -99,7 +99,7 @@
 func FunctionConfigs(functions []Function) []FunctionConfig {
 	var list []FunctionConfig
 	for _, f := range functions {
-		list = append(list, FunctionConfig{Match: f.Name, Concurrency: f.Lanes, MemoryMB: f.Memory, LoadTime: f.Fetch + f.Begin})
+		list = append(list, FunctionConfig{Match: f.Name, Concurrency: f.Concurrency, MemoryMB: f.MemoryMB, LoadTime: f.FetchTime + f.StartTime})
 	}
 	return list
 }
--- a/internal/fakes/worker.go
+++ b/internal/fakes/worker.go
@@ -26,34 +26,34 @@
 	overloadAllowance = 2
 )
 
-// Spec is what a worker is. Times are seconds.
-type Spec struct {
-	Name         string
-	Addr         string // host:port; port 0 takes a free one, which it keeps over restarts
-	Kind         string // machine type
-	Cores        int
-	Speed        float64
-	Memory       float64 // MB for replicas
-	Queue        int     // requests that wait
-	LoadsAtOnce  int     // concurrent loads
-	Keep         float64 // an idle replica is let go after this
-	ColdShare    float64 // share of its capacity that it has at its start
-	WarmWithin   float64 // from its start to its full capacity
-	FallFactor   float64 // multiple of its capacity at which it fails while cold; 0: never
-	FallWindow   float64 // over which that is measured
-	LoadsOnEvent bool    // a request for a function that is not loaded loads it; otherwise it is answered 404
-	MeanWork     float64
-	Functions    []Function
-	Store        *Store
-	Drops        *Memory         // drops repeats of keyed requests
-	Keyed        map[string]bool // request classes whose repeats are dropped
-	Tape         *invariants.Tape
-	Seed         uint64
+// WorkerConfig is what a worker is. Times are seconds.
+type WorkerConfig struct {
+	Name                string
+	Addr                string // host:port; port 0 takes a free one, which it keeps over restarts
+	MachineType         string // machine type
+	Cores               int
+	Speed               float64
+	Memory              float64 // MB for replicas
+	QueueLimit          int     // requests that wait
+	MaxConcurrentLoads  int     // concurrent loads
+	IdleReplicaLifetime float64 // an idle replica is let go after this
+	ColdShare           float64 // share of its capacity that it has at its start
+	WarmUpTime          float64 // from its start to its full capacity
+	OverloadFactor      float64 // multiple of its capacity at which it fails while cold; 0: never
+	OverloadWindow      float64 // over which that is measured
+	LoadsOnRequest      bool    // a request for a function that is not loaded loads it; otherwise it is answered 404
+	MeanWork            float64
+	Functions           []Function
+	Store               *Store
+	Deduplicator        *Deduplicator   // drops repeats of keyed requests
+	KeyedClasses        map[string]bool // request classes whose repeats are dropped
+	Recorder            *invariants.Recorder
+	Seed                uint64
 }
 
 // Worker is one fake worker. Its process may end and start anew; its name and address stay.
 type Worker struct {
-	spec Spec
+	spec WorkerConfig
 	addr string // where it is reached, also after a restart
 
 	mu          sync.Mutex
@@ -76,7 +76,7 @@
 }
 
 // NewWorker starts a worker that has run for long: it is warm, and has no replicas.
-func NewWorker(spec Spec) (*Worker, error) {
+func NewWorker(spec WorkerConfig) (*Worker, error) {
 	addr := spec.Addr
 	if addr == "" {
 		addr = anyPort
@@ -143,7 +143,7 @@
 	go func() { _ = server.Serve(listener) }() // it returns when the server is closed
 	go w.evictIdle(w.stop)
 	if cold {
-		w.spec.Tape.Add(invariants.Record{Kind: invariants.WorkerStarted, Worker: w.spec.Name})
+		w.spec.Recorder.Add(invariants.Record{Kind: invariants.WorkerStarted, Worker: w.spec.Name})
 	}
 }
 
@@ -192,28 +192,28 @@
 // warmth is the share of its capacity that the worker has now. The caller holds the lock.
 func (w *Worker) warmth() float64 {
 	age := time.Since(w.startedAt).Seconds()
-	if !w.cold || age >= w.spec.WarmWithin {
+	if !w.cold || age >= w.spec.WarmUpTime {
 		return 1
 	}
-	return w.spec.ColdShare + (1-w.spec.ColdShare)*age/w.spec.WarmWithin
+	return w.spec.ColdShare + (1-w.spec.ColdShare)*age/w.spec.WarmUpTime
 }
 
 // overloaded counts a request that reaches a cold worker, and crashes the worker where that is too much. The caller
 // holds the lock.
 func (w *Worker) overloaded() bool {
-	if w.warmth() >= 1 || w.spec.FallFactor == 0 {
+	if w.warmth() >= 1 || w.spec.OverloadFactor == 0 {
 		return false
 	}
 	now := time.Now()
 	w.arrivals = append(w.arrivals, now)
-	for now.Sub(w.arrivals[0]) > seconds(w.spec.FallWindow) {
+	for now.Sub(w.arrivals[0]) > seconds(w.spec.OverloadWindow) {
 		w.arrivals = w.arrivals[1:]
 	}
-	capacity := float64(w.spec.Cores) * w.spec.Speed * w.warmth() * w.spec.FallWindow
-	if float64(len(w.arrivals)-overloadAllowance)*w.spec.MeanWork <= w.spec.FallFactor*capacity {
+	capacity := float64(w.spec.Cores) * w.spec.Speed * w.warmth() * w.spec.OverloadWindow
+	if float64(len(w.arrivals)-overloadAllowance)*w.spec.MeanWork <= w.spec.OverloadFactor*capacity {
 		return false
 	}
-	w.spec.Tape.Add(invariants.Record{Kind: invariants.WorkerOverloaded, Worker: w.spec.Name})
+	w.spec.Recorder.Add(invariants.Record{Kind: invariants.WorkerOverloaded, Worker: w.spec.Name})
 	w.crash()
 	return true
 }
--- a/internal/fakes/worker_test.go
+++ b/internal/fakes/worker_test.go
@@ -13,11 +13,11 @@
 	"streamcleat/internal/invariants"
 )
 
-func startWorker(t *testing.T, recorder *invariants.Tape) *Worker {
+func startWorker(t *testing.T, recorder *invariants.Recorder) *Worker {
 	t.Helper()
-	functions := []Function{{Name: "tally", Memory: 100, Lanes: 2, Fetch: 0.002, Begin: 0.001, Work: 0.002}}
-	w, err := NewWorker(Spec{Name: "wk-0", Kind: "std", Cores: 2, Speed: 0.5, Memory: 250, Queue: 4, LoadsAtOnce: 2, Keep: 20,
-		Functions: functions, Store: NewStore(4, 4), Drops: NewMemory(10), Keyed: map[string]bool{"keyed": true}, Tape: recorder, Seed: 1})
+	functions := []Function{{Name: "tally", MemoryMB: 100, Concurrency: 2, FetchTime: 0.002, StartTime: 0.001, MeanWork: 0.002}}
+	w, err := NewWorker(WorkerConfig{Name: "wk-0", MachineType: "std", Cores: 2, Speed: 0.5, Memory: 250, QueueLimit: 4, MaxConcurrentLoads: 2, IdleReplicaLifetime: 20,
+		Functions: functions, Store: NewStore(4, 4), Deduplicator: NewDeduplicator(10), KeyedClasses: map[string]bool{"keyed": true}, Recorder: recorder, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,14 +92,14 @@
 		{Fault{Kind: "errors-of", Digest: "another"}, 200, 1},
 		{Fault{Kind: "reset"}, 0, 0},
 		{Fault{Kind: "cut", Bytes: 40}, 0, 1},
-		{Fault{Kind: "stall", For: 0.01}, 200, 1},
-		{Fault{Kind: "hang", For: 600}, 0, 0},
-		{Fault{Kind: "lose", For: 600}, 0, 1},
+		{Fault{Kind: "stall", Duration: 0.01}, 200, 1},
+		{Fault{Kind: "hang", Duration: 600}, 0, 0},
+		{Fault{Kind: "lose", Duration: 600}, 0, 1},
 		{Fault{Kind: "slow", Slowdown: 2}, 200, 1},
 		{Fault{Kind: "late-reports"}, 200, 1},
 	} {
 		t.Run(string(c.fault.Kind), func(t *testing.T) {
-			recorder := invariants.NewTape()
+			recorder := invariants.NewRecorder()
 			w := startWorker(t, recorder)
 			if status, _, _ := post(t, w, "/v2/repository/models/tally/load", "", ""); status != http.StatusOK {
 				t.Fatal("load: ", status)
@@ -107,23 +107,23 @@
 			if err := w.Inject(c.fault); err != nil {
 				t.Fatal(err)
 			}
-			if c.fault.For > 1 { // it answers nothing: the process ends meanwhile
+			if c.fault.Duration > 1 { // it answers nothing: the process ends meanwhile
 				go func() {
-					for countRecords(recorder, invariants.Launched)+countRecords(recorder, invariants.Ran) < 1+c.ran {
+					for countRecords(recorder, invariants.AttemptStarted)+countRecords(recorder, invariants.Executed) < 1+c.ran {
 						time.Sleep(time.Millisecond)
 					}
 					w.Crash()
 				}()
 			}
 			status, _, _ := post(t, w, "/v2/models/tally/infer", "a", "")
-			if ran := countRecords(recorder, invariants.Ran); status != c.status || ran != c.ran {
+			if ran := countRecords(recorder, invariants.Executed); status != c.status || ran != c.ran {
 				t.Errorf("status %d, ran %d times", status, ran)
 			}
 		})
 	}
 }
 
-func countRecords(recorder *invariants.Tape, kind invariants.Kind) (n int) {
+func countRecords(recorder *invariants.Recorder, kind invariants.Kind) (n int) {
 	for _, r := range recorder.Records() {
 		if r.Kind == kind {
 			n++
@@ -135,7 +135,7 @@
 func TestEndpointListFormat(t *testing.T) {
 	w := startWorker(t, nil)
 	path := filepath.Join(t.TempDir(), "workers.json")
-	list, err := NewList(path, nil, []*Worker{w})
+	list, err := NewEndpointList(path, nil, []*Worker{w})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -154,11 +154,11 @@
 	if err := w.Restart(); err != nil {
 		t.Fatal(err)
 	}
-	if err := list.Set(w, "draining"); err != nil {
+	if err := list.SetPhase(w, "draining"); err != nil {
 		t.Fatal(err)
 	}
 	check(head + "draining\",\n   \"size\": \"1\",\n   \"started\": \"S\",\n" + tail)
-	if err := list.Set(w, "gone"); err != nil {
+	if err := list.SetPhase(w, "gone"); err != nil {
 		t.Fatal(err)
 	}
 	check("[]")
--- a/internal/http1/framer.go
+++ b/internal/http1/framer.go
@@ -162,10 +162,10 @@
 		return progressNext, nil
 	case f.state == stateLength && f.left == 0:
 		return progressComplete, nil
-	case f.message.Continue && !f.continueAsked && len(f.buf) == 0:
+	case f.message.ExpectContinue && !f.continueAsked && len(f.buf) == 0:
 		return progressContinue, nil
 	}
-	f.message.Continue = false
+	f.message.ExpectContinue = false
 	return progressNext, nil
 }
 
@@ -204,7 +204,7 @@
 	if f.moveBody() == 0 {
 		return progressWait, nil
 	}
-	f.message.Continue = false
+	f.message.ExpectContinue = false
 	if f.left == 0 {
 		return progressComplete, nil
 	}
@@ -232,7 +232,7 @@
 	if failure != nil || !ok {
 		return progressWait, failure
 	}
-	f.message.Continue = false
+	f.message.ExpectContinue = false
 	digits, _, _ := strings.Cut(line, ";")
 	size, err := strconv.ParseUint(strings.TrimRight(digits, " \t"), 16, 31)
 	if err != nil || strings.ContainsAny(digits, "+-_") {
--- a/internal/http1/framer_test.go
+++ b/internal/http1/framer_test.go
@@ -25,7 +25,7 @@
 			if m == nil {
 				break
 			}
-			if !m.Continue {
+			if !m.ExpectContinue {
 				got = append(got, fmt.Sprintf("%s%s %d %s", m.Method, m.Target, m.Status, m.Body))
 			}
 		}
@@ -45,7 +45,7 @@
 	}
 	var f *ProtocolError
 	status, word, _ := strings.Cut(want, " ")
-	if !errors.As(err, &f) || fmt.Sprint(f.Status) != status || !strings.Contains(f.Why, word) {
+	if !errors.As(err, &f) || fmt.Sprint(f.Status) != status || !strings.Contains(f.Reason, word) {
 		t.Errorf("%s: %v, want %s", how, err, want)
 	}
 }
@@ -135,14 +135,14 @@
 func TestContinue(t *testing.T) {
 	f := NewRequests(limits)
 	f.Feed([]byte("POST / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n"))
-	if m, err := f.Next(); err != nil || m == nil || !m.Continue {
+	if m, err := f.Next(); err != nil || m == nil || !m.ExpectContinue {
 		t.Fatal(m, err)
 	}
 	if m, err := f.Next(); m != nil || err != nil {
 		t.Fatal("asked twice")
 	}
 	f.Feed([]byte("hi"))
-	if m, err := f.Next(); err != nil || m == nil || m.Continue || string(m.Body) != "hi" || !f.Idle() {
+	if m, err := f.Next(); err != nil || m == nil || m.ExpectContinue || string(m.Body) != "hi" || !f.Idle() {
 		t.Fatal(m, err)
 	}
 }
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -55,7 +55,7 @@
 	if failure := f.beginBody(message, version); failure != nil {
 		return failure
 	}
-	message.Continue = !f.response && version == version11 && strings.EqualFold(fields.Get("Expect"), "100-continue")
+	message.ExpectContinue = !f.response && version == version11 && strings.EqualFold(fields.Get("Expect"), "100-continue")
 	return nil
 }
 
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -18,20 +18,20 @@
 	Header         nethttp.Header
 	Body           []byte
 	Close          bool // the sender closes the connection after it
-	Continue       bool // a request that waits for 100 Continue; Body follows
+	ExpectContinue bool // a request that waits for 100 Continue; Body follows
 }
 
 // ProtocolError is why a stream can't be read any further. Status is what a server answers a request with before it
 // closes the connection.
 type ProtocolError struct {
 	Status int
-	Why    string
+	Reason string
 }
 
-func (e *ProtocolError) Error() string { return e.Why }
+func (e *ProtocolError) Error() string { return e.Reason }
 
 func protocolErrorf(status int, format string, args ...any) *ProtocolError {
-	return &ProtocolError{Status: status, Why: fmt.Sprintf(format, args...)}
+	return &ProtocolError{Status: status, Reason: fmt.Sprintf(format, args...)}
 }
 
 func badRequestf(format string, args ...any) *ProtocolError {
--- a/internal/ingress/http/golden_test.go
+++ b/internal/ingress/http/golden_test.go
@@ -15,8 +15,8 @@
 func TestGoldenSessions(t *testing.T) {
 	goldentest.Play(t, "session", func(*testing.T) goldentest.Actor {
 		client := &goldentest.FakeClient{Encode: encode, Show: goldentest.Lines}
-		client.Session = http.NewSession(http.Limits{Message: http1.Limits{Head: 2000, Body: 500}, Pipeline: 3, Arrival: 2, Idle: 10, Unread: 1 << 16,
-			MaxAge: func(class string) float64 { return map[string]float64{"call": 5, "long": 60}[class] }}, "front-1", client, 0)
+		client.Session = http.NewSession(http.Limits{Message: http1.Limits{Head: 2000, Body: 500}, MaxPipelined: 3, RequestTimeout: 2, IdleTimeout: 10, MaxUnread: 1 << 16,
+			ClassTimeout: func(class string) float64 { return map[string]float64{"call": 5, "long": 60}[class] }}, "front-1", client, 0)
 		return client
 	})
 }
--- a/internal/ingress/http/session.go
+++ b/internal/ingress/http/session.go
@@ -13,12 +13,12 @@
 
 // Limits of one client connection; times in seconds.
 type Limits struct {
-	Message  http1.Limits
-	Pipeline int                        // requests of a connection that may wait for their responses at once
-	Arrival  float64                    // a request must be complete so long after its first byte
-	Idle     float64                    // a connection without a request is closed after this
-	Unread   int                        // bytes of responses that a client may leave unread
-	MaxAge   func(class string) float64 // the longest timeout of a request class; 0 where it is unknown
+	Message        http1.Limits
+	MaxPipelined   int                        // requests of a connection that may wait for their responses at once
+	RequestTimeout float64                    // a request must be complete so long after its first byte
+	IdleTimeout    float64                    // a connection without a request is closed after this
+	MaxUnread      int                        // bytes of responses that a client may leave unread
+	ClassTimeout   func(class string) float64 // the longest timeout of a request class; 0 where it is unknown
 }
 
 // RequestHandler takes requests on behalf of a session.
@@ -99,7 +99,7 @@
 		if m == nil {
 			return
 		}
-		if m.Continue {
+		if m.ExpectContinue {
 			if len(s.pending) == 0 { // RFC 9110 10.1.1; behind another response the client sends the body by itself
 				s.output.WriteString(continueResponse)
 			}
@@ -154,12 +154,12 @@
 	switch {
 	case failure != nil:
 		pending.reject(failure)
-	case waiting >= s.limits.Pipeline:
+	case waiting >= s.limits.MaxPipelined:
 		pending.reject(requestErrorf(nethttp.StatusTooManyRequests, problemPipeline,
-			"over %d requests of this connection wait", s.limits.Pipeline),
+			"over %d requests of this connection wait", s.limits.MaxPipelined),
 			dispatch.Field{Name: "Retry-After", Value: "1"})
 	default:
-		if longest := s.limits.MaxAge(request.Class); request.Timeout == 0 || request.Timeout > longest {
+		if longest := s.limits.ClassTimeout(request.Class); request.Timeout == 0 || request.Timeout > longest {
 			request.Timeout = longest
 		}
 		pending.request, pending.deadline = &request, now+request.Timeout
@@ -278,10 +278,10 @@
 func (s *Session) Tick(now float64) bool {
 	switch {
 	case s.closed || s.disconnected:
-	case !s.framer.Idle() && now-s.requestStart > s.limits.Arrival:
-		s.fail(requestTimedOut(s.limits.Arrival))
+	case !s.framer.Idle() && now-s.requestStart > s.limits.RequestTimeout:
+		s.fail(requestTimedOut(s.limits.RequestTimeout))
 		s.Advance(now)
-	case s.framer.Idle() && len(s.pending) == 0 && now-s.activeAt > s.limits.Idle:
+	case s.framer.Idle() && len(s.pending) == 0 && now-s.activeAt > s.limits.IdleTimeout:
 		s.closed = true
 	}
 	return s.output.Len() > 0 || s.Done()
--- a/internal/ingress/http/session_test.go
+++ b/internal/ingress/http/session_test.go
@@ -13,8 +13,8 @@
 )
 
 var (
-	limits = Limits{Message: http1.Limits{Head: 2000, Body: 500}, Pipeline: 4, Arrival: 2, Idle: 10, Unread: 1 << 16,
-		MaxAge: func(string) float64 { return 5 }}
+	limits = Limits{Message: http1.Limits{Head: 2000, Body: 500}, MaxPipelined: 4, RequestTimeout: 2, IdleTimeout: 10, MaxUnread: 1 << 16,
+		ClassTimeout: func(string) float64 { return 5 }}
 	wall = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 )
 
--- a/internal/invariants/check.go
+++ b/internal/invariants/check.go
@@ -8,8 +8,8 @@
 // maxViolationsPerKind limits how many violations of one kind are described; all of them are counted.
 const maxViolationsPerKind = 3
 
-// Judge checks a whole recording. It sorts records by time in place.
-func Judge(rules Rules, records []Record) Verdict {
+// Check checks a whole recording. It sorts records by time in place.
+func Check(rules Rules, records []Record) Verdict {
 	c := &checker{rules: rules, described: map[string]int{}}
 	sort.SliceStable(records, func(a, b int) bool { return records[a].At < records[b].At })
 	c.checkResponses(records)
@@ -18,7 +18,7 @@
 	c.checkWarmUp(records)
 	c.checkLoadCommands(records)
 	c.checkVersions(records)
-	c.verdict.Broken = c.verdict.countBroken()
+	c.verdict.RulesBroken = c.verdict.countBroken()
 	return c.verdict
 }
 
@@ -34,7 +34,7 @@
 	*count++
 	c.described[kind]++
 	if c.described[kind] <= maxViolationsPerKind {
-		c.verdict.Faults = append(c.verdict.Faults, kind+": "+fmt.Sprintf(format, args...))
+		c.verdict.Violations = append(c.verdict.Violations, kind+": "+fmt.Sprintf(format, args...))
 	}
 }
 
--- a/internal/invariants/check_test.go
+++ b/internal/invariants/check_test.go
@@ -7,37 +7,37 @@
 	"testing"
 )
 
-var rules = Rules{Effect: map[string]string{"again": "redeliverable", "keyed": "keyed", "once": "at-most-once"},
-	Remembered: map[string]float64{"keyed": 10}, Work: 0.1, Capacity: map[string]float64{"a": 2, "b": 2}, DrainGrace: 0.5,
-	ColdShare: 0.25, WarmWithin: 10, FallFactor: 2, FallWindow: 1, LoadWindow: 5, LoadBurst: 2, LoadsPerRequest: 0.5, Grace: 0.01}
+var rules = Rules{Semantics: map[string]string{"again": "redeliverable", "keyed": "keyed", "once": "at-most-once"},
+	DeduplicationWindow: map[string]float64{"keyed": 10}, MeanWork: 0.1, Capacity: map[string]float64{"a": 2, "b": 2}, DrainGrace: 0.5,
+	ColdShare: 0.25, WarmUpTime: 10, OverloadFactor: 2, OverloadWindow: 1, LoadWindow: 5, LoadBurst: 2, LoadsPerRequest: 0.5, ObservationDelay: 0.01}
 
 func request(at float64, call uint64, id, class string) Record {
-	return Record{At: at, Kind: Asked, Call: call, Event: id, Type: class, Front: "f", Wait: 4}
+	return Record{At: at, Kind: RequestSent, CallID: call, RequestID: id, Class: class, FrontEnd: "f", Timeout: 4}
 }
 
 func response(at float64, call uint64, id, class, outcome string) Record {
-	return Record{At: at, Kind: Answered, Call: call, Event: id, Type: class, Front: "f", Outcome: outcome}
+	return Record{At: at, Kind: ResponseReceived, CallID: call, RequestID: id, Class: class, FrontEnd: "f", Outcome: outcome}
 }
 
 // attemptRecords are the records of one attempt, which executes the request half-way where ran says so.
 func attemptRecords(at, to float64, call uint64, worker, id, class string, ran bool) []Record {
-	list := []Record{{At: at, Kind: Launched, Call: call, Worker: worker, Event: id, Type: class, Front: "f"},
-		{At: to, Kind: Ended, Call: call, Worker: worker, Event: id, Type: class}}
+	list := []Record{{At: at, Kind: AttemptStarted, CallID: call, Worker: worker, RequestID: id, Class: class, FrontEnd: "f"},
+		{At: to, Kind: AttemptEnded, CallID: call, Worker: worker, RequestID: id, Class: class}}
 	if ran {
-		list = append(list, Record{At: (at + to) / 2, Kind: Ran, Call: call, Worker: worker, Event: id, Type: class})
+		list = append(list, Record{At: (at + to) / 2, Kind: Executed, CallID: call, Worker: worker, RequestID: id, Class: class})
 	}
 	return list
 }
 
 func loadCommand(at float64) Record {
-	return Record{At: at, Kind: Ordered, Worker: "a", Front: "f", Replicas: 1}
+	return Record{At: at, Kind: LoadCommanded, Worker: "a", FrontEnd: "f", Replicas: 1}
 }
 
 // validRecording keeps every rule.
 func validRecording() []Record {
-	list := []Record{request(1, 1, "e1", "again"), response(1.4, 1, "e1", "again", Handled), request(2, 2, "e2", "once"),
-		response(2.5, 2, "e2", "once", DeadLettered), request(3, 3, "e3", "keyed"), response(3.6, 3, "e3", "keyed", Deferred),
-		request(4, 4, "e4", "again"), {At: 4.2, Kind: ClientCancelled, Call: 4}, {At: 5, Kind: EndpointUpdated, Worker: "a", EndpointState: "draining"},
+	list := []Record{request(1, 1, "e1", "again"), response(1.4, 1, "e1", "again", Succeeded), request(2, 2, "e2", "once"),
+		response(2.5, 2, "e2", "once", Failed), request(3, 3, "e3", "keyed"), response(3.6, 3, "e3", "keyed", Rejected),
+		request(4, 4, "e4", "again"), {At: 4.2, Kind: ClientCancelled, CallID: 4}, {At: 5, Kind: EndpointUpdated, Worker: "a", EndpointState: "draining"},
 		{At: 6, Kind: WorkerStarted, Worker: "b"}, loadCommand(1.1), loadCommand(2.1), loadCommand(3.1)}
 	list = append(list, attemptRecords(1.1, 1.3, 11, "a", "e1", "again", true)...)
 	list = append(list, attemptRecords(2.1, 2.4, 12, "a", "e2", "once", true)...)
@@ -46,14 +46,14 @@
 }
 
 func TestEachViolationIsFound(t *testing.T) {
-	if v := Judge(rules, validRecording()); v.Broken != 0 || v.Handled != 1 || v.Deferred != 1 || v.DeadLettered != 1 || v.Left != 1 {
+	if v := Check(rules, validRecording()); v.RulesBroken != 0 || v.Succeeded != 1 || v.Rejected != 1 || v.Failed != 1 || v.Cancelled != 1 {
 		t.Fatalf("a valid recording: %+v", v)
 	}
 	var overload []Record
 	for i := range 14 { // 2 x 0.25 x 2 cores x 1 s of work are allowed, and two requests more
 		at := 6.1 + float64(i)*0.01
 		overload = append(overload, request(at-0.05, uint64(100+i), "p"+string(rune('a'+i)), "again"),
-			response(at+0.1, uint64(100+i), "p"+string(rune('a'+i)), "again", Handled))
+			response(at+0.1, uint64(100+i), "p"+string(rune('a'+i)), "again", Succeeded))
 		overload = append(overload, attemptRecords(at, at+0.05, uint64(200+i), "b", "p"+string(rune('a'+i)), "again", true)...)
 	}
 	for _, c := range []struct {
@@ -62,35 +62,35 @@
 		count func(Verdict) int
 	}{
 		{"no response", []Record{request(7, 50, "x", "again")}, func(v Verdict) int { return v.Unanswered }},
-		{"too late", []Record{request(7, 50, "x", "again"), response(11.5, 50, "x", "again", Handled)},
+		{"too late", []Record{request(7, 50, "x", "again"), response(11.5, 50, "x", "again", Succeeded)},
 			func(v Verdict) int { return v.Unanswered }},
-		{"two responses", []Record{response(1.5, 1, "e1", "again", Deferred)}, func(v Verdict) int { return v.Twice }},
-		{"response to nobody", []Record{response(1.5, 99, "e9", "again", Deferred)}, func(v Verdict) int { return v.Twice }},
-		{"attempt after the response", attemptRecords(1.6, 1.7, 51, "a", "e1", "again", true), func(v Verdict) int { return v.AfterEnd }},
-		{"attempt after the client cancelled", attemptRecords(4.4, 4.5, 51, "a", "e4", "again", true), func(v Verdict) int { return v.AfterEnd }},
-		{"two attempts at once", attemptRecords(1.2, 1.35, 51, "b", "e1", "again", true), func(v Verdict) int { return v.AtOnce }},
-		{"at-most-once twice", attemptRecords(2.42, 2.45, 51, "b", "e2", "once", false), func(v Verdict) int { return v.RanTwice }},
-		{"keyed twice", attemptRecords(3.52, 3.55, 51, "b", "e3", "keyed", true), func(v Verdict) int { return v.RanTwice }},
+		{"two responses", []Record{response(1.5, 1, "e1", "again", Rejected)}, func(v Verdict) int { return v.DuplicateResponses }},
+		{"response to nobody", []Record{response(1.5, 99, "e9", "again", Rejected)}, func(v Verdict) int { return v.DuplicateResponses }},
+		{"attempt after the response", attemptRecords(1.6, 1.7, 51, "a", "e1", "again", true), func(v Verdict) int { return v.AttemptsAfterEnd }},
+		{"attempt after the client cancelled", attemptRecords(4.4, 4.5, 51, "a", "e4", "again", true), func(v Verdict) int { return v.AttemptsAfterEnd }},
+		{"two attempts at once", attemptRecords(1.2, 1.35, 51, "b", "e1", "again", true), func(v Verdict) int { return v.ConcurrentAttempts }},
+		{"at-most-once twice", attemptRecords(2.42, 2.45, 51, "b", "e2", "once", false), func(v Verdict) int { return v.DuplicateExecutions }},
+		{"keyed twice", attemptRecords(3.52, 3.55, 51, "b", "e3", "keyed", true), func(v Verdict) int { return v.DuplicateExecutions }},
 		{"keyed past the deduplication window", append(attemptRecords(14, 14.1, 51, "b", "e3", "keyed", false), request(13.9, 52, "e3", "keyed"),
-			response(14.2, 52, "e3", "keyed", Handled)), func(v Verdict) int { return v.RanTwice }},
-		{"at-most-once rejected after it ran", []Record{request(2.6, 52, "e2", "once"), response(2.7, 52, "e2", "once", Deferred)},
-			func(v Verdict) int { return v.BadDeferral }},
+			response(14.2, 52, "e3", "keyed", Succeeded)), func(v Verdict) int { return v.DuplicateExecutions }},
+		{"at-most-once rejected after it ran", []Record{request(2.6, 52, "e2", "once"), response(2.7, 52, "e2", "once", Rejected)},
+			func(v Verdict) int { return v.WrongRejections }},
 		{"attempt after drain", append(attemptRecords(5.6, 5.7, 51, "a", "x", "again", true), request(5.5, 52, "x", "again"),
-			response(5.8, 52, "x", "again", Handled)), func(v Verdict) int { return v.AfterDrain }},
-		{"load command after drain", []Record{loadCommand(5.6)}, func(v Verdict) int { return v.AfterDrain }},
-		{"cold worker overloaded", overload, func(v Verdict) int { return v.ColdPushed }},
-		{"cold worker failed", []Record{{At: 7, Kind: WorkerOverloaded, Worker: "b"}}, func(v Verdict) int { return v.ColdPushed }},
-		{"too many load commands", []Record{loadCommand(3.2), loadCommand(3.3)}, func(v Verdict) int { return v.Flooded }},
+			response(5.8, 52, "x", "again", Succeeded)), func(v Verdict) int { return v.SentAfterDrain }},
+		{"load command after drain", []Record{loadCommand(5.6)}, func(v Verdict) int { return v.SentAfterDrain }},
+		{"cold worker overloaded", overload, func(v Verdict) int { return v.ColdOverloads }},
+		{"cold worker failed", []Record{{At: 7, Kind: WorkerOverloaded, Worker: "b"}}, func(v Verdict) int { return v.ColdOverloads }},
+		{"too many load commands", []Record{loadCommand(3.2), loadCommand(3.3)}, func(v Verdict) int { return v.ExcessLoadCommands }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if v := Judge(rules, append(validRecording(), c.more...)); c.count(v) == 0 || v.Broken != 1 || len(v.Faults) == 0 {
+			if v := Check(rules, append(validRecording(), c.more...)); c.count(v) == 0 || v.RulesBroken != 1 || len(v.Violations) == 0 {
 				t.Errorf("not found, or more than it: %+v", v)
 			}
 		})
 	}
 	withinGrace := append(attemptRecords(5.4, 5.7, 51, "a", "x", "again", true), request(5.3, 52, "x", "again"),
-		response(5.8, 52, "x", "again", Handled))
-	if v := Judge(rules, append(validRecording(), withinGrace...)); v.Broken != 0 {
+		response(5.8, 52, "x", "again", Succeeded))
+	if v := Check(rules, append(validRecording(), withinGrace...)); v.RulesBroken != 0 {
 		t.Errorf("within the grace: %+v", v)
 	}
 }
--- a/internal/invariants/executions.go
+++ b/internal/invariants/executions.go
@@ -24,8 +24,8 @@
 		c.checkDuplicateExecution(id, x.attempts[id], x.runs[id])
 	}
 	for _, r := range records {
-		if r.Kind == Answered && r.Outcome == Deferred && c.rules.Effect[r.Type] == effectAtMostOnce {
-			c.checkRejection(r, x.runs[r.Event])
+		if r.Kind == ResponseReceived && r.Outcome == Rejected && c.rules.Semantics[r.Class] == effectAtMostOnce {
+			c.checkRejection(r, x.runs[r.RequestID])
 		}
 	}
 }
@@ -35,19 +35,19 @@
 	byID := map[uint64]*attempt{}
 	for _, r := range records {
 		switch r.Kind {
-		case Launched:
+		case AttemptStarted:
 			a := &attempt{from: r.At, to: math.Inf(1), start: r}
-			byID[r.Call] = a
-			if x.attempts[r.Event] == nil {
-				x.requests = append(x.requests, r.Event)
+			byID[r.CallID] = a
+			if x.attempts[r.RequestID] == nil {
+				x.requests = append(x.requests, r.RequestID)
 			}
-			x.attempts[r.Event] = append(x.attempts[r.Event], a)
-		case Ended:
-			if a := byID[r.Call]; a != nil {
+			x.attempts[r.RequestID] = append(x.attempts[r.RequestID], a)
+		case AttemptEnded:
+			if a := byID[r.CallID]; a != nil {
 				a.to = r.At
 			}
-		case Ran:
-			x.runs[r.Event] = append(x.runs[r.Event], r)
+		case Executed:
+			x.runs[r.RequestID] = append(x.runs[r.RequestID], r)
 		}
 	}
 	return x
@@ -57,11 +57,11 @@
 func (c *checker) checkConcurrentAttempts(id string, attempts []*attempt) {
 	for i := 1; i < len(attempts); i++ {
 		before, next := attempts[i-1], attempts[i]
-		if c.rules.IndependentFrontEnds && next.start.Front != before.start.Front {
+		if c.rules.IndependentFrontEnds && next.start.FrontEnd != before.start.FrontEnd {
 			continue
 		}
-		if next.from < before.to-c.rules.Grace {
-			c.violation(&c.verdict.AtOnce, "at once", "%s at %s from %.3f to %.3f and at %s from %.3f", id, before.start.Worker,
+		if next.from < before.to-c.rules.ObservationDelay {
+			c.violation(&c.verdict.ConcurrentAttempts, "at once", "%s at %s from %.3f to %.3f and at %s from %.3f", id, before.start.Worker,
 				before.from, before.to, next.start.Worker, next.from)
 		}
 	}
@@ -73,18 +73,18 @@
 	if len(runs) == 0 {
 		return
 	}
-	class := attempts[0].start.Type
-	effect := c.rules.Effect[class]
+	class := attempts[0].start.Class
+	effect := c.rules.Semantics[class]
 	firstRun, lastAttempt := runs[0].At, attempts[len(attempts)-1].from
 	if len(runs) > 1 && effect != effectIdempotent {
-		c.violation(&c.verdict.RanTwice, "ran twice", "%s (%s) ran %d times, at %.3f and at %.3f", id, effect, len(runs),
+		c.violation(&c.verdict.DuplicateExecutions, "ran twice", "%s (%s) ran %d times, at %.3f and at %.3f", id, effect, len(runs),
 			firstRun, runs[len(runs)-1].At)
 	}
 	if effect == effectAtMostOnce && lastAttempt > firstRun {
-		c.violation(&c.verdict.RanTwice, "relaunched", "%s ran at %.3f and was launched again at %.3f", id, firstRun, lastAttempt)
+		c.violation(&c.verdict.DuplicateExecutions, "relaunched", "%s ran at %.3f and was launched again at %.3f", id, firstRun, lastAttempt)
 	}
-	if effect == effectIdempotentByKey && lastAttempt > firstRun+c.rules.Remembered[class]+c.rules.Grace {
-		c.violation(&c.verdict.RanTwice, "past memory", "%s ran at %.3f and was launched again at %.3f", id, firstRun, lastAttempt)
+	if effect == effectIdempotentByKey && lastAttempt > firstRun+c.rules.DeduplicationWindow[class]+c.rules.ObservationDelay {
+		c.violation(&c.verdict.DuplicateExecutions, "past memory", "%s ran at %.3f and was launched again at %.3f", id, firstRun, lastAttempt)
 	}
 }
 
@@ -92,7 +92,7 @@
 func (c *checker) checkRejection(response Record, runs []Record) {
 	for _, run := range runs {
 		if run.At <= response.At {
-			c.violation(&c.verdict.BadDeferral, "deferred", "%s ran at %.3f and was deferred at %.3f", response.Event, run.At,
+			c.violation(&c.verdict.WrongRejections, "deferred", "%s ran at %.3f and was deferred at %.3f", response.RequestID, run.At,
 				response.At)
 			return
 		}
--- a/internal/invariants/loads.go
+++ b/internal/invariants/loads.go
@@ -12,20 +12,20 @@
 	commands, requests := map[string][]float64{}, map[string][]float64{}
 	for _, r := range records {
 		switch r.Kind {
-		case Asked:
-			address := addressOf(r.Front)
+		case RequestSent:
+			address := addressOf(r.FrontEnd)
 			requests[address] = append(requests[address], r.At)
-		case Ordered:
-			c.verdict.Orders++
+		case LoadCommanded:
+			c.verdict.LoadCommands++
 			if r.Replicas == 0 || c.rules.LoadWindow == 0 {
 				continue
 			}
-			commands[r.Front] = within(append(commands[r.Front], r.At), r.At, c.rules.LoadWindow-c.rules.Grace)
-			address := addressOf(r.Front)
-			requests[address] = within(requests[address], r.At, c.rules.LoadWindow+c.rules.Grace+c.rules.SubmissionDelay)
+			commands[r.FrontEnd] = within(append(commands[r.FrontEnd], r.At), r.At, c.rules.LoadWindow-c.rules.ObservationDelay)
+			address := addressOf(r.FrontEnd)
+			requests[address] = within(requests[address], r.At, c.rules.LoadWindow+c.rules.ObservationDelay+c.rules.SubmissionDelay)
 			limit := c.rules.LoadBurst + c.rules.LoadsPerRequest*float64(len(requests[address]))
-			if n := len(commands[r.Front]); float64(n) > limit+roundingTolerance {
-				c.violation(&c.verdict.Flooded, "load orders", "%s gave %d within %.1f s until %.3f, %.1f are allowed", r.Front, n,
+			if n := len(commands[r.FrontEnd]); float64(n) > limit+roundingTolerance {
+				c.violation(&c.verdict.ExcessLoadCommands, "load orders", "%s gave %d within %.1f s until %.3f, %.1f are allowed", r.FrontEnd, n,
 					c.rules.LoadWindow, r.At, limit)
 			}
 		}
--- a/internal/invariants/record.go
+++ b/internal/invariants/record.go
@@ -13,14 +13,14 @@
 
 // Kinds of records, as they stand in files.
 const (
-	Asked            Kind = "asked"    // a client sent a request; Wait is how long it waits
-	Answered         Kind = "answered" // the client got a response: Outcome
+	RequestSent      Kind = "asked"    // a client sent a request; Wait is how long it waits
+	ResponseReceived Kind = "answered" // the client got a response: Outcome
 	ClientCancelled  Kind = "left"     // the client cancelled, or the script stopped its front end
-	Lost             Kind = "lost"     // the client's connection closed without a response
-	Launched         Kind = "launched" // an attempt reached a worker
-	Ran              Kind = "ran"      // the request was executed there
-	Ended            Kind = "ended"    // the worker's response left, or either side closed the connection
-	Ordered          Kind = "ordered"  // a load command reached a worker
+	ConnectionLost   Kind = "lost"     // the client's connection closed without a response
+	AttemptStarted   Kind = "launched" // an attempt reached a worker
+	Executed         Kind = "ran"      // the request was executed there
+	AttemptEnded     Kind = "ended"    // the worker's response left, or either side closed the connection
+	LoadCommanded    Kind = "ordered"  // a load command reached a worker
 	EndpointUpdated  Kind = "told"     // the endpoint list changed: EndpointState, StartedAt
 	WorkerOverloaded Kind = "down"     // a cold worker failed under too much load
 	WorkerStarted    Kind = "born"     // a worker process started cold
@@ -28,23 +28,23 @@
 
 // Outcomes as the client saw them, as they stand in files.
 const (
-	Handled      = "handled"
-	Deferred     = "deferred"
-	DeadLettered = "dead-lettered"
-	Refused      = "refused" // not accepted as a request: malformed, or not wanted
+	Succeeded = "handled"
+	Rejected  = "deferred"
+	Failed    = "dead-lettered"
+	Invalid   = "refused" // not accepted as a request: malformed, or not wanted
 )
 
 // Record is one thing that happened.
 type Record struct {
 	At            float64 `json:"at"` // seconds since the recording began
 	Kind          Kind    `json:"kind"`
-	Front         string  `json:"front,omitempty"` // front end
+	FrontEnd      string  `json:"front,omitempty"` // front end
 	Worker        string  `json:"worker,omitempty"`
-	Event         string  `json:"event,omitempty"` // identity of the request
-	Type          string  `json:"type,omitempty"`  // request class
+	RequestID     string  `json:"event,omitempty"` // identity of the request
+	Class         string  `json:"type,omitempty"`  // request class
 	Function      string  `json:"function,omitempty"`
-	Call          uint64  `json:"call,omitempty"` // joins a request with its response, or an attempt with its end
-	Wait          float64 `json:"wait,omitempty"`
+	CallID        uint64  `json:"call,omitempty"` // joins a request with its response, or an attempt with its end
+	Timeout       float64 `json:"wait,omitempty"`
 	Outcome       string  `json:"outcome,omitempty"`
 	Status        int     `json:"status,omitempty"` // 0 where a connection closed without one
 	EndpointState string  `json:"phase,omitempty"`  // of the worker in the endpoint list
--- a/internal/invariants/recorder.go
+++ b/internal/invariants/recorder.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// Tape collects records from many goroutines in the order they were made. A nil one records nothing.
-type Tape struct {
+// Recorder collects records from many goroutines in the order they were made. A nil one records nothing.
+type Recorder struct {
 	mu      sync.Mutex
 	clock   func() float64
 	records []Record
 	calls   uint64
 }
 
-// NewTape begins a recording now, on the machine's clock.
-func NewTape() *Tape {
+// NewRecorder begins a recording now, on the machine's clock.
+func NewRecorder() *Recorder {
 	began := time.Now()
 	return NewRecorderWithClock(func() float64 { return time.Since(began).Seconds() })
 }
 
 // NewRecorderWithClock begins a recording on a clock that returns seconds since the beginning.
-func NewRecorderWithClock(clock func() float64) *Tape { return &Tape{clock: clock} }
+func NewRecorderWithClock(clock func() float64) *Recorder { return &Recorder{clock: clock} }
 
 // Now returns the seconds since the recording began.
-func (t *Tape) Now() float64 { return t.clock() }
+func (t *Recorder) Now() float64 { return t.clock() }
 
 // Add records r with the present time.
-func (t *Tape) Add(r Record) {
+func (t *Recorder) Add(r Record) {
 	if t == nil {
 		return
 	}
@@ -36,8 +36,8 @@
 	t.mu.Unlock()
 }
 
-// Call returns a new number for one request or one attempt.
-func (t *Tape) Call() uint64 {
+// NextCallID returns a new number for one request or one attempt.
+func (t *Recorder) NextCallID() uint64 {
 	if t == nil {
 		return 0
 	}
@@ -48,7 +48,7 @@
 }
 
 // Records returns a copy of all records so far.
-func (t *Tape) Records() []Record {
+func (t *Recorder) Records() []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return append([]Record(nil), t.records...)
--- a/internal/invariants/responses.go
+++ b/internal/invariants/responses.go
@@ -14,13 +14,13 @@
 	calls := c.collectCalls(records)
 	byRequest := map[string][]*call{}
 	for _, x := range calls {
-		byRequest[x.request.Event] = append(byRequest[x.request.Event], x)
+		byRequest[x.request.RequestID] = append(byRequest[x.request.RequestID], x)
 		c.countEnd(x)
 	}
 	for _, r := range records {
-		if r.Kind == Launched {
-			c.verdict.Launches++
-			c.checkAttemptIsAwaited(r, byRequest[r.Event])
+		if r.Kind == AttemptStarted {
+			c.verdict.Attempts++
+			c.checkAttemptIsAwaited(r, byRequest[r.RequestID])
 		}
 	}
 }
@@ -31,14 +31,14 @@
 	var calls []*call
 	for _, r := range records {
 		switch r.Kind {
-		case Asked:
+		case RequestSent:
 			x := &call{request: r}
-			byID[r.Call] = x
+			byID[r.CallID] = x
 			calls = append(calls, x)
-		case Answered, ClientCancelled, Lost:
-			x := byID[r.Call]
+		case ResponseReceived, ClientCancelled, ConnectionLost:
+			x := byID[r.CallID]
 			if x == nil {
-				c.violation(&c.verdict.Twice, "answer", "call %d: %s without an ask", r.Call, r.Kind)
+				c.violation(&c.verdict.DuplicateResponses, "answer", "call %d: %s without an ask", r.CallID, r.Kind)
 				continue
 			}
 			c.endCall(x, r)
@@ -49,10 +49,10 @@
 
 // endCall notes the end of a call. The first one counts, and a second response is a violation.
 func (c *checker) endCall(x *call, end Record) {
-	if end.Kind == Answered {
+	if end.Kind == ResponseReceived {
 		x.responses++
 		if x.responses > 1 {
-			c.violation(&c.verdict.Twice, "twice", "%s at %.3f: a second answer", x.request.Event, end.At)
+			c.violation(&c.verdict.DuplicateResponses, "twice", "%s at %.3f: a second answer", x.request.RequestID, end.At)
 			return
 		}
 	}
@@ -65,33 +65,33 @@
 func (c *checker) countEnd(x *call) {
 	switch {
 	case !x.ended:
-		c.violation(&c.verdict.Unanswered, "unanswered", "%s asked at %.3f of %s", x.request.Event, x.request.At, x.request.Front)
+		c.violation(&c.verdict.Unanswered, "unanswered", "%s asked at %.3f of %s", x.request.RequestID, x.request.At, x.request.FrontEnd)
 	case x.end.Kind == ClientCancelled:
-		c.verdict.Left++
-	case x.end.Kind == Lost:
-		c.verdict.Lost++
-	case x.end.At-x.request.At > x.request.Wait:
-		c.violation(&c.verdict.Unanswered, "late", "%s answered %.3f s after its ask, its client waited %.3f", x.request.Event,
-			x.end.At-x.request.At, x.request.Wait)
+		c.verdict.Cancelled++
+	case x.end.Kind == ConnectionLost:
+		c.verdict.ConnectionsLost++
+	case x.end.At-x.request.At > x.request.Timeout:
+		c.violation(&c.verdict.Unanswered, "late", "%s answered %.3f s after its ask, its client waited %.3f", x.request.RequestID,
+			x.end.At-x.request.At, x.request.Timeout)
 	default:
 		if accepted := c.countOutcome(x.end.Outcome); !accepted {
 			return
 		}
 	}
-	c.verdict.Events++
+	c.verdict.Requests++
 }
 
 // countOutcome counts a response in time, and returns whether the request had been accepted.
 func (c *checker) countOutcome(outcome string) (accepted bool) {
 	switch outcome {
-	case Handled:
-		c.verdict.Handled++
-	case Deferred:
-		c.verdict.Deferred++
-	case DeadLettered:
-		c.verdict.DeadLettered++
+	case Succeeded:
+		c.verdict.Succeeded++
+	case Rejected:
+		c.verdict.Rejected++
+	case Failed:
+		c.verdict.Failed++
 	default:
-		c.verdict.Refused++
+		c.verdict.Invalid++
 		return false
 	}
 	return true
@@ -103,12 +103,12 @@
 	if len(calls) == 0 {
 		return
 	}
-	grace := c.rules.Grace
+	grace := c.rules.ObservationDelay
 	for _, x := range calls {
 		if x.request.At <= attempt.At+grace && (!x.ended || attempt.At <= x.end.At+grace) {
 			return
 		}
 	}
-	c.violation(&c.verdict.AfterEnd, "after end", "%s reached %s at %.3f, when nobody asked for it", attempt.Event,
+	c.violation(&c.verdict.AttemptsAfterEnd, "after end", "%s reached %s at %.3f, when nobody asked for it", attempt.RequestID,
 		attempt.Worker, attempt.At)
 }
--- a/internal/invariants/rules.go
+++ b/internal/invariants/rules.go
@@ -9,12 +9,12 @@
 
 // Rules are the limits that a deployment is checked against. Times are seconds.
 type Rules struct {
-	// Effect maps each request class to "redeliverable", "keyed" or "at-most-once".
-	Effect map[string]string `json:"Effect"`
-	// Remembered maps each keyed class to the time for which workers drop repeats.
-	Remembered map[string]float64 `json:"Remembered"`
-	// Work is the mean work of a request on a core of speed 1.
-	Work float64 `json:"Work"`
+	// Semantics maps each request class to "redeliverable", "keyed" or "at-most-once".
+	Semantics map[string]string `json:"Effect"`
+	// DeduplicationWindow maps each keyed class to the time for which workers drop repeats.
+	DeduplicationWindow map[string]float64 `json:"Remembered"`
+	// MeanWork is the mean work of a request on a core of speed 1.
+	MeanWork float64 `json:"Work"`
 	// FunctionWork is the same by function, where it is known.
 	FunctionWork map[string]float64 `json:"WorkOf"`
 	// Capacity is cores times speed, by worker.
@@ -23,12 +23,12 @@
 	DrainGrace float64 `json:"DrainGrace"`
 	// ColdShare is the share of its capacity that a worker has at its start.
 	ColdShare float64 `json:"ColdShare"`
-	// WarmWithin is the time from a worker's start to its full capacity; 0 switches rule 4 off.
-	WarmWithin float64 `json:"WarmWithin"`
-	// FallFactor is the multiple of its capacity at which a cold worker fails; 0 switches rule 4 off.
-	FallFactor float64 `json:"FallFactor"`
-	// FallWindow is the time over which that multiple is measured.
-	FallWindow float64 `json:"FallWindow"`
+	// WarmUpTime is the time from a worker's start to its full capacity; 0 switches rule 4 off.
+	WarmUpTime float64 `json:"WarmWithin"`
+	// OverloadFactor is the multiple of its capacity at which a cold worker fails; 0 switches rule 4 off.
+	OverloadFactor float64 `json:"FallFactor"`
+	// OverloadWindow is the time over which that multiple is measured.
+	OverloadWindow float64 `json:"FallWindow"`
 	// LoadWindow is the time over which load commands are limited; 0 switches rule 5 off.
 	LoadWindow float64 `json:"LoadWindow"`
 	// LoadBurst is the number of load commands within the window that need no request.
@@ -39,47 +39,47 @@
 	SubmissionDelay float64 `json:"Lag"`
 	// IndependentFrontEnds exempts attempts by different front ends from each other: repeats of a request went to several of them.
 	IndependentFrontEnds bool `json:"Apart"`
-	// Grace is the longest time from a front end's sending bytes to the worker's seeing them.
-	Grace float64 `json:"Grace"`
+	// ObservationDelay is the longest time from a front end's sending bytes to the worker's seeing them.
+	ObservationDelay float64 `json:"Grace"`
 }
 
 // Verdict counts what a recording holds and which rules it breaks.
 type Verdict struct {
-	Events       int `json:"events"` // requests that were accepted
-	Handled      int `json:"handled"`
-	Deferred     int `json:"deferred"`
-	DeadLettered int `json:"dead_lettered"`
-	Refused      int `json:"refused"`
-	Left         int `json:"left"` // requests whose client cancelled
-	Lost         int `json:"lost"` // requests whose connection was lost to a front end that the script stopped
-	Launches     int `json:"launches"`
-	Orders       int `json:"orders"`
+	Requests        int `json:"events"` // requests that were accepted
+	Succeeded       int `json:"handled"`
+	Rejected        int `json:"deferred"`
+	Failed          int `json:"dead_lettered"`
+	Invalid         int `json:"refused"`
+	Cancelled       int `json:"left"` // requests whose client cancelled
+	ConnectionsLost int `json:"lost"` // requests whose connection was lost to a front end that the script stopped
+	Attempts        int `json:"launches"`
+	LoadCommands    int `json:"orders"`
 
-	Unanswered  int `json:"unanswered"`       // rule 1: no response at all, or too late
-	Twice       int `json:"answers_twice"`    // rule 1: more than one response
-	AfterEnd    int `json:"sent_after_end"`   // rule 1: an attempt after the last waiter had its response
-	AtOnce      int `json:"launches_at_once"` // rule 2: concurrent attempts of one request
-	RanTwice    int `json:"ran_twice"`        // rule 2: at-most-once, or keyed past the deduplication window
-	BadDeferral int `json:"bad_deferrals"`    // rule 2: rejected for a retry though it ran and must not run again
-	AfterDrain  int `json:"after_drain"`      // rule 3: sent to a draining worker
-	ColdPushed  int `json:"cold_pushed"`      // rule 4: a cold worker was overloaded
-	Flooded     int `json:"load_floods"`      // rule 5: too many load commands
-	Versions    int `json:"wrong_versions"`   // another version ran, or was named, than the one asked for
+	Unanswered          int `json:"unanswered"`       // rule 1: no response at all, or too late
+	DuplicateResponses  int `json:"answers_twice"`    // rule 1: more than one response
+	AttemptsAfterEnd    int `json:"sent_after_end"`   // rule 1: an attempt after the last waiter had its response
+	ConcurrentAttempts  int `json:"launches_at_once"` // rule 2: concurrent attempts of one request
+	DuplicateExecutions int `json:"ran_twice"`        // rule 2: at-most-once, or keyed past the deduplication window
+	WrongRejections     int `json:"bad_deferrals"`    // rule 2: rejected for a retry though it ran and must not run again
+	SentAfterDrain      int `json:"after_drain"`      // rule 3: sent to a draining worker
+	ColdOverloads       int `json:"cold_pushed"`      // rule 4: a cold worker was overloaded
+	ExcessLoadCommands  int `json:"load_floods"`      // rule 5: too many load commands
+	VersionMismatches   int `json:"wrong_versions"`   // another version ran, or was named, than the one asked for
 
-	Broken int      `json:"rules_broken"`     // of the five rules, and the promise of versions
-	Faults []string `json:"faults,omitempty"` // the first violations of each kind
+	RulesBroken int      `json:"rules_broken"`     // of the five rules, and the promise of versions
+	Violations  []string `json:"faults,omitempty"` // the first violations of each kind
 }
 
 // countBroken counts the rules that have at least one violation.
 func (v *Verdict) countBroken() int {
 	broken := 0
 	for _, violations := range []int{
-		v.Unanswered + v.Twice + v.AfterEnd,
-		v.AtOnce + v.RanTwice + v.BadDeferral,
-		v.AfterDrain,
-		v.ColdPushed,
-		v.Flooded,
-		v.Versions,
+		v.Unanswered + v.DuplicateResponses + v.AttemptsAfterEnd,
+		v.ConcurrentAttempts + v.DuplicateExecutions + v.WrongRejections,
+		v.SentAfterDrain,
+		v.ColdOverloads,
+		v.ExcessLoadCommands,
+		v.VersionMismatches,
 	} {
 		if violations > 0 {
 			broken++
--- a/internal/platform/document.go
+++ b/internal/platform/document.go
@@ -23,7 +23,7 @@
 	PeerBroadcast    string
 	DiscoveryAddress string
 	Terms            *deployment.Terms
-	Known            *Discovery
+	Discovery        *Discovery
 }
 
 // documentJSON is the document as it is encoded. It is an alias because errors of encoding/json show the name of a type
@@ -70,7 +70,7 @@
 	}
 	document := &Document{Name: doc.Name, Listen: doc.Listen, Seed: parseSeed(doc.Seed), MemoryMB: doc.Limits.MemoryMB,
 		MaxDescriptors: doc.Limits.Sockets, PeerListen: doc.PeerListen, Peers: doc.Peers, PeerBroadcast: doc.PeersAll,
-		DiscoveryAddress: doc.Journal, Known: NewDiscovery()}
+		DiscoveryAddress: doc.Journal, Discovery: NewDiscovery()}
 	var faults fieldErrors
 	faults.addAddresses(&doc)
 	faults.addLimits(&doc)
@@ -84,7 +84,7 @@
 	if len(doc.Known) == 0 {
 		faults.add("known", errMissing)
 	} else {
-		faults.add("known", document.Known.ReadSnapshot(doc.Known))
+		faults.add("known", document.Discovery.ReadSnapshot(doc.Known))
 	}
 	return document, errors.Join(faults...)
 }
--- a/internal/platform/document_test.go
+++ b/internal/platform/document_test.go
@@ -13,7 +13,7 @@
 
 func TestReadDocument(t *testing.T) {
 	m, err := ReadDocument([]byte(document))
-	if err != nil || m.Seed != 0x8c1f30d27a5be964 || m.MaxDescriptors != 256 || m.Known.Position() != 3 || m.Terms.Deployment().FrontEnds != 3 {
+	if err != nil || m.Seed != 0x8c1f30d27a5be964 || m.MaxDescriptors != 256 || m.Discovery.Position() != 3 || m.Terms.Deployment().FrontEnds != 3 {
 		t.Fatal(m, err)
 	}
 	if _, err := ReadDocument([]byte("{")); err == nil {
--- a/internal/platform/downstream/codec.go
+++ b/internal/platform/downstream/codec.go
@@ -34,8 +34,8 @@
 	headSize   = lengthSize + minFrame
 	minFrame   = 5       // type and stream
 	maxFrame   = 262_144 // all that follows the length
-	// BodyMost is the longest body of a request.
-	BodyMost = 16 << 10
+	// MaxBody is the longest body of a request.
+	MaxBody = 16 << 10
 	// maxFields bounds the fields of a request, so that one that is too long can be told by its length.
 	maxFields = 16 << 10
 )
@@ -163,7 +163,7 @@
 	}
 	fr.kind, fr.stream = frameType(f.buf[lengthSize]), binary.BigEndian.Uint32(f.buf[lengthSize+1:])
 	size := lengthSize + int(length)
-	if size > headSize+maxFields+BodyMost {
+	if size > headSize+maxFields+MaxBody {
 		f.discard(size)
 		fr.oversize = true
 		return fr, true, nil
--- a/internal/platform/downstream/golden_test.go
+++ b/internal/platform/downstream/golden_test.go
@@ -15,9 +15,9 @@
 func TestGoldenSessions(t *testing.T) {
 	goldentest.Play(t, "session", func(*testing.T) goldentest.Actor {
 		client := &goldentest.FakeClient{Encode: encode, Show: show}
-		client.Session = downstream.NewSession(&downstream.Limits{Open: 3, First: 2, Arrival: 1, Idle: 5, MaxAge: longestWait,
-			Tenant: func(name string) bool { return name == "acme" }, Ready: func() bool { return !client.NotReady },
-			MemoryMB: 1 << 16, Lanes: 64, Load: 60, Work: 60}, client, 0)
+		client.Session = downstream.NewSession(&downstream.Limits{MaxOpen: 3, FirstFrameTimeout: 2, FrameTimeout: 1, IdleTimeout: 5, ClassTimeout: longestWait,
+			HasTenant: func(name string) bool { return name == "acme" }, IsReady: func() bool { return !client.NotReady },
+			MaxMemoryMB: 1 << 16, MaxConcurrency: 64, MaxLoadTime: 60, MaxExpectedWork: 60}, client, 0)
 		return client
 	})
 }
--- a/internal/platform/downstream/request.go
+++ b/internal/platform/downstream/request.go
@@ -20,8 +20,8 @@
 	fieldWork     = "ms"   // expected work in milliseconds
 	fieldProfile  = "more" // name:value;name:value
 
-	// KeyField names the idempotency key, by which workers know repeats of a request.
-	KeyField = "opkey"
+	// IdempotencyKeyField names the idempotency key, by which workers know repeats of a request.
+	IdempotencyKeyField = "opkey"
 )
 
 // Names of figures in the profile field.
@@ -54,8 +54,8 @@
 	if err != nil {
 		return request, fmt.Errorf("request: %w", err)
 	}
-	if len(body) > BodyMost {
-		return request, fieldErrorf("body", "over %d bytes", BodyMost)
+	if len(body) > MaxBody {
+		return request, fieldErrorf("body", "over %d bytes", MaxBody)
 	}
 	for _, f := range fields {
 		if err := l.setField(&request, f); err != nil {
@@ -88,7 +88,7 @@
 		request.ExpectedWork, err = parseNumber(f.Name, f.Value, milliseconds)
 	case fieldProfile:
 		request.StatedProfile, err = l.parseProfile(f.Value)
-	case KeyField: // it goes on to workers as it is
+	case IdempotencyKeyField: // it goes on to workers as it is
 		if !isKey(f.Value) {
 			return fieldErrorf(f.Name, "%.40q is not a key of up to %d characters without comma, equals sign and spaces", f.Value, maxKey)
 		}
@@ -99,20 +99,20 @@
 
 // validate checks a request against the deployment.
 func (l *Limits) validate(request *dispatch.Request) error {
-	maxTimeout := l.MaxAge(request.Class)
+	maxTimeout := l.ClassTimeout(request.Class)
 	switch {
 	case !isHex16(request.ID):
 		return fieldErrorf(fieldID, "%.40q is not 16 hex digits", request.ID)
 	case maxTimeout <= 0:
 		return fieldErrorf(fieldClass, "the deployment names no %.40q", request.Class)
-	case !l.Tenant(request.Tenant):
+	case !l.HasTenant(request.Tenant):
 		return fieldErrorf(fieldTenant, "the deployment names no %.40q", request.Tenant)
 	case !isHex16(request.Function):
 		return fieldErrorf(fieldFunction, "%.40q is not 16 hex digits", request.Function)
 	case request.Timeout <= 0 || request.Timeout > maxTimeout*timeoutTolerance:
 		return fieldErrorf(fieldTimeout, "%v s is not above 0 and up to %v", request.Timeout, maxTimeout)
-	case request.ExpectedWork < 0 || request.ExpectedWork > l.Work:
-		return fieldErrorf(fieldWork, "%v s is not from 0 to %v", request.ExpectedWork, l.Work)
+	case request.ExpectedWork < 0 || request.ExpectedWork > l.MaxExpectedWork:
+		return fieldErrorf(fieldWork, "%v s is not from 0 to %v", request.ExpectedWork, l.MaxExpectedWork)
 	}
 	return nil
 }
@@ -125,12 +125,12 @@
 		name, value, _ := strings.Cut(pair, ":")
 		switch name {
 		case profileMemory:
-			profile.MemoryMB, err = parseFigure(pair, value, l.MemoryMB)
+			profile.MemoryMB, err = parseFigure(pair, value, l.MaxMemoryMB)
 		case profileConcurrency:
-			profile.Concurrency, err = parseConcurrency(pair, value, l.Lanes)
+			profile.Concurrency, err = parseConcurrency(pair, value, l.MaxConcurrency)
 		case profileLoadTime:
 			var loadMs float64
-			loadMs, err = parseFigure(pair, value, l.Load*1000)
+			loadMs, err = parseFigure(pair, value, l.MaxLoadTime*1000)
 			profile.LoadTime = loadMs / 1000
 		}
 	}
--- a/internal/platform/downstream/session.go
+++ b/internal/platform/downstream/session.go
@@ -21,17 +21,17 @@
 
 // Limits of client connections, and what their requests may name. Times are seconds.
 type Limits struct {
-	Open     int                        // requests open on one connection
-	First    float64                    // a new connection must have sent its first frame by then
-	Arrival  float64                    // a frame must be complete so long after its first byte
-	Idle     float64                    // a connection without a request is closed after this
-	MaxAge   func(class string) float64 // longest timeout of a request; 0 where the class is unknown
-	Tenant   func(name string) bool     // whether the deployment names it
-	Ready    func() bool                // whether requests may come
-	MemoryMB float64                    // most that one replica may take
-	Lanes    int                        // most requests that one replica may run at a time
-	Load     float64                    // longest expected load time
-	Work     float64                    // longest expected work
+	MaxOpen           int                        // requests open on one connection
+	FirstFrameTimeout float64                    // a new connection must have sent its first frame by then
+	FrameTimeout      float64                    // a frame must be complete so long after its first byte
+	IdleTimeout       float64                    // a connection without a request is closed after this
+	ClassTimeout      func(class string) float64 // longest timeout of a request; 0 where the class is unknown
+	HasTenant         func(name string) bool     // whether the deployment names it
+	IsReady           func() bool                // whether requests may come
+	MaxMemoryMB       float64                    // most that one replica may take
+	MaxConcurrency    int                        // most requests that one replica may run at a time
+	MaxLoadTime       float64                    // longest expected load time
+	MaxExpectedWork   float64                    // longest expected work
 }
 
 // Session is one client connection. Responses are sent in any order; the stream of a request is its slot.
@@ -101,7 +101,7 @@
 		}
 	case frameReadinessQuery:
 		code := codeSucceeded
-		if !s.limits.Ready() {
+		if !s.limits.IsReady() {
 			code = codeRejected
 		}
 		s.output = appendResponse(s.output, frameReadiness, f.stream, code, nil, nil)
@@ -121,15 +121,15 @@
 	}
 	s.lastStream = f.stream
 	if f.oversize {
-		s.reject(f.stream, fmt.Sprintf("request: over %d bytes of body or of fields", BodyMost))
+		s.reject(f.stream, fmt.Sprintf("request: over %d bytes of body or of fields", MaxBody))
 		return
 	}
 	request, err := s.limits.parseRequest(f.payload)
 	switch {
 	case err != nil:
 		s.reject(f.stream, err.Error())
-	case len(s.open) >= s.limits.Open:
-		s.reject(f.stream, fmt.Sprintf("stream: %d requests are open on this connection", s.limits.Open))
+	case len(s.open) >= s.limits.MaxOpen:
+		s.reject(f.stream, fmt.Sprintf("stream: %d requests are open on this connection", s.limits.MaxOpen))
 	default:
 		s.open[f.stream] = true
 		s.handler.Submit(uint64(f.stream), request)
@@ -200,13 +200,13 @@
 // Tick applies timeouts and reports whether there is output or the connection is done: a frame that is not complete in
 // time gets an error and ends the connection; a connection without a frame, or idle for too long, just ends.
 func (s *Session) Tick(now float64) bool {
-	noFirstFrame := !s.received && now-s.activeAt > s.limits.First
+	noFirstFrame := !s.received && now-s.activeAt > s.limits.FirstFrameTimeout
 	switch {
 	case s.closed || s.disconnected:
-	case !s.framer.idle() && (now-s.frameStart > s.limits.Arrival || noFirstFrame):
+	case !s.framer.idle() && (now-s.frameStart > s.limits.FrameTimeout || noFirstFrame):
 		s.fail("frame: not whole in time")
 	case !s.framer.idle() || len(s.open) > 0:
-	case noFirstFrame || now-s.activeAt > s.limits.Idle:
+	case noFirstFrame || now-s.activeAt > s.limits.IdleTimeout:
 		s.closed = true
 	}
 	return len(s.output) > 0 || s.Done()
--- a/internal/platform/downstream/session_test.go
+++ b/internal/platform/downstream/session_test.go
@@ -23,10 +23,10 @@
 
 func newSession() (*Session, *fakeHandler) {
 	d := &fakeHandler{requests: map[uint64]dispatch.Request{}}
-	return NewSession(&Limits{Open: 3, First: 2, Arrival: 1, Idle: 5, MaxAge: func(t string) float64 {
+	return NewSession(&Limits{MaxOpen: 3, FirstFrameTimeout: 2, FrameTimeout: 1, IdleTimeout: 5, ClassTimeout: func(t string) float64 {
 		return map[string]float64{"call": 4}[t]
-	}, Tenant: func(n string) bool { return n == "acme" }, Ready: func() bool { return len(d.requests) == 0 },
-		MemoryMB: 1 << 16, Lanes: 64, Load: 60, Work: 60}, d, 0), d
+	}, HasTenant: func(n string) bool { return n == "acme" }, IsReady: func() bool { return len(d.requests) == 0 },
+		MaxMemoryMB: 1 << 16, MaxConcurrency: 64, MaxLoadTime: 60, MaxExpectedWork: 60}, d, 0), d
 }
 
 const good = "kind=call req=9b1f03aa5c7e2d41 timeout=1500 owner=acme subject=7f3a9c21e0b4d655 ms=8.2 more=memory_mb:512;lanes:2;load_ms:640"
@@ -145,7 +145,7 @@
 			t.Fatalf("%d bytes are kept", len(s.framer.buf))
 		}
 	}
-	s.Feed(0, time.Time{}, encodeRequest(3, strings.Repeat("x", BodyMost+1)))
+	s.Feed(0, time.Time{}, encodeRequest(3, strings.Repeat("x", MaxBody+1)))
 	got := decodeOutput(t, s)
 	if len(d.requests) != 1 || d.requests[2].ID == "" || len(got) != 2 || !strings.HasPrefix(got[0], "2/1/8 ") || !strings.HasPrefix(got[1], "2/3/8 body") {
 		t.Errorf("%q, %v", got, d.requests)
@@ -225,7 +225,7 @@
 		if a, b := whole.Output(), parts.Output(); !bytes.Equal(a, b) || len(one.requests) != len(two.requests) {
 			t.Errorf("in one %q, in parts %q", a, b)
 		}
-		if len(parts.framer.buf) > headSize+maxFields+BodyMost {
+		if len(parts.framer.buf) > headSize+maxFields+MaxBody {
 			t.Errorf("%d bytes are kept", len(parts.framer.buf))
 		}
 	})
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -30,8 +30,8 @@
 
 // Shutdown is one shutdown under way.
 type Shutdown struct {
-	MaxAge     float64 // longest request timeout
-	answeredAt float64 // when all was answered; 0 before
+	MaxRequestTimeout float64 // longest request timeout
+	answeredAt        float64 // when all was answered; 0 before
 }
 
 // Outstanding is what a front end still has to do.
@@ -42,7 +42,7 @@
 
 // Phase returns the phase at a time after the signal, in seconds. It never returns an earlier phase than before.
 func (s *Shutdown) Phase(elapsed float64, left Outstanding) ShutdownPhase {
-	killAt := min(s.MaxAge, maxCountedTimeout) + killDelay
+	killAt := min(s.MaxRequestTimeout, maxCountedTimeout) + killDelay
 	if s.answeredAt > 0 {
 		if !left.UnreadResponses || elapsed >= max(killAt, s.answeredAt+flushTime) {
 			return Terminated
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -19,14 +19,14 @@
 		// The kill is near: what is open is answered, and a client that has not read by then is not waited for.
 		{{1, open, GoingAway}, {3.5, open, Answering}, {3.6, unread, Flushing}, {3.69, open, Flushing}, {3.75, unread, Terminated}},
 	} {
-		s := Shutdown{MaxAge: 4} // counts as 3
+		s := Shutdown{MaxRequestTimeout: 4} // counts as 3
 		for _, o := range observations {
 			if got := s.Phase(o.elapsed, o.left); got != o.want {
 				t.Errorf("case %d: %v after the signal: %d, want %d", i, o.elapsed, got, o.want)
 			}
 		}
 	}
-	if s := (Shutdown{MaxAge: 1.5}); s.Phase(2, open) != Answering {
+	if s := (Shutdown{MaxRequestTimeout: 1.5}); s.Phase(2, open) != Answering {
 		t.Error("an earlier kill is not expected")
 	}
 }
--- a/internal/proxy/downstream.go
+++ b/internal/proxy/downstream.go
@@ -142,7 +142,7 @@
 		if client.closed {
 			return // the write broke it
 		}
-		if client.conn.Unsent() > p.settings.Downstream.Unread {
+		if client.conn.Unsent() > p.settings.Downstream.MaxUnread {
 			p.log.Warn("client does not read its answers", "client", client.conn.Name())
 			p.closeClient(client)
 			return
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -101,8 +101,8 @@
 	return p
 }
 
-// Lost are requests of an earlier process that may have run and must not run again; nobody was told how they ended.
-func (p *Proxy) Lost() []dispatch.Response { return p.unanswered }
+// Unanswered are requests of an earlier process that may have run and must not run again; nobody was told how they ended.
+func (p *Proxy) Unanswered() []dispatch.Response { return p.unanswered }
 
 // Dispatcher is the front end's dispatcher; whoever changes it calls Flush.
 func (p *Proxy) Dispatcher() *dispatch.Dispatcher { return p.dispatcher }
--- a/internal/registry/oci/client_test.go
+++ b/internal/registry/oci/client_test.go
@@ -94,7 +94,7 @@
 			r := startRegistry(t)
 			d := r.Push("shops/tally", nil, [][]byte{layer}, "current")
 			client, folder := newClient(t, r)
-			r.Break(c.cut, c.wrong, c.fail, c.status)
+			r.FailNext(c.cut, c.wrong, c.fail, c.status)
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 			_, err := client.Pull(ctx, "tally", d)
 			cancel()
@@ -111,14 +111,14 @@
 // Tokens that expire in the middle of a pull are asked for anew.
 func TestExpiringTokens(t *testing.T) {
 	r := startRegistry(t)
-	r.Tokens(2)
+	r.RequireTokens(2)
 	d := r.Push("shops/tally", nil, [][]byte{layer, []byte("a"), []byte("b"), []byte("c")}, "current")
 	c, _ := newClient(t, r)
 	if held, err := c.Pull(context.Background(), "tally", d); err != nil || len(held) != 6 {
 		t.Error(held, err)
 	}
-	if r.Issued() < 3 {
-		t.Errorf("%d tokens for seven requests, each good for two", r.Issued())
+	if r.TokensIssued() < 3 {
+		t.Errorf("%d tokens for seven requests, each good for two", r.TokensIssued())
 	}
 }
 
@@ -171,7 +171,7 @@
 	if list, err := c.Signatures(context.Background(), "tally", d); err != nil || len(list) != 1 || string(list[0]) != "envelope" {
 		t.Errorf("%q %v", list, err)
 	}
-	r.Break(0, 0, 1000, 500)
+	r.FailNext(0, 0, 1000, 500)
 	if _, err := c.Signatures(context.Background(), "tally", d); err == nil {
 		t.Error("a registry in trouble passes for one without signatures")
 	}
--- a/internal/registry/signing/ring.go
+++ b/internal/registry/signing/ring.go
@@ -26,7 +26,7 @@
 	ID               string    `json:"id"`
 	PublicKey        string    `json:"public_key"` // PEM, PKIX, Ed25519
 	ValidFrom        time.Time `json:"from,omitzero"`
-	Until            time.Time `json:"until,omitzero"`
+	ValidUntil       time.Time `json:"until,omitzero"`
 	Revoked          bool      `json:"revoked,omitempty"`
 	FunctionPatterns []string  `json:"functions,omitempty"` // names or patterns with * and ? that it may vouch for; none: all
 
@@ -35,8 +35,8 @@
 
 // Ring is the keys in force, and how many of them must vouch for a version.
 type Ring struct {
-	Need int   `json:"need"`
-	Keys []Key `json:"keys"`
+	Threshold int   `json:"need"`
+	Keys      []Key `json:"keys"`
 }
 
 // FieldError is one fault of a ring's document.
@@ -53,7 +53,7 @@
 
 // ReadRing reads a ring from JSON and reports every fault with its place, as a FieldError.
 func ReadRing(data []byte) (*Ring, error) {
-	r := &Ring{Need: 1}
+	r := &Ring{Threshold: 1}
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.DisallowUnknownFields() // a misspelt "revoked" must not go unseen
 	if err := decoder.Decode(r); err != nil {
@@ -68,8 +68,8 @@
 		}
 		ids[k.ID] = true
 	}
-	if r.Need < 1 || r.Need > len(r.Keys) {
-		faults = append(faults, &FieldError{Pointer: "/need", Err: fmt.Errorf("%d keys can't be had of %d", r.Need, len(r.Keys))})
+	if r.Threshold < 1 || r.Threshold > len(r.Keys) {
+		faults = append(faults, &FieldError{Pointer: "/need", Err: fmt.Errorf("%d keys can't be had of %d", r.Threshold, len(r.Keys))})
 	}
 	if len(faults) > 0 {
 		return nil, fmt.Errorf("keys: %w", errors.Join(faults...))
@@ -89,8 +89,8 @@
 	if k.publicKey, err = parseKey[ed25519.PublicKey]([]byte(k.PublicKey), publicKeyBlock, x509.ParsePKIXPublicKey); err != nil {
 		fail("public_key", err)
 	}
-	if !k.ValidFrom.IsZero() && !k.Until.IsZero() && !k.ValidFrom.Before(k.Until) {
-		fail("until", fmt.Errorf("%s is not after from, %s", k.Until.Format(time.RFC3339), k.ValidFrom.Format(time.RFC3339)))
+	if !k.ValidFrom.IsZero() && !k.ValidUntil.IsZero() && !k.ValidFrom.Before(k.ValidUntil) {
+		fail("until", fmt.Errorf("%s is not after from, %s", k.ValidUntil.Format(time.RFC3339), k.ValidFrom.Format(time.RFC3339)))
 	}
 	for i, pattern := range k.FunctionPatterns {
 		if _, err := path.Match(pattern, ""); err != nil {
@@ -114,7 +114,7 @@
 	if !k.ValidFrom.IsZero() && now.Before(k.ValidFrom) {
 		return false
 	}
-	return k.Until.IsZero() || now.Before(k.Until)
+	return k.ValidUntil.IsZero() || now.Before(k.ValidUntil)
 }
 
 // maySign reports whether the key may vouch for a function.
@@ -125,10 +125,10 @@
 	})
 }
 
-// Stands reports whether a version that was published with these keys may still run: keys that were retired since
+// IsTrusted reports whether a version that was published with these keys may still run: keys that were retired since
 // vouch on, revoked ones and ones that left the ring do not. A version that was published before keys were asked
 // for has none, and may run.
-func (r *Ring) Stands(ids []string) bool {
+func (r *Ring) IsTrusted(ids []string) bool {
 	if len(ids) == 0 {
 		return true
 	}
@@ -138,5 +138,5 @@
 			trusted++
 		}
 	}
-	return trusted >= r.Need
+	return trusted >= r.Threshold
 }
--- a/internal/registry/signing/ring_test.go
+++ b/internal/registry/signing/ring_test.go
@@ -54,7 +54,7 @@
 	fresh, freshKey := newKey(t, "fresh")
 	by, byFresh := mustSign(t, "old", old, "tally", "1.0", sum), mustSign(t, "fresh", fresh, "tally", "1.0", sum)
 	until, from, gone, only := oldKey, freshKey, oldKey, oldKey
-	until.Until, from.ValidFrom, gone.Revoked, only.FunctionPatterns = day, day, true, []string{"shop-*"}
+	until.ValidUntil, from.ValidFrom, gone.Revoked, only.FunctionPatterns = day, day, true, []string{"shop-*"}
 	forged := bytes.Replace(by, []byte(`"old"`), []byte(`"fresh"`), 1)
 	both := newRing(t, 1, until, from)
 	for name, c := range map[string]struct {
@@ -83,7 +83,7 @@
 		"too long":                   {newRing(t, 1, oldKey), day, [][]byte{bytes.Repeat([]byte("x"), maxEnvelopeBytes+1)}, "too many", false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			ids, err := c.ring.Vouched(c.now, "tally", "1.0", sum, c.envs)
+			ids, err := c.ring.Verify(c.now, "tally", "1.0", sum, c.envs)
 			switch {
 			case c.ok && (err != nil || strings.Join(ids, " ") != c.want):
 				t.Errorf("%v %v", ids, err)
@@ -98,7 +98,7 @@
 func TestWhatStands(t *testing.T) {
 	_, retired := newKey(t, "old")
 	_, revoked := newKey(t, "fresh")
-	retired.Until = day
+	retired.ValidUntil = day
 	revoked.Revoked = true
 	ring := newRing(t, 1, retired, revoked)
 	for _, c := range []struct {
@@ -112,7 +112,7 @@
 		{"lost", false},
 	} {
 		t.Run("by "+c.ids, func(t *testing.T) {
-			if ring.Stands(strings.Fields(c.ids)) != c.want {
+			if ring.IsTrusted(strings.Fields(c.ids)) != c.want {
 				t.Errorf("published with %q: stands is not %v", c.ids, c.want)
 			}
 		})
@@ -126,7 +126,7 @@
 	for i := range envelope {
 		broken := bytes.Clone(envelope)
 		broken[i] ^= 1
-		ids, err := newRing(t, 1, key).Vouched(day, "tally", "1.0", sum, [][]byte{broken})
+		ids, err := newRing(t, 1, key).Verify(day, "tally", "1.0", sum, [][]byte{broken})
 		if err == nil && !sameMeaning(envelope, broken) {
 			t.Fatalf("byte %d changed and still vouched for by %v:\n%s", i, ids, broken)
 		}
@@ -152,7 +152,7 @@
 
 func TestRingFaultsNameTheirPlace(t *testing.T) {
 	_, k := newKey(t, "a")
-	bad := Key{ID: "b", PublicKey: "no key", ValidFrom: day, Until: day, FunctionPatterns: []string{"["}}
+	bad := Key{ID: "b", PublicKey: "no key", ValidFrom: day, ValidUntil: day, FunctionPatterns: []string{"["}}
 	data, _ := json.Marshal(Ring{3, []Key{k, k, bad}})
 	_, err := ReadRing(data)
 	for _, want := range []string{"/keys/1/id", "/keys/2/public_key", "/keys/2/until", "/keys/2/functions/0"} {
--- a/internal/registry/signing/verify.go
+++ b/internal/registry/signing/verify.go
@@ -17,10 +17,10 @@
 // ErrUntrusted reports that too few keys vouch for a version.
 var ErrUntrusted = errors.New("not vouched for")
 
-// Vouched returns which keys vouch, by envelopes, for a version that is published at the time now. An envelope that
+// Verify returns which keys vouch, by envelopes, for a version that is published at the time now. An envelope that
 // says something else, or whose key is unknown, too old, too new or revoked, counts for nothing; the error, which is
 // ErrUntrusted where too few keys are left, tells why.
-func (r *Ring) Vouched(now time.Time, function, version string, d digest.Digest, envelopes [][]byte) (ids []string, err error) {
+func (r *Ring) Verify(now time.Time, function, version string, d digest.Digest, envelopes [][]byte) (ids []string, err error) {
 	var reasons []error
 	for i, data := range envelopes {
 		accepted, err := r.verifyEnvelope(now, function, version, d, data)
@@ -31,8 +31,8 @@
 	}
 	slices.Sort(ids)
 	ids = slices.Compact(ids)
-	if len(ids) < r.Need {
-		return ids, fmt.Errorf("%s:%s: %w: %d of %d keys that it takes %w", function, version, ErrUntrusted, len(ids), r.Need, errors.Join(reasons...))
+	if len(ids) < r.Threshold {
+		return ids, fmt.Errorf("%s:%s: %w: %d of %d keys that it takes %w", function, version, ErrUntrusted, len(ids), r.Threshold, errors.Join(reasons...))
 	}
 	return ids, nil
 }
--- a/internal/scenario/bench_front.go
+++ b/internal/scenario/bench_front.go
@@ -20,18 +20,18 @@
 	benchFrontClass = "shop-event"
 )
 
-// BenchRow compares the way through a front end with the direct one, front end over direct.
-type BenchRow struct {
+// FrontEndRow compares the way through a front end with the direct one, front end over direct.
+type FrontEndRow struct {
 	Connections int         `json:"connections"`
 	Direct      Measurement `json:"direct"`
-	Front       Measurement `json:"front"`
+	FrontEnd    Measurement `json:"front"`
 	RateRatio   float64     `json:"rate_ratio"`
 	P50Ratio    float64     `json:"p50_ratio"`
 	P99Ratio    float64     `json:"p99_ratio"`
 }
 
-// Bench measures workers that answer at once, directly and through a front end, with numbers of connections.
-func Bench(ctx context.Context, connections []int, requests int) ([]BenchRow, error) {
+// BenchFrontEnd measures workers that answer at once, directly and through a front end, with numbers of connections.
+func BenchFrontEnd(ctx context.Context, connections []int, requests int) ([]FrontEndRow, error) {
 	b, err := newBench(benchFrontConfig)
 	if err != nil {
 		return nil, err
@@ -42,7 +42,7 @@
 		return nil, err
 	}
 	defer func() { _ = frontEnd.Stop(time.Second) }() // no request is open any more
-	var rows []BenchRow
+	var rows []FrontEndRow
 	for _, n := range connections {
 		row, err := b.measureBothWays(ctx, frontEnd.Addr(), n, requests)
 		if err != nil {
@@ -98,8 +98,8 @@
 func frontEndURL(addr string) string { return "http://" + addr + "/events" }
 
 // measureBothWays measures one number of connections.
-func (b *bench) measureBothWays(ctx context.Context, frontEnd string, connections, requests int) (BenchRow, error) {
-	row := BenchRow{Connections: connections}
+func (b *bench) measureBothWays(ctx context.Context, frontEnd string, connections, requests int) (FrontEndRow, error) {
+	row := FrontEndRow{Connections: connections}
 	ways := []struct {
 		side *Measurement
 		url  func(number int) string
@@ -107,7 +107,7 @@
 		{&row.Direct, func(number int) string {
 			return "http://" + b.workers.addrs[number%benchWorkers] + "/v2/models/tally/infer"
 		}},
-		{&row.Front, func(int) string { return frontEndURL(frontEnd) }},
+		{&row.FrontEnd, func(int) string { return frontEndURL(frontEnd) }},
 	}
 	for turn := range benchTurns {
 		for _, way := range ways {
@@ -122,8 +122,8 @@
 			}
 		}
 	}
-	row.RateRatio = row.Front.Rate / row.Direct.Rate
-	row.P50Ratio = row.Front.P50 / row.Direct.P50
-	row.P99Ratio = row.Front.P99 / row.Direct.P99
+	row.RateRatio = row.FrontEnd.Rate / row.Direct.Rate
+	row.P50Ratio = row.FrontEnd.P50 / row.Direct.P50
+	row.P99Ratio = row.FrontEnd.P99 / row.Direct.P99
 	return row, nil
 }
--- a/internal/scenario/bench_recovery.go
+++ b/internal/scenario/bench_recovery.go
@@ -20,11 +20,11 @@
 
 // RecoveryRow is how long a restart takes with a number of stored requests.
 type RecoveryRow struct {
-	Events   int     `json:"events"`
-	Bytes    uint64  `json:"bytes"`
-	Open     float64 `json:"open_s"`    // until the state is read
-	Restore  float64 `json:"restore_s"` // until the dispatcher has it
-	PerEvent float64 `json:"us_per_event"`
+	Requests    int     `json:"events"`
+	Bytes       uint64  `json:"bytes"`
+	OpenTime    float64 `json:"open_s"`    // until the state is read
+	RestoreTime float64 `json:"restore_s"` // until the dispatcher has it
+	PerRequest  float64 `json:"us_per_event"`
 }
 
 // BenchRecovery fills stores with requests and measures the restart.
@@ -45,8 +45,8 @@
 		if err != nil {
 			return nil, err
 		}
-		if row.Events != n {
-			return nil, fmt.Errorf("%d of %d events came back", row.Events, n)
+		if row.Requests != n {
+			return nil, fmt.Errorf("%d of %d events came back", row.Requests, n)
 		}
 		rows = append(rows, row)
 	}
@@ -86,12 +86,12 @@
 	if err != nil {
 		return RecoveryRow{}, err
 	}
-	row := RecoveryRow{Events: len(recovered.Records), Bytes: store.Size(), Open: time.Since(began).Seconds()}
+	row := RecoveryRow{Requests: len(recovered.Records), Bytes: store.Size(), OpenTime: time.Since(began).Seconds()}
 	began = time.Now()
 	dispatcher := dispatch.New(config.Default().Dispatch(1), noEffects{}, 0)
 	dispatcher.Recover(0, recovered.Records)
-	row.Restore = time.Since(began).Seconds()
-	row.PerEvent = (row.Open + row.Restore) / float64(max(row.Events, 1)) * microsPerSecond
+	row.RestoreTime = time.Since(began).Seconds()
+	row.PerRequest = (row.OpenTime + row.RestoreTime) / float64(max(row.Requests, 1)) * microsPerSecond
 	return row, store.Close()
 }
 
--- a/internal/scenario/bench_store.go
+++ b/internal/scenario/bench_store.go
@@ -21,16 +21,16 @@
 	bytesPerMegabyte    = 1 << 20
 )
 
-// KeepRow compares the ways of storing the records of requests that must not run twice.
-type KeepRow struct {
-	Way           string  `json:"way"`
-	Connections   int     `json:"connections"`
-	Rate          float64 `json:"rate"`
-	P50           float64 `json:"p50_ms"`
-	RateRatio     float64 `json:"rate_ratio"` // to no store
-	SyncsAnEvent  float64 `json:"syncs_an_event"`
-	NotesAnEvent  float64 `json:"notes_an_event"`
-	HeapMegabytes float64 `json:"heap_mb"`
+// StoreRow compares the ways of storing the records of requests that must not run twice.
+type StoreRow struct {
+	Mode              string  `json:"way"`
+	Connections       int     `json:"connections"`
+	Rate              float64 `json:"rate"`
+	P50               float64 `json:"p50_ms"`
+	RateRatio         float64 `json:"rate_ratio"` // to no store
+	SyncsPerRequest   float64 `json:"syncs_an_event"`
+	RecordsPerRequest float64 `json:"notes_an_event"`
+	HeapMegabytes     float64 `json:"heap_mb"`
 }
 
 // storeMode is one way of storing records.
@@ -71,15 +71,15 @@
 	return <-done
 }
 
-// BenchKeeping measures at-most-once requests through a front end: without a store, with each record synced by itself,
+// BenchStore measures at-most-once requests through a front end: without a store, with each record synced by itself,
 // with group commit, and with records for which nobody waits for the disk.
-func BenchKeeping(ctx context.Context, connections []int, requests int) ([]KeepRow, error) {
+func BenchStore(ctx context.Context, connections []int, requests int) ([]StoreRow, error) {
 	b, err := newBench(benchStoreConfig)
 	if err != nil {
 		return nil, err
 	}
 	defer b.close()
-	var rows []KeepRow
+	var rows []StoreRow
 	for _, n := range connections {
 		withoutStore := 0.0
 		for i, mode := range storeModes {
@@ -100,8 +100,8 @@
 }
 
 // measure measures one way of storing records, with a store at a path.
-func (m storeMode) measure(ctx context.Context, settings eventloop.Settings, path string, connections, requests int, runName string) (row KeepRow, err error) {
-	row = KeepRow{Way: m.name, Connections: connections}
+func (m storeMode) measure(ctx context.Context, settings eventloop.Settings, path string, connections, requests int, runName string) (row StoreRow, err error) {
+	row = StoreRow{Mode: m.name, Connections: connections}
 	var store *storage.Store
 	if m.stores {
 		if store, _, err = storage.OpenStore(path, storage.Options{Retention: benchStoreRetention, NoSync: m.noSync}); err != nil {
@@ -130,8 +130,8 @@
 		return row, err
 	}
 	if store != nil && counts.Succeeded > 0 {
-		row.SyncsAnEvent = float64(store.Syncs.Load()) / float64(counts.Succeeded)
-		row.NotesAnEvent = float64(store.Records.Load()) / float64(counts.Succeeded)
+		row.SyncsPerRequest = float64(store.CommittedBatches.Load()) / float64(counts.Succeeded)
+		row.RecordsPerRequest = float64(store.CommittedRecords.Load()) / float64(counts.Succeeded)
 	}
 	row.HeapMegabytes = heapMegabytes()
 	return row, nil
--- a/internal/scenario/inject.go
+++ b/internal/scenario/inject.go
@@ -131,7 +131,7 @@
 func (i *injection) misbehave() error {
 	f := i.fault
 	for _, w := range i.affected() {
-		fault := fakes.Fault{Kind: fakes.FaultKind(f.Kind), For: f.Duration, Share: f.HitShare, Slowdown: f.Times, Bytes: f.Bytes}
+		fault := fakes.Fault{Kind: fakes.FaultKind(f.Kind), Duration: f.Duration, Share: f.HitShare, Slowdown: f.Times, Bytes: f.Bytes}
 		if err := w.Inject(fault); err != nil {
 			return err
 		}
@@ -145,7 +145,7 @@
 	list := i.affected()
 	for i.ctx.Err() == nil {
 		for _, w := range list {
-			if err := w.Inject(fakes.Fault{Kind: kind, For: f.Duration, Slowdown: f.Times}); err != nil {
+			if err := w.Inject(fakes.Fault{Kind: kind, Duration: f.Duration, Slowdown: f.Times}); err != nil {
 				return err
 			}
 		}
@@ -165,7 +165,7 @@
 			return err
 		}
 		pause(restartNotice)
-		return i.list.Set(w, phaseServing)
+		return i.list.SetPhase(w, phaseServing)
 	})
 }
 
@@ -174,7 +174,7 @@
 		if err := w.Restart(); err != nil {
 			return err
 		}
-		return i.list.Set(w, phaseServing)
+		return i.list.SetPhase(w, phaseServing)
 	})
 }
 
@@ -219,7 +219,7 @@
 }
 
 func (i *injection) drain(w *fakes.Worker) error {
-	if err := i.list.Set(w, phaseDraining); err != nil {
+	if err := i.list.SetPhase(w, phaseDraining); err != nil {
 		return err
 	}
 	pause(i.fault.Duration)
@@ -228,7 +228,7 @@
 
 // substitute takes a worker out of the endpoint list and puts a cold one in its place.
 func (i *injection) substitute(w *fakes.Worker) error {
-	if err := i.list.Set(w, phaseGone); err != nil {
+	if err := i.list.SetPhase(w, phaseGone); err != nil {
 		return err
 	}
 	fresh, err := i.startWorker(true)
@@ -242,7 +242,7 @@
 		}
 	}
 	i.mu.Unlock()
-	return i.list.Set(fresh, phaseServing)
+	return i.list.SetPhase(fresh, phaseServing)
 }
 
 func (i *injection) evict() error {
@@ -299,13 +299,13 @@
 func (i *injection) emptyList() error {
 	list := i.allWorkers()
 	for _, w := range list {
-		if err := i.list.Set(w, phaseGone); err != nil {
+		if err := i.list.SetPhase(w, phaseGone); err != nil {
 			return err
 		}
 	}
 	pause(i.fault.Duration)
 	for _, w := range list {
-		if err := i.list.Set(w, phaseServing); err != nil {
+		if err := i.list.SetPhase(w, phaseServing); err != nil {
 			return err
 		}
 	}
--- a/internal/scenario/run.go
+++ b/internal/scenario/run.go
@@ -22,19 +22,19 @@
 	Script string `json:"script"`
 	Seed   uint64 `json:"seed"`
 	invariants.Verdict
-	Worst    float64            `json:"worst_2s"` // InTime within the worst two seconds
-	InTime   float64            `json:"in_time"`  // share of firings that succeeded within the latency objective, with their retries
-	Firings  int                `json:"firings"`
-	Joined   uint64             `json:"joined"` // calls answered by a request that another call began
-	Fetches  int                `json:"store_fetches"`
-	Latency  map[string]float64 `json:"latency_ms"` // of firings that succeeded
-	Causes   map[string]int     `json:"causes"`     // why requests did not succeed
-	Seconds  float64            `json:"seconds"`
-	Failures []string           `json:"failures,omitempty"` // of the scenario itself
+	WorstInTime  float64            `json:"worst_2s"` // InTime within the worst two seconds
+	InTime       float64            `json:"in_time"`  // share of firings that succeeded within the latency objective, with their retries
+	Firings      int                `json:"firings"`
+	Deduplicated uint64             `json:"joined"` // calls answered by a request that another call began
+	Fetches      int                `json:"store_fetches"`
+	Latency      map[string]float64 `json:"latency_ms"` // of firings that succeeded
+	Causes       map[string]int     `json:"causes"`     // why requests did not succeed
+	Seconds      float64            `json:"seconds"`
+	Failures     []string           `json:"failures,omitempty"` // of the scenario itself
 }
 
 // OK returns whether all rules held and the scenario ran as its script says.
-func (r *Report) OK() bool { return r.Broken == 0 && len(r.Failures) == 0 }
+func (r *Report) OK() bool { return r.RulesBroken == 0 && len(r.Failures) == 0 }
 
 // Figures of every scenario. Times are seconds.
 const (
@@ -78,12 +78,12 @@
 	log    *slog.Logger
 	dir    string
 
-	recorder  *invariants.Tape
+	recorder  *invariants.Recorder
 	rules     invariants.Rules
 	functions []fakes.Function
 	store     *fakes.Store
-	executed  *fakes.Memory
-	list      *fakes.List
+	executed  *fakes.Deduplicator
+	list      *fakes.EndpointList
 	versions  *versions // nil where functions have none
 	frontEnds []*eventloop.Server
 	addrs     []string // of the front ends
@@ -115,8 +115,8 @@
 		return nil, nil, err
 	}
 	defer func() { _ = os.RemoveAll(dir) }() // temporary files
-	r := &run{script: s, seed: seed, log: log, dir: dir, recorder: invariants.NewTape(),
-		store: fakes.NewStore(s.Workers, s.Workers*4), executed: fakes.NewMemory(deduplicationWindow), causes: map[string]int{},
+	r := &run{script: s, seed: seed, log: log, dir: dir, recorder: invariants.NewRecorder(),
+		store: fakes.NewStore(s.Workers, s.Workers*4), executed: fakes.NewDeduplicator(deduplicationWindow), causes: map[string]int{},
 		slots: map[int]slot{}, latency: hdrhistogram.New(1, maxLatency, latencyDigits)}
 	r.ratePercent.Store(usualRatePercent)
 	defer r.close()
@@ -126,9 +126,9 @@
 	began := time.Now()
 	r.play(ctx)
 	report := &Report{Script: s.Name, Seed: seed, Seconds: time.Since(began).Seconds()}
-	report.Joined = r.stopFrontEnds()
+	report.Deduplicated = r.stopFrontEnds()
 	records := r.recorder.Records()
-	report.Verdict = invariants.Judge(r.rules, records)
+	report.Verdict = invariants.Check(r.rules, records)
 	r.fill(report)
 	return report, records, nil
 }
@@ -158,10 +158,10 @@
 	if r.firings > 0 {
 		report.InTime = float64(r.inTime) / float64(r.firings)
 	}
-	report.Worst = 1
+	report.WorstInTime = 1
 	for _, s := range r.slots {
 		if s.firings >= minSlotFirings {
-			report.Worst = min(report.Worst, float64(s.inTime)/float64(s.firings))
+			report.WorstInTime = min(report.WorstInTime, float64(s.inTime)/float64(s.firings))
 		}
 	}
 	report.Fetches, report.Causes, report.Failures = r.store.Fetches, r.causes, r.failures
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -21,9 +21,9 @@
 				t.Fatal(err)
 			}
 			if !r.OK() {
-				t.Errorf("%d rules broken: %v %v", r.Broken, r.Faults, r.Failures)
+				t.Errorf("%d rules broken: %v %v", r.RulesBroken, r.Violations, r.Failures)
 			}
-			if r.Handled == 0 || r.Launches < r.Handled/3 {
+			if r.Succeeded == 0 || r.Attempts < r.Succeeded/3 {
 				t.Errorf("nothing much happened: %+v", r)
 			}
 			if name == "quiet" && r.InTime < 0.9 {
--- a/internal/scenario/site.go
+++ b/internal/scenario/site.go
@@ -35,19 +35,19 @@
 	s := r.script
 	r.functions = fakes.Catalogue(s.Functions+hotFunctions, s.Work, r.seed)
 	r.rules = invariants.Rules{
-		Effect:          fakes.ClassSemantics(),
-		Remembered:      map[string]float64{fakes.ClassIdempotentByKey: deduplicationWindow},
-		Work:            r.meanWork(),
-		Capacity:        map[string]float64{},
-		DrainGrace:      drainGrace,
-		ColdShare:       coldShare,
-		WarmWithin:      warmUpTime,
-		FallFactor:      overloadFactor,
-		FallWindow:      overloadWindow,
-		LoadWindow:      s.LoadLimit[0],
-		LoadBurst:       s.LoadLimit[1],
-		LoadsPerRequest: s.LoadLimit[2],
-		Grace:           recordingGrace,
+		Semantics:           fakes.ClassSemantics(),
+		DeduplicationWindow: map[string]float64{fakes.ClassIdempotentByKey: deduplicationWindow},
+		MeanWork:            r.meanWork(),
+		Capacity:            map[string]float64{},
+		DrainGrace:          drainGrace,
+		ColdShare:           coldShare,
+		WarmUpTime:          warmUpTime,
+		OverloadFactor:      overloadFactor,
+		OverloadWindow:      overloadWindow,
+		LoadWindow:          s.LoadLimit[0],
+		LoadBurst:           s.LoadLimit[1],
+		LoadsPerRequest:     s.LoadLimit[2],
+		ObservationDelay:    recordingGrace,
 	}
 	for range s.Workers {
 		w, err := r.startWorker(s.Cold)
@@ -58,7 +58,7 @@
 	}
 	path := filepath.Join(r.dir, "workers.json")
 	var err error
-	if r.list, err = fakes.NewList(path, r.recorder, r.workers); err != nil {
+	if r.list, err = fakes.NewEndpointList(path, r.recorder, r.workers); err != nil {
 		return err
 	}
 	return r.startFrontEnds(path)
@@ -67,7 +67,7 @@
 func (r *run) meanWork() float64 {
 	mean := 0.0
 	for _, f := range r.functions {
-		mean += f.Work / float64(len(r.functions))
+		mean += f.MeanWork / float64(len(r.functions))
 	}
 	return mean
 }
@@ -80,27 +80,27 @@
 	r.mu.Unlock()
 	kind, speed := fakes.MachineType(number)
 	name := fmt.Sprintf("wk-%02d", number)
-	w, err := fakes.NewWorker(fakes.Spec{
-		Name:         name,
-		Kind:         kind,
-		Cores:        r.script.Cores,
-		Speed:        speed,
-		Memory:       workerMemoryMB,
-		Queue:        workerQueueLimit,
-		LoadsAtOnce:  maxConcurrentLoads,
-		Keep:         idleReplicaLifetime + 0.5,
-		ColdShare:    coldShare,
-		WarmWithin:   warmUpTime,
-		FallFactor:   overloadFactor,
-		FallWindow:   overloadWindow,
-		LoadsOnEvent: r.script.LoadOnRequest,
-		MeanWork:     r.meanWork(),
-		Functions:    r.functions,
-		Store:        r.store,
-		Drops:        r.executed,
-		Keyed:        map[string]bool{fakes.ClassIdempotentByKey: true},
-		Tape:         r.recorder,
-		Seed:         r.seed + uint64(number),
+	w, err := fakes.NewWorker(fakes.WorkerConfig{
+		Name:                name,
+		MachineType:         kind,
+		Cores:               r.script.Cores,
+		Speed:               speed,
+		Memory:              workerMemoryMB,
+		QueueLimit:          workerQueueLimit,
+		MaxConcurrentLoads:  maxConcurrentLoads,
+		IdleReplicaLifetime: idleReplicaLifetime + 0.5,
+		ColdShare:           coldShare,
+		WarmUpTime:          warmUpTime,
+		OverloadFactor:      overloadFactor,
+		OverloadWindow:      overloadWindow,
+		LoadsOnRequest:      r.script.LoadOnRequest,
+		MeanWork:            r.meanWork(),
+		Functions:           r.functions,
+		Store:               r.store,
+		Deduplicator:        r.executed,
+		KeyedClasses:        map[string]bool{fakes.ClassIdempotentByKey: true},
+		Recorder:            r.recorder,
+		Seed:                r.seed + uint64(number),
 	})
 	if err != nil {
 		return nil, err
@@ -177,7 +177,7 @@
 		Dispatch:     decisions,
 		Upstream:     c.Upstream(name),
 		Downstream:   c.Downstream(),
-		MaxClients:   c.Limits.Connections,
+		MaxClients:   c.Limits.MaxConnections,
 		Log:          r.log,
 		OnRequestEnd: r.countCause,
 	}}
--- a/internal/scenario/traffic.go
+++ b/internal/scenario/traffic.go
@@ -29,8 +29,8 @@
 	return &schedule.Client{Source: source, FrontEnds: r.addrs, HTTP: &http.Client{Transport: transport},
 		DefaultTimeout: toDuration(requestTimeout), MaxRetries: retries, AtMostOnce: map[string]bool{fakes.ClassAtMostOnce: true},
 		OnAttempt: func(f schedule.Firing, addr string, timeout time.Duration) func(int, string, error) {
-			record := invariants.Record{Kind: invariants.Asked, Event: source + "#" + f.ID, Type: f.Entry.Class,
-				Function: f.Entry.Function, Front: r.frontEndAt(addr), Call: r.recorder.Call(), Wait: timeout.Seconds()}
+			record := invariants.Record{Kind: invariants.RequestSent, RequestID: source + "#" + f.ID, Class: f.Entry.Class,
+				Function: f.Entry.Function, FrontEnd: r.frontEndAt(addr), CallID: r.recorder.NextCallID(), Timeout: timeout.Seconds()}
 			r.recorder.Add(record)
 			return func(status int, digest string, err error) { r.recordEnd(record, status, digest, err) }
 		}}
@@ -48,10 +48,10 @@
 	case status == 0 && errors.Is(err, context.DeadlineExceeded):
 		return // nobody answered in time: the checker finds no response
 	case status == 0:
-		record.Kind, record.Outcome = invariants.Answered, invariants.Refused
-		r.fail("%s: %v", record.Event, err)
+		record.Kind, record.Outcome = invariants.ResponseReceived, invariants.Invalid
+		r.fail("%s: %v", record.RequestID, err)
 	default:
-		record.Kind, record.Outcome = invariants.Answered, outcomeOf(status)
+		record.Kind, record.Outcome = invariants.ResponseReceived, outcomeOf(status)
 	}
 	r.recorder.Add(record)
 }
@@ -67,13 +67,13 @@
 func outcomeOf(status int) string {
 	switch status {
 	case http.StatusOK:
-		return invariants.Handled
+		return invariants.Succeeded
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		return invariants.Deferred
+		return invariants.Rejected
 	case http.StatusBadGateway, http.StatusGatewayTimeout:
-		return invariants.DeadLettered
+		return invariants.Failed
 	}
-	return invariants.Refused
+	return invariants.Invalid
 }
 
 // countResult counts the result of a firing.
@@ -94,7 +94,7 @@
 	if succeeded {
 		_ = r.latency.RecordValue(max(result.Latency.Microseconds(), 1)) // no request waits for longer than it holds
 	}
-	if outcomeOf(result.Status) == invariants.Refused && result.Status != 0 {
+	if outcomeOf(result.Status) == invariants.Invalid && result.Status != 0 {
 		r.failures = append(r.failures, fmt.Sprintf("%s: status %d", result.ID, result.Status))
 	}
 }
--- a/internal/simulation/appliance.go
+++ b/internal/simulation/appliance.go
@@ -144,7 +144,7 @@
 
 // timestamp is the machine's clock for the store: only a loss of power is a new boot of the machine.
 func (a *applianceProcess) timestamp() storage.Timestamp {
-	return storage.Timestamp{Boot: fmt.Sprintf("%s/%d", a.name, a.site.reboots[a.number]), Up: a.scheduler.now}
+	return storage.Timestamp{BootID: fmt.Sprintf("%s/%d", a.name, a.site.reboots[a.number]), Uptime: a.scheduler.now}
 }
 
 // perform does one action of the life cycle.
@@ -346,7 +346,7 @@
 		f.proxy = nil
 	}
 	for _, call := range sortedCalls(a.scheduled) {
-		a.site.addUnknownEnd(invariants.Record{Kind: invariants.Lost, Call: call})
+		a.site.addUnknownEnd(invariants.Record{Kind: invariants.ConnectionLost, CallID: call})
 	}
 	old := a.store
 	a.store = nil
--- a/internal/simulation/client.go
+++ b/internal/simulation/client.go
@@ -65,8 +65,8 @@
 
 // record returns the record of something that happened to the call.
 func (c *clientCall) record(kind invariants.Kind) invariants.Record {
-	return invariants.Record{Kind: kind, Call: c.number, Event: clientSource + "#" + c.request.id, Type: c.request.class,
-		Front: c.processTag}
+	return invariants.Record{Kind: kind, CallID: c.number, RequestID: clientSource + "#" + c.request.id, Class: c.request.class,
+		FrontEnd: c.processTag}
 }
 
 // end ends the call.
@@ -167,10 +167,10 @@
 	if r.timeout > 0 {
 		timeout = r.timeout
 	}
-	call := &clientCall{request: r, number: c.site.recorder.Call(), frontEnd: f, processTag: f.processTag(), sentAt: c.scheduler.now}
+	call := &clientCall{request: r, number: c.site.recorder.NextCallID(), frontEnd: f, processTag: f.processTag(), sentAt: c.scheduler.now}
 	conn := c.reusableConn(f, r)
-	record := call.record(invariants.Asked)
-	record.Function, record.Wait = r.function, timeout
+	record := call.record(invariants.RequestSent)
+	record.Function, record.Timeout = r.function, timeout
 	c.site.recorder.Add(record)
 	c.site.callSent(call)
 	call.timeout = c.after(timeout, "gives up "+r.id, func() { c.onTimeout(call) })
@@ -186,11 +186,11 @@
 
 // outcomes are the outcomes of statuses.
 var outcomes = map[int]string{
-	http.StatusOK:                 invariants.Handled,
-	http.StatusServiceUnavailable: invariants.Deferred,
-	http.StatusTooManyRequests:    invariants.Deferred,
-	http.StatusBadGateway:         invariants.DeadLettered,
-	http.StatusGatewayTimeout:     invariants.DeadLettered,
+	http.StatusOK:                 invariants.Succeeded,
+	http.StatusServiceUnavailable: invariants.Rejected,
+	http.StatusTooManyRequests:    invariants.Rejected,
+	http.StatusBadGateway:         invariants.Failed,
+	http.StatusGatewayTimeout:     invariants.Failed,
 }
 
 func (c *client) onResponse(call *clientCall, m *http1.Message) {
@@ -202,17 +202,17 @@
 	r := call.request
 	outcome, known := outcomes[m.Status]
 	if !known {
-		outcome = invariants.Refused
+		outcome = invariants.Invalid
 		c.site.violation("client", "%s: status %d: %s", r.id, m.Status, m.Body)
 	}
-	record := call.record(invariants.Answered)
+	record := call.record(invariants.ResponseReceived)
 	record.Status, record.Outcome, record.Digest = m.Status, outcome, m.Header.Get("Docker-Content-Digest")
 	c.site.recorder.Add(record)
 	c.site.callAnswered(call, outcome)
 	switch {
-	case outcome == invariants.Deferred:
+	case outcome == invariants.Rejected:
 		c.onRejected(r, m)
-	case r.rechecks > 0 && outcome != invariants.Refused:
+	case r.rechecks > 0 && outcome != invariants.Invalid:
 		r.rechecks--
 		c.retry(r, closedRetryDelay+c.rng.Float64(), false)
 	}
--- a/internal/simulation/disk_test.go
+++ b/internal/simulation/disk_test.go
@@ -9,7 +9,7 @@
 
 func openStore(t testing.TB, d *disk) (*storage.Store, *storage.RecoveredState) {
 	t.Helper()
-	clock := func() storage.Timestamp { return storage.Timestamp{Boot: "a", Up: 1} }
+	clock := func() storage.Timestamp { return storage.Timestamp{BootID: "a", Uptime: 1} }
 	store, recovered, err := storage.OpenStore("state", storage.Options{FS: d.view(), Retention: 600, Synchronous: true, Clock: clock})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/simulation/explore.go
+++ b/internal/simulation/explore.go
@@ -17,12 +17,12 @@
 
 // Explored is the result of an exploration.
 type Explored struct {
-	Depth    int      `json:"depth"`
-	States   int      `json:"states"` // worlds that differ
-	Merged   int      `json:"merged"` // ways that led to a world that was known
-	Ways     int      `json:"ways"`   // run to their end, with nothing more coming from outside
-	Complete bool     `json:"whole"`  // false: the limit of states ended it
-	Broke    []string `json:"broke,omitempty"`
+	Depth      int      `json:"depth"`
+	States     int      `json:"states"` // worlds that differ
+	Merged     int      `json:"merged"` // ways that led to a world that was known
+	Ways       int      `json:"ways"`   // run to their end, with nothing more coming from outside
+	Complete   bool     `json:"whole"`  // false: the limit of states ended it
+	Violations []string `json:"broke,omitempty"`
 }
 
 // Explore goes every way of depth actions, as far as it leads to maxStates worlds, and lets each end by itself.
@@ -96,8 +96,8 @@
 	for _, a := range e.path {
 		words = append(words, a.String())
 	}
-	if len(e.result.Broke) < maxExploredViolations {
-		e.result.Broke = append(e.result.Broke, w.violations[0]+", after "+strings.Join(append(words, last), ", "))
+	if len(e.result.Violations) < maxExploredViolations {
+		e.result.Violations = append(e.result.Violations, w.violations[0]+", after "+strings.Join(append(words, last), ", "))
 	}
 	return true
 }
--- a/internal/simulation/front_end.go
+++ b/internal/simulation/front_end.go
@@ -59,10 +59,10 @@
 		Dispatch:         config.Dispatch(script.Seed*1000 + uint64(f.number)),
 		Upstream:         config.Upstream(f.name),
 		Downstream:       config.Downstream(),
-		MaxClients:       config.Limits.Connections,
+		MaxClients:       config.Limits.MaxConnections,
 		Recovered:        a.recovered.Records,
 		ReplicaSnapshots: a.recovered.Replicas,
-		RecordTimeout:    config.Limits.Margin / 2,
+		RecordTimeout:    config.Limits.ResponseMargin / 2,
 	}
 	if script.Versions {
 		settings.Dispatch.ResolveVersion, settings.Dispatch.VersionAllowed = a.resolveVersion, a.isVersionAllowed
@@ -98,11 +98,11 @@
 		}
 		if w.startedCold > 0 && f.started[w.name] != w.startedCold {
 			f.started[w.name] = w.startedCold
-			s.recorder.Add(invariants.Record{Kind: invariants.WorkerStarted, Worker: w.name, Front: f.processTag(), StartedAt: w.startedCold})
+			s.recorder.Add(invariants.Record{Kind: invariants.WorkerStarted, Worker: w.name, FrontEnd: f.processTag(), StartedAt: w.startedCold})
 		}
 		if f.phases[w.name] != phase {
 			f.phases[w.name] = phase
-			s.recorder.Add(invariants.Record{Kind: invariants.EndpointUpdated, Worker: w.name, EndpointState: phase, Front: f.processTag()})
+			s.recorder.Add(invariants.Record{Kind: invariants.EndpointUpdated, Worker: w.name, EndpointState: phase, FrontEnd: f.processTag()})
 		}
 	}
 }
@@ -183,7 +183,7 @@
 func (h *host) Dial(id upstream.ConnID, addr string) {
 	f := (*frontEnd)(h)
 	s := f.appliance.site
-	s.network.dial(&f.appliance.process, addr, s.config.Workers.Dial, func(e *endpoint, err error) {
+	s.network.dial(&f.appliance.process, addr, s.config.Workers.DialTimeout, func(e *endpoint, err error) {
 		if err != nil {
 			f.proxy.OnDialed(id, nil, err)
 			return
@@ -255,19 +255,19 @@
 	switch {
 	case strings.HasSuffix(m.Target, "/infer"):
 		r.open = invariants.Record{
-			Kind:     invariants.Launched,
-			Worker:   r.worker,
-			Function: strings.Split(m.Target, "/")[3],
-			Digest:   strings.Trim(m.Header.Get("If-Match"), `"`),
-			Front:    f.processTag(),
-			Call:     s.recorder.Call(),
-			Event:    m.Header.Get("Ce-Source") + "#" + m.Header.Get("Ce-Id"),
-			Type:     m.Header.Get("Ce-Type"),
+			Kind:      invariants.AttemptStarted,
+			Worker:    r.worker,
+			Function:  strings.Split(m.Target, "/")[3],
+			Digest:    strings.Trim(m.Header.Get("If-Match"), `"`),
+			FrontEnd:  f.processTag(),
+			CallID:    s.recorder.NextCallID(),
+			RequestID: m.Header.Get("Ce-Source") + "#" + m.Header.Get("Ce-Id"),
+			Class:     m.Header.Get("Ce-Type"),
 		}
 		s.recorder.Add(r.open)
-		s.newestAttempt[f.name+" "+r.open.Event] = r.open.Call
+		s.newestAttempt[f.name+" "+r.open.RequestID] = r.open.CallID
 	case strings.HasSuffix(m.Target, "/load"):
-		s.recorder.Add(invariants.Record{Kind: invariants.Ordered, Worker: r.worker, Front: f.processTag(), Replicas: 1})
+		s.recorder.Add(invariants.Record{Kind: invariants.LoadCommanded, Worker: r.worker, FrontEnd: f.processTag(), Replicas: 1})
 	}
 }
 
@@ -280,10 +280,10 @@
 
 // end records the end of the attempt that is under way, if any.
 func (r *attemptRecorder) end() {
-	if r.open.Event == "" {
+	if r.open.RequestID == "" {
 		return
 	}
-	r.open.Kind = invariants.Ended
+	r.open.Kind = invariants.AttemptEnded
 	r.frontEnd.appliance.site.recorder.Add(r.open)
 	r.open = invariants.Record{}
 }
--- a/internal/simulation/golden_test.go
+++ b/internal/simulation/golden_test.go
@@ -73,9 +73,9 @@
 	}
 	return fmt.Sprintf("steps=%d virtual=%v restarts=%d faults_met=%d violations=%d requests=%d served=%d deferred=%d failed=%d refused=%d left=%d "+
 		"lost=%d attempts=%d loads=%d unanswered=%d answered_twice=%d sent_after_end=%d at_once=%d ran_twice=%d bad_deferrals=%d after_drain=%d "+
-		"cold_pushed=%d load_floods=%d wrong_versions=%d rules_broken=%d", r.SimulatedEvents, r.VirtualSeconds, r.Restarts, met, len(r.Broke), r.Events, r.Handled,
-		r.Deferred, r.DeadLettered, r.Refused, r.Left, r.Lost, r.Launches, r.Orders, r.Unanswered, r.Twice, r.AfterEnd, r.AtOnce, r.RanTwice,
-		r.BadDeferral, r.AfterDrain, r.ColdPushed, r.Flooded, r.Versions, r.Broken)
+		"cold_pushed=%d load_floods=%d wrong_versions=%d rules_broken=%d", r.SimulatedEvents, r.VirtualSeconds, r.Restarts, met, len(r.Findings), r.Requests, r.Succeeded,
+		r.Rejected, r.Failed, r.Invalid, r.Cancelled, r.ConnectionsLost, r.Attempts, r.LoadCommands, r.Unanswered, r.DuplicateResponses, r.AttemptsAfterEnd, r.ConcurrentAttempts, r.DuplicateExecutions,
+		r.WrongRejections, r.SentAfterDrain, r.ColdOverloads, r.ExcessLoadCommands, r.VersionMismatches, r.RulesBroken)
 }
 
 // wordless is a digest of the records that doesn't depend on any name or word in them.
@@ -86,7 +86,7 @@
 		seen[i] = map[string]int{"": 0}
 	}
 	for _, r := range records {
-		for i, word := range []string{string(r.Kind), r.Front, r.Worker, r.Event, r.Type + " " + r.Function, r.Outcome, r.EndpointState, r.Digest} {
+		for i, word := range []string{string(r.Kind), r.FrontEnd, r.Worker, r.RequestID, r.Class + " " + r.Function, r.Outcome, r.EndpointState, r.Digest} {
 			n, ok := seen[i][word]
 			if !ok {
 				n = len(seen[i])
@@ -94,10 +94,10 @@
 			}
 			put(h, uint64(n))
 		}
-		for _, v := range []float64{r.At, r.Wait, r.StartedAt} {
+		for _, v := range []float64{r.At, r.Timeout, r.StartedAt} {
 			put(h, math.Float64bits(v))
 		}
-		put(h, r.Call)
+		put(h, r.CallID)
 		put(h, uint64(r.Status))
 		put(h, uint64(r.Replicas))
 	}
--- a/internal/simulation/mutants/main.go
+++ b/internal/simulation/mutants/main.go
@@ -176,10 +176,10 @@
 	if err := json.Unmarshal(out, &explored); err != nil {
 		return "", err
 	}
-	if len(explored.Broke) == 0 {
+	if len(explored.Violations) == 0 {
 		return "", nil
 	}
-	by, _, _ = strings.Cut(explored.Broke[0], ":")
+	by, _, _ = strings.Cut(explored.Violations[0], ":")
 	return "every order: " + by, nil
 }
 
@@ -232,7 +232,7 @@
 		}
 		n++
 		if !r.OK() {
-			by, _, _ = strings.Cut(r.Broke[0], ":")
+			by, _, _ = strings.Cut(r.Findings[0], ":")
 			by, _, _ = strings.Cut(by, " at ")
 			return n, by, nil
 		}
--- a/internal/simulation/outages.go
+++ b/internal/simulation/outages.go
@@ -117,7 +117,7 @@
 // callEndUnknown notes that nobody will know how a call ended: what its front end does about it is free.
 func (s *site) callEndUnknown(c *clientCall) {
 	delete(s.openOperation, c)
-	s.addUnknownEnd(c.record(invariants.Lost))
+	s.addUnknownEnd(c.record(invariants.ConnectionLost))
 }
 
 // addUnknownEnd keeps the end of a call to be recorded when all is over.
--- a/internal/simulation/repeats.go
+++ b/internal/simulation/repeats.go
@@ -41,12 +41,12 @@
 	open := state == stateUnsucceeded
 	switch {
 	case outcome == "" && open:
-		return []any{stateUnsucceeded, invariants.Handled, invariants.DeadLettered}
+		return []any{stateUnsucceeded, invariants.Succeeded, invariants.Failed}
 	case outcome == "":
 		return []any{state}
-	case open && outcome == invariants.DeadLettered: // for this client alone, whose time was up, or for all
+	case open && outcome == invariants.Failed: // for this client alone, whose time was up, or for all
 		return []any{stateUnsucceeded, outcome}
-	case open && outcome == invariants.Handled:
+	case open && outcome == invariants.Succeeded:
 		return []any{outcome}
 	case open:
 		return []any{stateUnsucceeded}
--- a/internal/simulation/report.go
+++ b/internal/simulation/report.go
@@ -18,7 +18,7 @@
 	Seed    uint64 `json:"seed"`
 	Profile string `json:"profile"`
 	invariants.Verdict
-	Broke           []string       `json:"broke,omitempty"` // the first violations of each rule and invariant
+	Findings        []string       `json:"broke,omitempty"` // the first violations of each rule and invariant
 	Digest          string         `json:"digest"`          // of the trace
 	SimulatedEvents int            `json:"steps"`
 	VirtualSeconds  float64        `json:"virtual_s"`
@@ -28,7 +28,7 @@
 }
 
 // OK returns whether nothing broke.
-func (r *Report) OK() bool { return len(r.Broke) == 0 }
+func (r *Report) OK() bool { return len(r.Findings) == 0 }
 
 // Play plays a script. onTrace, which may be nil, gets the trace in words.
 func Play(script *Script, onTrace func(string)) (*Report, []invariants.Record, error) {
@@ -43,16 +43,16 @@
 	s.run(script.Seconds + recoveryPeriod)
 	s.checkEnd()
 	records := s.recorder.Records()
-	verdict := invariants.Judge(s.rules, records)
+	verdict := invariants.Check(s.rules, records)
 	s.checkRepeats()
 	s.closing.Wait()
-	broke := slices.Concat(verdict.Faults, s.violations)
-	verdict.Faults = nil
+	broke := slices.Concat(verdict.Violations, s.violations)
+	verdict.Violations = nil
 	return &Report{
 		Seed:            script.Seed,
 		Profile:         script.Profile,
 		Verdict:         verdict,
-		Broke:           broke,
+		Findings:        broke,
 		Digest:          s.scheduler.digest(),
 		SimulatedEvents: s.scheduler.executed,
 		VirtualSeconds:  s.scheduler.now,
--- a/internal/simulation/shrink.go
+++ b/internal/simulation/shrink.go
@@ -23,7 +23,7 @@
 	if r.OK() {
 		return nil, r, 1, ErrNothingBroken
 	}
-	x := &shrinker{violation: violationKind(r.Broke[0]), best: *s, report: r, runs: 1}
+	x := &shrinker{violation: violationKind(r.Findings[0]), best: *s, report: r, runs: 1}
 	x.removeFaults()
 	for x.reduceSizes() {
 	}
@@ -57,7 +57,7 @@
 	if err != nil {
 		return false
 	}
-	if !slices.ContainsFunc(r.Broke, func(b string) bool { return violationKind(b) == x.violation }) {
+	if !slices.ContainsFunc(r.Findings, func(b string) bool { return violationKind(b) == x.violation }) {
 		return false
 	}
 	x.best, x.report = candidate, r
--- a/internal/simulation/sim_test.go
+++ b/internal/simulation/sim_test.go
@@ -33,7 +33,7 @@
 				digests[r.Seed] = r.Digest
 			}
 			if !r.OK() {
-				t.Errorf("%s, seed %d: %v", name, r.Seed, r.Broke)
+				t.Errorf("%s, seed %d: %v", name, r.Seed, r.Findings)
 			}
 		})
 		if err != nil {
@@ -44,7 +44,7 @@
 				t.Errorf("faults that met nothing: %v", never)
 			}
 		}
-		t.Logf("%s: %d seeds, %d events, %.0f virtual seconds", name, sum.Seeds, sum.Events, sum.VirtualSeconds)
+		t.Logf("%s: %d seeds, %d events, %.0f virtual seconds", name, sum.Seeds, sum.Requests, sum.VirtualSeconds)
 	}
 	err := Sweep(context.Background(), "day", 0, min(*seeds, 8), 1, func(r *Report) {
 		if r.Digest != digests[r.Seed] {
@@ -73,7 +73,7 @@
 		}
 		r, _, err := Play(s, nil)
 		if err != nil || !r.OK() {
-			t.Errorf("%s: %v %v", file, r.Broke, err)
+			t.Errorf("%s: %v %v", file, r.Findings, err)
 		}
 	}
 }
@@ -113,7 +113,7 @@
 
 func TestExploreSmallWorld(t *testing.T) {
 	x := Explore(5, 1<<20)
-	if len(x.Broke) > 0 || !x.Complete || x.Merged == 0 {
+	if len(x.Violations) > 0 || !x.Complete || x.Merged == 0 {
 		t.Errorf("%+v", x)
 	}
 	t.Logf("%+v", x)
