--- a/internal/simulation/site.go
+++ b/internal/simulation/site.go
@@ -64,7 +64,7 @@
 	ignoreRetryAfter bool               // clients come back at once
 
 	// What the checks know.
-	recorder      *invariants.Tape
+	recorder      *invariants.Recorder
 	rules         invariants.Rules
 	reboots       map[int]int     // by appliance
 	firedMinutes  map[string]bool // that appliances fired their schedules for; true: and it is on disk
@@ -148,22 +148,22 @@
 
 func (s *site) newRules() invariants.Rules {
 	rules := invariants.Rules{
-		Effect:               fakes.ClassSemantics(),
-		Remembered:           map[string]float64{fakes.ClassIdempotentByKey: s.script.DeduplicationWindow},
+		Semantics:            fakes.ClassSemantics(),
+		DeduplicationWindow:  map[string]float64{fakes.ClassIdempotentByKey: s.script.DeduplicationWindow},
 		FunctionWork:         map[string]float64{},
 		Capacity:             map[string]float64{},
 		DrainGrace:           drainGrace,
 		ColdShare:            coldShare,
-		WarmWithin:           warmUpTime,
-		FallFactor:           overloadFactor,
-		FallWindow:           overloadWindow,
+		WarmUpTime:           warmUpTime,
+		OverloadFactor:       overloadFactor,
+		OverloadWindow:       overloadWindow,
 		SubmissionDelay:      requestTimeout,
 		IndependentFrontEnds: true,
-		Grace:                recordingGrace,
+		ObservationDelay:     recordingGrace,
 	}
 	for _, f := range s.functions {
-		rules.Work += f.Work / float64(len(s.functions))
-		rules.FunctionWork[f.Name] = f.Work
+		rules.MeanWork += f.MeanWork / float64(len(s.functions))
+		rules.FunctionWork[f.Name] = f.MeanWork
 	}
 	if s.script.LimitLoads {
 		rules.LoadWindow, rules.LoadBurst, rules.LoadsPerRequest = loadWindow, loadBurst, loadsPerRequest
--- a/internal/simulation/summary.go
+++ b/internal/simulation/summary.go
@@ -13,9 +13,9 @@
 	Seeds           int
 	Broken          int
 	First           uint64 // the first seed that broke something
-	Events          int
-	Handled         int
-	Launches        int
+	Requests        int
+	Succeeded       int
+	Attempts        int
 	SimulatedEvents int
 	Restarts        int
 	VirtualSeconds  float64
@@ -37,9 +37,9 @@
 			s.First = r.Seed
 		}
 	}
-	s.Events += r.Events
-	s.Handled += r.Handled
-	s.Launches += r.Launches
+	s.Requests += r.Requests
+	s.Succeeded += r.Succeeded
+	s.Attempts += r.Attempts
 	s.SimulatedEvents += r.SimulatedEvents
 	s.Restarts += r.Restarts
 	s.VirtualSeconds += r.VirtualSeconds
@@ -68,9 +68,9 @@
 	var b strings.Builder
 	elapsed := time.Since(s.began).Seconds()
 	fmt.Fprintf(&b, "%d seeds of %s, %d broke something; %d events, %d handled, %d launches, %d restarts of boxes\n", s.Seeds, s.Profile, s.Broken,
-		s.Events, s.Handled, s.Launches, s.Restarts)
+		s.Requests, s.Succeeded, s.Attempts, s.Restarts)
 	fmt.Fprintf(&b, "%.0f virtual seconds in %.1f: %.0f for one; %.0f steps and %.0f events a second\n\n", s.VirtualSeconds, elapsed, s.VirtualSeconds/elapsed,
-		float64(s.SimulatedEvents)/elapsed, float64(s.Events)/elapsed)
+		float64(s.SimulatedEvents)/elapsed, float64(s.Requests)/elapsed)
 	s.writeCoverage(&b)
 	return b.String()
 }
--- a/internal/simulation/worker_replicas.go
+++ b/internal/simulation/worker_replicas.go
@@ -20,7 +20,7 @@
 }
 
 // capacity is the number of requests that the ready replicas run concurrently.
-func (r *replicaSet) capacity() int { return r.ready * r.function.Lanes }
+func (r *replicaSet) capacity() int { return r.ready * r.function.Concurrency }
 
 // workerRequest is one attempt of a request at a worker.
 type workerRequest struct {
@@ -116,10 +116,10 @@
 	w.active++
 	first := w.site.isFirstExecution(r)
 	if first {
-		w.site.recorder.Add(invariants.Record{Kind: invariants.Ran, Worker: w.name, Event: r.id, Type: r.class,
-			Function: replicas.function.Name, Digest: replicas.digest, Call: r.attempt})
+		w.site.recorder.Add(invariants.Record{Kind: invariants.Executed, Worker: w.name, RequestID: r.id, Class: r.class,
+			Function: replicas.function.Name, Digest: replicas.digest, CallID: r.attempt})
 	}
-	duration := replicas.function.Work / w.speed / w.warmth() * (0.7 + 0.6*w.rng.Float64())
+	duration := replicas.function.MeanWork / w.speed / w.warmth() * (0.7 + 0.6*w.rng.Float64())
 	if w.hasFault(FaultSlow) {
 		duration *= slowFactor
 	}
@@ -153,13 +153,13 @@
 	w.loads++
 	fetchTime, ok := 0.0, true
 	if !r.hasImage {
-		fetchTime, ok = w.site.store.fetch(r.function.Fetch)
+		fetchTime, ok = w.site.store.fetch(r.function.FetchTime)
 	}
 	w.after(fetchTime, "fetched "+r.function.Name, func() {
 		if !r.hasImage {
 			w.site.store.inFlight--
 		}
-		startTime := r.function.Begin
+		startTime := r.function.StartTime
 		if !ok {
 			startTime = 0
 		}
@@ -186,7 +186,7 @@
 
 // makeRoom evicts idle replicas, the longest idle first, until one more of a set fits.
 func (w *worker) makeRoom(r *replicaSet) bool {
-	for w.usedMemory()+r.function.Memory > workerMemoryMB {
+	for w.usedMemory()+r.function.MemoryMB > workerMemoryMB {
 		var oldest *replicaSet
 		for _, other := range w.replicas {
 			idle := other != r && other.busy == 0 && other.ready > 0
@@ -205,7 +205,7 @@
 func (w *worker) usedMemory() float64 {
 	sum := 0.0
 	for _, r := range w.replicas {
-		sum += float64(r.ready+r.loading) * r.function.Memory
+		sum += float64(r.ready+r.loading) * r.function.MemoryMB
 	}
 	return sum
 }
--- a/internal/storage/batch.go
+++ b/internal/storage/batch.go
@@ -89,7 +89,7 @@
 	defer s.recoverPanic(&err)
 	batch := s.db.NewBatch()
 	for _, p := range writes {
-		s.Records.Add(int64(p.records))
+		s.CommittedRecords.Add(int64(p.records))
 		for _, m := range p.mutations {
 			if err := m.addTo(batch); err != nil {
 				return err
@@ -99,7 +99,7 @@
 	if err := batch.Set(serviceTimeKey, encodeServiceTime(s.now().ServiceTime), nil); err != nil {
 		return err
 	}
-	s.Syncs.Add(1)
+	s.CommittedBatches.Add(1)
 	if s.options.NoSync {
 		return batch.Commit(pebble.NoSync)
 	}
--- a/internal/storage/clock.go
+++ b/internal/storage/clock.go
@@ -14,16 +14,16 @@
 // boot is known; across a reboot only the difference of their service times is.
 type Timestamp struct {
 	ServiceTime float64 `cbor:"1,keyasint"` // seconds of service since the store was created
-	Boot        string  `cbor:"2,keyasint"` // boot identifier of the machine; empty when it is unknown
-	Up          float64 `cbor:"3,keyasint"` // seconds since that boot
+	BootID      string  `cbor:"2,keyasint"` // boot identifier of the machine; empty when it is unknown
+	Uptime      float64 `cbor:"3,keyasint"` // seconds since that boot
 }
 
 // since returns the seconds from t to the later timestamp now. It reports false when the time between them is unknown.
 func (t Timestamp) since(now Timestamp) (float64, bool) {
-	if t.Boot == "" || t.Boot != now.Boot || now.Up < t.Up {
+	if t.BootID == "" || t.BootID != now.BootID || now.Uptime < t.Uptime {
 		return 0, false
 	}
-	return now.Up - t.Up, true
+	return now.Uptime - t.Uptime, true
 }
 
 // MachineClock returns the boot identifier of the machine and the seconds since its boot. It returns the zero
@@ -34,7 +34,7 @@
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &uptime) != nil {
 		return Timestamp{}
 	}
-	return Timestamp{Boot: string(bytes.TrimSpace(boot)), Up: float64(uptime.Sec) + float64(uptime.Nsec)/1e9}
+	return Timestamp{BootID: string(bytes.TrimSpace(boot)), Uptime: float64(uptime.Sec) + float64(uptime.Nsec)/1e9}
 }
 
 // now returns the present time, including the service time.
--- a/internal/storage/record_codec.go
+++ b/internal/storage/record_codec.go
@@ -191,7 +191,7 @@
 func newStoredRecord(record dispatch.Record, now Timestamp) storedRecord {
 	response := record.Response
 	firstRunAt := now
-	firstRunAt.Up -= record.FirstRunAgo
+	firstRunAt.Uptime -= record.FirstRunAgo
 	firstRunAt.ServiceTime -= record.FirstRunAgo
 	return storedRecord{
 		Kind:         uint8(record.Kind),
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -67,8 +67,8 @@
 	committerDone chan struct{}
 	libraryFailed atomic.Bool // the library panicked, perhaps with a lock held: it must not be called again
 
-	Syncs   atomic.Int64 // batches committed
-	Records atomic.Int64 // records in these batches
+	CommittedBatches atomic.Int64 // batches committed
+	CommittedRecords atomic.Int64 // records in these batches
 }
 
 // OpenStore opens or creates the store in a folder and recovers what an earlier process left. A corrupt store is
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -22,7 +22,7 @@
 	boot   string
 }
 
-func (c *fakeClock) now() Timestamp { return Timestamp{Boot: c.boot, Up: c.uptime} }
+func (c *fakeClock) now() Timestamp { return Timestamp{BootID: c.boot, Uptime: c.uptime} }
 
 // newRecord returns a record of a request that succeeds, if it has ended.
 func newRecord(kind dispatch.RecordKind, class, id string, firstRunAgo float64) dispatch.Record {
--- a/internal/telemetry/recorder.go
+++ b/internal/telemetry/recorder.go
@@ -34,7 +34,7 @@
 type Settings struct {
 	LatencyObjective func(class string) float64 // seconds; a request that took longer is late
 	Spans            io.Writer                  // nil: no spans
-	Share            float64                    // of requests that succeeded in time whose spans are written; those of all others are
+	SamplingRatio    float64                    // of requests that succeeded in time whose spans are written; those of all others are
 	Gauges           func() map[string]float64  // gauges by name, read at each scrape; nil: none
 }
 
--- a/internal/telemetry/recorder_test.go
+++ b/internal/telemetry/recorder_test.go
@@ -94,7 +94,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var out bytes.Buffer
-			recorder := newTestRecorder(t, Settings{Spans: &out, Share: test.share})
+			recorder := newTestRecorder(t, Settings{Spans: &out, SamplingRatio: test.share})
 			recorder.OnRequestEnd(testRequest(test.kind, test.cause, test.elapsed))
 			if err := recorder.Close(); err != nil {
 				t.Fatal(err)
--- a/internal/telemetry/spans.go
+++ b/internal/telemetry/spans.go
@@ -34,7 +34,7 @@
 func (r *Recorder) sampled(identity dispatch.Identity) bool {
 	hash := fnv.New32a()
 	_, _ = io.WriteString(hash, identity.String()) // a hash takes every write
-	return float64(hash.Sum32())/(1<<32) < r.settings.Share
+	return float64(hash.Sum32())/(1<<32) < r.settings.SamplingRatio
 }
 
 // writeSpans writes a request as a span with a child for each attempt; its other steps are events of the first span.
