--- a/cmd/streamcleat/box.go
+++ b/cmd/streamcleat/admin.go
@@ -25,7 +25,7 @@
 
 const stopPollInterval = 100 * time.Millisecond
 
-// boxCommands look at a running box and give it orders. Each screen of the console has one.
+// boxCommands look at a running appliance and give it orders. Each screen of the console has one.
 func boxCommands() []*cobra.Command {
 	return []*cobra.Command{
 		startCommand(),
@@ -47,11 +47,11 @@
 	}
 }
 
-// clientFlags adds the flags by which a box is found and returns a function that makes a client of them.
+// clientFlags adds the flags by which an appliance is found and returns a function that makes a client of them.
 func clientFlags(cmd *cobra.Command) func() (*console.Client, error) {
 	var socket, file, name string
 	flags := cmd.Flags()
-	flags.StringVar(&socket, "socket", "", "the box's console socket")
+	flags.StringVar(&socket, "socket", "", "the appliance's console socket")
 	flags.StringVarP(&file, "config", "c", "", "configuration that names the socket, in place of --socket")
 	flags.StringVar(&name, "name", fmt.Sprintf("%s-%d", cmd.Name(), os.Getppid()), "name by which other consoles see who gives orders")
 	return func() (*console.Client, error) {
@@ -93,10 +93,10 @@
 	return err
 }
 
-// query reads something from a box; it returns the value and its text for people.
+// query reads something from an appliance; it returns the value and its text for people.
 type query func(c *console.Client, args []string) (value any, text func() string, err error)
 
-// queryCommand is a command that reads something from the box and prints it.
+// queryCommand is a command that reads something from the appliance and prints it.
 func queryCommand(use, short string, args cobra.PositionalArgs, read query) *cobra.Command {
 	var asJSON bool
 	cmd := &cobra.Command{Use: use, Short: short, Args: args}
@@ -118,14 +118,14 @@
 
 func statusCommand() *cobra.Command {
 	const columns = 80
-	return queryCommand("status", "The box at a glance", cobra.NoArgs, func(c *console.Client, _ []string) (any, func() string, error) {
+	return queryCommand("status", "The appliance at a glance", cobra.NoArgs, func(c *console.Client, _ []string) (any, func() string, error) {
 		var status appliance.Status
 		err := c.Get("status", &status)
 		return status, func() string { return console.StatusText(status, columns) }, err
 	})
 }
 
-// listCommand prints the list that the box has under the command's name.
+// listCommand prints the list that the appliance has under the command's name.
 func listCommand[T any](name, short string, rows func([]T) [][]string) *cobra.Command {
 	return queryCommand(name, short, cobra.NoArgs, func(c *console.Client, _ []string) (any, func() string, error) {
 		list := []T{}
@@ -144,7 +144,7 @@
 	return cmd
 }
 
-// orderCommand gives the box an order whose target is the argument.
+// orderCommand gives the appliance an order whose target is the argument.
 func orderCommand(use, short, order string) *cobra.Command {
 	cmd := &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(1)}
 	client := clientFlags(cmd)
@@ -166,7 +166,7 @@
 	return cmd
 }
 
-// sendOrder sends an order and prints the box's answer.
+// sendOrder sends an order and prints the appliance's answer.
 func sendOrder(client func() (*console.Client, error), order appliance.Command) error {
 	c, err := client()
 	if err != nil {
@@ -182,10 +182,10 @@
 
 func stopCommand() *cobra.Command {
 	var immediate, wait bool
-	cmd := &cobra.Command{Use: "stop", Short: "Drain the box and stop it; every client gets its answer", Args: cobra.NoArgs}
+	cmd := &cobra.Command{Use: "stop", Short: "Drain the appliance and stop it; every client gets its answer", Args: cobra.NoArgs}
 	client := clientFlags(cmd)
 	cmd.Flags().BoolVar(&immediate, "now", false, "answer what is open at once")
-	cmd.Flags().BoolVar(&wait, "wait", false, "return when the box has stopped")
+	cmd.Flags().BoolVar(&wait, "wait", false, "return when the appliance has stopped")
 	cmd.RunE = func(*cobra.Command, []string) error {
 		if err := sendOrder(client, appliance.Command{Name: orderStop, Immediate: immediate}); err != nil || !wait {
 			return err
@@ -199,7 +199,7 @@
 	return cmd
 }
 
-// waitUntilStopped polls the box until its socket is gone.
+// waitUntilStopped polls the appliance until its socket is gone.
 func waitUntilStopped(c *console.Client) error {
 	for {
 		var status appliance.Status
@@ -217,7 +217,7 @@
 }
 
 func consoleCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "console", Short: "The terminal console of a running box; leaving it leaves the box as it is", Args: cobra.NoArgs}
+	cmd := &cobra.Command{Use: "console", Short: "The terminal console of a running appliance; leaving it leaves the appliance as it is", Args: cobra.NoArgs}
 	client := clientFlags(cmd)
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		c, err := client()
--- a/cmd/streamcleat/box_test.go
+++ b/cmd/streamcleat/admin_test.go
@@ -25,7 +25,7 @@
 	"streamcleat/internal/schedule"
 )
 
-// site is a box with fake workers that is operated from terminals only.
+// site is an appliance with fake workers that is operated from terminals only.
 type site struct {
 	t       *testing.T
 	dir     string
@@ -37,7 +37,7 @@
 	statuses map[string][]int // by event, 0 for a broken connection
 }
 
-// freeAddress is a loopback address that nobody uses at the moment; the box keeps it over its restarts.
+// freeAddress is a loopback address that nobody uses at the moment; the appliance keeps it over its restarts.
 func freeAddress(t testing.TB) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -72,7 +72,7 @@
 	return s
 }
 
-// boxConfig is the configuration of a site's box; %q is its front end's address.
+// boxConfig is the configuration of a site's appliance; %q is its front end's address.
 const boxConfig = `{"name": "box-1", "listen": [%q], "workers": {"file": "workers.json"}, "stop_within_s": 3,
 	"event_types": [{"name": "shop-event", "target_time_s": 1, "max_age_s": 3},
 		{"name": "till-entry", "target_time_s": 1, "max_age_s": 3, "repeat": "keyed", "remembered_s": 60},
@@ -179,7 +179,7 @@
 	_ = x.cmd.Wait() // what it printed is what the tests look at
 }
 
-// start starts the box; it is killed at the test's end if it still runs.
+// start starts the appliance; it is killed at the test's end if it still runs.
 func (s *site) start() {
 	s.t.Helper()
 	x := s.terminal("start", "box.json")
@@ -193,7 +193,7 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.t.Cleanup(func() { _ = kill(pid) }) // fails where the box was stopped
+	s.t.Cleanup(func() { _ = kill(pid) }) // fails where the appliance was stopped
 }
 
 func kill(pid int) error {
@@ -205,7 +205,7 @@
 }
 
 // sale sends events from many tills until ctx ends, each event again until it has a final answer other than a
-// rejection: through stops, kills and restarts of the box.
+// rejection: through stops, kills and restarts of the appliance.
 func (s *site) sale(ctx context.Context, tills int) *sync.WaitGroup {
 	var running sync.WaitGroup
 	for till := range tills {
@@ -246,7 +246,7 @@
 		r.Status = status
 		r.Kind = invariants.ResponseReceived
 		switch status {
-		case 0: // the test stopped or killed the box
+		case 0: // the test stopped or killed the appliance
 			r.Kind = invariants.ConnectionLost
 		case http.StatusOK:
 			r.Outcome = invariants.Succeeded
@@ -273,7 +273,7 @@
 	return v
 }
 
-// TestBoxFromTheConsole takes a box through a sale: started, looked at, a worker drained while the console is killed,
+// TestBoxFromTheConsole takes an appliance through a sale: started, looked at, a worker drained while the console is killed,
 // stopped in mid-sale and started again, killed and started again, stopped. Only terminals operate it.
 func TestBoxFromTheConsole(t *testing.T) {
 	s := newSite(t, 3)
@@ -349,7 +349,7 @@
 	x.see(`held +UTC`)
 }
 
-// stopAndStart stops the box from the console and starts it again, while clients wait.
+// stopAndStart stops the appliance from the console and starts it again, while clients wait.
 func (s *site) stopAndStart(x *terminal) {
 	s.t.Helper()
 	x.press("s")
@@ -363,7 +363,7 @@
 	time.Sleep(time.Second)
 }
 
-// killAndStart kills the box in mid-sale and starts it again.
+// killAndStart kills the appliance in mid-sale and starts it again.
 func (s *site) killAndStart(x *terminal) {
 	s.t.Helper()
 	if err := kill(s.process()); err != nil {
@@ -375,7 +375,7 @@
 	time.Sleep(time.Second)
 }
 
-// process finds the process of the box that serves.
+// process finds the process of the appliance that serves.
 func (s *site) process() int {
 	data, err := exec.Command("streamcleat", "status", "--json", "--socket", filepath.Join(s.dir, "box.sock")).Output()
 	var st struct{ Process int }
--- a/cmd/streamcleat/main.go
+++ b/cmd/streamcleat/main.go
@@ -1,8 +1,8 @@
 // Command streamcleat is a gateway that routes calls to workers which load functions on demand.
 //
 // The package wires sub-commands to the packages that do the work; it holds no state of its own. Each file has the
-// commands of one concern: serve.go and check.go run and check a configuration, box.go and start.go operate a running
-// box, registry.go and its siblings manage versions of functions, scenario.go, simulate.go, verify.go, fake.go and
+// commands of one concern: serve.go and check.go run and check a configuration, admin.go and start.go operate a running
+// appliance, registry.go and its siblings manage versions of functions, scenario.go, simulate.go, verify.go, fake.go and
 // bench.go serve tests and measurements, node.go runs a front end of the utilities' platform.
 package main
 
--- a/cmd/streamcleat/registry.go
+++ b/cmd/streamcleat/registry.go
@@ -61,14 +61,14 @@
 		})
 }
 
-// functions reads the box's registry.
+// functions reads the appliance's registry.
 func functions(c *console.Client) ([]registry.View, error) {
 	var list []registry.View
 	err := c.Get(registryResource, &list)
 	return list, err
 }
 
-// findVersion returns the version that a reference names at the box.
+// findVersion returns the version that a reference names at the appliance.
 func findVersion(c *console.Client, text string) (registry.Version, error) {
 	list, err := functions(c)
 	if err != nil {
--- a/cmd/streamcleat/registry_test.go
+++ b/cmd/streamcleat/registry_test.go
@@ -9,7 +9,7 @@
 	"streamcleat/internal/fakes"
 )
 
-// run runs a command against the site's box and returns its standard output and error together.
+// run runs a command against the site's appliance and returns its standard output and error together.
 func (s *site) run(args ...string) (string, error) {
 	cmd := exec.Command("streamcleat", args...)
 	cmd.Dir = s.dir
@@ -18,7 +18,7 @@
 	return string(out), err
 }
 
-// The registry's commands against a running box and a fake registry. The cases run in order, each on what the ones
+// The registry's commands against a running appliance and a fake registry. The cases run in order, each on what the ones
 // before it left.
 func TestHandlerCommands(t *testing.T) {
 	r := fakes.NewRegistry("", "")
--- a/cmd/streamcleat/serve.go
+++ b/cmd/streamcleat/serve.go
@@ -45,7 +45,7 @@
 	return c, nil
 }
 
-// serve runs the box until ctx ends and open requests are answered. A second signal shortens the graceful shutdown.
+// serve runs the appliance until ctx ends and open requests are answered. A second signal shortens the graceful shutdown.
 func serve(ctx context.Context, c *config.Config) error {
 	abort := make(chan struct{})
 	go func() {
--- a/cmd/streamcleat/start.go
+++ b/cmd/streamcleat/start.go
@@ -19,18 +19,18 @@
 	startPollInterval = 50 * time.Millisecond
 )
 
-// startCommand starts a box that goes on when the terminal closes.
+// startCommand starts an appliance that goes on when the terminal closes.
 func startCommand() *cobra.Command {
 	var logFile string
 	cmd := &cobra.Command{
 		Use:   "start CONFIG",
-		Short: "Start a box that goes on when the terminal closes",
+		Short: "Start an appliance that goes on when the terminal closes",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			return startBox(args[0], logFile)
 		},
 	}
-	cmd.Flags().StringVar(&logFile, "log", "", "file for the box's log (the socket's name with .log)")
+	cmd.Flags().StringVar(&logFile, "log", "", "file for the appliance's log (the socket's name with .log)")
 	return cmd
 }
 
@@ -51,11 +51,11 @@
 	if logFile == "" {
 		logFile = socket + ".log"
 	}
-	box, err := startDetached(configFile, logFile)
+	process, err := startDetached(configFile, logFile)
 	if err != nil {
 		return err
 	}
-	return waitUntilServing(client, box, logFile)
+	return waitUntilServing(client, process, logFile)
 }
 
 // startDetached starts the serve command in a session of its own.
@@ -64,7 +64,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer closeReader(log) // the box has a descriptor of its own
+	defer closeReader(log) // the appliance has a descriptor of its own
 	executable, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -73,17 +73,17 @@
 	if err != nil {
 		return nil, err
 	}
-	box := exec.Command(executable, "serve", path)
-	box.Stdout = log
-	box.Stderr = log
-	box.SysProcAttr = &syscall.SysProcAttr{Setsid: true}
-	return box, box.Start()
+	process := exec.Command(executable, "serve", path)
+	process.Stdout = log
+	process.Stderr = log
+	process.SysProcAttr = &syscall.SysProcAttr{Setsid: true}
+	return process, process.Start()
 }
 
-// waitUntilServing returns when the box serves, has ended or has not served for startTimeout.
-func waitUntilServing(client *console.Client, box *exec.Cmd, logFile string) error {
+// waitUntilServing returns when the appliance serves, has ended or has not served for startTimeout.
+func waitUntilServing(client *console.Client, process *exec.Cmd, logFile string) error {
 	ended := make(chan error, 1)
-	go func() { ended <- box.Wait() }()
+	go func() { ended <- process.Wait() }()
 	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline); time.Sleep(startPollInterval) {
 		select {
 		case err := <-ended:
@@ -92,15 +92,15 @@
 		}
 		var status appliance.Status
 		if client.Get("status", &status) == nil && status.State == "serving" {
-			fmt.Printf("box %s serves on %v, process %d, log in %s\n", status.Name, status.FrontEnds, box.Process.Pid, logFile)
+			fmt.Printf("box %s serves on %v, process %d, log in %s\n", status.Name, status.FrontEnds, process.Process.Pid, logFile)
 			return nil
 		}
 	}
 	return fmt.Errorf("the box does not serve after %.0f s and is left running as process %d; %s tells more",
-		startTimeout.Seconds(), box.Process.Pid, logFile)
+		startTimeout.Seconds(), process.Process.Pid, logFile)
 }
 
-// earlyExitError reports that the process of the box ended before it served. Its cause is nil after exit status 0.
+// earlyExitError reports that the process of the appliance ended before it served. Its cause is nil after exit status 0.
 type earlyExitError struct {
 	cause   error
 	logFile string
