--- a/cmd/streamcleat/admin_test.go
+++ b/cmd/streamcleat/admin_test.go
@@ -20,9 +20,9 @@
 	"github.com/charmbracelet/x/vt"
 	"github.com/creack/pty"
 
-	"streamcleat/internal/fakes"
-	"streamcleat/internal/invariants"
 	"streamcleat/internal/schedule"
+	"streamcleat/internal/verification/fakes"
+	"streamcleat/internal/verification/invariants"
 )
 
 // site is an appliance with fake workers that is operated from terminals only.
--- a/cmd/streamcleat/architecture_test.go
+++ b/cmd/streamcleat/architecture_test.go
@@ -121,7 +121,7 @@
 		if err != nil || entry.IsDir() || filepath.Ext(path) != ".go" || strings.HasSuffix(path, "_test.go") {
 			return err
 		}
-		if strings.Contains(path, "internal/dispatch/") || strings.Contains(path, "internal/goldentest/") {
+		if strings.Contains(path, "internal/dispatch/") || strings.Contains(path, "internal/verification/goldentest/") {
 			return nil
 		}
 		data, err := os.ReadFile(path)
--- a/cmd/streamcleat/bench.go
+++ b/cmd/streamcleat/bench.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"streamcleat/internal/scenario"
+	"streamcleat/internal/verification/scenario"
 )
 
 func benchCommand() *cobra.Command {
--- a/cmd/streamcleat/fake.go
+++ b/cmd/streamcleat/fake.go
@@ -10,8 +10,8 @@
 	"github.com/spf13/cobra"
 
 	"streamcleat/internal/config"
-	"streamcleat/internal/fakes"
 	"streamcleat/internal/schedule"
+	"streamcleat/internal/verification/fakes"
 )
 
 // fakeCommand runs test fakes as processes of their own.
--- a/cmd/streamcleat/files.go
+++ b/cmd/streamcleat/files.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"streamcleat/internal/invariants"
+	"streamcleat/internal/verification/invariants"
 )
 
 // closeReader closes a file that was only read.
--- a/cmd/streamcleat/keys_test.go
+++ b/cmd/streamcleat/keys_test.go
@@ -8,12 +8,12 @@
 	"streamcleat/internal/appliance"
 	"streamcleat/internal/config"
 	"streamcleat/internal/deployment"
-	"streamcleat/internal/fakes"
-	"streamcleat/internal/invariants"
 	"streamcleat/internal/registry"
 	"streamcleat/internal/registry/signing"
-	"streamcleat/internal/scenario"
-	"streamcleat/internal/simulation"
+	"streamcleat/internal/verification/fakes"
+	"streamcleat/internal/verification/invariants"
+	"streamcleat/internal/verification/scenario"
+	"streamcleat/internal/verification/simulation"
 )
 
 // documents are the types that are read from or written to files, sockets and standard output as JSON.
--- a/cmd/streamcleat/node.go
+++ b/cmd/streamcleat/node.go
@@ -13,6 +13,7 @@
 
 	"github.com/spf13/cobra"
 
+	"streamcleat/internal/node"
 	"streamcleat/internal/platform"
 	"streamcleat/internal/telemetry"
 )
@@ -69,12 +70,12 @@
 	if err != nil {
 		return err
 	}
-	runtime.GOMAXPROCS(nodeThreads)
-	debug.SetMemoryLimit(memoryLimit(document))
-	node, err := startNode(document, log)
+	runtime.GOMAXPROCS(node.Threads)
+	debug.SetMemoryLimit(node.MemoryLimit(document))
+	frontEnd, err := node.Start(document, log)
 	if err != nil {
 		return err
 	}
-	defer node.discovery.Close()
-	return node.serve(ctx.Done(), reload, readDocument)
+	defer frontEnd.Close()
+	return frontEnd.Serve(ctx.Done(), reload, readDocument)
 }
--- a/cmd/streamcleat/node_fixture_test.go
+++ b/cmd/streamcleat/node_fixture_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"streamcleat/internal/eventloop"
+	"streamcleat/internal/node"
 	"streamcleat/internal/platform"
 )
 
@@ -69,7 +70,7 @@
 // nodeFixture is a front end of the platform with a fake worker and a fake journal service, each on loopback.
 type nodeFixture struct {
 	t              *testing.T
-	node           *nodeRuntime
+	node           *node.Node
 	server         *eventloop.Server
 	document       *platform.Document
 	worker         net.Listener
@@ -143,12 +144,12 @@
 	if f.document, err = platform.ReadDocument([]byte(text)); err != nil {
 		t.Fatal(err)
 	}
-	if f.node, err = startNode(f.document, slog.New(slog.DiscardHandler)); err != nil {
+	if f.node, err = node.Start(f.document, slog.New(slog.DiscardHandler)); err != nil {
 		t.Fatal(err)
 	}
-	f.server = f.node.server
+	f.server = f.node.Server()
 	t.Cleanup(func() {
-		f.node.discovery.Close()
+		f.node.Close()
 		if err := f.server.Stop(0); err != nil {
 			t.Error("stop:", err)
 		}
--- a/cmd/streamcleat/node_shutdown_test.go
+++ b/cmd/streamcleat/node_shutdown_test.go
@@ -16,7 +16,7 @@
 	stop := make(chan struct{})
 	done = make(chan error, 1)
 	close(stop)
-	go func() { done <- f.node.serve(stop, reload, read) }()
+	go func() { done <- f.node.Serve(stop, reload, read) }()
 	return done
 }
 
--- a/cmd/streamcleat/node_test.go
+++ b/cmd/streamcleat/node_test.go
@@ -91,7 +91,7 @@
 	client.send("")
 	client.receive()
 	stop, done := make(chan struct{}), make(chan error)
-	go func() { done <- f.node.serve(stop, nil, nil) }()
+	go func() { done <- f.node.Serve(stop, nil, nil) }()
 	close(stop)
 	time.Sleep(200 * time.Millisecond)
 	late := f.dial()
--- a/cmd/streamcleat/registry_test.go
+++ b/cmd/streamcleat/registry_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"streamcleat/internal/fakes"
+	"streamcleat/internal/verification/fakes"
 )
 
 // run runs a command against the site's appliance and returns its standard output and error together.
--- a/cmd/streamcleat/scenario.go
+++ b/cmd/streamcleat/scenario.go
@@ -12,7 +12,7 @@
 
 	"github.com/spf13/cobra"
 
-	"streamcleat/internal/scenario"
+	"streamcleat/internal/verification/scenario"
 )
 
 // scenarioOptions are the flags of the scenario command.
--- a/cmd/streamcleat/simulate.go
+++ b/cmd/streamcleat/simulate.go
@@ -14,7 +14,7 @@
 	"github.com/spf13/cobra"
 
 	"streamcleat/internal/console"
-	"streamcleat/internal/simulation"
+	"streamcleat/internal/verification/simulation"
 )
 
 const defaultProfile = "day"
--- a/cmd/streamcleat/sites_test.go
+++ b/cmd/streamcleat/sites_test.go
@@ -10,8 +10,9 @@
 	"time"
 
 	"streamcleat/internal/dispatch"
+	"streamcleat/internal/downstream/frames"
+	"streamcleat/internal/node"
 	"streamcleat/internal/platform"
-	"streamcleat/internal/platform/downstream"
 )
 
 // siteSettings of the two variants in deploy/sites, as a front end of theirs is told them.
@@ -68,10 +69,10 @@
 		if err != nil {
 			t.Fatal(site, err)
 		}
-		limits := clientLimits(document.Terms.Deployment(), func() bool { return true })
+		limits := node.ClientLimits(document.Terms.Deployment(), func() bool { return true })
 		for i, request := range requests {
 			counter := &requestCounter{}
-			session := downstream.NewSession(limits, counter, 1)
+			session := frames.NewSession(limits, counter, 1)
 			session.Feed(1, time.Time{}, request.frame())
 			if want := request.site == site; counter.taken == 1 != want {
 				t.Errorf("%s, request %d (%s of %s): taken %d times; %q", site, i, request.class, request.tenant, counter.taken, session.Output())
@@ -85,7 +86,7 @@
 	names := regexp.MustCompile(`tomakomai|shop-event|kitaboshi|minato|bureau-mr|handler-workers|std-5c|eco-5c|berth|tram-signs`)
 	read := 0
 	for _, dir := range []string{"control", "internal/deployment", "internal/platform", "internal/proxy", "internal/eventloop", "internal/dispatch",
-		"internal/upstream", "cmd/streamcleat", "cmd/simadapter", "internal/simadapter", "internal/telemetry"} {
+		"internal/downstream", "internal/upstream", "internal/node", "cmd/streamcleat", "cmd/simadapter", "internal/simadapter", "internal/telemetry"} {
 		err := filepath.WalkDir(filepath.Join("..", "..", dir), func(path string, d os.DirEntry, err error) error {
 			if err != nil || d.IsDir() || strings.HasSuffix(path, "_test.go") || filepath.Ext(path) != ".go" {
 				return err
--- a/cmd/streamcleat/soak.go
+++ b/cmd/streamcleat/soak.go
@@ -10,8 +10,8 @@
 
 	"github.com/spf13/cobra"
 
-	"streamcleat/internal/invariants"
-	"streamcleat/internal/soak"
+	"streamcleat/internal/verification/invariants"
+	"streamcleat/internal/verification/soak"
 )
 
 // errSoakBroken is the error of a soak that broke something.
--- a/cmd/streamcleat/soak_test.go
+++ b/cmd/streamcleat/soak_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"streamcleat/internal/soak"
+	"streamcleat/internal/verification/soak"
 )
 
 // One short seed of the soak, with fewer processes than by hand: see docs/simulation.md.
--- a/cmd/streamcleat/verify.go
+++ b/cmd/streamcleat/verify.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"streamcleat/internal/invariants"
+	"streamcleat/internal/verification/invariants"
 )
 
 // verifyCommand checks the invariants on a recorded run.
--- a/internal/appliance/appliance_test.go
+++ b/internal/appliance/appliance_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"streamcleat/internal/fakes"
 	"streamcleat/internal/schedule"
+	"streamcleat/internal/verification/fakes"
 )
 
 // Scheduled requests that are open at a stop are submitted again at the restart. One that may have run and must not run
--- a/internal/appliance/function_registry_test.go
+++ b/internal/appliance/function_registry_test.go
@@ -16,12 +16,12 @@
 
 	"github.com/opencontainers/go-digest"
 
-	"streamcleat/internal/fakes"
-	"streamcleat/internal/invariants"
 	"streamcleat/internal/registry"
 	"streamcleat/internal/registry/signing"
 	"streamcleat/internal/schedule"
 	"streamcleat/internal/storage"
+	"streamcleat/internal/verification/fakes"
+	"streamcleat/internal/verification/invariants"
 )
 
 // version returns the name and the digest of the version with a number.
--- a/internal/appliance/harness_test.go
+++ b/internal/appliance/harness_test.go
@@ -17,9 +17,9 @@
 	"time"
 
 	"streamcleat/internal/config"
-	"streamcleat/internal/fakes"
-	"streamcleat/internal/invariants"
 	"streamcleat/internal/schedule"
+	"streamcleat/internal/verification/fakes"
+	"streamcleat/internal/verification/invariants"
 )
 
 // clientTimeout is how long the clients of the tests wait for a response.
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -7,9 +7,9 @@
 
 	"streamcleat/control"
 	"streamcleat/internal/dispatch"
+	"streamcleat/internal/downstream/cloudevents"
 	"streamcleat/internal/http1"
-	ingress "streamcleat/internal/ingress/http"
-	"streamcleat/internal/upstream"
+	"streamcleat/internal/upstream/openinference"
 )
 
 const (
@@ -111,8 +111,8 @@
 }
 
 // Upstream returns the limits of the connections to workers.
-func (c *Config) Upstream(via string) upstream.Limits {
-	return upstream.Limits{
+func (c *Config) Upstream(via string) openinference.Limits {
+	return openinference.Limits{
 		DialTimeout:  c.Workers.DialTimeout,
 		IdleTimeout:  c.Workers.IdleTimeout,
 		MaxPerWorker: c.Workers.MaxConnections,
@@ -122,8 +122,8 @@
 }
 
 // Downstream returns the limits of the connections from clients.
-func (c *Config) Downstream() ingress.Limits {
-	return ingress.Limits{
+func (c *Config) Downstream() cloudevents.Limits {
+	return cloudevents.Limits{
 		Message:        http1.Limits{Head: c.Limits.MaxHeadBytes, Body: c.Limits.MaxBodyBytes},
 		MaxPipelined:   c.Limits.MaxPipelined,
 		RequestTimeout: c.Limits.ReadTimeout,
--- a/internal/ingress/http/golden_test.go
+++ b/internal/downstream/cloudevents/golden_test.go
@@ -1,4 +1,4 @@
-package http_test
+package cloudevents_test
 
 import (
 	"fmt"
@@ -6,16 +6,16 @@
 	"strings"
 	"testing"
 
-	"streamcleat/internal/goldentest"
+	"streamcleat/internal/downstream/cloudevents"
 	"streamcleat/internal/http1"
-	"streamcleat/internal/ingress/http"
+	"streamcleat/internal/verification/goldentest"
 )
 
 // The text to and from clients over scripted sessions is as it was.
 func TestGoldenSessions(t *testing.T) {
 	goldentest.Play(t, "session", func(*testing.T) goldentest.Actor {
 		client := &goldentest.FakeClient{Encode: encode, Show: goldentest.Lines}
-		client.Session = http.NewSession(http.Limits{Message: http1.Limits{Head: 2000, Body: 500}, MaxPipelined: 3, RequestTimeout: 2, IdleTimeout: 10, MaxUnread: 1 << 16,
+		client.Session = cloudevents.NewSession(cloudevents.Limits{Message: http1.Limits{Head: 2000, Body: 500}, MaxPipelined: 3, RequestTimeout: 2, IdleTimeout: 10, MaxUnread: 1 << 16,
 			ClassTimeout: func(class string) float64 { return map[string]float64{"call": 5, "long": 60}[class] }}, "front-1", client, 0)
 		return client
 	})
--- a/internal/ingress/http/timeout.go
+++ b/internal/downstream/cloudevents/timeout.go
@@ -1,4 +1,4 @@
-package http
+package cloudevents
 
 import (
 	nethttp "net/http"
--- a/internal/platform/downstream/golden_test.go
+++ b/internal/downstream/frames/golden_test.go
@@ -1,4 +1,4 @@
-package downstream_test
+package frames_test
 
 import (
 	"encoding/binary"
@@ -7,15 +7,15 @@
 	"strings"
 	"testing"
 
-	"streamcleat/internal/goldentest"
-	"streamcleat/internal/platform/downstream"
+	"streamcleat/internal/downstream/frames"
+	"streamcleat/internal/verification/goldentest"
 )
 
 // The bytes to and from clients over scripted sessions are as they were.
 func TestGoldenSessions(t *testing.T) {
 	goldentest.Play(t, "session", func(*testing.T) goldentest.Actor {
 		client := &goldentest.FakeClient{Encode: encode, Show: show}
-		client.Session = downstream.NewSession(&downstream.Limits{MaxOpen: 3, FirstFrameTimeout: 2, FrameTimeout: 1, IdleTimeout: 5, ClassTimeout: longestWait,
+		client.Session = frames.NewSession(&frames.Limits{MaxOpen: 3, FirstFrameTimeout: 2, FrameTimeout: 1, IdleTimeout: 5, ClassTimeout: longestWait,
 			HasTenant: func(name string) bool { return name == "acme" }, IsReady: func() bool { return !client.NotReady },
 			MaxMemoryMB: 1 << 16, MaxConcurrency: 64, MaxLoadTime: 60, MaxExpectedWork: 60}, client, 0)
 		return client
--- a/internal/platform/downstream/session.go
+++ b/internal/downstream/frames/session.go
@@ -1,4 +1,4 @@
-package downstream
+package frames
 
 import (
 	"fmt"
--- a/internal/eventloop/fixture_test.go
+++ b/internal/eventloop/fixture_test.go
@@ -13,11 +13,11 @@
 
 	"streamcleat/internal/config"
 	"streamcleat/internal/eventloop"
-	"streamcleat/internal/fakes"
-	"streamcleat/internal/invariants"
 	"streamcleat/internal/proxy"
 	"streamcleat/internal/schedule"
 	"streamcleat/internal/syscalls"
+	"streamcleat/internal/verification/fakes"
+	"streamcleat/internal/verification/invariants"
 )
 
 // fixture is a front end with fake workers on loopback.
--- a/internal/eventloop/listener_test.go
+++ b/internal/eventloop/listener_test.go
@@ -12,8 +12,8 @@
 
 	"streamcleat/control"
 	"streamcleat/internal/dispatch"
+	"streamcleat/internal/downstream/cloudevents"
 	"streamcleat/internal/http1"
-	fronthttp "streamcleat/internal/ingress/http"
 	"streamcleat/internal/proxy"
 	"streamcleat/internal/syscalls"
 )
@@ -37,7 +37,7 @@
 		Settings: proxy.Settings{
 			Name:       "f",
 			MaxClients: 4000,
-			Downstream: fronthttp.Limits{Message: http1.Limits{Head: 1000}, RequestTimeout: 5, IdleTimeout: 5},
+			Downstream: cloudevents.Limits{Message: http1.Limits{Head: 1000}, RequestTimeout: 5, IdleTimeout: 5},
 			Dispatch:   dispatch.Settings{Deployment: &control.Deployment{FrontEnds: 1}},
 		},
 	}
--- a/internal/eventloop/server_test.go
+++ b/internal/eventloop/server_test.go
@@ -15,9 +15,9 @@
 	"time"
 
 	"streamcleat/internal/eventloop"
-	"streamcleat/internal/fakes"
-	"streamcleat/internal/invariants"
 	"streamcleat/internal/schedule"
+	"streamcleat/internal/verification/fakes"
+	"streamcleat/internal/verification/invariants"
 )
 
 // Whoever asks for the same again, while it is open or after its end, gets the one response.
--- a/cmd/streamcleat/node_kernel_faults.go
+++ b/internal/node/kernel_faults.go
@@ -1,6 +1,6 @@
 //go:build faults
 
-package main
+package node
 
 import (
 	"fmt"
@@ -14,8 +14,8 @@
 // with the tag faults reads it.
 const faultsVariable = "STREAMCLEAT_FAULTS"
 
-// nodeKernel makes the system calls of a front end, some of which fail.
-func nodeKernel() syscalls.Kernel {
+// newKernel makes the system calls of a front end, some of which fail.
+func newKernel() syscalls.Kernel {
 	var seed uint64
 	var rate float64
 	if _, err := fmt.Sscanf(os.Getenv(faultsVariable), "%d:%g", &seed, &rate); err != nil || rate <= 0 {
--- a/cmd/streamcleat/node_limits.go
+++ b/internal/node/limits.go
@@ -1,15 +1,15 @@
-package main
+package node
 
 import (
 	"streamcleat/control"
+	downstreamframes "streamcleat/internal/downstream/frames"
 	"streamcleat/internal/platform"
-	"streamcleat/internal/platform/downstream"
-	platformupstream "streamcleat/internal/platform/upstream"
+	upstreamframes "streamcleat/internal/upstream/frames"
 )
 
 const (
-	// nodeThreads is for one core: a second thread only takes over while the event loop waits in the kernel.
-	nodeThreads = 2
+	// Threads is for one core: a second thread only takes over while the event loop waits in the kernel.
+	Threads = 2
 
 	mebibyte = 1 << 20
 
@@ -56,14 +56,14 @@
 	maxWorkSeconds           = 600
 )
 
-// memoryLimit is the soft limit of the heap in bytes.
-func memoryLimit(document *platform.Document) int64 {
+// MemoryLimit is the soft limit of the heap in bytes.
+func MemoryLimit(document *platform.Document) int64 {
 	return int64(document.MemoryMB * heapShare * mebibyte)
 }
 
 // maxOpenRequests is how many requests may be open: as many as the platform takes, and as their bodies fit into memory.
 func maxOpenRequests(document *platform.Document) int {
-	fit := int(document.MemoryMB * mebibyte / bodyMemoryDivisor / (downstream.MaxBody + requestOverheadBytes))
+	fit := int(document.MemoryMB * mebibyte / bodyMemoryDivisor / (downstreamframes.MaxBody + requestOverheadBytes))
 	return min(document.Terms.Limits.MaxOpen, fit)
 }
 
@@ -80,20 +80,20 @@
 }
 
 // upstreamLimits are those of all connections to workers.
-func upstreamLimits(document *platform.Document, connections int) platformupstream.Limits {
+func upstreamLimits(document *platform.Document, connections int) upstreamframes.Limits {
 	caps := &document.Terms.Limits
-	return platformupstream.Limits{
+	return upstreamframes.Limits{
 		DialTimeout:         caps.DialTimeoutMs / millisecondsPerSecond,
 		IdleTimeout:         caps.IdleTimeoutMs / millisecondsPerSecond * upstreamIdleShare,
 		MaxTotal:            connections,
 		MaxPerWorker:        max(connections/perWorkerDivisor, minConnectionsPerWorker),
 		MaxStreams:          max(caps.MaxStreams, 1),
-		IdempotencyKeyField: downstream.IdempotencyKeyField,
+		IdempotencyKeyField: downstreamframes.IdempotencyKeyField,
 	}
 }
 
-// clientLimits are what requests may name: what the deployment does, and figures that some machine could bear.
-func clientLimits(deployment *control.Deployment, ready func() bool) *downstream.Limits {
+// ClientLimits are what requests may name: what the deployment does, and figures that some machine could bear.
+func ClientLimits(deployment *control.Deployment, ready func() bool) *downstreamframes.Limits {
 	timeouts := map[string]float64{}
 	for _, class := range deployment.RequestClasses {
 		timeouts[class.Name] = class.Timeout
@@ -102,7 +102,7 @@
 	for _, tenant := range deployment.Tenants {
 		tenants[string(tenant.Name)] = true
 	}
-	return &downstream.Limits{
+	return &downstreamframes.Limits{
 		MaxOpen:           maxRequestsPerConnection,
 		FirstFrameTimeout: firstFrameTimeout,
 		FrameTimeout:      frameArrivalTimeout,
--- a/cmd/streamcleat/node_runtime.go
+++ b/internal/node/node.go
@@ -1,4 +1,4 @@
-package main
+package node
 
 import (
 	"log/slog"
@@ -6,38 +6,38 @@
 	"time"
 
 	"streamcleat/internal/dispatch"
+	downstreamframes "streamcleat/internal/downstream/frames"
 	"streamcleat/internal/eventloop"
 	"streamcleat/internal/platform"
-	"streamcleat/internal/platform/downstream"
-	platformupstream "streamcleat/internal/platform/upstream"
 	"streamcleat/internal/proxy"
 	"streamcleat/internal/upstream"
+	upstreamframes "streamcleat/internal/upstream/frames"
 )
 
 const (
-	// journalSilenceTimeout is how long the journal service may send nothing: it sends its last number each second.
-	journalSilenceTimeout = 1800 * time.Millisecond
+	// discoverySilenceTimeout is the longest silence of a healthy discovery service, which sends its position every second.
+	discoverySilenceTimeout = 1800 * time.Millisecond
 	// responseMargin, in seconds, is by how much a response leaves before its client stops waiting.
 	responseMargin = 0.015
 )
 
-// nodeRuntime is one front end of the platform in service.
-type nodeRuntime struct {
+// Node is one front end of the platform in service.
+type Node struct {
 	document  *platform.Document
 	server    *eventloop.Server
 	discovery *eventloop.DiscoveryWatch
-	ready     atomic.Bool // what clients that ask for readiness are told
+	ready     atomic.Bool // reported to readiness probes
 	log       *slog.Logger
 }
 
-// startNode wires one front end of the platform: its sockets, the dispatcher, and the journal service's updates.
-func startNode(document *platform.Document, log *slog.Logger) (*nodeRuntime, error) {
-	n := &nodeRuntime{document: document, log: log}
-	journal := document.Discovery
+// Start wires one front end of the platform: its sockets, the dispatcher, and the watch on the discovery service.
+func Start(document *platform.Document, log *slog.Logger) (*Node, error) {
+	n := &Node{document: document, log: log}
+	discovery := document.Discovery
 	settings := n.serverSettings()
 	// The list of the start is in force before a client's first byte is read: nothing waits for the watch.
 	settings.OnStart = func(p *proxy.Proxy) {
-		p.SetEndpointList(journal.EndpointList(eventloop.Now(), unixSeconds(time.Now())))
+		p.SetEndpointList(discovery.EndpointList(eventloop.Now(), unixSeconds(time.Now())))
 		n.ready.Store(true)
 	}
 	var err error
@@ -45,23 +45,29 @@
 		return nil, err
 	}
 	takeLine := func(line []byte) error {
-		changed, err := journal.ReadLine(line)
+		changed, err := discovery.ReadLine(line)
 		if changed {
-			list := journal.EndpointList(eventloop.Now(), unixSeconds(time.Now()))
-			// A loop that has ended needs no list; serve tells of its end.
+			list := discovery.EndpointList(eventloop.Now(), unixSeconds(time.Now()))
+			// A loop that has ended needs no list; Serve reports its end.
 			_ = n.server.Post(func(p *proxy.Proxy) { p.SetEndpointList(list) })
 		}
 		return err
 	}
-	n.discovery = eventloop.Watch(document.DiscoveryAddress, journalSilenceTimeout, journal.ResumeRequest, takeLine, log)
+	n.discovery = eventloop.Watch(document.DiscoveryAddress, discoverySilenceTimeout, discovery.ResumeRequest, takeLine, log)
 	return n, nil
 }
 
+// Server returns the server that carries the node's connections.
+func (n *Node) Server() *eventloop.Server { return n.server }
+
+// Close ends the watch on the discovery service. The server is stopped by Serve, or by its own Stop.
+func (n *Node) Close() { n.discovery.Close() }
+
 // unixSeconds is a time of day as workers state their starts.
 func unixSeconds(at time.Time) float64 { return float64(at.UnixNano()) / float64(time.Second) }
 
 // serverSettings are those of the front end's sockets and of the proxy on them.
-func (n *nodeRuntime) serverSettings() eventloop.Settings {
+func (n *Node) serverSettings() eventloop.Settings {
 	document := n.document
 	clients, workers := connectionLimits(document)
 	settings := eventloop.Settings{
@@ -70,7 +76,7 @@
 		PeerListen:    document.PeerListen,
 		Peers:         document.Peers,
 		PeerBroadcast: document.PeerBroadcast,
-		Kernel:        nodeKernel(),
+		Kernel:        newKernel(),
 	}
 	if document.PeerListen != "" && document.Terms.FrontEndIndex < len(document.Peers) {
 		settings.Self = document.Peers[document.Terms.FrontEndIndex]
@@ -79,10 +85,10 @@
 }
 
 // proxySettings are those of a proxy with so many connections to clients and workers.
-func (n *nodeRuntime) proxySettings(clients, workers int) proxy.Settings {
+func (n *Node) proxySettings(clients, workers int) proxy.Settings {
 	document := n.document
 	deployment := document.Terms.Deployment()
-	limits := clientLimits(deployment, n.ready.Load)
+	limits := ClientLimits(deployment, n.ready.Load)
 	poolLimits := upstreamLimits(document, workers)
 	settings := proxy.Settings{
 		Name:             document.Name,
@@ -99,10 +105,10 @@
 			TracingDisabled: true,
 		},
 		NewSession: func(handler proxy.RequestHandler, now float64) proxy.Session {
-			return downstream.NewSession(limits, handler, now)
+			return downstreamframes.NewSession(limits, handler, now)
 		},
 		NewPool: func(transport proxy.Transport, results upstream.Results) proxy.UpstreamPool {
-			return platformupstream.NewPool(poolLimits, transport, results)
+			return upstreamframes.NewPool(poolLimits, transport, results)
 		},
 	}
 	settings.Downstream.MaxUnread = maxUnreadBytes(document, clients)
--- a/cmd/streamcleat/node_shutdown.go
+++ b/internal/node/shutdown.go
@@ -1,4 +1,4 @@
-package main
+package node
 
 import (
 	"fmt"
@@ -12,10 +12,10 @@
 // shutdownPollInterval is how often the progress of a shutdown is looked at.
 const shutdownPollInterval = 20 * time.Millisecond
 
-// serve runs the front end until stop, then answers what still comes and what is open, and ends it. A reload counts in
+// Serve runs the front end until stop, then answers what still comes and what is open, and ends it. A reload counts in
 // all of that, also while it drains: what the new journal service tells of draining workers must not be missed. A
 // second stop changes nothing: the first has an end of its own.
-func (n *nodeRuntime) serve(stop <-chan struct{}, reload <-chan os.Signal, read func() (*platform.Document, error)) error {
+func (n *Node) Serve(stop <-chan struct{}, reload <-chan os.Signal, read func() (*platform.Document, error)) error {
 	loopEnded := make(chan error, 1)
 	go func() { loopEnded <- n.server.Wait() }() // ends with the loop, which every return below follows or ends
 	shutdown := platform.Shutdown{MaxRequestTimeout: n.maxRequestTimeout()}
@@ -47,7 +47,7 @@
 }
 
 // logTotals logs what the process did, and what it met that it recovered from.
-func (n *nodeRuntime) logTotals() {
+func (n *Node) logTotals() {
 	counts, _, _, err := n.server.Counts()
 	if err != nil {
 		return // the loop has ended, which is reported by itself
@@ -63,7 +63,7 @@
 }
 
 // maxRequestTimeout is the longest time, in seconds, that a client waits for a response.
-func (n *nodeRuntime) maxRequestTimeout() (longest float64) {
+func (n *Node) maxRequestTimeout() (longest float64) {
 	for _, class := range n.document.Terms.RequestClasses {
 		longest = max(longest, class.TimeoutMs/millisecondsPerSecond)
 	}
@@ -72,7 +72,7 @@
 
 // reload reads the document anew and moves to its journal service. A document that is faulty or another front end's
 // leaves the last one in force.
-func (n *nodeRuntime) reload(read func() (*platform.Document, error)) {
+func (n *Node) reload(read func() (*platform.Document, error)) {
 	next, err := read()
 	if err == nil && (next.Name != n.document.Name || next.Listen != n.document.Listen) {
 		err = fmt.Errorf("name, listen: it is %s's on %s, not %s's on %s", next.Name, next.Listen, n.document.Name, n.document.Listen)
@@ -85,7 +85,7 @@
 }
 
 // advanceShutdown does what the shutdown's phase asks for and tells whether it is over.
-func (n *nodeRuntime) advanceShutdown(shutdown *platform.Shutdown, stoppedAt time.Time) (terminated bool, err error) {
+func (n *Node) advanceShutdown(shutdown *platform.Shutdown, stoppedAt time.Time) (terminated bool, err error) {
 	err = n.server.Do(func(p *proxy.Proxy) {
 		outstanding := platform.Outstanding{Requests: !p.Idle(), UnreadResponses: p.HasClients()}
 		switch shutdown.Phase(time.Since(stoppedAt).Seconds(), outstanding) {
--- a/internal/proxy/eviction_test.go
+++ b/internal/proxy/eviction_test.go
@@ -5,8 +5,8 @@
 
 	"streamcleat/control"
 	"streamcleat/internal/dispatch"
+	"streamcleat/internal/downstream/cloudevents"
 	"streamcleat/internal/http1"
-	fronthttp "streamcleat/internal/ingress/http"
 )
 
 // fakeConn is a client's connection of which nothing is read.
@@ -30,7 +30,7 @@
 	p := New(Settings{
 		MaxClients:       2,
 		EvictIdleClients: true,
-		Downstream:       fronthttp.Limits{Message: http1.Limits{Head: 1000}, RequestTimeout: 5, IdleTimeout: 5},
+		Downstream:       cloudevents.Limits{Message: http1.Limits{Head: 1000}, RequestTimeout: 5, IdleTimeout: 5},
 		Dispatch:         dispatch.Settings{Deployment: &control.Deployment{FrontEnds: 1}},
 	}, host)
 	oldest, idle := &fakeConn{unsent: 10}, &fakeConn{}
--- a/internal/proxy/interfaces.go
+++ b/internal/proxy/interfaces.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"streamcleat/internal/dispatch"
-	fronthttp "streamcleat/internal/ingress/http"
+	"streamcleat/internal/downstream/cloudevents"
 	"streamcleat/internal/upstream"
 )
 
@@ -16,7 +16,7 @@
 }
 
 // RequestHandler takes requests on behalf of a session.
-type RequestHandler = fronthttp.RequestHandler
+type RequestHandler = cloudevents.RequestHandler
 
 // Session is the state of one client connection, in whatever protocol. It has no socket and no clock.
 type Session interface {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -8,8 +8,9 @@
 	"log/slog"
 
 	"streamcleat/internal/dispatch"
-	fronthttp "streamcleat/internal/ingress/http"
+	"streamcleat/internal/downstream/cloudevents"
 	"streamcleat/internal/upstream"
+	"streamcleat/internal/upstream/openinference"
 )
 
 // SweepEvery is the interval, in seconds, at which the host calls Sweep.
@@ -20,8 +21,8 @@
 	Name             string // for Proxy-Status and logs
 	Cluster          string // datagrams of another cluster are dropped
 	Dispatch         dispatch.Settings
-	Upstream         upstream.Limits
-	Downstream       fronthttp.Limits
+	Upstream         openinference.Limits
+	Downstream       cloudevents.Limits
 	MaxClients       int                                                      // client connections; any further one is closed
 	EvictIdleClients bool                                                     // the client connection idle longest is closed instead
 	NewSession       func(handler RequestHandler, now float64) Session        // a client's connection; nil: the HTTP ingress
@@ -74,12 +75,12 @@
 	}
 	if settings.NewPool == nil {
 		settings.NewPool = func(t Transport, results upstream.Results) UpstreamPool {
-			return upstream.NewPool(settings.Upstream, t, results)
+			return openinference.NewPool(settings.Upstream, t, results)
 		}
 	}
 	if settings.NewSession == nil {
 		settings.NewSession = func(handler RequestHandler, now float64) Session {
-			return fronthttp.NewSession(settings.Downstream, settings.Name, handler, now)
+			return cloudevents.NewSession(settings.Downstream, settings.Name, handler, now)
 		}
 	}
 	recovered, snapshots := settings.Recovered, settings.ReplicaSnapshots
--- a/internal/registry/oci/client_test.go
+++ b/internal/registry/oci/client_test.go
@@ -15,8 +15,8 @@
 
 	"github.com/opencontainers/go-digest"
 
-	"streamcleat/internal/fakes"
 	"streamcleat/internal/registry/signing"
+	"streamcleat/internal/verification/fakes"
 )
 
 // newClient makes a client of a registry with a folder of its own.
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -1,6 +1,5 @@
-// Package upstream is the worker side of the gateway: the Open Inference Protocol v2 over HTTP/1.1 with its repository
-// extension, load reports (ORCA) and Server-Timing in responses, the endpoint list (Prometheus file service
-// discovery), and the pool of connections to workers. It owns the state of those connections and of the exchanges on
-// them; the registries of both also serve the pool of the platform's protocol. It has no socket and no clock: package
-// proxy calls it, and package eventloop carries its bytes.
+// Package upstream holds what the worker sides of both protocols share: the endpoint list (Prometheus file service
+// discovery), the registries of connections and of exchanges that each protocol's pool is built on, and the conversion
+// of workers' start times to the monotonic clock. Packages openinference and frames below it implement the protocols.
+// It has no socket and no clock.
 package upstream
--- a/internal/platform/upstream/golden_test.go
+++ b/internal/upstream/frames/golden_test.go
@@ -1,4 +1,4 @@
-package upstream_test
+package frames_test
 
 import (
 	"encoding/binary"
@@ -8,8 +8,8 @@
 	"strings"
 	"testing"
 
-	"streamcleat/internal/goldentest"
-	"streamcleat/internal/platform/upstream"
+	"streamcleat/internal/upstream/frames"
+	"streamcleat/internal/verification/goldentest"
 )
 
 // The bytes to and from workers over scripted sessions are as they were.
@@ -17,7 +17,7 @@
 	goldentest.Play(t, "workers", func(*testing.T) goldentest.Actor {
 		workers := goldentest.NewFakeWorkers()
 		workers.Encode, workers.Show = encode, show
-		workers.Pool = upstream.NewPool(upstream.Limits{DialTimeout: 0.25, IdleTimeout: 10, MaxTotal: 8, MaxPerWorker: 2, MaxStreams: 3, IdempotencyKeyField: "opkey"}, workers, workers)
+		workers.Pool = frames.NewPool(frames.Limits{DialTimeout: 0.25, IdleTimeout: 10, MaxTotal: 8, MaxPerWorker: 2, MaxStreams: 3, IdempotencyKeyField: "opkey"}, workers, workers)
 		return workers
 	})
 }
--- a/internal/upstream/codec_test.go
+++ b/internal/upstream/openinference/codec_test.go
@@ -1,4 +1,4 @@
-package upstream
+package openinference
 
 import (
 	"fmt"
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/openinference/golden_test.go
@@ -1,13 +1,13 @@
-package upstream_test
+package openinference_test
 
 import (
 	"fmt"
 	"strings"
 	"testing"
 
-	"streamcleat/internal/goldentest"
 	"streamcleat/internal/http1"
-	"streamcleat/internal/upstream"
+	"streamcleat/internal/upstream/openinference"
+	"streamcleat/internal/verification/goldentest"
 )
 
 // The text to and from workers over scripted sessions is as it was.
@@ -15,7 +15,7 @@
 	goldentest.Play(t, "workers", func(*testing.T) goldentest.Actor {
 		workers := goldentest.NewFakeWorkers()
 		workers.Encode, workers.Show = encode, goldentest.Lines
-		workers.Pool = upstream.NewPool(upstream.Limits{DialTimeout: 0.25, IdleTimeout: 10, MaxPerWorker: 2, Message: http1.Limits{Head: 1000, Body: 500}, Via: "front-1"}, workers, workers)
+		workers.Pool = openinference.NewPool(openinference.Limits{DialTimeout: 0.25, IdleTimeout: 10, MaxPerWorker: 2, Message: http1.Limits{Head: 1000, Body: 500}, Via: "front-1"}, workers, workers)
 		return workers
 	})
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/openinference/pool.go
@@ -1,4 +1,4 @@
-package upstream
+package openinference
 
 import (
 	"errors"
@@ -9,6 +9,7 @@
 	"streamcleat/control"
 	"streamcleat/internal/dispatch"
 	"streamcleat/internal/http1"
+	"streamcleat/internal/upstream"
 )
 
 // Limits of the connections to workers; times in seconds.
@@ -22,14 +23,14 @@
 
 // httpExchange is one request over HTTP/1.1.
 type httpExchange struct {
-	Exchange
+	upstream.Exchange
 	digest     string          // that a load command asks for
 	connection *httpConnection // that carries it or is being dialed for it; nil where there is none
 }
 
 // httpConnection carries one request at a time.
 type httpConnection struct {
-	Connection
+	upstream.Connection
 	exchange *httpExchange // under way, or waiting for the dial
 	timed    bool          // stands in Pool.timed
 	framer   *http1.Framer // of the responses
@@ -39,20 +40,20 @@
 // time on each. It tells apart what was never sent from what may have run. It is not safe for use by two goroutines.
 type Pool struct {
 	limits      Limits
-	transport   Transport
+	transport   upstream.Transport
 	addresses   map[control.WorkerID]string
 	detached    map[control.WorkerID]bool // draining or gone: nothing that is not sent yet goes there
-	connections Connections[*httpConnection]
+	connections upstream.Connections[*httpConnection]
 	idle        map[control.WorkerID][]*httpConnection // newest last
-	exchanges   Exchanges[*httpExchange]
+	exchanges   upstream.Exchanges[*httpExchange]
 	timed       []*httpConnection // being dialed or idle, in the order they became so; entries may be stale
 }
 
 // NewPool makes a pool without workers.
-func NewPool(limits Limits, transport Transport, results Results) *Pool {
+func NewPool(limits Limits, transport upstream.Transport, results upstream.Results) *Pool {
 	return &Pool{limits: limits, transport: transport, addresses: map[control.WorkerID]string{},
-		detached: map[control.WorkerID]bool{}, connections: NewConnections[*httpConnection](transport),
-		idle: map[control.WorkerID][]*httpConnection{}, exchanges: NewExchanges[*httpExchange](results)}
+		detached: map[control.WorkerID]bool{}, connections: upstream.NewConnections[*httpConnection](transport),
+		idle: map[control.WorkerID][]*httpConnection{}, exchanges: upstream.NewExchanges[*httpExchange](results)}
 }
 
 // Len is how many connections are open or being dialed.
@@ -60,7 +61,7 @@
 
 // SetEndpoints takes a new endpoint list. Exchanges that wait for a connection to a worker that drains, left or moved
 // fail as unsent; the worker's idle connections are closed.
-func (p *Pool) SetEndpoints(list *EndpointList) {
+func (p *Pool) SetEndpoints(list *upstream.EndpointList) {
 	for _, worker := range slices.Sorted(maps.Keys(p.addresses)) {
 		if list.Addresses[worker] != p.addresses[worker] {
 			p.detachWorker(worker)
@@ -102,14 +103,14 @@
 func (p *Pool) SendAttempt(now float64, a dispatch.Attempt) {
 	addr := p.addresses[a.Worker]
 	encode := func(clearance dispatch.Clearance) []byte { return InferRequest(addr, p.limits.Via, clearance, a) }
-	p.send(now, &httpExchange{Exchange: Exchange{ID: a.ID, Worker: a.Worker, Encode: encode}})
+	p.send(now, &httpExchange{Exchange: upstream.Exchange{ID: a.ID, Worker: a.Worker, Encode: encode}})
 }
 
 // SendLoad sends a load command likewise.
 func (p *Pool) SendLoad(now float64, command dispatch.LoadCommand) {
 	addr := p.addresses[command.Worker]
 	encode := func(dispatch.Clearance) []byte { return LoadRequest(addr, p.limits.Via, command) }
-	p.send(now, &httpExchange{Exchange: Exchange{ID: command.ID, Worker: command.Worker, IsLoad: true, Encode: encode},
+	p.send(now, &httpExchange{Exchange: upstream.Exchange{ID: command.ID, Worker: command.Worker, IsLoad: true, Encode: encode},
 		digest: command.Binding.Digest})
 }
 
@@ -147,7 +148,7 @@
 }
 
 // WaitingFor is the attempt that waits for the dial of a connection, if one does.
-func (p *Pool) WaitingFor(id ConnID) []uint64 {
+func (p *Pool) WaitingFor(id upstream.ConnID) []uint64 {
 	c := p.connections.Get(id)
 	if c == nil || c.Established || c.exchange == nil || c.exchange.IsLoad {
 		return nil
@@ -162,7 +163,7 @@
 func (p *Pool) Flush() { p.exchanges.Flush() }
 
 // OnDialed takes the end of a dial.
-func (p *Pool) OnDialed(now float64, id ConnID, err error) {
+func (p *Pool) OnDialed(now float64, id upstream.ConnID, err error) {
 	c := p.connections.Dialed(now, id, err)
 	switch {
 	case c == nil:
@@ -210,7 +211,7 @@
 }
 
 // OnData takes bytes from a worker.
-func (p *Pool) OnData(now float64, id ConnID, data []byte) {
+func (p *Pool) OnData(now float64, id upstream.ConnID, data []byte) {
 	c := p.connections.Get(id)
 	if c == nil || !c.Established {
 		return
@@ -249,7 +250,7 @@
 }
 
 // OnClosed takes the end of a connection that the worker closed or that broke.
-func (p *Pool) OnClosed(now float64, id ConnID) {
+func (p *Pool) OnClosed(now float64, id upstream.ConnID) {
 	c := p.connections.Get(id)
 	if c == nil {
 		return
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/openinference/pool_test.go
@@ -1,4 +1,4 @@
-package upstream
+package openinference
 
 import (
 	"errors"
@@ -10,6 +10,7 @@
 	"streamcleat/control"
 	"streamcleat/internal/dispatch"
 	"streamcleat/internal/http1"
+	"streamcleat/internal/upstream"
 )
 
 // usualTimeLeft is the time in seconds that the client of an attempt waits when it is written.
@@ -18,16 +19,18 @@
 // fakePeer stands in for the sockets and the dispatcher of a pool.
 type fakePeer struct {
 	pool     *Pool
-	dials    []ConnID
-	written  map[ConnID][]byte
-	closed   map[ConnID]bool
+	dials    []upstream.ConnID
+	written  map[upstream.ConnID][]byte
+	closed   map[upstream.ConnID]bool
 	outcomes map[uint64][]control.Outcome
 	refused  uint64 // attempt that may not be written
 }
 
-func (w *fakePeer) Dial(c ConnID, _ string)     { w.dials = append(w.dials, c) }
-func (w *fakePeer) Write(c ConnID, data []byte) { w.written[c] = append(w.written[c], data...) }
-func (w *fakePeer) Close(c ConnID)              { w.closed[c] = true }
+func (w *fakePeer) Dial(c upstream.ConnID, _ string) { w.dials = append(w.dials, c) }
+func (w *fakePeer) Write(c upstream.ConnID, data []byte) {
+	w.written[c] = append(w.written[c], data...)
+}
+func (w *fakePeer) Close(c upstream.ConnID) { w.closed[c] = true }
 func (w *fakePeer) OnAttemptReply(id uint64, r dispatch.WorkerReply) {
 	w.outcomes[id] = append(w.outcomes[id], r.Outcome)
 }
@@ -45,9 +48,9 @@
 }
 
 func newFakePeer(t *testing.T) *fakePeer {
-	w := &fakePeer{written: map[ConnID][]byte{}, closed: map[ConnID]bool{}, outcomes: map[uint64][]control.Outcome{}}
+	w := &fakePeer{written: map[upstream.ConnID][]byte{}, closed: map[upstream.ConnID]bool{}, outcomes: map[uint64][]control.Outcome{}}
 	w.pool = NewPool(Limits{DialTimeout: 0.25, IdleTimeout: 10, MaxPerWorker: 2, Message: http1.Limits{Head: 4096, Body: 4096}, Via: "front"}, w, w)
-	l, err := ParseEndpointList([]byte(`[{"targets":["h:1","h:2"]}]`), 0)
+	l, err := upstream.ParseEndpointList([]byte(`[{"targets":["h:1","h:2"]}]`), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,12 +74,12 @@
 		{"dial takes too long", func(w *fakePeer) { w.pool.Tick(1.3); w.pool.Flush() }, control.Unreachable},
 		{"broken while dialing", func(w *fakePeer) { w.pool.OnClosed(1, 1) }, control.Unreachable},
 		{"drained while dialing", func(w *fakePeer) {
-			l, _ := ParseEndpointList([]byte(`[{"targets":["h:1"],"labels":{"phase":"draining"}},{"targets":["h:2"]}]`), 0)
+			l, _ := upstream.ParseEndpointList([]byte(`[{"targets":["h:1"],"labels":{"phase":"draining"}},{"targets":["h:2"]}]`), 0)
 			w.pool.SetEndpoints(l)
 			w.pool.Flush()
 		}, control.Unreachable},
 		{"moved while dialing", func(w *fakePeer) {
-			l, _ := ParseEndpointList([]byte(`[{"targets":["h:9"],"labels":{"instance":"h:1"}}]`), 0)
+			l, _ := upstream.ParseEndpointList([]byte(`[{"targets":["h:9"],"labels":{"instance":"h:1"}}]`), 0)
 			w.pool.SetEndpoints(l)
 			w.pool.Flush()
 		}, control.Unreachable},
@@ -160,7 +163,7 @@
 			`[{"targets":["h:3"],"labels":{"instance":"h:1"}}]`, `[]`}
 		for range 200 {
 			now += rng.Float64() * 0.1
-			c := ConnID(rng.IntN(len(w.dials)+1) + 1)
+			c := upstream.ConnID(rng.IntN(len(w.dials)+1) + 1)
 			switch rng.IntN(9) {
 			case 0, 1, 2:
 				last++
@@ -180,7 +183,7 @@
 					w.pool.Abandon(now, id)
 				}
 			case 8:
-				l, _ := ParseEndpointList([]byte(lists[rng.IntN(len(lists))]), 0)
+				l, _ := upstream.ParseEndpointList([]byte(lists[rng.IntN(len(lists))]), 0)
 				w.pool.SetEndpoints(l)
 				w.pool.Tick(now)
 			}
@@ -237,9 +240,9 @@
 // discard is a transport and a receiver of results that keep nothing.
 type discard struct{}
 
-func (discard) Dial(ConnID, string)                         {}
-func (discard) Write(ConnID, []byte)                        {}
-func (discard) Close(ConnID)                                {}
+func (discard) Dial(upstream.ConnID, string)                {}
+func (discard) Write(upstream.ConnID, []byte)               {}
+func (discard) Close(upstream.ConnID)                       {}
 func (discard) OnAttemptReply(uint64, dispatch.WorkerReply) {}
 func (discard) Clear(uint64, bool) dispatch.Clearance       { return dispatch.Grant(usualTimeLeft) }
 func (discard) OnLoadReply(uint64, control.Outcome, int)    {}
@@ -247,7 +250,7 @@
 // BenchmarkExchange is one attempt and its reply over a connection that is reused.
 func BenchmarkExchange(b *testing.B) {
 	pool := NewPool(Limits{DialTimeout: 0.25, IdleTimeout: 10, MaxPerWorker: 2, Message: http1.Limits{Head: 4096, Body: 4096}, Via: "front"}, discard{}, discard{})
-	list, err := ParseEndpointList([]byte(`[{"targets":["h:1"]}]`), 0)
+	list, err := upstream.ParseEndpointList([]byte(`[{"targets":["h:1"]}]`), 0)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/fakes/endpoint_list.go
+++ b/internal/verification/fakes/endpoint_list.go
@@ -8,7 +8,7 @@
 
 	"github.com/google/renameio/v2"
 
-	"streamcleat/internal/invariants"
+	"streamcleat/internal/verification/invariants"
 )
 
 // Phases of a worker in the endpoint list.
--- a/internal/fakes/handlers.go
+++ b/internal/verification/fakes/handlers.go
@@ -7,7 +7,7 @@
 	"net/http"
 	"time"
 
-	"streamcleat/internal/invariants"
+	"streamcleat/internal/verification/invariants"
 )
 
 const (
--- a/internal/fakes/infer.go
+++ b/internal/verification/fakes/infer.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"streamcleat/internal/invariants"
+	"streamcleat/internal/verification/invariants"
 )
 
 const (
--- a/internal/fakes/worker_test.go
+++ b/internal/verification/fakes/worker_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"streamcleat/internal/invariants"
+	"streamcleat/internal/verification/invariants"
 )
 
 func startWorker(t *testing.T, recorder *invariants.Recorder) *Worker {
--- a/internal/scenario/inject.go
+++ b/internal/verification/scenario/inject.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"sync"
 
-	"streamcleat/internal/fakes"
+	"streamcleat/internal/verification/fakes"
 )
 
 // FaultKind names a kind of fault in scripts.
--- a/internal/scenario/load_generator.go
+++ b/internal/verification/scenario/load_generator.go
@@ -15,7 +15,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"streamcleat/internal/fakes"
+	"streamcleat/internal/verification/fakes"
 )
 
 const (
--- a/internal/scenario/run.go
+++ b/internal/verification/scenario/run.go
@@ -13,8 +13,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"streamcleat/internal/eventloop"
-	"streamcleat/internal/fakes"
-	"streamcleat/internal/invariants"
+	"streamcleat/internal/verification/fakes"
+	"streamcleat/internal/verification/invariants"
 )
 
 // Report is the result of one scenario.
--- a/internal/scenario/schedules.go
+++ b/internal/verification/scenario/schedules.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"streamcleat/internal/fakes"
 	"streamcleat/internal/schedule"
+	"streamcleat/internal/verification/fakes"
 )
 
 const (
--- a/internal/scenario/script.go
+++ b/internal/verification/scenario/script.go
@@ -10,7 +10,7 @@
 	"slices"
 	"strings"
 
-	"streamcleat/internal/fakes"
+	"streamcleat/internal/verification/fakes"
 )
 
 // Script is one scenario. Times are seconds; shares are of 1.
--- a/internal/scenario/site.go
+++ b/internal/verification/scenario/site.go
@@ -8,9 +8,9 @@
 	"streamcleat/internal/config"
 	"streamcleat/internal/dispatch"
 	"streamcleat/internal/eventloop"
-	"streamcleat/internal/fakes"
-	"streamcleat/internal/invariants"
 	"streamcleat/internal/proxy"
+	"streamcleat/internal/verification/fakes"
+	"streamcleat/internal/verification/invariants"
 )
 
 // Figures of every worker.
--- a/internal/scenario/traffic.go
+++ b/internal/verification/scenario/traffic.go
@@ -10,9 +10,9 @@
 	"sync"
 	"time"
 
-	"streamcleat/internal/fakes"
-	"streamcleat/internal/invariants"
 	"streamcleat/internal/schedule"
+	"streamcleat/internal/verification/fakes"
+	"streamcleat/internal/verification/invariants"
 )
 
 const (
--- a/internal/scenario/versions.go
+++ b/internal/verification/scenario/versions.go
@@ -7,8 +7,8 @@
 	"github.com/opencontainers/go-digest"
 
 	"streamcleat/internal/dispatch"
-	"streamcleat/internal/fakes"
 	"streamcleat/internal/registry"
+	"streamcleat/internal/verification/fakes"
 )
 
 // Versions that every function has.
--- a/internal/simulation/appliance.go
+++ b/internal/verification/simulation/appliance.go
@@ -7,10 +7,10 @@
 
 	"streamcleat/internal/appliance"
 	"streamcleat/internal/dispatch"
-	"streamcleat/internal/invariants"
 	"streamcleat/internal/registry"
 	"streamcleat/internal/schedule"
 	"streamcleat/internal/storage"
+	"streamcleat/internal/verification/invariants"
 )
 
 // Times of every appliance, in seconds.
--- a/internal/simulation/client.go
+++ b/internal/verification/simulation/client.go
@@ -7,9 +7,9 @@
 	"slices"
 	"strconv"
 
-	"streamcleat/internal/fakes"
 	"streamcleat/internal/http1"
-	"streamcleat/internal/invariants"
+	"streamcleat/internal/verification/fakes"
+	"streamcleat/internal/verification/invariants"
 )
 
 const (
--- a/internal/simulation/client_conn.go
+++ b/internal/verification/simulation/client_conn.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"slices"
 
-	"streamcleat/internal/fakes"
 	"streamcleat/internal/http1"
+	"streamcleat/internal/verification/fakes"
 )
 
 // clientConn is one connection of a client.
--- a/internal/simulation/front_end.go
+++ b/internal/verification/simulation/front_end.go
@@ -11,9 +11,9 @@
 	"streamcleat/internal/appliance"
 	"streamcleat/internal/dispatch"
 	"streamcleat/internal/http1"
-	"streamcleat/internal/invariants"
 	"streamcleat/internal/proxy"
 	"streamcleat/internal/upstream"
+	"streamcleat/internal/verification/invariants"
 )
 
 const (
--- a/internal/simulation/golden_test.go
+++ b/internal/verification/simulation/golden_test.go
@@ -10,8 +10,8 @@
 	"sync"
 	"testing"
 
-	"streamcleat/internal/goldentest"
-	"streamcleat/internal/invariants"
+	"streamcleat/internal/verification/goldentest"
+	"streamcleat/internal/verification/invariants"
 )
 
 // anchors are the runs that are pinned, the longest first.
--- a/internal/simulation/mutants/main.go
+++ b/internal/verification/simulation/mutants/main.go
@@ -17,7 +17,7 @@
 	"strings"
 
 	"streamcleat/internal/console"
-	"streamcleat/internal/simulation"
+	"streamcleat/internal/verification/simulation"
 )
 
 const (
--- a/internal/simulation/outages.go
+++ b/internal/verification/simulation/outages.go
@@ -1,6 +1,6 @@
 package simulation
 
-import "streamcleat/internal/invariants"
+import "streamcleat/internal/verification/invariants"
 
 const (
 	everyone        = -1   // an appliance or client of an outage that concerns all of them
--- a/internal/simulation/repeats.go
+++ b/internal/verification/simulation/repeats.go
@@ -6,7 +6,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"streamcleat/internal/invariants"
+	"streamcleat/internal/verification/invariants"
 )
 
 const (
--- a/internal/simulation/report.go
+++ b/internal/verification/simulation/report.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"streamcleat/internal/invariants"
+	"streamcleat/internal/verification/invariants"
 )
 
 const (
--- a/internal/simulation/schedules.go
+++ b/internal/verification/simulation/schedules.go
@@ -4,9 +4,9 @@
 	"time"
 
 	"streamcleat/internal/dispatch"
-	"streamcleat/internal/invariants"
 	"streamcleat/internal/schedule"
 	"streamcleat/internal/storage"
+	"streamcleat/internal/verification/invariants"
 )
 
 const (
--- a/internal/simulation/site.go
+++ b/internal/verification/simulation/site.go
@@ -8,9 +8,9 @@
 
 	"streamcleat/internal/appliance"
 	"streamcleat/internal/config"
-	"streamcleat/internal/fakes"
-	"streamcleat/internal/invariants"
 	"streamcleat/internal/schedule"
+	"streamcleat/internal/verification/fakes"
+	"streamcleat/internal/verification/invariants"
 )
 
 // Figures of every site. Times are seconds.
--- a/internal/simulation/state_checks.go
+++ b/internal/verification/simulation/state_checks.go
@@ -6,8 +6,8 @@
 	"slices"
 
 	"streamcleat/internal/dispatch"
-	"streamcleat/internal/fakes"
 	"streamcleat/internal/storage"
+	"streamcleat/internal/verification/fakes"
 )
 
 // expiryMargin is the time before its expiry in seconds from which a record may be missing.
--- a/internal/simulation/worker.go
+++ b/internal/verification/simulation/worker.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 	"slices"
 
-	"streamcleat/internal/fakes"
 	"streamcleat/internal/http1"
+	"streamcleat/internal/verification/fakes"
 )
 
 // Figures of every worker.
--- a/internal/simulation/worker_http.go
+++ b/internal/verification/simulation/worker_http.go
@@ -7,8 +7,8 @@
 	"net/url"
 	"strings"
 
-	"streamcleat/internal/fakes"
 	"streamcleat/internal/http1"
+	"streamcleat/internal/verification/fakes"
 )
 
 // messageLimits are those of both ends of a connection to a worker, and of clients.
--- a/internal/simulation/worker_replicas.go
+++ b/internal/verification/simulation/worker_replicas.go
@@ -3,8 +3,8 @@
 import (
 	"net/http"
 
-	"streamcleat/internal/fakes"
-	"streamcleat/internal/invariants"
+	"streamcleat/internal/verification/fakes"
+	"streamcleat/internal/verification/invariants"
 )
 
 // replicaSet is the replicas of one version of a function on a worker.
--- a/internal/soak/client.go
+++ b/internal/verification/soak/client.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"streamcleat/internal/invariants"
+	"streamcleat/internal/verification/invariants"
 )
 
 const (
--- a/internal/soak/discovery.go
+++ b/internal/verification/soak/discovery.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"streamcleat/internal/invariants"
+	"streamcleat/internal/verification/invariants"
 )
 
 // States of a worker as the discovery service tells them.
--- a/internal/soak/site.go
+++ b/internal/verification/soak/site.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"streamcleat/internal/invariants"
+	"streamcleat/internal/verification/invariants"
 )
 
 const (
--- a/internal/soak/worker.go
+++ b/internal/verification/soak/worker.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"streamcleat/internal/invariants"
+	"streamcleat/internal/verification/invariants"
 )
 
 const (
