--- a/cmd/streamcleat/bench.go
+++ b/cmd/streamcleat/bench.go
@@ -24,7 +24,8 @@
 
 // loadBenchCommand is a measurement that sends a number of requests over each of several numbers of connections.
 func loadBenchCommand[Row any](name, short string, defaultRequests int, measure func(context.Context, []int, int) ([]Row, error),
-	format func(Row) string) *cobra.Command {
+	format func(Row) string,
+) *cobra.Command {
 	var connections []int
 	var requests int
 	var asJSON bool
--- a/internal/appliance/api_server.go
+++ b/internal/appliance/api_server.go
@@ -142,8 +142,7 @@
 	w.Header().Set("Content-Type", "application/json")
 	if err != nil {
 		status := http.StatusConflict
-		var withStatus statusError
-		if errors.As(err, &withStatus) {
+		if withStatus, ok := errors.AsType[statusError](err); ok {
 			status = withStatus.status
 		}
 		w.WriteHeader(status)
--- a/internal/appliance/releases.go
+++ b/internal/appliance/releases.go
@@ -58,8 +58,10 @@
 		if current, err := g.registry.Find(name + ":" + release.Alias); err == nil && current.Digest == version.Digest {
 			continue
 		}
-		migrations = append(migrations, registry.Migration{Function: name, To: version.Digest,
-			RequestRate: float64(g.requestCounts[name]), LoadTime: version.LoadTime})
+		migrations = append(migrations, registry.Migration{
+			Function: name, To: version.Digest,
+			RequestRate: float64(g.requestCounts[name]), LoadTime: version.LoadTime,
+		})
 	}
 	return migrations, nil
 }
--- a/internal/config/validation.go
+++ b/internal/config/validation.go
@@ -85,8 +85,10 @@
 			collect(cause)
 		}
 		if len(e.Causes) == 0 {
-			invalid = append(invalid, ValidationError{jsonPointer(e.InstanceLocation), excerpt(document, e.InstanceLocation),
-				e.ErrorKind.LocalizedString(printer)})
+			invalid = append(invalid, ValidationError{
+				jsonPointer(e.InstanceLocation), excerpt(document, e.InstanceLocation),
+				e.ErrorKind.LocalizedString(printer),
+			})
 		}
 	}
 	collect(root)
@@ -146,17 +148,23 @@
 	for i, class := range c.RequestClasses {
 		pointer := fmt.Sprintf("/event_types/%d", i)
 		if first, duplicate := indexByName[class.Name]; duplicate {
-			invalid = append(invalid, ValidationError{pointer + "/name", fmt.Sprintf("%q", class.Name),
-				fmt.Sprintf("already stated at /event_types/%d", first)})
+			invalid = append(invalid, ValidationError{
+				pointer + "/name", fmt.Sprintf("%q", class.Name),
+				fmt.Sprintf("already stated at /event_types/%d", first),
+			})
 		}
 		indexByName[class.Name] = i
 		if class.LatencyObjective > class.Timeout {
-			invalid = append(invalid, ValidationError{pointer + "/target_time_s", fmt.Sprint(class.LatencyObjective),
-				fmt.Sprintf("not above max_age_s, %v", class.Timeout)})
+			invalid = append(invalid, ValidationError{
+				pointer + "/target_time_s", fmt.Sprint(class.LatencyObjective),
+				fmt.Sprintf("not above max_age_s, %v", class.Timeout),
+			})
 		}
 		if c.Limits.ResponseMargin >= class.Timeout {
-			invalid = append(invalid, ValidationError{pointer + "/max_age_s", fmt.Sprint(class.Timeout),
-				fmt.Sprintf("above /limits/answer_margin_s, %v", c.Limits.ResponseMargin)})
+			invalid = append(invalid, ValidationError{
+				pointer + "/max_age_s", fmt.Sprint(class.Timeout),
+				fmt.Sprintf("above /limits/answer_margin_s, %v", c.Limits.ResponseMargin),
+			})
 		}
 	}
 	return invalid
@@ -176,12 +184,16 @@
 		return nil
 	}
 	if len(c.Peers.Listen) != len(c.Listen) {
-		invalid = append(invalid, ValidationError{"/peers/listen", fmt.Sprintf("%d entries", len(c.Peers.Listen)),
-			fmt.Sprintf("one for each entry of /listen, %d", len(c.Listen))})
+		invalid = append(invalid, ValidationError{
+			"/peers/listen", fmt.Sprintf("%d entries", len(c.Peers.Listen)),
+			fmt.Sprintf("one for each entry of /listen, %d", len(c.Listen)),
+		})
 	}
 	if named := len(c.Listen) + len(c.Peers.Others); c.Peers.FrontEnds < named {
-		invalid = append(invalid, ValidationError{"/peers/front_ends", fmt.Sprint(c.Peers.FrontEnds),
-			fmt.Sprintf("at least the %d named here", named)})
+		invalid = append(invalid, ValidationError{
+			"/peers/front_ends", strconv.Itoa(c.Peers.FrontEnds),
+			fmt.Sprintf("at least the %d named here", named),
+		})
 	}
 	return invalid
 }
--- a/internal/console/status_text.go
+++ b/internal/console/status_text.go
@@ -5,6 +5,7 @@
 	"maps"
 	"math"
 	"slices"
+	"strconv"
 	"strings"
 
 	"streamcleat/internal/appliance"
@@ -32,7 +33,7 @@
 		{"a second", rateText(ended, width)},
 		{"not handled", rateText(notSucceeded, width)},
 		{"workers", workerCounts(s.Workers)},
-		{"handlers", fmt.Sprint(s.FunctionCount)},
+		{"handlers", strconv.Itoa(s.FunctionCount)},
 	}
 	if s.Store != nil {
 		rows = append(rows, []string{"state on disk", storeText(s.Store)})
--- a/internal/console/tables.go
+++ b/internal/console/tables.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"math"
 	"sort"
+	"strconv"
 	"strings"
 	"time"
 
@@ -23,12 +24,12 @@
 		rows = append(rows, []string{
 			w.Name,
 			state,
-			fmt.Sprint(w.InFlight),
+			strconv.Itoa(w.InFlight),
 			fmt.Sprintf("%.0f", w.ConcurrencyLimit),
 			fmt.Sprintf("%.1f", w.Load),
 			fmt.Sprintf("%.0f%%", w.WarmUpProgress*100),
-			fmt.Sprint(w.Replicas),
-			fmt.Sprint(w.PendingLoads),
+			strconv.Itoa(w.Replicas),
+			strconv.Itoa(w.PendingLoads),
 			w.MachineType,
 		})
 	}
@@ -46,10 +47,10 @@
 		}
 		rows = append(rows, []string{
 			f.Name,
-			fmt.Sprint(f.InFlight),
-			fmt.Sprint(f.Waiters),
+			strconv.Itoa(f.InFlight),
+			strconv.Itoa(f.Waiters),
 			fmt.Sprintf("%.0f ms", f.MedianLatency),
-			fmt.Sprint(f.Concurrency),
+			strconv.Itoa(f.Concurrency),
 			loadedOn,
 		})
 	}
@@ -65,7 +66,7 @@
 		if r.Open {
 			outcome, cause, elapsed = "open", "", formatSeconds(math.Max(r.TimeLeft, 0))+" left"
 		}
-		rows = append(rows, []string{formatSeconds(r.Age), outcome, cause, elapsed, fmt.Sprint(r.Attempts), r.Function, r.Worker, r.ID})
+		rows = append(rows, []string{formatSeconds(r.Age), outcome, cause, elapsed, strconv.Itoa(r.Attempts), r.Function, r.Worker, r.ID})
 	}
 	return rows
 }
@@ -118,7 +119,7 @@
 				f.Function,
 				version.Name,
 				strings.Join(versionNames(f, version), ", "),
-				fmt.Sprint(version.Concurrency),
+				strconv.Itoa(version.Concurrency),
 				formatSeconds(version.LoadTime),
 				string(version.Digest),
 			})
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -19,8 +19,10 @@
 // startAttempt sends an open request to a worker. Where the request must not run twice, a record that it may have run
 // becomes durable first.
 func (d *Dispatcher) startAttempt(req *openRequest, worker control.WorkerID, timeout float64) {
-	attempt := &activeAttempt{id: d.nextID(), request: req, worker: worker, sentAt: d.now,
-		deadline: d.now + timeout, number: req.attempts}
+	attempt := &activeAttempt{
+		id: d.nextID(), request: req, worker: worker, sentAt: d.now,
+		deadline: d.now + timeout, number: req.attempts,
+	}
 	req.attemptStarted(attempt)
 	d.inFlight[attempt.id] = attempt
 	d.counts.Attempts++
--- a/internal/downstream/cloudevents/event.go
+++ b/internal/downstream/cloudevents/event.go
@@ -112,8 +112,10 @@
 	if !structured {
 		header = decodeAttributes(m.Header)
 	}
-	event, err := cehttp.NewEventFromHTTPRequest(&nethttp.Request{Method: m.Method, Header: header,
-		URL: &url.URL{Path: m.Target}, Body: requestBody{bytes.NewReader(m.Body)}, ContentLength: int64(len(m.Body))})
+	event, err := cehttp.NewEventFromHTTPRequest(&nethttp.Request{
+		Method: m.Method, Header: header,
+		URL: &url.URL{Path: m.Target}, Body: requestBody{bytes.NewReader(m.Body)}, ContentLength: int64(len(m.Body)),
+	})
 	if err != nil {
 		return nil, invalidEventf("not a CloudEvent: %s", err)
 	}
--- a/internal/downstream/cloudevents/problem.go
+++ b/internal/downstream/cloudevents/problem.go
@@ -72,6 +72,8 @@
 
 // requestTimedOut is the error of a request that is not complete after limit seconds.
 func requestTimedOut(limit float64) error {
-	return &http1.ProtocolError{Status: nethttp.StatusRequestTimeout,
-		Reason: fmt.Sprintf("the request was not whole after %v s", limit)}
+	return &http1.ProtocolError{
+		Status: nethttp.StatusRequestTimeout,
+		Reason: fmt.Sprintf("the request was not whole after %v s", limit),
+	}
 }
--- a/internal/downstream/cloudevents/response.go
+++ b/internal/downstream/cloudevents/response.go
@@ -34,8 +34,10 @@
 }
 
 // startMetrics are the Server-Timing metrics that tell how a request met its replica.
-var startMetrics = map[control.StartType]string{control.WarmStart: "warm", control.ColdStart: "load",
-	control.JoinedColdStart: "joined"}
+var startMetrics = map[control.StartType]string{
+	control.WarmStart: "warm", control.ColdStart: "load",
+	control.JoinedColdStart: "joined",
+}
 
 // proxyErrors are the error types of RFC 9209 2.3 for the causes that have one.
 var proxyErrors = map[dispatch.Cause]string{
@@ -55,8 +57,10 @@
 	fields = append(fields, dispatch.Field{Name: "Proxy-Status", Value: proxyStatus(r.Cause, proxyName)})
 	status, detail := finalStatus(r)
 	attempts, retryAfter := r.Attempts, r.RetryAfter // copies, so that r need not be allocated
-	details := problemDetails{Detail: detail, Cause: r.Cause.String(), Outcome: r.Kind.String(), Attempts: &attempts,
-		Event: &problemItem{Source: r.Identity.Source, ID: r.Identity.ID}, Worker: r.Worker}
+	details := problemDetails{
+		Detail: detail, Cause: r.Cause.String(), Outcome: r.Kind.String(), Attempts: &attempts,
+		Event: &problemItem{Source: r.Identity.Source, ID: r.Identity.ID}, Worker: r.Worker,
+	}
 	if r.Kind == dispatch.Rejected {
 		details.RetryAfter = &retryAfter
 		seconds := strconv.Itoa(int(math.Ceil(retryAfter)))
--- a/internal/downstream/cloudevents/session.go
+++ b/internal/downstream/cloudevents/session.go
@@ -113,8 +113,7 @@
 // fail answers a stream that can't be read any further and ends the connection.
 func (s *Session) fail(err error) {
 	status := nethttp.StatusBadRequest
-	var protocolError *http1.ProtocolError
-	if errors.As(err, &protocolError) {
+	if protocolError, ok := errors.AsType[*http1.ProtocolError](err); ok {
 		status = protocolError.Status
 	}
 	pending := s.addPending()
--- a/internal/downstream/cloudevents/timeout.go
+++ b/internal/downstream/cloudevents/timeout.go
@@ -38,7 +38,7 @@
 // readPreferredWait reads the last wait preference of a request.
 func readPreferredWait(header nethttp.Header) (wait float64, failure *requestError) {
 	for _, line := range header.Values("Prefer") {
-		for _, preference := range strings.Split(line, ",") {
+		for preference := range strings.SplitSeq(line, ",") {
 			name, value, _ := strings.Cut(preference, "=")
 			if !strings.EqualFold(strings.TrimSpace(name), "wait") {
 				continue
--- a/internal/eventloop/reactor.go
+++ b/internal/eventloop/reactor.go
@@ -86,8 +86,10 @@
 
 // newReactor makes a loop that runs nothing yet.
 func newReactor(kernel syscalls.Kernel, log *slog.Logger, counters *counters) (*reactor, error) {
-	r := &reactor{kernel: kernel, log: log, counters: counters, registrations: map[uint64]*registration{},
-		unregistered: map[uint64]*registration{}}
+	r := &reactor{
+		kernel: kernel, log: log, counters: counters, registrations: map[uint64]*registration{},
+		unregistered: map[uint64]*registration{},
+	}
 	var err error
 	if r.epoll, err = kernel.EpollCreate(); err != nil {
 		return nil, err
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -183,8 +183,10 @@
 }
 
 func (h *host) worker() control.Worker {
-	worker := control.Worker{ID: control.WorkerID(h.Host), Zone: control.ZoneID(h.Site),
-		MachineType: control.MachineType(h.Class), FailureDomain: h.Block, Weight: 1}
+	worker := control.Worker{
+		ID: control.WorkerID(h.Host), Zone: control.ZoneID(h.Site),
+		MachineType: control.MachineType(h.Class), FailureDomain: h.Block, Weight: 1,
+	}
 	if h.Share != nil {
 		worker.Weight = *h.Share
 	}
--- a/internal/platform/document.go
+++ b/internal/platform/document.go
@@ -68,9 +68,11 @@
 	if err := json.Unmarshal(data, &doc); err != nil {
 		return nil, err
 	}
-	document := &Document{Name: doc.Name, Listen: doc.Listen, Seed: parseSeed(doc.Seed), MemoryMB: doc.Limits.MemoryMB,
+	document := &Document{
+		Name: doc.Name, Listen: doc.Listen, Seed: parseSeed(doc.Seed), MemoryMB: doc.Limits.MemoryMB,
 		MaxDescriptors: doc.Limits.Sockets, PeerListen: doc.PeerListen, Peers: doc.Peers, PeerBroadcast: doc.PeersAll,
-		DiscoveryAddress: doc.Journal, Discovery: NewDiscovery()}
+		DiscoveryAddress: doc.Journal, Discovery: NewDiscovery(),
+	}
 	var faults fieldErrors
 	faults.addAddresses(&doc)
 	faults.addLimits(&doc)
--- a/internal/proxy/downstream.go
+++ b/internal/proxy/downstream.go
@@ -1,6 +1,10 @@
 package proxy
 
-import "streamcleat/internal/dispatch"
+import (
+	"slices"
+
+	"streamcleat/internal/dispatch"
+)
 
 const (
 	lingerSeconds     = 1.0     // a client may still read for so long after the last response
@@ -164,8 +168,8 @@
 // sweepClients closes connections whose time to linger is up and enforces the timeouts of the other sessions. It goes
 // from the end: a client that is removed is replaced by one that was already looked at.
 func (p *Proxy) sweepClients(now float64) {
-	for i := len(p.clients) - 1; i >= 0; i-- {
-		client := p.clients[i]
+	for _, client := range slices.Backward(p.clients) {
+
 		if client.writeClosedAt > 0 && now-client.writeClosedAt > lingerSeconds {
 			p.closeClient(client, CloseLingered)
 			continue
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -9,6 +9,7 @@
 import (
 	"errors"
 	"fmt"
+	"maps"
 	"slices"
 	"strings"
 
@@ -225,9 +226,7 @@
 	for _, v := range f.versions {
 		view.Versions = append(view.Versions, *v)
 	}
-	for alias, d := range f.aliases {
-		view.Aliases[alias] = d
-	}
+	maps.Copy(view.Aliases, f.aliases)
 	for _, rollout := range f.rollouts {
 		view.Rollouts = append(view.Rollouts, *rollout)
 	}
--- a/internal/syscalls/errors.go
+++ b/internal/syscalls/errors.go
@@ -28,8 +28,10 @@
 var exhausted = []error{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ENOSPC, unix.EADDRNOTAVAIL}
 
 // peerGone are the errors that accept passes on from a connection that it was about to accept (accept(2)).
-var peerGone = []error{unix.ECONNABORTED, unix.ECONNRESET, unix.EPROTO, unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET,
-	unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH, unix.ENETDOWN, unix.ETIMEDOUT}
+var peerGone = []error{
+	unix.ECONNABORTED, unix.ECONNRESET, unix.EPROTO, unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET,
+	unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH, unix.ENETDOWN, unix.ETIMEDOUT,
+}
 
 // acceptPauses are the other errors of accept that may pass: EPERM is a firewall's.
 var acceptPauses = []error{unix.EPERM}
--- a/internal/syscalls/faults/faults.go
+++ b/internal/syscalls/faults/faults.go
@@ -34,8 +34,10 @@
 // connection's end (ECONNRESET, ETIMEDOUT) are not among them: peers make those.
 var documented = map[Call][]error{
 	Socket: {unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM},
-	Accept: {unix.EINTR, unix.ECONNABORTED, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPERM, unix.EPROTO,
-		unix.ENETDOWN, unix.EHOSTUNREACH},
+	Accept: {
+		unix.EINTR, unix.ECONNABORTED, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPERM, unix.EPROTO,
+		unix.ENETDOWN, unix.EHOSTUNREACH,
+	},
 	Connect:  {unix.EADDRNOTAVAIL, unix.EAGAIN, unix.ENETUNREACH, unix.ENOBUFS, unix.EPERM},
 	Read:     {unix.EINTR, unix.EAGAIN, unix.ENOBUFS, unix.ENOMEM, ErrShort},
 	Write:    {unix.EINTR, unix.EAGAIN, unix.ENOBUFS, unix.ENOMEM, ErrShort},
--- a/internal/upstream/frames/codec.go
+++ b/internal/upstream/frames/codec.go
@@ -110,8 +110,10 @@
 	if crc32.ChecksumIEEE(payload) != binary.BigEndian.Uint32(b[size-checksumSize:]) {
 		return r, false, fmt.Errorf("%w: the check does not match", errMalformed)
 	}
-	r = reply{code: replyCode(b[1]), id: binary.BigEndian.Uint64(b[idOffset:]),
-		fields: string(payload[:fieldsLength]), body: payload[fieldsLength:]}
+	r = reply{
+		code: replyCode(b[1]), id: binary.BigEndian.Uint64(b[idOffset:]),
+		fields: string(payload[:fieldsLength]), body: payload[fieldsLength:],
+	}
 	f.buf = b[size:]
 	return r, true, nil
 }
--- a/internal/upstream/frames/pool.go
+++ b/internal/upstream/frames/pool.go
@@ -6,6 +6,7 @@
 	"math"
 	"slices"
 	"strconv"
+	"strings"
 
 	"streamcleat/control"
 	"streamcleat/internal/dispatch"
@@ -57,8 +58,10 @@
 
 // NewPool makes a pool without workers.
 func NewPool(limits Limits, transport Transport, results upstream.Results) *Pool {
-	return &Pool{limits: limits, transport: transport, endpoints: map[control.WorkerID]endpoint{},
-		connections: upstream.NewConnections[*connection](transport), exchanges: upstream.NewExchanges[*exchange](results)}
+	return &Pool{
+		limits: limits, transport: transport, endpoints: map[control.WorkerID]endpoint{},
+		connections: upstream.NewConnections[*connection](transport), exchanges: upstream.NewExchanges[*exchange](results),
+	}
 }
 
 // Len is how many connections are open or being dialed.
@@ -70,8 +73,10 @@
 func (p *Pool) SetEndpoints(list *upstream.EndpointList) {
 	endpoints := make(map[control.WorkerID]endpoint, len(list.Workers))
 	for _, worker := range list.Workers {
-		endpoints[worker.ID] = endpoint{address: list.Addresses[worker.ID], serving: worker.State == control.Serving,
-			startedAt: worker.StartedAt}
+		endpoints[worker.ID] = endpoint{
+			address: list.Addresses[worker.ID], serving: worker.State == control.Serving,
+			startedAt: worker.StartedAt,
+		}
 	}
 	for _, id := range p.connections.Workers() {
 		if next := endpoints[id]; !next.serving || next != p.endpoints[id] {
@@ -117,11 +122,13 @@
 	timeLeft := math.Floor(clearance.TimeLeft() * millisecondsPerSecond)
 	milliseconds := strconv.FormatFloat(max(timeLeft, minTimeoutMilliseconds), 'f', 0, 64)
 	fields := fieldClass + "=" + a.Class + "," + fieldFunction + "=" + a.Function + "," + fieldTimeout + "=" + milliseconds
+	var fieldsSb124 strings.Builder
 	for _, f := range a.Fields {
 		if f.Name == p.limits.IdempotencyKeyField && f.Value != "" {
-			fields += "," + fieldIdempotencyKey + "=" + f.Value
+			fieldsSb124.WriteString("," + fieldIdempotencyKey + "=" + f.Value)
 		}
 	}
+	fields += fieldsSb124.String()
 	return fields
 }
 
@@ -331,11 +338,15 @@
 	c.framer.compact()
 }
 
-var outcomes = map[replyCode]control.Outcome{replySucceeded: control.Succeeded, replyReplicaMissing: control.ReplicaMissing,
-	replyRejected: control.Rejected, replyFailed: control.Failed, replyNotSent: control.NotSent}
+var outcomes = map[replyCode]control.Outcome{
+	replySucceeded: control.Succeeded, replyReplicaMissing: control.ReplicaMissing,
+	replyRejected: control.Rejected, replyFailed: control.Failed, replyNotSent: control.NotSent,
+}
 
-var startTypes = map[string]control.StartType{"hit": control.WarmStart, "spawn": control.ColdStart,
-	"pending": control.JoinedColdStart, "spawn_failed": control.StartFailed}
+var startTypes = map[string]control.StartType{
+	"hit": control.WarmStart, "spawn": control.ColdStart,
+	"pending": control.JoinedColdStart, "spawn_failed": control.StartFailed,
+}
 
 // onReply takes one complete reply. One with an id that is not open is ignored: it is late, a duplicate or unsolicited.
 func (p *Pool) onReply(now float64, c *connection, r reply) {
--- a/internal/upstream/openinference/codec.go
+++ b/internal/upstream/openinference/codec.go
@@ -94,7 +94,7 @@
 }
 
 func parseStartType(field string) control.StartType {
-	for _, metric := range strings.Split(field, ",") {
+	for metric := range strings.SplitSeq(field, ",") {
 		name, _, _ := strings.Cut(metric, ";")
 		if start, ok := startTypes[strings.ToLower(strings.TrimSpace(name))]; ok {
 			return start
--- a/internal/upstream/openinference/load.go
+++ b/internal/upstream/openinference/load.go
@@ -69,7 +69,7 @@
 	format, data, _ := strings.Cut(strings.TrimSpace(field), " ")
 	switch format {
 	case "TEXT":
-		for _, pair := range strings.Split(data, ",") {
+		for pair := range strings.SplitSeq(data, ",") {
 			name, text, _ := strings.Cut(strings.TrimSpace(pair), "=")
 			if value, err := strconv.ParseFloat(text, 64); err == nil {
 				addMetric(&report, strings.TrimPrefix(name, metricPrefix), value)
--- a/internal/upstream/openinference/pool.go
+++ b/internal/upstream/openinference/pool.go
@@ -51,9 +51,11 @@
 
 // NewPool makes a pool without workers.
 func NewPool(limits Limits, transport upstream.Transport, results upstream.Results) *Pool {
-	return &Pool{limits: limits, transport: transport, addresses: map[control.WorkerID]string{},
+	return &Pool{
+		limits: limits, transport: transport, addresses: map[control.WorkerID]string{},
 		detached: map[control.WorkerID]bool{}, connections: upstream.NewConnections[*httpConnection](transport),
-		idle: map[control.WorkerID][]*httpConnection{}, exchanges: upstream.NewExchanges[*httpExchange](results)}
+		idle: map[control.WorkerID][]*httpConnection{}, exchanges: upstream.NewExchanges[*httpExchange](results),
+	}
 }
 
 // Len is how many connections are open or being dialed.
@@ -110,8 +112,10 @@
 func (p *Pool) SendLoad(now float64, command dispatch.LoadCommand) {
 	addr := p.addresses[command.Worker]
 	encode := func(dispatch.Clearance) []byte { return LoadRequest(addr, p.limits.Via, command) }
-	p.send(now, &httpExchange{Exchange: upstream.Exchange{ID: command.ID, Worker: command.Worker, IsLoad: true, Encode: encode},
-		digest: command.Binding.Digest})
+	p.send(now, &httpExchange{
+		Exchange: upstream.Exchange{ID: command.ID, Worker: command.Worker, IsLoad: true, Encode: encode},
+		digest:   command.Binding.Digest,
+	})
 }
 
 func (p *Pool) send(now float64, e *httpExchange) {
--- a/internal/verification/fakes/registry.go
+++ b/internal/verification/fakes/registry.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"net/http"
 	"net/http/httptest"
+	"strconv"
 	"strings"
 	"sync"
 
@@ -36,8 +37,10 @@
 
 // NewRegistry starts a registry. Where user is not empty it asks for it and the secret.
 func NewRegistry(user, secret string) *Registry {
-	r := &Registry{tags: map[string]digest.Digest{}, blobs: map[digest.Digest][]byte{},
-		referrers: map[digest.Digest][]ocispec.Descriptor{}, user: user, secret: secret}
+	r := &Registry{
+		tags: map[string]digest.Digest{}, blobs: map[digest.Digest][]byte{},
+		referrers: map[digest.Digest][]ocispec.Descriptor{}, user: user, secret: secret,
+	}
 	r.server = httptest.NewServer(r)
 	return r
 }
@@ -66,8 +69,10 @@
 func (r *Registry) Push(repository string, annotations map[string]string, layers [][]byte, tags ...string) digest.Digest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	m := ocispec.Manifest{MediaType: ocispec.MediaTypeImageManifest, Config: r.addBlob(ocispec.MediaTypeImageConfig, []byte("{}")),
-		Annotations: annotations}
+	m := ocispec.Manifest{
+		MediaType: ocispec.MediaTypeImageManifest, Config: r.addBlob(ocispec.MediaTypeImageConfig, []byte("{}")),
+		Annotations: annotations,
+	}
 	for _, layer := range layers {
 		m.Layers = append(m.Layers, r.addBlob(ocispec.MediaTypeImageLayer, layer))
 	}
@@ -88,8 +93,10 @@
 		ArtifactType: artifactType,
 		Config:       ocispec.DescriptorEmptyJSON,
 		Layers:       []ocispec.Descriptor{r.addBlob(layerType, data)},
-		Subject: &ocispec.Descriptor{MediaType: ocispec.MediaTypeImageManifest, Digest: subject,
-			Size: int64(len(r.blobs[subject]))},
+		Subject: &ocispec.Descriptor{
+			MediaType: ocispec.MediaTypeImageManifest, Digest: subject,
+			Size: int64(len(r.blobs[subject])),
+		},
 	})
 	d.ArtifactType = artifactType
 	r.referrers[subject] = append(r.referrers[subject], d)
@@ -207,7 +214,7 @@
 		return
 	}
 	w.Header().Set("Docker-Content-Digest", string(d))
-	w.Header().Set("Content-Length", fmt.Sprint(len(data)))
+	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
 	if req.Method == http.MethodHead {
 		return
 	}
--- a/internal/verification/fakes/site_config.go
+++ b/internal/verification/fakes/site_config.go
@@ -89,8 +89,10 @@
 func ClassConfigs(latencyObjective, timeout, deduplicationWindow float64) []ClassConfig {
 	return []ClassConfig{
 		{Name: ClassIdempotent, LatencyObjective: latencyObjective, Timeout: timeout},
-		{Name: ClassIdempotentByKey, LatencyObjective: latencyObjective, Timeout: timeout, Semantics: "keyed",
-			DeduplicationWindow: deduplicationWindow},
+		{
+			Name: ClassIdempotentByKey, LatencyObjective: latencyObjective, Timeout: timeout, Semantics: "keyed",
+			DeduplicationWindow: deduplicationWindow,
+		},
 		{Name: ClassAtMostOnce, LatencyObjective: latencyObjective, Timeout: timeout, Semantics: "at-most-once"},
 	}
 }
--- a/internal/verification/fakes/store.go
+++ b/internal/verification/fakes/store.go
@@ -24,7 +24,7 @@
 	inFlight int
 }
 
-// NewStore returns a store that serves pace fetches at full speed and at most most of them at once.
+// NewStore returns a store that serves pace fetches at full speed and at most of them at once.
 func NewStore(pace, most int) *Store {
 	return &Store{FullSpeedFetches: pace, MaxFetches: most, slowdown: 1}
 }
--- a/internal/verification/goldentest/words.go
+++ b/internal/verification/goldentest/words.go
@@ -51,9 +51,11 @@
 	if !ok {
 		panic(words[0])
 	}
-	r := dispatch.Response{Kind: kind, Worker: options["worker"], Replayed: options["repeat"] != "",
+	r := dispatch.Response{
+		Kind: kind, Worker: options["worker"], Replayed: options["repeat"] != "",
 		Class: options["type"], Function: options["function"], Body: []byte(options["body"]),
-		Identity: dispatch.Identity{Source: options["source"], ID: options["id"]}, Binding: parseBinding(options)}
+		Identity: dispatch.Identity{Source: options["source"], ID: options["id"]}, Binding: parseBinding(options),
+	}
 	if options["cause"] != "" {
 		r.Cause = parseCause(options["cause"])
 	}
@@ -88,8 +90,10 @@
 const usualFunction = "7f3a9c21e0b4d655"
 
 func parseAttempt(id uint64, worker string, options map[string]string) dispatch.Attempt {
-	a := dispatch.Attempt{ID: id, Worker: control.WorkerID(worker), Function: usualFunction, Class: "call", Timeout: 1.5,
-		Identity: dispatch.Identity{ID: fmt.Sprintf("%016x", id)}, Body: []byte(options["body"]), Binding: parseBinding(options)}
+	a := dispatch.Attempt{
+		ID: id, Worker: control.WorkerID(worker), Function: usualFunction, Class: "call", Timeout: 1.5,
+		Identity: dispatch.Identity{ID: fmt.Sprintf("%016x", id)}, Body: []byte(options["body"]), Binding: parseBinding(options),
+	}
 	for name, field := range map[string]*string{"function": &a.Function, "type": &a.Class, "id": &a.Identity.ID} {
 		if v, ok := options[name]; ok {
 			*field = v
@@ -105,8 +109,10 @@
 }
 
 func parseLoadCommand(id uint64, worker string, options map[string]string) dispatch.LoadCommand {
-	command := dispatch.LoadCommand{ID: id, Worker: control.WorkerID(worker), Function: usualFunction,
-		Replicas: int(Number(options["copies"])), Binding: parseBinding(options)}
+	command := dispatch.LoadCommand{
+		ID: id, Worker: control.WorkerID(worker), Function: usualFunction,
+		Replicas: int(Number(options["copies"])), Binding: parseBinding(options),
+	}
 	if v, ok := options["function"]; ok {
 		command.Function = v
 	}
--- a/internal/verification/scenario/bench_front.go
+++ b/internal/verification/scenario/bench_front.go
@@ -111,8 +111,10 @@
 	}
 	for turn := range benchTurns {
 		for _, way := range ways {
-			g := &generator{url: way.url, class: benchFrontClass, inFlight: connections, requests: requests,
-				runName: fmt.Sprintf("%d-%d", connections, turn)}
+			g := &generator{
+				url: way.url, class: benchFrontClass, inFlight: connections, requests: requests,
+				runName: fmt.Sprintf("%d-%d", connections, turn),
+			}
 			side, err := g.measure(ctx)
 			if err != nil {
 				return row, err
--- a/internal/verification/scenario/bench_recovery.go
+++ b/internal/verification/scenario/bench_recovery.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"os"
 	"path/filepath"
+	"strconv"
 	"time"
 
 	"streamcleat/internal/config"
@@ -36,7 +37,7 @@
 	defer func() { _ = os.RemoveAll(dir) }() // temporary files
 	var rows []RecoveryRow
 	for _, n := range sizes {
-		path := filepath.Join(dir, fmt.Sprint(n))
+		path := filepath.Join(dir, strconv.Itoa(n))
 		options := storage.Options{Retention: unlimitedRetention, NoSync: true}
 		if err := fillStore(ctx, path, options, n); err != nil {
 			return nil, err
@@ -63,7 +64,7 @@
 	for i := range n {
 		records = append(records, dispatch.Record{Kind: dispatch.RecordRequestEnded, MayHaveRun: true, Response: dispatch.Response{
 			Class:    benchStoreClass,
-			Identity: dispatch.Identity{Source: "/till", ID: fmt.Sprint(i)},
+			Identity: dispatch.Identity{Source: "/till", ID: strconv.Itoa(i)},
 			Body:     []byte(`{"model_name":"tally","outputs":[]}`),
 		}})
 		if len(records) == recoveryBatch || i == n-1 {
--- a/internal/verification/scenario/bench_store.go
+++ b/internal/verification/scenario/bench_store.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"path/filepath"
 	"runtime"
+	"strconv"
 	"time"
 
 	"streamcleat/internal/dispatch"
@@ -85,7 +86,7 @@
 		for i, mode := range storeModes {
 			settings := b.frontEndSettings()
 			path := filepath.Join(b.dir, fmt.Sprintf("state-%d-%d", n, i))
-			row, err := mode.measure(ctx, settings, path, n, requests, fmt.Sprint(i))
+			row, err := mode.measure(ctx, settings, path, n, requests, strconv.Itoa(i))
 			if err != nil {
 				return nil, err
 			}
@@ -118,8 +119,10 @@
 		return row, err
 	}
 	defer func() { _ = frontEnd.Stop(time.Second) }() // no request is open any more
-	g := &generator{url: func(int) string { return frontEndURL(frontEnd.Addr()) }, class: benchStoreClass, inFlight: connections,
-		requests: requests, runName: runName}
+	g := &generator{
+		url: func(int) string { return frontEndURL(frontEnd.Addr()) }, class: benchStoreClass, inFlight: connections,
+		requests: requests, runName: runName,
+	}
 	side, err := g.measure(ctx)
 	if err != nil {
 		return row, err
--- a/internal/verification/scenario/load_generator.go
+++ b/internal/verification/scenario/load_generator.go
@@ -9,6 +9,7 @@
 	"net/http"
 	"os"
 	"path/filepath"
+	"strconv"
 	"strings"
 	"sync"
 	"time"
@@ -151,7 +152,7 @@
 	}
 	req.Header.Set("ce-specversion", "1.0")
 	req.Header.Set("ce-source", "/bench/"+g.runName)
-	req.Header.Set("ce-id", fmt.Sprint(number))
+	req.Header.Set("ce-id", strconv.Itoa(number))
 	req.Header.Set("ce-type", g.class)
 	req.Header.Set("ce-function", fmt.Sprintf("tally-%d", number%benchFunctions))
 	req.Header.Set("Content-Type", "application/json")
--- a/internal/verification/scenario/rollout.go
+++ b/internal/verification/scenario/rollout.go
@@ -27,8 +27,10 @@
 	var list []registry.Migration
 	for _, index := range i.rng.Perm(count)[:int(i.fault.Share*float64(count))] {
 		f := i.functions[index] // the catalogue's order is that of popularity
-		list = append(list, registry.Migration{Function: f.Name, To: versionDigest(f.Name, newVersion), RequestRate: -float64(index),
-			LoadTime: f.FetchTime + f.StartTime})
+		list = append(list, registry.Migration{
+			Function: f.Name, To: versionDigest(f.Name, newVersion), RequestRate: -float64(index),
+			LoadTime: f.FetchTime + f.StartTime,
+		})
 	}
 	return list, nil
 }
--- a/internal/verification/scenario/script.go
+++ b/internal/verification/scenario/script.go
@@ -93,9 +93,11 @@
 
 // defaultScript returns the sizes of a small site.
 func defaultScript() *Script {
-	return &Script{Seconds: 8, Rate: 100, FrontEnds: 2, Workers: 8, Cores: 2, Functions: 40, Work: 0.04, Timers: 30,
+	return &Script{
+		Seconds: 8, Rate: 100, FrontEnds: 2, Workers: 8, Cores: 2, Functions: 40, Work: 0.04, Timers: 30,
 		Minute: 1, Clients: 2, Retries: 1,
-		Mix: map[string]float64{fakes.ClassIdempotent: 0.6, fakes.ClassIdempotentByKey: 0.25, fakes.ClassAtMostOnce: 0.15}}
+		Mix: map[string]float64{fakes.ClassIdempotent: 0.6, fakes.ClassIdempotentByKey: 0.25, fakes.ClassAtMostOnce: 0.15},
+	}
 }
 
 // ParseScript reads a script; what it leaves out has the sizes of a small site. from names it in errors.
--- a/internal/verification/scenario/site.go
+++ b/internal/verification/scenario/site.go
@@ -151,9 +151,11 @@
 		Classes:   fakes.ClassConfigs(latencyObjective, requestTimeout, deduplicationWindow),
 		Functions: fakes.FunctionConfigs(r.functions),
 		Workers:   fakes.WorkersConfig{IdleReplicaLifetime: idleReplicaLifetime, LoadsOnRequest: s.LoadOnRequest},
-		Rules: fakes.RulesConfig{ColdShare: coldShare, WarmUpTime: warmUpTime, OverloadFactor: overloadFactor,
+		Rules: fakes.RulesConfig{
+			ColdShare: coldShare, WarmUpTime: warmUpTime, OverloadFactor: overloadFactor,
 			OverloadWindow: overloadWindow, MaxRetryAfter: 0.5,
-			LoadWindow: s.LoadLimit[0], LoadBurst: s.LoadLimit[1], LoadsPerRequest: s.LoadLimit[2]},
+			LoadWindow: s.LoadLimit[0], LoadBurst: s.LoadLimit[1], LoadsPerRequest: s.LoadLimit[2],
+		},
 		Limits: fakes.LimitsConfig{ResponseMargin: responseMargin},
 	}
 	data, err := document.JSON()
--- a/internal/verification/scenario/traffic.go
+++ b/internal/verification/scenario/traffic.go
@@ -26,14 +26,18 @@
 // newClient returns a CloudEvents client whose calls are recorded.
 func (r *run) newClient(source string, retries int) *schedule.Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second}
-	return &schedule.Client{Source: source, FrontEnds: r.addrs, HTTP: &http.Client{Transport: transport},
+	return &schedule.Client{
+		Source: source, FrontEnds: r.addrs, HTTP: &http.Client{Transport: transport},
 		DefaultTimeout: toDuration(requestTimeout), MaxRetries: retries, AtMostOnce: map[string]bool{fakes.ClassAtMostOnce: true},
 		OnAttempt: func(f schedule.Firing, addr string, timeout time.Duration) func(int, string, error) {
-			record := invariants.Record{Kind: invariants.RequestSent, RequestID: source + "#" + f.ID, Class: f.Entry.Class,
-				Function: f.Entry.Function, FrontEnd: r.frontEndAt(addr), CallID: r.recorder.NextCallID(), Timeout: timeout.Seconds()}
+			record := invariants.Record{
+				Kind: invariants.RequestSent, RequestID: source + "#" + f.ID, Class: f.Entry.Class,
+				Function: f.Entry.Function, FrontEnd: r.frontEndAt(addr), CallID: r.recorder.NextCallID(), Timeout: timeout.Seconds(),
+			}
 			r.recorder.Add(record)
 			return func(status int, digest string, err error) { r.recordEnd(record, status, digest, err) }
-		}}
+		},
+	}
 }
 
 // recordEnd records how a call ended.
@@ -112,8 +116,10 @@
 func (r *run) sendTraffic(ctx context.Context) {
 	s := r.script
 	rng := rand.New(rand.NewPCG(r.seed, trafficStream))
-	t := &traffic{run: r, rng: rng, popularity: rand.NewZipf(rng, 1.2, 3, uint64(s.Functions-1)),
-		client: r.newClient(trafficSource, s.Retries)}
+	t := &traffic{
+		run: r, rng: rng, popularity: rand.NewZipf(rng, 1.2, 3, uint64(s.Functions-1)),
+		client: r.newClient(trafficSource, s.Retries),
+	}
 	var sending sync.WaitGroup
 	defer sending.Wait()
 	for number := 0; s.Rate > 0; number++ {
--- a/internal/verification/scenario/versions.go
+++ b/internal/verification/scenario/versions.go
@@ -46,8 +46,10 @@
 // publish publishes both versions of a function, of which the old one is current.
 func publish(r *registry.Registry, f fakes.Function) error {
 	for _, name := range []string{oldVersion, newVersion} {
-		version := &registry.Version{Function: f.Name, Name: name, Digest: versionDigest(f.Name, name), Concurrency: f.Concurrency,
-			MemoryMB: f.MemoryMB, LoadTime: f.FetchTime + f.StartTime}
+		version := &registry.Version{
+			Function: f.Name, Name: name, Digest: versionDigest(f.Name, name), Concurrency: f.Concurrency,
+			MemoryMB: f.MemoryMB, LoadTime: f.FetchTime + f.StartTime,
+		}
 		if err := r.Apply(registry.Entry{Publish: version}); err != nil {
 			return err
 		}
--- a/internal/verification/simulation/appliance.go
+++ b/internal/verification/simulation/appliance.go
@@ -73,8 +73,10 @@
 
 func (s *site) newAppliance(number, frontEnds int) *applianceProcess {
 	a := &applianceProcess{
-		process: process{scheduler: s.scheduler, name: fmt.Sprintf("box-%d", number), powered: true,
-			uptimeBase: firstUptime + uptimeDifference*float64(number)},
+		process: process{
+			scheduler: s.scheduler, name: fmt.Sprintf("box-%d", number), powered: true,
+			uptimeBase: firstUptime + uptimeDifference*float64(number),
+		},
 		site: s, number: number, disk: newDisk(),
 		acknowledged:   map[dispatch.Identity]dispatch.Record{},
 		acknowledgedAt: map[dispatch.Identity]float64{},
--- a/internal/verification/simulation/client.go
+++ b/internal/verification/simulation/client.go
@@ -65,8 +65,10 @@
 
 // record returns the record of something that happened to the call.
 func (c *clientCall) record(kind invariants.Kind) invariants.Record {
-	return invariants.Record{Kind: kind, CallID: c.number, RequestID: clientSource + "#" + c.request.id, Class: c.request.class,
-		FrontEnd: c.processTag}
+	return invariants.Record{
+		Kind: kind, CallID: c.number, RequestID: clientSource + "#" + c.request.id, Class: c.request.class,
+		FrontEnd: c.processTag,
+	}
 }
 
 // end ends the call.
@@ -93,8 +95,10 @@
 
 func (s *site) newClient(number int) *client {
 	name := clientName(number)
-	c := &client{process: process{scheduler: s.scheduler, name: name, powered: true, running: true}, site: s,
-		rng: newRand(s.script.Seed, name), rate: s.script.Rate / float64(s.script.Clients)}
+	c := &client{
+		process: process{scheduler: s.scheduler, name: name, powered: true, running: true}, site: s,
+		rng: newRand(s.script.Seed, name), rate: s.script.Rate / float64(s.script.Clients),
+	}
 	c.functions = rand.NewZipf(c.rng, 1.2, 2, uint64(len(s.functions)-1))
 	c.after(c.rng.Float64()*maxStartDelay, "begins", c.sendNext)
 	return c
--- a/internal/verification/simulation/client_conn.go
+++ b/internal/verification/simulation/client_conn.go
@@ -39,8 +39,10 @@
 
 // dial opens a connection for a call.
 func (c *client) dial(call *clientCall) {
-	conn := &clientConn{client: c, frontEnd: call.frontEnd, calls: []*clientCall{call}, usedAt: c.scheduler.now,
-		responses: http1.NewResponses(messageLimits)}
+	conn := &clientConn{
+		client: c, frontEnd: call.frontEnd, calls: []*clientCall{call}, usedAt: c.scheduler.now,
+		responses: http1.NewResponses(messageLimits),
+	}
 	call.conn = conn
 	c.conns = append(c.conns, conn)
 	c.site.network.dial(&c.process, call.frontEnd.addr, requestTimeout, conn.onDialed)
--- a/internal/verification/simulation/coverage.go
+++ b/internal/verification/simulation/coverage.go
@@ -15,8 +15,10 @@
 
 // faultStates returns the states that coverage distinguishes, in the order of a table.
 func faultStates() []string {
-	return []string{stateIdle, stateRequestOpen, stateAttempt, stateLoad, stateAwaitsDisk, stateWriting,
-		"starting", "recovering", "draining", "finishing", statePaused, stateDown}
+	return []string{
+		stateIdle, stateRequestOpen, stateAttempt, stateLoad, stateAwaitsDisk, stateWriting,
+		"starting", "recovering", "draining", "finishing", statePaused, stateDown,
+	}
 }
 
 // coverageKey is the key of a kind of fault that met a state, as reports have it.
--- a/internal/verification/simulation/explore_front_end.go
+++ b/internal/verification/simulation/explore_front_end.go
@@ -32,14 +32,18 @@
 		IdleReplicaLifetime: 8, MinRoundInterval: 0.004, ColdShare: 0.3, WarmUpTime: 10, OverloadFactor: 2.5, OverloadWindow: 1.5,
 		RequestClasses: []control.RequestClass{
 			{Name: smallIdempotent, LatencyObjective: 0.8, Timeout: smallTimeout},
-			{Name: smallKeyed, LatencyObjective: 0.8, Timeout: smallTimeout, Semantics: control.IdempotentByKey,
-				DeduplicationWindow: smallDeduplicationWindow},
+			{
+				Name: smallKeyed, LatencyObjective: 0.8, Timeout: smallTimeout, Semantics: control.IdempotentByKey,
+				DeduplicationWindow: smallDeduplicationWindow,
+			},
 			{Name: smallOnce, LatencyObjective: 0.8, Timeout: smallTimeout, Semantics: control.AtMostOnce},
 		},
 	}
 	profile := func(string) dispatch.FunctionProfile { return dispatch.FunctionProfile{Concurrency: 1} }
-	f.dispatcher = dispatch.New(dispatch.Settings{Deployment: deployment, Functions: profile, ResponseMargin: 0.1, LoadTimeout: 1,
-		MaxOpen: 10, DeduplicationWindow: 60, MaxCachedBytes: 1 << 16, Seed: uint64(7 + number)}, f, w.now)
+	f.dispatcher = dispatch.New(dispatch.Settings{
+		Deployment: deployment, Functions: profile, ResponseMargin: 0.1, LoadTimeout: 1,
+		MaxOpen: 10, DeduplicationWindow: 60, MaxCachedBytes: 1 << 16, Seed: uint64(7 + number),
+	}, f, w.now)
 	f.dispatcher.OnEndpointUpdate(w.now, true, smallWorkers[:])
 	return f
 }
@@ -74,8 +78,10 @@
 func (f *smallFrontEnd) receive(index int) {
 	w, c := f.world, smallCalls[index]
 	w.calls[index].sent, w.calls[index].sentAt = true, w.now
-	f.dispatcher.Submit(w.now, dispatch.WaiterID(index), dispatch.Request{Identity: dispatch.Identity{Source: "/t", ID: c.id},
-		Class: c.class, Function: "f", Timeout: c.timeout})
+	f.dispatcher.Submit(w.now, dispatch.WaiterID(index), dispatch.Request{
+		Identity: dispatch.Identity{Source: "/t", ID: c.id},
+		Class:    c.class, Function: "f", Timeout: c.timeout,
+	})
 }
 
 func (f *smallFrontEnd) endAttempt(index int, outcome control.Outcome) {
--- a/internal/verification/simulation/front_end.go
+++ b/internal/verification/simulation/front_end.go
@@ -231,8 +231,10 @@
 // recordAttempts records the attempts on a connection. The result is to be called with what arrives on it.
 func (f *frontEnd) recordAttempts(e *endpoint, addr string) (onResponseData func([]byte)) {
 	worker, _, _ := strings.Cut(addr, ":")
-	r := &attemptRecorder{frontEnd: f, worker: worker, requests: http1.NewRequests(messageLimits),
-		responses: http1.NewResponses(messageLimits)}
+	r := &attemptRecorder{
+		frontEnd: f, worker: worker, requests: http1.NewRequests(messageLimits),
+		responses: http1.NewResponses(messageLimits),
+	}
 	e.onWrite = r.onRequestData
 	e.onFinished = r.end
 	return r.onResponseData
--- a/internal/verification/simulation/network.go
+++ b/internal/verification/simulation/network.go
@@ -47,8 +47,10 @@
 }
 
 func newNetwork(scheduler *scheduler, rng *rand.Rand) *network {
-	return &network{scheduler: scheduler, rng: rng, extraDelay: map[link]float64{}, partitions: map[link]int{},
-		listeners: map[string]*listener{}, buffer: defaultBuffer}
+	return &network{
+		scheduler: scheduler, rng: rng, extraDelay: map[link]float64{}, partitions: map[link]int{},
+		listeners: map[string]*listener{}, buffer: defaultBuffer,
+	}
 }
 
 // heal ends all faults of the network.
@@ -78,8 +80,10 @@
 
 // dial connects a process to an address.
 func (n *network) dial(p *process, addr string, timeout float64, done func(*endpoint, error)) {
-	d := &dial{network: n, process: p, incarnation: p.incarnation, addr: addr, listener: n.listeners[addr], began: n.scheduler.now,
-		timeout: timeout, done: done}
+	d := &dial{
+		network: n, process: p, incarnation: p.incarnation, addr: addr, listener: n.listeners[addr], began: n.scheduler.now,
+		timeout: timeout, done: done,
+	}
 	if d.listener == nil {
 		d.fail(n.delay(p.name, addr), errRefused)
 		return
--- a/internal/verification/simulation/schedules.go
+++ b/internal/verification/simulation/schedules.go
@@ -90,8 +90,10 @@
 	c := scheduledCall{request: request, deadline: deadline, tries: tries, number: a.site.recorder.NextCallID(), began: a.scheduler.now}
 	identity := request.Identity
 	a.scheduled[identity] = c.number
-	a.site.recorder.Add(invariants.Record{Kind: invariants.RequestSent, RequestID: identity.String(), Class: request.Class,
-		Function: request.Function, FrontEnd: f.processTag(), CallID: c.number, Timeout: requestTimeout})
+	a.site.recorder.Add(invariants.Record{
+		Kind: invariants.RequestSent, RequestID: identity.String(), Class: request.Class,
+		Function: request.Function, FrontEnd: f.processTag(), CallID: c.number, Timeout: requestTimeout,
+	})
 	f.proxy.Submit(request, func(response dispatch.Response) { a.onScheduledResponse(c, response) })
 }
 
@@ -101,8 +103,10 @@
 	if a.scheduler.now-c.began > requestTimeout && a.site.hadOutage(a, c.began) { // it was paused
 		a.site.addUnknownEnd(invariants.Record{Kind: invariants.ConnectionLost, CallID: c.number})
 	} else {
-		a.site.recorder.Add(invariants.Record{Kind: invariants.ResponseReceived, RequestID: id.String(), Class: c.request.Class,
-			FrontEnd: a.frontEnds[0].processTag(), CallID: c.number, Outcome: response.Kind.String(), Digest: response.Binding.Digest})
+		a.site.recorder.Add(invariants.Record{
+			Kind: invariants.ResponseReceived, RequestID: id.String(), Class: c.request.Class,
+			FrontEnd: a.frontEnds[0].processTag(), CallID: c.number, Outcome: response.Kind.String(), Digest: response.Binding.Digest,
+		})
 	}
 	if response.Kind == dispatch.Rejected && (response.Cause == dispatch.CauseShuttingDown || a.retryScheduled(c, response)) {
 		return
--- a/internal/verification/simulation/site.go
+++ b/internal/verification/simulation/site.go
@@ -176,11 +176,15 @@
 	document := fakes.SiteConfig{
 		Classes:   fakes.ClassConfigs(latencyObjective, requestTimeout, s.script.DeduplicationWindow),
 		Functions: fakes.FunctionConfigs(s.functions),
-		Workers: fakes.WorkersConfig{IdleReplicaLifetime: idleReplicaLifetime, LoadsOnRequest: s.script.LoadOnRequest,
-			DialTimeout: 1, IdleTimeout: 3, LoadTimeout: 4},
-		Rules: fakes.RulesConfig{ColdShare: coldShare, WarmUpTime: warmUpTime, OverloadFactor: overloadFactor,
+		Workers: fakes.WorkersConfig{
+			IdleReplicaLifetime: idleReplicaLifetime, LoadsOnRequest: s.script.LoadOnRequest,
+			DialTimeout: 1, IdleTimeout: 3, LoadTimeout: 4,
+		},
+		Rules: fakes.RulesConfig{
+			ColdShare: coldShare, WarmUpTime: warmUpTime, OverloadFactor: overloadFactor,
 			OverloadWindow: overloadWindow, MaxRetryAfter: 0.5,
-			LoadWindow: s.rules.LoadWindow, LoadBurst: s.rules.LoadBurst, LoadsPerRequest: s.rules.LoadsPerRequest},
+			LoadWindow: s.rules.LoadWindow, LoadBurst: s.rules.LoadBurst, LoadsPerRequest: s.rules.LoadsPerRequest,
+		},
 		Limits: fakes.LimitsConfig{ResponseMargin: responseMargin, IdleTimeout: clientIdleTimeout, ResponseRetention: responseRetention},
 	}
 	data, err := document.JSON()
--- a/internal/verification/simulation/worker.go
+++ b/internal/verification/simulation/worker.go
@@ -49,8 +49,10 @@
 func (s *site) newWorker(number int, cold bool) *worker {
 	kind, speed := fakes.MachineType(number)
 	name := fmt.Sprintf("wk-%d", number)
-	w := &worker{process: process{scheduler: s.scheduler, name: name, powered: true}, site: s, rng: newRand(s.script.Seed, name),
-		cores: s.script.Cores, speed: speed, faultUntil: map[FaultKind]float64{}, listed: true, phase: phaseServing}
+	w := &worker{
+		process: process{scheduler: s.scheduler, name: name, powered: true}, site: s, rng: newRand(s.script.Seed, name),
+		cores: s.script.Cores, speed: speed, faultUntil: map[FaultKind]float64{}, listed: true, phase: phaseServing,
+	}
 	s.machineTypes[name] = kind
 	s.rules.Capacity[name] = float64(w.cores) * speed
 	s.network.listeners[name+":80"] = &listener{&w.process, w.accept}
--- a/internal/verification/simulation/worker_http.go
+++ b/internal/verification/simulation/worker_http.go
@@ -86,8 +86,10 @@
 func (w *worker) serveInfer(respond responder, m *http1.Message, function string) *workerRequest {
 	id := m.Header.Get("Ce-Source") + "#" + m.Header.Get("Ce-Id")
 	_, frontEnd, _ := strings.Cut(m.Header.Get("Via"), " ")
-	r := &workerRequest{id: id, class: m.Header.Get("Ce-Type"), respond: respond, startKind: fakes.StartWarm,
-		attempt: w.site.newestAttempt[frontEnd+" "+id]}
+	r := &workerRequest{
+		id: id, class: m.Header.Get("Ce-Type"), respond: respond, startKind: fakes.StartWarm,
+		attempt: w.site.newestAttempt[frontEnd+" "+id],
+	}
 	switch {
 	case w.faultHits(FaultHang):
 	case w.faultHits(FaultResetResponses):
--- a/internal/verification/simulation/worker_replicas.go
+++ b/internal/verification/simulation/worker_replicas.go
@@ -116,8 +116,10 @@
 	w.active++
 	first := w.site.isFirstExecution(r)
 	if first {
-		w.site.recorder.Add(invariants.Record{Kind: invariants.Executed, Worker: w.name, RequestID: r.id, Class: r.class,
-			Function: replicas.function.Name, Digest: replicas.digest, CallID: r.attempt})
+		w.site.recorder.Add(invariants.Record{
+			Kind: invariants.Executed, Worker: w.name, RequestID: r.id, Class: r.class,
+			Function: replicas.function.Name, Digest: replicas.digest, CallID: r.attempt,
+		})
 	}
 	duration := replicas.function.MeanWork / w.speed / w.warmth() * (0.7 + 0.6*w.rng.Float64())
 	if w.hasFault(FaultSlow) {
--- a/internal/verification/soak/worker.go
+++ b/internal/verification/soak/worker.go
@@ -55,8 +55,10 @@
 
 // startWorker starts a process; addresses are those of a process that is gone, or nil for new ones.
 func (s *site) startWorker(name string, addresses []string) (*worker, error) {
-	w := &worker{site: s, name: name, startedAt: time.Now(), lanes: make(chan struct{}, workerLanes), conns: map[net.Conn]bool{},
-		loaded: map[string]bool{}}
+	w := &worker{
+		site: s, name: name, startedAt: time.Now(), lanes: make(chan struct{}, workerLanes), conns: map[net.Conn]bool{},
+		loaded: map[string]bool{},
+	}
 	for number := range s.settings.FrontEnds {
 		var address string
 		if addresses != nil {
@@ -186,8 +188,10 @@
 	c.mu.Lock()
 	c.open[frame.id] = call
 	c.mu.Unlock()
-	w.site.recorder.Add(invariants.Record{Kind: invariants.AttemptStarted, CallID: call, RequestID: requestName(frame.id), Worker: w.name,
-		FrontEnd: w.site.processName(c.frontEnd), Class: frame.fields["queue"], Function: frame.fields["path"], Timeout: budget / 1000})
+	w.site.recorder.Add(invariants.Record{
+		Kind: invariants.AttemptStarted, CallID: call, RequestID: requestName(frame.id), Worker: w.name,
+		FrontEnd: w.site.processName(c.frontEnd), Class: frame.fields["queue"], Function: frame.fields["path"], Timeout: budget / 1000,
+	})
 	go c.run(frame, workerFault(w.fault.Load()))
 }
 
@@ -256,8 +260,10 @@
 	w := c.worker
 	function := frame.fields["path"]
 	replicas, _ := strconv.Atoi(frame.fields["slots_up"]) // 0 only asks
-	w.site.recorder.Add(invariants.Record{Kind: invariants.LoadCommanded, FrontEnd: w.site.processName(c.frontEnd), Worker: w.name,
-		Function: function, Replicas: replicas})
+	w.site.recorder.Add(invariants.Record{
+		Kind: invariants.LoadCommanded, FrontEnd: w.site.processName(c.frontEnd), Worker: w.name,
+		Function: function, Replicas: replicas,
+	})
 	for w.fault.Load() == int32(hangs) {
 		time.Sleep(silentWorker)
 	}
@@ -285,8 +291,10 @@
 			return false
 		}
 	}
-	s.recorder.Add(invariants.Record{Kind: invariants.Executed, RequestID: name, Class: frame.fields["queue"], Worker: worker,
-		Function: frame.fields["path"]})
+	s.recorder.Add(invariants.Record{
+		Kind: invariants.Executed, RequestID: name, Class: frame.fields["queue"], Worker: worker,
+		Function: frame.fields["path"],
+	})
 	return true
 }
 
