--- a/cmd/streamcleat/admin_test.go
+++ b/cmd/streamcleat/admin_test.go
@@ -57,8 +57,8 @@
 	for i := range workers {
 		worker, err := fakes.NewWorker(fakes.WorkerConfig{
 			Name: fmt.Sprintf("wk-%d", i), MachineType: "std", Cores: 2, Speed: 1, Memory: 8000, QueueLimit: 64,
-			MaxConcurrentLoads: 4, IdleReplicaLifetime: 20, ColdShare: 0.5, WarmUpTime: 1, OverloadFactor: 5, OverloadWindow: 1, MeanWork: 0.03, Functions: functions,
-			Store: store, Deduplicator: memory, KeyedClasses: map[string]bool{"till-entry": true}, Recorder: s.records, Seed: uint64(i),
+			MaxConcurrentLoads: 4, IdleReplicaLifetime: 20, InitialCapacityFraction: 0.5, WarmUpTime: 1, OverloadFactor: 5, OverloadWindow: 1, MeanWork: 0.03, Functions: functions,
+			Store: store, Deduplicator: memory, IdempotentByKeyClasses: map[string]bool{"till-entry": true}, Recorder: s.records, Seed: uint64(i),
 		})
 		if err != nil {
 			t.Fatal(err)
--- a/cmd/streamcleat/architecture_test.go
+++ b/cmd/streamcleat/architecture_test.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// Clearances to send are made by the dispatcher alone, and by fakes of it: nothing else can have a request encoded.
-func TestOnlyTheDispatcherGrantsClearances(t *testing.T) {
+// Only the dispatcher, and test fakes of it, issue permits to send; nothing else can have a request encoded.
+func TestOnlyTheDispatcherIssuesSendPermits(t *testing.T) {
 	err := filepath.WalkDir("../..", func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || filepath.Ext(path) != ".go" || strings.HasSuffix(path, "_test.go") {
 			return err
@@ -125,8 +125,8 @@
 			return nil
 		}
 		data, err := os.ReadFile(path)
-		if strings.Contains(string(data), "dispatch.Grant(") {
-			t.Errorf("%s grants a clearance by itself", path)
+		if strings.Contains(string(data), "dispatch.PermitSend(") {
+			t.Errorf("%s issues a send permit", path)
 		}
 		return err
 	})
--- a/cmd/streamcleat/registry_change.go
+++ b/cmd/streamcleat/registry_change.go
@@ -136,7 +136,7 @@
 		if err != nil {
 			return appliance.Change{}, err
 		}
-		move := &registry.Move{Function: ref.Function, Alias: ref.Tag}
+		move := &registry.AliasUpdate{Function: ref.Function, Alias: ref.Tag}
 		if !remove {
 			if len(args) < 2 {
 				return appliance.Change{}, usageError(fmt.Errorf("which version is %s to name?", args[0]))
@@ -147,7 +147,7 @@
 			}
 			move.Digest = version.Digest
 		}
-		return appliance.Change{Entry: registry.Entry{Move: move}}, nil
+		return appliance.Change{Entry: registry.Entry{AliasUpdate: move}}, nil
 	})
 }
 
@@ -171,7 +171,7 @@
 	flags.Float64SliceVar(&rollout.Steps, "steps", []float64{0.05, 0.25, 0.5}, "shares that it goes through")
 	flags.Float64Var(&rollout.StepDuration, "hold", 60, "seconds at each step")
 	flags.IntVar(&rollout.MinResponses, "least", 20, "answers of the new version that a step needs")
-	flags.Float64Var(&rollout.MaxFailureShare, "most-bad", 0.05, "share of failed answers, beyond that of the old version, at which it rolls back")
+	flags.Float64Var(&rollout.MaxExcessFailureRate, "most-bad", 0.05, "share of failed answers, beyond that of the old version, at which it rolls back")
 	flags.StringSliceVar(&rollout.Tenants, "tenants", nil, "tenants whose requests get the new version at once")
 	return changeCommand(cmd, func(c *console.Client, args []string) (appliance.Change, error) {
 		ref, err := parseAlias(args[0])
--- a/cmd/streamcleat/scenario.go
+++ b/cmd/streamcleat/scenario.go
@@ -141,7 +141,7 @@
 	}
 	fmt.Printf("  rule 1 %d unanswered, %d answered twice, %d sent after the end; rule 2 %d launches at once, %d ran twice, "+
 		"%d bad deferrals\n  rule 3 %d after drain; rule 4 %d cold pushes; rule 5 %d load floods\n",
-		r.Unanswered, r.DuplicateResponses, r.AttemptsAfterEnd, r.ConcurrentAttempts, r.DuplicateExecutions, r.WrongRejections, r.SentAfterDrain, r.ColdOverloads, r.ExcessLoadCommands)
+		r.Unanswered, r.DuplicateResponses, r.AttemptsAfterEnd, r.ConcurrentAttempts, r.DuplicateExecutions, r.WrongRejections, r.SentAfterDrain, r.WarmUpOverloads, r.ExcessLoadCommands)
 	for _, f := range append(r.Violations, r.Failures...) {
 		fmt.Println("  !", f)
 	}
--- a/control/endpoint_index.go
+++ b/control/endpoint_index.go
@@ -29,7 +29,7 @@
 // updateWorker takes an entry of an endpoint update.
 func (r *Router) updateWorker(w *worker, endpoint Worker, added bool) {
 	w.state = endpoint.State
-	if w.state == Gone {
+	if w.state == Removed {
 		return
 	}
 	if added || endpoint.StartedAt != w.startedAt {
@@ -75,7 +75,7 @@
 		used[slotOf(fn.pendingLoadOn)] = true
 	}
 	for _, w := range r.workers {
-		if w.state == Gone && !used[w.index] {
+		if w.state == Removed && !used[w.index] {
 			return w
 		}
 	}
--- a/control/endpoint_index_test.go
+++ b/control/endpoint_index_test.go
@@ -12,10 +12,10 @@
 	for i := range 300 {
 		now := r.now + 0.1
 		id := WorkerID(fmt.Sprint("new-", i))
-		r.OnEndpointUpdate(now, true, false, []Worker{{ID: id, Weight: 1}})
+		r.OnEndpointUpdate(now, Snapshot, []Worker{{ID: id, Weight: 1}})
 		fn := r.functionOf(Request{Function: "f"})
 		fn.ensureReplica(r.workersByID[id]).warm = true
-		r.OnLoadResult(now, WorkerID(fmt.Sprint("new-", i-9)), "f", Succeeded, 1, 0.1)
+		r.OnLoadResult(now, LoadResult{Worker: WorkerID(fmt.Sprint("new-", i-9)), Function: "f", Outcome: Succeeded, Replicas: 1, Duration: 0.1})
 		w := r.workersByID[id]
 		isIndexed := w.id == id && r.workers[w.index] == w && r.workersByDigest[w.digest()] == w
 		if !isIndexed || fn.replicaOn(w) == nil || w.concurrencyLimit != initialConcurrencyLimit {
--- a/control/golden_adapter_test.go
+++ b/control/golden_adapter_test.go
@@ -13,7 +13,7 @@
 	startJoined: JoinedColdStart, startFailed: StartFailed,
 }
 
-var endpointStateOf = map[state]EndpointState{stateServing: Serving, stateDraining: Draining, stateGone: Gone}
+var endpointStateOf = map[state]EndpointState{stateServing: Serving, stateDraining: Draining, stateGone: Removed}
 
 var semanticsOf = map[repetition]DeliverySemantics{idempotent: Idempotent, deduplicated: IdempotentByKey, once: AtMostOnce}
 
@@ -33,10 +33,10 @@
 
 func deploymentOf(s *scenario) *Deployment {
 	d := &Deployment{
-		FrontEnds: s.frontEnds, PollEndpoints: s.subscribes, MissIsAnswered: s.reportsMissing,
+		FrontEnds: s.frontEnds, PollEndpoints: s.subscribes, NoLoadOnMiss: s.reportsMissing,
 		LoadCommandsAllowed: s.mayLoad, GossipAllowed: s.mayBroadcast, MaxAttempts: s.maxAttempts, MaxRetryAfter: s.maxPause,
 		IdleReplicaLifetime: s.keepWarm, LoadCommandWindow: s.loadWindow, LoadCommandAllowance: s.loadFree, LoadCommandsPerRequest: s.loadShare,
-		MinRoundInterval: 0.004, ColdShare: 0.2, WarmUpTime: s.warmWithin, OverloadFactor: 2.5, OverloadWindow: 1.5,
+		MinRoundInterval: 0.004, InitialCapacityFraction: 0.2, WarmUpTime: s.warmWithin, OverloadFactor: 2.5, OverloadWindow: 1.5,
 	}
 	for _, t := range requestTypes {
 		d.RequestClasses = append(d.RequestClasses, RequestClass{
@@ -62,7 +62,14 @@
 			FailureDomain: p.cell, State: endpointStateOf[p.state], Weight: p.size, StartedAt: p.started,
 		})
 	}
-	a.router.OnEndpointUpdate(now, full, first, workers)
+	if first {
+		a.router.Start()
+	}
+	scope := Delta
+	if full {
+		scope = Snapshot
+	}
+	a.router.OnEndpointUpdate(now, scope, workers)
 }
 
 func (a *adapter) listFailed(now float64)                    { a.router.OnEndpointPollFailed(now) }
@@ -83,13 +90,15 @@
 func (a *adapter) attemptEnded(now float64, e ended) {
 	a.router.OnAttemptResult(now, AttemptResult{
 		Request: RequestID(e.id), Worker: WorkerID(e.worker), Attempt: e.attempt,
-		Outcome: outcomeOf[e.outcome], Answered: e.settled, Latency: e.took, Start: startTypeOf[e.start],
+		Outcome: outcomeOf[e.outcome], Completed: e.settled, Latency: e.took, Start: startTypeOf[e.start],
 		Report: LoadReport{Running: e.running, Waiting: e.waiting, Known: e.reported},
 	})
 }
 
 func (a *adapter) loadEnded(now float64, worker, function string, o outcome, replicas int, duration float64) {
-	a.router.OnLoadResult(now, WorkerID(worker), FunctionID(function), outcomeOf[o], replicas, duration)
+	a.router.OnLoadResult(now, LoadResult{
+		Worker: WorkerID(worker), Function: FunctionID(function), Outcome: outcomeOf[o], Replicas: replicas, Duration: duration,
+	})
 }
 
 func (a *adapter) StartAttempt(id RequestID, worker WorkerID, timeout float64) {
--- a/control/replica_loading.go
+++ b/control/replica_loading.go
@@ -120,7 +120,7 @@
 // sendToLoadOnMiss is the rule where workers load what they are sent: when no load command may be sent, the
 // request goes to the worker that would have got it.
 func (r *Router) sendToLoadOnMiss(req *request) bool {
-	mustLoadOnMiss := !r.deployment.MissIsAnswered && !r.mayCommandLoad()
+	mustLoadOnMiss := !r.deployment.NoLoadOnMiss && !r.mayCommandLoad()
 	return mustLoadOnMiss && r.startAttempt(req, r.pickLoadTarget(req, 1))
 }
 
@@ -146,24 +146,22 @@
 }
 
 // OnLoadResult takes the answer to a load command: how many replicas the worker holds and how long it took.
-func (r *Router) OnLoadResult(
-	now float64, id WorkerID, function FunctionID, outcome Outcome, replicas int, duration float64,
-) {
+func (r *Router) OnLoadResult(now float64, result LoadResult) {
 	r.now = now
-	w, known := r.workersByID[id]
-	fn := r.functionsByID[function]
+	w, known := r.workersByID[result.Worker]
+	fn := r.functionsByID[result.Function]
 	if fn == nil || !known {
 		return
 	}
-	if fn.loadTime > 0 && duration > tickSeconds {
-		r.loadSlowdown += loadSlowdownWeight * (duration/fn.loadTime - r.loadSlowdown)
+	if fn.loadTime > 0 && result.Duration > tickSeconds {
+		r.loadSlowdown += loadSlowdownWeight * (result.Duration/fn.loadTime - r.loadSlowdown)
 	}
-	if replicas > 0 {
+	if result.Replicas > 0 {
 		fn.ensureReplica(w).markWarm(now)
-		if duration < tickSeconds && r.isLargeFleet() { // it was there already, so the store had no work
+		if result.Duration < tickSeconds && r.isLargeFleet() { // it was there already, so the store had no work
 			fn.loadPauseUntil = now
 		}
-	} else if outcome == Rejected || outcome == Unreachable || outcome == ConnectionLost {
+	} else if result.Outcome == Rejected || result.Outcome == Unreachable || result.Outcome == ConnectionLost {
 		w.noLoadsUntil = now + noLoadsSeconds // or a dead worker, first in order, is asked again and again
 	}
 	w.lastAnswerAt = now
--- a/control/replica_loading_test.go
+++ b/control/replica_loading_test.go
@@ -130,7 +130,7 @@
 			f.router.OnRequest(w.now, Request{ID: "e", Class: "free", Function: "f", TimeLeft: 3})
 			fn := f.router.functionsByID["f"]
 			dead := fn.pendingLoadOn
-			f.router.OnLoadResult(w.now+0.001, dead.id, "f", outcome, 0, 0.001)
+			f.router.OnLoadResult(w.now+0.001, LoadResult{Worker: dead.id, Function: "f", Outcome: outcome, Duration: 0.001})
 			if fn.pendingLoadOn == nil || fn.pendingLoadOn == dead {
 				t.Errorf("the load goes from %v to %v", dead, fn.pendingLoadOn)
 			}
--- a/control/replica_selection_test.go
+++ b/control/replica_selection_test.go
@@ -61,7 +61,7 @@
 			fn := &function{id: "f", concurrency: 1, targetReplicas: 1, loadPauseUntil: r.now + 9}
 			r.functionsByID["f"], r.lowLatency = fn, 0.5
 			r.countAnswers(fn, 100)
-			r.OnLoadResult(r.now, r.workers[0].id, "f", Succeeded, 1, 0.01)
+			r.OnLoadResult(r.now, LoadResult{Worker: r.workers[0].id, Function: "f", Outcome: Succeeded, Replicas: 1, Duration: 0.01})
 			isLarge := frontEnds > 2
 			if (fn.targetReplicas > 1) != isLarge || (fn.loadPauseUntil <= r.now) != isLarge {
 				t.Errorf("target replicas %g, pause until %g at %g", fn.targetReplicas, fn.loadPauseUntil, r.now)
--- a/control/router.go
+++ b/control/router.go
@@ -15,15 +15,18 @@
 	pollTimer
 )
 
-// OnEndpointUpdate takes all workers, or changed ones if full is not set. The first update starts the ticks.
-func (r *Router) OnEndpointUpdate(now float64, full, first bool, endpoints []Worker) {
-	r.now = now
-	if first {
-		r.host.SetTimer(tickSeconds, tickTimer)
-		if r.deployment.PollEndpoints {
-			r.host.Subscribe()
-		}
+// Start starts the periodic updates and, where the deployment polls for it, requests the endpoint list. It is called
+// once, before anything else comes in.
+func (r *Router) Start() {
+	r.host.SetTimer(tickSeconds, tickTimer)
+	if r.deployment.PollEndpoints {
+		r.host.Subscribe()
 	}
+}
+
+// OnEndpointUpdate applies an update of the endpoint list. A snapshot removes the workers that it does not list.
+func (r *Router) OnEndpointUpdate(now float64, scope UpdateScope, endpoints []Worker) {
+	r.now = now
 	listed := make([]bool, len(r.workers))
 	for _, endpoint := range endpoints {
 		w, known := r.workersByID[endpoint.ID]
@@ -37,8 +40,8 @@
 		r.updateWorker(w, endpoint, !known)
 	}
 	for i, w := range r.workers {
-		if full && !listed[i] {
-			w.state = Gone
+		if scope == Snapshot && !listed[i] {
+			w.state = Removed
 		}
 	}
 	r.endpointRulesDue = true
@@ -145,7 +148,7 @@
 		req.firstRunAt = req.sentAt
 		req.firstRunOn = w
 	}
-	r.continueRequest(req, result.Answered)
+	r.continueRequest(req, result.Completed)
 	r.applyRules()
 }
 
--- a/control/rules_test.go
+++ b/control/rules_test.go
@@ -55,7 +55,7 @@
 	case 4:
 		m.State = Draining
 	case 5:
-		m.State = Gone
+		m.State = Removed
 	default:
 		m.State, m.condition = Serving, well
 		m.restart(now)
--- a/control/slow_start.go
+++ b/control/slow_start.go
@@ -16,7 +16,7 @@
 	if w.startedAt <= 0 || age >= r.deployment.WarmUpTime {
 		return 1
 	}
-	return r.deployment.ColdShare + (1-r.deployment.ColdShare)*max(age, 0)/r.deployment.WarmUpTime
+	return r.deployment.InitialCapacityFraction + (1-r.deployment.InitialCapacityFraction)*max(age, 0)/r.deployment.WarmUpTime
 }
 
 // slowStartBudget is how many attempts this front end may start on a worker within an overload window. Its
--- a/control/types.go
+++ b/control/types.go
@@ -62,24 +62,24 @@
 
 // Deployment is what the router is told at its start.
 type Deployment struct {
-	FrontEnds              int
-	RequestClasses         []RequestClass
-	Tenants                []Tenant
-	PollEndpoints          bool // the endpoint list must be asked for
-	MissIsAnswered         bool // a worker without the function answers a miss instead of loading it
-	LoadCommandsAllowed    bool
-	GossipAllowed          bool // front ends may send each other messages
-	MaxAttempts            int
-	MaxRetryAfter          float64 // longest wait that a rejected client keeps; 0 where it is told none
-	IdleReplicaLifetime    float64 // shortest time that an idle replica stays
-	LoadCommandWindow      float64 // span of the load command ration; 0 where there is none
-	LoadCommandAllowance   float64 // load commands in a window
-	LoadCommandsPerRequest float64 // further load commands in a window for each request in it
-	MinRoundInterval       float64 // least time between two rounds of input
-	ColdShare              float64 // fraction of its capacity that a worker has at its start
-	WarmUpTime             float64 // time after its start in which a worker reaches all of it
-	OverloadFactor         float64 // multiple of its capacity that a worker in its warm-up bears
-	OverloadWindow         float64 // span over which that holds
+	FrontEnds               int
+	RequestClasses          []RequestClass
+	Tenants                 []Tenant
+	PollEndpoints           bool // the endpoint list must be asked for
+	NoLoadOnMiss            bool // a worker without the function answers a miss instead of loading it
+	LoadCommandsAllowed     bool
+	GossipAllowed           bool // front ends may send each other messages
+	MaxAttempts             int
+	MaxRetryAfter           float64 // longest wait that a rejected client keeps; 0 where it is told none
+	IdleReplicaLifetime     float64 // shortest time that an idle replica stays
+	LoadCommandWindow       float64 // span of the load command ration; 0 where there is none
+	LoadCommandAllowance    float64 // load commands in a window
+	LoadCommandsPerRequest  float64 // further load commands in a window for each request in it
+	MinRoundInterval        float64 // least time between two rounds of input
+	InitialCapacityFraction float64 // fraction of its capacity that a worker has at its start
+	WarmUpTime              float64 // time after its start in which a worker reaches all of it
+	OverloadFactor          float64 // multiple of its capacity that a worker in its warm-up bears
+	OverloadWindow          float64 // span over which that holds
 }
 
 // EndpointState is the state of a worker in the endpoint list.
@@ -89,7 +89,7 @@
 const (
 	Serving EndpointState = iota
 	Draining
-	Gone
+	Removed
 )
 
 // Worker is an entry of the endpoint list.
@@ -103,6 +103,15 @@
 	StartedAt     float64 // start of the process, 0 where that was long ago
 }
 
+// UpdateScope is what an update of the endpoint list covers.
+type UpdateScope int
+
+// The update scopes.
+const (
+	Snapshot UpdateScope = iota // every worker
+	Delta                       // the workers that changed
+)
+
 // Request is a request as it comes in.
 type Request struct {
 	ID           RequestID
@@ -153,14 +162,23 @@
 
 // AttemptResult is the end of an attempt.
 type AttemptResult struct {
-	Request  RequestID
+	Request   RequestID
+	Worker    WorkerID
+	Attempt   int
+	Outcome   Outcome
+	Completed bool // the request has its final answer
+	Latency   float64
+	Start     StartType
+	Report    LoadReport
+}
+
+// LoadResult is the end of a load command.
+type LoadResult struct {
 	Worker   WorkerID
-	Attempt  int
+	Function FunctionID
 	Outcome  Outcome
-	Answered bool // the request has its final answer
-	Latency  float64
-	Start    StartType
-	Report   LoadReport
+	Replicas int // loaded on the worker now
+	Duration float64
 }
 
 // Host carries out what the router decides. Times are spans from now.
--- a/control/view.go
+++ b/control/view.go
@@ -32,7 +32,7 @@
 func (r *Router) Workers() []WorkerView {
 	var views []WorkerView
 	for _, w := range r.workers {
-		if w.state != Gone {
+		if w.state != Removed {
 			views = append(views, r.workerView(w))
 		}
 	}
@@ -97,7 +97,7 @@
 	}
 	for i := range fn.replicas {
 		rep := &fn.replicas[i]
-		if r.isWarm(rep) && rep.worker.state != Gone {
+		if r.isWarm(rep) && rep.worker.state != Removed {
 			view.Replicas = append(view.Replicas, rep.worker.id)
 			view.ReplicaAges = append(view.ReplicaAges, max(r.now-rep.lastSeenAt, 0))
 		}
--- a/control/world_test.go
+++ b/control/world_test.go
@@ -182,7 +182,7 @@
 	now := f.world.now
 	f.router.OnAttemptResult(now, AttemptResult{
 		Request: req.ID, Worker: a.machine.ID, Attempt: number,
-		Outcome: outcome, Answered: req.answers > 0, Latency: now - a.startedAt,
+		Outcome: outcome, Completed: req.answers > 0, Latency: now - a.startedAt,
 	})
 }
 
@@ -208,7 +208,7 @@
 // coldCapacity is how many attempts in a window a worker of an age bears.
 func (w *world) coldCapacity(m *machine, age float64) float64 {
 	d := w.deployment
-	share := d.ColdShare + (1-d.ColdShare)*age/d.WarmUpTime
+	share := d.InitialCapacityFraction + (1-d.InitialCapacityFraction)*age/d.WarmUpTime
 	return d.OverloadFactor * share * d.OverloadWindow * m.rate
 }
 
@@ -223,10 +223,10 @@
 	case cutOff:
 		return Unreachable, 0.05
 	}
-	if m.State == Gone {
+	if m.State == Removed {
 		return ConnectionLost, 0.05
 	}
-	if w.deployment.MissIsAnswered && !m.replicas[fn] {
+	if w.deployment.NoLoadOnMiss && !m.replicas[fn] {
 		return ReplicaMissing, 0.01
 	}
 	m.replicas[fn] = true
@@ -275,9 +275,9 @@
 	}
 	w.after(0.3, func() {
 		if m.replicas[fn] = m.condition == well; m.replicas[fn] {
-			f.router.OnLoadResult(w.now, worker, fn, Succeeded, 1, 0.3)
+			f.router.OnLoadResult(w.now, LoadResult{Worker: worker, Function: fn, Outcome: Succeeded, Replicas: 1, Duration: 0.3})
 		} else {
-			f.router.OnLoadResult(w.now, worker, fn, Rejected, 0, 0.3)
+			f.router.OnLoadResult(w.now, LoadResult{Worker: worker, Function: fn, Outcome: Rejected, Duration: 0.3})
 		}
 	})
 }
@@ -305,11 +305,14 @@
 	var endpoints []Worker
 	for _, m := range f.world.machines {
 		m.announcedState[f.number], m.announcedStart[f.number] = m.State, m.StartedAt
-		if m.State != Gone {
+		if m.State != Removed {
 			endpoints = append(endpoints, m.Worker)
 		}
 	}
-	f.router.OnEndpointUpdate(f.world.now, true, first, endpoints)
+	if first {
+		f.router.Start()
+	}
+	f.router.OnEndpointUpdate(f.world.now, Snapshot, endpoints)
 }
 
 // send gives the router a request of a client.
@@ -381,25 +384,25 @@
 // plainDeployment has one front end, which may load; requests of its only class may run twice.
 func plainDeployment() *Deployment {
 	return &Deployment{
-		FrontEnds:           1,
-		MissIsAnswered:      true,
-		LoadCommandsAllowed: true,
-		MaxAttempts:         4,
-		MaxRetryAfter:       0.5,
-		IdleReplicaLifetime: 8,
-		MinRoundInterval:    0.004,
-		ColdShare:           0.2,
-		WarmUpTime:          15,
-		OverloadFactor:      2.5,
-		OverloadWindow:      1.5,
-		RequestClasses:      []RequestClass{{Name: "free", LatencyObjective: 1, Timeout: 3}},
+		FrontEnds:               1,
+		NoLoadOnMiss:            true,
+		LoadCommandsAllowed:     true,
+		MaxAttempts:             4,
+		MaxRetryAfter:           0.5,
+		IdleReplicaLifetime:     8,
+		MinRoundInterval:        0.004,
+		InitialCapacityFraction: 0.2,
+		WarmUpTime:              15,
+		OverloadFactor:          2.5,
+		OverloadWindow:          1.5,
+		RequestClasses:          []RequestClass{{Name: "free", LatencyObjective: 1, Timeout: 3}},
 	}
 }
 
 func randomDeployment(rnd *rand.Rand) *Deployment {
 	d := plainDeployment()
 	d.FrontEnds = 1 + rnd.Intn(5)
-	d.MissIsAnswered, d.LoadCommandsAllowed = rnd.Intn(2) == 0, rnd.Intn(4) > 0
+	d.NoLoadOnMiss, d.LoadCommandsAllowed = rnd.Intn(2) == 0, rnd.Intn(4) > 0
 	d.GossipAllowed = rnd.Intn(2) == 0
 	d.MaxAttempts = 1 + rnd.Intn(6)
 	d.MaxRetryAfter = float64(rnd.Intn(2))
--- a/internal/appliance/background_tasks.go
+++ b/internal/appliance/background_tasks.go
@@ -28,18 +28,18 @@
 	}
 	if a.config.Schedules != nil {
 		tasks = append(tasks,
-			BackgroundTask{Name: taskPreload, Interval: 1, Priority: 4, SliceDuration: 0.05, MaxTimeShare: 0.05},
-			BackgroundTask{Name: taskCrontab, Interval: 2, Priority: 1, SliceDuration: 0.1, MaxTimeShare: 0.02, MaxDelay: 60})
+			BackgroundTask{Name: taskPreload, Interval: 1, Priority: 4, SliceDuration: 0.05, MaxTimeFraction: 0.05},
+			BackgroundTask{Name: taskCrontab, Interval: 2, Priority: 1, SliceDuration: 0.1, MaxTimeFraction: 0.02, MaxDelay: 60})
 	}
 	if a.config.Registry != nil {
 		tasks = append(tasks,
-			BackgroundTask{Name: taskKeys, Interval: 2, Priority: 2, SliceDuration: 0.1, MaxTimeShare: 0.02, MaxDelay: 10})
+			BackgroundTask{Name: taskKeys, Interval: 2, Priority: 2, SliceDuration: 0.1, MaxTimeFraction: 0.02, MaxDelay: 10})
 	}
 	if a.store != nil {
 		tasks = append(tasks,
 			BackgroundTask{Name: taskTick, Interval: 1, Priority: 3, SliceDuration: 0.05, Urgent: true},
-			BackgroundTask{Name: taskExpiry, Interval: 5, Priority: 2, SliceDuration: 0.02, MaxTimeShare: 0.05, MaxDelay: 30},
-			BackgroundTask{Name: taskCompaction, Interval: 600, Priority: 1, SliceDuration: 1, MaxTimeShare: 0.05, MaxDelay: 1800})
+			BackgroundTask{Name: taskExpiry, Interval: 5, Priority: 2, SliceDuration: 0.02, MaxTimeFraction: 0.05, MaxDelay: 30},
+			BackgroundTask{Name: taskCompaction, Interval: 600, Priority: 1, SliceDuration: 1, MaxTimeFraction: 0.05, MaxDelay: 1800})
 	}
 	return tasks
 }
--- a/internal/appliance/crash_process_test.go
+++ b/internal/appliance/crash_process_test.go
@@ -121,7 +121,7 @@
 	for _, response := range p.dispatcher.Recover(p.now(), recovered.Records) {
 		w.lost[response.Identity] = true
 	}
-	p.dispatcher.OnEndpointUpdate(p.now(), true, []control.Worker{{ID: "wk-a", Weight: 1}, {ID: "wk-b", Weight: 1}})
+	p.dispatcher.OnEndpointUpdate(p.now(), control.Snapshot, []control.Worker{{ID: "wk-a", Weight: 1}, {ID: "wk-b", Weight: 1}})
 	p.plan = schedule.Resume(entries, recovered.LastFirings, from)
 	for _, scheduled := range recovered.ScheduledRequests {
 		p.scheduled[scheduled.Request.Identity] = true
@@ -132,8 +132,8 @@
 
 func crashSettings() dispatch.Settings {
 	deployment := &control.Deployment{
-		FrontEnds: 1, MissIsAnswered: true, LoadCommandsAllowed: true, MaxAttempts: 4,
-		MaxRetryAfter: 0.5, IdleReplicaLifetime: 8, MinRoundInterval: 0.004, ColdShare: 0.3, WarmUpTime: 10,
+		FrontEnds: 1, NoLoadOnMiss: true, LoadCommandsAllowed: true, MaxAttempts: 4,
+		MaxRetryAfter: 0.5, IdleReplicaLifetime: 8, MinRoundInterval: 0.004, InitialCapacityFraction: 0.3, WarmUpTime: 10,
 		OverloadFactor: 2.5, OverloadWindow: 1.5, RequestClasses: []control.RequestClass{
 			{Name: "again", LatencyObjective: 2, Timeout: 4},
 			{Name: "keyed", LatencyObjective: 2, Timeout: 4, Semantics: control.IdempotentByKey, DeduplicationWindow: 300},
--- a/internal/appliance/function_registry.go
+++ b/internal/appliance/function_registry.go
@@ -119,7 +119,7 @@
 		if err != nil {
 			return "", err
 		}
-		entry.Move, entry.Reason = &move, reasonRollback
+		entry.AliasUpdate, entry.Reason = &move, reasonRollback
 	}
 	if entry.Publish != nil {
 		if err := g.verifySignatures(entry.Publish, change.Signatures); err != nil {
@@ -147,10 +147,10 @@
 	switch {
 	case entry.Publish != nil:
 		return fmt.Sprintf("published %s:%s as %s", entry.Publish.Function, entry.Publish.Name, entry.Publish.Digest)
-	case entry.Move != nil && entry.Move.Digest == "":
-		return fmt.Sprintf("alias %s:%s is gone", entry.Move.Function, entry.Move.Alias)
-	case entry.Move != nil:
-		return fmt.Sprintf("alias %s:%s names %s", entry.Move.Function, entry.Move.Alias, entry.Move.Digest)
+	case entry.AliasUpdate != nil && entry.AliasUpdate.Digest == "":
+		return fmt.Sprintf("alias %s:%s is gone", entry.AliasUpdate.Function, entry.AliasUpdate.Alias)
+	case entry.AliasUpdate != nil:
+		return fmt.Sprintf("alias %s:%s names %s", entry.AliasUpdate.Function, entry.AliasUpdate.Alias, entry.AliasUpdate.Digest)
 	case entry.Rollout != nil:
 		return fmt.Sprintf("alias %s:%s goes over to %s", entry.Rollout.Function, entry.Rollout.Alias, entry.Rollout.To)
 	}
--- a/internal/appliance/releases.go
+++ b/internal/appliance/releases.go
@@ -101,10 +101,10 @@
 }
 
 // moveReleased moves an alias of the release. A version that was withdrawn meanwhile does not stop the others.
-func (g *functionRegistry) moveReleased(move *registry.Move, log *slog.Logger) {
+func (g *functionRegistry) moveReleased(move *registry.AliasUpdate, log *slog.Logger) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	entry := registry.Entry{At: unixSeconds(time.Now()), Actor: g.releasedBy, Move: move, Reason: reasonRelease}
+	entry := registry.Entry{At: unixSeconds(time.Now()), Actor: g.releasedBy, AliasUpdate: move, Reason: reasonRelease}
 	if err := g.applyEntry(entry); err != nil {
 		log.Error("release: an alias does not move", "function", move.Function, "error", err)
 	}
@@ -118,12 +118,12 @@
 		if err := g.applyEntry(entry); err != nil {
 			return err
 		}
-		if move := entry.Move; move != nil {
+		if move := entry.AliasUpdate; move != nil {
 			log.Info("rollout ended", "function", move.Function, "alias", move.Alias, "digest", move.Digest, "reason", entry.Reason)
 			continue
 		}
 		rollout := entry.Rollout
-		log.Info("rollout goes on", "function", rollout.Function, "alias", rollout.Alias, "share", rollout.Share, "reason", entry.Reason)
+		log.Info("rollout goes on", "function", rollout.Function, "alias", rollout.Alias, "share", rollout.CanaryFraction, "reason", entry.Reason)
 	}
 	return nil
 }
--- a/internal/appliance/startup.go
+++ b/internal/appliance/startup.go
@@ -90,7 +90,7 @@
 		if err != nil {
 			return err
 		}
-		settings.Spans, settings.SamplingRatio = file, traces.Share
+		settings.Spans, settings.SamplingRatio = file, traces.SamplingRatio
 		a.closers = append(a.closers, func() error { return errors.Join(a.recorder.Close(), file.Close()) })
 	}
 	var err error
--- a/internal/appliance/statistics.go
+++ b/internal/appliance/statistics.go
@@ -98,13 +98,13 @@
 		values["answers_kept_bytes"] += float64(counts.CachedBytes)
 		values["client_connections"] += float64(clients)
 		values["worker_connections"] += float64(workers)
-		for _, count := range counts.SendsRefused {
+		for _, count := range counts.SendsDenied {
 			values["sends_refused"] += float64(count)
 		}
-		loopFaults := server.Faults()
+		loopFaults := server.RecoveredErrors()
 		values["accept_failures"] += float64(loopFaults.AcceptFailures)
 		values["dial_retries"] += float64(loopFaults.DialRetries)
-		values["slow_turns"] += float64(loopFaults.SlowTurns)
+		values["slow_turns"] += float64(loopFaults.SlowIterations)
 	}
 	if a.store != nil {
 		values["state_bytes"] = float64(a.store.Size())
--- a/internal/appliance/task_scheduler.go
+++ b/internal/appliance/task_scheduler.go
@@ -5,13 +5,13 @@
 // BackgroundTask is a kind of work that runs beside the requests. It runs in rounds, and each round in slices within a
 // budget, between which requests have precedence.
 type BackgroundTask struct {
-	Name          string
-	Interval      float64 // seconds from the end of a round to the next; 0: a round runs only on request
-	Priority      int     // a higher one runs first
-	SliceDuration float64 // seconds that one slice may take
-	MaxTimeShare  float64 // share of the time that it may use over timeShareWindow; 0: any
-	MaxDelay      float64 // seconds of waiting after which a slice runs also under load; 0: it waits
-	Urgent        bool    // it runs also under load
+	Name            string
+	Interval        float64 // seconds from the end of a round to the next; 0: a round runs only on request
+	Priority        int     // a higher one runs first
+	SliceDuration   float64 // seconds that one slice may take
+	MaxTimeFraction float64 // share of the time that it may use over timeShareWindow; 0: any
+	MaxDelay        float64 // seconds of waiting after which a slice runs also under load; 0: it waits
+	Urgent          bool    // it runs also under load
 }
 
 const (
@@ -132,7 +132,7 @@
 }
 
 func (t *scheduledTask) exceedsTimeShare() bool {
-	return t.MaxTimeShare > 0 && t.recentTime > t.MaxTimeShare*timeShareWindow
+	return t.MaxTimeFraction > 0 && t.recentTime > t.MaxTimeFraction*timeShareWindow
 }
 
 // decay brings recentTime up to date.
--- a/internal/appliance/task_scheduler_test.go
+++ b/internal/appliance/task_scheduler_test.go
@@ -9,7 +9,7 @@
 
 func TestTasksByPriorityTimeShareAndDelay(t *testing.T) {
 	s := NewTaskScheduler(0, BackgroundTask{Name: "low", Interval: 1, Priority: 1, SliceDuration: 0.1, MaxDelay: 20},
-		BackgroundTask{Name: "high", Interval: 1, Priority: 2, SliceDuration: 0.1, MaxTimeShare: 0.01, MaxDelay: 60},
+		BackgroundTask{Name: "high", Interval: 1, Priority: 2, SliceDuration: 0.1, MaxTimeFraction: 0.01, MaxDelay: 60},
 		BackgroundTask{Name: "urgent", Priority: 0, SliceDuration: 0.1, Urgent: true})
 	if name, _ := s.Next(0.5, 0); name != "" {
 		t.Fatal("early", name)
@@ -55,7 +55,7 @@
 		for i := range 4 {
 			list = append(list, BackgroundTask{
 				Name: strconv.Itoa(i), Interval: 1 + 5*rng.Float64(), Priority: rng.IntN(3), SliceDuration: 0.1,
-				MaxTimeShare: 0.05 * rng.Float64(), MaxDelay: 5 + 20*rng.Float64(),
+				MaxTimeFraction: 0.05 * rng.Float64(), MaxDelay: 5 + 20*rng.Float64(),
 			})
 		}
 		s := NewTaskScheduler(0, list...)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -90,15 +90,15 @@
 
 // Rules tune the routing decisions.
 type Rules struct {
-	MaxAttempts            int     `json:"launches"`
-	MaxRetryAfter          float64 `json:"max_pause_s"`
-	ColdShare              float64 `json:"cold_share"`
-	WarmUpTime             float64 `json:"warm_within_s"`
-	OverloadFactor         float64 `json:"fall_multiple"`
-	OverloadWindow         float64 `json:"fall_window_s"`
-	LoadCommandWindow      float64 `json:"load_window_s"`
-	LoadCommandAllowance   float64 `json:"load_free"`
-	LoadCommandsPerRequest float64 `json:"load_share"`
+	MaxAttempts             int     `json:"launches"`
+	MaxRetryAfter           float64 `json:"max_pause_s"`
+	InitialCapacityFraction float64 `json:"cold_share"`
+	WarmUpTime              float64 `json:"warm_within_s"`
+	OverloadFactor          float64 `json:"fall_multiple"`
+	OverloadWindow          float64 `json:"fall_window_s"`
+	LoadCommandWindow       float64 `json:"load_window_s"`
+	LoadCommandAllowance    float64 `json:"load_free"`
+	LoadCommandsPerRequest  float64 `json:"load_share"`
 }
 
 // Limits bound what clients may use.
@@ -151,8 +151,8 @@
 
 // Traces says where traces go and which share of them.
 type Traces struct {
-	File  string  `json:"file"`
-	Share float64 `json:"share"`
+	File          string  `json:"file"`
+	SamplingRatio float64 `json:"share"`
 }
 
 // Document returns the text that the configuration was read from.
@@ -223,12 +223,12 @@
 		DrainTime: 5,
 		Workers:   Workers{DialTimeout: 0.25, IdleTimeout: 30, MaxConnections: 1024, LoadCommands: true, LoadTimeout: 10, IdleReplicaLifetime: 8},
 		Rules: Rules{
-			MaxAttempts:    4,
-			MaxRetryAfter:  0.5,
-			ColdShare:      0.25,
-			WarmUpTime:     16,
-			OverloadFactor: 2.5,
-			OverloadWindow: 1.5,
+			MaxAttempts:             4,
+			MaxRetryAfter:           0.5,
+			InitialCapacityFraction: 0.25,
+			WarmUpTime:              16,
+			OverloadFactor:          2.5,
+			OverloadWindow:          1.5,
 		},
 		Limits: Limits{
 			MaxHeadBytes:        16 << 10,
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -45,7 +45,7 @@
 	c := Default()
 	d := c.Deployment()
 	if len(d.RequestClasses) != 3 || d.RequestClasses[1].Semantics != control.IdempotentByKey || d.RequestClasses[2].Semantics != control.AtMostOnce ||
-		d.FrontEnds != 1 || !d.MissIsAnswered || !d.LoadCommandsAllowed || c.Function("x").Concurrency != 1 || c.Downstream().ClassTimeout("shop-event") != 4 {
+		d.FrontEnds != 1 || !d.NoLoadOnMiss || !d.LoadCommandsAllowed || c.Function("x").Concurrency != 1 || c.Downstream().ClassTimeout("shop-event") != 4 {
 		t.Errorf("%+v", d)
 	}
 	c, err := Parse([]byte(`{"event_types":[{"name":"a","target_time_s":1,"max_age_s":2}],"workers":{"file":"w.json"},
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -52,20 +52,20 @@
 // Deployment returns the settings of the routing decisions.
 func (c *Config) Deployment() *control.Deployment {
 	d := &control.Deployment{
-		FrontEnds:              len(c.Listen),
-		MissIsAnswered:         !c.Workers.LoadsOnRequest,
-		LoadCommandsAllowed:    c.Workers.LoadCommands,
-		MaxAttempts:            c.Rules.MaxAttempts,
-		MaxRetryAfter:          c.Rules.MaxRetryAfter,
-		IdleReplicaLifetime:    c.Workers.IdleReplicaLifetime,
-		LoadCommandWindow:      c.Rules.LoadCommandWindow,
-		LoadCommandAllowance:   c.Rules.LoadCommandAllowance,
-		LoadCommandsPerRequest: c.Rules.LoadCommandsPerRequest,
-		MinRoundInterval:       minRoundInterval,
-		ColdShare:              c.Rules.ColdShare,
-		WarmUpTime:             c.Rules.WarmUpTime,
-		OverloadFactor:         c.Rules.OverloadFactor,
-		OverloadWindow:         c.Rules.OverloadWindow,
+		FrontEnds:               len(c.Listen),
+		NoLoadOnMiss:            !c.Workers.LoadsOnRequest,
+		LoadCommandsAllowed:     c.Workers.LoadCommands,
+		MaxAttempts:             c.Rules.MaxAttempts,
+		MaxRetryAfter:           c.Rules.MaxRetryAfter,
+		IdleReplicaLifetime:     c.Workers.IdleReplicaLifetime,
+		LoadCommandWindow:       c.Rules.LoadCommandWindow,
+		LoadCommandAllowance:    c.Rules.LoadCommandAllowance,
+		LoadCommandsPerRequest:  c.Rules.LoadCommandsPerRequest,
+		MinRoundInterval:        minRoundInterval,
+		InitialCapacityFraction: c.Rules.InitialCapacityFraction,
+		WarmUpTime:              c.Rules.WarmUpTime,
+		OverloadFactor:          c.Rules.OverloadFactor,
+		OverloadWindow:          c.Rules.OverloadWindow,
 	}
 	if c.Peers != nil {
 		d.FrontEnds, d.GossipAllowed = c.Peers.FrontEnds, true
--- a/internal/console/client.go
+++ b/internal/console/client.go
@@ -54,14 +54,14 @@
 // Unwrap returns the error of the connection.
 func (e *UnreachableError) Unwrap() error { return e.Err }
 
-// RefusedError is an error of the appliance itself.
-type RefusedError struct {
+// RejectedError is an error of the appliance itself.
+type RejectedError struct {
 	Status  int
 	Message string
 }
 
 // Error implements error.
-func (e *RefusedError) Error() string { return e.Message }
+func (e *RejectedError) Error() string { return e.Message }
 
 // call sends a request and decodes the response.
 func (c *Client) call(method, path string, body []byte, into any) error {
@@ -90,7 +90,7 @@
 	if json.Unmarshal(body, &document) != nil || document.Error == "" {
 		document.Error = response.Status
 	}
-	return &RefusedError{response.StatusCode, document.Error}
+	return &RejectedError{response.StatusCode, document.Error}
 }
 
 // Get reads a resource: status, workers, handlers, events, timers, registry or trail.
--- a/internal/console/tables.go
+++ b/internal/console/tables.go
@@ -103,7 +103,7 @@
 	}
 	steps := [][]string{}
 	for _, step := range r.Steps {
-		steps = append(steps, []string{"  " + formatSeconds(step.At), step.What, step.Worker, step.Detail})
+		steps = append(steps, []string{"  " + formatSeconds(step.At), step.Event, step.Worker, step.Detail})
 	}
 	return Table(rows) + "\n\n" + Table(steps)
 }
@@ -138,7 +138,7 @@
 	}
 	for _, rollout := range function.Rollouts {
 		if rollout.To == version.Digest {
-			names = append(names, fmt.Sprintf("%s for %.0f%%", rollout.Alias, rollout.Share*100))
+			names = append(names, fmt.Sprintf("%s for %.0f%%", rollout.Alias, rollout.CanaryFraction*100))
 		}
 	}
 	sort.Strings(names)
@@ -163,10 +163,10 @@
 	switch {
 	case e.Publish != nil:
 		return fmt.Sprintf("publish %s:%s %s", e.Publish.Function, e.Publish.Name, e.Publish.Digest)
-	case e.Move != nil:
-		return fmt.Sprintf("alias %s:%s to %s", e.Move.Function, e.Move.Alias, e.Move.Digest)
+	case e.AliasUpdate != nil:
+		return fmt.Sprintf("alias %s:%s to %s", e.AliasUpdate.Function, e.AliasUpdate.Alias, e.AliasUpdate.Digest)
 	case e.Rollout != nil:
-		return fmt.Sprintf("rollout %s:%s to %s, %.0f%%", e.Rollout.Function, e.Rollout.Alias, e.Rollout.To, e.Rollout.Share*100)
+		return fmt.Sprintf("rollout %s:%s to %s, %.0f%%", e.Rollout.Function, e.Rollout.Alias, e.Rollout.To, e.Rollout.CanaryFraction*100)
 	}
 	return "withdraw " + e.Withdraw
 }
--- a/internal/console/view_test.go
+++ b/internal/console/view_test.go
@@ -38,7 +38,7 @@
 			{ID: "1", Source: "/s", Class: "t", Function: "f", Open: true, Attempts: 1, Age: 0.5, TimeLeft: 1.5, FrontEnd: "a:1"},
 			{
 				ID: "2", Source: "/s", Class: "t", Function: "f", Tenant: "n", Outcome: "handled", Cause: "answered", Worker: "w-1", Attempts: 2,
-				Age: 70, Elapsed: 0.25, FrontEnd: "a:2", Steps: []dispatch.TraceStep{{At: 0.1, What: "launch", Worker: "w-1", Detail: "x"}},
+				Age: 70, Elapsed: 0.25, FrontEnd: "a:2", Steps: []dispatch.TraceStep{{At: 0.1, Event: "launch", Worker: "w-1", Detail: "x"}},
 			},
 		},
 		schedules: []appliance.ScheduleStatus{
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -65,10 +65,10 @@
 
 // HealthRules tell when a worker warms up and when it counts as overloaded.
 type HealthRules struct {
-	ColdShare        float64 `json:"ColdFrom"`
-	OverloadWindowMs float64 `json:"FallMs"`
-	OverloadFactor   float64 `json:"FallMultiple"`
-	WarmUpTimeMs     float64 `json:"WarmWithinMs"`
+	InitialCapacityFraction float64 `json:"ColdFrom"`
+	OverloadWindowMs        float64 `json:"FallMs"`
+	OverloadFactor          float64 `json:"FallMultiple"`
+	WarmUpTimeMs            float64 `json:"WarmWithinMs"`
 }
 
 // Words of the document that are compared here.
@@ -119,21 +119,21 @@
 // Deployment is what routing reads of the terms.
 func (t *Terms) Deployment() *control.Deployment {
 	d := &control.Deployment{
-		FrontEnds:              max(t.FrontEnds, 1),
-		PollEndpoints:          t.Discovery == discoverySubscribe,
-		MissIsAnswered:         t.Loading.WhenAbsent == absentMiss,
-		LoadCommandsAllowed:    t.Loading.LoadCommandsAllowed,
-		GossipAllowed:          t.Limits.GossipAllowed,
-		MaxAttempts:            max(t.Limits.MaxAttempts, 1),
-		IdleReplicaLifetime:    seconds(t.Loading.IdleReplicaLifetimeMs),
-		LoadCommandWindow:      seconds(t.Loading.LoadCommandWindowMs),
-		LoadCommandAllowance:   t.Loading.LoadCommandAllowance,
-		LoadCommandsPerRequest: t.Loading.LoadCommandsPerRequest,
-		MinRoundInterval:       seconds(t.RoundMs),
-		ColdShare:              t.HealthRules.ColdShare,
-		WarmUpTime:             seconds(t.HealthRules.WarmUpTimeMs),
-		OverloadFactor:         t.HealthRules.OverloadFactor,
-		OverloadWindow:         seconds(t.HealthRules.OverloadWindowMs),
+		FrontEnds:               max(t.FrontEnds, 1),
+		PollEndpoints:           t.Discovery == discoverySubscribe,
+		NoLoadOnMiss:            t.Loading.WhenAbsent == absentMiss,
+		LoadCommandsAllowed:     t.Loading.LoadCommandsAllowed,
+		GossipAllowed:           t.Limits.GossipAllowed,
+		MaxAttempts:             max(t.Limits.MaxAttempts, 1),
+		IdleReplicaLifetime:     seconds(t.Loading.IdleReplicaLifetimeMs),
+		LoadCommandWindow:       seconds(t.Loading.LoadCommandWindowMs),
+		LoadCommandAllowance:    t.Loading.LoadCommandAllowance,
+		LoadCommandsPerRequest:  t.Loading.LoadCommandsPerRequest,
+		MinRoundInterval:        seconds(t.RoundMs),
+		InitialCapacityFraction: t.HealthRules.InitialCapacityFraction,
+		WarmUpTime:              seconds(t.HealthRules.WarmUpTimeMs),
+		OverloadFactor:          t.HealthRules.OverloadFactor,
+		OverloadWindow:          seconds(t.HealthRules.OverloadWindowMs),
 	}
 	if t.Limits.RetryAfterAllowed {
 		d.MaxRetryAfter = seconds(t.Limits.MaxRetryAfterMs)
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -68,17 +68,17 @@
 	d.addStep(req, outcomeSteps[reply.Outcome], string(attempt.worker), startDetails[reply.Start])
 	released := req.released
 	result := control.AttemptResult{
-		Request:  req.id,
-		Worker:   attempt.worker,
-		Attempt:  attempt.number,
-		Outcome:  reply.Outcome,
-		Answered: reply.Outcome == control.Succeeded && !released,
-		Latency:  d.now - attempt.sentAt,
-		Start:    reply.Start,
-		Report:   reply.Report,
+		Request:   req.id,
+		Worker:    attempt.worker,
+		Attempt:   attempt.number,
+		Outcome:   reply.Outcome,
+		Completed: reply.Outcome == control.Succeeded && !released,
+		Latency:   d.now - attempt.sentAt,
+		Start:     reply.Start,
+		Report:    reply.Report,
 	}
 	if reply.Outcome == control.Succeeded {
-		response := d.newResponse(req, Succeeded, CauseAnswered)
+		response := d.newResponse(req, Succeeded, CauseResponded)
 		response.Fields, response.Body = reply.Fields, reply.Body
 		d.complete(req, response)
 		d.router.OnAttemptResult(d.now, result)
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -55,7 +55,7 @@
 	Open, InFlight, Cached, CachedBytes, Timers int // at this moment
 	PendingLoads                                int // at this moment
 
-	SendsRefused [sendRefusals]uint64 // attempts that were not written any more, by SendRefusal
+	SendsDenied [sendDenialCount]uint64 // attempts that were not written any more, by SendRefusal
 }
 
 // New returns a Dispatcher whose clock reads now, in seconds of a clock that never goes back.
@@ -78,7 +78,8 @@
 	}
 	d.cache = newResponseCache(d.classes, settings.MaxCachedBytes)
 	d.router = control.New(settings.Deployment, settings.Seed, routingHost{d}, now)
-	d.router.OnEndpointUpdate(now, true, true, nil)
+	d.router.Start()
+	d.router.OnEndpointUpdate(now, control.Snapshot, nil)
 	return d
 }
 
@@ -114,10 +115,10 @@
 	return d.lastID
 }
 
-// OnEndpointUpdate takes the list of workers or, where full is false, what changed in it.
-func (d *Dispatcher) OnEndpointUpdate(now float64, full bool, workers []control.Worker) {
+// OnEndpointUpdate applies an update of the endpoint list.
+func (d *Dispatcher) OnEndpointUpdate(now float64, scope control.UpdateScope, workers []control.Worker) {
 	d.advance(now)
-	d.router.OnEndpointUpdate(d.now, full, false, workers)
+	d.router.OnEndpointUpdate(d.now, scope, workers)
 }
 
 // OnGossip takes a message of another front end.
@@ -138,7 +139,7 @@
 	if request.Timeout == 0 || request.Timeout > class.Timeout {
 		request.Timeout = class.Timeout
 	}
-	deadline := d.now + max(request.Timeout-request.Age-d.settings.ResponseMargin, 0)
+	deadline := d.now + max(request.Timeout-request.QueueTime-d.settings.ResponseMargin, 0)
 	if req := d.openByIdentity[request.Identity]; req != nil {
 		if request.RejectDuplicates {
 			d.refuse(to, request, Rejected, CauseDuplicate)
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -17,7 +17,7 @@
 	h.advanceTo(h.now + 5)
 	h.submit(4, classAtMostOnce, "minute", 0)
 	for id := WaiterID(1); id <= 4; id++ {
-		h.wantResponse(id, Succeeded, CauseAnswered)
+		h.wantResponse(id, Succeeded, CauseResponded)
 		if got := h.response(id); string(got.Body) != "done" || got.Replayed != (id > 1) {
 			t.Fatalf("waiter %d got body %q, replayed %v", id, got.Body, got.Replayed)
 		}
@@ -93,7 +93,7 @@
 	if len(h.responses[1]) != 0 {
 		t.Fatal("a client that left got a response")
 	}
-	h.wantResponse(2, Succeeded, CauseAnswered)
+	h.wantResponse(2, Succeeded, CauseResponded)
 	if len(h.attempts) != 1 {
 		t.Fatalf("%d attempts", len(h.attempts))
 	}
@@ -144,7 +144,7 @@
 			h.advanceTo(joinedAt + 0.95)
 			h.wantResponse(2, want, CauseDeadlineExceeded)
 			h.reply(attempt.ID, control.Succeeded)
-			h.wantResponse(1, Succeeded, CauseAnswered)
+			h.wantResponse(1, Succeeded, CauseResponded)
 		})
 	}
 }
@@ -216,9 +216,9 @@
 	attempt := h.submitAndStart(classIdempotent, "e")
 	gone := testWorkers("wk-a", "wk-b", "wk-c")
 	for i := range gone {
-		gone[i].State = control.Gone
+		gone[i].State = control.Removed
 	}
-	h.dispatcher.OnEndpointUpdate(h.now, false, gone)
+	h.dispatcher.OnEndpointUpdate(h.now, control.Delta, gone)
 	h.submit(2, classIdempotent, "other", 0)
 	h.wantResponse(2, Rejected, CauseNoCapacity) // all workers gone: at once
 	h.reply(attempt.ID, control.ConnectionLost)
@@ -283,7 +283,7 @@
 	h.reply(h.attempts[0].ID, control.Succeeded) // its reply came all the same
 	h.dispatcher.Submit(h.now, 3, request)
 	h.reply(h.attempts[1].ID, control.Succeeded)
-	h.wantResponse(3, Succeeded, CauseAnswered)
+	h.wantResponse(3, Succeeded, CauseResponded)
 	h.advanceTo(h.now + 5)
 	if counts := h.dispatcher.Counts(); counts.Cached+counts.Open+counts.InFlight > 0 || len(h.dispatcher.EndedTraces()) > 0 {
 		t.Errorf("%+v, %d traces", counts, len(h.dispatcher.EndedTraces()))
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -71,17 +71,17 @@
 
 func testDeployment() *control.Deployment {
 	return &control.Deployment{
-		FrontEnds:           1,
-		MissIsAnswered:      true,
-		LoadCommandsAllowed: true,
-		MaxAttempts:         4,
-		MaxRetryAfter:       0.5,
-		IdleReplicaLifetime: 8,
-		MinRoundInterval:    0.004,
-		ColdShare:           0.3,
-		WarmUpTime:          10,
-		OverloadFactor:      2.5,
-		OverloadWindow:      1.5,
+		FrontEnds:               1,
+		NoLoadOnMiss:            true,
+		LoadCommandsAllowed:     true,
+		MaxAttempts:             4,
+		MaxRetryAfter:           0.5,
+		IdleReplicaLifetime:     8,
+		MinRoundInterval:        0.004,
+		InitialCapacityFraction: 0.3,
+		WarmUpTime:              10,
+		OverloadFactor:          2.5,
+		OverloadWindow:          1.5,
 		RequestClasses: []control.RequestClass{
 			{Name: classIdempotent, LatencyObjective: 1.5, Timeout: 4},
 			{Name: classKeyed, LatencyObjective: 1.5, Timeout: 4, Semantics: control.IdempotentByKey, DeduplicationWindow: 6},
@@ -119,7 +119,7 @@
 		change(&settings)
 	}
 	h.dispatcher = New(settings, h, startTime)
-	h.dispatcher.OnEndpointUpdate(startTime, true, testWorkers("wk-a", "wk-b", "wk-c"))
+	h.dispatcher.OnEndpointUpdate(startTime, control.Snapshot, testWorkers("wk-a", "wk-b", "wk-c"))
 	return h
 }
 
@@ -208,6 +208,6 @@
 func newDiscarding(settings Settings) (*Dispatcher, *discardEffects) {
 	effects := &discardEffects{}
 	d := New(settings, effects, startTime)
-	d.OnEndpointUpdate(startTime, true, testWorkers("wk-a", "wk-b"))
+	d.OnEndpointUpdate(startTime, control.Snapshot, testWorkers("wk-a", "wk-b"))
 	return d, effects
 }
--- a/internal/dispatch/load.go
+++ b/internal/dispatch/load.go
@@ -39,5 +39,7 @@
 	delete(d.pendingLoads, id)
 	d.addLoadStep(string(load.function), string(load.worker), stepLoadPrefix+outcomeSteps[outcome],
 		strconv.Itoa(replicas)+" copies stand")
-	d.router.OnLoadResult(d.now, load.worker, load.function, outcome, replicas, d.now-load.sentAt)
+	d.router.OnLoadResult(d.now, control.LoadResult{
+		Worker: load.worker, Function: load.function, Outcome: outcome, Replicas: replicas, Duration: d.now - load.sentAt,
+	})
 }
--- a/internal/dispatch/random_test.go
+++ b/internal/dispatch/random_test.go
@@ -116,7 +116,7 @@
 	if worker.State == control.Serving && r.rng.IntN(2) == 0 {
 		worker.StartedAt = r.now
 	}
-	r.dispatcher.OnEndpointUpdate(r.now, false, []control.Worker{worker})
+	r.dispatcher.OnEndpointUpdate(r.now, control.Delta, []control.Worker{worker})
 }
 
 // check tells what is wrong at the end of a run, when every deadline has passed.
--- a/internal/dispatch/recovery.go
+++ b/internal/dispatch/recovery.go
@@ -138,7 +138,7 @@
 	}
 	for _, req := range d.requests {
 		if req.recorded {
-			response := d.newResponse(req, Rejected, CauseAnswered)
+			response := d.newResponse(req, Rejected, CauseResponded)
 			records[req.request.Identity] = Record{Kind: RecordAttemptStarted, Response: response, MayHaveRun: true}
 		}
 	}
--- a/internal/dispatch/recovery_test.go
+++ b/internal/dispatch/recovery_test.go
@@ -63,7 +63,7 @@
 		t.Fatalf("failed %+v", failed)
 	}
 	h.submit(1, classAtMostOnce, "e", 0)
-	h.wantResponse(1, Succeeded, CauseAnswered)
+	h.wantResponse(1, Succeeded, CauseResponded)
 	if got := h.response(1); !got.Replayed || string(got.Body) != "done" {
 		t.Fatalf("%+v", got)
 	}
--- a/internal/dispatch/request_test.go
+++ b/internal/dispatch/request_test.go
@@ -36,7 +36,7 @@
 	h.wantState(stateInFlight) // admitted anew for the repeat
 	req := h.dispatcher.openByIdentity[Identity{"/t", "e"}]
 	h.reply(h.attempts[1].ID, control.Succeeded)
-	h.wantResponse(2, Succeeded, CauseAnswered)
+	h.wantResponse(2, Succeeded, CauseResponded)
 	if got := req.state(); got != stateClosed {
 		t.Fatalf("a request that succeeded is in state %d", got)
 	}
--- a/internal/dispatch/response.go
+++ b/internal/dispatch/response.go
@@ -40,7 +40,7 @@
 
 // The causes, in the words of RFC 9209 where it has one.
 const (
-	CauseAnswered          Cause = iota
+	CauseResponded         Cause = iota
 	CauseNoCapacity              // no worker could take it in time
 	CauseDeadlineExceeded        // the client's deadline passed first
 	CauseWorkerFailed            // the last worker replied with an error
@@ -61,7 +61,7 @@
 
 // causeTexts are the causes as users, records and metrics spell them.
 var causeTexts = [...]string{
-	CauseAnswered:          "answered",
+	CauseResponded:         "answered",
 	CauseNoCapacity:        "no-room",
 	CauseDeadlineExceeded:  "time-up",
 	CauseWorkerFailed:      "worker-failed",
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -52,7 +52,7 @@
 // TraceStep is one thing that happened to a request.
 type TraceStep struct {
 	At     float64 `json:"at"` // seconds since the request was admitted
-	What   string  `json:"what"`
+	Event  string  `json:"what"`
 	Worker string  `json:"worker,omitempty"`
 	Detail string  `json:"detail,omitempty"`
 }
@@ -108,7 +108,7 @@
 // addStep traces a step of an open request.
 func (d *Dispatcher) addStep(req *openRequest, what, worker, detail string) {
 	if !d.settings.TracingDisabled && len(req.steps) < maxSteps {
-		req.steps = append(req.steps, TraceStep{At: d.now - req.startedAt, What: what, Worker: worker, Detail: detail})
+		req.steps = append(req.steps, TraceStep{At: d.now - req.startedAt, Event: what, Worker: worker, Detail: detail})
 	}
 }
 
@@ -117,7 +117,7 @@
 	if d.settings.TracingDisabled {
 		return
 	}
-	step := TraceStep{What: what, Worker: worker, Detail: detail}
+	step := TraceStep{Event: what, Worker: worker, Detail: detail}
 	d.traces.loads.add(loadStep{at: d.now, function: function, step: step}, maxLoadSteps)
 }
 
--- a/internal/dispatch/types.go
+++ b/internal/dispatch/types.go
@@ -19,7 +19,7 @@
 	Tenant           string
 	Function         string
 	Timeout          float64 // seconds that the client waits from when it sent the request; 0: the timeout of the request class
-	Age              float64 // seconds for which it may have lain unread
+	QueueTime        float64 // seconds for which it may have lain unread
 	Fields           []Field // for the worker: context attributes and the content type
 	Body             []byte
 	Retried          bool            // the client marks it as a retry
--- a/internal/eventloop/counters.go
+++ b/internal/eventloop/counters.go
@@ -12,20 +12,20 @@
 	slowTurns            atomic.Uint64 // turns that took longer than slowTurn
 }
 
-// Faults are totals, since the start, of what the event loop met and recovered from by itself.
-type Faults struct {
-	AcceptFailures, AbortedConnections, RegistrationFailures, DialRetries, WriteRetries, SlowTurns uint64
+// RecoveredErrors are totals, since the start, of what the event loop met and recovered from by itself.
+type RecoveredErrors struct {
+	AcceptFailures, AbortedConnections, RegistrationFailures, DialRetries, WriteRetries, SlowIterations uint64
 }
 
-// Faults are the totals at this moment; any goroutine may ask for them.
-func (s *Server) Faults() Faults {
+// RecoveredErrors are the totals at this moment; any goroutine may ask for them.
+func (s *Server) RecoveredErrors() RecoveredErrors {
 	c := &s.counters
-	return Faults{
+	return RecoveredErrors{
 		AcceptFailures:       c.acceptFailures.Load(),
 		AbortedConnections:   c.abortedConnections.Load(),
 		RegistrationFailures: c.registrationFailures.Load(),
 		DialRetries:          c.dialRetries.Load(),
 		WriteRetries:         c.writeRetries.Load(),
-		SlowTurns:            c.slowTurns.Load(),
+		SlowIterations:       c.slowTurns.Load(),
 	}
 }
--- a/internal/eventloop/discovery_watch.go
+++ b/internal/eventloop/discovery_watch.go
@@ -45,10 +45,10 @@
 	cancelAddr context.CancelFunc // ends its dial, connection or pause
 }
 
-// Watch connects to a service and connects again whenever that ends, sends nothing for silenceTimeout, or onLine
+// StartDiscoveryWatch connects to a service and connects again whenever that ends, sends nothing for silenceTimeout, or onLine
 // returns an error. request is what a connection begins with. Both functions are called on one goroutine of the watch's
 // own, so that updates never wait behind other traffic.
-func Watch(addr string, silenceTimeout time.Duration, request func() []byte, onLine func([]byte) error, log *slog.Logger) *DiscoveryWatch {
+func StartDiscoveryWatch(addr string, silenceTimeout time.Duration, request func() []byte, onLine func([]byte) error, log *slog.Logger) *DiscoveryWatch {
 	w := &DiscoveryWatch{silenceTimeout: silenceTimeout, request: request, onLine: onLine, log: log, addr: addr, stopped: make(chan struct{})}
 	w.ctx, w.cancel = context.WithCancel(context.Background())
 	w.addrCtx, w.cancelAddr = context.WithCancel(w.ctx)
@@ -56,9 +56,9 @@
 	return w
 }
 
-// Move goes over to another address at once, also from within a dial or a pause. Nothing that the old address sends
-// is taken once Move has returned.
-func (w *DiscoveryWatch) Move(addr string) {
+// SetAddress goes over to another address at once, also from within a dial or a pause. Nothing that the old address sends
+// is taken once SetAddress has returned.
+func (w *DiscoveryWatch) SetAddress(addr string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.addr == addr {
--- a/internal/eventloop/discovery_watch_test.go
+++ b/internal/eventloop/discovery_watch_test.go
@@ -92,7 +92,7 @@
 		sendAndKeep("d\n"))
 	var taken atomic.Int32
 	lines := make(chan string, 10)
-	watch := Watch(first, 150*time.Millisecond, func() []byte { return fmt.Appendf(nil, "from %d\n", taken.Load()) }, func(line []byte) error {
+	watch := StartDiscoveryWatch(first, 150*time.Millisecond, func() []byte { return fmt.Appendf(nil, "from %d\n", taken.Load()) }, func(line []byte) error {
 		if strings.HasPrefix(string(line), "bad") {
 			return errors.New("bad line")
 		}
@@ -117,7 +117,7 @@
 			wantText(t, lines, line)
 		}
 	}
-	watch.Move(next)
+	watch.SetAddress(next)
 	wantText(t, nextRequests, "from 4\n")
 	wantText(t, lines, "e")
 }
@@ -172,7 +172,7 @@
 // startWatch watches an address for the time of the test.
 func startWatch(t *testing.T, addr string, onLine func([]byte) error) *DiscoveryWatch {
 	t.Helper()
-	watch := Watch(addr, time.Second, func() []byte { return []byte("from 0\n") }, onLine, slog.New(slog.DiscardHandler))
+	watch := StartDiscoveryWatch(addr, time.Second, func() []byte { return []byte("from 0\n") }, onLine, slog.New(slog.DiscardHandler))
 	t.Cleanup(watch.Close)
 	return watch
 }
@@ -196,7 +196,7 @@
 			next, asked := watchedService(t, "")
 			began := time.Now()
 			for _, watch := range watches {
-				watch.Move(next)
+				watch.SetAddress(next)
 			}
 			for range watches {
 				select {
@@ -228,7 +228,7 @@
 	step <- struct{}{}
 	moved := make(chan struct{})
 	go func() {
-		watch.Move(next)
+		watch.SetAddress(next)
 		close(moved)
 	}()
 	for moving := true; moving; {
--- a/internal/eventloop/faults_test.go
+++ b/internal/eventloop/faults_test.go
@@ -67,7 +67,7 @@
 	if took := time.Since(began); took < 300*time.Millisecond || script.Count() != 6 {
 		t.Errorf("accepted after %v and %d failures", took, script.Count())
 	}
-	if n := f.server.Faults().AcceptFailures; n != 6 {
+	if n := f.server.RecoveredErrors().AcceptFailures; n != 6 {
 		t.Errorf("%d failures are counted", n)
 	}
 }
--- a/internal/eventloop/fixture_test.go
+++ b/internal/eventloop/fixture_test.go
@@ -82,8 +82,8 @@
 	for i := range n {
 		worker, err := fakes.NewWorker(fakes.WorkerConfig{
 			Name: fmt.Sprintf("wk-%d", i), Cores: 4, Speed: 1, Memory: 1000, QueueLimit: 50, MaxConcurrentLoads: 4,
-			IdleReplicaLifetime: 20, ColdShare: 0.5, WarmUpTime: 1, OverloadFactor: 5, OverloadWindow: 1, MeanWork: 0.05, Functions: functions, Store: store,
-			Deduplicator: memory, KeyedClasses: map[string]bool{"keyed": true}, Recorder: f.tape, Seed: uint64(i),
+			IdleReplicaLifetime: 20, InitialCapacityFraction: 0.5, WarmUpTime: 1, OverloadFactor: 5, OverloadWindow: 1, MeanWork: 0.05, Functions: functions, Store: store,
+			Deduplicator: memory, IdempotentByKeyClasses: map[string]bool{"keyed": true}, Recorder: f.tape, Seed: uint64(i),
 		})
 		if err != nil {
 			f.t.Fatal(err)
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -106,7 +106,7 @@
 		}
 		switch syscalls.ClassOfAccept(err) {
 		case syscalls.Interrupted:
-		case syscalls.PeerGone:
+		case syscalls.PeerClosed:
 			l.server.counters.abortedConnections.Add(1)
 		case syscalls.WouldBlock:
 			l.pausedSince = time.Time{}
--- a/internal/eventloop/server.go
+++ b/internal/eventloop/server.go
@@ -38,8 +38,8 @@
 var (
 	// ErrLoopEnded is returned by functions that need the event loop once it has ended.
 	ErrLoopEnded = errors.New("event loop ended")
-	// ErrLoopHangs is returned by Stop where the event loop does not end.
-	ErrLoopHangs = errors.New("event loop does not end")
+	// ErrLoopStalled is returned by Stop where the event loop does not end.
+	ErrLoopStalled = errors.New("event loop does not end")
 )
 
 // Settings of one front end's sockets.
@@ -245,7 +245,7 @@
 	case <-s.loopEnded:
 		s.background.Wait()
 	case <-time.After(loopStopTimeout): // what depends on the loop may hang with it
-		return ErrLoopHangs
+		return ErrLoopStalled
 	}
 	s.log.Info("stopped")
 	return nil
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -53,7 +53,7 @@
 		}
 		return err
 	}
-	n.discovery = eventloop.Watch(document.DiscoveryAddress, discoverySilenceTimeout, discovery.ResumeRequest, takeLine, log)
+	n.discovery = eventloop.StartDiscoveryWatch(document.DiscoveryAddress, discoverySilenceTimeout, discovery.ResumeRequest, takeLine, log)
 	return n, nil
 }
 
@@ -107,7 +107,7 @@
 		NewSession: func(handler proxy.RequestHandler, now float64) proxy.Session {
 			return downstreamframes.NewSession(limits, handler, now)
 		},
-		NewPool: func(transport proxy.Transport, results upstream.Results) proxy.UpstreamPool {
+		NewPool: func(transport proxy.Transport, results upstream.ExchangeHandler) proxy.UpstreamPool {
 			return upstreamframes.NewPool(poolLimits, transport, results)
 		},
 	}
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -52,14 +52,14 @@
 	if err != nil {
 		return // the loop has ended, which is reported by itself
 	}
-	faults := n.server.Faults()
+	faults := n.server.RecoveredErrors()
 	closes, unanswered := map[proxy.CloseReason]uint64{}, uint64(0)
 	err = n.server.Do(func(p *proxy.Proxy) { closes, unanswered = p.Closes() })
 	n.log.Info("totals of this process", "accepted", counts.Accepted, "succeeded", counts.Succeeded, "rejected", counts.Rejected,
 		"failed", counts.Failed, "cancelled", counts.Cancelled, "attempts", counts.Attempts, "timed_out", counts.TimedOut,
-		"sends_refused", counts.SendsRefused, "closes", closes, "closed_unanswered", unanswered, "accept_failures", faults.AcceptFailures,
+		"sends_denied", counts.SendsDenied, "closes", closes, "closed_unanswered", unanswered, "accept_failures", faults.AcceptFailures,
 		"aborted_connections", faults.AbortedConnections, "registration_failures", faults.RegistrationFailures,
-		"dial_retries", faults.DialRetries, "write_retries", faults.WriteRetries, "slow_turns", faults.SlowTurns, "error", err)
+		"dial_retries", faults.DialRetries, "write_retries", faults.WriteRetries, "slow_iterations", faults.SlowIterations, "error", err)
 }
 
 // maxRequestTimeout is the longest time, in seconds, that a client waits for a response.
@@ -81,7 +81,7 @@
 		n.log.Error("the document is faulty; the last one stays in force", "error", err)
 		return
 	}
-	n.discovery.Move(next.DiscoveryAddress)
+	n.discovery.SetAddress(next.DiscoveryAddress)
 }
 
 // advanceShutdown does what the shutdown's phase asks for and tells whether it is over.
--- a/internal/proxy/closing.go
+++ b/internal/proxy/closing.go
@@ -14,19 +14,19 @@
 	CloseUnread                       // the client does not read its responses
 	CloseLingered                     // our side was closed, and the client did not close its own in time
 	CloseOversent                     // the client went on sending after our side was closed
-	RefuseFull                        // no room for another connection, and none idle
-	RefuseDraining                    // no connection is accepted any more
-	closeReasons                      // count of the values
+	RejectedFull                        // no room for another connection, and none idle
+	RejectedDraining                    // no connection is accepted any more
+	closeReasonCount                      // count of the values
 )
 
 // String is the reason as logs and metrics spell it.
 func (r CloseReason) String() string {
-	return [closeReasons]string{"evicted", "unread", "lingered", "oversent", "full", "draining"}[r]
+	return [closeReasonCount]string{"evicted", "unread", "lingered", "oversent", "full", "draining"}[r]
 }
 
 // closeCounts count the connections that this side closed or refused.
 type closeCounts struct {
-	byReason   [closeReasons]uint64
+	byReason   [closeReasonCount]uint64
 	unanswered uint64 // requests that were open on them
 }
 
@@ -60,7 +60,7 @@
 	switch {
 	case open > 0 && reason != CloseUnread:
 		level = slog.LevelError
-	case open > 0 || reason == CloseUnread || reason == RefuseFull:
+	case open > 0 || reason == CloseUnread || reason == RejectedFull:
 		level = slog.LevelWarn
 	}
 	p.log.Log(context.Background(), level, "client connection closed", "client", client, "cause", reason.String(), "open", open)
--- a/internal/proxy/downstream.go
+++ b/internal/proxy/downstream.go
@@ -43,7 +43,7 @@
 	p.lastWaiter++
 	p.clientRequests[p.lastWaiter] = clientRequest{h.client, slot}
 	h.client.waiters[slot] = p.lastWaiter
-	request.Age = h.client.conn.InputAge()
+	request.QueueTime = h.client.conn.InputAge()
 	p.dispatcher.Submit(p.host.Now(), p.lastWaiter, request)
 }
 
@@ -59,11 +59,11 @@
 // Accept takes a client's connection. It returns nil where there is no room for it; the host closes it then.
 func (p *Proxy) Accept(conn Conn) *Client {
 	if p.draining {
-		p.noteClose(conn.Name(), RefuseDraining, 0)
+		p.noteClose(conn.Name(), RejectedDraining, 0)
 		return nil
 	}
 	if len(p.clients) >= p.settings.MaxClients && !p.EvictIdleClient() {
-		p.noteClose(conn.Name(), RefuseFull, 0)
+		p.noteClose(conn.Name(), RejectedFull, 0)
 		return nil
 	}
 	client := &Client{conn: conn, index: len(p.clients), waiters: map[uint64]dispatch.WaiterID{}}
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -113,7 +113,7 @@
 	p.endpoints.active = list
 	p.pool.SetEndpoints(list)
 	if len(change) > 0 {
-		p.dispatcher.OnEndpointUpdate(p.host.Now(), false, change)
+		p.dispatcher.OnEndpointUpdate(p.host.Now(), control.Delta, change)
 		p.restoreReplicas()
 		p.log.Info("endpoint list updated", "workers", len(list.Workers), "changed", len(change))
 	}
--- a/internal/proxy/eviction_test.go
+++ b/internal/proxy/eviction_test.go
@@ -48,7 +48,7 @@
 		t.Error("room was made at the cost of a response")
 	}
 	closes, unanswered := p.Closes()
-	if closes[CloseEvicted] != 1 || closes[RefuseFull] != 1 || unanswered != 0 {
+	if closes[CloseEvicted] != 1 || closes[RejectedFull] != 1 || unanswered != 0 {
 		t.Error(closes, unanswered)
 	}
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -23,16 +23,16 @@
 	Dispatch         dispatch.Settings
 	Upstream         openinference.Limits
 	Downstream       cloudevents.Limits
-	MaxClients       int                                                      // client connections; any further one is closed
-	EvictIdleClients bool                                                     // the client connection idle longest is closed instead
-	NewSession       func(handler RequestHandler, now float64) Session        // a client's connection; nil: the HTTP ingress
-	NewPool          func(t Transport, results upstream.Results) UpstreamPool // connections to workers; nil: Open Inference Protocol
-	Log              *slog.Logger                                             // nil: nothing is logged
-	RecordStore      RecordStore                                              // keeps what must outlive the process; nil: nothing does
-	RecordTimeout    float64                                                  // a response waits no longer than this for its record
-	Recovered        []dispatch.RecoveredRecord                               // what an earlier process recorded
-	ReplicaSnapshots []dispatch.ReplicaSnapshot                               // replicas that it knew, with their ages at the start
-	OnRequestEnd     func(response dispatch.Response, trace *dispatch.Trace)  // called on the loop for each ended request; may be nil
+	MaxClients       int                                                              // client connections; any further one is closed
+	EvictIdleClients bool                                                             // the client connection idle longest is closed instead
+	NewSession       func(handler RequestHandler, now float64) Session                // a client's connection; nil: the HTTP ingress
+	NewPool          func(t Transport, results upstream.ExchangeHandler) UpstreamPool // connections to workers; nil: Open Inference Protocol
+	Log              *slog.Logger                                                     // nil: nothing is logged
+	RecordStore      RecordStore                                                      // keeps what must outlive the process; nil: nothing does
+	RecordTimeout    float64                                                          // a response waits no longer than this for its record
+	Recovered        []dispatch.RecoveredRecord                                       // what an earlier process recorded
+	ReplicaSnapshots []dispatch.ReplicaSnapshot                                       // replicas that it knew, with their ages at the start
+	OnRequestEnd     func(response dispatch.Response, trace *dispatch.Trace)          // called on the loop for each ended request; may be nil
 }
 
 // Proxy is the state of one front end.
@@ -74,7 +74,7 @@
 		settings.Log = slog.New(slog.DiscardHandler)
 	}
 	if settings.NewPool == nil {
-		settings.NewPool = func(t Transport, results upstream.Results) UpstreamPool {
+		settings.NewPool = func(t Transport, results upstream.ExchangeHandler) UpstreamPool {
 			return openinference.NewPool(settings.Upstream, t, results)
 		}
 	}
@@ -96,7 +96,7 @@
 		endpoints:       newEndpointState(snapshots),
 		datagramHeader:  datagramHeader(settings.Cluster),
 	}
-	p.pool = settings.NewPool(upstreamTransport{p}, upstreamResults{p})
+	p.pool = settings.NewPool(upstreamTransport{p}, exchangeHandler{p})
 	p.dispatcher = dispatch.New(settings.Dispatch, dispatchEffects{p}, p.startedAt)
 	p.unanswered = p.dispatcher.Recover(p.startedAt, recovered)
 	p.resetTimer()
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -37,11 +37,11 @@
 // Dial implements Transport.
 func (t upstreamTransport) Dial(conn upstream.ConnID, addr string) { t.proxy.host.Dial(conn, addr) }
 
-// upstreamResults hands what workers replied to the dispatcher.
-type upstreamResults struct{ proxy *Proxy }
+// exchangeHandler hands what workers replied to the dispatcher.
+type exchangeHandler struct{ proxy *Proxy }
 
 // OnAttemptReply implements upstream.Results.
-func (r upstreamResults) OnAttemptReply(attempt uint64, reply dispatch.WorkerReply) {
+func (r exchangeHandler) OnAttemptReply(attempt uint64, reply dispatch.WorkerReply) {
 	if reply.Outcome != control.Succeeded {
 		r.proxy.log.Debug("attempt ended", "attempt", attempt, "outcome", int(reply.Outcome))
 	}
@@ -49,18 +49,23 @@
 }
 
 // OnLoadReply implements upstream.Results.
-func (r upstreamResults) OnLoadReply(command uint64, outcome control.Outcome, replicas int) {
+func (r exchangeHandler) OnLoadReply(command uint64, outcome control.Outcome, replicas int) {
 	r.proxy.dispatcher.OnLoadReply(r.proxy.host.Now(), command, outcome, replicas)
 }
 
-// Clear implements upstream.Results.
-func (r upstreamResults) Clear(id uint64, isLoad bool) dispatch.Clearance {
+// AuthorizeAttempt implements upstream.ExchangeHandler.
+func (r exchangeHandler) AuthorizeAttempt(id uint64) dispatch.SendPermit {
 	p := r.proxy
-	clearance := p.dispatcher.Clear(p.host.Now(), id, isLoad)
-	if !clearance.Granted() {
-		p.log.Info("attempt not sent", "attempt", id, "cause", clearance.Refusal().String())
+	permit := p.dispatcher.AuthorizeAttempt(p.host.Now(), id)
+	if !permit.Permitted() {
+		p.log.Info("attempt not sent", "attempt", id, "cause", permit.Denial().String())
 	}
-	return clearance
+	return permit
+}
+
+// AuthorizeLoad implements upstream.ExchangeHandler.
+func (r exchangeHandler) AuthorizeLoad() dispatch.SendPermit {
+	return r.proxy.dispatcher.AuthorizeLoad(r.proxy.host.Now())
 }
 
 // OnDialed tells how a dial ended: with a connection or an error. What the clients of the attempts that waited for it
--- a/internal/registry/entry.go
+++ b/internal/registry/entry.go
@@ -9,13 +9,13 @@
 
 // Entry is one change, as the audit trail has it. Exactly one of its parts is present. Its JSON form is stored.
 type Entry struct {
-	At       float64  `json:"at"` // Unix seconds
-	Actor    string   `json:"who"`
-	Publish  *Version `json:"publish,omitempty"`
-	Move     *Move    `json:"move,omitempty"`
-	Rollout  *Rollout `json:"rollout,omitempty"`
-	Withdraw string   `json:"withdraw,omitempty"` // function@digest
-	Reason   string   `json:"why,omitempty"`
+	At          float64      `json:"at"` // Unix seconds
+	Actor       string       `json:"who"`
+	Publish     *Version     `json:"publish,omitempty"`
+	AliasUpdate *AliasUpdate `json:"move,omitempty"`
+	Rollout     *Rollout     `json:"rollout,omitempty"`
+	Withdraw    string       `json:"withdraw,omitempty"` // function@digest
+	Reason      string       `json:"why,omitempty"`
 }
 
 // Version is one immutable version of a function.
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// Move makes an alias name a version; it ends a rollout of that alias.
-type Move struct {
+// AliasUpdate makes an alias name a version; it ends a rollout of that alias.
+type AliasUpdate struct {
 	Function string        `json:"function"`
 	Alias    string        `json:"alias"`
 	Digest   digest.Digest `json:"digest"` // empty removes the alias
--- a/internal/registry/format_test.go
+++ b/internal/registry/format_test.go
@@ -30,12 +30,12 @@
 			Concurrency: 4, MemoryMB: 256.5, LoadTime: 1.5, Classes: []string{"once", "again"}, SignedBy: []string{"key-1", "key-2"},
 		}},
 		{At: 1_800_000_001, Actor: "ann", Publish: &Version{Function: "team/f", Name: "1.1.0", Digest: fixtureNew}},
-		{At: 1_800_000_002, Actor: "ann", Move: &Move{Function: "team/f", Alias: Current, Digest: fixtureOld}},
-		{At: 1_800_000_003, Actor: "ann", Move: &Move{Function: "team/f", Alias: "gone", Digest: fixtureOld}},
-		{At: 1_800_000_004, Actor: "ann", Move: &Move{Function: "team/f", Alias: "gone"}},
+		{At: 1_800_000_002, Actor: "ann", AliasUpdate: &AliasUpdate{Function: "team/f", Alias: Current, Digest: fixtureOld}},
+		{At: 1_800_000_003, Actor: "ann", AliasUpdate: &AliasUpdate{Function: "team/f", Alias: "gone", Digest: fixtureOld}},
+		{At: 1_800_000_004, Actor: "ann", AliasUpdate: &AliasUpdate{Function: "team/f", Alias: "gone"}},
 		{At: 1_800_000_005, Actor: "bob", Rollout: &Rollout{
-			Function: "team/f", Alias: Current, From: fixtureOld, To: fixtureNew, Share: 0.1,
-			Tenants: []string{"north"}, Steps: []float64{0.1, 0.5}, StepDuration: 60, MinResponses: 20, MaxFailureShare: 0.02,
+			Function: "team/f", Alias: Current, From: fixtureOld, To: fixtureNew, CanaryFraction: 0.1,
+			Tenants: []string{"north"}, Steps: []float64{0.1, 0.5}, StepDuration: 60, MinResponses: 20, MaxExcessFailureRate: 0.02,
 		}},
 		{At: 1_800_000_006, Actor: "rollout", Reason: "it has held at 0.10", Rollout: &Rollout{Function: "team/f", Alias: Current, From: fixtureOld, To: fixtureNew}},
 		{At: 1_800_000_007, Actor: "keys", Withdraw: "team/f@" + string(fixtureOld), Reason: "none in force vouches for it"},
@@ -98,7 +98,7 @@
 func TestViewHasItsKeys(t *testing.T) {
 	data, err := json.Marshal(View{
 		Function: "f", Versions: []Version{{Function: "f", Name: "1", Digest: "d", Withdrawn: true}},
-		Aliases: map[string]digest.Digest{"current": "d"}, Rollouts: []Rollout{{Function: "f", Alias: "current", From: "d", To: "e", MaxFailureShare: 0.5}},
+		Aliases: map[string]digest.Digest{"current": "d"}, Rollouts: []Rollout{{Function: "f", Alias: "current", From: "d", To: "e", MaxExcessFailureRate: 0.5}},
 	})
 	const want = `{"function":"f","versions":[{"function":"f","version":"1","digest":"d","withdrawn":true}],"aliases":{"current":"d"},` +
 		`"rollouts":[{"function":"f","alias":"current","from":"d","to":"e","share":0,"most_bad":0.5}]}`
--- a/internal/registry/model_test.go
+++ b/internal/registry/model_test.go
@@ -34,9 +34,9 @@
 	case 0:
 		e.Publish = &Version{Function: "f", Name: version, Digest: sum(version)}
 	case 1:
-		e.Move = &Move{"f", alias, sum(version)}
+		e.AliasUpdate = &AliasUpdate{"f", alias, sum(version)}
 	case 2:
-		e.Rollout = &Rollout{Function: "f", Alias: alias, To: sum(version), Share: rapid.Float64Range(0, 1).Draw(t, "share")}
+		e.Rollout = &Rollout{Function: "f", Alias: alias, To: sum(version), CanaryFraction: rapid.Float64Range(0, 1).Draw(t, "share")}
 	case 3:
 		if rapid.IntRange(0, 5).Draw(t, "seldom") > 0 {
 			return e, version, alias, false
@@ -56,7 +56,7 @@
 			t.Fatalf("publish %s: %v", version, err)
 		}
 		m.versions[version] = sum(version)
-	case e.Move != nil:
+	case e.AliasUpdate != nil:
 		if (err == nil) != usable {
 			t.Fatalf("move to %s: %v", version, err)
 		}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -73,8 +73,8 @@
 	switch {
 	case e.Publish != nil:
 		return r.publish(*e.Publish)
-	case e.Move != nil:
-		return r.move(*e.Move)
+	case e.AliasUpdate != nil:
+		return r.move(*e.AliasUpdate)
 	case e.Rollout != nil:
 		return r.startRollout(*e.Rollout, e.At)
 	case e.Withdraw != "":
@@ -139,7 +139,7 @@
 	return f, v, nil
 }
 
-func (r *Registry) move(m Move) error {
+func (r *Registry) move(m AliasUpdate) error {
 	if !isTag(m.Alias) {
 		return fmt.Errorf("alias %q is not a tag", m.Alias)
 	}
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -26,7 +26,7 @@
 	for _, v := range versions {
 		mustApply(t, r, Entry{Publish: &Version{Function: "shop", Name: v, Digest: sum(v)}})
 	}
-	mustApply(t, r, Entry{Move: &Move{"shop", Current, sum(versions[0])}})
+	mustApply(t, r, Entry{AliasUpdate: &AliasUpdate{"shop", Current, sum(versions[0])}})
 	return r
 }
 
@@ -92,9 +92,9 @@
 		{Publish: &Version{Function: "shop", Name: "2.0", Digest: sum("1.0")}},
 		{Publish: &Version{Function: "shop", Name: "2.0", Digest: "sha256:short"}},
 		{Publish: &Version{Function: "shop", Name: Current, Digest: sum("c")}},
-		{Move: &Move{"shop", "sale", sum("9")}},
-		{Move: &Move{"shop", "1.0", sum("1.1")}},
-		{Move: &Move{"none", Current, sum("1.0")}},
+		{AliasUpdate: &AliasUpdate{"shop", "sale", sum("9")}},
+		{AliasUpdate: &AliasUpdate{"shop", "1.0", sum("1.1")}},
+		{AliasUpdate: &AliasUpdate{"none", Current, sum("1.0")}},
 		{Rollout: &Rollout{Function: "shop", Alias: Current, To: sum("1.0")}},
 		{Rollout: &Rollout{Function: "shop", Alias: "sale", To: sum("1.1")}},
 		{Rollout: &Rollout{Function: "shop", Alias: Current, To: sum("1.1"), Steps: []float64{0.5, 0.2}}},
@@ -109,7 +109,7 @@
 
 func TestAliasMovesAndMovesBack(t *testing.T) {
 	r := published(t, "1.0", "1.1")
-	mustApply(t, r, Entry{Move: &Move{"shop", Current, sum("1.1")}})
+	mustApply(t, r, Entry{AliasUpdate: &AliasUpdate{"shop", Current, sum("1.1")}})
 	if got := resolvedName(t, r, "shop"); got != "1.1" {
 		t.Error(got)
 	}
@@ -117,7 +117,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	mustApply(t, r, Entry{Move: &m})
+	mustApply(t, r, Entry{AliasUpdate: &m})
 	if got := resolvedName(t, r, "shop"); got != "1.0" {
 		t.Error(got)
 	}
@@ -135,7 +135,7 @@
 	r := published(t, "1.0", "1.1")
 	got := map[string]bool{}
 	for _, share := range []float64{0.1, 0.5, 0.9, 1} {
-		mustApply(t, r, Entry{Rollout: &Rollout{Function: "shop", Alias: Current, To: sum("1.1"), Share: share, Tenants: []string{"first"}}})
+		mustApply(t, r, Entry{Rollout: &Rollout{Function: "shop", Alias: Current, To: sum("1.1"), CanaryFraction: share, Tenants: []string{"first"}}})
 		n := 0
 		for i := range 2000 {
 			id := strconv.Itoa(i)
@@ -159,7 +159,7 @@
 func TestRolloutGoesOnHoldsAndGoesBack(t *testing.T) {
 	start := func() *Registry {
 		r := published(t, "1.0", "1.1")
-		mustApply(t, r, Entry{At: 100, Rollout: &Rollout{Function: "shop", Alias: Current, To: sum("1.1"), Steps: []float64{0.1, 0.5}, StepDuration: 10, MinResponses: 5, MaxFailureShare: 0.2}})
+		mustApply(t, r, Entry{At: 100, Rollout: &Rollout{Function: "shop", Alias: Current, To: sum("1.1"), Steps: []float64{0.1, 0.5}, StepDuration: 10, MinResponses: 5, MaxExcessFailureRate: 0.2}})
 		return r
 	}
 	answers := func(r *Registry, v string, good, bad int) {
@@ -174,7 +174,7 @@
 	}
 	for now, want := range map[float64]float64{111: 0.5} {
 		due := r.AdvanceRollouts(now)
-		if len(due) != 1 || due[0].Rollout == nil || due[0].Rollout.Share != want {
+		if len(due) != 1 || due[0].Rollout == nil || due[0].Rollout.CanaryFraction != want {
 			t.Fatalf("%+v", due)
 		}
 		mustApply(t, r, due[0])
@@ -186,7 +186,7 @@
 	mustApply(t, r, r.AdvanceRollouts(130)[0])
 	answers(r, "1.1", 5, 0)
 	due := r.AdvanceRollouts(150)
-	if len(due) != 1 || due[0].Move == nil || due[0].Move.Digest != sum("1.1") {
+	if len(due) != 1 || due[0].AliasUpdate == nil || due[0].AliasUpdate.Digest != sum("1.1") {
 		t.Fatalf("%+v", due)
 	}
 	mustApply(t, r, due[0])
@@ -201,7 +201,7 @@
 	}
 	answers(r, "1.1", 0, 10)
 	due = r.AdvanceRollouts(102)
-	if len(due) != 1 || due[0].Move == nil || due[0].Move.Digest != sum("1.0") || due[0].Reason == "" {
+	if len(due) != 1 || due[0].AliasUpdate == nil || due[0].AliasUpdate.Digest != sum("1.0") || due[0].Reason == "" {
 		t.Fatalf("%+v", due)
 	}
 }
--- a/internal/registry/rollout.go
+++ b/internal/registry/rollout.go
@@ -13,16 +13,16 @@
 
 // Rollout is a release under way: an alias names From for some requests and To for the others.
 type Rollout struct {
-	Function        string        `json:"function"`
-	Alias           string        `json:"alias"`
-	From            digest.Digest `json:"from"`
-	To              digest.Digest `json:"to"`
-	Share           float64       `json:"share"`             // of requests that get To
-	Tenants         []string      `json:"tenants,omitempty"` // whose requests get it whatever the share
-	Steps           []float64     `json:"steps,omitempty"`   // shares that it goes through by itself
-	StepDuration    float64       `json:"hold_s,omitempty"`  // seconds at each step before the next
-	MinResponses    int           `json:"least,omitempty"`   // answers of To that a step needs
-	MaxFailureShare float64       `json:"most_bad"`          // share of failures, beyond that of From, at which it rolls back
+	Function             string        `json:"function"`
+	Alias                string        `json:"alias"`
+	From                 digest.Digest `json:"from"`
+	To                   digest.Digest `json:"to"`
+	CanaryFraction       float64       `json:"share"`             // of requests that get To
+	Tenants              []string      `json:"tenants,omitempty"` // whose requests get it whatever the share
+	Steps                []float64     `json:"steps,omitempty"`   // shares that it goes through by itself
+	StepDuration         float64       `json:"hold_s,omitempty"`  // seconds at each step before the next
+	MinResponses         int           `json:"least,omitempty"`   // answers of To that a step needs
+	MaxExcessFailureRate float64       `json:"most_bad"`          // share of failures, beyond that of From, at which it rolls back
 
 	stepStartedAt float64
 	fromResults   resultCounts // since the step began
@@ -76,8 +76,8 @@
 	}
 	rollout.From = from
 	rollout.stepStartedAt = now
-	if len(rollout.Steps) > 0 && rollout.Share == 0 {
-		rollout.Share = rollout.Steps[0]
+	if len(rollout.Steps) > 0 && rollout.CanaryFraction == 0 {
+		rollout.CanaryFraction = rollout.Steps[0]
 	}
 	f.rollouts[rollout.Alias] = &rollout
 	return nil
@@ -91,7 +91,7 @@
 		}
 		last = step
 	}
-	if ro.Share < 0 || ro.Share > 1 || ro.StepDuration < 0 || ro.MinResponses < 0 || ro.MaxFailureShare < 0 || ro.MaxFailureShare > 1 {
+	if ro.CanaryFraction < 0 || ro.CanaryFraction > 1 || ro.StepDuration < 0 || ro.MinResponses < 0 || ro.MaxExcessFailureRate < 0 || ro.MaxExcessFailureRate > 1 {
 		return errors.New("shares lie between 0 and 1, and hold and least are not below 0")
 	}
 	return nil
@@ -99,7 +99,7 @@
 
 // includes reports whether a request gets the new version.
 func (ro *Rollout) includes(tenant, request string) bool {
-	return slices.Contains(ro.Tenants, tenant) || rolloutPosition(ro.Function, request) < ro.Share
+	return slices.Contains(ro.Tenants, tenant) || rolloutPosition(ro.Function, request) < ro.CanaryFraction
 }
 
 // rolloutPosition places a request between 0 and 1, by its identity alone; it gets the new version while its position is
@@ -110,19 +110,19 @@
 }
 
 // Rollback returns the move that takes an alias back to what it named before its last move or its rollout.
-func (r *Registry) Rollback(name, alias string) (Move, error) {
+func (r *Registry) Rollback(name, alias string) (AliasUpdate, error) {
 	f := r.functions[name]
 	if f == nil {
-		return Move{}, unknownFunction(name)
+		return AliasUpdate{}, unknownFunction(name)
 	}
 	if rollout := f.rollouts[alias]; rollout != nil {
-		return Move{Function: name, Alias: alias, Digest: rollout.From}, nil
+		return AliasUpdate{Function: name, Alias: alias, Digest: rollout.From}, nil
 	}
 	previous := f.previous[alias]
 	if previous == "" {
-		return Move{}, fmt.Errorf("alias %s:%s never named anything else", name, alias)
+		return AliasUpdate{}, fmt.Errorf("alias %s:%s never named anything else", name, alias)
 	}
-	return Move{Function: name, Alias: alias, Digest: previous}, nil
+	return AliasUpdate{Function: name, Alias: alias, Digest: previous}, nil
 }
 
 // RecordResult counts an answer of a version in the rollouts from or to it. A failed one is the version's fault.
@@ -163,36 +163,36 @@
 	entry := Entry{At: now, Actor: rolloutActor}
 	seen := ro.toResults.total()
 	excess := ro.toResults.failureShare() - ro.fromResults.failureShare()
-	if seen > 0 && seen >= ro.MinResponses && excess > ro.MaxFailureShare {
-		entry.Move = ro.moveTo(ro.From)
+	if seen > 0 && seen >= ro.MinResponses && excess > ro.MaxExcessFailureRate {
+		entry.AliasUpdate = ro.moveTo(ro.From)
 		entry.Reason = fmt.Sprintf("%d of %d answers were bad, %.2f more than of the version before", ro.toResults.failed, seen, excess)
 		return entry, true
 	}
 	if len(ro.Steps) == 0 || now-ro.stepStartedAt < ro.StepDuration || seen < ro.MinResponses {
 		return Entry{}, false
 	}
-	if next := ro.nextShare(); ro.Share < 1 && next > ro.Share {
+	if next := ro.nextShare(); ro.CanaryFraction < 1 && next > ro.CanaryFraction {
 		step := *ro
-		step.Share = next
+		step.CanaryFraction = next
 		step.fromResults = resultCounts{}
 		step.toResults = resultCounts{}
 		entry.Rollout = &step
-		entry.Reason = fmt.Sprintf("it has held at %.2f", ro.Share)
+		entry.Reason = fmt.Sprintf("it has held at %.2f", ro.CanaryFraction)
 		return entry, true
 	}
-	entry.Move = ro.moveTo(ro.To)
+	entry.AliasUpdate = ro.moveTo(ro.To)
 	entry.Reason = "it has held at every step"
 	return entry, true
 }
 
-func (ro *Rollout) moveTo(d digest.Digest) *Move {
-	return &Move{Function: ro.Function, Alias: ro.Alias, Digest: d}
+func (ro *Rollout) moveTo(d digest.Digest) *AliasUpdate {
+	return &AliasUpdate{Function: ro.Function, Alias: ro.Alias, Digest: d}
 }
 
 // nextShare returns the share of the next step; 1 after the last one.
 func (ro *Rollout) nextShare() float64 {
 	for _, share := range ro.Steps {
-		if share > ro.Share {
+		if share > ro.CanaryFraction {
 			return share
 		}
 	}
--- a/internal/registry/rollout_pacer.go
+++ b/internal/registry/rollout_pacer.go
@@ -132,16 +132,16 @@
 }
 
 // OnLoaded notes that a replica is loaded, and returns the move that is due. One that took long pauses the release.
-func (p *RolloutPacer) OnLoaded(function string, now float64) (Move, bool) {
+func (p *RolloutPacer) OnLoaded(function string, now float64) (AliasUpdate, bool) {
 	m := p.find(function)
 	if m == nil || m.state == migrationDone || m.state == migrationAbandoned {
-		return Move{}, false
+		return AliasUpdate{}, false
 	}
 	if m.state == migrationLoading && m.isSlowerThan(pauseLoadSlowdown, now) {
 		p.pause(now)
 	}
 	m.state = migrationDone
-	return Move{Function: m.Function, Alias: p.Alias, Digest: m.To}, true
+	return AliasUpdate{Function: m.Function, Alias: p.Alias, Digest: m.To}, true
 }
 
 // Loading returns the functions whose loads are under way.
--- a/internal/simadapter/deliver.go
+++ b/internal/simadapter/deliver.go
@@ -34,10 +34,22 @@
 		l.fail(fieldSlot, errors.New("no such list"))
 	}
 	if l.err == nil {
-		router.OnEndpointUpdate(s.now, kind != updatePartial, kind == updatePersisted, workers)
+		deliverEndpoints(s.now, router, kind, workers)
 	}
 }
 
+// deliverEndpoints calls the router with an update; the list that an earlier process stored comes first and starts it.
+func deliverEndpoints(now float64, router *control.Router, kind updateKind, workers []control.Worker) {
+	scope := control.Snapshot
+	switch kind {
+	case updatePersisted:
+		router.Start()
+	case updatePartial:
+		scope = control.Delta
+	}
+	router.OnEndpointUpdate(now, scope, workers)
+}
+
 func deliverRequest(s *server, router *control.Router, l *line) {
 	if request := decodeRequest(l); l.err == nil {
 		router.OnRequest(s.now, request)
@@ -52,7 +64,7 @@
 
 func deliverLoadResult(s *server, router *control.Router, l *line) {
 	if load := decodeLoadResult(l); l.err == nil {
-		router.OnLoadResult(s.now, load.worker, load.function, load.outcome, load.replicas, load.latency)
+		router.OnLoadResult(s.now, load)
 	}
 }
 
@@ -111,32 +123,24 @@
 func decodeAttemptResult(l *line) control.AttemptResult {
 	info := l.integer("Info")
 	return control.AttemptResult{
-		Request:  control.RequestID(l.required(fieldRequest)),
-		Worker:   control.WorkerID(l.required(fieldWorker)),
-		Attempt:  l.integer("Leg"),
-		Outcome:  word(l, fieldOutcome, outcomes),
-		Answered: l.flag("Settled"),
-		Latency:  l.seconds(fieldLatency),
-		Start:    control.StartType(info & startTypeMask),
-		Report:   l.loadReport("Pressure"),
+		Request:   control.RequestID(l.required(fieldRequest)),
+		Worker:    control.WorkerID(l.required(fieldWorker)),
+		Attempt:   l.integer("Leg"),
+		Outcome:   word(l, fieldOutcome, outcomes),
+		Completed: l.flag("Settled"),
+		Latency:   l.seconds(fieldLatency),
+		Start:     control.StartType(info & startTypeMask),
+		Report:    l.loadReport("Pressure"),
 	}
 }
 
-// loadResult is how a load command ended.
-type loadResult struct {
-	worker   control.WorkerID
-	function control.FunctionID
-	outcome  control.Outcome
-	replicas int
-	latency  float64
-}
-
-func decodeLoadResult(l *line) loadResult {
-	return loadResult{
-		worker:   control.WorkerID(l.required(fieldWorker)),
-		function: control.FunctionID(l.required(fieldFunction)),
-		outcome:  word(l, fieldOutcome, outcomes),
-		replicas: l.integer(fieldReplicas),
-		latency:  l.seconds(fieldLatency),
+// decodeLoadResult decodes how a load command ended.
+func decodeLoadResult(l *line) control.LoadResult {
+	return control.LoadResult{
+		Worker:   control.WorkerID(l.required(fieldWorker)),
+		Function: control.FunctionID(l.required(fieldFunction)),
+		Outcome:  word(l, fieldOutcome, outcomes),
+		Replicas: l.integer(fieldReplicas),
+		Duration: l.seconds(fieldLatency),
 	}
 }
--- a/internal/simadapter/errors.go
+++ b/internal/simadapter/errors.go
@@ -7,8 +7,8 @@
 
 // Faults of a line that a caller may test for; each comes wrapped in a [LineError].
 var (
-	// ErrCutOff tells that the input ended within a line or a batch.
-	ErrCutOff = errors.New("input cut off in mid-batch")
+	// ErrTruncated tells that the input ended within a line or a batch.
+	ErrTruncated = errors.New("input cut off in mid-batch")
 	// ErrMissing tells that a field is missing or empty.
 	ErrMissing = errors.New("missing")
 )
--- a/internal/simadapter/line.go
+++ b/internal/simadapter/line.go
@@ -37,7 +37,7 @@
 			return nil, err
 		}
 		if err != nil && (inBatch || text != "") {
-			return nil, &LineError{Line: r.line.number, Err: ErrCutOff}
+			return nil, &LineError{Line: r.line.number, Err: ErrTruncated}
 		}
 		if err != nil {
 			return nil, io.EOF
--- a/internal/simadapter/protocol.go
+++ b/internal/simadapter/protocol.go
@@ -75,7 +75,7 @@
 var endpointStates = map[string]control.EndpointState{
 	"SERVING":  control.Serving,
 	"DRAINING": control.Draining,
-	"DELETED":  control.Gone,
+	"DELETED":  control.Removed,
 }
 
 // updateKind tells what an update of the list of workers carries.
--- a/internal/simadapter/serve_test.go
+++ b/internal/simadapter/serve_test.go
@@ -41,7 +41,7 @@
 	want := "NOTIFY_ME EndId=end-0 SleepForMs=250.000 Mark=0\nOBSERVE EndId=end-0 Want=1\nOK\n" +
 		"NOTIFY_ME EndId=end-0 SleepForMs=2496.000 Mark=2\n" +
 		"PRELOAD EndId=end-0 Worker=worker.a Function=00000000000000f1 UnitsHeld=1\nOK\n" +
-		"ROUTE EndId=end-0 Id=00000000000000aa Worker=worker.a LimitMs=1904.000\nOK\n\n"
+		"ROUTE EndId=end-0 Id=00000000000000aa Worker=worker.a LimitMs=1904.000\nOK\nOK\nOK\n"
 	if err != nil || got != want {
 		t.Errorf("%v\n%s\nwanted\n%s", err, got, want)
 	}
@@ -94,7 +94,7 @@
 
 func TestFaultsCanBeToldApart(t *testing.T) {
 	_, err := serve(start + "FRAME TsMs=1\n")
-	if !errors.Is(err, ErrCutOff) {
+	if !errors.Is(err, ErrTruncated) {
 		t.Errorf("%v", err)
 	}
 	_, err = serve(start + "FRAME TsMs=1\nWAKEUP EndId=end-0\n")
--- a/internal/syscalls/errors.go
+++ b/internal/syscalls/errors.go
@@ -20,8 +20,8 @@
 	// Exhausted says that this machine lacks a resource at the moment; the call may succeed a little later. It says
 	// nothing of the other side.
 	Exhausted
-	// PeerGone says, of accept, that a connection ended before it was accepted; the next one can be accepted at once.
-	PeerGone
+	// PeerClosed says, of accept, that a connection ended before it was accepted; the next one can be accepted at once.
+	PeerClosed
 )
 
 // exhausted are the errors by which a call tells that this machine lacks descriptors, memory, ports or a route.
@@ -65,7 +65,7 @@
 // ClassOfAccept sorts an error of accept. Any error but one of a faulty call may pass.
 func ClassOfAccept(err error) Class {
 	if isOneOf(err, peerGone) {
-		return PeerGone
+		return PeerClosed
 	}
 	if isOneOf(err, acceptPauses) {
 		return Exhausted
--- a/internal/telemetry/recorder.go
+++ b/internal/telemetry/recorder.go
@@ -132,10 +132,10 @@
 // countAttempts counts the attempts that ended, and how they found their replica.
 func (r *Recorder) countAttempts(steps []dispatch.TraceStep) {
 	for _, step := range steps {
-		if step.Worker == "" || step.What == dispatch.StepAttemptStarted {
+		if step.Worker == "" || step.Event == dispatch.StepAttemptStarted {
 			continue
 		}
-		r.attempts.WithLabelValues(step.Worker, step.What).Inc()
+		r.attempts.WithLabelValues(step.Worker, step.Event).Inc()
 		if step.Detail != "" {
 			r.starts.WithLabelValues(step.Detail).Inc()
 		}
--- a/internal/telemetry/recorder_test.go
+++ b/internal/telemetry/recorder_test.go
@@ -26,11 +26,11 @@
 		Class:    "call",
 	}
 	return response, &dispatch.Trace{Steps: []dispatch.TraceStep{
-		{What: "taken", Detail: "function not seen lately"},
-		{At: 0.1, What: dispatch.StepAttemptStarted, Worker: "wk-a"},
-		{At: 0.2, What: "broken", Worker: "wk-a"},
-		{At: 0.3, What: dispatch.StepAttemptStarted, Worker: "wk-b"},
-		{At: 0.4, What: dispatch.StepAttemptSucceeded, Worker: "wk-b", Detail: "found it warm"},
+		{Event: "taken", Detail: "function not seen lately"},
+		{At: 0.1, Event: dispatch.StepAttemptStarted, Worker: "wk-a"},
+		{At: 0.2, Event: "broken", Worker: "wk-a"},
+		{At: 0.3, Event: dispatch.StepAttemptStarted, Worker: "wk-b"},
+		{At: 0.4, Event: dispatch.StepAttemptSucceeded, Worker: "wk-b", Detail: "found it warm"},
 	}}
 }
 
@@ -46,7 +46,7 @@
 
 func TestRecorderMetrics(t *testing.T) {
 	recorder := newTestRecorder(t, Settings{Gauges: func() map[string]float64 { return map[string]float64{"open": 3} }})
-	recorder.OnRequestEnd(testRequest(dispatch.Succeeded, dispatch.CauseAnswered, 0.5))
+	recorder.OnRequestEnd(testRequest(dispatch.Succeeded, dispatch.CauseResponded, 0.5))
 	recorder.OnRequestEnd(testRequest(dispatch.Rejected, dispatch.CauseWorkerFull, 2))
 	recorder.OnRequestEnd(dispatch.Response{Kind: dispatch.Failed, Cause: dispatch.CauseUnknownClass, Class: "any text"}, nil)
 	answer := httptest.NewRecorder()
@@ -87,9 +87,9 @@
 		share   float64
 		want    string // names of spans, with the error of each
 	}{
-		{"in time", dispatch.Succeeded, dispatch.CauseAnswered, 0.5, 0, ""},
-		{"in time and sampled", dispatch.Succeeded, dispatch.CauseAnswered, 0.5, 1, "launch wk-a: broken, launch wk-b: , event call: "},
-		{"late", dispatch.Succeeded, dispatch.CauseAnswered, 2, 0, "launch wk-a: broken, launch wk-b: , event call: "},
+		{"in time", dispatch.Succeeded, dispatch.CauseResponded, 0.5, 0, ""},
+		{"in time and sampled", dispatch.Succeeded, dispatch.CauseResponded, 0.5, 1, "launch wk-a: broken, launch wk-b: , event call: "},
+		{"late", dispatch.Succeeded, dispatch.CauseResponded, 2, 0, "launch wk-a: broken, launch wk-b: , event call: "},
 		{"rejected", dispatch.Rejected, dispatch.CauseWorkerFull, 0.5, 0, "launch wk-a: broken, launch wk-b: , event call: worker-full"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/telemetry/spans.go
+++ b/internal/telemetry/spans.go
@@ -46,13 +46,13 @@
 	for _, step := range steps {
 		at := start.Add(seconds(step.At))
 		switch {
-		case step.What == dispatch.StepAttemptStarted:
+		case step.Event == dispatch.StepAttemptStarted:
 			attempt = r.startAttemptSpan(ctx, step, at)
 		case attempt != nil && step.Worker != "":
 			endAttemptSpan(attempt, step, at)
 			attempt = nil
 		default:
-			root.AddEvent(step.What, trace.WithTimestamp(at), trace.WithAttributes(attribute.String("detail", step.Detail)))
+			root.AddEvent(step.Event, trace.WithTimestamp(at), trace.WithAttributes(attribute.String("detail", step.Detail)))
 		}
 	}
 	if attempt != nil {
@@ -95,10 +95,10 @@
 // endAttemptSpan ends the span of an attempt with how it ended.
 func endAttemptSpan(span trace.Span, step dispatch.TraceStep, at time.Time) {
 	span.SetAttributes(
-		attribute.String("streamcleat.result", step.What),
+		attribute.String("streamcleat.result", step.Event),
 		attribute.String("streamcleat.warmth", step.Detail))
-	if step.What != dispatch.StepAttemptSucceeded {
-		span.SetStatus(codes.Error, step.What)
+	if step.Event != dispatch.StepAttemptSucceeded {
+		span.SetStatus(codes.Error, step.Event)
 	}
 	span.End(trace.WithTimestamp(at))
 }
--- a/internal/upstream/endpoint_list.go
+++ b/internal/upstream/endpoint_list.go
@@ -171,7 +171,7 @@
 	}
 	for _, worker := range previous.Workers {
 		if next.Addresses[worker.ID] == "" {
-			worker.State = control.Gone
+			worker.State = control.Removed
 			changed = append(changed, worker)
 		}
 	}
--- a/internal/upstream/endpoint_list_test.go
+++ b/internal/upstream/endpoint_list_test.go
@@ -43,7 +43,7 @@
 	for _, wk := range Diff(a, b) {
 		got[wk.ID] = wk
 	}
-	if len(got) != 5 || got["h:2"].State != control.Draining || got["h:3"].StartedAt != 107 || got["h:4"].State != control.Gone ||
+	if len(got) != 5 || got["h:2"].State != control.Draining || got["h:3"].StartedAt != 107 || got["h:4"].State != control.Removed ||
 		got["h:6"].Weight != 1 || got["five"].ID != "five" {
 		t.Errorf("%+v", got)
 	}
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -11,11 +11,13 @@
 // worker.
 var ErrLocal = errors.New("this machine lacks a resource")
 
-// Results receives the ends of exchanges. Its methods may call SendAttempt, SendLoad and Abandon of the pool, except for
-// Clear, which calls nothing of the pool.
-type Results interface {
-	// Clear decides whether an attempt or a load command may be written now.
-	Clear(id uint64, isLoad bool) dispatch.Clearance
+// ExchangeHandler authorizes what a pool sends and receives how it ended. OnAttemptReply and OnLoadReply may call
+// SendAttempt, SendLoad and Abandon of the pool; the other methods must not call the pool.
+type ExchangeHandler interface {
+	// AuthorizeAttempt decides whether an attempt may be written now.
+	AuthorizeAttempt(id uint64) dispatch.SendPermit
+	// AuthorizeLoad decides whether a load command may be written now.
+	AuthorizeLoad() dispatch.SendPermit
 	OnAttemptReply(id uint64, reply dispatch.WorkerReply)
 	OnLoadReply(id uint64, outcome control.Outcome, replicas int)
 }
@@ -28,7 +30,7 @@
 	IsLoad bool // a load command; an attempt otherwise
 	Sent   bool // bytes of it may have reached the worker
 	// Encode makes the request's bytes; nil once it was written.
-	Encode func(clearance dispatch.Clearance) []byte
+	Encode func(permit dispatch.SendPermit) []byte
 }
 
 func (e *Exchange) exchange() *Exchange { return e }
@@ -39,10 +41,10 @@
 	exchange() *Exchange
 }
 
-// Exchanges is the registry of the exchanges that are open in one pool. Each is reported to Results once, unless it is
+// Exchanges is the registry of the exchanges that are open in one pool. Each is reported to the handler once, unless it is
 // removed before. The zero value is not usable; NewExchanges makes one.
 type Exchanges[E anyExchange] struct {
-	results Results
+	handler ExchangeHandler
 	open    map[uint64]E
 	unsent  []unsentExchange[E] // could not be sent, reported at the next Flush
 }
@@ -53,9 +55,9 @@
 	outcome  control.Outcome
 }
 
-// NewExchanges makes an empty registry that reports to results.
-func NewExchanges[E anyExchange](results Results) Exchanges[E] {
-	return Exchanges[E]{results: results, open: map[uint64]E{}}
+// NewExchanges makes an empty registry that reports to handler.
+func NewExchanges[E anyExchange](handler ExchangeHandler) Exchanges[E] {
+	return Exchanges[E]{handler: handler, open: map[uint64]E{}}
 }
 
 // Add opens an exchange.
@@ -77,17 +79,24 @@
 // it returns false, and the exchange is reported as not sent at the next Flush.
 func (x *Exchanges[E]) Write(e E, transport Transport, connection ConnID) bool {
 	base := e.exchange()
-	clearance := x.results.Clear(base.ID, base.IsLoad)
-	if !clearance.Granted() {
+	permit := x.authorize(base)
+	if !permit.Permitted() {
 		x.unsent = append(x.unsent, unsentExchange[E]{e, control.NotSent})
 		return false
 	}
 	base.Sent = true
-	transport.Write(connection, base.Encode(clearance))
+	transport.Write(connection, base.Encode(permit))
 	base.Encode = nil
 	return true
 }
 
+func (x *Exchanges[E]) authorize(e *Exchange) dispatch.SendPermit {
+	if e.IsLoad {
+		return x.handler.AuthorizeLoad()
+	}
+	return x.handler.AuthorizeAttempt(e.ID)
+}
+
 // FailUnsent notes an exchange that can't be sent. It is reported as unreachable at the next Flush and not from within
 // the call that asked for it.
 func (x *Exchanges[E]) FailUnsent(e E) {
@@ -116,9 +125,9 @@
 	}
 	x.Remove(e)
 	if base := e.exchange(); base.IsLoad {
-		x.results.OnLoadReply(base.ID, reply.Outcome, replicas)
+		x.handler.OnLoadReply(base.ID, reply.Outcome, replicas)
 	} else {
-		x.results.OnAttemptReply(base.ID, reply)
+		x.handler.OnAttemptReply(base.ID, reply)
 	}
 }
 
--- a/internal/upstream/frames/pool.go
+++ b/internal/upstream/frames/pool.go
@@ -57,7 +57,7 @@
 )
 
 // NewPool makes a pool without workers.
-func NewPool(limits Limits, transport Transport, results upstream.Results) *Pool {
+func NewPool(limits Limits, transport Transport, results upstream.ExchangeHandler) *Pool {
 	return &Pool{
 		limits: limits, transport: transport, endpoints: map[control.WorkerID]endpoint{},
 		connections: upstream.NewConnections[*connection](transport), exchanges: upstream.NewExchanges[*exchange](results),
@@ -112,14 +112,14 @@
 		p.exchanges.FailUnsent(e)
 		return
 	}
-	e.Encode = func(clearance dispatch.Clearance) []byte {
-		return encodeFrame(commandAttempt, id, p.attemptFields(clearance, a), a.Body)
+	e.Encode = func(permit dispatch.SendPermit) []byte {
+		return encodeFrame(commandAttempt, id, p.attemptFields(permit, a), a.Body)
 	}
 	p.send(now, e)
 }
 
-func (p *Pool) attemptFields(clearance dispatch.Clearance, a dispatch.Attempt) string {
-	timeLeft := math.Floor(clearance.TimeLeft() * millisecondsPerSecond)
+func (p *Pool) attemptFields(permit dispatch.SendPermit, a dispatch.Attempt) string {
+	timeLeft := math.Floor(permit.TimeLeft() * millisecondsPerSecond)
 	milliseconds := strconv.FormatFloat(max(timeLeft, minTimeoutMilliseconds), 'f', 0, 64)
 	fields := fieldClass + "=" + a.Class + "," + fieldFunction + "=" + a.Function + "," + fieldTimeout + "=" + milliseconds
 	var fieldsSb124 strings.Builder
@@ -142,7 +142,7 @@
 	p.lastLoadWireID++
 	id := p.lastLoadWireID | loadWireIDBit
 	fields := fieldFunction + "=" + command.Function + "," + fieldReplicas + "=" + strconv.Itoa(command.Replicas)
-	encode := func(dispatch.Clearance) []byte { return encodeFrame(commandLoad, id, fields, nil) }
+	encode := func(dispatch.SendPermit) []byte { return encodeFrame(commandLoad, id, fields, nil) }
 	p.send(now, &exchange{Exchange: upstream.Exchange{ID: command.ID, Worker: command.Worker, IsLoad: true, Encode: encode}, wireID: id})
 }
 
--- a/internal/upstream/frames/pool_test.go
+++ b/internal/upstream/frames/pool_test.go
@@ -37,14 +37,16 @@
 	n.bodies = append(n.bodies, string(r.Body))
 }
 
-// Clear permits everything but refused, with usualTimeLeft.
-func (n *fakeTransport) Clear(id uint64, _ bool) dispatch.Clearance {
+// AuthorizeAttempt permits everything but refused, with usualTimeLeft.
+func (n *fakeTransport) AuthorizeAttempt(id uint64) dispatch.SendPermit {
 	if id == n.refused {
-		return dispatch.Refuse(dispatch.SendNoWaiter)
+		return dispatch.DenySend(dispatch.DeniedNoWaiter)
 	}
-	return dispatch.Grant(usualTimeLeft)
+	return dispatch.PermitSend(usualTimeLeft)
 }
 
+func (*fakeTransport) AuthorizeLoad() dispatch.SendPermit { return dispatch.PermitSend(usualTimeLeft) }
+
 func (n *fakeTransport) OnLoadReply(id uint64, outcome control.Outcome, replicas int) {
 	n.reported = append(n.reported, fmt.Sprintf("load %d:%d %d", id, outcome, replicas))
 }
@@ -319,8 +321,12 @@
 func (discard) Close(upstream.ConnID)                       {}
 func (discard) Unsent(upstream.ConnID) int                  { return 0 }
 func (discard) OnAttemptReply(uint64, dispatch.WorkerReply) {}
-func (discard) Clear(uint64, bool) dispatch.Clearance       { return dispatch.Grant(usualTimeLeft) }
-func (discard) OnLoadReply(uint64, control.Outcome, int)    {}
+func (discard) AuthorizeAttempt(uint64) dispatch.SendPermit {
+	return dispatch.PermitSend(usualTimeLeft)
+}
+
+func (discard) AuthorizeLoad() dispatch.SendPermit       { return dispatch.PermitSend(usualTimeLeft) }
+func (discard) OnLoadReply(uint64, control.Outcome, int) {}
 
 // BenchmarkExchange is one attempt and its reply over a connection that is reused.
 func BenchmarkExchange(b *testing.B) {
--- a/internal/upstream/openinference/codec.go
+++ b/internal/upstream/openinference/codec.go
@@ -44,8 +44,8 @@
 // context attributes as ce- fields. Request-Timeout states the seconds after which nobody waits any more, rounded down. A
 // version is asked for by its name in the path and by its digest in If-Match: a worker that holds another one under that
 // name answers 412 and runs nothing.
-func InferRequest(addr, via string, clearance dispatch.Clearance, a dispatch.Attempt) []byte {
-	timeLeft := math.Floor(clearance.TimeLeft()*millisecondsPerSecond) / millisecondsPerSecond
+func InferRequest(addr, via string, permit dispatch.SendPermit, a dispatch.Attempt) []byte {
+	timeLeft := math.Floor(permit.TimeLeft()*millisecondsPerSecond) / millisecondsPerSecond
 	fields := append([]dispatch.Field{{Name: "Request-Timeout", Value: strconv.FormatFloat(timeLeft, 'f', 3, 64)}},
 		a.Fields...)
 	if b := a.Binding; b.ID != "" {
--- a/internal/upstream/openinference/pool.go
+++ b/internal/upstream/openinference/pool.go
@@ -50,7 +50,7 @@
 }
 
 // NewPool makes a pool without workers.
-func NewPool(limits Limits, transport upstream.Transport, results upstream.Results) *Pool {
+func NewPool(limits Limits, transport upstream.Transport, results upstream.ExchangeHandler) *Pool {
 	return &Pool{
 		limits: limits, transport: transport, addresses: map[control.WorkerID]string{},
 		detached: map[control.WorkerID]bool{}, connections: upstream.NewConnections[*httpConnection](transport),
@@ -104,14 +104,14 @@
 // SendAttempt sends an attempt over an idle connection or a new one.
 func (p *Pool) SendAttempt(now float64, a dispatch.Attempt) {
 	addr := p.addresses[a.Worker]
-	encode := func(clearance dispatch.Clearance) []byte { return InferRequest(addr, p.limits.Via, clearance, a) }
+	encode := func(permit dispatch.SendPermit) []byte { return InferRequest(addr, p.limits.Via, permit, a) }
 	p.send(now, &httpExchange{Exchange: upstream.Exchange{ID: a.ID, Worker: a.Worker, Encode: encode}})
 }
 
 // SendLoad sends a load command likewise.
 func (p *Pool) SendLoad(now float64, command dispatch.LoadCommand) {
 	addr := p.addresses[command.Worker]
-	encode := func(dispatch.Clearance) []byte { return LoadRequest(addr, p.limits.Via, command) }
+	encode := func(dispatch.SendPermit) []byte { return LoadRequest(addr, p.limits.Via, command) }
 	p.send(now, &httpExchange{
 		Exchange: upstream.Exchange{ID: command.ID, Worker: command.Worker, IsLoad: true, Encode: encode},
 		digest:   command.Binding.Digest,
--- a/internal/upstream/openinference/pool_test.go
+++ b/internal/upstream/openinference/pool_test.go
@@ -35,14 +35,16 @@
 	w.outcomes[id] = append(w.outcomes[id], r.Outcome)
 }
 
-// Clear permits everything but refused, with usualTimeLeft.
-func (w *fakePeer) Clear(id uint64, _ bool) dispatch.Clearance {
+// AuthorizeAttempt permits everything but refused, with usualTimeLeft.
+func (w *fakePeer) AuthorizeAttempt(id uint64) dispatch.SendPermit {
 	if id == w.refused {
-		return dispatch.Refuse(dispatch.SendNoWaiter)
+		return dispatch.DenySend(dispatch.DeniedNoWaiter)
 	}
-	return dispatch.Grant(usualTimeLeft)
+	return dispatch.PermitSend(usualTimeLeft)
 }
 
+func (*fakePeer) AuthorizeLoad() dispatch.SendPermit { return dispatch.PermitSend(usualTimeLeft) }
+
 func (w *fakePeer) OnLoadReply(id uint64, outcome control.Outcome, _ int) {
 	w.outcomes[id] = append(w.outcomes[id], outcome)
 }
@@ -246,8 +248,12 @@
 func (discard) Write(upstream.ConnID, []byte)               {}
 func (discard) Close(upstream.ConnID)                       {}
 func (discard) OnAttemptReply(uint64, dispatch.WorkerReply) {}
-func (discard) Clear(uint64, bool) dispatch.Clearance       { return dispatch.Grant(usualTimeLeft) }
-func (discard) OnLoadReply(uint64, control.Outcome, int)    {}
+func (discard) AuthorizeAttempt(uint64) dispatch.SendPermit {
+	return dispatch.PermitSend(usualTimeLeft)
+}
+
+func (discard) AuthorizeLoad() dispatch.SendPermit       { return dispatch.PermitSend(usualTimeLeft) }
+func (discard) OnLoadReply(uint64, control.Outcome, int) {}
 
 // BenchmarkExchange is one attempt and its reply over a connection that is reused.
 func BenchmarkExchange(b *testing.B) {
--- a/internal/verification/fakes/faults.go
+++ b/internal/verification/fakes/faults.go
@@ -10,22 +10,22 @@
 
 // Kinds of faults.
 const (
-	FaultHang            FaultKind = "hang"         // accepts requests and answers none, also not after the fault ended
-	FaultLoseResponses   FaultKind = "lose"         // runs requests and loses the responses
-	FaultErrors          FaultKind = "errors"       // answers 500
-	FaultVersionErrors   FaultKind = "errors-of"    // answers 500 for one version
-	FaultSlow            FaultKind = "slow"         // takes a multiple of the time
-	FaultStall           FaultKind = "stall"        // stands still, and goes on when the fault ends
-	FaultReset           FaultKind = "reset"        // resets the connection
-	FaultCutResponses    FaultKind = "cut"          // closes the connection within the response
-	FaultStaleReports    FaultKind = "late-reports" // repeats an old load report
-	FaultWrongDigest     FaultKind = "wrong-digest" // fetches an image of another digest, which is thrown away
-	FaultMisreportDigest FaultKind = "liar"         // names another version than the one that ran
+	FaultHang              FaultKind = "hang"         // accepts requests and answers none, also not after the fault ended
+	FaultLoseResponses     FaultKind = "lose"         // runs requests and loses the responses
+	FaultErrors            FaultKind = "errors"       // answers 500
+	FaultVersionErrors     FaultKind = "errors-of"    // answers 500 for one version
+	FaultSlow              FaultKind = "slow"         // takes a multiple of the time
+	FaultSuspend           FaultKind = "stall"        // stands still, and goes on when the fault ends
+	FaultReset             FaultKind = "reset"        // resets the connection
+	FaultTruncateResponses FaultKind = "cut"          // closes the connection within the response
+	FaultStaleReports      FaultKind = "late-reports" // repeats an old load report
+	FaultWrongDigest       FaultKind = "wrong-digest" // fetches an image of another digest, which is thrown away
+	FaultMisreportDigest   FaultKind = "liar"         // names another version than the one that ran
 )
 
 var faultKinds = map[FaultKind]bool{
-	FaultHang: true, FaultLoseResponses: true, FaultErrors: true, FaultVersionErrors: true, FaultSlow: true, FaultStall: true,
-	FaultReset: true, FaultCutResponses: true, FaultStaleReports: true, FaultWrongDigest: true, FaultMisreportDigest: true,
+	FaultHang: true, FaultLoseResponses: true, FaultErrors: true, FaultVersionErrors: true, FaultSlow: true, FaultSuspend: true,
+	FaultReset: true, FaultTruncateResponses: true, FaultStaleReports: true, FaultWrongDigest: true, FaultMisreportDigest: true,
 }
 
 // untilLifted is longer than any process runs: the duration of a fault that states none.
@@ -35,7 +35,7 @@
 type Fault struct {
 	Kind     FaultKind `json:"kind"`
 	Duration float64   `json:"for"`    // seconds; 0: until replaced
-	Share    float64   `json:"part"`   // share of the requests that it meets; 0: all
+	Fraction float64   `json:"part"`   // share of the requests that it meets; 0: all
 	Slowdown float64   `json:"times"`  // slowdown factor
 	Bytes    int       `json:"bytes"`  // of the response that are sent before a cut
 	Digest   string    `json:"digest"` // version that fails
@@ -74,7 +74,7 @@
 	if !known || time.Now().After(f.until) {
 		return f, false
 	}
-	if f.Share > 0 && w.rng.Float64() >= f.Share {
+	if f.Fraction > 0 && w.rng.Float64() >= f.Fraction {
 		return f, false
 	}
 	return f, true
--- a/internal/verification/fakes/infer.go
+++ b/internal/verification/fakes/infer.go
@@ -13,7 +13,7 @@
 const (
 	maxRequestBody = 1 << 20
 
-	// cutResponse is what FaultCutResponses sends the beginning of: its body is shorter than it says.
+	// cutResponse is what FaultTruncateResponses sends the beginning of: its body is shorter than it says.
 	cutResponse = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 400\r\n\r\n{\"a\":1}"
 	// maxCutBytes leaves the response incomplete within its head.
 	maxCutBytes = 70
@@ -118,7 +118,7 @@
 // also not when it is well again. The caller holds the lock, which is given up while it waits.
 func (c *inference) waitOutSilence() {
 	w, cancelled := c.w, c.r.Context().Done()
-	for _, kind := range []FaultKind{FaultHang, FaultStall} {
+	for _, kind := range []FaultKind{FaultHang, FaultSuspend} {
 		fault, silent := w.active(kind)
 		if !silent {
 			continue
@@ -160,7 +160,7 @@
 // isFirst returns whether the request has its effect: it is not a repeat that the workers drop.
 func (c *inference) isFirst() bool {
 	spec := &c.w.spec
-	return !spec.KeyedClasses[c.record.Class] || spec.Deduplicator == nil || spec.Deduplicator.IsFirst(c.record.RequestID)
+	return !spec.IdempotentByKeyClasses[c.record.Class] || spec.Deduplicator == nil || spec.Deduplicator.IsFirst(c.record.RequestID)
 }
 
 // execute takes the time of the work, and gives the replica back. It does not return where the process ends meanwhile.
@@ -187,7 +187,7 @@
 	w := c.w
 	w.mu.Lock()
 	_, loses := w.active(FaultLoseResponses)
-	cut, cuts := w.active(FaultCutResponses)
+	cut, cuts := w.active(FaultTruncateResponses)
 	w.mu.Unlock()
 	switch {
 	case loses: // it ran, and nobody learns of it
--- a/internal/verification/fakes/site_config.go
+++ b/internal/verification/fakes/site_config.go
@@ -67,14 +67,14 @@
 
 // RulesConfig is the limits of the routing rules in a SiteConfig.
 type RulesConfig struct {
-	ColdShare       float64 `json:"cold_share"`
-	WarmUpTime      float64 `json:"warm_within_s"`
-	OverloadFactor  float64 `json:"fall_multiple"`
-	OverloadWindow  float64 `json:"fall_window_s"`
-	MaxRetryAfter   float64 `json:"max_pause_s"`
-	LoadWindow      float64 `json:"load_window_s"` // 0: load commands are not limited
-	LoadBurst       float64 `json:"load_free"`
-	LoadsPerRequest float64 `json:"load_share"`
+	InitialCapacityFraction float64 `json:"cold_share"`
+	WarmUpTime              float64 `json:"warm_within_s"`
+	OverloadFactor          float64 `json:"fall_multiple"`
+	OverloadWindow          float64 `json:"fall_window_s"`
+	MaxRetryAfter           float64 `json:"max_pause_s"`
+	LoadWindow              float64 `json:"load_window_s"` // 0: load commands are not limited
+	LoadBurst               float64 `json:"load_free"`
+	LoadsPerRequest         float64 `json:"load_share"`
 }
 
 // LimitsConfig is the limits of clients in a SiteConfig. What is 0 has the program's default.
--- a/internal/verification/fakes/worker.go
+++ b/internal/verification/fakes/worker.go
@@ -28,27 +28,27 @@
 
 // WorkerConfig is what a worker is. Times are seconds.
 type WorkerConfig struct {
-	Name                string
-	Addr                string // host:port; port 0 takes a free one, which it keeps over restarts
-	MachineType         string // machine type
-	Cores               int
-	Speed               float64
-	Memory              float64 // MB for replicas
-	QueueLimit          int     // requests that wait
-	MaxConcurrentLoads  int     // concurrent loads
-	IdleReplicaLifetime float64 // an idle replica is let go after this
-	ColdShare           float64 // share of its capacity that it has at its start
-	WarmUpTime          float64 // from its start to its full capacity
-	OverloadFactor      float64 // multiple of its capacity at which it fails while cold; 0: never
-	OverloadWindow      float64 // over which that is measured
-	LoadsOnRequest      bool    // a request for a function that is not loaded loads it; otherwise it is answered 404
-	MeanWork            float64
-	Functions           []Function
-	Store               *Store
-	Deduplicator        *Deduplicator   // drops repeats of keyed requests
-	KeyedClasses        map[string]bool // request classes whose repeats are dropped
-	Recorder            *invariants.Recorder
-	Seed                uint64
+	Name                    string
+	Addr                    string // host:port; port 0 takes a free one, which it keeps over restarts
+	MachineType             string // machine type
+	Cores                   int
+	Speed                   float64
+	Memory                  float64 // MB for replicas
+	QueueLimit              int     // requests that wait
+	MaxConcurrentLoads      int     // concurrent loads
+	IdleReplicaLifetime     float64 // an idle replica is let go after this
+	InitialCapacityFraction float64 // share of its capacity that it has at its start
+	WarmUpTime              float64 // from its start to its full capacity
+	OverloadFactor          float64 // multiple of its capacity at which it fails while cold; 0: never
+	OverloadWindow          float64 // over which that is measured
+	LoadsOnRequest          bool    // a request for a function that is not loaded loads it; otherwise it is answered 404
+	MeanWork                float64
+	Functions               []Function
+	Store                   *Store
+	Deduplicator            *Deduplicator   // drops repeats of keyed requests
+	IdempotentByKeyClasses  map[string]bool // request classes whose repeats are dropped
+	Recorder                *invariants.Recorder
+	Seed                    uint64
 }
 
 // Worker is one fake worker. Its process may end and start anew; its name and address stay.
@@ -195,7 +195,7 @@
 	if !w.cold || age >= w.spec.WarmUpTime {
 		return 1
 	}
-	return w.spec.ColdShare + (1-w.spec.ColdShare)*age/w.spec.WarmUpTime
+	return w.spec.InitialCapacityFraction + (1-w.spec.InitialCapacityFraction)*age/w.spec.WarmUpTime
 }
 
 // overloaded counts a request that reaches a cold worker, and crashes the worker where that is too much. The caller
--- a/internal/verification/fakes/worker_test.go
+++ b/internal/verification/fakes/worker_test.go
@@ -18,7 +18,7 @@
 	functions := []Function{{Name: "tally", MemoryMB: 100, Concurrency: 2, FetchTime: 0.002, StartTime: 0.001, MeanWork: 0.002}}
 	w, err := NewWorker(WorkerConfig{
 		Name: "wk-0", MachineType: "std", Cores: 2, Speed: 0.5, Memory: 250, QueueLimit: 4, MaxConcurrentLoads: 2, IdleReplicaLifetime: 20,
-		Functions: functions, Store: NewStore(4, 4), Deduplicator: NewDeduplicator(10), KeyedClasses: map[string]bool{"keyed": true}, Recorder: recorder, Seed: 1,
+		Functions: functions, Store: NewStore(4, 4), Deduplicator: NewDeduplicator(10), IdempotentByKeyClasses: map[string]bool{"keyed": true}, Recorder: recorder, Seed: 1,
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/verification/goldentest/words.go
+++ b/internal/verification/goldentest/words.go
@@ -78,7 +78,7 @@
 }
 
 func parseCause(word string) dispatch.Cause {
-	for c := dispatch.CauseAnswered; c <= dispatch.CauseDuplicate; c++ {
+	for c := dispatch.CauseResponded; c <= dispatch.CauseDuplicate; c++ {
 		if c.String() == word {
 			return c
 		}
--- a/internal/verification/goldentest/workers.go
+++ b/internal/verification/goldentest/workers.go
@@ -62,11 +62,14 @@
 // Unsent is what the script states of a connection's buffer.
 func (w *FakeWorkers) Unsent(c upstream.ConnID) int { return w.unsent[c] }
 
-// Clear permits everything, with the time that is left of what the script states.
-func (w *FakeWorkers) Clear(id uint64, _ bool) dispatch.Clearance {
-	return dispatch.Grant(w.deadlines[id] - w.now)
+// AuthorizeAttempt permits everything, with the time that is left of what the script states.
+func (w *FakeWorkers) AuthorizeAttempt(id uint64) dispatch.SendPermit {
+	return dispatch.PermitSend(w.deadlines[id] - w.now)
 }
 
+// AuthorizeLoad implements upstream.ExchangeHandler.
+func (*FakeWorkers) AuthorizeLoad() dispatch.SendPermit { return dispatch.PermitSend(0) }
+
 // sendAttempt hands an attempt to the pool and notes its deadline.
 func (w *FakeWorkers) sendAttempt(now float64, attempt dispatch.Attempt) {
 	if w.deadlines == nil {
--- a/internal/verification/invariants/check_test.go
+++ b/internal/verification/invariants/check_test.go
@@ -10,7 +10,7 @@
 var rules = Rules{
 	Semantics:           map[string]string{"again": "redeliverable", "keyed": "keyed", "once": "at-most-once"},
 	DeduplicationWindow: map[string]float64{"keyed": 10}, MeanWork: 0.1, Capacity: map[string]float64{"a": 2, "b": 2}, DrainGrace: 0.5,
-	ColdShare: 0.25, WarmUpTime: 10, OverloadFactor: 2, OverloadWindow: 1, LoadWindow: 5, LoadBurst: 2, LoadsPerRequest: 0.5, ObservationDelay: 0.01,
+	InitialCapacityFraction: 0.25, WarmUpTime: 10, OverloadFactor: 2, OverloadWindow: 1, LoadWindow: 5, LoadBurst: 2, LoadsPerRequest: 0.5, ObservationDelay: 0.01,
 }
 
 func request(at float64, call uint64, id, class string) Record {
@@ -93,8 +93,8 @@
 		{"attempt after drain", append(attemptRecords(5.6, 5.7, 51, "a", "x", "again", true), request(5.5, 52, "x", "again"),
 			response(5.8, 52, "x", "again", Succeeded)), func(v Verdict) int { return v.SentAfterDrain }},
 		{"load command after drain", []Record{loadCommand(5.6)}, func(v Verdict) int { return v.SentAfterDrain }},
-		{"cold worker overloaded", overload, func(v Verdict) int { return v.ColdOverloads }},
-		{"cold worker failed", []Record{{At: 7, Kind: WorkerOverloaded, Worker: "b"}}, func(v Verdict) int { return v.ColdOverloads }},
+		{"cold worker overloaded", overload, func(v Verdict) int { return v.WarmUpOverloads }},
+		{"cold worker failed", []Record{{At: 7, Kind: WorkerOverloaded, Worker: "b"}}, func(v Verdict) int { return v.WarmUpOverloads }},
 		{"too many load commands", []Record{loadCommand(3.2), loadCommand(3.3)}, func(v Verdict) int { return v.ExcessLoadCommands }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/verification/invariants/format_test.go
+++ b/internal/verification/invariants/format_test.go
@@ -14,7 +14,7 @@
 func TestRulesKeys(t *testing.T) {
 	want := Rules{
 		Semantics: map[string]string{"a": "keyed"}, DeduplicationWindow: map[string]float64{"a": 30}, MeanWork: 0.5,
-		FunctionWork: map[string]float64{"f": 0.25}, Capacity: map[string]float64{"w": 2}, DrainGrace: 0.5, ColdShare: 0.29, WarmUpTime: 4,
+		FunctionWork: map[string]float64{"f": 0.25}, Capacity: map[string]float64{"w": 2}, DrainGrace: 0.5, InitialCapacityFraction: 0.29, WarmUpTime: 4,
 		OverloadFactor: 2.5, OverloadWindow: 1.5, LoadWindow: 8, LoadBurst: 3, LoadsPerRequest: 0.75, SubmissionDelay: 0.125, IndependentFrontEnds: true, ObservationDelay: 0.1,
 	}
 	for _, text := range []string{rulesText, strings.ToLower(rulesText)} {
--- a/internal/verification/invariants/rules.go
+++ b/internal/verification/invariants/rules.go
@@ -21,8 +21,8 @@
 	Capacity map[string]float64 `json:"Capacity"`
 	// DrainGrace is how long after the notice a draining worker may still be sent something.
 	DrainGrace float64 `json:"DrainGrace"`
-	// ColdShare is the share of its capacity that a worker has at its start.
-	ColdShare float64 `json:"ColdShare"`
+	// InitialCapacityFraction is the share of its capacity that a worker has at its start.
+	InitialCapacityFraction float64 `json:"ColdShare"`
 	// WarmUpTime is the time from a worker's start to its full capacity; 0 switches rule 4 off.
 	WarmUpTime float64 `json:"WarmWithin"`
 	// OverloadFactor is the multiple of its capacity at which a cold worker fails; 0 switches rule 4 off.
@@ -66,7 +66,7 @@
 	DuplicateExecutions int `json:"ran_twice"`                  // rule 2: at-most-once, or keyed past the deduplication window
 	WrongRejections     int `json:"bad_deferrals"`              // rule 2: rejected for a retry though it ran and must not run again
 	SentAfterDrain      int `json:"after_drain"`                // rule 3: sent to a draining worker
-	ColdOverloads       int `json:"cold_pushed"`                // rule 4: a cold worker was overloaded
+	WarmUpOverloads     int `json:"cold_pushed"`                // rule 4: a cold worker was overloaded
 	ExcessLoadCommands  int `json:"load_floods"`                // rule 5: too many load commands
 	VersionMismatches   int `json:"wrong_versions"`             // another version ran, or was named, than the one asked for
 
@@ -81,7 +81,7 @@
 		v.Unanswered + v.DuplicateResponses + v.AttemptsAfterEnd + v.ExcessDeadlines,
 		v.ConcurrentAttempts + v.DuplicateExecutions + v.WrongRejections,
 		v.SentAfterDrain,
-		v.ColdOverloads,
+		v.WarmUpOverloads,
 		v.ExcessLoadCommands,
 		v.VersionMismatches,
 	} {
--- a/internal/verification/invariants/workers.go
+++ b/internal/verification/invariants/workers.go
@@ -43,7 +43,7 @@
 		case WorkerStarted:
 			state.start(r)
 		case WorkerOverloaded:
-			c.violation(&c.verdict.ColdOverloads, "pushed over", "%s fell over at %.3f", r.Worker, r.At)
+			c.violation(&c.verdict.WarmUpOverloads, "pushed over", "%s fell over at %.3f", r.Worker, r.At)
 		case AttemptStarted:
 			c.checkWarmUpLoad(state, r)
 		}
@@ -74,14 +74,14 @@
 		window = window[1:]
 	}
 	state.sent[r.Worker] = window
-	warmth := c.rules.ColdShare + (1-c.rules.ColdShare)*age/c.rules.WarmUpTime
+	warmth := c.rules.InitialCapacityFraction + (1-c.rules.InitialCapacityFraction)*age/c.rules.WarmUpTime
 	budget := c.rules.OverloadFactor * warmth * c.rules.Capacity[r.Worker] * c.rules.OverloadWindow
 	load := 0.0
 	for _, sent := range window {
 		load += c.workOf(sent.Function)
 	}
 	if load > budget+2*c.rules.MeanWork {
-		c.violation(&c.verdict.ColdOverloads, "cold", "%s got %.2f s of work within %.1f s until %.3f, %.1f s after its start; "+
+		c.violation(&c.verdict.WarmUpOverloads, "cold", "%s got %.2f s of work within %.1f s until %.3f, %.1f s after its start; "+
 			"%.2f are allowed", r.Worker, load, c.rules.OverloadWindow, r.At, age, budget)
 	}
 }
--- a/internal/verification/scenario/inject.go
+++ b/internal/verification/scenario/inject.go
@@ -14,31 +14,31 @@
 
 // Kinds of fault. Share is of the workers where nothing else is said.
 const (
-	FaultHang             FaultKind = "hang"            // workers accept requests and answer none
-	FaultLoseResponses    FaultKind = "lose"            // workers run requests and lose the responses
-	FaultErrors           FaultKind = "errors"          // workers answer 500
-	FaultSlow             FaultKind = "slow"            // workers take Times as long
-	FaultStall            FaultKind = "stall"           // workers stand still and go on
-	FaultReset            FaultKind = "reset"           // workers reset connections
-	FaultCutResponses     FaultKind = "cut"             // workers close connections after Bytes of the response
-	FaultStaleReports     FaultKind = "late-reports"    // workers repeat old load reports
-	FaultPauses           FaultKind = "pauses"          // workers stand still again and again
-	FaultNoisyNeighbour   FaultKind = "neighbour"       // workers are slow again and again
-	FaultCrash            FaultKind = "crash"           // worker processes end, and come back later
-	FaultReplace          FaultKind = "replace"         // new processes under the same names and addresses
-	FaultDeploy           FaultKind = "deploy"          // all workers are replaced in waves of Share, drained first
-	FaultPreempt          FaultKind = "preempt"         // the same, and each ends before the endpoint list says so
-	FaultEvict            FaultKind = "flush"           // replicas and images of a Share of the functions are gone
-	FaultStoreSlow        FaultKind = "store-slow"      // fetches take Times as long
-	FaultStoreStop        FaultKind = "store-stop"      // the function store rejects fetches
-	FaultReleaseAtOnce    FaultKind = "release-at-once" // a Share of the functions moves to another version
-	FaultReleasePaced     FaultKind = "release-paced"   // the same, a few at a time, loaded first
-	FaultBurst            FaultKind = "burst"           // clients send Times as many requests
-	FaultHotKey           FaultKind = "hot-key"         // a Share of the requests is for few functions that nobody asked for
-	FaultCancel           FaultKind = "hang-up"         // a Share of the clients cancel
-	FaultIgnoreRetryAfter FaultKind = "retry-abuse"     // clients come back at once
-	FaultEmptyList        FaultKind = "all-gone"        // the endpoint list is empty
-	FaultMidnight         FaultKind = "midnight"        // Times further schedules fire
+	FaultHang               FaultKind = "hang"            // workers accept requests and answer none
+	FaultLoseResponses      FaultKind = "lose"            // workers run requests and lose the responses
+	FaultErrors             FaultKind = "errors"          // workers answer 500
+	FaultSlow               FaultKind = "slow"            // workers take Times as long
+	FaultSuspend            FaultKind = "stall"           // workers stand still and go on
+	FaultReset              FaultKind = "reset"           // workers reset connections
+	FaultTruncateResponses  FaultKind = "cut"             // workers close connections after Bytes of the response
+	FaultStaleReports       FaultKind = "late-reports"    // workers repeat old load reports
+	FaultRepeatedSuspension FaultKind = "pauses"          // workers stand still again and again
+	FaultNoisyNeighbour     FaultKind = "neighbour"       // workers are slow again and again
+	FaultCrash              FaultKind = "crash"           // worker processes end, and come back later
+	FaultReplace            FaultKind = "replace"         // new processes under the same names and addresses
+	FaultDeploy             FaultKind = "deploy"          // all workers are replaced in waves of Share, drained first
+	FaultPreempt            FaultKind = "preempt"         // the same, and each ends before the endpoint list says so
+	FaultEvict              FaultKind = "flush"           // replicas and images of a Share of the functions are gone
+	FaultStoreSlow          FaultKind = "store-slow"      // fetches take Times as long
+	FaultStoreStop          FaultKind = "store-stop"      // the function store rejects fetches
+	FaultReleaseAtOnce      FaultKind = "release-at-once" // a Share of the functions moves to another version
+	FaultReleasePaced       FaultKind = "release-paced"   // the same, a few at a time, loaded first
+	FaultBurst              FaultKind = "burst"           // clients send Times as many requests
+	FaultHotKey             FaultKind = "hot-key"         // a Share of the requests is for few functions that nobody asked for
+	FaultCancel             FaultKind = "hang-up"         // a Share of the clients cancel
+	FaultIgnoreRetryAfter   FaultKind = "retry-abuse"     // clients come back at once
+	FaultEmptyList          FaultKind = "all-gone"        // the endpoint list is empty
+	FaultMidnight           FaultKind = "midnight"        // Times further schedules fire
 )
 
 const (
@@ -49,31 +49,31 @@
 
 // injections make a fault happen and, where it lasts, end it again before they return.
 var injections = map[FaultKind]func(*injection) error{
-	FaultHang:             (*injection).misbehave,
-	FaultLoseResponses:    (*injection).misbehave,
-	FaultErrors:           (*injection).misbehave,
-	FaultSlow:             (*injection).misbehave,
-	FaultStall:            (*injection).misbehave,
-	FaultReset:            (*injection).misbehave,
-	FaultCutResponses:     (*injection).misbehave,
-	FaultStaleReports:     (*injection).misbehave,
-	FaultPauses:           func(i *injection) error { return i.repeat(fakes.FaultStall) },
-	FaultNoisyNeighbour:   func(i *injection) error { return i.repeat(fakes.FaultSlow) },
-	FaultCrash:            (*injection).crash,
-	FaultReplace:          (*injection).replace,
-	FaultDeploy:           func(i *injection) error { return i.inWaves(i.deploy) },
-	FaultPreempt:          func(i *injection) error { return i.inWaves(i.preempt) },
-	FaultEvict:            (*injection).evict,
-	FaultStoreSlow:        (*injection).slowStore,
-	FaultStoreStop:        (*injection).stopStore,
-	FaultReleaseAtOnce:    (*injection).releaseAtOnce,
-	FaultReleasePaced:     (*injection).releasePaced,
-	FaultBurst:            (*injection).burst,
-	FaultHotKey:           (*injection).heatKeys,
-	FaultCancel:           (*injection).cancelMany,
-	FaultIgnoreRetryAfter: (*injection).ignoreRetryAfter,
-	FaultEmptyList:        (*injection).emptyList,
-	FaultMidnight:         func(*injection) error { return nil }, // the clients' schedules know of it
+	FaultHang:               (*injection).misbehave,
+	FaultLoseResponses:      (*injection).misbehave,
+	FaultErrors:             (*injection).misbehave,
+	FaultSlow:               (*injection).misbehave,
+	FaultSuspend:            (*injection).misbehave,
+	FaultReset:              (*injection).misbehave,
+	FaultTruncateResponses:  (*injection).misbehave,
+	FaultStaleReports:       (*injection).misbehave,
+	FaultRepeatedSuspension: func(i *injection) error { return i.repeat(fakes.FaultSuspend) },
+	FaultNoisyNeighbour:     func(i *injection) error { return i.repeat(fakes.FaultSlow) },
+	FaultCrash:              (*injection).crash,
+	FaultReplace:            (*injection).replace,
+	FaultDeploy:             func(i *injection) error { return i.inWaves(i.deploy) },
+	FaultPreempt:            func(i *injection) error { return i.inWaves(i.preempt) },
+	FaultEvict:              (*injection).evict,
+	FaultStoreSlow:          (*injection).slowStore,
+	FaultStoreStop:          (*injection).stopStore,
+	FaultReleaseAtOnce:      (*injection).releaseAtOnce,
+	FaultReleasePaced:       (*injection).releasePaced,
+	FaultBurst:              (*injection).burst,
+	FaultHotKey:             (*injection).heatKeys,
+	FaultCancel:             (*injection).cancelMany,
+	FaultIgnoreRetryAfter:   (*injection).ignoreRetryAfter,
+	FaultEmptyList:          (*injection).emptyList,
+	FaultMidnight:           func(*injection) error { return nil }, // the clients' schedules know of it
 }
 
 // injection is one fault that is being injected.
@@ -86,7 +86,7 @@
 
 // inject makes one fault happen and, where it lasts, ends it again before it returns.
 func (r *run) inject(ctx context.Context, f Fault, rng *rand.Rand) error {
-	r.log.Info("fault injected", "kind", f.Kind, "share", f.Share, "duration", f.Duration)
+	r.log.Info("fault injected", "kind", f.Kind, "share", f.Fraction, "duration", f.Duration)
 	return injections[f.Kind](&injection{run: r, ctx: ctx, fault: f, rng: rng})
 }
 
@@ -106,7 +106,7 @@
 }
 
 // affected draws the workers that the fault concerns.
-func (i *injection) affected() []*fakes.Worker { return i.someWorkers(i.fault.Share) }
+func (i *injection) affected() []*fakes.Worker { return i.someWorkers(i.fault.Fraction) }
 
 // allWorkers returns the workers in service in a drawn order.
 func (i *injection) allWorkers() []*fakes.Worker { return i.someWorkers(1) }
@@ -131,7 +131,7 @@
 func (i *injection) misbehave() error {
 	f := i.fault
 	for _, w := range i.affected() {
-		fault := fakes.Fault{Kind: fakes.FaultKind(f.Kind), Duration: f.Duration, Share: f.HitShare, Slowdown: f.Times, Bytes: f.Bytes}
+		fault := fakes.Fault{Kind: fakes.FaultKind(f.Kind), Duration: f.Duration, Fraction: f.HitFraction, Slowdown: f.Times, Bytes: f.Bytes}
 		if err := w.Inject(fault); err != nil {
 			return err
 		}
@@ -181,7 +181,7 @@
 // inWaves does something with all workers, a share at a time.
 func (i *injection) inWaves(do func(*fakes.Worker) error) error {
 	workers := i.allWorkers()
-	wave := max(int(math.Round(i.fault.Share*float64(len(workers)))), 1)
+	wave := max(int(math.Round(i.fault.Fraction*float64(len(workers)))), 1)
 	for len(workers) > 0 && i.ctx.Err() == nil {
 		n := min(wave, len(workers))
 		if err := eachWorker(workers[:n], do); err != nil {
@@ -247,7 +247,7 @@
 
 func (i *injection) evict() error {
 	names := map[string]bool{}
-	for _, index := range i.rng.Perm(len(i.functions))[:int(i.fault.Share*float64(len(i.functions)))] {
+	for _, index := range i.rng.Perm(len(i.functions))[:int(i.fault.Fraction*float64(len(i.functions)))] {
 		names[i.functions[index].Name] = true
 	}
 	for _, w := range i.allWorkers() {
@@ -276,14 +276,14 @@
 }
 
 func (i *injection) heatKeys() error {
-	i.hotShare.Store(int64(thousandths * i.fault.Share))
+	i.hotShare.Store(int64(thousandths * i.fault.Fraction))
 	i.hold()
 	i.hotShare.Store(0)
 	return nil
 }
 
 func (i *injection) cancelMany() error {
-	i.cancelShare.Store(int64(thousandths * i.fault.Share))
+	i.cancelShare.Store(int64(thousandths * i.fault.Fraction))
 	i.hold()
 	i.cancelShare.Store(0)
 	return nil
--- a/internal/verification/scenario/rollout.go
+++ b/internal/verification/scenario/rollout.go
@@ -25,7 +25,7 @@
 	}
 	count := i.script.Functions
 	var list []registry.Migration
-	for _, index := range i.rng.Perm(count)[:int(i.fault.Share*float64(count))] {
+	for _, index := range i.rng.Perm(count)[:int(i.fault.Fraction*float64(count))] {
 		f := i.functions[index] // the catalogue's order is that of popularity
 		list = append(list, registry.Migration{
 			Function: f.Name, To: versionDigest(f.Name, newVersion), RequestRate: -float64(index),
@@ -42,7 +42,7 @@
 		return err
 	}
 	for _, m := range list {
-		if err := i.versions.move(registry.Move{Function: m.Function, Alias: registry.Current, Digest: m.To}); err != nil {
+		if err := i.versions.move(registry.AliasUpdate{Function: m.Function, Alias: registry.Current, Digest: m.To}); err != nil {
 			return err
 		}
 	}
--- a/internal/verification/scenario/script.go
+++ b/internal/verification/scenario/script.go
@@ -28,7 +28,7 @@
 	Timers        int                `json:"timers"`
 	Minute        float64            `json:"minute"` // that a minute of the schedules' clock takes
 	Clients       int                `json:"clients"`
-	Cold          bool               `json:"cold"`          // all workers start with the scenario
+	ColdStart     bool               `json:"cold"`          // all workers start with the scenario
 	LoadOnRequest bool               `json:"load_on_event"` // a request for a function that is not loaded loads it
 	LoadLimit     [3]float64         `json:"ration"`        // window, load commands without a request, load commands for each request
 	Retries       int                `json:"repeats"`
@@ -39,14 +39,14 @@
 
 // Fault is one thing that goes wrong.
 type Fault struct {
-	At       float64   `json:"at"`
-	Kind     FaultKind `json:"kind"`
-	Share    float64   `json:"part"` // of the workers, functions, requests or clients
-	Duration float64   `json:"for"`
-	Times    float64   `json:"times"` // factor or count: as the kind has it
-	Every    float64   `json:"every"` // between the turns of what comes again
-	Bytes    int       `json:"bytes"`
-	HitShare float64   `json:"hit"` // share of the requests that it meets; 0: all
+	At          float64   `json:"at"`
+	Kind        FaultKind `json:"kind"`
+	Fraction    float64   `json:"part"` // of the workers, functions, requests or clients
+	Duration    float64   `json:"for"`
+	Times       float64   `json:"times"` // factor or count: as the kind has it
+	Every       float64   `json:"every"` // between the turns of what comes again
+	Bytes       int       `json:"bytes"`
+	HitFraction float64   `json:"hit"` // share of the requests that it meets; 0: all
 }
 
 // Bounds of scripts.
@@ -163,7 +163,7 @@
 	if injections[f.Kind] == nil {
 		return &FieldError{field + ".kind", f.Kind, "a known kind of trouble"}
 	}
-	if f.At < 0 || f.At > seconds || f.Duration < 0 || !isShare(f.Share) || !isShare(f.HitShare) {
+	if f.At < 0 || f.At > seconds || f.Duration < 0 || !isShare(f.Fraction) || !isShare(f.HitFraction) {
 		return fmt.Errorf("%s: at must lie within the day, part and hit between 0 and 1", field)
 	}
 	return nil
--- a/internal/verification/scenario/site.go
+++ b/internal/verification/scenario/site.go
@@ -35,22 +35,22 @@
 	s := r.script
 	r.functions = fakes.Catalogue(s.Functions+hotFunctions, s.Work, r.seed)
 	r.rules = invariants.Rules{
-		Semantics:           fakes.ClassSemantics(),
-		DeduplicationWindow: map[string]float64{fakes.ClassIdempotentByKey: deduplicationWindow},
-		MeanWork:            r.meanWork(),
-		Capacity:            map[string]float64{},
-		DrainGrace:          drainGrace,
-		ColdShare:           coldShare,
-		WarmUpTime:          warmUpTime,
-		OverloadFactor:      overloadFactor,
-		OverloadWindow:      overloadWindow,
-		LoadWindow:          s.LoadLimit[0],
-		LoadBurst:           s.LoadLimit[1],
-		LoadsPerRequest:     s.LoadLimit[2],
-		ObservationDelay:    recordingGrace,
+		Semantics:               fakes.ClassSemantics(),
+		DeduplicationWindow:     map[string]float64{fakes.ClassIdempotentByKey: deduplicationWindow},
+		MeanWork:                r.meanWork(),
+		Capacity:                map[string]float64{},
+		DrainGrace:              drainGrace,
+		InitialCapacityFraction: coldShare,
+		WarmUpTime:              warmUpTime,
+		OverloadFactor:          overloadFactor,
+		OverloadWindow:          overloadWindow,
+		LoadWindow:              s.LoadLimit[0],
+		LoadBurst:               s.LoadLimit[1],
+		LoadsPerRequest:         s.LoadLimit[2],
+		ObservationDelay:        recordingGrace,
 	}
 	for range s.Workers {
-		w, err := r.startWorker(s.Cold)
+		w, err := r.startWorker(s.ColdStart)
 		if err != nil {
 			return err
 		}
@@ -81,26 +81,26 @@
 	kind, speed := fakes.MachineType(number)
 	name := fmt.Sprintf("wk-%02d", number)
 	w, err := fakes.NewWorker(fakes.WorkerConfig{
-		Name:                name,
-		MachineType:         kind,
-		Cores:               r.script.Cores,
-		Speed:               speed,
-		Memory:              workerMemoryMB,
-		QueueLimit:          workerQueueLimit,
-		MaxConcurrentLoads:  maxConcurrentLoads,
-		IdleReplicaLifetime: idleReplicaLifetime + 0.5,
-		ColdShare:           coldShare,
-		WarmUpTime:          warmUpTime,
-		OverloadFactor:      overloadFactor,
-		OverloadWindow:      overloadWindow,
-		LoadsOnRequest:      r.script.LoadOnRequest,
-		MeanWork:            r.meanWork(),
-		Functions:           r.functions,
-		Store:               r.store,
-		Deduplicator:        r.executed,
-		KeyedClasses:        map[string]bool{fakes.ClassIdempotentByKey: true},
-		Recorder:            r.recorder,
-		Seed:                r.seed + uint64(number),
+		Name:                    name,
+		MachineType:             kind,
+		Cores:                   r.script.Cores,
+		Speed:                   speed,
+		Memory:                  workerMemoryMB,
+		QueueLimit:              workerQueueLimit,
+		MaxConcurrentLoads:      maxConcurrentLoads,
+		IdleReplicaLifetime:     idleReplicaLifetime + 0.5,
+		InitialCapacityFraction: coldShare,
+		WarmUpTime:              warmUpTime,
+		OverloadFactor:          overloadFactor,
+		OverloadWindow:          overloadWindow,
+		LoadsOnRequest:          r.script.LoadOnRequest,
+		MeanWork:                r.meanWork(),
+		Functions:               r.functions,
+		Store:                   r.store,
+		Deduplicator:            r.executed,
+		IdempotentByKeyClasses:  map[string]bool{fakes.ClassIdempotentByKey: true},
+		Recorder:                r.recorder,
+		Seed:                    r.seed + uint64(number),
 	})
 	if err != nil {
 		return nil, err
@@ -152,7 +152,7 @@
 		Functions: fakes.FunctionConfigs(r.functions),
 		Workers:   fakes.WorkersConfig{IdleReplicaLifetime: idleReplicaLifetime, LoadsOnRequest: s.LoadOnRequest},
 		Rules: fakes.RulesConfig{
-			ColdShare: coldShare, WarmUpTime: warmUpTime, OverloadFactor: overloadFactor,
+			InitialCapacityFraction: coldShare, WarmUpTime: warmUpTime, OverloadFactor: overloadFactor,
 			OverloadWindow: overloadWindow, MaxRetryAfter: 0.5,
 			LoadWindow: s.LoadLimit[0], LoadBurst: s.LoadLimit[1], LoadsPerRequest: s.LoadLimit[2],
 		},
--- a/internal/verification/scenario/versions.go
+++ b/internal/verification/scenario/versions.go
@@ -54,7 +54,7 @@
 			return err
 		}
 	}
-	return r.Apply(registry.Entry{Move: &registry.Move{Function: f.Name, Alias: registry.Current, Digest: versionDigest(f.Name, oldVersion)}})
+	return r.Apply(registry.Entry{AliasUpdate: &registry.AliasUpdate{Function: f.Name, Alias: registry.Current, Digest: versionDigest(f.Name, oldVersion)}})
 }
 
 // resolver returns what a front end resolves the versions of requests by.
@@ -82,10 +82,10 @@
 }
 
 // move moves an alias at the front ends, one after the other.
-func (v *versions) move(m registry.Move) error {
+func (v *versions) move(m registry.AliasUpdate) error {
 	for i := range v.registries {
 		v.mu.Lock()
-		err := v.registries[i].Apply(registry.Entry{Move: &m})
+		err := v.registries[i].Apply(registry.Entry{AliasUpdate: &m})
 		v.mu.Unlock()
 		if err != nil {
 			return err
--- a/internal/verification/simulation/appliance.go
+++ b/internal/verification/simulation/appliance.go
@@ -235,8 +235,8 @@
 	}
 	a.tasks = appliance.NewTaskScheduler(a.scheduler.now,
 		appliance.BackgroundTask{Name: taskTick, Interval: 1, Priority: 3, SliceDuration: 0.05, Urgent: true},
-		appliance.BackgroundTask{Name: taskExpiry, Interval: 2, Priority: 2, SliceDuration: 0.02, MaxTimeShare: 0.05, MaxDelay: 5},
-		appliance.BackgroundTask{Name: taskCompaction, Interval: 7, Priority: 1, SliceDuration: 1, MaxTimeShare: 0.05, MaxDelay: 10})
+		appliance.BackgroundTask{Name: taskExpiry, Interval: 2, Priority: 2, SliceDuration: 0.02, MaxTimeFraction: 0.05, MaxDelay: 5},
+		appliance.BackgroundTask{Name: taskCompaction, Interval: 7, Priority: 1, SliceDuration: 1, MaxTimeFraction: 0.05, MaxDelay: 10})
 	a.after(taskInterval, "chores", a.runTask)
 	a.handle(appliance.StateRecovered, "")
 }
--- a/internal/verification/simulation/explore_front_end.go
+++ b/internal/verification/simulation/explore_front_end.go
@@ -28,8 +28,8 @@
 func newSmallFrontEnd(w *smallWorld, number int) *smallFrontEnd {
 	f := &smallFrontEnd{world: w, number: number, mayHaveRun: map[string]float64{}}
 	deployment := &control.Deployment{
-		FrontEnds: 2, MissIsAnswered: number == 0, LoadCommandsAllowed: true, MaxAttempts: 3, MaxRetryAfter: 0.5,
-		IdleReplicaLifetime: 8, MinRoundInterval: 0.004, ColdShare: 0.3, WarmUpTime: 10, OverloadFactor: 2.5, OverloadWindow: 1.5,
+		FrontEnds: 2, NoLoadOnMiss: number == 0, LoadCommandsAllowed: true, MaxAttempts: 3, MaxRetryAfter: 0.5,
+		IdleReplicaLifetime: 8, MinRoundInterval: 0.004, InitialCapacityFraction: 0.3, WarmUpTime: 10, OverloadFactor: 2.5, OverloadWindow: 1.5,
 		RequestClasses: []control.RequestClass{
 			{Name: smallIdempotent, LatencyObjective: 0.8, Timeout: smallTimeout},
 			{
@@ -44,7 +44,7 @@
 		Deployment: deployment, Functions: profile, ResponseMargin: 0.1, LoadTimeout: 1,
 		MaxOpen: 10, DeduplicationWindow: 60, MaxCachedBytes: 1 << 16, Seed: uint64(7 + number),
 	}, f, w.now)
-	f.dispatcher.OnEndpointUpdate(w.now, true, smallWorkers[:])
+	f.dispatcher.OnEndpointUpdate(w.now, control.Snapshot, smallWorkers[:])
 	return f
 }
 
@@ -106,7 +106,7 @@
 	f.drained[index] = true
 	worker := smallWorkers[index]
 	worker.State = control.Draining
-	f.dispatcher.OnEndpointUpdate(f.world.now, false, []control.Worker{worker})
+	f.dispatcher.OnEndpointUpdate(f.world.now, control.Delta, []control.Worker{worker})
 }
 
 // isOpen returns whether a client still waits for a request here.
--- a/internal/verification/simulation/golden_test.go
+++ b/internal/verification/simulation/golden_test.go
@@ -87,7 +87,7 @@
 		"lost=%d attempts=%d loads=%d unanswered=%d answered_twice=%d sent_after_end=%d at_once=%d ran_twice=%d bad_deferrals=%d after_drain=%d "+
 		"cold_pushed=%d load_floods=%d wrong_versions=%d rules_broken=%d", r.SimulatedEvents, r.VirtualSeconds, r.Restarts, met, len(r.Findings), r.Requests, r.Succeeded,
 		r.Rejected, r.Failed, r.Invalid, r.Cancelled, r.ConnectionsLost, r.Attempts, r.LoadCommands, r.Unanswered, r.DuplicateResponses, r.AttemptsAfterEnd, r.ConcurrentAttempts, r.DuplicateExecutions,
-		r.WrongRejections, r.SentAfterDrain, r.ColdOverloads, r.ExcessLoadCommands, r.VersionMismatches, r.RulesBroken)
+		r.WrongRejections, r.SentAfterDrain, r.WarmUpOverloads, r.ExcessLoadCommands, r.VersionMismatches, r.RulesBroken)
 }
 
 // wordless is a digest of the records that doesn't depend on any name or word in them.
--- a/internal/verification/simulation/profiles.go
+++ b/internal/verification/simulation/profiles.go
@@ -108,7 +108,7 @@
 	s.Versions = rng.IntN(3) == 0
 	s.LoadOnRequest = rng.IntN(2) == 0
 	s.LimitLoads = rng.IntN(3) == 0
-	s.Cold = rng.IntN(6) == 0
+	s.ColdStart = rng.IntN(6) == 0
 }
 
 func shapeOverload(s *Script, rng *rand.Rand) {
--- a/internal/verification/simulation/script.go
+++ b/internal/verification/simulation/script.go
@@ -43,7 +43,7 @@
 	Timers                int     `json:"timers"`                  // schedules
 	LoadOnRequest         bool    `json:"load_on_event,omitempty"` // a request for a function that is not loaded loads it
 	Stateless             bool    `json:"stateless,omitempty"`     // appliances have no state on disk
-	Cold                  bool    `json:"cold,omitempty"`          // workers start cold
+	ColdStart             bool    `json:"cold,omitempty"`          // workers start cold
 	LimitLoads            bool    `json:"ration,omitempty"`        // load commands are limited
 	Versions              bool    `json:"versions,omitempty"`      // functions have versions, and aliases that move
 	DeduplicationWindow   float64 `json:"remember"`                // for which workers drop repeats of keyed requests
--- a/internal/verification/simulation/shrink.go
+++ b/internal/verification/simulation/shrink.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// ErrNothingBroken is the error of shrinking a script that breaks nothing.
-var ErrNothingBroken = errors.New("the script breaks nothing")
+// ErrNoViolation is the error of shrinking a script that breaks nothing.
+var ErrNoViolation = errors.New("the script breaks nothing")
 
 // maxShrinkRuns limits the runs of one Shrink.
 const maxShrinkRuns = 400
@@ -21,7 +21,7 @@
 		return nil, nil, 1, err
 	}
 	if r.OK() {
-		return nil, r, 1, ErrNothingBroken
+		return nil, r, 1, ErrNoViolation
 	}
 	x := &shrinker{violation: violationKind(r.Findings[0]), best: *s, report: r, runs: 1}
 	x.removeFaults()
@@ -107,7 +107,7 @@
 		return s.Rate >= 1
 	},
 	func(s *Script) bool { return setSmaller(&s.LimitLoads, false) },
-	func(s *Script) bool { return setSmaller(&s.Cold, false) },
+	func(s *Script) bool { return setSmaller(&s.ColdStart, false) },
 	func(s *Script) bool {
 		s.Seconds--
 		return true
--- a/internal/verification/simulation/sim_test.go
+++ b/internal/verification/simulation/sim_test.go
@@ -108,7 +108,7 @@
 	if _, _, _, err := Shrink(&Script{
 		Seed: 1, Profile: "day", Seconds: 2, Appliances: 1, FrontEndsPerAppliance: 1, Workers: 2, Cores: 1, Functions: 2, Clients: 1,
 		Rate: 5, Work: 0.02, DeduplicationWindow: 30,
-	}); !errors.Is(err, ErrNothingBroken) {
+	}); !errors.Is(err, ErrNoViolation) {
 		t.Error("a script that breaks nothing: ", err)
 	}
 }
--- a/internal/verification/simulation/site.go
+++ b/internal/verification/simulation/site.go
@@ -125,7 +125,7 @@
 func (s *site) populate() {
 	script := s.script
 	for i := range script.Workers {
-		s.workers = append(s.workers, s.newWorker(i, script.Cold))
+		s.workers = append(s.workers, s.newWorker(i, script.ColdStart))
 	}
 	s.writeEndpointList()
 	for i := range script.Appliances {
@@ -148,18 +148,18 @@
 
 func (s *site) newRules() invariants.Rules {
 	rules := invariants.Rules{
-		Semantics:            fakes.ClassSemantics(),
-		DeduplicationWindow:  map[string]float64{fakes.ClassIdempotentByKey: s.script.DeduplicationWindow},
-		FunctionWork:         map[string]float64{},
-		Capacity:             map[string]float64{},
-		DrainGrace:           drainGrace,
-		ColdShare:            coldShare,
-		WarmUpTime:           warmUpTime,
-		OverloadFactor:       overloadFactor,
-		OverloadWindow:       overloadWindow,
-		SubmissionDelay:      requestTimeout,
-		IndependentFrontEnds: true,
-		ObservationDelay:     recordingGrace,
+		Semantics:               fakes.ClassSemantics(),
+		DeduplicationWindow:     map[string]float64{fakes.ClassIdempotentByKey: s.script.DeduplicationWindow},
+		FunctionWork:            map[string]float64{},
+		Capacity:                map[string]float64{},
+		DrainGrace:              drainGrace,
+		InitialCapacityFraction: coldShare,
+		WarmUpTime:              warmUpTime,
+		OverloadFactor:          overloadFactor,
+		OverloadWindow:          overloadWindow,
+		SubmissionDelay:         requestTimeout,
+		IndependentFrontEnds:    true,
+		ObservationDelay:        recordingGrace,
 	}
 	for _, f := range s.functions {
 		rules.MeanWork += f.MeanWork / float64(len(s.functions))
@@ -181,7 +181,7 @@
 			DialTimeout: 1, IdleTimeout: 3, LoadTimeout: 4,
 		},
 		Rules: fakes.RulesConfig{
-			ColdShare: coldShare, WarmUpTime: warmUpTime, OverloadFactor: overloadFactor,
+			InitialCapacityFraction: coldShare, WarmUpTime: warmUpTime, OverloadFactor: overloadFactor,
 			OverloadWindow: overloadWindow, MaxRetryAfter: 0.5,
 			LoadWindow: s.rules.LoadWindow, LoadBurst: s.rules.LoadBurst, LoadsPerRequest: s.rules.LoadsPerRequest,
 		},
--- a/internal/verification/simulation/worker_http.go
+++ b/internal/verification/simulation/worker_http.go
@@ -30,7 +30,7 @@
 	report := fmt.Sprintf("TEXT named_metrics.running=%d, named_metrics.waiting=%d", w.active, len(w.queue))
 	out := fmt.Appendf(nil, "HTTP/1.1 %d x\r\nContent-Length: %d\r\nContent-Type: application/json\r\nEndpoint-Load-Metrics: %s\r\n%s\r\n%s",
 		status, len(text), report, header, text)
-	if w.faultHits(FaultCutResponses) && status == http.StatusOK {
+	if w.faultHits(FaultTruncateResponses) && status == http.StatusOK {
 		r.end.write(out[:w.rng.IntN(len(out))])
 		r.end.close()
 		return
--- a/internal/verification/soak/site.go
+++ b/internal/verification/soak/site.go
@@ -50,7 +50,7 @@
 	ViolationsAll int                `json:"violations_all"`
 	Restarts      int                `json:"restarts"`
 	SlowestReady  float64            `json:"slowest_ready_s"`
-	Troubles      []string           `json:"troubles"`
+	Faults        []string           `json:"troubles"`
 	Lateness      float64            `json:"harness_late_s"` // the longest time that the harness itself was held up
 }
 
@@ -243,18 +243,18 @@
 // rules are those that the records are checked against.
 func (s *site) rules() invariants.Rules {
 	rules := invariants.Rules{
-		Semantics:            map[string]string{"free": "redeliverable", "guarded": "keyed", "single": "at-most-once"},
-		DeduplicationWindow:  map[string]float64{"guarded": deduplicationWindow.Seconds()},
-		MeanWork:             meanWork.Seconds(),
-		Capacity:             map[string]float64{},
-		DrainGrace:           (drainGrace + 50*time.Millisecond).Seconds(),
-		ColdShare:            coldShare,
-		WarmUpTime:           warmUpTime.Seconds(),
-		OverloadFactor:       overloadFactor,
-		OverloadWindow:       overloadWindow.Seconds(),
-		ObservationDelay:     0.1,
-		DeadlineSlack:        0.15 - lateAnswer.Seconds(), // records state the client's time with lateAnswer
-		IndependentFrontEnds: true,
+		Semantics:               map[string]string{"free": "redeliverable", "guarded": "keyed", "single": "at-most-once"},
+		DeduplicationWindow:     map[string]float64{"guarded": deduplicationWindow.Seconds()},
+		MeanWork:                meanWork.Seconds(),
+		Capacity:                map[string]float64{},
+		DrainGrace:              (drainGrace + 50*time.Millisecond).Seconds(),
+		InitialCapacityFraction: coldShare,
+		WarmUpTime:              warmUpTime.Seconds(),
+		OverloadFactor:          overloadFactor,
+		OverloadWindow:          overloadWindow.Seconds(),
+		ObservationDelay:        0.1,
+		DeadlineSlack:           0.15 - lateAnswer.Seconds(), // records state the client's time with lateAnswer
+		IndependentFrontEnds:    true,
 	}
 	for number := range s.lastWorker {
 		rules.Capacity[fmt.Sprintf("w%d", number+1)] = workerLanes
--- a/internal/verification/soak/troubles.go
+++ b/internal/verification/soak/troubles.go
@@ -62,7 +62,7 @@
 
 func (s *site) note(name string) {
 	s.mu.Lock()
-	s.result.Troubles = append(s.result.Troubles, fmt.Sprintf("%.2f %s", s.recorder.Now(), name))
+	s.result.Faults = append(s.result.Faults, fmt.Sprintf("%.2f %s", s.recorder.Now(), name))
 	s.mu.Unlock()
 	s.settings.Log("%.2f %s", s.recorder.Now(), name)
 }
