--- a/internal/proxy/closing.go
+++ b/internal/proxy/closing.go
@@ -10,13 +10,13 @@
 
 // The reasons.
 const (
-	CloseEvicted   CloseReason = iota // idle, to make room for another
-	CloseUnread                       // the client does not read its responses
-	CloseLingered                     // our side was closed, and the client did not close its own in time
-	CloseOversent                     // the client went on sending after our side was closed
+	CloseEvicted     CloseReason = iota // idle, to make room for another
+	CloseUnread                         // the client does not read its responses
+	CloseLingered                       // our side was closed, and the client did not close its own in time
+	CloseOversent                       // the client went on sending after our side was closed
 	RejectedFull                        // no room for another connection, and none idle
 	RejectedDraining                    // no connection is accepted any more
-	closeReasonCount                      // count of the values
+	closeReasonCount                    // count of the values
 )
 
 // String is the reason as logs and metrics spell it.
