--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -9,44 +9,45 @@
 	"streamcleat/control"
 )
 
-// ConnID is the number of one connection; it is never used again.
+// ConnID identifies a connection. IDs are not reused.
 type ConnID uint64
 
-// Transport carries the bytes of a pool. It must not call back into the pool before a method returns.
+// Transport dials connections and carries a pool's bytes. Its methods must not call back into the pool before they
+// return.
 type Transport interface {
-	Dial(c ConnID, addr string)
-	Write(c ConnID, data []byte)
-	Close(c ConnID) // OnClosed does not follow
+	Dial(id ConnID, addr string)
+	Write(id ConnID, data []byte)
+	Close(id ConnID) // the pool's OnClosed is not called
 }
 
-// Connection is what connections to workers have in common. The pool of each protocol embeds it in its own type.
+// Connection is the part of a connection to a worker that both protocols share. Each protocol embeds it in its own type.
 type Connection struct {
 	ID          ConnID
 	Worker      control.WorkerID
 	Established bool
-	Since       float64 // when the dial began, or when the connection was established or became idle
+	Since       float64 // when the dial started; once established, when the connection was established or last became idle
 }
 
-func (c *Connection) connection() *Connection { return c }
+func (c *Connection) base() *Connection { return c }
 
 // anyConnection is a pointer to a type that embeds Connection.
 type anyConnection interface {
 	comparable
-	connection() *Connection
+	base() *Connection
 }
 
-// DialTimedOut reports whether the connection is still being dialed after timeout seconds.
+// DialTimedOut reports whether the connection has been dialing for at least timeout seconds.
 func (c *Connection) DialTimedOut(now, timeout float64) bool {
 	return !c.Established && now-c.Since >= timeout
 }
 
-// IdleTimedOut reports whether an established connection, which must be idle, has been so for timeout seconds.
+// IdleTimedOut reports whether the connection, which must be idle, has been established and idle for at least timeout
+// seconds.
 func (c *Connection) IdleTimedOut(now, timeout float64) bool {
 	return c.Established && now-c.Since >= timeout
 }
 
-// Connections is the registry of the connections of one pool, those being dialed included. The zero value is not
-// usable; NewConnections makes one.
+// Connections is the registry of a pool's connections, including those being dialed. Use NewConnections to create one.
 type Connections[C anyConnection] struct {
 	transport Transport
 	lastID    ConnID
@@ -54,42 +55,42 @@
 	byWorker  map[control.WorkerID][]C // in the order they were dialed
 }
 
-// NewConnections makes an empty registry over transport.
+// NewConnections returns an empty registry that dials over transport.
 func NewConnections[C anyConnection](transport Transport) Connections[C] {
 	return Connections[C]{transport: transport, byID: map[ConnID]C{}, byWorker: map[control.WorkerID][]C{}}
 }
 
-// Len is the number of connections, those being dialed included.
+// Len returns the number of connections, including those being dialed.
 func (r *Connections[C]) Len() int { return len(r.byID) }
 
-// Get is the connection of that number, or nil.
+// Get returns the connection with the given ID, or nil.
 func (r *Connections[C]) Get(id ConnID) C { return r.byID[id] }
 
-// Has reports whether c itself is registered.
-func (r *Connections[C]) Has(c C) bool { return r.byID[c.connection().ID] == c }
+// Contains reports whether c is registered.
+func (r *Connections[C]) Contains(c C) bool { return r.byID[c.base().ID] == c }
 
-// IDs are the numbers of all connections in ascending order.
+// IDs returns the IDs of all connections in ascending order.
 func (r *Connections[C]) IDs() []ConnID { return slices.Sorted(maps.Keys(r.byID)) }
 
-// Workers are the workers that have connections, in ascending order.
+// Workers returns the workers that have connections, in ascending order.
 func (r *Connections[C]) Workers() []control.WorkerID { return slices.Sorted(maps.Keys(r.byWorker)) }
 
-// Of are a worker's connections in the order they were dialed. Dial, Close and Remove change the slice.
-func (r *Connections[C]) Of(worker control.WorkerID) []C { return r.byWorker[worker] }
+// ForWorker returns a worker's connections in the order they were dialed. Dial, Close and Remove modify the slice.
+func (r *Connections[C]) ForWorker(worker control.WorkerID) []C { return r.byWorker[worker] }
 
-// Dial numbers and registers a new connection to a worker and dials it.
+// Dial registers c as a new connection to worker, under a new ID, and dials addr.
 func (r *Connections[C]) Dial(now float64, c C, worker control.WorkerID, addr string) {
 	r.lastID++
-	base := c.connection()
+	base := c.base()
 	base.ID, base.Worker, base.Since = r.lastID, worker, now
 	r.byID[base.ID] = c
 	r.byWorker[worker] = append(r.byWorker[worker], c)
 	r.transport.Dial(base.ID, addr)
 }
 
-// Dialed takes the end of a dial and returns its connection, which is established where err is nil. It returns nil
-// where there is nothing to do: the dial was given up meanwhile, or its end was reported before.
-func (r *Connections[C]) Dialed(now float64, id ConnID, err error) C {
+// FinishDial records the result of a dial and returns its connection, which is established if err is nil. It returns nil
+// if the dial was given up meanwhile or its result was recorded before.
+func (r *Connections[C]) FinishDial(now float64, id ConnID, err error) C {
 	var none C
 	c, known := r.byID[id]
 	if !known {
@@ -98,7 +99,7 @@
 		}
 		return none
 	}
-	base := c.connection()
+	base := c.base()
 	if base.Established {
 		return none
 	}
@@ -108,41 +109,41 @@
 	return c
 }
 
-// Close removes a connection and closes it.
+// Close removes and closes a connection.
 func (r *Connections[C]) Close(c C) {
 	r.Remove(c)
-	r.transport.Close(c.connection().ID)
+	r.transport.Close(c.base().ID)
 }
 
-// Remove drops a connection that is closed already.
+// Remove removes a connection that is already closed. It does nothing if c is not registered.
 func (r *Connections[C]) Remove(c C) {
-	if !r.Has(c) {
+	if !r.Contains(c) {
 		return
 	}
-	base := c.connection()
+	base := c.base()
 	delete(r.byID, base.ID)
-	rest := slices.DeleteFunc(r.byWorker[base.Worker], func(other C) bool { return other == c })
-	if len(rest) == 0 {
+	remaining := slices.DeleteFunc(r.byWorker[base.Worker], func(other C) bool { return other == c })
+	if len(remaining) == 0 {
 		delete(r.byWorker, base.Worker)
 	} else {
-		r.byWorker[base.Worker] = rest
+		r.byWorker[base.Worker] = remaining
 	}
 }
 
-// Check reports state that contradicts itself; it is for tests.
+// Check returns an error for each inconsistency in the registry. It is meant for tests.
 func (r *Connections[C]) Check() error {
 	var errs []error
 	count := 0
 	for worker, list := range r.byWorker {
 		count += len(list)
 		for _, c := range list {
-			if c.connection().Worker != worker || !r.Has(c) {
-				errs = append(errs, fmt.Errorf("worker %s: connection %d is out of place", worker, c.connection().ID))
+			if c.base().Worker != worker || !r.Contains(c) {
+				errs = append(errs, fmt.Errorf("worker %s: connection %d is registered for another worker or not at all", worker, c.base().ID))
 			}
 		}
 	}
 	if count != len(r.byID) {
-		errs = append(errs, fmt.Errorf("%d connections of workers, %d known", count, len(r.byID)))
+		errs = append(errs, fmt.Errorf("%d connections by worker, %d by ID", count, len(r.byID)))
 	}
 	return errors.Join(errs...)
 }
--- a/internal/upstream/endpoint_list.go
+++ b/internal/upstream/endpoint_list.go
@@ -11,20 +11,20 @@
 	"streamcleat/control"
 )
 
-// EndpointList is the list of workers as its file states it: what the routing decisions need, and the address of each.
+// EndpointList is a list of workers with the address of each.
 type EndpointList struct {
-	Workers   []control.Worker // in the file's order
+	Workers   []control.Worker // in the order they are listed
 	Addresses map[control.WorkerID]string
 }
 
-// endpointGroup is one group of the file: targets that share labels. It is an alias because errors of encoding/json show
-// the name of a type to users.
+// endpointGroup is a group of targets that share labels. It is an alias of an unnamed type because encoding/json prints
+// type names in errors shown to users.
 type endpointGroup = struct {
 	Targets []string          `json:"targets"`
 	Labels  map[string]string `json:"labels"`
 }
 
-// Labels of a group.
+// Labels that are read.
 const (
 	labelInstance = "instance"
 	labelZone     = "zone"
@@ -41,11 +41,12 @@
 	phaseDraining = "draining"
 )
 
-// ParseEndpointList reads Prometheus file service discovery JSON: a list of groups with "targets" (host:port) and
-// "labels". Labels read: "instance" (the worker's name; its target otherwise), "zone", "kind", "cell" (a whole number),
-// "size" (above 0; 1 otherwise), "phase" (serving or draining) and "started" (Unix seconds of its start). Offset is
-// added to Unix seconds, which makes them times of the caller's clock. Every fault is reported with its place. A list
-// with a fault is refused as a whole: half a list would remove the other half of the workers.
+// ParseEndpointList parses Prometheus file service discovery JSON: a list of groups with "targets" (host:port) and
+// "labels". These labels are read: "instance" (worker ID; defaults to the target), "zone", "kind" (machine type), "cell"
+// (failure domain, a number), "size" (weight, above 0; defaults to 1), "phase" (serving or draining) and "started" (start
+// time in Unix seconds). Offset is added to start times to convert them to the caller's clock. The error joins an
+// EndpointError for each invalid entry. A list with any invalid entry is rejected as a whole, because applying the rest
+// would remove the workers that could not be read.
 func ParseEndpointList(data []byte, offset float64) (*EndpointList, error) {
 	var groups []endpointGroup
 	if err := json.Unmarshal(data, &groups); err != nil {
@@ -56,41 +57,41 @@
 		parser.group = i
 		parser.addGroup(group)
 	}
-	if len(parser.faults) > 0 {
-		return nil, fmt.Errorf("list of workers: %w", errors.Join(parser.faults...))
+	if len(parser.errs) > 0 {
+		return nil, fmt.Errorf("list of workers: %w", errors.Join(parser.errs...))
 	}
 	return parser.list, nil
 }
 
-// EndpointError is one fault of an endpoint list.
+// EndpointError describes an invalid entry of an endpoint list.
 type EndpointError struct {
-	Place   string // path in the document, as in /0/labels/size
+	Path    string // JSON pointer, as in /0/labels/size
 	Problem string
 }
 
-func (f *EndpointError) Error() string { return f.Place + ": " + f.Problem }
+func (e *EndpointError) Error() string { return e.Path + ": " + e.Problem }
 
-// endpointParser collects workers and faults group by group.
+// endpointParser accumulates the workers and errors of the groups parsed so far.
 type endpointParser struct {
 	list   *EndpointList
 	offset float64
-	group  int // index of the group that is read
-	faults []error
+	group  int // index of the current group
+	errs   []error
 }
 
-func (p *endpointParser) fault(place, format string, args ...any) {
-	p.faults = append(p.faults, &EndpointError{Place: fmt.Sprintf("/%d/%s", p.group, place), Problem: fmt.Sprintf(format, args...)})
+func (p *endpointParser) errorf(path, format string, args ...any) {
+	p.errs = append(p.errs, &EndpointError{Path: fmt.Sprintf("/%d/%s", p.group, path), Problem: fmt.Sprintf(format, args...)})
 }
 
 func (p *endpointParser) addGroup(group endpointGroup) {
 	worker := p.worker(group.Labels)
 	if len(group.Targets) > 1 && group.Labels[labelInstance] != "" {
-		p.fault("labels/"+labelInstance, "one name for %d targets", len(group.Targets))
+		p.errorf("labels/"+labelInstance, "one name for %d targets", len(group.Targets))
 	}
 	for i, target := range group.Targets {
-		place := fmt.Sprintf("targets/%d", i)
+		path := fmt.Sprintf("targets/%d", i)
 		if !isHostPort(target) {
-			p.fault(place, "%q is not host:port", target)
+			p.errorf(path, "%q is not host:port", target)
 			continue
 		}
 		worker.ID = control.WorkerID(group.Labels[labelInstance])
@@ -98,7 +99,7 @@
 			worker.ID = control.WorkerID(target)
 		}
 		if p.list.Addresses[worker.ID] != "" {
-			p.fault(place, "worker %q is listed twice", worker.ID)
+			p.errorf(path, "worker %q is listed twice", worker.ID)
 			continue
 		}
 		p.list.Addresses[worker.ID] = target
@@ -106,7 +107,7 @@
 	}
 }
 
-// worker is what the labels say of each worker of a group.
+// worker returns a worker with the properties that a group's labels state.
 func (p *endpointParser) worker(labels map[string]string) control.Worker {
 	worker := control.Worker{Zone: control.ZoneID(labels[labelZone]), MachineType: control.MachineType(labels[labelKind]), Weight: 1}
 	if cell, ok := p.number(labels, labelCell); ok {
@@ -115,7 +116,7 @@
 	if size, ok := p.number(labels, labelSize); ok {
 		worker.Weight = size
 		if size <= 0 {
-			p.fault("labels/"+labelSize, "%v is not above 0", size)
+			p.errorf("labels/"+labelSize, "%v is not above 0", size)
 		}
 	}
 	if started, ok := p.number(labels, labelStarted); ok {
@@ -126,12 +127,12 @@
 	case phaseDraining:
 		worker.State = control.Draining
 	default:
-		p.fault("labels/"+labelPhase, "%q is neither serving nor draining", phase)
+		p.errorf("labels/"+labelPhase, "%q is neither serving nor draining", phase)
 	}
 	return worker
 }
 
-// number reads a numeric label; it returns false where the label is absent or at fault.
+// number parses a numeric label. It returns false if the label is absent or invalid.
 func (p *endpointParser) number(labels map[string]string, label string) (float64, bool) {
 	text, ok := labels[label]
 	if !ok {
@@ -139,7 +140,7 @@
 	}
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(value) || math.IsInf(value, 0) {
-		p.fault("labels/"+label, "%q is not a number", text)
+		p.errorf("labels/"+label, "%q is not a number", text)
 		return 0, false
 	}
 	return value, true
@@ -154,9 +155,9 @@
 	return err == nil
 }
 
-// Diff returns the workers whose entry differs in the newer list, removed ones included as control.Gone; nil where
-// nothing differs. A worker of the same name at another address counts as restarted.
-func Diff(previous, next *EndpointList) (changed []control.Worker) {
+// Diff returns the workers that were added or changed between two lists, and those that were removed, in state
+// control.Removed. A worker with a new address counts as changed. A nil previous list counts as empty.
+func Diff(previous, next *EndpointList) []control.Worker {
 	if previous == nil {
 		return next.Workers
 	}
@@ -164,6 +165,7 @@
 	for _, worker := range previous.Workers {
 		before[worker.ID] = worker
 	}
+	var changed []control.Worker
 	for _, worker := range next.Workers {
 		if before[worker.ID] != worker || previous.Addresses[worker.ID] != next.Addresses[worker.ID] {
 			changed = append(changed, worker)
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -7,78 +7,87 @@
 	"streamcleat/internal/dispatch"
 )
 
-// ErrLocal is wrapped by the error of a dial that failed because this machine lacked a resource: it says nothing of the
-// worker.
-var ErrLocal = errors.New("this machine lacks a resource")
+// ErrLocal is wrapped by dial errors caused by a lack of local resources. Such an error is no evidence about the worker.
+var ErrLocal = errors.New("local resource exhausted")
 
-// ExchangeHandler authorizes what a pool sends and receives how it ended. OnAttemptReply and OnLoadReply may call
-// SendAttempt, SendLoad and Abandon of the pool; the other methods must not call the pool.
+// ExchangeHandler authorizes what a pool sends and receives the results. OnAttemptReply and OnLoadReply may call the
+// pool's SendAttempt, SendLoad and Abandon; the other methods must not call the pool.
 type ExchangeHandler interface {
-	// AuthorizeAttempt decides whether an attempt may be written now.
+	// AuthorizeAttempt reports whether an attempt may be written now.
 	AuthorizeAttempt(id uint64) dispatch.SendPermit
-	// AuthorizeLoad decides whether a load command may be written now.
+	// AuthorizeLoad reports whether a load command may be written now.
 	AuthorizeLoad() dispatch.SendPermit
 	OnAttemptReply(id uint64, reply dispatch.WorkerReply)
 	OnLoadReply(id uint64, outcome control.Outcome, replicas int)
 }
 
-// Exchange is one attempt or load command, from the call that hands it to a pool until its end is reported. The pool
-// of each protocol embeds it in its own type.
+// Exchange is the part of an attempt or load command that both protocols share, from the call that hands it to a pool
+// until its result is reported. Each protocol embeds it in its own type.
 type Exchange struct {
-	ID     uint64 // the dispatcher's number of the attempt or load command
+	ID     uint64 // assigned by the dispatcher
 	Worker control.WorkerID
-	IsLoad bool // a load command; an attempt otherwise
-	Sent   bool // bytes of it may have reached the worker
-	// Encode makes the request's bytes; nil once it was written.
+	IsLoad bool // load command rather than attempt
+	Sent   bool // the worker may have received some of it
+	// Encode returns the encoded request. It is nil once the request was written.
 	Encode func(permit dispatch.SendPermit) []byte
 }
 
-func (e *Exchange) exchange() *Exchange { return e }
+func (e *Exchange) base() *Exchange { return e }
 
 // anyExchange is a pointer to a type that embeds Exchange.
 type anyExchange interface {
 	comparable
-	exchange() *Exchange
+	base() *Exchange
 }
 
-// Exchanges is the registry of the exchanges that are open in one pool. Each is reported to the handler once, unless it is
-// removed before. The zero value is not usable; NewExchanges makes one.
+// Exchanges is the registry of a pool's open exchanges. Each is reported to the handler exactly once unless it is removed
+// first. Use NewExchanges to create one.
 type Exchanges[E anyExchange] struct {
 	handler ExchangeHandler
 	open    map[uint64]E
-	unsent  []unsentExchange[E] // could not be sent, reported at the next Flush
+	unsent  []unsentExchange[E] // reported by the next Flush
 }
 
-// unsentExchange is an exchange that ended before anything of it was written.
+// unsentExchange is an exchange that ended before any of it was written.
 type unsentExchange[E anyExchange] struct {
 	exchange E
 	outcome  control.Outcome
 }
 
-// NewExchanges makes an empty registry that reports to handler.
+// NewExchanges returns an empty registry that reports to handler.
 func NewExchanges[E anyExchange](handler ExchangeHandler) Exchanges[E] {
 	return Exchanges[E]{handler: handler, open: map[uint64]E{}}
 }
 
-// Add opens an exchange.
-func (x *Exchanges[E]) Add(e E) { x.open[e.exchange().ID] = e }
+// Add registers an open exchange.
+func (x *Exchanges[E]) Add(e E) { x.open[e.base().ID] = e }
 
-// Get is the open exchange of that number, or nil.
+// Get returns the open exchange with the given ID, or nil.
 func (x *Exchanges[E]) Get(id uint64) E { return x.open[id] }
 
-// Has reports whether e itself is open.
-func (x *Exchanges[E]) Has(e E) bool { return x.open[e.exchange().ID] == e }
+// GetUnsent returns the open exchange with the given ID if none of it was sent, and nil otherwise.
+func (x *Exchanges[E]) GetUnsent(id uint64) E {
+	var none E
+	e, open := x.open[id]
+	if !open || e.base().Sent {
+		return none
+	}
+	return e
+}
+
+// Contains reports whether e is open.
+func (x *Exchanges[E]) Contains(e E) bool { return x.open[e.base().ID] == e }
 
-// Len is the number of open exchanges.
+// Len returns the number of open exchanges.
 func (x *Exchanges[E]) Len() int { return len(x.open) }
 
-// Remove drops an exchange without a report.
-func (x *Exchanges[E]) Remove(e E) { delete(x.open, e.exchange().ID) }
+// Remove removes an exchange without reporting it.
+func (x *Exchanges[E]) Remove(e E) { delete(x.open, e.base().ID) }
 
-// Write writes a request to a connection if it may still be sent; from then on the worker may run it. Where it may not,
-// it returns false, and the exchange is reported as not sent at the next Flush.
+// Write writes an exchange's request to a connection if the handler permits it, and reports whether it did. Once written,
+// the worker may execute it. A request that was denied is reported as not sent by the next Flush.
 func (x *Exchanges[E]) Write(e E, transport Transport, connection ConnID) bool {
-	base := e.exchange()
+	base := e.base()
 	permit := x.authorize(base)
 	if !permit.Permitted() {
 		x.unsent = append(x.unsent, unsentExchange[E]{e, control.NotSent})
@@ -97,8 +106,8 @@
 	return x.handler.AuthorizeAttempt(e.ID)
 }
 
-// FailUnsent notes an exchange that can't be sent. It is reported as unreachable at the next Flush and not from within
-// the call that asked for it.
+// FailUnsent marks an exchange that can't be sent. The next Flush reports it as unreachable; reporting it right away would
+// call the handler back from within its own call.
 func (x *Exchanges[E]) FailUnsent(e E) {
 	x.unsent = append(x.unsent, unsentExchange[E]{e, control.Unreachable})
 }
@@ -106,7 +115,7 @@
 // Pending reports whether Flush has something to report.
 func (x *Exchanges[E]) Pending() bool { return len(x.unsent) > 0 }
 
-// Flush reports the exchanges that could not be sent, those included that fail meanwhile.
+// Flush reports the exchanges that could not be sent, including those that fail while it runs.
 func (x *Exchanges[E]) Flush() {
 	for len(x.unsent) > 0 {
 		batch := x.unsent
@@ -117,24 +126,24 @@
 	}
 }
 
-// Finish reports the end of an exchange; of a load command only the outcome and the number of replicas. It does
-// nothing where the exchange is not open any more.
+// Finish reports the result of an exchange. For a load command, only the outcome and the number of replicas are used. It
+// does nothing if the exchange is no longer open.
 func (x *Exchanges[E]) Finish(e E, reply dispatch.WorkerReply, replicas int) {
-	if !x.Has(e) {
+	if !x.Contains(e) {
 		return
 	}
 	x.Remove(e)
-	if base := e.exchange(); base.IsLoad {
+	if base := e.base(); base.IsLoad {
 		x.handler.OnLoadReply(base.ID, reply.Outcome, replicas)
 	} else {
 		x.handler.OnAttemptReply(base.ID, reply)
 	}
 }
 
-// FinishLost reports the end of an exchange whose connection is lost. A request of which bytes were handed to the
-// kernel may have run, whether or not a reply began.
+// FinishLost reports an exchange whose connection was lost: as lost if any of its request was handed to the kernel, since
+// the worker may have executed it, and as unreachable otherwise.
 func (x *Exchanges[E]) FinishLost(e E) {
-	if e.exchange().Sent {
+	if e.base().Sent {
 		x.Finish(e, dispatch.WorkerReply{Outcome: control.ConnectionLost}, 0)
 	} else {
 		x.Finish(e, dispatch.WorkerReply{Outcome: control.Unreachable}, 0)
--- a/internal/upstream/frames/codec.go
+++ b/internal/upstream/frames/codec.go
@@ -9,26 +9,28 @@
 	"strings"
 )
 
-// A frame is a head, fields, a body and a checksum of fields and body. All numbers are big-endian. The head is a mark
-// (1 byte), a command or reply code (1), the length of the fields (2), the length of the body (4) and an id (8).
+// A frame consists of a header, fields, a body and a checksum over fields and body. All numbers are big-endian. The
+// header is a mark (1 byte), a command or reply code (1), the length of the fields (2), the length of the body (4) and an
+// ID (8).
 const (
-	headSize     = 16
+	headerSize   = 16
 	checksumSize = 4
 
 	bodyLengthOffset = 4
 	idOffset         = 8
 
-	// A reply's body goes on to a client in one frame of at most 262,144 bytes, the rest of which is for its head.
+	// maxBody leaves room for the header and fields of the frame that forwards the body to a client, which holds at most
+	// 262,144 bytes.
 	maxBody = 262_144 - 1024
 )
 
-// Marks that begin each frame, by who sends it.
+// Marks: the first byte of a frame identifies its sender.
 const (
 	markGateway = 192
 	markWorker  = 193
 )
 
-// command is the code of a frame to a worker.
+// command is the code of a frame sent to a worker.
 type command byte
 
 const (
@@ -49,7 +51,7 @@
 	replyNotSent        replyCode = 69
 )
 
-// Names of fields, as in name=value,name=value.
+// Names of fields, which are encoded as name=value,name=value.
 const (
 	fieldClass          = "queue"
 	fieldFunction       = "path"
@@ -59,19 +61,19 @@
 	fieldStart          = "detail"
 )
 
-// encodeFrame encodes one frame to a worker.
+// encodeFrame encodes a frame to a worker.
 func encodeFrame(code command, id uint64, fields string, body []byte) []byte {
-	b := make([]byte, 0, headSize+len(fields)+len(body)+checksumSize)
+	b := make([]byte, 0, headerSize+len(fields)+len(body)+checksumSize)
 	b = append(b, markGateway, byte(code))
 	b = binary.BigEndian.AppendUint16(b, uint16(len(fields)))
 	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
 	b = binary.BigEndian.AppendUint64(b, id)
 	b = append(b, fields...)
 	b = append(b, body...)
-	return binary.BigEndian.AppendUint32(b, crc32.ChecksumIEEE(b[headSize:]))
+	return binary.BigEndian.AppendUint32(b, crc32.ChecksumIEEE(b[headerSize:]))
 }
 
-// reply is one frame from a worker. Its body is valid until the framer's next call.
+// reply is a frame from a worker. Its body is valid until the next call of the framer.
 type reply struct {
 	code   replyCode
 	id     uint64
@@ -79,36 +81,36 @@
 	body   []byte
 }
 
-// framer cuts what a worker sends into frames. After an error nothing more of the connection can be trusted.
+// framer splits the bytes from a worker into frames. After an error the stream is out of sync and must not be read on.
 type framer struct{ buf []byte }
 
-// errMalformed is wrapped by each error of a worker's frames.
-var errMalformed = errors.New("frame")
+// errMalformed is wrapped by all errors of the framer.
+var errMalformed = errors.New("malformed frame")
 
 func (f *framer) feed(data []byte) { f.buf = append(f.buf, data...) }
 
-// next returns the next complete frame; false where none is complete yet. Lengths are refused at the head, before
-// anything of theirs is kept.
+// next returns the next complete frame, or false if none is complete yet. Excessive lengths are rejected as soon as the
+// header is read, before the payload is buffered.
 func (f *framer) next() (r reply, ok bool, err error) {
 	b := f.buf
 	if len(b) > 0 && b[0] != markWorker {
 		return r, false, fmt.Errorf("%w: mark %d is not %d", errMalformed, b[0], markWorker)
 	}
-	if len(b) < headSize {
+	if len(b) < headerSize {
 		return r, false, nil
 	}
 	fieldsLength := int(binary.BigEndian.Uint16(b[2:]))
 	bodyLength := binary.BigEndian.Uint32(b[bodyLengthOffset:])
 	if bodyLength > maxBody {
-		return r, false, fmt.Errorf("%w: a body of %d bytes, over %d", errMalformed, bodyLength, maxBody)
+		return r, false, fmt.Errorf("%w: body of %d bytes exceeds %d", errMalformed, bodyLength, maxBody)
 	}
-	size := headSize + fieldsLength + int(bodyLength) + checksumSize
+	size := headerSize + fieldsLength + int(bodyLength) + checksumSize
 	if len(b) < size {
 		return r, false, nil
 	}
-	payload := b[headSize : size-checksumSize]
+	payload := b[headerSize : size-checksumSize]
 	if crc32.ChecksumIEEE(payload) != binary.BigEndian.Uint32(b[size-checksumSize:]) {
-		return r, false, fmt.Errorf("%w: the check does not match", errMalformed)
+		return r, false, fmt.Errorf("%w: checksum mismatch", errMalformed)
 	}
 	r = reply{
 		code: replyCode(b[1]), id: binary.BigEndian.Uint64(b[idOffset:]),
@@ -118,26 +120,26 @@
 	return r, true, nil
 }
 
-// compact releases what was read, so that a connection holds no more than the incomplete frame.
+// compact releases the memory of frames already read, so that a connection retains only an incomplete frame.
 func (f *framer) compact() { f.buf = append([]byte(nil), f.buf...) }
 
-// fieldValue is the value of one field; "" where it is absent.
+// fieldValue returns the value of a field, or "" if it is absent.
 func fieldValue(fields, name string) string {
 	for fields != "" {
 		var pair string
 		pair, fields, _ = strings.Cut(fields, ",")
-		if n, v, ok := strings.Cut(pair, "="); ok && n == name {
-			return v
+		if key, value, ok := strings.Cut(pair, "="); ok && key == name {
+			return value
 		}
 	}
 	return ""
 }
 
-// fieldCount is the value of a field that counts something; 0 where it is absent or no such number.
+// fieldCount returns the value of a field as a non-negative integer, or 0 if it is absent or invalid.
 func fieldCount(fields, name string) int {
-	n, err := strconv.Atoi(fieldValue(fields, name))
-	if err != nil || n < 0 {
+	count, err := strconv.Atoi(fieldValue(fields, name))
+	if err != nil || count < 0 {
 		return 0
 	}
-	return n
+	return count
 }
--- a/internal/upstream/frames/connection.go
+++ b/internal/upstream/frames/connection.go
@@ -7,30 +7,30 @@
 	"streamcleat/internal/upstream"
 )
 
-// exchange is one attempt or load command.
+// exchange is an attempt or load command.
 type exchange struct {
 	upstream.Exchange
-	wireID     uint64      // by which the worker knows it
-	connection *connection // that carries it or is being dialed for it; nil where there is none
+	wireID     uint64      // identifies it in the protocol's frames
+	connection *connection // nil if there was none for it
 }
 
-// connection carries several exchanges at a time.
+// connection is a connection to a worker. It carries several exchanges at a time.
 type connection struct {
 	upstream.Connection
-	open     map[uint64]*exchange // by wire id; before it is established, those that wait
-	waiting  []*exchange          // for the dial, in the order they came
+	open     map[uint64]*exchange // by wire ID, including waiting ones
+	waiting  []*exchange          // for the dial, in order of arrival
 	framer   framer
 	recent   recentIDs
-	detached bool // its worker drains, is gone or restarted: nothing more is sent on it
+	draining bool // the worker is draining, removed, moved or restarted: no new exchanges
 }
 
-// canCarry reports whether an exchange with the wire id may be added. An id that was in use lately is refused: a late or
-// duplicate reply to the earlier exchange would be taken for a reply to the next.
-func (c *connection) canCarry(id uint64, maxStreams int) bool {
-	return len(c.open) < maxStreams && c.open[id] == nil && !c.recent.contains(id)
+// canCarry reports whether an exchange with the given wire ID may be added. A wire ID used recently is refused, because a
+// late or duplicate reply to the earlier exchange would be taken for a reply to the new one.
+func (c *connection) canCarry(wireID uint64, maxStreams int) bool {
+	return len(c.open) < maxStreams && c.open[wireID] == nil && !c.recent.contains(wireID)
 }
 
-// remove takes an exchange off the connection, if it is on it, whether it was sent or waits.
+// remove removes an exchange, sent or waiting, if it is open on the connection.
 func (c *connection) remove(e *exchange) {
 	if c.open[e.wireID] != e {
 		return
@@ -40,14 +40,14 @@
 	c.recent.add(e.wireID)
 }
 
-// takeWaiting empties the list of those that wait for the dial.
+// takeWaiting returns the exchanges that wait for the dial and clears the list.
 func (c *connection) takeWaiting() []*exchange {
 	waiting := c.waiting
 	c.waiting = nil
 	return waiting
 }
 
-// takeOpen empties the connection of its exchanges and returns them in the order of their numbers.
+// takeOpen returns the open exchanges in the order of their IDs and removes them from the connection.
 func (c *connection) takeOpen() []*exchange {
 	list := make([]*exchange, 0, len(c.open))
 	for _, e := range c.open {
@@ -58,13 +58,13 @@
 	return list
 }
 
-// maxRecentIDs is how many ids a connection remembers after their exchanges ended.
+// maxRecentIDs is the number of wire IDs that a connection remembers after their exchanges ended.
 const maxRecentIDs = 32
 
-// recentIDs are the wire ids of the exchanges that ended last.
+// recentIDs holds the wire IDs of the most recently ended exchanges.
 type recentIDs struct {
 	ring  [maxRecentIDs]uint64
-	count int // of all that were added
+	count int // IDs ever added
 }
 
 func (r *recentIDs) add(id uint64) {
--- a/internal/upstream/frames/pool_test.go
+++ b/internal/upstream/frames/pool_test.go
@@ -12,11 +12,11 @@
 	"streamcleat/internal/upstream"
 )
 
-// usualTimeLeft is the time in seconds that the client of an attempt waits when it is written.
+// usualTimeLeft is the time in seconds that the client of an attempt still waits when the attempt is written.
 const usualTimeLeft = 1.5
 
-// fakeTransport records what a pool does on its connections, and what it reports.
-type fakeTransport struct {
+// poolFixture is a pool with its transport and handler, which record what the pool sends and reports.
+type poolFixture struct {
 	t        *testing.T
 	pool     *Pool
 	dialed   []string
@@ -25,80 +25,89 @@
 	unsent   map[upstream.ConnID]int
 	reported []string
 	bodies   []string
-	refused  uint64 // attempt that may not be written
+	denied   uint64 // attempt whose write is denied
 }
 
-func (n *fakeTransport) Dial(_ upstream.ConnID, addr string)  { n.dialed = append(n.dialed, addr) }
-func (n *fakeTransport) Write(c upstream.ConnID, data []byte) { n.sent[c] = append(n.sent[c], data...) }
-func (n *fakeTransport) Close(c upstream.ConnID)              { n.closed = append(n.closed, c) }
-func (n *fakeTransport) Unsent(c upstream.ConnID) int         { return n.unsent[c] }
-func (n *fakeTransport) OnAttemptReply(id uint64, r dispatch.WorkerReply) {
-	n.reported = append(n.reported, fmt.Sprintf("%d:%d/%d", id, r.Outcome, r.Start))
-	n.bodies = append(n.bodies, string(r.Body))
+func (fixture *poolFixture) Dial(_ upstream.ConnID, addr string) {
+	fixture.dialed = append(fixture.dialed, addr)
 }
 
-// AuthorizeAttempt permits everything but refused, with usualTimeLeft.
-func (n *fakeTransport) AuthorizeAttempt(id uint64) dispatch.SendPermit {
-	if id == n.refused {
+func (fixture *poolFixture) Write(c upstream.ConnID, data []byte) {
+	fixture.sent[c] = append(fixture.sent[c], data...)
+}
+
+func (fixture *poolFixture) Close(c upstream.ConnID)      { fixture.closed = append(fixture.closed, c) }
+func (fixture *poolFixture) Unsent(c upstream.ConnID) int { return fixture.unsent[c] }
+func (fixture *poolFixture) OnAttemptReply(id uint64, r dispatch.WorkerReply) {
+	fixture.reported = append(fixture.reported, fmt.Sprintf("%d:%d/%d", id, r.Outcome, r.Start))
+	fixture.bodies = append(fixture.bodies, string(r.Body))
+}
+
+// AuthorizeAttempt permits every attempt but the denied one, with usualTimeLeft.
+func (fixture *poolFixture) AuthorizeAttempt(id uint64) dispatch.SendPermit {
+	if id == fixture.denied {
 		return dispatch.DenySend(dispatch.DeniedNoWaiter)
 	}
 	return dispatch.PermitSend(usualTimeLeft)
 }
 
-func (*fakeTransport) AuthorizeLoad() dispatch.SendPermit { return dispatch.PermitSend(usualTimeLeft) }
+func (*poolFixture) AuthorizeLoad() dispatch.SendPermit { return dispatch.PermitSend(usualTimeLeft) }
 
-func (n *fakeTransport) OnLoadReply(id uint64, outcome control.Outcome, replicas int) {
-	n.reported = append(n.reported, fmt.Sprintf("load %d:%d %d", id, outcome, replicas))
+func (fixture *poolFixture) OnLoadReply(id uint64, outcome control.Outcome, replicas int) {
+	fixture.reported = append(fixture.reported, fmt.Sprintf("load %d:%d %d", id, outcome, replicas))
 }
 
-// codes are the commands written to a connection.
-func (n *fakeTransport) codes(c upstream.ConnID) (list []command) {
-	for b := n.sent[c]; len(b) > 0; {
-		size := headSize + int(b[2])<<8 + int(b[3]) + int(b[6])<<8 + int(b[7]) + checksumSize
+// commands returns the codes of the frames written to a connection.
+func (fixture *poolFixture) commands(c upstream.ConnID) []command {
+	var list []command
+	for b := fixture.sent[c]; len(b) > 0; {
+		size := headerSize + int(b[2])<<8 + int(b[3]) + int(b[6])<<8 + int(b[7]) + checksumSize
 		list, b = append(list, command(b[1])), b[size:]
 	}
 	return list
 }
 
-// last is the number of the connection that was dialed last.
-func (n *fakeTransport) last() upstream.ConnID { return upstream.ConnID(len(n.dialed)) }
+// lastDialed returns the connection that was dialed last.
+func (fixture *poolFixture) lastDialed() upstream.ConnID { return upstream.ConnID(len(fixture.dialed)) }
 
-func (n *fakeTransport) expect(want ...string) {
-	n.t.Helper()
-	n.pool.Flush()
-	if !slices.Equal(n.reported, want) {
-		n.t.Errorf("reported %q, want %q", n.reported, want)
+// expectReports flushes the pool and checks all reports since the last call, and the pool's consistency.
+func (fixture *poolFixture) expectReports(want ...string) {
+	fixture.t.Helper()
+	fixture.pool.Flush()
+	if !slices.Equal(fixture.reported, want) {
+		fixture.t.Errorf("reported %q, want %q", fixture.reported, want)
 	}
-	if err := n.pool.Check(); err != nil {
-		n.t.Error(err)
+	if err := fixture.pool.Check(); err != nil {
+		fixture.t.Error(err)
 	}
-	n.reported = nil
+	fixture.reported = nil
 }
 
-func list(addresses map[string]string, state control.EndpointState, startedAt float64) *upstream.EndpointList {
-	l := &upstream.EndpointList{Addresses: map[control.WorkerID]string{}}
+func endpointList(addresses map[string]string, state control.EndpointState, startedAt float64) *upstream.EndpointList {
+	list := &upstream.EndpointList{Addresses: map[control.WorkerID]string{}}
 	for id, addr := range addresses {
-		l.Workers = append(l.Workers, control.Worker{ID: control.WorkerID(id), State: state, StartedAt: startedAt})
-		l.Addresses[control.WorkerID(id)] = addr
+		list.Workers = append(list.Workers, control.Worker{ID: control.WorkerID(id), State: state, StartedAt: startedAt})
+		list.Addresses[control.WorkerID(id)] = addr
 	}
-	return l
+	return list
 }
 
-func newFakeTransport(t *testing.T, each, streams int) *fakeTransport {
-	n := &fakeTransport{t: t, sent: map[upstream.ConnID][]byte{}, unsent: map[upstream.ConnID]int{}}
-	n.pool = NewPool(Limits{DialTimeout: 0.25, IdleTimeout: 10, MaxTotal: 8, MaxPerWorker: each, MaxStreams: streams}, n, n)
-	n.pool.SetEndpoints(list(map[string]string{"a": "x:1"}, control.Serving, 0))
-	return n
+func newPoolFixture(t *testing.T, maxPerWorker, maxStreams int) *poolFixture {
+	t.Helper()
+	fixture := &poolFixture{t: t, sent: map[upstream.ConnID][]byte{}, unsent: map[upstream.ConnID]int{}}
+	fixture.pool = NewPool(Limits{DialTimeout: 0.25, IdleTimeout: 10, MaxTotal: 8, MaxPerWorker: maxPerWorker, MaxStreams: maxStreams}, fixture, fixture)
+	fixture.pool.SetEndpoints(endpointList(map[string]string{"a": "x:1"}, control.Serving, 0))
+	return fixture
 }
 
-func (n *fakeTransport) attempt(id uint64, worker string) {
-	n.pool.SendAttempt(0, dispatch.Attempt{
+func (fixture *poolFixture) sendAttempt(id uint64, worker string) {
+	fixture.pool.SendAttempt(0, dispatch.Attempt{
 		ID: id, Worker: control.WorkerID(worker), Function: "7f3a9c21e0b4d655", Class: "call", Timeout: 1.5,
 		Identity: dispatch.Identity{ID: fmt.Sprintf("%016x", id)}, Body: []byte("in"),
 	})
 }
 
-func TestAttemptAndReplies(t *testing.T) {
+func TestSendAttempt_ReportsReplyInAnyTwoPieces(t *testing.T) {
 	for _, c := range []struct {
 		code   replyCode
 		fields string
@@ -116,204 +125,203 @@
 	} {
 		in := encodeReply(c.code, 1, c.fields, "out\x00")
 		for cut := range in {
-			n := newFakeTransport(t, 1, 32)
-			n.attempt(1, "a")
-			n.pool.OnDialed(0, 1, nil)
-			if want := encodeFrame(commandAttempt, 1, "queue=call,path=7f3a9c21e0b4d655,budget=1500", []byte("in")); !bytes.Equal(n.sent[1], want) {
-				t.Fatalf("sent %q, want %q", n.sent[1], want)
+			fixture := newPoolFixture(t, 1, 32)
+			fixture.sendAttempt(1, "a")
+			fixture.pool.OnDialed(0, 1, nil)
+			if want := encodeFrame(commandAttempt, 1, "queue=call,path=7f3a9c21e0b4d655,budget=1500", []byte("in")); !bytes.Equal(fixture.sent[1], want) {
+				t.Fatalf("sent %q, want %q", fixture.sent[1], want)
 			}
-			n.pool.OnData(0, 1, in[:cut])
-			n.pool.OnData(0, 1, in[cut:])
-			n.expect(c.want)
-			if c.code == replySucceeded && n.bodies[0] != "out\x00" {
-				t.Errorf("body %q", n.bodies[0])
+			fixture.pool.OnData(0, 1, in[:cut])
+			fixture.pool.OnData(0, 1, in[cut:])
+			fixture.expectReports(c.want)
+			if c.code == replySucceeded && fixture.bodies[0] != "out\x00" {
+				t.Errorf("body %q", fixture.bodies[0])
 			}
 		}
 	}
 }
 
-// A reset, or anything that can't be read, ends all that is open on the connection as lost: it may have run.
-func TestMalformedRepliesEndTheConnection(t *testing.T) {
-	wrongCheck := encodeReply(replySucceeded, 1, "", "x")
-	wrongCheck[len(wrongCheck)-1]++
-	huge := encodeReply(replySucceeded, 1, "", "")[:headSize]
-	huge[4] = 192
-	for name, in := range map[string][]byte{"check": wrongCheck, "mark": {0, 64}, "3 GB": huge, "reset": nil} {
-		n := newFakeTransport(t, 1, 40)
+// After a reset or a malformed frame, every exchange on the connection may have been executed.
+func TestOnData_MalformedReplyLosesOpenExchanges(t *testing.T) {
+	wrongChecksum := encodeReply(replySucceeded, 1, "", "x")
+	wrongChecksum[len(wrongChecksum)-1]++
+	hugeBody := encodeReply(replySucceeded, 1, "", "")[:headerSize]
+	hugeBody[4] = 192
+	for name, in := range map[string][]byte{"wrong checksum": wrongChecksum, "wrong mark": {0, 64}, "3 GB body": hugeBody, "reset": nil} {
+		fixture := newPoolFixture(t, 1, 40)
 		var want []string
 		for id := uint64(1); id <= 30; id++ {
-			n.attempt(id, "a")
+			fixture.sendAttempt(id, "a")
 			want = append(want, fmt.Sprintf("%d:3/0", id))
 		}
-		n.pool.OnDialed(0, 1, nil)
+		fixture.pool.OnDialed(0, 1, nil)
 		if in == nil {
-			n.pool.OnData(0, 1, encodeReply(replySucceeded, 7, "", "half")[:20])
-			n.pool.OnClosed(0, 1)
+			fixture.pool.OnData(0, 1, encodeReply(replySucceeded, 7, "", "half")[:20])
+			fixture.pool.OnClosed(0, 1)
 		} else {
-			n.pool.OnData(0, 1, append(in, encodeReply(replySucceeded, 2, "", "not to be trusted")...))
-			if !slices.Equal(n.closed, []upstream.ConnID{1}) {
-				t.Errorf("%s: closed %v", name, n.closed)
+			fixture.pool.OnData(0, 1, append(in, encodeReply(replySucceeded, 2, "", "not to be trusted")...))
+			if !slices.Equal(fixture.closed, []upstream.ConnID{1}) {
+				t.Errorf("%s: closed %v", name, fixture.closed)
 			}
 		}
-		n.expect(want...)
+		fixture.expectReports(want...)
 	}
 }
 
-func TestDuplicateUnsolicitedAndLateReplies(t *testing.T) {
-	n := newFakeTransport(t, 1, 32)
-	n.attempt(1, "a")
-	n.pool.OnDialed(0, 1, nil)
-	n.pool.OnData(0, 1, slices.Concat(encodeReply(replySucceeded, 77, "", "ahead"), encodeReply(replyReplicaMissing, 1, "", ""),
+func TestOnData_IgnoresDuplicateUnsolicitedAndLateReplies(t *testing.T) {
+	fixture := newPoolFixture(t, 1, 32)
+	fixture.sendAttempt(1, "a")
+	fixture.pool.OnDialed(0, 1, nil)
+	fixture.pool.OnData(0, 1, slices.Concat(encodeReply(replySucceeded, 77, "", "ahead"), encodeReply(replyReplicaMissing, 1, "", ""),
 		encodeReply(replyReplicaMissing, 1, "", ""), encodeReply(99, 1, "", "")))
-	n.expect("1:8/0")
-	// The same request once more: a duplicate reply to the first attempt must not pass for its own.
-	n.attempt(1, "a")
-	if len(n.dialed) != 2 {
-		t.Fatalf("dialed %v: the id was in use on the first connection", n.dialed)
+	fixture.expectReports("1:8/0")
+	// A duplicate reply to the first attempt must not be taken for a reply to the retry.
+	fixture.sendAttempt(1, "a")
+	if len(fixture.dialed) != 2 {
+		t.Fatalf("dialed %v: the id was in use on the first connection", fixture.dialed)
 	}
-	n.pool.OnData(0, 1, encodeReply(replySucceeded, 1, "", "late"))
-	n.pool.OnDialed(0, 2, nil)
-	n.expect()
-	n.pool.Abandon(1, 1)
-	if got := n.codes(2); !slices.Equal(got, []command{commandAttempt, commandCancel}) {
+	fixture.pool.OnData(0, 1, encodeReply(replySucceeded, 1, "", "late"))
+	fixture.pool.OnDialed(0, 2, nil)
+	fixture.expectReports()
+	fixture.pool.Abandon(1, 1)
+	if got := fixture.commands(2); !slices.Equal(got, []command{commandAttempt, commandCancel}) {
 		t.Errorf("commands %v", got)
 	}
-	n.pool.OnData(0, 2, encodeReply(replySucceeded, 1, "", "after the cancellation"))
-	n.expect()
+	fixture.pool.OnData(0, 2, encodeReply(replySucceeded, 1, "", "after the cancellation"))
+	fixture.expectReports()
 }
 
-func TestConnectionsAreSharedOnlyAtTheLimit(t *testing.T) {
-	n := newFakeTransport(t, 2, 2)
+func TestSendAttempt_SharesConnectionsOnlyAtLimit(t *testing.T) {
+	fixture := newPoolFixture(t, 2, 2)
 	for id := uint64(1); id <= 5; id++ {
-		n.attempt(id, "a")
+		fixture.sendAttempt(id, "a")
 	}
-	n.pool.OnDialed(0, 1, nil)
-	n.pool.OnDialed(0, 2, nil)
-	// Four fit on two connections of two; the fifth has a third dialed, within the bound for all.
-	if len(n.dialed) != 3 || len(n.codes(1)) != 2 || len(n.codes(2)) != 2 {
-		t.Errorf("dialed %v, sent %v and %v", n.dialed, n.codes(1), n.codes(2))
+	fixture.pool.OnDialed(0, 1, nil)
+	fixture.pool.OnDialed(0, 2, nil)
+	// Two connections carry four attempts; the fifth dials a third connection, within MaxTotal.
+	if len(fixture.dialed) != 3 || len(fixture.commands(1)) != 2 || len(fixture.commands(2)) != 2 {
+		t.Errorf("dialed %v, sent %v and %v", fixture.dialed, fixture.commands(1), fixture.commands(2))
 	}
-	n.pool.OnDialed(0, 3, errors.New("refused"))
-	n.expect("5:6/0")
+	fixture.pool.OnDialed(0, 3, errors.New("refused"))
+	fixture.expectReports("5:6/0")
 }
 
-func TestWaitingExchangesAreNotSentLater(t *testing.T) {
-	n := newFakeTransport(t, 1, 32)
-	n.attempt(1, "a")
-	n.pool.SetEndpoints(list(map[string]string{"a": "x:1"}, control.Draining, 0)) // told while the attempt waits for its connection
-	n.pool.OnDialed(0, 1, nil)
-	n.attempt(2, "a")
-	n.pool.SendLoad(0, dispatch.LoadCommand{ID: 3, Worker: "a", Function: "7f3a9c21e0b4d655", Replicas: 1})
-	n.expect("1:6/0", "2:6/0", "load 3:6 0")
-	if len(n.sent[1]) > 0 {
-		t.Errorf("sent %v to a draining worker", n.codes(1))
+func TestSetEndpoints_DrainingFailsWaitingExchanges(t *testing.T) {
+	fixture := newPoolFixture(t, 1, 32)
+	fixture.sendAttempt(1, "a")
+	fixture.pool.SetEndpoints(endpointList(map[string]string{"a": "x:1"}, control.Draining, 0)) // while the attempt waits for the dial
+	fixture.pool.OnDialed(0, 1, nil)
+	fixture.sendAttempt(2, "a")
+	fixture.pool.SendLoad(0, dispatch.LoadCommand{ID: 3, Worker: "a", Function: "7f3a9c21e0b4d655", Replicas: 1})
+	fixture.expectReports("1:6/0", "2:6/0", "load 3:6 0")
+	if len(fixture.sent[1]) > 0 {
+		t.Errorf("sent %v to a draining worker", fixture.commands(1))
 	}
 }
 
-func TestSentAttemptRunsOnWhileItsWorkerDrains(t *testing.T) {
-	n := newFakeTransport(t, 1, 32)
-	n.attempt(1, "a")
-	n.pool.OnDialed(0, 1, nil)
-	n.pool.SetEndpoints(list(map[string]string{"a": "x:1"}, control.Draining, 0))
-	n.pool.OnData(0, 1, encodeReply(replySucceeded, 1, "detail=hit", ""))
-	n.expect("1:0/1")
-	if !slices.Equal(n.closed, []upstream.ConnID{1}) {
-		t.Error("a connection to a draining worker is kept")
+func TestSetEndpoints_DrainingKeepsSentAttempt(t *testing.T) {
+	fixture := newPoolFixture(t, 1, 32)
+	fixture.sendAttempt(1, "a")
+	fixture.pool.OnDialed(0, 1, nil)
+	fixture.pool.SetEndpoints(endpointList(map[string]string{"a": "x:1"}, control.Draining, 0))
+	fixture.pool.OnData(0, 1, encodeReply(replySucceeded, 1, "detail=hit", ""))
+	fixture.expectReports("1:0/1")
+	if !slices.Equal(fixture.closed, []upstream.ConnID{1}) {
+		t.Error("connection to a draining worker was not closed")
 	}
 }
 
-func TestAttemptGivenUpBeforeItIsSentIsNotSentLater(t *testing.T) {
-	n := newFakeTransport(t, 1, 32)
-	n.attempt(1, "a")
-	if !n.pool.CancelUnsent(1) {
-		t.Error("nothing of it was sent")
+func TestCancelUnsent_AttemptIsNotSentLater(t *testing.T) {
+	fixture := newPoolFixture(t, 1, 32)
+	fixture.sendAttempt(1, "a")
+	if !fixture.pool.CancelUnsent(1) {
+		t.Error("unsent attempt was not cancelled")
 	}
-	n.attempt(2, "a")
-	n.pool.OnDialed(0, 1, nil)
-	n.attempt(3, "a")
-	n.unsent[1] = 5
-	if n.pool.CancelUnsent(2) {
-		t.Error("it may have been sent")
+	fixture.sendAttempt(2, "a")
+	fixture.pool.OnDialed(0, 1, nil)
+	fixture.sendAttempt(3, "a")
+	fixture.unsent[1] = 5
+	if fixture.pool.CancelUnsent(2) {
+		t.Error("sent attempt was cancelled as unsent")
 	}
-	n.pool.Abandon(0, 2)
-	n.expect("3:3/0")
-	if !slices.Equal(n.closed, []upstream.ConnID{1}) || slices.Contains(n.codes(1), commandCancel) {
-		t.Error("the rest of it may still be sent")
+	fixture.pool.Abandon(0, 2)
+	fixture.expectReports("3:3/0")
+	if !slices.Equal(fixture.closed, []upstream.ConnID{1}) || slices.Contains(fixture.commands(1), commandCancel) {
+		t.Error("the rest of the abandoned attempt may still be sent")
 	}
 }
 
-// A new worker may take the address of one that is gone, and one may restart under its own name.
-func TestConnectionsBelongToAWorker(t *testing.T) {
+// A new worker may take over the address of a removed one, and a worker may restart under its ID.
+func TestSetEndpoints_ConnectionsBelongToWorker(t *testing.T) {
 	for name, next := range map[string]*upstream.EndpointList{
-		"address":   list(map[string]string{"b": "x:1"}, control.Serving, 0),
-		"restarted": list(map[string]string{"a": "x:1"}, control.Serving, 9),
+		"address taken over": endpointList(map[string]string{"b": "x:1"}, control.Serving, 0),
+		"worker restarted":   endpointList(map[string]string{"a": "x:1"}, control.Serving, 9),
 	} {
-		n := newFakeTransport(t, 1, 32)
-		n.attempt(1, "a")
-		n.pool.OnDialed(0, 1, nil)
-		n.pool.SetEndpoints(next)
-		n.attempt(2, string(next.Workers[0].ID))
-		n.pool.OnDialed(0, 2, nil)
-		if len(n.codes(1)) != 1 || len(n.codes(2)) != 1 {
-			t.Errorf("%s: sent %v on the former's connection", name, n.codes(1))
+		fixture := newPoolFixture(t, 1, 32)
+		fixture.sendAttempt(1, "a")
+		fixture.pool.OnDialed(0, 1, nil)
+		fixture.pool.SetEndpoints(next)
+		fixture.sendAttempt(2, string(next.Workers[0].ID))
+		fixture.pool.OnDialed(0, 2, nil)
+		if len(fixture.commands(1)) != 1 || len(fixture.commands(2)) != 1 {
+			t.Errorf("%s: sent %v on the previous worker's connection", name, fixture.commands(1))
 		}
-		n.pool.OnData(0, 1, encodeReply(replySucceeded, 1, "", ""))
-		n.expect("1:0/0")
+		fixture.pool.OnData(0, 1, encodeReply(replySucceeded, 1, "", ""))
+		fixture.expectReports("1:0/0")
 	}
 }
 
-func TestLoadCommandsAndTimeouts(t *testing.T) {
-	n := newFakeTransport(t, 1, 32)
-	n.pool.SendLoad(0, dispatch.LoadCommand{ID: 1, Worker: "a", Function: "7f3a9c21e0b4d655", Replicas: 2})
-	n.pool.OnDialed(0, 1, nil)
-	n.pool.OnData(0, 1, encodeReply(replyRejected, 1|loadWireIDBit, "slots_up=1", ""))
-	n.pool.SendLoad(0, dispatch.LoadCommand{Worker: "a", Function: "7f3a9c21e0b4d655"})
-	if got := n.codes(1); !slices.Equal(got, []command{commandLoad, commandUnload}) {
+func TestSendLoad_RepliesAndTimeouts(t *testing.T) {
+	fixture := newPoolFixture(t, 1, 32)
+	fixture.pool.SendLoad(0, dispatch.LoadCommand{ID: 1, Worker: "a", Function: "7f3a9c21e0b4d655", Replicas: 2})
+	fixture.pool.OnDialed(0, 1, nil)
+	fixture.pool.OnData(0, 1, encodeReply(replyRejected, 1|loadWireIDBit, "slots_up=1", ""))
+	fixture.pool.SendLoad(0, dispatch.LoadCommand{Worker: "a", Function: "7f3a9c21e0b4d655"})
+	if got := fixture.commands(1); !slices.Equal(got, []command{commandLoad, commandUnload}) {
 		t.Errorf("commands %v", got)
 	}
-	n.expect("load 1:5 1")
-	n.pool.Tick(9.9)
-	if n.pool.Len() != 1 {
-		t.Error("closed too soon")
+	fixture.expectReports("load 1:5 1")
+	fixture.pool.Tick(9.9)
+	if fixture.pool.Len() != 1 {
+		t.Error("idle connection closed before its timeout")
 	}
-	n.pool.Tick(10)
-	n.attempt(2, "a")
-	n.pool.Tick(10.3) // its dial began at 0 of this test's clock
-	n.expect("2:6/0")
-	if n.pool.Len() != 0 || len(n.pool.connections.Workers())+n.pool.exchanges.Len() > 0 {
-		t.Error("something is left over")
+	fixture.pool.Tick(10)
+	fixture.sendAttempt(2, "a")
+	fixture.pool.Tick(10.3) // sendAttempt dials at time 0
+	fixture.expectReports("2:6/0")
+	if fixture.pool.Len() != 0 || len(fixture.pool.Connections.Workers())+fixture.pool.Exchanges.Len() > 0 {
+		t.Error("pool is not empty")
 	}
 }
 
-// Over many replaced workers nothing grows.
-func TestManyReplacements(t *testing.T) {
-	n := newFakeTransport(t, 2, 4)
+func TestSetEndpoints_ManyReplacementsLeaveNoState(t *testing.T) {
+	fixture := newPoolFixture(t, 2, 4)
 	for i := range uint64(500) {
 		id := fmt.Sprint("w", i)
-		n.pool.SetEndpoints(list(map[string]string{id: "x:1"}, control.Serving, 0))
-		n.attempt(i, id)
-		n.pool.OnDialed(0, n.last(), nil)
+		fixture.pool.SetEndpoints(endpointList(map[string]string{id: "x:1"}, control.Serving, 0))
+		fixture.sendAttempt(i, id)
+		fixture.pool.OnDialed(0, fixture.lastDialed(), nil)
 		switch i % 4 {
 		case 0:
-			n.pool.OnData(0, n.last(), encodeReply(replySucceeded, i, "", ""))
+			fixture.pool.OnData(0, fixture.lastDialed(), encodeReply(replySucceeded, i, "", ""))
 		case 1:
-			n.pool.OnClosed(0, n.last())
+			fixture.pool.OnClosed(0, fixture.lastDialed())
 		case 2:
-			n.pool.SetEndpoints(list(nil, 0, 0)) // gone while the attempt runs, which times out
-			n.pool.Abandon(0, i)
+			fixture.pool.SetEndpoints(endpointList(nil, 0, 0)) // removed while the attempt is in flight, which then times out
+			fixture.pool.Abandon(0, i)
 		default:
-			n.pool.SetEndpoints(list(nil, 0, 0))
-			n.pool.OnData(0, n.last(), encodeReply(replySucceeded, i, "", ""))
+			fixture.pool.SetEndpoints(endpointList(nil, 0, 0))
+			fixture.pool.OnData(0, fixture.lastDialed(), encodeReply(replySucceeded, i, "", ""))
 		}
-		n.pool.Flush()
+		fixture.pool.Flush()
 	}
-	n.pool.SetEndpoints(list(nil, 0, 0))
-	if x := n.pool.connections.Len() + len(n.pool.connections.Workers()) + n.pool.exchanges.Len() + len(n.pool.endpoints); x > 0 {
-		t.Errorf("%d entries are left over", x)
+	fixture.pool.SetEndpoints(endpointList(nil, 0, 0))
+	if entries := fixture.pool.Connections.Len() + len(fixture.pool.Connections.Workers()) + fixture.pool.Exchanges.Len() + len(fixture.pool.endpoints); entries > 0 {
+		t.Errorf("%d entries left over", entries)
 	}
 }
 
-// discard is a transport and a receiver of results that keep nothing.
+// discard is a transport and handler that record nothing.
 type discard struct{}
 
 func (discard) Dial(upstream.ConnID, string)                {}
@@ -328,11 +336,11 @@
 func (discard) AuthorizeLoad() dispatch.SendPermit       { return dispatch.PermitSend(usualTimeLeft) }
 func (discard) OnLoadReply(uint64, control.Outcome, int) {}
 
-// BenchmarkExchange is one attempt and its reply over a connection that is reused.
+// BenchmarkExchange measures one attempt and its reply on a reused connection.
 func BenchmarkExchange(b *testing.B) {
 	pool := NewPool(Limits{DialTimeout: 0.25, IdleTimeout: 10, MaxTotal: 8, MaxPerWorker: 1, MaxStreams: 4}, discard{}, discard{})
-	pool.SetEndpoints(list(map[string]string{"a": "x:1"}, control.Serving, 0))
-	const ids = 64 // more than a connection remembers
+	pool.SetEndpoints(endpointList(map[string]string{"a": "x:1"}, control.Serving, 0))
+	const ids = 2 * maxRecentIDs
 	var names [ids]string
 	var replies [ids][]byte
 	for i := range names {
@@ -353,48 +361,46 @@
 	}
 }
 
-// What may not leave when its connection is up, or at once, is not written and reported as not sent; all else is.
-func TestRefusedAttemptIsNotWritten(t *testing.T) {
-	n := newFakeTransport(t, 1, 32)
-	n.refused = 2
+// A write may be denied at once or when the dial ends.
+func TestSendAttempt_DeniedIsReportedNotSent(t *testing.T) {
+	fixture := newPoolFixture(t, 1, 32)
+	fixture.denied = 2
 	for id := uint64(1); id <= 3; id++ {
-		n.attempt(id, "a")
+		fixture.sendAttempt(id, "a")
 	}
-	if got := n.pool.WaitingFor(1); !slices.Equal(got, []uint64{1, 2, 3}) {
+	if got := fixture.pool.WaitingFor(1); !slices.Equal(got, []uint64{1, 2, 3}) {
 		t.Error("waiting:", got)
 	}
-	n.pool.OnDialed(0, 1, nil)
-	n.expect("2:7/0")
-	n.refused = 4
-	n.attempt(4, "a")
-	n.expect("4:7/0")
-	if got := n.codes(1); len(got) != 2 {
+	fixture.pool.OnDialed(0, 1, nil)
+	fixture.expectReports("2:7/0")
+	fixture.denied = 4
+	fixture.sendAttempt(4, "a")
+	fixture.expectReports("4:7/0")
+	if got := fixture.commands(1); len(got) != 2 {
 		t.Errorf("%d frames were written", len(got))
 	}
 }
 
-// A dial that this machine could not make says nothing of the worker: attempts end as not sent.
-func TestLocalDialErrors(t *testing.T) {
-	n := newFakeTransport(t, 1, 32)
-	n.attempt(1, "a")
-	n.pool.OnDialed(0, 1, errors.Join(upstream.ErrLocal, errors.New("no port")))
-	n.expect("1:7/0")
-	n.attempt(2, "a")
-	n.pool.OnDialed(0, 2, errors.New("refused"))
-	n.expect("2:6/0")
+func TestOnDialed_LocalErrorIsReportedNotSent(t *testing.T) {
+	fixture := newPoolFixture(t, 1, 32)
+	fixture.sendAttempt(1, "a")
+	fixture.pool.OnDialed(0, 1, errors.Join(upstream.ErrLocal, errors.New("no port")))
+	fixture.expectReports("1:7/0")
+	fixture.sendAttempt(2, "a")
+	fixture.pool.OnDialed(0, 2, errors.New("refused"))
+	fixture.expectReports("2:6/0")
 }
 
-// What is still in our own buffer when its worker drains does not leave: its connection ends.
-func TestUnsentBytesDoNotLeaveAfterADrain(t *testing.T) {
+func TestSetEndpoints_DrainingClosesConnectionWithUnsentBytes(t *testing.T) {
 	for unsent, want := range map[int][]string{0: nil, 10: {"1:3/0"}} {
-		n := newFakeTransport(t, 1, 32)
-		n.attempt(1, "a")
-		n.pool.OnDialed(0, 1, nil)
-		n.unsent[1] = unsent
-		n.pool.SetEndpoints(list(map[string]string{"a": "x:1"}, control.Draining, 0))
-		n.expect(want...)
-		if closed := len(n.closed) > 0; closed != (unsent > 0) {
-			t.Errorf("%d unsent bytes, closed %v", unsent, n.closed)
+		fixture := newPoolFixture(t, 1, 32)
+		fixture.sendAttempt(1, "a")
+		fixture.pool.OnDialed(0, 1, nil)
+		fixture.unsent[1] = unsent
+		fixture.pool.SetEndpoints(endpointList(map[string]string{"a": "x:1"}, control.Draining, 0))
+		fixture.expectReports(want...)
+		if closed := len(fixture.closed) > 0; closed != (unsent > 0) {
+			t.Errorf("%d unsent bytes, closed %v", unsent, fixture.closed)
 		}
 	}
 }
--- /dev/null
+++ b/internal/upstream/frames/receive.go
@@ -0,0 +1,106 @@
+package frames
+
+import (
+	"errors"
+	"slices"
+
+	"streamcleat/control"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/upstream"
+)
+
+// outcomes maps the codes of replies; replies with other codes are ignored.
+var outcomes = map[replyCode]control.Outcome{
+	replySucceeded: control.Succeeded, replyReplicaMissing: control.ReplicaMissing,
+	replyRejected: control.Rejected, replyFailed: control.Failed, replyNotSent: control.NotSent,
+}
+
+// startTypes maps the values of the start field.
+var startTypes = map[string]control.StartType{
+	"hit": control.WarmStart, "spawn": control.ColdStart,
+	"pending": control.JoinedColdStart, "spawn_failed": control.StartFailed,
+}
+
+// OnDialed handles the result of a dial.
+func (p *Pool) OnDialed(now float64, id upstream.ConnID, err error) {
+	c := p.Connections.FinishDial(now, id, err)
+	switch {
+	case c == nil:
+	case errors.Is(err, upstream.ErrLocal):
+		p.Connections.Remove(c)
+		p.failLocally(c)
+	case err != nil:
+		p.Connections.Remove(c)
+		p.failOpen(c)
+	default:
+		for _, e := range c.takeWaiting() {
+			p.write(c, e)
+		}
+		p.settle(now, c)
+	}
+}
+
+// failLocally reports the exchanges that waited for a dial which failed for lack of local resources. Attempts were not
+// sent, which is no evidence about the worker and its replicas. Load commands are reported as unreachable, so that
+// another worker is tried.
+func (p *Pool) failLocally(c *connection) {
+	for _, e := range c.takeOpen() {
+		if e.IsLoad {
+			p.Exchanges.FinishLost(e)
+		} else {
+			p.Exchanges.Finish(e, dispatch.WorkerReply{Outcome: control.NotSent}, 0)
+		}
+	}
+}
+
+// OnData handles bytes from a worker.
+func (p *Pool) OnData(now float64, id upstream.ConnID, data []byte) {
+	c := p.Connections.Get(id)
+	if c == nil || !c.Established {
+		return
+	}
+	c.framer.feed(data)
+	for p.Connections.Contains(c) {
+		r, ok, err := c.framer.next()
+		if err != nil { // the stream is out of sync
+			p.closeLost(c)
+			return
+		}
+		if !ok {
+			break
+		}
+		p.onReply(now, c, r)
+	}
+	c.framer.compact()
+}
+
+// onReply handles one reply. A reply whose ID is not open is late, a duplicate or unsolicited, and is ignored.
+func (p *Pool) onReply(now float64, c *connection, r reply) {
+	e := c.open[r.id]
+	outcome, known := outcomes[r.code]
+	if e == nil || !known {
+		return
+	}
+	delete(c.open, r.id)
+	c.recent.add(r.id)
+	if e.IsLoad {
+		p.Exchanges.Finish(e, dispatch.WorkerReply{Outcome: outcome}, fieldCount(r.fields, fieldReplicas))
+	} else {
+		result := dispatch.WorkerReply{Outcome: outcome, Start: startTypes[fieldValue(r.fields, fieldStart)]}
+		if r.code == replySucceeded {
+			result.Body = slices.Clone(r.body)
+		}
+		p.Exchanges.Finish(e, result, 0)
+	}
+	if p.Connections.Contains(c) {
+		p.settle(now, c)
+	}
+}
+
+// OnClosed handles a connection that the worker closed or that failed. An incomplete reply is discarded.
+func (p *Pool) OnClosed(_ float64, id upstream.ConnID) {
+	if c := p.Connections.Get(id); c != nil {
+		p.Connections.Remove(c)
+		p.failOpen(c)
+	}
+}
--- /dev/null
+++ b/internal/upstream/frames/send.go
@@ -0,0 +1,180 @@
+package frames
+
+import (
+	"math"
+	"strconv"
+	"strings"
+
+	"streamcleat/control"
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/upstream"
+)
+
+// loadWireIDBit distinguishes the wire IDs of load commands from those of attempts, which are request IDs.
+const loadWireIDBit = 1 << 63
+
+const (
+	millisecondsPerSecond = 1000
+	// minTimeoutMilliseconds is the shortest timeout that is sent to a worker.
+	minTimeoutMilliseconds = 1
+)
+
+// SendAttempt sends an attempt. Its wire ID is the request's ID.
+func (p *Pool) SendAttempt(now float64, a dispatch.Attempt) {
+	id, err := strconv.ParseUint(a.Identity.ID, 16, 64)
+	e := &exchange{Exchange: upstream.Exchange{ID: a.ID, Worker: a.Worker}, wireID: id}
+	if err != nil {
+		p.Exchanges.Add(e)
+		p.Exchanges.FailUnsent(e)
+		return
+	}
+	e.Encode = func(permit dispatch.SendPermit) []byte {
+		return encodeFrame(commandAttempt, id, p.attemptFields(permit, a), a.Body)
+	}
+	p.send(now, e)
+}
+
+// attemptFields encodes the fields of an attempt.
+func (p *Pool) attemptFields(permit dispatch.SendPermit, a dispatch.Attempt) string {
+	timeLeft := math.Floor(permit.TimeLeft() * millisecondsPerSecond)
+	milliseconds := strconv.FormatFloat(max(timeLeft, minTimeoutMilliseconds), 'f', 0, 64)
+	var fields strings.Builder
+	fields.WriteString(fieldClass + "=" + a.Class + "," + fieldFunction + "=" + a.Function + "," + fieldTimeout + "=" + milliseconds)
+	for _, f := range a.Fields {
+		if f.Name == p.limits.IdempotencyKeyField && f.Value != "" {
+			fields.WriteString("," + fieldIdempotencyKey + "=" + f.Value)
+		}
+	}
+	return fields.String()
+}
+
+// SendLoad sends a load command. A command for no replicas unloads idle ones: it gets no reply, and is dropped unless a
+// connection to the worker is established.
+func (p *Pool) SendLoad(now float64, command dispatch.LoadCommand) {
+	if command.Replicas <= 0 {
+		p.sendUnload(now, command)
+		return
+	}
+	p.lastLoadWireID++
+	id := p.lastLoadWireID | loadWireIDBit
+	fields := fieldFunction + "=" + command.Function + "," + fieldReplicas + "=" + strconv.Itoa(command.Replicas)
+	encode := func(dispatch.SendPermit) []byte { return encodeFrame(commandLoad, id, fields, nil) }
+	p.send(now, &exchange{Exchange: upstream.Exchange{ID: command.ID, Worker: command.Worker, IsLoad: true, Encode: encode}, wireID: id})
+}
+
+func (p *Pool) sendUnload(now float64, command dispatch.LoadCommand) {
+	c := p.connectionFor(now, command.Worker, 0)
+	function, err := strconv.ParseUint(command.Function, 16, 64)
+	if err == nil && c != nil && c.Established {
+		p.transport.Write(c.ID, encodeFrame(commandUnload, function, "", nil))
+	}
+}
+
+// send writes an exchange to a connection, or has it wait for the connection's dial.
+func (p *Pool) send(now float64, e *exchange) {
+	p.Exchanges.Add(e)
+	c := p.connectionFor(now, e.Worker, e.wireID)
+	if c == nil {
+		p.Exchanges.FailUnsent(e)
+		return
+	}
+	e.connection = c
+	c.open[e.wireID] = e
+	if !c.Established {
+		c.waiting = append(c.waiting, e)
+		return
+	}
+	p.write(c, e)
+}
+
+// write writes an exchange to its connection, or removes it from the connection if the write is denied.
+func (p *Pool) write(c *connection, e *exchange) {
+	if !p.Exchanges.Write(e, p.transport, c.ID) {
+		delete(c.open, e.wireID)
+	}
+}
+
+// connectionFor returns the connection for one more exchange: an idle one if there is one; otherwise a new one, within
+// the limits, so that a reset affects few exchanges; otherwise the one with the fewest exchanges. It returns nil if
+// there is none.
+func (p *Pool) connectionFor(now float64, worker control.WorkerID, wireID uint64) *connection {
+	if !p.endpoints[worker].serving {
+		return nil
+	}
+	var best *connection
+	count := 0
+	for _, c := range p.Connections.ForWorker(worker) {
+		if c.draining {
+			continue
+		}
+		count++
+		if !c.canCarry(wireID, p.limits.MaxStreams) || c.Established && p.transport.Unsent(c.ID) > 0 {
+			continue
+		}
+		if best == nil || len(c.open) < len(best.open) {
+			best = c
+		}
+	}
+	suffices := best != nil && (len(best.open) == 0 || count >= p.limits.MaxPerWorker)
+	if suffices || p.Connections.Len() >= p.limits.MaxTotal {
+		return best
+	}
+	c := &connection{open: map[uint64]*exchange{}}
+	p.Connections.Dial(now, c, worker, p.endpoints[worker].address)
+	return c
+}
+
+// WaitingFor returns the attempts that wait for the dial of a connection.
+func (p *Pool) WaitingFor(id upstream.ConnID) []uint64 {
+	c := p.Connections.Get(id)
+	if c == nil {
+		return nil
+	}
+	var attempts []uint64
+	for _, e := range c.waiting {
+		if !e.IsLoad {
+			attempts = append(attempts, e.ID)
+		}
+	}
+	return attempts
+}
+
+// CancelUnsent cancels an attempt without reporting it, and returns true, if none of it was sent. The connection keeps
+// dialing, for the next exchange.
+func (p *Pool) CancelUnsent(id uint64) bool {
+	e := p.Exchanges.GetUnsent(id)
+	if e == nil {
+		return false
+	}
+	p.remove(e)
+	return true
+}
+
+// Abandon ends an attempt without reporting it and cancels it at the worker. If part of it is still buffered, its
+// connection is closed instead, so that this part is not sent.
+func (p *Pool) Abandon(now float64, id uint64) {
+	e := p.Exchanges.Get(id)
+	if e == nil {
+		return
+	}
+	p.remove(e)
+	c := e.connection
+	switch {
+	case c == nil || !p.Connections.Contains(c):
+		return
+	case e.Sent && p.transport.Unsent(c.ID) > 0:
+		p.closeLost(c)
+		return
+	case e.Sent && !e.IsLoad:
+		p.transport.Write(c.ID, encodeFrame(commandCancel, e.wireID, "", nil))
+	}
+	p.settle(now, c)
+}
+
+// remove removes an exchange from the pool and its connection without reporting it.
+func (p *Pool) remove(e *exchange) {
+	p.Exchanges.Remove(e)
+	if e.connection != nil {
+		e.connection.remove(e)
+	}
+}
--- a/internal/upstream/openinference/codec.go
+++ b/internal/upstream/openinference/codec.go
@@ -13,21 +13,21 @@
 	"streamcleat/internal/http1"
 )
 
-// digestField proves which replica answered (OCI distribution specification).
+// digestField states the digest of the replica that responded (OCI distribution specification).
 const digestField = "Docker-Content-Digest"
 
-// passedFields are the fields of a worker's response that go on to the client.
-var passedFields = []string{"Content-Type", "Content-Encoding", "Content-Language"}
+// forwardedFields are the header fields of a worker's response that are forwarded to the client.
+var forwardedFields = []string{"Content-Type", "Content-Encoding", "Content-Language"}
 
 const millisecondsPerSecond = 1000
 
-// encodedHeadSize is room for the request line and the usual fields.
-const encodedHeadSize = 256
+// headerSizeHint is the capacity reserved for the request line and header.
+const headerSizeHint = 256
 
-// encodeRequest writes a POST request; via names the front end (RFC 9110 7.6.3).
+// encodeRequest encodes a POST request. Via is the front end's name (RFC 9110, section 7.6.3).
 func encodeRequest(target, addr, via string, fields []dispatch.Field, body []byte) []byte {
 	var b bytes.Buffer
-	b.Grow(encodedHeadSize + len(body))
+	b.Grow(headerSizeHint + len(body))
 	fmt.Fprintf(&b, "POST %s HTTP/1.1\r\nHost: %s\r\nVia: 1.1 %s\r\nContent-Length: %d\r\n", target, addr, via, len(body))
 	for _, f := range fields {
 		b.WriteString(f.Name)
@@ -40,10 +40,10 @@
 	return b.Bytes()
 }
 
-// InferRequest encodes an attempt: POST /v2/models/{function}/infer, the CloudEvent's data passed through with its
-// context attributes as ce- fields. Request-Timeout states the seconds after which nobody waits any more, rounded down. A
-// version is asked for by its name in the path and by its digest in If-Match: a worker that holds another one under that
-// name answers 412 and runs nothing.
+// InferRequest encodes an attempt as POST /v2/models/{function}/infer, with the CloudEvent's data as body and its context
+// attributes as ce- fields. Request-Timeout is the time left to the client in seconds, rounded down. A function version
+// is requested by name in the path and by digest in If-Match: a worker that holds another version under that name
+// responds 412 and executes nothing.
 func InferRequest(addr, via string, permit dispatch.SendPermit, a dispatch.Attempt) []byte {
 	timeLeft := math.Floor(permit.TimeLeft()*millisecondsPerSecond) / millisecondsPerSecond
 	fields := append([]dispatch.Field{{Name: "Request-Timeout", Value: strconv.FormatFloat(timeLeft, 'f', 3, 64)}},
@@ -56,9 +56,9 @@
 	return encodeRequest("/v2/models/"+url.PathEscape(a.Function)+"/infer", addr, via, fields, a.Body)
 }
 
-// ParseInferResponse reads how an attempt ended. 2xx is success. 404 states that the function is not loaded there, 412
-// that another version is, 429 and 503 that the worker rejected the request: by each of these a worker promises that
-// the request never ran. Any other status leaves open whether it did.
+// ParseInferResponse returns the result of an attempt. 2xx is success. 404 means that the function is not loaded, 412 that
+// another version is, 429 and 503 that the worker rejected the request: with each of these the worker guarantees that the
+// request was not executed. With any other status it may have been.
 func ParseInferResponse(m *http1.Message) dispatch.WorkerReply {
 	reply := dispatch.WorkerReply{
 		Report: parseLoadReport(m.Header.Get("Endpoint-Load-Metrics")),
@@ -68,7 +68,7 @@
 	switch {
 	case isSuccess(m.Status):
 		reply.Outcome, reply.Body = control.Succeeded, m.Body
-		for _, name := range passedFields {
+		for _, name := range forwardedFields {
 			for _, value := range m.Header.Values(name) {
 				reply.Fields = append(reply.Fields, dispatch.Field{Name: name, Value: value})
 			}
@@ -87,12 +87,13 @@
 
 func isRejection(status int) bool { return status == 429 || status == 503 }
 
-// startTypes are the Server-Timing metrics (W3C Server Timing) by which a worker states how a request met its replica.
+// startTypes maps the Server-Timing metrics (W3C Server Timing) that state whether a request found a loaded replica.
 var startTypes = map[string]control.StartType{
 	"warm": control.WarmStart, "load": control.ColdStart, "joined": control.JoinedColdStart,
 	"load-failed": control.StartFailed,
 }
 
+// parseStartType returns the first start type among the metrics of a Server-Timing field.
 func parseStartType(field string) control.StartType {
 	for metric := range strings.SplitSeq(field, ",") {
 		name, _, _ := strings.Cut(metric, ";")
--- a/internal/upstream/openinference/codec_test.go
+++ b/internal/upstream/openinference/codec_test.go
@@ -10,15 +10,15 @@
 	"streamcleat/internal/http1"
 )
 
-func response(t *testing.T, text string) *http1.Message {
+func parseResponse(t *testing.T, text string) *http1.Message {
 	t.Helper()
-	f := http1.NewResponses(http1.Limits{Head: 4096, Body: 4096})
-	f.Feed([]byte(text))
-	m, err := f.Next()
-	if m == nil || err != nil {
-		t.Fatal(m, err)
+	framer := http1.NewResponses(http1.Limits{Head: 4096, Body: 4096})
+	framer.Feed([]byte(text))
+	message, err := framer.Next()
+	if message == nil || err != nil {
+		t.Fatal(message, err)
 	}
-	return m
+	return message
 }
 
 func TestParseInferResponse(t *testing.T) {
@@ -51,7 +51,7 @@
 		{200, "Endpoint-Load-Metrics: BIN xyz\r\n", dispatch.WorkerReply{Outcome: control.Succeeded}},
 	} {
 		t.Run(fmt.Sprintf("%d %s", c.status, strings.TrimSpace(c.fields)), func(t *testing.T) {
-			got := ParseInferResponse(response(t, fmt.Sprintf("HTTP/1.1 %d X\r\n%sContent-Length: 0\r\n\r\n", c.status, c.fields)))
+			got := ParseInferResponse(parseResponse(t, fmt.Sprintf("HTTP/1.1 %d X\r\n%sContent-Length: 0\r\n\r\n", c.status, c.fields)))
 			if got.Outcome != c.want.Outcome || got.Start != c.want.Start || got.Report != c.want.Report {
 				t.Errorf("%+v, want %+v", got, c.want)
 			}
@@ -61,10 +61,10 @@
 
 func TestParseLoadResponse(t *testing.T) {
 	body := `{"parameters":{"copies":3}}`
-	if outcome, n := ParseLoadResponse(response(t, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)), ""); outcome != control.Succeeded || n != 3 {
-		t.Error(outcome, n)
+	if outcome, replicas := ParseLoadResponse(parseResponse(t, fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)), ""); outcome != control.Succeeded || replicas != 3 {
+		t.Error(outcome, replicas)
 	}
-	if outcome, n := ParseLoadResponse(response(t, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), ""); outcome != control.Rejected || n != 0 {
-		t.Error(outcome, n)
+	if outcome, replicas := ParseLoadResponse(parseResponse(t, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), ""); outcome != control.Rejected || replicas != 0 {
+		t.Error(outcome, replicas)
 	}
 }
--- a/internal/upstream/openinference/golden_test.go
+++ b/internal/upstream/openinference/golden_test.go
@@ -10,7 +10,7 @@
 	"streamcleat/internal/verification/goldentest"
 )
 
-// The text to and from workers over scripted sessions is as it was.
+// TestGoldenWorkers compares the text exchanged with workers in scripted sessions with the golden transcript.
 func TestGoldenWorkers(t *testing.T) {
 	goldentest.Play(t, "workers", func(*testing.T) goldentest.Actor {
 		workers := goldentest.NewFakeWorkers()
@@ -20,23 +20,22 @@
 	})
 }
 
-// encode writes what a worker sends: "answer STATUS [body=text] [field: value]", or "raw TEXT" as it is.
-func encode(verb string, words []string) []byte {
+// encode encodes what a worker sends: "answer STATUS [body=text] [field: value]" or "raw TEXT".
+func encode(verb string, args []string) []byte {
 	switch verb {
 	case "answer":
-		fields, body := "", ""
-		var fieldsSb28 strings.Builder
-		for _, word := range words[1:] {
+		var fields strings.Builder
+		body := ""
+		for _, word := range args[1:] {
 			if text, ok := strings.CutPrefix(word, "body="); ok {
 				body = text
 			} else {
-				fieldsSb28.WriteString(word + "\r\n")
+				fields.WriteString(word + "\r\n")
 			}
 		}
-		fields += fieldsSb28.String()
-		return fmt.Appendf(nil, "HTTP/1.1 %s Word\r\n%sContent-Length: %d\r\n\r\n%s", words[0], fields, len(body), body)
+		return fmt.Appendf(nil, "HTTP/1.1 %s Word\r\n%sContent-Length: %d\r\n\r\n%s", args[0], fields.String(), len(body), body)
 	case "raw":
-		return []byte(strings.Join(words, ""))
+		return []byte(strings.Join(args, ""))
 	}
 	return nil
 }
--- /dev/null
+++ b/internal/upstream/openinference/send.go
@@ -0,0 +1,98 @@
+package openinference
+
+import (
+	"streamcleat/internal/dispatch"
+	"streamcleat/internal/http1"
+	"streamcleat/internal/upstream"
+)
+
+// SendAttempt sends an attempt.
+func (p *Pool) SendAttempt(now float64, a dispatch.Attempt) {
+	addr := p.addresses[a.Worker]
+	encode := func(permit dispatch.SendPermit) []byte { return InferRequest(addr, p.limits.Via, permit, a) }
+	p.send(now, &exchange{Exchange: upstream.Exchange{ID: a.ID, Worker: a.Worker, Encode: encode}})
+}
+
+// SendLoad sends a load command.
+func (p *Pool) SendLoad(now float64, command dispatch.LoadCommand) {
+	addr := p.addresses[command.Worker]
+	encode := func(dispatch.SendPermit) []byte { return LoadRequest(addr, p.limits.Via, command) }
+	p.send(now, &exchange{
+		Exchange: upstream.Exchange{ID: command.ID, Worker: command.Worker, IsLoad: true, Encode: encode},
+		digest:   command.Binding.Digest,
+	})
+}
+
+// send writes an exchange to an idle connection, or has it wait for the dial of a new one.
+func (p *Pool) send(now float64, e *exchange) {
+	p.Exchanges.Add(e)
+	addr := p.addresses[e.Worker]
+	if addr == "" || p.draining[e.Worker] {
+		p.Exchanges.FailUnsent(e)
+		return
+	}
+	if idle := p.idle[e.Worker]; len(idle) > 0 {
+		c := idle[len(idle)-1]
+		p.idle[e.Worker] = idle[:len(idle)-1]
+		p.write(now, c, e)
+		return
+	}
+	if len(p.Connections.ForWorker(e.Worker)) >= p.limits.MaxPerWorker {
+		p.Exchanges.FailUnsent(e)
+		return
+	}
+	c := &connection{exchange: e, framer: http1.NewResponses(p.limits.Message)}
+	e.connection = c
+	p.queueTimeout(c)
+	p.Connections.Dial(now, c, e.Worker, addr)
+}
+
+// write writes an exchange to a free connection, which stays idle if the write is denied.
+func (p *Pool) write(now float64, c *connection, e *exchange) {
+	if !p.Exchanges.Write(e, p.transport, c.ID) {
+		c.exchange, e.connection = nil, nil
+		p.setIdle(now, c)
+		return
+	}
+	c.exchange, e.connection = e, c
+}
+
+// WaitingFor returns the attempt that waits for the dial of a connection, if there is one.
+func (p *Pool) WaitingFor(id upstream.ConnID) []uint64 {
+	c := p.Connections.Get(id)
+	if c == nil || c.Established || c.exchange == nil || c.exchange.IsLoad {
+		return nil
+	}
+	return []uint64{c.exchange.ID}
+}
+
+// CancelUnsent cancels an attempt without reporting it, and returns true, if none of it was sent. The connection keeps
+// dialing, for the next exchange.
+func (p *Pool) CancelUnsent(id uint64) bool {
+	e := p.Exchanges.GetUnsent(id)
+	if e == nil {
+		return false
+	}
+	p.Exchanges.Remove(e)
+	if e.connection != nil {
+		e.connection.exchange = nil
+	}
+	return true
+}
+
+// Abandon ends an attempt without reporting it. If it was sent, its connection is closed, which cancels it at the worker.
+func (p *Pool) Abandon(_ float64, id uint64) {
+	e := p.Exchanges.Get(id)
+	if e == nil {
+		return
+	}
+	p.Exchanges.Remove(e)
+	c := e.connection
+	switch {
+	case c == nil:
+	case !c.Established: // the connection keeps dialing, for the next exchange
+		c.exchange = nil
+	default:
+		p.close(c)
+	}
+}
