--- a/internal/downstream/frames/codec.go
+++ b/internal/downstream/frames/codec.go
@@ -6,7 +6,7 @@
 	"fmt"
 )
 
-// frameType is the kind of a frame.
+// frameType is the type of a frame.
 type frameType byte
 
 const (
@@ -18,38 +18,28 @@
 	frameGoAway         frameType = 6
 )
 
-// responseCode is the result that a response or a readiness frame states.
-type responseCode byte
-
-const (
-	codeSucceeded responseCode = 0
-	codeRejected  responseCode = 8
-	codeFailed    responseCode = 13
-)
-
-// A frame is a length (4 bytes, not counted in itself), a type (1), a stream (4) and a payload. All numbers are
+// A frame consists of a length (4 bytes, not included in itself), a type (1), a stream (4) and a payload. All numbers are
 // big-endian. Sizes are in bytes.
 const (
 	lengthSize = 4
-	headSize   = lengthSize + minFrame
+	headerSize = lengthSize + minFrame
 	minFrame   = 5       // type and stream
-	maxFrame   = 262_144 // all that follows the length
-	// MaxBody is the longest body of a request.
+	maxFrame   = 262_144 // type, stream and payload
+	// MaxBody is the maximum size of a request's body.
 	MaxBody = 16 << 10
-	// maxFields bounds the fields of a request, so that one that is too long can be told by its length.
+	// maxFields is the maximum size of a request's fields. With it, an oversize request is detected by its length.
 	maxFields = 16 << 10
 )
 
-// Field is one named text of a frame.
+// Field is a field of a frame.
 type Field struct{ Name, Value string }
 
-// errFieldsCutOff is the error of a payload that ends within its fields.
-var errFieldsCutOff = errors.New("fields end early")
+// errFieldsTruncated reports a payload that ends within its fields.
+var errFieldsTruncated = errors.New("fields end early")
 
-// parseFields reads the fields at the front of a payload and returns them with the rest, which is the body. A payload
-// has the number of fields (1 byte), then of each the length of the name (1), the name, the length of the value (2) and
-// the value.
-func parseFields(payload []byte) (list []Field, body []byte, err error) {
+// parseFields splits a payload into fields and body. A payload starts with the number of fields (1 byte), followed for
+// each by the length of the name (1), the name, the length of the value (2) and the value.
+func parseFields(payload []byte) (fields []Field, body []byte, err error) {
 	reader := fieldReader{rest: payload}
 	for range reader.number(1) {
 		f := Field{Name: reader.text(reader.number(1))}
@@ -57,20 +47,20 @@
 		if reader.err != nil {
 			break
 		}
-		for _, other := range list {
+		for _, other := range fields {
 			if other.Name == f.Name {
 				return nil, nil, fmt.Errorf("field %.40q comes twice", f.Name)
 			}
 		}
-		list = append(list, f)
+		fields = append(fields, f)
 	}
 	if reader.err != nil {
 		return nil, nil, reader.err
 	}
-	return list, reader.rest, nil
+	return fields, reader.rest, nil
 }
 
-// fieldReader reads the parts of a payload in turn. After its first error it reads nothing more.
+// fieldReader reads the parts of a payload in order. After the first error it returns zero values.
 type fieldReader struct {
 	rest []byte
 	err  error
@@ -78,7 +68,7 @@
 
 func (r *fieldReader) take(size int) []byte {
 	if r.err != nil || len(r.rest) < size {
-		r.err = errFieldsCutOff
+		r.err = errFieldsTruncated
 		return nil
 	}
 	part := r.rest[:size]
@@ -88,25 +78,26 @@
 
 func (r *fieldReader) text(size int) string { return string(r.take(size)) }
 
-// number reads a big-endian number of size bytes; 0 after an error.
-func (r *fieldReader) number(size int) (n int) {
+// number reads a big-endian number of size bytes.
+func (r *fieldReader) number(size int) int {
+	n := 0
 	for _, b := range r.take(size) {
 		n = n<<8 | int(b)
 	}
 	return n
 }
 
-func appendFields(b []byte, list []Field) []byte {
-	b = append(b, byte(len(list)))
-	for _, f := range list {
+func appendFields(b []byte, fields []Field) []byte {
+	b = append(b, byte(len(fields)))
+	for _, f := range fields {
 		b = append(append(b, byte(len(f.Name))), f.Name...)
 		b = append(binary.BigEndian.AppendUint16(b, uint16(len(f.Value))), f.Value...)
 	}
 	return b
 }
 
-// beginFrame appends a frame without a payload and returns where it begins; endFrame sets its length.
-func beginFrame(b []byte, kind frameType, stream uint32) (begun []byte, start int) {
+// beginFrame appends a frame without payload and returns its offset, which endFrame takes to set the length.
+func beginFrame(b []byte, kind frameType, stream uint32) (extended []byte, start int) {
 	start = len(b)
 	b = append(b, 0, 0, 0, 0, byte(kind))
 	return binary.BigEndian.AppendUint32(b, stream), start
@@ -117,30 +108,24 @@
 	return b
 }
 
-func appendResponse(b []byte, kind frameType, stream uint32, code responseCode, fields []Field, body []byte) []byte {
-	b, start := beginFrame(b, kind, stream)
-	b = appendFields(append(b, byte(code)), fields)
-	return endFrame(append(b, body...), start)
-}
-
-// frame is one frame of a client. Its payload is valid until the next call of the framer.
+// frame is a frame from a client. Its payload is valid until the next call of the framer.
 type frame struct {
 	kind     frameType
 	stream   uint32
 	payload  []byte
-	oversize bool // longer than any request may be: its payload is skipped unread
+	oversize bool // longer than any valid request; the payload is skipped
 }
 
-// errFrameLength is wrapped by the error of a frame whose length no frame may have.
+// errFrameLength is wrapped by the error for a frame with an invalid length.
 var errFrameLength = errors.New("frame length")
 
-// framer cuts what a client sends into frames. Nothing is kept for a length that is refused.
+// framer splits the bytes from a client into frames. It buffers nothing of frames with an excessive length.
 type framer struct {
 	buf  []byte
-	skip int // bytes of an oversize frame that are still to come
+	skip int // remaining bytes of an oversize frame
 }
 
-// idle reports that no frame is incomplete.
+// idle reports whether no frame is incomplete.
 func (f *framer) idle() bool { return len(f.buf) == 0 && f.skip == 0 }
 
 func (f *framer) feed(data []byte) {
@@ -149,7 +134,7 @@
 	f.buf = append(f.buf, data[n:]...)
 }
 
-// next returns the next complete frame; false where none is complete yet. An error ends the connection.
+// next returns the next complete frame, or false if none is complete yet. After an error the stream is out of sync.
 func (f *framer) next() (fr frame, ok bool, err error) {
 	if len(f.buf) < lengthSize {
 		return fr, false, nil
@@ -158,12 +143,12 @@
 	if length < minFrame || length > maxFrame {
 		return fr, false, fmt.Errorf("%w %d is not from %d to %d", errFrameLength, length, minFrame, maxFrame)
 	}
-	if len(f.buf) < headSize {
+	if len(f.buf) < headerSize {
 		return fr, false, nil
 	}
 	fr.kind, fr.stream = frameType(f.buf[lengthSize]), binary.BigEndian.Uint32(f.buf[lengthSize+1:])
 	size := lengthSize + int(length)
-	if size > headSize+maxFields+MaxBody {
+	if size > headerSize+maxFields+MaxBody {
 		f.discard(size)
 		fr.oversize = true
 		return fr, true, nil
@@ -171,12 +156,12 @@
 	if len(f.buf) < size {
 		return fr, false, nil
 	}
-	fr.payload = f.buf[headSize:size]
+	fr.payload = f.buf[headerSize:size]
 	f.buf = f.buf[size:]
 	return fr, true, nil
 }
 
-// discard drops a frame of that size, of which a part may still be to come.
+// discard skips a frame of the given size, of which a part may not have been received yet.
 func (f *framer) discard(size int) {
 	f.skip = size
 	received := f.buf
@@ -184,5 +169,5 @@
 	f.feed(received)
 }
 
-// compact releases what was read, so that a long connection holds no more than the incomplete frame.
+// compact releases the memory of frames already read, so that a connection retains only an incomplete frame.
 func (f *framer) compact() { f.buf = append([]byte(nil), f.buf...) }
--- a/internal/downstream/frames/golden_test.go
+++ b/internal/downstream/frames/golden_test.go
@@ -11,12 +11,12 @@
 	"streamcleat/internal/verification/goldentest"
 )
 
-// The bytes to and from clients over scripted sessions are as they were.
+// TestGoldenSessions compares the bytes exchanged with clients in scripted sessions with the golden transcript.
 func TestGoldenSessions(t *testing.T) {
 	goldentest.Play(t, "session", func(*testing.T) goldentest.Actor {
 		client := &goldentest.FakeClient{Encode: encode, Show: show}
 		client.Session = frames.NewSession(&frames.Limits{
-			MaxOpen: 3, FirstFrameTimeout: 2, FrameTimeout: 1, IdleTimeout: 5, ClassTimeout: longestWait,
+			MaxOpen: 3, FirstFrameTimeout: 2, FrameTimeout: 1, IdleTimeout: 5, ClassTimeout: classTimeout,
 			HasTenant: func(name string) bool { return name == "acme" }, IsReady: func() bool { return !client.NotReady },
 			MaxMemoryMB: 1 << 16, MaxConcurrency: 64, MaxLoadTime: 60, MaxExpectedWork: 60,
 		}, client, 0)
@@ -24,9 +24,9 @@
 	})
 }
 
-func longestWait(class string) float64 { return map[string]float64{"call": 4}[class] }
+func classTimeout(class string) float64 { return map[string]float64{"call": 4}[class] }
 
-// show cuts bytes at the lengths in front of frames.
+// show splits bytes into frames by their lengths.
 func show(data []byte) []string {
 	return goldentest.Frames(data, func(b []byte) int {
 		if len(b) < 4 {
@@ -36,19 +36,19 @@
 	})
 }
 
-// encode writes what a client sends, on its own and not with the code under test.
-func encode(verb string, words []string) []byte {
+// encode encodes what a client sends, independently of the code under test.
+func encode(verb string, args []string) []byte {
 	switch verb {
 	case "request":
-		return encodeFrame(1, words[0], encodePayload(words[1:]))
+		return encodeFrame(1, args[0], encodePayload(args[1:]))
 	case "cancel":
-		return encodeFrame(3, words[0], nil)
+		return encodeFrame(3, args[0], nil)
 	case "ready?":
-		return encodeFrame(4, words[0], []byte{0})
+		return encodeFrame(4, args[0], []byte{0})
 	case "frame":
-		return encodeFrame(int(goldentest.Number(words[0])), words[1], goldentest.Hex(words[2]))
+		return encodeFrame(int(goldentest.Number(args[0])), args[1], goldentest.Hex(args[2]))
 	case "bytes":
-		return goldentest.Hex(words[0])
+		return goldentest.Hex(args[0])
 	}
 	return nil
 }
@@ -62,17 +62,18 @@
 	return append(binary.BigEndian.AppendUint32(append(b, byte(kind)), uint32(number)), payload...)
 }
 
-const usual = "kind=call req=9b1f03aa5c7e2d41 timeout=1500 owner=acme subject=7f3a9c21e0b4d655"
+const validFields = "kind=call req=9b1f03aa5c7e2d41 timeout=1500 owner=acme subject=7f3a9c21e0b4d655"
 
-// encodePayload is a good request's, changed: name=value replaces or adds a field, also=name=value adds one without a look at
-// the others, -name removes one; body=text is the body, body*N one of N bytes, and name*N a field of N bytes.
+// encodePayload returns the payload of a valid request with changes: name=value replaces or adds a field, also=name=value
+// adds one even if it is a duplicate, -name removes one; body=text sets the body, body*N one of N bytes, and name*N a
+// field of N bytes.
 func encodePayload(changes []string) []byte {
 	var fields [][2]string
 	var body string
 	remove := func(name string) {
 		fields = slices.DeleteFunc(fields, func(f [2]string) bool { return f[0] == name })
 	}
-	for _, change := range append(strings.Fields(usual), changes...) {
+	for _, change := range append(strings.Fields(validFields), changes...) {
 		name, value, has := strings.Cut(change, "=")
 		if left, count, long := strings.Cut(name, "*"); long && !has {
 			name, value = left, strings.Repeat("x", int(goldentest.Number(count)))
--- a/internal/downstream/frames/request.go
+++ b/internal/downstream/frames/request.go
@@ -20,11 +20,11 @@
 	fieldWork     = "ms"   // expected work in milliseconds
 	fieldProfile  = "more" // name:value;name:value
 
-	// IdempotencyKeyField names the idempotency key, by which workers know repeats of a request.
+	// IdempotencyKeyField holds the idempotency key, by which workers recognize retries.
 	IdempotencyKeyField = "opkey"
 )
 
-// Names of figures in the profile field.
+// Names in the profile field.
 const (
 	profileMemory      = "memory_mb"
 	profileConcurrency = "lanes"
@@ -32,13 +32,13 @@
 )
 
 const (
-	maxKey       = 256  // bytes of an idempotency key
+	maxKeyLength = 256  // of an idempotency key in bytes
 	milliseconds = 1e-3 // of a second
-	// timeoutTolerance is by how much a timeout may exceed that of its class, for what a client rounds.
+	// timeoutTolerance is the factor by which a timeout may exceed the class's, to allow for rounding by the client.
 	timeoutTolerance = 1.001
 )
 
-// fieldError is the fault of a request that names the field. Its text is sent to the client.
+// fieldError describes an invalid field of a request. Its text is sent to the client.
 type fieldError struct{ field, problem string }
 
 func (e *fieldError) Error() string { return e.field + ": " + e.problem }
@@ -47,9 +47,10 @@
 	return &fieldError{field: field, problem: fmt.Sprintf(format, args...)}
 }
 
-// parseRequest reads the payload of a request frame. Its error names the first field at fault: in the payload's order
-// where the field by itself is malformed, and else in the order of validate.
-func (l *Limits) parseRequest(payload []byte) (request dispatch.Request, err error) {
+// parseRequest parses and validates the payload of a request frame. The error names the first invalid field: in payload
+// order if any is malformed, otherwise in the order of validate.
+func (l *Limits) parseRequest(payload []byte) (dispatch.Request, error) {
+	var request dispatch.Request
 	fields, body, err := parseFields(payload)
 	if err != nil {
 		return request, fmt.Errorf("request: %w", err)
@@ -71,8 +72,9 @@
 	return request, nil
 }
 
-// setField takes one field into the request. Unknown fields are ignored.
-func (l *Limits) setField(request *dispatch.Request, f Field) (err error) {
+// setField parses a field into the request. Unknown fields are ignored.
+func (l *Limits) setField(request *dispatch.Request, f Field) error {
+	var err error
 	switch f.Name {
 	case fieldClass:
 		request.Class = f.Value
@@ -88,16 +90,16 @@
 		request.ExpectedWork, err = parseNumber(f.Name, f.Value, milliseconds)
 	case fieldProfile:
 		request.StatedProfile, err = l.parseProfile(f.Value)
-	case IdempotencyKeyField: // it goes on to workers as it is
-		if !isKey(f.Value) {
-			return fieldErrorf(f.Name, "%.40q is not a key of up to %d characters without comma, equals sign and spaces", f.Value, maxKey)
+	case IdempotencyKeyField: // forwarded to workers unchanged
+		if !isValidKey(f.Value) {
+			return fieldErrorf(f.Name, "%.40q is not a key of up to %d characters without comma, equals sign and spaces", f.Value, maxKeyLength)
 		}
 		request.Fields = []dispatch.Field{{Name: f.Name, Value: f.Value}}
 	}
 	return err
 }
 
-// validate checks a request against the deployment.
+// validate checks a request against the deployment's terms.
 func (l *Limits) validate(request *dispatch.Request) error {
 	maxTimeout := l.ClassTimeout(request.Class)
 	switch {
@@ -117,28 +119,30 @@
 	return nil
 }
 
-// parseProfile reads what a request states of its function. Unknown figures are ignored.
-func (l *Limits) parseProfile(text string) (profile dispatch.FunctionProfile, err error) {
+// parseProfile parses the profile of a request's function. Unknown names are ignored.
+func (l *Limits) parseProfile(text string) (dispatch.FunctionProfile, error) {
+	var profile dispatch.FunctionProfile
+	var err error
 	for text != "" && err == nil {
 		var pair string
 		pair, text, _ = strings.Cut(text, ";")
 		name, value, _ := strings.Cut(pair, ":")
 		switch name {
 		case profileMemory:
-			profile.MemoryMB, err = parseFigure(pair, value, l.MaxMemoryMB)
+			profile.MemoryMB, err = parsePositive(pair, value, l.MaxMemoryMB)
 		case profileConcurrency:
 			profile.Concurrency, err = parseConcurrency(pair, value, l.MaxConcurrency)
 		case profileLoadTime:
 			var loadMs float64
-			loadMs, err = parseFigure(pair, value, l.MaxLoadTime*1000)
+			loadMs, err = parsePositive(pair, value, l.MaxLoadTime*1000)
 			profile.LoadTime = loadMs / 1000
 		}
 	}
 	return profile, err
 }
 
-func parseConcurrency(pair, text string, most int) (int, error) {
-	value, err := parseFigure(pair, text, float64(most))
+func parseConcurrency(pair, text string, limit int) (int, error) {
+	value, err := parsePositive(pair, text, float64(limit))
 	if err != nil {
 		return 0, err
 	}
@@ -148,16 +152,16 @@
 	return int(value), nil
 }
 
-// parseFigure reads a figure of the profile that is above 0 and up to most.
-func parseFigure(pair, text string, most float64) (float64, error) {
+// parsePositive parses a number of the profile that must be above 0 and at most limit.
+func parsePositive(pair, text string, limit float64) (float64, error) {
 	value, err := parseNumber(fieldProfile+": "+pair, text, 1)
-	if err == nil && (value <= 0 || value > most) {
-		err = fieldErrorf(fieldProfile, "%.60q: not above 0 and up to %v", pair, most)
+	if err == nil && (value <= 0 || value > limit) {
+		err = fieldErrorf(fieldProfile, "%.60q: not above 0 and up to %v", pair, limit)
 	}
 	return value, err
 }
 
-// parseNumber reads a finite number and multiplies it by unit.
+// parseNumber parses a finite number and multiplies it by unit.
 func parseNumber(field, text string, unit float64) (float64, error) {
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(value) || math.IsInf(value, 0) {
@@ -166,9 +170,9 @@
 	return value * unit, nil
 }
 
-// isKey reports whether text may stand as a value in the fields of a frame to a worker.
-func isKey(text string) bool {
-	return len(text) <= maxKey && !strings.ContainsFunc(text, func(c rune) bool {
+// isValidKey reports whether text can be encoded as a field value in a frame to a worker.
+func isValidKey(text string) bool {
+	return len(text) <= maxKeyLength && !strings.ContainsFunc(text, func(c rune) bool {
 		return c <= ' ' || c > '~' || c == ',' || c == '='
 	})
 }
--- a/internal/downstream/frames/session.go
+++ b/internal/downstream/frames/session.go
@@ -3,59 +3,57 @@
 import (
 	"fmt"
 	"maps"
-	"math"
 	"slices"
-	"strconv"
 	"time"
 
 	"streamcleat/internal/dispatch"
 )
 
-// RequestHandler takes requests on behalf of a session.
+// RequestHandler handles the requests of a session.
 type RequestHandler interface {
-	// Submit is answered by Session.Respond with the same slot, which may be called before Submit returns.
+	// Submit starts a request. Its response is passed to Session.Respond with the same slot, possibly before Submit returns.
 	Submit(slot uint64, request dispatch.Request)
-	// Cancel reports that nobody waits for the slot any more.
+	// Cancel ends a request whose client no longer waits.
 	Cancel(slot uint64)
 }
 
-// Limits of client connections, and what their requests may name. Times are seconds.
+// Limits configures client connections and bounds what their requests may state. Times are in seconds.
 type Limits struct {
-	MaxOpen           int                        // requests open on one connection
-	FirstFrameTimeout float64                    // a new connection must have sent its first frame by then
-	FrameTimeout      float64                    // a frame must be complete so long after its first byte
-	IdleTimeout       float64                    // a connection without a request is closed after this
-	ClassTimeout      func(class string) float64 // longest timeout of a request; 0 where the class is unknown
-	HasTenant         func(name string) bool     // whether the deployment names it
-	IsReady           func() bool                // whether requests may come
-	MaxMemoryMB       float64                    // most that one replica may take
-	MaxConcurrency    int                        // most requests that one replica may run at a time
-	MaxLoadTime       float64                    // longest expected load time
-	MaxExpectedWork   float64                    // longest expected work
+	MaxOpen           int                        // open requests per connection
+	FirstFrameTimeout float64                    // until the first frame of a new connection is complete
+	FrameTimeout      float64                    // from the first byte of a frame until it is complete
+	IdleTimeout       float64                    // until a connection without open requests is closed
+	ClassTimeout      func(class string) float64 // maximum timeout of a request; 0 if the class is unknown
+	HasTenant         func(name string) bool     // whether the deployment has the tenant
+	IsReady           func() bool                // whether the front end is ready for requests
+	MaxMemoryMB       float64                    // maximum memory of a replica
+	MaxConcurrency    int                        // maximum concurrency of a replica
+	MaxLoadTime       float64                    // maximum load time of a replica
+	MaxExpectedWork   float64                    // maximum expected work of a request
 }
 
-// Session is one client connection. Responses are sent in any order; the stream of a request is its slot.
+// Session is the state of one client connection. Responses are sent in any order. The slot of a request is its stream.
 type Session struct {
 	limits       *Limits
 	framer       framer
 	handler      RequestHandler
 	open         map[uint32]bool // streams of open requests
-	lastStream   uint32          // the highest so far: each request has one of its own
-	frameStart   float64         // when the incomplete frame's first byte came
-	activeAt     float64         // when the connection was last busy
-	received     bool            // a complete frame came
-	closed       bool            // nothing more is read
+	lastStream   uint32          // highest stream used; streams are not reused
+	frameStart   float64         // when the first byte of the incomplete frame was received
+	activeAt     float64         // time of the last frame or response
+	received     bool            // a complete frame was received
+	closed       bool            // no more input is read
 	goAwaySent   bool
 	disconnected bool
 	output       []byte
 }
 
-// NewSession begins a connection at the time now.
+// NewSession returns the session of a connection accepted at the time now.
 func NewSession(limits *Limits, handler RequestHandler, now float64) *Session {
 	return &Session{limits: limits, handler: handler, open: map[uint32]bool{}, activeAt: now, frameStart: now}
 }
 
-// Feed takes bytes from the client.
+// Feed processes bytes from the client.
 func (s *Session) Feed(now float64, _ time.Time, data []byte) {
 	if s.closed || s.disconnected {
 		return
@@ -79,13 +77,14 @@
 	s.framer.compact()
 }
 
-// fail ends the connection with an error that belongs to no request. What is open on it is answered first.
+// fail sends a connection error and stops reading. The connection is done once its open requests are answered.
 func (s *Session) fail(reason string) {
 	s.output = appendResponse(s.output, frameResponse, 0, codeFailed, nil, []byte(reason))
 	s.closed = true
-	s.framer = framer{} // hundreds of failed connections must not hold what they sent while they linger
+	s.framer = framer{} // release the buffer: failed connections may stay open for a while
 }
 
+// reject rejects the request on a stream.
 func (s *Session) reject(stream uint32, reason string) {
 	s.output = appendResponse(s.output, frameResponse, stream, codeRejected, nil, []byte(reason))
 }
@@ -115,7 +114,7 @@
 	case f.stream == 0:
 		s.fail("stream 0 carries no request")
 		return
-	case f.stream <= s.lastStream: // a response on it could be taken for that of the first
+	case f.stream <= s.lastStream: // its response could be taken for that of an earlier request
 		s.fail(fmt.Sprintf("stream %d: not above %d, the last one", f.stream, s.lastStream))
 		return
 	}
@@ -136,9 +135,6 @@
 	}
 }
 
-// retryAfterField is the pause in milliseconds that a rejection asks for.
-const retryAfterField = "holdoff"
-
 // Respond sends the final response to a request.
 func (s *Session) Respond(now float64, slot uint64, r dispatch.Response) {
 	stream := uint32(slot)
@@ -147,39 +143,28 @@
 	}
 	delete(s.open, stream)
 	s.activeAt = now
-	switch r.Kind {
-	case dispatch.Succeeded:
-		s.output = appendResponse(s.output, frameResponse, stream, codeSucceeded, nil, r.Body)
-	case dispatch.Rejected:
-		var fields []Field
-		if ms := math.Round(r.RetryAfter * 1000); ms > 0 {
-			fields = []Field{{retryAfterField, strconv.FormatFloat(ms, 'f', 0, 64)}}
-		}
-		s.output = appendResponse(s.output, frameResponse, stream, codeRejected, fields, []byte(r.Cause.String()))
-	default:
-		s.output = appendResponse(s.output, frameResponse, stream, codeFailed, nil, []byte(r.Cause.String()))
-	}
+	s.output = appendFinal(s.output, stream, &r)
 }
 
-// Advance has nothing to do: responses are sent in any order.
+// Advance does nothing: Respond sends responses in any order.
 func (s *Session) Advance(float64) {}
 
-// Output returns what is to be sent and forgets it.
+// Output returns and clears the bytes to be sent.
 func (s *Session) Output() []byte {
 	output := s.output
 	s.output = nil
 	return output
 }
 
-// Done reports that the connection is to be closed once all output is sent.
+// Done reports whether the connection is to be closed once its output is sent.
 func (s *Session) Done() bool { return s.closed && len(s.open) == 0 }
 
-// Idle reports whether no request is open or incomplete, and since when.
+// Idle reports whether no request is open or incomplete, and the time of the last activity.
 func (s *Session) Idle() (since float64, idle bool) {
 	return s.activeAt, len(s.open) == 0 && s.framer.idle()
 }
 
-// Disconnected reports that the client left.
+// Disconnected handles a connection that the client closed or that failed: its open requests are cancelled.
 func (s *Session) Disconnected() {
 	s.disconnected = true
 	for _, stream := range slices.Sorted(maps.Keys(s.open)) {
@@ -188,7 +173,7 @@
 	clear(s.open)
 }
 
-// Drain tells the client to send no more requests here. Those that cross this are still accepted.
+// Drain sends a go-away frame. Requests that the client sent before it received the frame are still accepted.
 func (s *Session) Drain() {
 	if !s.goAwaySent && !s.closed {
 		s.goAwaySent = true
@@ -197,8 +182,8 @@
 	}
 }
 
-// Tick applies timeouts and reports whether there is output or the connection is done: a frame that is not complete in
-// time gets an error and ends the connection; a connection without a frame, or idle for too long, just ends.
+// Tick applies timeouts and reports whether there is output or the connection is done. An overdue frame is answered with
+// an error that ends the connection; a connection that sent nothing in time or was idle too long is closed silently.
 func (s *Session) Tick(now float64) bool {
 	noFirstFrame := !s.received && now-s.activeAt > s.limits.FirstFrameTimeout
 	switch {
--- a/internal/downstream/frames/session_test.go
+++ b/internal/downstream/frames/session_test.go
@@ -12,49 +12,55 @@
 	"streamcleat/internal/dispatch"
 )
 
-// fakeHandler records the requests of a session and answers nothing by itself.
+// fakeHandler records the requests of a session and sends no responses.
 type fakeHandler struct {
 	requests  map[uint64]dispatch.Request
 	cancelled []uint64
 }
 
-func (d *fakeHandler) Submit(slot uint64, request dispatch.Request) { d.requests[slot] = request }
-func (d *fakeHandler) Cancel(slot uint64)                           { d.cancelled = append(d.cancelled, slot) }
+func (handler *fakeHandler) Submit(slot uint64, request dispatch.Request) {
+	handler.requests[slot] = request
+}
+
+func (handler *fakeHandler) Cancel(slot uint64) { handler.cancelled = append(handler.cancelled, slot) }
 
 func newSession() (*Session, *fakeHandler) {
-	d := &fakeHandler{requests: map[uint64]dispatch.Request{}}
+	handler := &fakeHandler{requests: map[uint64]dispatch.Request{}}
 	return NewSession(&Limits{
-		MaxOpen: 3, FirstFrameTimeout: 2, FrameTimeout: 1, IdleTimeout: 5, ClassTimeout: func(t string) float64 {
-			return map[string]float64{"call": 4}[t]
-		}, HasTenant: func(n string) bool { return n == "acme" }, IsReady: func() bool { return len(d.requests) == 0 },
+		MaxOpen: 3, FirstFrameTimeout: 2, FrameTimeout: 1, IdleTimeout: 5, ClassTimeout: func(class string) float64 {
+			return map[string]float64{"call": 4}[class]
+		}, HasTenant: func(name string) bool { return name == "acme" }, IsReady: func() bool { return len(handler.requests) == 0 },
 		MaxMemoryMB: 1 << 16, MaxConcurrency: 64, MaxLoadTime: 60, MaxExpectedWork: 60,
-	}, d, 0), d
+	}, handler, 0), handler
 }
 
-const good = "kind=call req=9b1f03aa5c7e2d41 timeout=1500 owner=acme subject=7f3a9c21e0b4d655 ms=8.2 more=memory_mb:512;lanes:2;load_ms:640"
+const validFields = "kind=call req=9b1f03aa5c7e2d41 timeout=1500 owner=acme subject=7f3a9c21e0b4d655 ms=8.2 more=memory_mb:512;lanes:2;load_ms:640"
 
-// encodeRequest is a request frame; changes replace or add fields by name, and one without a value removes it.
+// encodeRequest returns a request frame. Changes of the form name=value replace or add a field, and a name alone removes
+// the field.
 func encodeRequest(stream uint32, body string, changes ...string) []byte {
-	var list []Field
-	for _, pair := range append(strings.Fields(good), changes...) {
+	var fields []Field
+	for _, pair := range append(strings.Fields(validFields), changes...) {
 		name, value, has := strings.Cut(pair, "=")
-		list = slices.DeleteFunc(list, func(f Field) bool { return f.Name == name })
+		fields = slices.DeleteFunc(fields, func(f Field) bool { return f.Name == name })
 		if has {
-			list = append(list, Field{name, value})
+			fields = append(fields, Field{name, value})
 		}
 	}
 	b, start := beginFrame(nil, frameRequest, stream)
-	return endFrame(append(appendFields(b, list), body...), start)
+	return endFrame(append(appendFields(b, fields), body...), start)
 }
 
-func encodePayload(kind frameType, stream uint32, payload string) []byte {
+// encodeFrame returns a frame of any type.
+func encodeFrame(kind frameType, stream uint32, payload string) []byte {
 	b, start := beginFrame(nil, kind, stream)
 	return endFrame(append(b, payload...), start)
 }
 
-// decodeOutput is what a session answers: type/stream/code and its text.
-func decodeOutput(t *testing.T, s *Session) (list []string) {
+// decodeOutput returns the frames in a session's output as type/stream/code and text.
+func decodeOutput(t *testing.T, s *Session) []string {
 	t.Helper()
+	var decoded []string
 	f := framer{buf: s.Output()}
 	for {
 		fr, ok, err := f.next()
@@ -62,10 +68,10 @@
 			t.Fatal(err)
 		}
 		if !ok {
-			return list
+			return decoded
 		}
 		if fr.kind == frameGoAway {
-			list = append(list, fmt.Sprintf("%d/%d", fr.kind, fr.stream))
+			decoded = append(decoded, fmt.Sprintf("%d/%d", fr.kind, fr.stream))
 			continue
 		}
 		fields, body, err := parseFields(fr.payload[1:])
@@ -76,25 +82,25 @@
 		for _, f := range fields {
 			text = f.Name + "=" + f.Value + " " + text
 		}
-		list = append(list, fmt.Sprintf("%d/%d/%d %s", fr.kind, fr.stream, fr.payload[0], text))
+		decoded = append(decoded, fmt.Sprintf("%d/%d/%d %s", fr.kind, fr.stream, fr.payload[0], text))
 	}
 }
 
-func TestRequestCutAtEveryByte(t *testing.T) {
+func TestFeed_RequestSplitAtEveryByte(t *testing.T) {
 	in := append(encodeRequest(1, "body\x00"), encodeRequest(2, "")...)
 	for cut := range len(in) + 1 {
-		s, d := newSession()
+		s, handler := newSession()
 		s.Feed(0, time.Time{}, in[:cut])
 		s.Feed(0, time.Time{}, in[cut:])
-		a := d.requests[1]
-		if len(d.requests) != 2 || a.ID != "9b1f03aa5c7e2d41" || a.Class != "call" || a.Tenant != "acme" || a.Function != "7f3a9c21e0b4d655" ||
-			a.Timeout != 1.5 || a.StatedProfile != (dispatch.FunctionProfile{Concurrency: 2, MemoryMB: 512, LoadTime: 0.64}) || string(a.Body) != "body\x00" || !a.RejectDuplicates {
-			t.Fatalf("cut at %d: %+v", cut, d.requests)
+		request := handler.requests[1]
+		if len(handler.requests) != 2 || request.ID != "9b1f03aa5c7e2d41" || request.Class != "call" || request.Tenant != "acme" || request.Function != "7f3a9c21e0b4d655" ||
+			request.Timeout != 1.5 || request.StatedProfile != (dispatch.FunctionProfile{Concurrency: 2, MemoryMB: 512, LoadTime: 0.64}) || string(request.Body) != "body\x00" || !request.RejectDuplicates {
+			t.Fatalf("split at %d: %+v", cut, handler.requests)
 		}
 	}
 }
 
-func TestInvalidRequestsNameTheFieldAndAreRejected(t *testing.T) {
+func TestFeed_InvalidRequestIsRejectedByField(t *testing.T) {
 	for change, want := range map[string]string{
 		"req": "req:", "req=12": "req:", "req=9b1f03aa5c7e2d4g": "req:", "kind=other": "kind:", "owner=nobody": "owner:",
 		"subject=x": "subject:", "timeout=0": "timeout:", "timeout=-4": "timeout:", "timeout=1e9": "timeout:", "timeout=soon": "timeout:",
@@ -102,112 +108,112 @@
 		"opkey=a,b=c": "opkey:", "opkey=a b": "opkey:", "opkey=" + strings.Repeat("k", 300): "opkey:", "more=memory_mb:x": "memory_mb", "more=load_ms:-3": "load_ms", "more=memory_mb:1e300": "memory_mb",
 	} {
 		t.Run(change, func(t *testing.T) {
-			s, d := newSession()
+			s, handler := newSession()
 			s.Feed(0, time.Time{}, encodeRequest(1, "", change))
-			if got := decodeOutput(t, s); len(d.requests) > 0 || len(got) != 1 || !strings.HasPrefix(got[0], "2/1/8 ") || !strings.Contains(got[0], want) {
-				t.Errorf("%q, accepted %d", got, len(d.requests))
+			if got := decodeOutput(t, s); len(handler.requests) > 0 || len(got) != 1 || !strings.HasPrefix(got[0], "2/1/8 ") || !strings.Contains(got[0], want) {
+				t.Errorf("%q, accepted %d", got, len(handler.requests))
 			}
 		})
 	}
 }
 
-func TestFaultsEndTheConnection(t *testing.T) {
+func TestFeed_ProtocolErrorEndsConnection(t *testing.T) {
 	for name, in := range map[string][]byte{
 		"length 4": {0, 0, 0, 4, 1}, "length 60 MB": {3, 0x93, 0x87, 0, 1}, "negative length": {255, 255, 255, 255, 1},
-		"type of ours": encodePayload(frameResponse, 1, ""), "no type": encodePayload(0, 1, ""), "stream 0": encodeRequest(0, ""),
-		"stream used twice": append(encodeRequest(5, ""), encodeRequest(5, "")...), "stream below": append(encodeRequest(5, ""), encodeRequest(4, "")...),
+		"server's frame type": encodeFrame(frameResponse, 1, ""), "unknown frame type": encodeFrame(0, 1, ""), "stream 0": encodeRequest(0, ""),
+		"stream reused": append(encodeRequest(5, ""), encodeRequest(5, "")...), "stream below the last": append(encodeRequest(5, ""), encodeRequest(4, "")...),
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, d := newSession()
+			s, handler := newSession()
 			s.Feed(0, time.Time{}, append(in, make([]byte, 60_000)...))
-			s.Feed(0, time.Time{}, encodeRequest(9, "")) // nothing more is read
+			s.Feed(0, time.Time{}, encodeRequest(9, "")) // must not be read
 			got := decodeOutput(t, s)
-			if len(got) != 1 || !strings.HasPrefix(got[0], "2/0/13 ") || len(d.requests) > 1 {
+			if len(got) != 1 || !strings.HasPrefix(got[0], "2/0/13 ") || len(handler.requests) > 1 {
 				t.Errorf("%q", got)
 			}
-			for slot := range d.requests { // what was open is answered before the end
+			for slot := range handler.requests { // open requests are still answered
 				s.Respond(0, slot, dispatch.Response{Kind: dispatch.Succeeded, Body: []byte("x")})
 			}
 			if _, idle := s.Idle(); !s.Done() || !idle || len(s.framer.buf) > 0 {
-				t.Errorf("done %v, idle %v, %d bytes are kept", s.Done(), idle, len(s.framer.buf))
+				t.Errorf("done %v, idle %v, %d bytes buffered", s.Done(), idle, len(s.framer.buf))
 			}
 		})
 	}
 }
 
-// A body over the limit is rejected on its stream by the head of its frame, and skipped without being kept.
-func TestLongBodyIsSkipped(t *testing.T) {
-	s, d := newSession()
+// An oversize request is rejected as soon as its header is read, and its payload is not buffered.
+func TestFeed_OversizeBodyIsSkipped(t *testing.T) {
+	s, handler := newSession()
 	in := append(encodeRequest(1, strings.Repeat("x", 200_000)), encodeRequest(2, "")...)
 	for len(in) > 0 {
 		n := min(len(in), 1000)
 		s.Feed(0, time.Time{}, in[:n])
 		in = in[n:]
 		if len(s.framer.buf) > 1000 {
-			t.Fatalf("%d bytes are kept", len(s.framer.buf))
+			t.Fatalf("%d bytes buffered", len(s.framer.buf))
 		}
 	}
 	s.Feed(0, time.Time{}, encodeRequest(3, strings.Repeat("x", MaxBody+1)))
 	got := decodeOutput(t, s)
-	if len(d.requests) != 1 || d.requests[2].ID == "" || len(got) != 2 || !strings.HasPrefix(got[0], "2/1/8 ") || !strings.HasPrefix(got[1], "2/3/8 body") {
-		t.Errorf("%q, %v", got, d.requests)
+	if len(handler.requests) != 1 || handler.requests[2].ID == "" || len(got) != 2 || !strings.HasPrefix(got[0], "2/1/8 ") || !strings.HasPrefix(got[1], "2/3/8 body") {
+		t.Errorf("%q, %v", got, handler.requests)
 	}
 }
 
-func TestResponsesCancelsAndReadiness(t *testing.T) {
-	s, d := newSession()
-	s.Feed(0, time.Time{}, encodePayload(frameReadinessQuery, 7, "\x00"))
+func TestSession_ResponsesCancelsReadinessAndDrain(t *testing.T) {
+	s, handler := newSession()
+	s.Feed(0, time.Time{}, encodeFrame(frameReadinessQuery, 7, "\x00"))
 	for stream := uint32(1); stream <= 4; stream++ {
 		s.Feed(0, time.Time{}, encodeRequest(stream, ""))
 	}
-	s.Feed(0, time.Time{}, slices.Concat(encodePayload(frameCancel, 2, ""), encodePayload(frameCancel, 99, ""), encodePayload(frameReadinessQuery, 8, "\x00")))
+	s.Feed(0, time.Time{}, slices.Concat(encodeFrame(frameCancel, 2, ""), encodeFrame(frameCancel, 99, ""), encodeFrame(frameReadinessQuery, 8, "\x00")))
 	s.Respond(0, 3, dispatch.Response{Kind: dispatch.Rejected, RetryAfter: 0.25, Cause: dispatch.CauseNoCapacity})
-	s.Respond(0, 2, dispatch.Response{Kind: dispatch.Succeeded}) // cancelled: nobody waits for it
+	s.Respond(0, 2, dispatch.Response{Kind: dispatch.Succeeded}) // cancelled
 	s.Respond(0, 1, dispatch.Response{Kind: dispatch.Succeeded, Body: []byte("b")})
-	s.Respond(0, 1, dispatch.Response{Kind: dispatch.Failed}) // one response only
+	s.Respond(0, 1, dispatch.Response{Kind: dispatch.Failed}) // already answered
 	s.Drain()
 	s.Drain()
 	want := []string{"5/7/0 ", "2/4/8 stream: 3 requests are open on this connection", "5/8/8 ", "2/3/8 holdoff=250 no-room", "2/1/0 b", "6/0"}
 	if got := decodeOutput(t, s); !slices.Equal(got, want) {
 		t.Errorf("%q", got)
 	}
-	if !slices.Equal(d.cancelled, []uint64{2}) {
-		t.Errorf("cancelled %v", d.cancelled)
+	if !slices.Equal(handler.cancelled, []uint64{2}) {
+		t.Errorf("cancelled %v", handler.cancelled)
 	}
-	s.Feed(0, time.Time{}, slices.Concat(encodeRequest(5, ""), encodeRequest(6, ""))) // what crosses the notice is accepted
+	s.Feed(0, time.Time{}, slices.Concat(encodeRequest(5, ""), encodeRequest(6, ""))) // accepted after go-away
 	s.Disconnected()
-	if !slices.Equal(d.cancelled, []uint64{2, 5, 6}) {
-		t.Errorf("cancelled %v", d.cancelled)
+	if !slices.Equal(handler.cancelled, []uint64{2, 5, 6}) {
+		t.Errorf("cancelled %v", handler.cancelled)
 	}
 }
 
-func TestTimeouts(t *testing.T) {
+func TestTick_Timeouts(t *testing.T) {
 	silent, _ := newSession()
-	half, _ := newSession()
-	half.Feed(0, time.Time{}, encodeRequest(1, "")[:20])
-	busy, d := newSession()
+	incomplete, _ := newSession()
+	incomplete.Feed(0, time.Time{}, encodeRequest(1, "")[:20])
+	busy, handler := newSession()
 	busy.Feed(0, time.Time{}, encodeRequest(1, ""))
 	for _, c := range []struct {
-		s    *Session
-		at   float64
-		done bool
-	}{{silent, 1.9, false}, {silent, 2.1, true}, {half, 0.9, false}, {half, 1.1, true}, {busy, 100, false}} {
-		if c.s.Tick(c.at); c.s.Done() != c.done {
-			t.Errorf("at %g done: %v", c.at, !c.done)
+		session *Session
+		now     float64
+		done    bool
+	}{{silent, 1.9, false}, {silent, 2.1, true}, {incomplete, 0.9, false}, {incomplete, 1.1, true}, {busy, 100, false}} {
+		if c.session.Tick(c.now); c.session.Done() != c.done {
+			t.Errorf("at %g: done %v", c.now, !c.done)
 		}
 	}
-	if _, idle := busy.Idle(); idle || len(d.requests) != 1 {
-		t.Error("a connection with an open request is idle")
+	if _, idle := busy.Idle(); idle || len(handler.requests) != 1 {
+		t.Error("connection with an open request is idle")
 	}
 	busy.Respond(100, 1, dispatch.Response{})
 	if since, idle := busy.Idle(); !idle || since != 100 {
-		t.Error("a connection without an open request is not idle")
+		t.Error("connection without an open request is not idle")
 	}
 	if busy.Tick(104); busy.Done() {
-		t.Error("closed too soon")
+		t.Error("closed before the idle timeout")
 	}
 	if busy.Tick(106); !busy.Done() {
-		t.Error("an idle connection is kept")
+		t.Error("not closed after the idle timeout")
 	}
 }
 
@@ -216,19 +222,19 @@
 	f.Add([]byte{0, 0, 0, 5, 4, 0, 0, 0, 0}, uint8(1))
 	f.Add(binary.BigEndian.AppendUint32(nil, 1<<31), uint8(9))
 	f.Fuzz(func(t *testing.T, in []byte, cut uint8) {
-		whole, one := newSession()
+		whole, wholeHandler := newSession()
 		whole.Feed(0, time.Time{}, in)
-		parts, two := newSession()
+		pieces, piecesHandler := newSession()
 		for rest := in; len(rest) > 0; {
 			n := min(int(cut)+1, len(rest))
-			parts.Feed(0, time.Time{}, rest[:n])
+			pieces.Feed(0, time.Time{}, rest[:n])
 			rest = rest[n:]
 		}
-		if a, b := whole.Output(), parts.Output(); !bytes.Equal(a, b) || len(one.requests) != len(two.requests) {
-			t.Errorf("in one %q, in parts %q", a, b)
+		if a, b := whole.Output(), pieces.Output(); !bytes.Equal(a, b) || len(wholeHandler.requests) != len(piecesHandler.requests) {
+			t.Errorf("in one piece %q, in several %q", a, b)
 		}
-		if len(parts.framer.buf) > headSize+maxFields+MaxBody {
-			t.Errorf("%d bytes are kept", len(parts.framer.buf))
+		if len(pieces.framer.buf) > headerSize+maxFields+MaxBody {
+			t.Errorf("%d bytes buffered", len(pieces.framer.buf))
 		}
 	})
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -13,9 +13,9 @@
 // ExchangeHandler authorizes what a pool sends and receives the results. OnAttemptReply and OnLoadReply may call the
 // pool's SendAttempt, SendLoad and Abandon; the other methods must not call the pool.
 type ExchangeHandler interface {
-	// AuthorizeAttempt reports whether an attempt may be written now.
+	// AuthorizeAttempt returns the permit to write an attempt now, or its denial.
 	AuthorizeAttempt(id uint64) dispatch.SendPermit
-	// AuthorizeLoad reports whether a load command may be written now.
+	// AuthorizeLoad returns the permit to write a load command now, or its denial.
 	AuthorizeLoad() dispatch.SendPermit
 	OnAttemptReply(id uint64, reply dispatch.WorkerReply)
 	OnLoadReply(id uint64, outcome control.Outcome, replicas int)
