--- a/internal/downstream/cloudevents/attributes.go
+++ b/internal/downstream/cloudevents/attributes.go
@@ -14,7 +14,7 @@
 	"streamcleat/internal/dispatch"
 )
 
-// binaryFields are an event's context attributes as ce- fields, in a fixed order, whichever mode it came in.
+// binaryFields returns an event's context attributes as the header fields of binary mode, in a fixed order.
 func binaryFields(event *cloudevents.Event, extensions map[string]any) []dispatch.Field {
 	fields := []dispatch.Field{
 		{Name: "ce-specversion", Value: specVersion},
@@ -42,11 +42,11 @@
 	return fields
 }
 
-// unescapeQuoted takes the escapes off a quoted string.
+// unescapeQuoted removes the backslash escapes of a quoted string.
 var unescapeQuoted = strings.NewReplacer(`\\`, `\`, `\"`, `"`)
 
-// decodeAttributes decodes the values of ce- fields (HTTP binding 3.1.3.2): double quotes first, then one round of
-// percent decoding. The library leaves both to its caller. What is no percent encoding stays as it is.
+// decodeAttributes decodes the values of ce- fields (HTTP binding, section 3.1.3.2): it removes double quotes, then
+// percent-decodes once. The CloudEvents SDK leaves both to its caller. Invalid percent encoding is kept unchanged.
 func decodeAttributes(header nethttp.Header) nethttp.Header {
 	decoded := make(nethttp.Header, len(header))
 	for name, values := range header {
@@ -65,18 +65,18 @@
 	if !strings.Contains(value, "%") {
 		return value
 	}
-	plain, err := url.PathUnescape(value)
+	decoded, err := url.PathUnescape(value)
 	if err != nil {
 		return value
 	}
-	return plain
+	return decoded
 }
 
-// encodeAttribute percent-encodes what a field value may not hold (HTTP binding 3.1.3.2), so that nothing in an
-// attribute can end the field.
+// encodeAttribute percent-encodes the characters that a field value must not contain (HTTP binding, section 3.1.3.2), so
+// that an attribute can't inject header fields.
 func encodeAttribute(value string) string {
 	for i := range len(value) {
-		if !isPlain(value[i]) {
+		if !isFieldChar(value[i]) {
 			return percentEncode(value)
 		}
 	}
@@ -86,7 +86,7 @@
 func percentEncode(value string) string {
 	var b strings.Builder
 	for i := range len(value) {
-		if isPlain(value[i]) {
+		if isFieldChar(value[i]) {
 			b.WriteByte(value[i])
 		} else {
 			fmt.Fprintf(&b, "%%%02X", value[i])
@@ -95,4 +95,5 @@
 	return b.String()
 }
 
-func isPlain(c byte) bool { return c > ' ' && c < 0x7f && c != '"' && c != '%' }
+// isFieldChar reports whether a byte is sent without percent encoding.
+func isFieldChar(c byte) bool { return c > ' ' && c < 0x7f && c != '"' && c != '%' }
--- a/internal/downstream/cloudevents/golden_test.go
+++ b/internal/downstream/cloudevents/golden_test.go
@@ -11,7 +11,7 @@
 	"streamcleat/internal/verification/goldentest"
 )
 
-// The text to and from clients over scripted sessions is as it was.
+// TestGoldenSessions compares the text exchanged with clients in scripted sessions with the golden transcript.
 func TestGoldenSessions(t *testing.T) {
 	goldentest.Play(t, "session", func(*testing.T) goldentest.Actor {
 		client := &goldentest.FakeClient{Encode: encode, Show: goldentest.Lines}
@@ -23,46 +23,46 @@
 	})
 }
 
-// encode writes what a client sends: "request ID [POST=/path] [-field] [body=text] [field: value]
-// [also=field: value]" is a request in binary mode, changed; "structured TEXT" one in structured mode; "raw TEXT" is sent as it is.
-func encode(verb string, words []string) []byte {
+// encode encodes what a client sends: "request ID [POST=/path] [-field] [body=text] [field: value] [also=field: value]" is
+// a valid request in binary mode with changes, "structured TEXT" one in structured mode, and "raw TEXT" is sent unchanged.
+func encode(verb string, args []string) []byte {
 	switch verb {
 	case "request":
-		return []byte(encodeBinary(words[0], words[1:]))
+		return []byte(encodeBinary(args[0], args[1:]))
 	case "structured":
-		return fmt.Appendf(nil, "POST / HTTP/1.1\r\nHost: f\r\nContent-Type: application/cloudevents+json\r\nContent-Length: %d\r\n\r\n%s", len(words[0]), words[0])
+		return fmt.Appendf(nil, "POST / HTTP/1.1\r\nHost: f\r\nContent-Type: application/cloudevents+json\r\nContent-Length: %d\r\n\r\n%s", len(args[0]), args[0])
 	case "raw":
-		return []byte(strings.Join(words, ""))
+		return []byte(strings.Join(args, ""))
 	}
 	return nil
 }
 
 func encodeBinary(id string, changes []string) string {
-	start, body, length := "POST /events", "", true
+	requestLine, body, hasLength := "POST /events", "", true
 	lines := []string{"Host: f", "ce-specversion: 1.0", "ce-source: /t", "ce-id: " + id, "ce-type: call", "ce-function: tally"}
 	remove := func(name string) {
-		lines = slices.DeleteFunc(lines, func(l string) bool { return strings.HasPrefix(l, name+":") })
+		lines = slices.DeleteFunc(lines, func(line string) bool { return strings.HasPrefix(line, name+":") })
 	}
 	for _, change := range changes {
-		name, _, field := strings.Cut(change, ": ")
+		name, _, isField := strings.Cut(change, ": ")
 		switch {
 		case strings.HasPrefix(change, "body="):
 			body = change[5:]
 		case change == "-length":
-			length = false
+			hasLength = false
 		case change[0] == '-':
 			remove(change[1:])
 		case strings.HasPrefix(change, "also="):
 			lines = append(lines, change[5:])
-		case field:
+		case isField:
 			remove(name)
 			lines = append(lines, change)
 		default:
-			start = strings.Replace(change, "=", " ", 1)
+			requestLine = strings.Replace(change, "=", " ", 1)
 		}
 	}
-	if length {
+	if hasLength {
 		lines = append(lines, fmt.Sprintf("Content-Length: %d", len(body)))
 	}
-	return start + " HTTP/1.1\r\n" + strings.Join(lines, "\r\n") + "\r\n\r\n" + body
+	return requestLine + " HTTP/1.1\r\n" + strings.Join(lines, "\r\n") + "\r\n\r\n" + body
 }
--- a/internal/downstream/cloudevents/problem.go
+++ b/internal/downstream/cloudevents/problem.go
@@ -9,7 +9,7 @@
 	"streamcleat/internal/http1"
 )
 
-// problemType is the last part of a problem's type URI.
+// problemType is the last component of a problem's type URI.
 type problemType string
 
 const (
@@ -24,7 +24,8 @@
 
 const problemURIPrefix = "urn:streamcleat:problem:"
 
-// requestError is why a request can't be accepted, with the status and problem type of its response.
+// requestError describes a request that can't be accepted, with the status and problem type of its response. Its text is
+// sent to the client.
 type requestError struct {
 	status  int
 	problem problemType
@@ -41,8 +42,8 @@
 	return requestErrorf(nethttp.StatusBadRequest, problemInvalidEvent, format, args...)
 }
 
-// problemDetails is the body of an error response (RFC 9457). Members stand in the order of their names. Those that may
-// be left out describe the end of a request that was dispatched.
+// problemDetails is the body of an error response (RFC 9457). Members are in alphabetical order. The optional ones
+// describe the result of a request that was dispatched.
 type problemDetails struct {
 	Cause      string       `json:"cause,omitempty"`
 	Detail     string       `json:"detail"`
@@ -56,21 +57,21 @@
 	Worker     string       `json:"worker,omitempty"`
 }
 
-// problemItem is the identity of the event that a problem is about.
+// problemItem identifies the event that a problem concerns.
 type problemItem struct {
 	ID     string `json:"id"`
 	Source string `json:"source"`
 }
 
-// encodeProblem encodes a response with problem details, to which it adds status, title and type.
+// encodeProblem encodes an error response. It sets the status, title and type of details.
 func encodeProblem(status int, problem problemType, details problemDetails, fields []dispatch.Field, closes bool) []byte {
 	details.Status, details.Title, details.Type = status, nethttp.StatusText(status), problemURIPrefix+string(problem)
-	body, _ := json.Marshal(details) // strings and finite numbers: it can't fail
+	body, _ := json.Marshal(details) // strings and finite numbers never fail
 	fields = append([]dispatch.Field{{Name: "Content-Type", Value: "application/problem+json"}}, fields...)
 	return encodeResponse(status, fields, append(body, '\n'), closes)
 }
 
-// requestTimedOut is the error of a request that is not complete after limit seconds.
+// requestTimedOut returns the error for a request that is incomplete after limit seconds.
 func requestTimedOut(limit float64) error {
 	return &http1.ProtocolError{
 		Status: nethttp.StatusRequestTimeout,
--- a/internal/downstream/cloudevents/event.go
+++ b/internal/downstream/cloudevents/request.go
@@ -18,13 +18,12 @@
 	"streamcleat/internal/http1"
 )
 
-// Extension attributes that are read. expirytime is the documented extension of that name; the others state what runs
-// the event, whose it is, and that its sender repeats it.
+// Extension attributes that are read.
 const (
-	attributeFunction = "function"
-	attributeTenant   = "tenant"
-	attributeExpiry   = "expirytime"
-	attributeRepeat   = "repeat"
+	attributeFunction = "function"   // function that handles the event
+	attributeTenant   = "tenant"     // tenant that the event is accounted to
+	attributeExpiry   = "expirytime" // as in the CloudEvents extension of that name
+	attributeRetry    = "repeat"     // "true" if the sender retries the event
 )
 
 const (
@@ -32,21 +31,28 @@
 	specVersionField   = "Ce-Specversion"
 	structuredPrefix   = "application/cloudevents"
 	structuredJSON     = "application/cloudevents+json"
-	attributePrefix    = "Ce-" // of a field that holds a context attribute
-	maxReferenceLength = 256   // bytes of a function or tenant
+	attributePrefix    = "Ce-" // of header fields that hold context attributes
+	maxReferenceLength = 256   // of a function or tenant name in bytes
 )
 
-// readEvent reads a request as one CloudEvent in binary or structured mode (CloudEvents 1.0, HTTP binding 3.1 and 3.2).
-// wall is the time at which the request was complete.
-func readEvent(m *http1.Message, wall time.Time) (request dispatch.Request, failure *requestError) {
-	structured, failure := isStructured(m.Header)
+// contentMode is how an HTTP request carries an event (CloudEvents 1.0, HTTP binding, sections 3.1 and 3.2).
+type contentMode uint8
+
+const (
+	binaryMode     contentMode = iota // attributes in header fields, data in the body
+	structuredMode                    // attributes and data in the body
+)
+
+// parseRequest parses an HTTP request with one CloudEvent. Wall is the wall-clock time at which the request was complete.
+func parseRequest(m *http1.Message, wall time.Time) (request dispatch.Request, failure *requestError) {
+	mode, failure := detectMode(m.Header)
 	if failure != nil {
 		return request, failure
 	}
 	if failure := checkAttributeNames(m.Header); failure != nil {
 		return request, failure
 	}
-	event, failure := parseEvent(m, structured)
+	event, failure := parseEvent(m, mode)
 	if failure != nil {
 		return request, failure
 	}
@@ -55,11 +61,11 @@
 	extensions := event.Extensions()
 	request.Tenant = extensionText(extensions, attributeTenant)
 	request.Function = extensionText(extensions, attributeFunction)
-	request.Retried = extensionText(extensions, attributeRepeat) == "true"
+	request.Retried = extensionText(extensions, attributeRetry) == "true"
 	if failure := checkReferences(&request); failure != nil {
 		return request, failure
 	}
-	request.Timeout, failure = readTimeout(m.Header, extensionText(extensions, attributeExpiry), wall)
+	request.Timeout, failure = parseTimeout(m.Header, extensionText(extensions, attributeExpiry), wall)
 	if failure != nil {
 		return request, failure
 	}
@@ -68,29 +74,30 @@
 	return request, nil
 }
 
-// isStructured reports whether the event is in structured mode; otherwise it is in binary mode and of the right version.
-func isStructured(header nethttp.Header) (bool, *requestError) {
+// detectMode returns the content mode of a request. It returns an error for an unsupported format or specification
+// version.
+func detectMode(header nethttp.Header) (contentMode, *requestError) {
 	media, _, _ := strings.Cut(header.Get("Content-Type"), ";")
 	media = strings.ToLower(strings.TrimSpace(media))
 	if strings.HasPrefix(media, structuredPrefix) {
 		if media != structuredJSON {
-			return true, requestErrorf(nethttp.StatusUnsupportedMediaType, problemUnsupportedFormat,
+			return structuredMode, requestErrorf(nethttp.StatusUnsupportedMediaType, problemUnsupportedFormat,
 				"content type %q: only application/cloudevents+json is taken in structured mode, one event in a request", media)
 		}
-		return true, nil
+		return structuredMode, nil
 	}
 	switch version := header.Get(specVersionField); version {
 	case specVersion:
-		return false, nil
+		return binaryMode, nil
 	case "":
-		return false, invalidEventf("attribute specversion: missing (field ce-specversion in binary mode, " +
+		return binaryMode, invalidEventf("attribute specversion: missing (field ce-specversion in binary mode, " +
 			"or content type application/cloudevents+json in structured mode)")
 	default:
-		return false, invalidEventf("attribute specversion: %q is not 1.0", version)
+		return binaryMode, invalidEventf("attribute specversion: %q is not 1.0", version)
 	}
 }
 
-// checkAttributeNames refuses names that the CloudEvents library panics at, the empty one among them.
+// checkAttributeNames rejects attribute names on which the CloudEvents SDK panics, including the empty one.
 func checkAttributeNames(header nethttp.Header) *requestError {
 	for _, name := range slices.Sorted(maps.Keys(header)) {
 		attribute, ok := strings.CutPrefix(name, attributePrefix)
@@ -107,9 +114,10 @@
 	return !isLetter && !isDigit
 }
 
-func parseEvent(m *http1.Message, structured bool) (*cloudevents.Event, *requestError) {
+// parseEvent parses and validates the event in a request.
+func parseEvent(m *http1.Message, mode contentMode) (*cloudevents.Event, *requestError) {
 	header := m.Header
-	if !structured {
+	if mode == binaryMode {
 		header = decodeAttributes(m.Header)
 	}
 	event, err := cehttp.NewEventFromHTTPRequest(&nethttp.Request{
@@ -125,26 +133,27 @@
 	return event, nil
 }
 
-// requestBody is the body of a request to the CloudEvents library.
+// requestBody is the body of a request passed to the CloudEvents SDK.
 type requestBody struct{ *bytes.Reader }
 
-// Close does nothing; the bytes are the message's own.
+// Close does nothing: the message owns the bytes.
 func (requestBody) Close() error { return nil }
 
-// validationDetail turns a validation error into a text that begins with the attribute at fault.
+// validationDetail formats a validation error, with the invalid attributes in alphabetical order.
 func validationDetail(err error) string {
-	var faults cloudevents.ValidationError
-	if !errors.As(err, &faults) {
+	var invalid cloudevents.ValidationError
+	if !errors.As(err, &invalid) {
 		return err.Error()
 	}
 	var list []string
-	for attribute, fault := range faults {
-		list = append(list, fmt.Sprintf("attribute %s: %v", attribute, fault))
+	for attribute, attributeErr := range invalid {
+		list = append(list, fmt.Sprintf("attribute %s: %v", attribute, attributeErr))
 	}
 	slices.Sort(list)
 	return strings.Join(list, "; ")
 }
 
+// extensionText returns an extension attribute as text, or "" if it is absent.
 func extensionText(extensions map[string]any, name string) string {
 	if value, ok := extensions[name]; ok {
 		return fmt.Sprint(value)
@@ -152,7 +161,7 @@
 	return ""
 }
 
-// checkReferences checks the names of the function and of the tenant.
+// checkReferences checks the names of the function and the tenant.
 func checkReferences(request *dispatch.Request) *requestError {
 	if request.Function == "" {
 		return invalidEventf("attribute function: missing; it names the function that runs the event")
--- a/internal/downstream/cloudevents/response.go
+++ b/internal/downstream/cloudevents/response.go
@@ -11,13 +11,13 @@
 	"streamcleat/internal/dispatch"
 )
 
-// encodedHeadSize is room for the status line and the usual fields.
-const encodedHeadSize = 160
+// headerSizeHint is the capacity reserved for the status line and header.
+const headerSizeHint = 160
 
-// encodeResponse encodes a response; closes tells the client that the connection closes after it.
+// encodeResponse encodes a response. If closes is set, it announces that the connection is closed after it.
 func encodeResponse(status int, fields []dispatch.Field, body []byte, closes bool) []byte {
 	var b bytes.Buffer
-	b.Grow(encodedHeadSize + len(body))
+	b.Grow(headerSizeHint + len(body))
 	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n", status, nethttp.StatusText(status), len(body))
 	for _, f := range fields {
 		b.WriteString(f.Name)
@@ -33,13 +33,13 @@
 	return b.Bytes()
 }
 
-// startMetrics are the Server-Timing metrics that tell how a request met its replica.
+// startMetrics maps start types to the Server-Timing metrics that state whether a request found a loaded replica.
 var startMetrics = map[control.StartType]string{
 	control.WarmStart: "warm", control.ColdStart: "load",
 	control.JoinedColdStart: "joined",
 }
 
-// proxyErrors are the error types of RFC 9209 2.3 for the causes that have one.
+// proxyErrors maps causes to the proxy error types of RFC 9209, section 2.3. Not every cause has one.
 var proxyErrors = map[dispatch.Cause]string{
 	dispatch.CauseDeadlineExceeded: "http_response_timeout", dispatch.CauseConnectionLost: "connection_terminated",
 	dispatch.CauseWorkerUnreachable: "destination_unavailable", dispatch.CauseWorkerFull: "connection_limit_reached",
@@ -47,8 +47,8 @@
 	dispatch.CauseLoadFailed: "destination_not_found",
 }
 
-// encodeFinal encodes a final response: 200 where the request succeeded; 503 with Retry-After where it was rejected;
-// 502, 504 or 422 where it failed. proxyName names this front end in Proxy-Status.
+// encodeFinal encodes a final response: 200 if the request succeeded; 503 with Retry-After if it was rejected; 502, 504 or
+// 422 if it failed. The proxy name identifies this front end in Proxy-Status.
 func encodeFinal(r *dispatch.Response, proxyName string, closes bool) []byte {
 	fields := finalFields(r)
 	if r.Kind == dispatch.Succeeded {
@@ -56,7 +56,7 @@
 	}
 	fields = append(fields, dispatch.Field{Name: "Proxy-Status", Value: proxyStatus(r.Cause, proxyName)})
 	status, detail := finalStatus(r)
-	attempts, retryAfter := r.Attempts, r.RetryAfter // copies, so that r need not be allocated
+	attempts, retryAfter := r.Attempts, r.RetryAfter // copies, so that r does not escape to the heap
 	details := problemDetails{
 		Detail: detail, Cause: r.Cause.String(), Outcome: r.Kind.String(), Attempts: &attempts,
 		Event: &problemItem{Source: r.Identity.Source, ID: r.Identity.ID}, Worker: r.Worker,
@@ -69,14 +69,14 @@
 	return encodeProblem(status, problemType(r.Kind.String()), details, fields, closes)
 }
 
-// finalFields are the fields of every final response.
+// finalFields returns the header fields common to all final responses.
 func finalFields(r *dispatch.Response) []dispatch.Field {
 	timing := fmt.Sprintf("total;dur=%.1f", r.Elapsed*1000)
 	if metric, ok := startMetrics[r.Start]; ok && r.Kind == dispatch.Succeeded {
 		timing = metric + ", " + timing
 	}
 	fields := []dispatch.Field{{Name: "Server-Timing", Value: timing}}
-	if b := r.Binding; b.ID != "" { // which version it was, whatever the outcome
+	if b := r.Binding; b.ID != "" { // state the version whatever the outcome
 		fields[0].Value = fmt.Sprintf("%s, version;desc=%q", timing, b.Version)
 		fields = append(fields, dispatch.Field{Name: "Docker-Content-Digest", Value: b.Digest})
 	}
@@ -86,7 +86,7 @@
 	return fields
 }
 
-// proxyStatus is the value of Proxy-Status (RFC 9209).
+// proxyStatus returns the value of the Proxy-Status field (RFC 9209).
 func proxyStatus(cause dispatch.Cause, proxyName string) string {
 	if errorType := proxyErrors[cause]; errorType != "" {
 		return fmt.Sprintf("%s; error=%s; details=%q", proxyName, errorType, cause)
@@ -94,7 +94,7 @@
 	return fmt.Sprintf("%s; details=%q", proxyName, cause)
 }
 
-// finalStatus is the status of a request that did not succeed, with a detail for its sender.
+// finalStatus returns the status of a request that did not succeed and a detail message for its sender.
 func finalStatus(r *dispatch.Response) (status int, detail string) {
 	const failed = "The event was given up; nothing is promised of what it did."
 	switch {
@@ -105,7 +105,7 @@
 	case r.Cause == dispatch.CauseNoVersion:
 		return nethttp.StatusUnprocessableEntity,
 			fmt.Sprintf("The reference %.100q names no version that may run events of type %.100q.", r.Function, r.Class)
-	case r.Cause == dispatch.CauseUnknownClass: // never dispatched: the sender's fault
+	case r.Cause == dispatch.CauseUnknownClass: // never dispatched: a client error
 		return nethttp.StatusUnprocessableEntity, fmt.Sprintf("The configuration names no event type %.100q.", r.Class)
 	}
 	return nethttp.StatusBadGateway, failed
--- a/internal/downstream/cloudevents/session_test.go
+++ b/internal/downstream/cloudevents/session_test.go
@@ -21,7 +21,7 @@
 	wall = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 )
 
-// fakeHandler is the dispatcher's side of a session: it records what was submitted.
+// fakeHandler records the requests of a session and feeds it input and responses.
 type fakeHandler struct {
 	session   *Session
 	requests  map[uint64]dispatch.Request
@@ -30,38 +30,42 @@
 	immediate bool // respond within Submit
 }
 
-func (h *fakeHandler) Submit(slot uint64, request dispatch.Request) {
-	h.requests[slot] = request
-	h.order = append(h.order, slot)
-	if h.immediate {
-		h.session.Respond(0, slot, dispatch.Response{Kind: dispatch.Succeeded, Body: []byte(request.ID)})
+func (handler *fakeHandler) Submit(slot uint64, request dispatch.Request) {
+	handler.requests[slot] = request
+	handler.order = append(handler.order, slot)
+	if handler.immediate {
+		handler.session.Respond(0, slot, dispatch.Response{Kind: dispatch.Succeeded, Body: []byte(request.ID)})
 	}
 }
-func (h *fakeHandler) Cancel(slot uint64) { h.cancelled = append(h.cancelled, slot) }
+
+func (handler *fakeHandler) Cancel(slot uint64) { handler.cancelled = append(handler.cancelled, slot) }
 
 func newFakeHandler() *fakeHandler {
-	h := &fakeHandler{requests: map[uint64]dispatch.Request{}}
-	h.session = NewSession(limits, "front-1", h, 0)
-	return h
+	handler := &fakeHandler{requests: map[uint64]dispatch.Request{}}
+	handler.session = NewSession(limits, "front-1", handler, 0)
+	return handler
 }
 
-func event(id, more string, body string) string {
+// event returns an HTTP request with an event in binary mode and additional header lines.
+func event(id, header, body string) string {
 	return fmt.Sprintf("POST /events HTTP/1.1\r\nHost: f\r\nce-specversion: 1.0\r\nce-source: /t\r\nce-id: %s\r\nce-type: shop-event\r\n"+
-		"ce-function: tally\r\n%sContent-Length: %d\r\n\r\n%s", id, more, len(body), body)
+		"ce-function: tally\r\n%sContent-Length: %d\r\n\r\n%s", id, header, len(body), body)
 }
 
-func (h *fakeHandler) feed(text string) string {
-	h.session.Feed(0, wall, []byte(text))
-	return string(h.session.Output())
+// feed passes input to the session and returns its output.
+func (handler *fakeHandler) feed(text string) string {
+	handler.session.Feed(0, wall, []byte(text))
+	return string(handler.session.Output())
 }
 
-func (h *fakeHandler) respond(slot uint64, r dispatch.Response) string {
-	h.session.Respond(1, slot, r)
-	h.session.Advance(1)
-	return string(h.session.Output())
+// respond passes a response to the session and returns its output.
+func (handler *fakeHandler) respond(slot uint64, response dispatch.Response) string {
+	handler.session.Respond(1, slot, response)
+	handler.session.Advance(1)
+	return string(handler.session.Output())
 }
 
-func TestBothModesGiveTheSameRequest(t *testing.T) {
+func TestFeed_BothModesGiveSameRequest(t *testing.T) {
 	structured := `{"specversion":"1.0","source":"/t","id":"e 1","type":"shop-event","function":"tally","tenant":"shop-a",` +
 		`"expirytime":"2026-12-01T12:00:02Z","datacontenttype":"application/json","data":{"n":1}}`
 	for name, text := range map[string]string{
@@ -70,11 +74,11 @@
 			"Content-Length: %d\r\n\r\n%s", len(structured), structured),
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newFakeHandler()
-			if out := h.feed(text); out != "" || len(h.order) != 1 {
+			handler := newFakeHandler()
+			if out := handler.feed(text); out != "" || len(handler.order) != 1 {
 				t.Fatalf("%q", out)
 			}
-			request := h.requests[1]
+			request := handler.requests[1]
 			if request.Source != "/t" || request.ID != "e 1" || request.Class != "shop-event" || request.Function != "tally" || request.Tenant != "shop-a" ||
 				request.Timeout != 2 || string(request.Body) != `{"n":1}` {
 				t.Errorf("%+v", request)
@@ -91,23 +95,23 @@
 	}
 }
 
-func TestInvalidEventsNameTheFault(t *testing.T) {
-	del := func(field string) string {
+func TestFeed_InvalidEventIsRejectedWithDetail(t *testing.T) {
+	without := func(field string) string {
 		lines := strings.Split(event("1", "", ""), "\r\n")
-		var kept []string
-		for _, l := range lines {
-			if !strings.HasPrefix(l, field+":") {
-				kept = append(kept, l)
+		var remaining []string
+		for _, line := range lines {
+			if !strings.HasPrefix(line, field+":") {
+				remaining = append(remaining, line)
 			}
 		}
-		return strings.Join(kept, "\r\n")
+		return strings.Join(remaining, "\r\n")
 	}
-	for _, c := range []struct{ in, status, word string }{
-		{del("ce-id"), "400", "attribute id"},
-		{del("ce-source"), "400", "attribute source"},
-		{del("ce-type"), "400", "attribute type"},
-		{del("ce-specversion"), "400", "attribute specversion"},
-		{del("ce-function"), "400", "attribute function"},
+	for _, c := range []struct{ input, status, detail string }{
+		{without("ce-id"), "400", "attribute id"},
+		{without("ce-source"), "400", "attribute source"},
+		{without("ce-type"), "400", "attribute type"},
+		{without("ce-specversion"), "400", "attribute specversion"},
+		{without("ce-function"), "400", "attribute function"},
 		{strings.Replace(event("1", "", ""), "1.0\r\n", "0.3\r\n", 1), "400", "specversion"},
 		{event("1", "ce-expirytime: soon\r\n", ""), "400", "attribute expirytime"},
 		{event("1", "Prefer: wait=long\r\n", ""), "400", "Prefer"},
@@ -118,20 +122,23 @@
 		{event("1", "", strings.Repeat("x", 501)), "413", "501"},
 		{event("1", "Content-Length: 2\r\n", ""), "400", "Content-Length"},
 	} {
-		t.Run(c.status+" "+c.word, func(t *testing.T) {
-			h := newFakeHandler()
-			out := h.feed(c.in)
+		t.Run(c.status+" "+c.detail, func(t *testing.T) {
+			handler := newFakeHandler()
+			out := handler.feed(c.input)
 			head, body, _ := strings.Cut(out, "\r\n\r\n")
-			var p struct{ Type, Detail string }
-			if !strings.HasPrefix(out, "HTTP/1.1 "+c.status) || json.Unmarshal([]byte(body), &p) != nil || !strings.Contains(p.Detail, c.word) ||
-				!strings.Contains(head, "application/problem+json") || len(h.order) != 0 {
-				t.Errorf("%.60q: %s", c.in, out)
+			var problem struct {
+				Type   string `json:"type"`
+				Detail string `json:"detail"`
+			}
+			if !strings.HasPrefix(out, "HTTP/1.1 "+c.status) || json.Unmarshal([]byte(body), &problem) != nil || !strings.Contains(problem.Detail, c.detail) ||
+				!strings.Contains(head, "application/problem+json") || len(handler.order) != 0 {
+				t.Errorf("%.60q: %s", c.input, out)
 			}
 		})
 	}
 }
 
-func TestFinalResponses(t *testing.T) {
+func TestRespond_EncodesFinalResponse(t *testing.T) {
 	for _, c := range []struct {
 		response dispatch.Response
 		want     []string
@@ -153,130 +160,130 @@
 		{dispatch.Response{Kind: dispatch.Failed, Cause: dispatch.CauseUnknownClass, Class: "odd"}, []string{"422 ", "odd"}},
 	} {
 		t.Run(strings.Join(c.want, " "), func(t *testing.T) {
-			h := newFakeHandler()
-			h.feed(event("1", "", ""))
-			out := h.respond(1, c.response)
+			handler := newFakeHandler()
+			handler.feed(event("1", "", ""))
+			out := handler.respond(1, c.response)
 			for _, w := range c.want {
 				if !strings.Contains(out, w) {
 					t.Errorf("%+v: no %q in %s", c.response, w, out)
 				}
 			}
-			if h.respond(1, c.response) != "" {
-				t.Error("answered twice")
+			if handler.respond(1, c.response) != "" {
+				t.Error("second response was sent")
 			}
 		})
 	}
 }
 
-func body(n int) dispatch.Response {
+// numbered returns a response whose body identifies it.
+func numbered(n int) dispatch.Response {
 	return dispatch.Response{Kind: dispatch.Succeeded, Body: fmt.Appendf(nil, "<%d>", n)}
 }
 
-func TestPipelineRespondsInOrder(t *testing.T) {
-	h := newFakeHandler()
-	h.feed(event("1", "", "") + event("2", "", "") + event("3", "", ""))
-	if len(h.order) != 3 {
-		t.Fatalf("submitted %v", h.order)
+func TestPipeline_RespondsInOrder(t *testing.T) {
+	handler := newFakeHandler()
+	handler.feed(event("1", "", "") + event("2", "", "") + event("3", "", ""))
+	if len(handler.order) != 3 {
+		t.Fatalf("submitted %v", handler.order)
 	}
-	if out := h.respond(3, body(3)) + h.respond(2, body(2)); out != "" {
+	if out := handler.respond(3, numbered(3)) + handler.respond(2, numbered(2)); out != "" {
 		t.Fatalf("out of order: %q", out)
 	}
-	out := h.respond(1, body(1))
+	out := handler.respond(1, numbered(1))
 	if a, b, c := strings.Index(out, "<1>"), strings.Index(out, "<2>"), strings.Index(out, "<3>"); a < 0 || b < a || c < b {
 		t.Fatalf("%q", out)
 	}
 }
 
-func TestPipelineRespondsWithinSubmit(t *testing.T) {
-	h := newFakeHandler()
-	h.immediate = true
-	if out := h.feed(event("1", "", "") + event("2", "", "")); strings.Count(out, "200 OK") != 2 {
+func TestPipeline_RespondsWithinSubmit(t *testing.T) {
+	handler := newFakeHandler()
+	handler.immediate = true
+	if out := handler.feed(event("1", "", "") + event("2", "", "")); strings.Count(out, "200 OK") != 2 {
 		t.Fatalf("%q", out)
 	}
 }
 
-func TestPipelineIsLimited(t *testing.T) {
-	h := newFakeHandler()
+func TestPipeline_RejectsOverMaxPipelined(t *testing.T) {
+	handler := newFakeHandler()
 	var text strings.Builder
 	for i := range 6 {
 		text.WriteString(event(strconv.Itoa(i), "", ""))
 	}
-	h.feed(text.String())
-	if len(h.order) != 4 {
-		t.Fatalf("%d events of one connection submitted, 4 are allowed", len(h.order))
+	handler.feed(text.String())
+	if len(handler.order) != 4 {
+		t.Fatalf("%d events of one connection submitted, 4 are allowed", len(handler.order))
 	}
 	var out string
 	for i := range 4 {
-		out = h.respond(uint64(i+1), body(i)) // that of the last has all that waited behind it
+		out = handler.respond(uint64(i+1), numbered(i)) // the last one also releases the rejections behind it
 	}
 	if strings.Count(out, "429 ") != 2 || !strings.Contains(out, "Retry-After: 1") {
 		t.Fatalf("%q", out)
 	}
 }
 
-// An event behind one that may take longer than its own client waits is not submitted before that one is answered:
-// HTTP/1.1 could not answer it in time.
-func TestEventHeldBackBehindASlowOne(t *testing.T) {
-	h := newFakeHandler()
-	h.feed(event("slow", "Prefer: wait=4\r\n", "") + event("quick", "Prefer: wait=1\r\n", ""))
-	if len(h.order) != 1 {
-		t.Fatal("submitted though its response can't be sent in time")
+// HTTP/1.1 responses are in order, so an event is held back while its response could be late behind another.
+func TestPipeline_HoldsBackEventBehindLaterDeadline(t *testing.T) {
+	handler := newFakeHandler()
+	handler.feed(event("slow", "Prefer: wait=4\r\n", "") + event("quick", "Prefer: wait=1\r\n", ""))
+	if len(handler.order) != 1 {
+		t.Fatal("submitted though its response may not be sent in time")
 	}
-	h.respond(1, body(1))
-	if len(h.order) != 2 || h.requests[2].Timeout != -1 {
-		t.Fatalf("%v %+v", h.order, h.requests[2])
+	handler.respond(1, numbered(1))
+	if len(handler.order) != 2 || handler.requests[2].Timeout != -1 {
+		t.Fatalf("%v %+v", handler.order, handler.requests[2])
 	}
-	h = newFakeHandler()
-	h.feed(event("quick", "Prefer: wait=1\r\n", "") + event("slow", "Prefer: wait=4\r\n", ""))
-	if len(h.order) != 2 {
-		t.Fatal("an event with more time than those ahead had to wait")
+	handler = newFakeHandler()
+	handler.feed(event("quick", "Prefer: wait=1\r\n", "") + event("slow", "Prefer: wait=4\r\n", ""))
+	if len(handler.order) != 2 {
+		t.Fatal("event with a later deadline was held back")
 	}
 }
 
-func TestDisconnectCancelsOpenRequests(t *testing.T) {
-	h := newFakeHandler()
-	h.feed(event("1", "", "") + event("2", "", ""))
-	h.session.Disconnected()
-	if fmt.Sprint(h.cancelled) != "[1 2]" || h.respond(1, body(1)) != "" {
-		t.Fatalf("cancelled %v", h.cancelled)
+func TestDisconnected_CancelsOpenRequests(t *testing.T) {
+	handler := newFakeHandler()
+	handler.feed(event("1", "", "") + event("2", "", ""))
+	handler.session.Disconnected()
+	if fmt.Sprint(handler.cancelled) != "[1 2]" || handler.respond(1, numbered(1)) != "" {
+		t.Fatalf("cancelled %v", handler.cancelled)
 	}
 }
 
-func TestIncompleteRequestTimesOut(t *testing.T) {
-	h := newFakeHandler()
-	h.feed(event("1", "", "abc")[:100])
-	h.session.Tick(1.9)
-	if h.session.Done() {
-		t.Fatal("closed too soon")
+func TestTick_IncompleteRequestTimesOut(t *testing.T) {
+	handler := newFakeHandler()
+	handler.feed(event("1", "", "abc")[:100])
+	handler.session.Tick(1.9)
+	if handler.session.Done() {
+		t.Fatal("closed before the request timeout")
 	}
-	h.session.Tick(2.1)
-	if out := string(h.session.Output()); !strings.HasPrefix(out, "HTTP/1.1 408") || !h.session.Done() {
+	handler.session.Tick(2.1)
+	if out := string(handler.session.Output()); !strings.HasPrefix(out, "HTTP/1.1 408") || !handler.session.Done() {
 		t.Fatalf("%q", out)
 	}
 }
 
-func TestIdleConnectionIsClosed(t *testing.T) {
-	h := newFakeHandler()
-	h.session.Tick(10.1)
-	if !h.session.Done() {
-		t.Fatal("an idle connection stays")
+func TestTick_IdleConnectionIsClosed(t *testing.T) {
+	handler := newFakeHandler()
+	handler.session.Tick(10.1)
+	if !handler.session.Done() {
+		t.Fatal("idle connection was not closed")
 	}
 }
 
-func TestDrainClosesAfterOpenRequests(t *testing.T) {
-	h := newFakeHandler()
-	h.feed(event("1", "", ""))
-	h.session.Drain()
-	if out := h.respond(1, body(1)); !strings.Contains(out, "Connection: close") || !h.session.Done() {
+func TestDrain_ClosesAfterOpenRequests(t *testing.T) {
+	handler := newFakeHandler()
+	handler.feed(event("1", "", ""))
+	handler.session.Drain()
+	if out := handler.respond(1, numbered(1)); !strings.Contains(out, "Connection: close") || !handler.session.Done() {
 		t.Fatalf("%q", out)
 	}
 }
 
-func TestAttributesCannotEndAField(t *testing.T) {
-	s := `{"specversion":"1.0","source":"/t","id":"a\r\nX-Evil: 1","type":"shop-event","function":"tally","note":"ü %"}`
-	h := newFakeHandler()
-	h.feed(fmt.Sprintf("POST / HTTP/1.1\r\nHost: f\r\nContent-Type: application/cloudevents+json\r\nContent-Length: %d\r\n\r\n%s", len(s), s))
-	for _, f := range h.requests[1].Fields {
+func TestFeed_AttributesCannotInjectFields(t *testing.T) {
+	structured := `{"specversion":"1.0","source":"/t","id":"a\r\nX-Evil: 1","type":"shop-event","function":"tally","note":"ü %"}`
+	handler := newFakeHandler()
+	handler.feed(fmt.Sprintf("POST / HTTP/1.1\r\nHost: f\r\nContent-Type: application/cloudevents+json\r\nContent-Length: %d\r\n\r\n%s", len(structured), structured))
+	for _, f := range handler.requests[1].Fields {
 		if strings.ContainsAny(f.Value, "\r\n ü") {
 			t.Errorf("%s: %q", f.Name, f.Value)
 		}
@@ -289,14 +296,14 @@
 	f.Fuzz(func(t *testing.T, data []byte, cut int) {
 		var outs [2]string
 		for i := range outs {
-			h := newFakeHandler()
-			h.immediate = true
+			handler := newFakeHandler()
+			handler.immediate = true
 			at := len(data)
 			if i == 1 {
 				at = min(max(cut, 0), len(data))
 			}
-			outs[i] = h.feed(string(data[:at])) + h.feed(string(data[at:]))
-			for _, request := range h.requests {
+			outs[i] = handler.feed(string(data[:at])) + handler.feed(string(data[at:]))
+			for _, request := range handler.requests {
 				if request.ID == "" || request.Source == "" || request.Class == "" || request.Function == "" {
 					t.Fatalf("submitted an event without its attributes: %+v", request)
 				}
@@ -304,7 +311,7 @@
 		}
 		if a, b := strings.ReplaceAll(outs[0], "HTTP/1.1 100 Continue\r\n\r\n", ""),
 			strings.ReplaceAll(outs[1], "HTTP/1.1 100 Continue\r\n\r\n", ""); a != b {
-			t.Fatalf("whole %q, cut up %q", a, b)
+			t.Fatalf("in one piece %q, in two %q", a, b)
 		}
 	})
 }
--- a/internal/downstream/cloudevents/timeout.go
+++ b/internal/downstream/cloudevents/timeout.go
@@ -7,17 +7,16 @@
 	"time"
 )
 
-// expired is the timeout in seconds of a request whose time is past. A timeout of 0 is one that the request does not
-// state.
+// expired is the timeout of a request whose deadline has passed. A timeout of 0 means that the request states none.
 const expired = -1
 
-// maxPreferredWait is the longest wait in seconds that a request may prefer.
+// maxPreferredWait is the maximum wait preference in seconds.
 const maxPreferredWait = 1e6
 
-// readTimeout is how long the client waits, in seconds: the lesser of what Prefer: wait (RFC 7240) and the attribute
-// expirytime state, 0 where neither does, and below 0 where that time is past.
-func readTimeout(header nethttp.Header, expiry string, wall time.Time) (float64, *requestError) {
-	timeout, failure := readPreferredWait(header)
+// parseTimeout returns the time in seconds that the client waits: the lesser of its wait preference (RFC 7240) and the time
+// left until expirytime, 0 if neither is stated, and expired if it is over.
+func parseTimeout(header nethttp.Header, expiry string, wall time.Time) (float64, *requestError) {
+	timeout, failure := parsePreferredWait(header)
 	if failure != nil || expiry == "" {
 		return timeout, failure
 	}
@@ -35,8 +34,8 @@
 	return timeout, nil
 }
 
-// readPreferredWait reads the last wait preference of a request.
-func readPreferredWait(header nethttp.Header) (wait float64, failure *requestError) {
+// parsePreferredWait parses the last wait preference of a request.
+func parsePreferredWait(header nethttp.Header) (wait float64, failure *requestError) {
 	for _, line := range header.Values("Prefer") {
 		for preference := range strings.SplitSeq(line, ",") {
 			name, value, _ := strings.Cut(preference, "=")
