--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -5,87 +5,55 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"net/netip"
 	"slices"
 
 	"streamcleat/control"
 	"streamcleat/internal/upstream"
 )
 
-// Discovery is the list of workers as the numbered watch events of the discovery service make it.
+// Discovery builds the endpoint list from the numbered events of the discovery service.
 type Discovery struct {
 	position int64
-	hosts    []host // in the order they were first named
+	hosts    []host // in the order they were first listed
 	starts   startTimes
 }
 
-// startTimes are the starts of workers on the caller's clock, as they were first heard of.
+// startTimes holds the start times of workers on the caller's clock, as converted when they were first listed.
 type startTimes struct {
 	clock upstream.StartClock
 	known map[startKey]float64
 }
 
-// startKey is a start as the service states it: of a worker with the same name another one is another process.
+// startKey identifies a process of a worker: a restarted worker states another start time under the same name.
 type startKey struct {
-	host   string
-	bornMs float64
+	host        string
+	startedAtMs float64
 }
 
 const millisecondsPerSecond = 1000
 
-// States of a worker as the service names them.
-const (
-	healthActive  = "active"
-	healthLeaving = "leaving"
-	healthLeft    = "left"
-)
-
-// host is one worker of an event. Errors of encoding/json show users the names and types of host and entry.
-type host struct {
-	Host   string   `json:"host"`
-	Dial   string   `json:"dial"`
-	Site   string   `json:"site"`
-	Class  string   `json:"class"`
-	Block  int      `json:"block"`
-	Health string   `json:"health"`
-	Share  *float64 `json:"share"`
-	BornMs float64  `json:"born_ms"`
-}
-
-// entry is one event.
-type entry struct {
-	Pos   int64 `json:"pos"`
-	Hosts *struct {
-		Whole bool   `json:"whole"` // the hosts are all there are; otherwise those that changed
-		Hosts []host `json:"hosts"`
-	} `json:"hosts"`
-}
+// ErrMissingEvents is wrapped by the error for a line that can't be applied because preceding events are missing.
+var ErrMissingEvents = errors.New("preceding events missing")
 
-// ErrMissingEvents is wrapped by the error of a line that can't be applied because events before it are missing.
-var ErrMissingEvents = errors.New("events are missing")
-
-// errMissingHost is the error of a worker without a name.
-var errMissingHost = errors.New("host: missing")
-
-// NewDiscovery returns the state before the first event.
+// NewDiscovery returns an empty list at position 0.
 func NewDiscovery() *Discovery { return &Discovery{} }
 
-// Position is the number of the last event that was applied.
+// Position returns the number of the last event applied.
 func (d *Discovery) Position() int64 { return d.position }
 
-// ResumeRequest is the first line on a new connection: it asks for all events after the last that was applied.
+// ResumeRequest returns the first line to send on a new connection. It requests all events after Position.
 func (d *Discovery) ResumeRequest() []byte { return fmt.Appendf(nil, "tail %d\n", d.position) }
 
-// ReadSnapshot applies the events of the configuration document. The document's own number may be ahead of them; what
-// is missing is asked for by ResumeRequest.
+// ReadSnapshot applies the events of the configuration document. The position stated in the document is ignored, as it
+// may be ahead of its events; ResumeRequest requests those that are missing.
 func (d *Discovery) ReadSnapshot(data []byte) error {
-	var doc struct {
+	var snapshot struct {
 		Entries []json.RawMessage `json:"entries"`
 	}
-	if err := json.Unmarshal(data, &doc); err != nil {
+	if err := json.Unmarshal(data, &snapshot); err != nil {
 		return err
 	}
-	for i, line := range doc.Entries {
+	for i, line := range snapshot.Entries {
 		if _, err := d.ReadLine(line); err != nil {
 			return fmt.Errorf("entries/%d: %w", i, err)
 		}
@@ -93,8 +61,8 @@
 	return nil
 }
 
-// ReadLine applies one line of the service and reports whether it changed the list. After an error nothing of the line
-// was applied, and the service is to be asked again: the line is malformed, or events before it are missing.
+// ReadLine applies a line from the service and reports whether it changed the list. On error, because the line is
+// malformed or preceding events are missing, nothing of it is applied, and the caller must resume from Position.
 func (d *Discovery) ReadLine(line []byte) (changed bool, err error) {
 	line = bytes.TrimSpace(line)
 	if len(line) == 0 {
@@ -104,94 +72,57 @@
 	switch {
 	case err != nil:
 		return false, fmt.Errorf("line %.60q: %w", line, err)
-	case e.Pos <= d.position: // applied before
+	case e.Position <= d.position: // already applied
 		return false, nil
-	case e.Hosts == nil || e.Pos != d.position+1 && !e.Hosts.Whole:
-		return false, fmt.Errorf("event %d after %d: %w", e.Pos, d.position, ErrMissingEvents)
+	case e.Update == nil || e.Position != d.position+1 && !e.Update.Complete:
+		return false, fmt.Errorf("event %d after %d: %w", e.Position, d.position, ErrMissingEvents)
 	}
-	for _, h := range e.Hosts.Hosts {
-		if err := h.check(); err != nil {
-			return false, fmt.Errorf("event %d: worker %.40q: %w", e.Pos, h.Host, err)
+	for _, h := range e.Update.Hosts {
+		if err := h.validate(); err != nil {
+			return false, fmt.Errorf("event %d: worker %.40q: %w", e.Position, h.Name, err)
 		}
 	}
-	d.position = e.Pos
-	if e.Hosts.Whole {
+	d.position = e.Position
+	if e.Update.Complete {
 		d.hosts = nil
 	}
-	for _, h := range e.Hosts.Hosts {
+	for _, h := range e.Update.Hosts {
 		d.apply(h)
 	}
 	return true, nil
 }
 
-// parseEntry reads an event, or a line that is only the number of the service's last event.
-func parseEntry(line []byte) (e entry, err error) {
-	if line[0] == '{' {
-		err = json.Unmarshal(line, &e)
-	} else {
-		err = json.Unmarshal(line, &e.Pos)
-	}
-	return e, err
-}
-
-func (h *host) check() error {
-	if h.Host == "" {
-		return errMissingHost
-	}
-	switch h.Health {
-	case healthLeft:
-		return nil
-	case healthActive, healthLeaving:
-		_, err := netip.ParseAddrPort(h.Dial)
-		return err
-	}
-	return fmt.Errorf("health: %.40q is not active, leaving or left", h.Health)
-}
-
+// apply adds, replaces or removes a worker.
 func (d *Discovery) apply(h host) {
-	i := slices.IndexFunc(d.hosts, func(known host) bool { return known.Host == h.Host })
+	i := slices.IndexFunc(d.hosts, func(listed host) bool { return listed.Name == h.Name })
 	switch {
-	case i < 0 && h.Health != healthLeft:
+	case i < 0 && h.State != stateRemoved:
 		d.hosts = append(d.hosts, h)
-	case i >= 0 && h.Health == healthLeft:
+	case i >= 0 && h.State == stateRemoved:
 		d.hosts = slices.Delete(d.hosts, i, i+1)
 	case i >= 0:
 		d.hosts[i] = h
 	}
 }
 
-// EndpointList is the list in force, with the starts of workers on the caller's clock. It is called with that clock's
-// time and the time of day in Unix seconds.
+// EndpointList returns the current list, given the time on the caller's clock and the wall-clock time in Unix seconds.
+// A start time is converted to the caller's clock when it is first listed, and kept from then on.
 func (d *Discovery) EndpointList(now, wall float64) *upstream.EndpointList {
 	known := make(map[startKey]float64, len(d.starts.known))
 	list := &upstream.EndpointList{Addresses: make(map[control.WorkerID]string, len(d.hosts))}
 	for _, h := range d.hosts {
 		worker := h.worker()
-		if h.BornMs > 0 {
-			key := startKey{h.Host, h.BornMs}
-			startedAt, heard := d.starts.known[key]
-			if !heard {
-				startedAt = d.starts.clock.StartedAt(h.BornMs/millisecondsPerSecond, now, wall)
+		if h.StartedAtMs > 0 {
+			key := startKey{h.Name, h.StartedAtMs}
+			startedAt, converted := d.starts.known[key]
+			if !converted {
+				startedAt = d.starts.clock.StartedAt(h.StartedAtMs/millisecondsPerSecond, now, wall)
 			}
 			known[key], worker.StartedAt = startedAt, startedAt
 		}
-		list.Addresses[worker.ID] = h.Dial
+		list.Addresses[worker.ID] = h.Address
 		list.Workers = append(list.Workers, worker)
 	}
-	d.starts.known = known // of workers that are gone none is kept
+	d.starts.known = known // drops the start times of removed workers
 	return list
 }
-
-func (h *host) worker() control.Worker {
-	worker := control.Worker{
-		ID: control.WorkerID(h.Host), Zone: control.ZoneID(h.Site),
-		MachineType: control.MachineType(h.Class), FailureDomain: h.Block, Weight: 1,
-	}
-	if h.Share != nil {
-		worker.Weight = *h.Share
-	}
-	if h.Health == healthLeaving {
-		worker.State = control.Draining
-	}
-	return worker
-}
--- a/internal/platform/doc.go
+++ b/internal/platform/doc.go
@@ -1,6 +1,5 @@
-// Package platform is what a front end of the utilities' platform is told: its configuration document, the numbered
-// watch events of endpoint discovery, and how it shuts down after a signal. It owns the list of workers that the events
-// make and the phase of a shutdown. It has no socket and no clock: the node command calls it, packages downstream and
-// upstream below it have the protocol's frames, package eventloop carries the bytes, and package control alone decides
-// where a request runs.
+// Package platform holds what a front end needs to know about the utilities' platform: its configuration document, the
+// numbered events of endpoint discovery, and the phases of a shutdown. It owns the endpoint list built from the events
+// and the phase of a shutdown. It has no socket and no clock: package node reads the document and drives shutdowns,
+// package eventloop feeds it the lines of the discovery service.
 package platform
--- a/internal/platform/document.go
+++ b/internal/platform/document.go
@@ -11,7 +11,7 @@
 	"streamcleat/internal/deployment"
 )
 
-// Document is what one front end is told at its start and at each reload.
+// Document is the configuration of a front end, which is read at start and on each reload.
 type Document struct {
 	Name             string
 	Listen           string
@@ -19,50 +19,50 @@
 	MemoryMB         float64
 	MaxDescriptors   int
 	PeerListen       string
-	Peers            []string // one for each front end, by their numbers
+	Peers            []string // addresses of all front ends, by index
 	PeerBroadcast    string
 	DiscoveryAddress string
 	Terms            *deployment.Terms
-	Discovery        *Discovery
+	Discovery        *Discovery // holds the endpoint list of the document
 }
 
-// documentJSON is the document as it is encoded. It is an alias because errors of encoding/json show the name of a type
-// to users.
+// documentJSON is the encoding of a Document. It is an alias of an unnamed type because encoding/json prints type names
+// in errors shown to users.
 type documentJSON = struct {
 	Name   string `json:"name"`
 	Listen string `json:"listen"`
 	Seed   string `json:"seed"`
 	Limits struct {
-		Cores    float64 `json:"cores"`
-		MemoryMB float64 `json:"memory_mb"`
-		Sockets  int     `json:"sockets"`
+		Cores          float64 `json:"cores"`
+		MemoryMB       float64 `json:"memory_mb"`
+		MaxDescriptors int     `json:"sockets"`
 	} `json:"limits"`
-	PeerListen string          `json:"peer_listen"`
-	Peers      []string        `json:"peers"`
-	PeersAll   string          `json:"peers_all"`
-	Journal    string          `json:"journal"`
-	Known      json.RawMessage `json:"known"`
-	Settings   json.RawMessage `json:"settings"`
+	PeerListen       string          `json:"peer_listen"`
+	Peers            []string        `json:"peers"`
+	PeerBroadcast    string          `json:"peers_all"`
+	DiscoveryAddress string          `json:"journal"`
+	Snapshot         json.RawMessage `json:"known"`
+	Terms            json.RawMessage `json:"settings"`
 }
 
-// FieldError is a fault of one field of a document.
+// FieldError describes an invalid field of a document.
 type FieldError struct {
-	Field string // path in the document, as in limits/memory_mb
+	Field string // path, as in limits/memory_mb
 	Err   error
 }
 
 func (e *FieldError) Error() string { return e.Field + ": " + e.Err.Error() }
 
-// Unwrap returns the fault itself.
+// Unwrap returns the underlying error.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// Faults of fields that must be there, and of limits.
+// Errors of fields.
 var (
 	errMissing     = errors.New("missing")
 	errNotPositive = errors.New("not above 0")
 )
 
-// ReadDocument reads a configuration document; its error joins a FieldError for each field that is at fault.
+// ReadDocument parses and validates a configuration document. Its error joins a FieldError for each invalid field.
 func ReadDocument(data []byte) (*Document, error) {
 	var doc documentJSON
 	if err := json.Unmarshal(data, &doc); err != nil {
@@ -70,70 +70,74 @@
 	}
 	document := &Document{
 		Name: doc.Name, Listen: doc.Listen, Seed: parseSeed(doc.Seed), MemoryMB: doc.Limits.MemoryMB,
-		MaxDescriptors: doc.Limits.Sockets, PeerListen: doc.PeerListen, Peers: doc.Peers, PeerBroadcast: doc.PeersAll,
-		DiscoveryAddress: doc.Journal, Discovery: NewDiscovery(),
+		MaxDescriptors: doc.Limits.MaxDescriptors, PeerListen: doc.PeerListen, Peers: doc.Peers, PeerBroadcast: doc.PeerBroadcast,
+		DiscoveryAddress: doc.DiscoveryAddress, Discovery: NewDiscovery(),
 	}
-	var faults fieldErrors
-	faults.addAddresses(&doc)
-	faults.addLimits(&doc)
-	if len(doc.Settings) == 0 {
-		faults.add("settings", errMissing)
+	var errs fieldErrors
+	errs.addAddresses(&doc)
+	errs.addLimits(&doc)
+	if len(doc.Terms) == 0 {
+		errs.add("settings", errMissing)
 	} else {
-		terms, err := deployment.Read(doc.Settings)
+		terms, err := deployment.Read(doc.Terms)
 		document.Terms = terms
-		faults.add("settings", err)
+		errs.add("settings", err)
 	}
-	if len(doc.Known) == 0 {
-		faults.add("known", errMissing)
+	if len(doc.Snapshot) == 0 {
+		errs.add("known", errMissing)
 	} else {
-		faults.add("known", document.Discovery.ReadSnapshot(doc.Known))
+		errs.add("known", document.Discovery.ReadSnapshot(doc.Snapshot))
 	}
-	return document, errors.Join(faults...)
+	return document, errors.Join(errs...)
 }
 
-// parseSeed reads a hexadecimal seed. Any other text is hashed, so that different texts give different numbers.
+// parseSeed parses a hexadecimal seed. Any other text is hashed, so that different texts give different seeds.
 func parseSeed(text string) uint64 {
 	if seed, err := strconv.ParseUint(text, 16, 64); err == nil {
 		return seed
 	}
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(text)) // a hash never fails
+	_, _ = h.Write([]byte(text)) // never fails
 	return h.Sum64()
 }
 
-// fieldErrors collects the faults of a document in the order of its checks.
+// fieldErrors accumulates the FieldErrors of a document.
 type fieldErrors []error
 
+// add appends an error of a field unless it is nil.
 func (f *fieldErrors) add(field string, err error) {
 	if err != nil {
 		*f = append(*f, &FieldError{Field: field, Err: err})
 	}
 }
 
+// addAddress appends an error if text is not an IP address with port.
 func (f *fieldErrors) addAddress(field, text string) {
 	_, err := netip.ParseAddrPort(text)
 	f.add(field, err)
 }
 
+// addAddresses validates the addresses of a document.
 func (f *fieldErrors) addAddresses(doc *documentJSON) {
 	f.addAddress("listen", doc.Listen)
-	f.addAddress("journal", doc.Journal)
+	f.addAddress("journal", doc.DiscoveryAddress)
 	if doc.PeerListen != "" {
 		f.addAddress("peer_listen", doc.PeerListen)
 	}
 	for i, peer := range doc.Peers {
 		f.addAddress(fmt.Sprintf("peers/%d", i), peer)
 	}
-	if doc.PeersAll != "" {
-		f.addAddress("peers_all", doc.PeersAll)
+	if doc.PeerBroadcast != "" {
+		f.addAddress("peers_all", doc.PeerBroadcast)
 	}
 }
 
+// addLimits validates the limits of a document.
 func (f *fieldErrors) addLimits(doc *documentJSON) {
 	if doc.Limits.MemoryMB <= 0 {
 		f.add("limits/memory_mb", errNotPositive)
 	}
-	if doc.Limits.Sockets <= 0 {
+	if doc.Limits.MaxDescriptors <= 0 {
 		f.add("limits/sockets", errNotPositive)
 	}
 }
--- a/internal/platform/document_test.go
+++ b/internal/platform/document_test.go
@@ -12,16 +12,16 @@
 "settings":{"Balancers":3,"Classes":[{"Name":"call","AimMs":1500,"GiveUpMs":4000,"Idempotency":"free"}]}}`
 
 func TestReadDocument(t *testing.T) {
-	m, err := ReadDocument([]byte(document))
-	if err != nil || m.Seed != 0x8c1f30d27a5be964 || m.MaxDescriptors != 256 || m.Discovery.Position() != 3 || m.Terms.Deployment().FrontEnds != 3 {
-		t.Fatal(m, err)
+	doc, err := ReadDocument([]byte(document))
+	if err != nil || doc.Seed != 0x8c1f30d27a5be964 || doc.MaxDescriptors != 256 || doc.Discovery.Position() != 3 || doc.Terms.Deployment().FrontEnds != 3 {
+		t.Fatal(doc, err)
 	}
 	if _, err := ReadDocument([]byte("{")); err == nil {
-		t.Error("a document that is cut off was accepted")
+		t.Error("truncated document was accepted")
 	}
 }
 
-func TestReadDocumentNamesTheFieldAtFault(t *testing.T) {
+func TestReadDocument_ReportsInvalidField(t *testing.T) {
 	for _, c := range []struct{ old, changed, field string }{
 		{`"127.0.0.4:9090"`, `"x"`, "listen"},
 		{`"127.2.0.1:4222"`, `""`, "journal"},
@@ -33,25 +33,24 @@
 	} {
 		t.Run(c.field, func(t *testing.T) {
 			_, err := ReadDocument([]byte(strings.Replace(document, c.old, c.changed, 1)))
-			var fault *FieldError
-			if !errors.As(err, &fault) || fault.Field != c.field || !strings.Contains(err.Error(), c.field+":") {
+			var fieldErr *FieldError
+			if !errors.As(err, &fieldErr) || fieldErr.Field != c.field || !strings.Contains(err.Error(), c.field+":") {
 				t.Errorf("%s: %v", c.changed, err)
 			}
 		})
 	}
 }
 
-// The head of the machine's document is read whatever the case of its keys.
-func TestHeadOfTheDocument(t *testing.T) {
-	other := strings.NewReplacer(`"name":"n3"`, `"Name":"n3"`, `"listen":`, `"Listen":`, `"seed":`, `"SEED":`).Replace(document)
-	for _, text := range []string{document, other} {
-		m, err := ReadDocument([]byte(text))
+func TestReadDocument_KeysAreCaseInsensitive(t *testing.T) {
+	otherCase := strings.NewReplacer(`"name":"n3"`, `"Name":"n3"`, `"listen":`, `"Listen":`, `"seed":`, `"SEED":`).Replace(document)
+	for _, text := range []string{document, otherCase} {
+		doc, err := ReadDocument([]byte(text))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if m.Name != "n3" || m.Listen != "127.0.0.4:9090" || m.Seed != 0x8c1f30d27a5be964 || m.PeerListen != "127.0.0.4:7946" ||
-			len(m.Peers) != 1 || m.PeerBroadcast != "127.3.255.1:7946" || m.DiscoveryAddress != "127.2.0.1:4222" || m.MemoryMB != 192 || m.MaxDescriptors != 256 {
-			t.Errorf("%s:\n%+v", text, m)
+		if doc.Name != "n3" || doc.Listen != "127.0.0.4:9090" || doc.Seed != 0x8c1f30d27a5be964 || doc.PeerListen != "127.0.0.4:7946" ||
+			len(doc.Peers) != 1 || doc.PeerBroadcast != "127.3.255.1:7946" || doc.DiscoveryAddress != "127.2.0.1:4222" || doc.MemoryMB != 192 || doc.MaxDescriptors != 256 {
+			t.Errorf("%s:\n%+v", text, doc)
 		}
 	}
 }
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -1,46 +1,45 @@
 package platform
 
-// ShutdownPhase is what a front end does after it was told to stop. Requests still come for a while, on new connections
-// too, and every request that is accepted is answered.
+// ShutdownPhase is a phase of a graceful shutdown. Every request accepted in any phase is answered.
 type ShutdownPhase int
 
-// Phases in their order; a front end may skip some.
+// Phases in order. A shutdown may skip some.
 const (
 	Serving    ShutdownPhase = iota // no shutdown
-	Draining                        // not ready any more; every request that comes is accepted
-	GoingAway                       // clients are told to send no more; requests that cross that are accepted
-	Answering                       // the platform is about to kill the process: open requests are answered as they stand
-	Flushing                        // nothing is open: connections are closed after their last byte
-	Terminated                      // every client has read all responses or has had its time: the process exits
+	Draining                        // not ready, but still accepting connections and requests
+	GoingAway                       // clients were sent go-away; requests sent before they received it are accepted
+	Answering                       // the platform's kill is imminent: open requests are answered with their present state
+	Flushing                        // no request is open: connections are closed once their output is sent
+	Terminated                      // all clients have read their responses, or the time for it is over: the process exits
 )
 
-// Times in seconds after the signal, as the platform states them for a planned stop.
+// Times in seconds after the signal, as the platform specifies them for a planned stop.
 const (
-	// acceptWindow is for how long requests may still come: 0.4 on new connections, 0.2 more on open ones.
+	// acceptWindow is the time during which new requests may arrive: 0.4 on new connections and 0.2 more on open ones.
 	acceptWindow = 0.65
-	// crossingWindow is how long after clients are told to send no more the last of their requests may arrive.
+	// crossingWindow is the time after go-away during which requests sent before it may still arrive.
 	crossingWindow = 0.3
-	// killDelay is the least time between the longest request timeout and the kill.
+	// killDelay is the minimum time from the end of the longest request timeout until the platform's kill.
 	killDelay = 0.7
-	// maxCountedTimeout is the most of the longest request timeout that the platform waits for.
+	// maxCountedTimeout is the maximum request timeout that the platform allows for.
 	maxCountedTimeout = 3.0
-	// flushTime is kept before the kill, for the last responses to leave.
+	// flushTime is the time reserved before the kill for sending the last responses.
 	flushTime = 0.25
 )
 
-// Shutdown is one shutdown under way.
+// Shutdown is the state of a graceful shutdown.
 type Shutdown struct {
-	MaxRequestTimeout float64 // longest request timeout
-	answeredAt        float64 // when all was answered; 0 before
+	MaxRequestTimeout float64 // in seconds
+	answeredAt        float64 // when the last request was answered; 0 before
 }
 
-// Outstanding is what a front end still has to do.
+// Outstanding is the work that a front end has left.
 type Outstanding struct {
-	Requests        bool // a request is open, or a part of a frame came
-	UnreadResponses bool // some client has not read all of its responses
+	Requests        bool // a request is open or a frame is incomplete
+	UnreadResponses bool // a client has not read all of its responses
 }
 
-// Phase returns the phase at a time after the signal, in seconds. It never returns an earlier phase than before.
+// Phase advances the shutdown to the given time after the signal, in seconds, and returns its phase. Phases never go back.
 func (s *Shutdown) Phase(elapsed float64, left Outstanding) ShutdownPhase {
 	killAt := min(s.MaxRequestTimeout, maxCountedTimeout) + killDelay
 	if s.answeredAt > 0 {
