--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -10,7 +10,7 @@
 	"streamcleat/control"
 )
 
-// pascalDocument has every key that is read, in the case that deployments write.
+// pascalDocument has every key that is read, in the case that deployments use.
 const pascalDocument = `{"Accounts":[{"Name":"north","QuotaPerS":100}],"Balancers":3,"Me":2,
 	"Caps":{"Peers":true,"RetryAfter":true,"MaxRetryAfterMs":500,"DialTimeoutMs":250,"IdleCloseMs":30000,"MostTries":4,"MaxStreams":32,"MaxOpen":2000},
 	"Classes":[{"Name":"call","Idempotency":"guarded","Group":"zone","AimMs":500,"GiveUpMs":1500,"MemorySpanMs":6000}],
@@ -18,7 +18,7 @@
 	"Domain":{"LoadFree":2,"LoadPart":0.25,"LoadWindowMs":4000,"StaysLoadedMs":8000,"OrderTimeoutMs":1000,"MayOrder":true,"WhenAbsent":"miss"},
 	"RoundMs":4,"Rules":{"ColdFrom":0.3,"FallMs":1500,"FallMultiple":2.5,"WarmWithinMs":16000}}`
 
-// camelDocument is the same with a small first letter of each key.
+// camelDocument returns pascalDocument with the first letter of each key in lower case.
 func camelDocument() string {
 	var out strings.Builder
 	inKey := false
@@ -33,7 +33,7 @@
 	return out.String()
 }
 
-func TestEveryKeyIsReadWhateverItsCase(t *testing.T) {
+func TestRead_KeysAreCaseInsensitive(t *testing.T) {
 	for name, document := range map[string]string{
 		"pascal": pascalDocument,
 		"camel":  camelDocument(),
@@ -49,6 +49,7 @@
 	}
 }
 
+// checkTerms checks that every key of pascalDocument was read.
 func checkTerms(t *testing.T, terms *Terms) {
 	t.Helper()
 	if terms.FrontEndIndex != 2 || !terms.Limits.GossipAllowed || terms.Limits.DialTimeoutMs != 250 || terms.Limits.IdleTimeoutMs != 30000 ||
@@ -87,28 +88,27 @@
 	}
 }
 
-func TestUnknownWordsOfAClass(t *testing.T) {
+func TestRead_UnknownSemanticsOrScope(t *testing.T) {
 	for _, class := range []string{
 		`{"Name":"call","Idempotency":"often"}`,
 		`{"Name":"call","Idempotency":"free","Group":"town"}`,
 	} {
 		_, err := Read([]byte(`{"Classes":[` + class + `]}`))
-		var fault *ClassError
-		if !errors.As(err, &fault) || fault.Class != "call" || err.Error() != "event type call: unknown idempotency or group" {
+		var classErr *ClassError
+		if !errors.As(err, &classErr) || classErr.Class != "call" || err.Error() != "event type call: unknown idempotency or group" {
 			t.Errorf("%s: %v", class, err)
 		}
 	}
 }
 
-func TestMalformedDocument(t *testing.T) {
+func TestRead_MalformedDocument(t *testing.T) {
 	_, err := Read([]byte(`{`))
 	if _, ok := errors.AsType[*json.SyntaxError](err); !ok {
 		t.Errorf("%v", err)
 	}
 }
 
-// A value of the wrong type is reported by the path of its key.
-func TestMistypedKey(t *testing.T) {
+func TestRead_MistypedValueIsReportedByPath(t *testing.T) {
 	for document, field := range map[string]string{
 		`{"Caps":{"MaxOpen":"x"}}`:           "Caps.MaxOpen",
 		`{"Caps":3}`:                         "Caps",
@@ -117,8 +117,8 @@
 		`{"Classes":[{"GiveUpMs":"never"}]}`: "Classes.GiveUpMs",
 	} {
 		_, err := Read([]byte(document))
-		var mistyped *json.UnmarshalTypeError
-		if !errors.As(err, &mistyped) || mistyped.Field != field {
+		var typeErr *json.UnmarshalTypeError
+		if !errors.As(err, &typeErr) || typeErr.Field != field {
 			t.Errorf("%s: %v", document, err)
 		}
 	}
