--- a/internal/simadapter/deliver.go
+++ b/internal/simadapter/deliver.go
@@ -6,10 +6,10 @@
 	"streamcleat/control"
 )
 
-// delivery decodes a message and, unless the line has a fault, calls the router with it.
+// delivery decodes a message and, unless it is invalid, calls the router with it.
 type delivery func(s *server, router *control.Router, l *line)
 
-// deliveries are the messages to an instance.
+// deliveries maps the messages to an instance.
 var deliveries = map[string]delivery{
 	messageUpdate:        deliverUpdate,
 	messageRequest:       deliverRequest,
@@ -21,7 +21,7 @@
 }
 
 func deliverUpdate(s *server, router *control.Router, l *line) {
-	kind := word(l, "How", updateKinds)
+	kind := enum(l, "How", updateKinds)
 	if l.err != nil {
 		return
 	}
@@ -31,20 +31,21 @@
 	}
 	workers, known := s.lists[l.integer(fieldSlot)]
 	if !known {
-		l.fail(fieldSlot, errors.New("no such list"))
+		l.fail(fieldSlot, errors.New("unknown worker list"))
 	}
 	if l.err == nil {
 		deliverEndpoints(s.now, router, kind, workers)
 	}
 }
 
-// deliverEndpoints calls the router with an update; the list that an earlier process stored comes first and starts it.
+// deliverEndpoints calls the router with a worker list. A persisted list is the first update of an instance and starts its
+// router.
 func deliverEndpoints(now float64, router *control.Router, kind updateKind, workers []control.Worker) {
-	scope := control.Snapshot
-	switch kind {
-	case updatePersisted:
+	if kind == updatePersisted {
 		router.Start()
-	case updatePartial:
+	}
+	scope := control.Snapshot
+	if kind == updatePartial {
 		scope = control.Delta
 	}
 	router.OnEndpointUpdate(now, scope, workers)
@@ -85,62 +86,3 @@
 		router.OnTimer(s.now, mark)
 	}
 }
-
-// decodeWorker decodes one worker of a list.
-func decodeWorker(l *line) control.Worker {
-	return control.Worker{
-		ID:            control.WorkerID(l.required(fieldWorker)),
-		Zone:          control.ZoneID(l.text("Az")),
-		MachineType:   control.MachineType(l.text("Hw")),
-		FailureDomain: l.integer("Stripe"),
-		State:         word(l, "Phase", endpointStates),
-		Weight:        l.float("Share"),
-		StartedAt:     l.seconds("BornMs"),
-	}
-}
-
-// decodeRequest decodes a request.
-func decodeRequest(l *line) control.Request {
-	options := l.integer("Options")
-	request := control.Request{
-		ID:          control.RequestID(l.required(fieldRequest)),
-		Class:       l.required("Class"),
-		Tenant:      control.TenantID(l.text("Team")),
-		Function:    control.FunctionID(l.text(fieldFunction)),
-		TimeLeft:    l.seconds("RemainingMs"),
-		Concurrency: l.integer("PerCopy"),
-		Memory:      l.float("MemoryMb"),
-		LoadTime:    l.seconds("LoadMs"),
-		Retried:     options&optionRetried != 0,
-	}
-	if options&optionWorkHint != 0 {
-		request.ExpectedWork = l.seconds("WorkHintMs")
-	}
-	return request
-}
-
-// decodeAttemptResult decodes how an attempt ended.
-func decodeAttemptResult(l *line) control.AttemptResult {
-	info := l.integer("Info")
-	return control.AttemptResult{
-		Request:   control.RequestID(l.required(fieldRequest)),
-		Worker:    control.WorkerID(l.required(fieldWorker)),
-		Attempt:   l.integer("Leg"),
-		Outcome:   word(l, fieldOutcome, outcomes),
-		Completed: l.flag("Settled"),
-		Latency:   l.seconds(fieldLatency),
-		Start:     control.StartType(info & startTypeMask),
-		Report:    l.loadReport("Pressure"),
-	}
-}
-
-// decodeLoadResult decodes how a load command ended.
-func decodeLoadResult(l *line) control.LoadResult {
-	return control.LoadResult{
-		Worker:   control.WorkerID(l.required(fieldWorker)),
-		Function: control.FunctionID(l.required(fieldFunction)),
-		Outcome:  word(l, fieldOutcome, outcomes),
-		Replicas: l.integer(fieldReplicas),
-		Duration: l.seconds(fieldLatency),
-	}
-}
--- a/internal/simadapter/doc.go
+++ b/internal/simadapter/doc.go
@@ -1,6 +1,6 @@
-// Package simadapter connects the simulator of the bench to package control over a text protocol: it turns lines of
-// input into calls of a router and the router's decisions into lines of output, and decides nothing itself.
+// Package simadapter connects the bench's simulator to package control over a line protocol: it decodes input lines into
+// calls of a router and encodes the router's decisions as output lines. It makes no decisions itself.
 //
-// It owns the instances of one process, one router each, and the lists of workers that they share. The program
-// cmd/simadapter calls [Serve] on its standard input and output.
+// It owns the instances of a process, each with a router, and the worker lists that they share. The program cmd/simadapter
+// calls [Serve] with its standard input and output.
 package simadapter
--- a/internal/simadapter/errors.go
+++ b/internal/simadapter/errors.go
@@ -5,22 +5,22 @@
 	"fmt"
 )
 
-// Faults of a line that a caller may test for; each comes wrapped in a [LineError].
+// Errors that [Serve] returns wrapped in a [LineError].
 var (
-	// ErrTruncated tells that the input ended within a line or a batch.
-	ErrTruncated = errors.New("input cut off in mid-batch")
-	// ErrMissing tells that a field is missing or empty.
+	// ErrTruncated reports that the input ended within a line or a batch.
+	ErrTruncated = errors.New("input truncated")
+	// ErrMissing reports a missing or empty field.
 	ErrMissing = errors.New("missing")
 )
 
-// LineError tells what is wrong with a line of input.
+// LineError describes an invalid line of input.
 type LineError struct {
 	Line  int    // counted from 1
-	Field string // "": the line as a whole
+	Field string // empty if the error is not about a field
 	Err   error
 }
 
-// Error names the line and the field.
+// Error returns the error with the line and the field.
 func (e *LineError) Error() string {
 	if e.Field == "" {
 		return fmt.Sprintf("line %d: %s", e.Line, e.Err)
@@ -28,5 +28,5 @@
 	return fmt.Sprintf("line %d: field %s: %s", e.Line, e.Field, e.Err)
 }
 
-// Unwrap returns the fault itself.
+// Unwrap returns the underlying error.
 func (e *LineError) Unwrap() error { return e.Err }
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -12,17 +12,17 @@
 
 const millisecondsPerSecond = 1000
 
-// instance hosts the router of one front end and writes its decisions as they are made. It implements [control.Host].
+// instance holds the router of a front end and writes its decisions to the output. It implements [control.Host].
 type instance struct {
 	name    string
 	router  *control.Router
 	out     *bufio.Writer
-	scratch []byte // the message that is being written
+	scratch []byte // buffer for encoding a message
 }
 
 var _ control.Host = (*instance)(nil)
 
-// write writes one message of the instance.
+// write writes a message of the instance.
 func (i *instance) write(message string, fields ...field) {
 	line := i.scratch[:0]
 	line = append(line, message...)
@@ -32,7 +32,7 @@
 	}
 	line = append(line, '\n')
 	i.scratch = line
-	_, _ = i.out.Write(line) // the writer keeps its first error and returns it when the batch is flushed
+	_, _ = i.out.Write(line) // Flush returns the writer's first error
 }
 
 func appendField(line []byte, f field) []byte {
@@ -42,7 +42,7 @@
 	return append(line, f.value...)
 }
 
-// recoverPanic is deferred around calls of the router: it reports a panic in place of the router's decisions.
+// recoverPanic reports a panic of the router as a message. Callers of the router defer it.
 func (i *instance) recoverPanic() {
 	if reason := recover(); reason != nil {
 		i.write(messagePanic, field{"ReasonText", strings.Join(strings.Fields(fmt.Sprint(reason)), " ")})
@@ -85,6 +85,7 @@
 // Subscribe implements [control.Host].
 func (i *instance) Subscribe() { i.write(messageSubscribe, field{"Want", "1"}) }
 
+// formatMilliseconds formats a time in seconds as milliseconds.
 func formatMilliseconds(seconds float64) string {
 	return strconv.FormatFloat(seconds*millisecondsPerSecond, 'f', 3, 64)
 }
--- a/internal/simadapter/line.go
+++ b/internal/simadapter/line.go
@@ -14,21 +14,21 @@
 	"streamcleat/internal/deployment"
 )
 
-// bufferSize is the size of the input and output buffers: a batch mostly fits.
+// bufferSize is the size of the input and output buffers. Most batches fit into it.
 const bufferSize = 1 << 16
 
-// lineReader reads lines and counts them.
+// lineReader reads and numbers lines.
 type lineReader struct {
 	in   *bufio.Reader
-	line line // of the last read
+	line line // last line read
 }
 
 func newLineReader(in io.Reader) *lineReader {
 	return &lineReader{in: bufio.NewReaderSize(in, bufferSize)}
 }
 
-// next returns the next line, or io.EOF. The input must not end within a line or a batch; empty lines between batches
-// are skipped. The line is valid until the next call.
+// next returns the next line, or io.EOF. It is an error if the input ends within a line or a batch. Empty lines between
+// batches are skipped. The returned line is valid until the next call.
 func (r *lineReader) next(inBatch bool) (*line, error) {
 	for {
 		r.line.number++
@@ -51,51 +51,51 @@
 	}
 }
 
-// field is one name=value pair of a message.
+// field is a name=value pair of a message.
 type field struct{ name, value string }
 
-// line is one message of input, split into its name and its fields. Its methods decode fields; the first fault stays in
-// err, and what is decoded after it has no meaning.
+// line is an input message, split into its name and fields. Its methods decode fields. The first error is kept in err;
+// values decoded after it are meaningless.
 type line struct {
-	number int // counted from 1
+	number int // starting at 1
 	name   string
 	fields []field
 	err    error
 }
 
-// fail notes a fault of a field; only the first one counts.
+// fail records an error of a field, unless there is an earlier one.
 func (l *line) fail(fieldName string, err error) {
 	if l.err == nil {
 		l.err = &LineError{Line: l.number, Field: fieldName, Err: err}
 	}
 }
 
-// parse splits the text of a line.
+// parse splits the text of a line into its name and fields.
 func (l *line) parse(text string) {
 	l.fields, l.err = l.fields[:0], nil
-	name, rest, _ := strings.Cut(text, " ")
+	name, remaining, _ := strings.Cut(text, " ")
 	l.name = name
 	if name == "" {
 		l.fail("", errors.New("no message name"))
 		return
 	}
 	restOfLine := restOfLineFields[name]
-	for rest != "" {
-		key, value, ok := strings.Cut(rest, "=")
+	for remaining != "" {
+		key, value, ok := strings.Cut(remaining, "=")
 		if !ok || key == "" || strings.Contains(key, " ") {
 			l.fail(key, errors.New("not a name=value pair"))
 			return
 		}
 		if restOfLine != "" && key == restOfLine {
-			rest = ""
+			remaining = ""
 		} else {
-			value, rest, _ = strings.Cut(value, " ")
+			value, remaining, _ = strings.Cut(value, " ")
 		}
 		l.fields = append(l.fields, field{name: key, value: value})
 	}
 }
 
-// get returns the value of a field and whether the line has it.
+// get returns the value of a field and reports whether the line has it.
 func (l *line) get(fieldName string) (string, bool) {
 	for i := range l.fields {
 		if l.fields[i].name == fieldName {
@@ -105,13 +105,13 @@
 	return "", false
 }
 
-// text is the value of a field, empty where it is missing.
+// text returns the value of a field, or "" if it is missing.
 func (l *line) text(fieldName string) string {
 	value, _ := l.get(fieldName)
 	return value
 }
 
-// required is the value of a field that must not be empty.
+// required returns the value of a field that must not be empty.
 func (l *line) required(fieldName string) string {
 	value := l.text(fieldName)
 	if value == "" {
@@ -120,7 +120,7 @@
 	return value
 }
 
-// float decodes a finite number; 0 where the field is missing.
+// float decodes a finite number, or 0 if the field is missing.
 func (l *line) float(fieldName string) float64 {
 	value, ok := l.get(fieldName)
 	if !ok {
@@ -133,10 +133,10 @@
 	return number
 }
 
-// seconds decodes a time in milliseconds.
+// seconds decodes a time stated in milliseconds.
 func (l *line) seconds(fieldName string) float64 { return l.float(fieldName) / millisecondsPerSecond }
 
-// integer decodes a whole number; 0 where the field is missing.
+// integer decodes an integer, or 0 if the field is missing.
 func (l *line) integer(fieldName string) int {
 	value, ok := l.get(fieldName)
 	if !ok {
@@ -144,22 +144,22 @@
 	}
 	number, err := strconv.Atoi(value)
 	if err != nil {
-		l.fail(fieldName, fmt.Errorf("not a whole number: %s", value))
+		l.fail(fieldName, fmt.Errorf("not an integer: %s", value))
 	}
 	return number
 }
 
-// requiredUint64 decodes a whole number that must be given.
+// requiredUint64 decodes an unsigned integer that must not be missing.
 func (l *line) requiredUint64(fieldName string) uint64 {
 	value := l.required(fieldName)
 	number, err := strconv.ParseUint(value, 10, 64)
 	if err != nil {
-		l.fail(fieldName, fmt.Errorf("not a whole number: %s", value))
+		l.fail(fieldName, fmt.Errorf("not an integer: %s", value))
 	}
 	return number
 }
 
-// flag decodes 0 or 1; false where the field is missing.
+// flag decodes 0 or 1, or false if the field is missing.
 func (l *line) flag(fieldName string) bool {
 	switch value := l.text(fieldName); value {
 	case "", "0":
@@ -172,23 +172,23 @@
 	}
 }
 
-// word decodes a field that must hold one of several words.
-func word[T any](l *line, fieldName string, words map[string]T) T {
+// enum decodes a required field whose value must be a key of values.
+func enum[T any](l *line, fieldName string, values map[string]T) T {
 	text := l.required(fieldName)
-	value, ok := words[text]
+	value, ok := values[text]
 	if !ok {
-		l.fail(fieldName, fmt.Errorf("unknown word: %s", text))
+		l.fail(fieldName, fmt.Errorf("unknown value: %s", text))
 	}
 	return value
 }
 
-// loadReport decodes pairs of name:number, divided by commas; a single hyphen means none.
+// loadReport decodes name:number pairs separated by commas. A single hyphen means none.
 func (l *line) loadReport(fieldName string) control.LoadReport {
 	var report control.LoadReport
-	rest := l.text(fieldName)
-	for rest != "" && rest != "-" {
+	remaining := l.text(fieldName)
+	for remaining != "" && remaining != "-" {
 		var pair string
-		pair, rest, _ = strings.Cut(rest, ",")
+		pair, remaining, _ = strings.Cut(remaining, ",")
 		name, value, hasColon := strings.Cut(pair, ":")
 		number, isNumber := parseFinite(value)
 		if !hasColon || !isNumber {
@@ -196,16 +196,16 @@
 			return report
 		}
 		switch name {
-		case reportRunning:
+		case metricRunning:
 			report.Running, report.Known = number, true
-		case reportWaiting:
+		case metricWaiting:
 			report.Waiting, report.Known = number, true
 		}
 	}
 	return report
 }
 
-// base64 decodes bytes; a hyphen before them is skipped.
+// base64 decodes base64 data. A leading hyphen is skipped.
 func (l *line) base64(fieldName string) []byte {
 	data, err := base64.StdEncoding.DecodeString(strings.TrimPrefix(l.required(fieldName), "-"))
 	if err != nil {
@@ -214,7 +214,7 @@
 	return data
 }
 
-// deployment decodes the terms of a deployment.
+// deployment decodes a deployment's terms.
 func (l *line) deployment(fieldName string) *control.Deployment {
 	text := l.required(fieldName)
 	if l.err != nil {
@@ -228,7 +228,7 @@
 	return terms.Deployment()
 }
 
-// parseFinite parses a number that is neither infinite nor NaN.
+// parseFinite parses a number that must be neither infinite nor NaN.
 func parseFinite(text string) (float64, bool) {
 	number, err := strconv.ParseFloat(text, 64)
 	return number, err == nil && !math.IsNaN(number) && !math.IsInf(number, 0)
--- a/internal/simadapter/protocol.go
+++ b/internal/simadapter/protocol.go
@@ -2,37 +2,37 @@
 
 import "streamcleat/control"
 
-// Names of the simulator's messages.
+// Names of messages from the simulator.
 const (
-	messageFrame         = "FRAME"       // begins a batch
-	messageCommit        = "COMMIT"      // ends a batch
-	messageDirectory     = "DIRECTORY"   // begins a list of workers
-	messageWorker        = "M"           // one worker of the list
-	messageCreate        = "CREATE"      // starts an instance
-	messageDetach        = "DETACH"      // ends an instance
-	messageUpdate        = "UPDATE"      // hands a list of workers to an instance
-	messageRequest       = "DEMAND"      // a request arrives
-	messageAttemptResult = "REPORT_BACK" // an attempt ended
-	messageLoadResult    = "BROUGHT_UP"  // a load command ended
-	messageCancel        = "HANGUP"      // a client left
-	messageGossip        = "PEER_DATA"   // a message of another front end
-	messageTimer         = "WAKEUP"      // a timer fired
+	messageFrame         = "FRAME"       // start of a batch
+	messageCommit        = "COMMIT"      // end of a batch
+	messageDirectory     = "DIRECTORY"   // start of a worker list
+	messageWorker        = "M"           // a worker of the list
+	messageCreate        = "CREATE"      // create an instance
+	messageDetach        = "DETACH"      // remove an instance
+	messageUpdate        = "UPDATE"      // worker list for an instance
+	messageRequest       = "DEMAND"      // request arrived
+	messageAttemptResult = "REPORT_BACK" // attempt ended
+	messageLoadResult    = "BROUGHT_UP"  // load command ended
+	messageCancel        = "HANGUP"      // client cancelled its request
+	messageGossip        = "PEER_DATA"   // gossip from another front end
+	messageTimer         = "WAKEUP"      // timer fired
 )
 
-// Names of the adapter's messages.
+// Names of messages to the simulator.
 const (
-	messageDone      = "OK"        // a batch was carried out
-	messagePanic     = "PANIC"     // the router of an instance panicked
+	messageDone      = "OK"        // batch processed
+	messagePanic     = "PANIC"     // router of an instance panicked
 	messageRoute     = "ROUTE"     // start an attempt
 	messageReject    = "SAY_NO"    // reject a request
 	messageFail      = "SURRENDER" // fail a request
 	messageLoad      = "PRELOAD"   // send a load command
 	messageBroadcast = "POST"      // send gossip to every other front end
 	messageSetTimer  = "NOTIFY_ME" // set a timer
-	messageSubscribe = "OBSERVE"   // poll the list of workers
+	messageSubscribe = "OBSERVE"   // poll the worker list
 )
 
-// Names of fields that stand in several messages.
+// Names of fields that several messages have.
 const (
 	fieldInstance  = "EndId"
 	fieldRequest   = "Id"
@@ -46,19 +46,19 @@
 	fieldTimerMark = "Mark"
 )
 
-// restOfLineFields names, by message, the field whose value runs on to the end of the line.
+// restOfLineFields maps messages to their field whose value extends to the end of the line.
 var restOfLineFields = map[string]string{messageCreate: "Conf"}
 
-// Bits of the field Options of a request.
+// Bits of a request's Options field.
 const (
-	optionWorkHint = 1 << iota // the field WorkHintMs counts
-	optionRetried              // the client marks the request as a retry
+	optionWorkHint = 1 << iota // WorkHintMs is valid
+	optionRetried              // the client states that the request is a retry
 )
 
-// startTypeMask covers the bits of the field Info that hold a control.StartType.
+// startTypeMask selects the bits of the Info field that hold a control.StartType.
 const startTypeMask = 7
 
-// outcomes are the words for how an attempt or a load command ended.
+// outcomes maps the names of outcomes of attempts and load commands.
 var outcomes = map[string]control.Outcome{
 	"delivered":   control.Succeeded,
 	"app_error":   control.Failed,
@@ -71,24 +71,24 @@
 	"empty":       control.ReplicaMissing,
 }
 
-// endpointStates are the words for the state of a worker.
+// endpointStates maps the names of worker states.
 var endpointStates = map[string]control.EndpointState{
 	"SERVING":  control.Serving,
 	"DRAINING": control.Draining,
 	"DELETED":  control.Removed,
 }
 
-// updateKind tells what an update of the list of workers carries.
+// updateKind is the content of an update of the worker list.
 type updateKind uint8
 
 const (
-	updateFailed    updateKind = iota // nothing: the poll failed
-	updatePartial                     // what changed
-	updateComplete                    // the whole list
-	updatePersisted                   // the whole list as an earlier process stored it
+	updateFailed    updateKind = iota // none: the poll failed
+	updatePartial                     // changed workers
+	updateComplete                    // complete list
+	updatePersisted                   // complete list stored by an earlier process
 )
 
-// updateKinds are the words for the kinds of updates.
+// updateKinds maps the names of update kinds.
 var updateKinds = map[string]updateKind{
 	"Error":     updateFailed,
 	"Partial":   updatePartial,
@@ -96,8 +96,8 @@
 	"Persisted": updatePersisted,
 }
 
-// Names of the figures of a load report that are read.
+// Metrics of a load report that are read.
 const (
-	reportRunning = "rif"
-	reportWaiting = "q"
+	metricRunning = "rif"
+	metricWaiting = "q"
 )
--- a/internal/simadapter/serve.go
+++ b/internal/simadapter/serve.go
@@ -9,19 +9,19 @@
 	"streamcleat/control"
 )
 
-// server holds the instances of one process and the lists of workers that they share.
+// server holds the instances of a process and the worker lists that they share.
 type server struct {
 	out            *bufio.Writer
-	now            float64 // seconds, of the current batch
+	now            float64 // time of the current batch in seconds
 	inBatch        bool
 	instances      map[string]*instance
 	lists          map[int][]control.Worker // by slot
-	slot           int                      // of the list that is being read
-	missingWorkers int                      // that this list still lacks
+	slot           int                      // of the worker list being read
+	missingWorkers int                      // workers of that list still to be read
 }
 
-// Serve carries out batches of messages from in, and writes what the routers decide to out, until the input ends. It
-// stops at the first line that it can't understand; the error is then a [*LineError].
+// Serve processes batches of messages from in and writes the routers' decisions to out, until the input ends. It stops at
+// the first invalid line with a [*LineError].
 func Serve(in io.Reader, out io.Writer) error {
 	s := &server{
 		out:       bufio.NewWriterSize(out, bufferSize),
@@ -43,11 +43,11 @@
 	}
 }
 
-// handle carries out one line.
+// handle processes a line.
 func (s *server) handle(l *line) error {
 	switch {
 	case s.missingWorkers > 0 && l.name != messageWorker:
-		l.fail("", errors.New("worker list cut short"))
+		l.fail("", errors.New("worker list truncated"))
 	case !s.inBatch && l.name != messageFrame:
 		l.fail("", fmt.Errorf("expected %s, got %s", messageFrame, l.name))
 	case s.inBatch && l.name == messageFrame:
@@ -67,11 +67,11 @@
 // commit ends a batch and flushes its output.
 func (s *server) commit() error {
 	s.inBatch = false
-	_, _ = s.out.WriteString(messageDone + "\n") // the writer keeps its first error, which Flush returns
+	_, _ = s.out.WriteString(messageDone + "\n") // Flush returns the writer's first error
 	return s.out.Flush()
 }
 
-// handleInBatch carries out a line between the ends of a batch. Messages with an unknown name are skipped.
+// handleInBatch processes a line within a batch. Unknown messages are ignored.
 func (s *server) handleInBatch(l *line) {
 	switch l.name {
 	case messageDirectory:
@@ -92,7 +92,7 @@
 	}
 }
 
-// addWorker adds a worker to the list that is being read.
+// addWorker adds a worker to the list being read.
 func (s *server) addWorker(l *line) {
 	if s.missingWorkers == 0 {
 		l.fail("", errors.New("worker line outside a list"))
@@ -102,7 +102,7 @@
 	s.lists[s.slot] = append(s.lists[s.slot], decodeWorker(l))
 }
 
-// create starts an instance; one of the same name is replaced.
+// create creates an instance. It replaces one of the same name.
 func (s *server) create(l *line) {
 	i := &instance{name: l.required(fieldInstance), out: s.out}
 	terms := l.deployment("Conf")
@@ -114,7 +114,7 @@
 	s.instances[i.name] = i
 }
 
-// deliver hands a message to its instance.
+// deliver delivers a message to its instance.
 func (s *server) deliver(l *line, deliver delivery) {
 	name := l.required(fieldInstance)
 	if l.err != nil {
@@ -122,7 +122,7 @@
 	}
 	i := s.instances[name]
 	if i == nil {
-		l.fail(fieldInstance, fmt.Errorf("no such instance: %s", name))
+		l.fail(fieldInstance, fmt.Errorf("unknown instance: %s", name))
 		return
 	}
 	defer i.recoverPanic()
--- a/internal/simadapter/serve_test.go
+++ b/internal/simadapter/serve_test.go
@@ -22,13 +22,14 @@
 
 const request = "DEMAND EndId=end-0 Id=00000000000000aa Class=quote RemainingMs=2500 Function=00000000000000f1 PerCopy=2\n"
 
+// serve returns the output for an input.
 func serve(input string) (string, error) {
 	var out bytes.Buffer
 	err := Serve(strings.NewReader(input), &out)
 	return out.String(), err
 }
 
-func TestTranscript(t *testing.T) {
+func TestServe_Transcript(t *testing.T) {
 	got, err := serve(start +
 		"FRAME TsMs=1004\n" + request + "NEWS EndId=end-0 What=ever\nCOMMIT\n" +
 		"FRAME TsMs=1600\nBROUGHT_UP EndId=end-0 Rc=delivered UnitsHeld=1 Function=00000000000000f1 " +
@@ -43,12 +44,12 @@
 		"PRELOAD EndId=end-0 Worker=worker.a Function=00000000000000f1 UnitsHeld=1\nOK\n" +
 		"ROUTE EndId=end-0 Id=00000000000000aa Worker=worker.a LimitMs=1904.000\nOK\nOK\nOK\n"
 	if err != nil || got != want {
-		t.Errorf("%v\n%s\nwanted\n%s", err, got, want)
+		t.Errorf("%v\n%s\nwant\n%s", err, got, want)
 	}
 }
 
-// A slot may be filled anew within a batch; each UPDATE means the list that it holds at that point.
-func TestSlotsResolveInOrder(t *testing.T) {
+// A slot may be refilled within a batch; an UPDATE refers to the list that it holds at that point.
+func TestServe_ResolvesSlotsInOrder(t *testing.T) {
 	got, err := serve(strings.TrimSuffix(start, "COMMIT\n") +
 		"DIRECTORY Slot=3 NodesList=1\nM Worker=worker.b Phase=SERVING\nUPDATE EndId=end-0 How=Complete Version=2 Slot=3\n" +
 		"DIRECTORY Slot=3 NodesList=1\nM Worker=worker.c Phase=SERVING\nCOMMIT\n" +
@@ -58,7 +59,7 @@
 	}
 }
 
-func TestMalformedInput(t *testing.T) {
+func TestServe_MalformedInput(t *testing.T) {
 	const batch = start + "FRAME TsMs=1\n"
 	for _, test := range []struct {
 		name, input, want string
@@ -67,50 +68,50 @@
 		{"message outside a batch", "DEMAND EndId=end-0\n", "line 1: expected FRAME, got DEMAND"},
 		{"batch within a batch", batch + "FRAME TsMs=2\n", "line 8: FRAME inside a batch"},
 		{"missing field", batch + "WAKEUP EndId=end-0\n", "line 8: field Mark: missing"},
-		{"unknown instance", batch + "WAKEUP EndId=e Mark=1\n", "line 8: field EndId: no such instance: e"},
-		{"unknown word", batch + "REPORT_BACK EndId=end-0 Id=a Worker=w Rc=odd\n", "line 8: field Rc: unknown word: odd"},
+		{"unknown instance", batch + "WAKEUP EndId=e Mark=1\n", "line 8: field EndId: unknown instance: e"},
+		{"unknown value", batch + "REPORT_BACK EndId=end-0 Id=a Worker=w Rc=odd\n", "line 8: field Rc: unknown value: odd"},
 		{"field without a value", batch + "HANGUP EndId\n", "line 8: field EndId: not a name=value pair"},
-		{"worker list cut short", batch + "DIRECTORY Slot=1 NodesList=2\nCOMMIT\n", "line 9: worker list cut short"},
+		{"worker list truncated", batch + "DIRECTORY Slot=1 NodesList=2\nCOMMIT\n", "line 9: worker list truncated"},
 		{"worker outside a list", batch + "M Worker=w\n", "line 8: worker line outside a list"},
-		{"unknown list", batch + "UPDATE EndId=end-0 How=Complete Slot=9\n", "line 8: field Slot: no such list"},
+		{"unknown list", batch + "UPDATE EndId=end-0 How=Complete Slot=9\n", "line 8: field Slot: unknown worker list"},
 		{
 			"bad load report", batch + "REPORT_BACK EndId=end-0 Id=a Worker=w Rc=shed Pressure=rif\n",
 			"line 8: field Pressure: not a name:number pair: rif",
 		},
 		{"no message name", batch + "\n", "line 8: no message name"},
-		{"end of input in a batch", batch, "line 8: input cut off in mid-batch"},
-		{"end of input in a line", start + "FRAME Ts", "line 7: input cut off in mid-batch"},
+		{"end of input in a batch", batch, "line 8: input truncated"},
+		{"end of input in a line", start + "FRAME Ts", "line 7: input truncated"},
 		{"bad terms", "FRAME TsMs=1\nCREATE EndId=e Nonce64=1 Conf={\n", "line 2: field Conf: unexpected end of JSON input"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, err := serve(test.input)
-			var fault *LineError
-			if !errors.As(err, &fault) || err.Error() != test.want {
-				t.Errorf("got %v, wanted %q", err, test.want)
+			var lineErr *LineError
+			if !errors.As(err, &lineErr) || err.Error() != test.want {
+				t.Errorf("got %v, want %q", err, test.want)
 			}
 		})
 	}
 }
 
-func TestFaultsCanBeToldApart(t *testing.T) {
+func TestServe_ErrorsCanBeDistinguished(t *testing.T) {
 	_, err := serve(start + "FRAME TsMs=1\n")
 	if !errors.Is(err, ErrTruncated) {
 		t.Errorf("%v", err)
 	}
 	_, err = serve(start + "FRAME TsMs=1\nWAKEUP EndId=end-0\n")
-	var fault *LineError
-	if !errors.Is(err, ErrMissing) || !errors.As(err, &fault) || fault.Line != 8 || fault.Field != "Mark" {
+	var lineErr *LineError
+	if !errors.Is(err, ErrMissing) || !errors.As(err, &lineErr) || lineErr.Line != 8 || lineErr.Field != "Mark" {
 		t.Errorf("%v", err)
 	}
 	_, err = serve("FRAME TsMs=1\nCREATE EndId=e Nonce64=1 Conf={\"Classes\":[{\"Name\":\"call\"}]}\n")
-	var class *deployment.ClassError
-	if !errors.As(err, &class) || class.Class != "call" {
+	var classErr *deployment.ClassError
+	if !errors.As(err, &classErr) || classErr.Class != "call" {
 		t.Errorf("%v", err)
 	}
 }
 
-// A panic of the router is reported by its instance and ends neither the batch nor the program.
-func TestPanicIsReported(t *testing.T) {
+// A panic of the router ends neither the batch nor the program.
+func TestRecoverPanic_ReportsPanic(t *testing.T) {
 	var out bytes.Buffer
 	i := &instance{name: "end-0", out: bufio.NewWriter(&out)}
 	func() {
@@ -125,10 +126,10 @@
 	}
 }
 
-func TestInstancesShareNothing(t *testing.T) {
+func TestServe_InstancesAreIndependent(t *testing.T) {
 	alone, together := outputOf(t, 1), outputOf(t, 0, 1, 2)
 	if alone != together || len(alone) < 100 {
-		t.Error("an instance acts differently beside others")
+		t.Error("output of an instance depends on the others")
 	}
 }
 
@@ -156,7 +157,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// messagesOf are the messages to an instance in one batch: its creation in the first, a request in each later one.
+// messagesOf returns the messages to an instance in a batch: its creation in the first, a request in each later one.
 func messagesOf(number, step int) string {
 	name := fmt.Sprint("end-", number)
 	if step > 0 {
