--- a/internal/platform/discovery_clock_test.go
+++ b/internal/platform/discovery_clock_test.go
@@ -33,9 +33,9 @@
 					t.Fatal(err)
 				}
 			}
-			read(eventLine(1, true, hostJSON("old", "10.0.0.1:9", "active", 0), hostJSON("early", "10.0.0.2:9", "active", unixMs(-3))))
+			read(snapshotLine(1, hostJSON("old", "10.0.0.1:9", "active", 0), hostJSON("early", "10.0.0.2:9", "active", unixMs(-3))))
 			before := startsAt(0, c.initialError)
-			read(eventLine(2, false, hostJSON("new", "10.0.0.3:9", "active", unixMs(59))))
+			read(deltaLine(2, hostJSON("new", "10.0.0.3:9", "active", unixMs(59))))
 			after := startsAt(60, c.initialError+c.step)
 			if start := after["new"]; start > processAt+60 || start < processAt+60-warmUp {
 				t.Errorf("worker that started 1 s ago has an age of %v s", processAt+60-start)
@@ -43,7 +43,7 @@
 			if after["early"] != before["early"] || after["early"] > processAt || after["old"] != 0 {
 				t.Errorf("start times changed from %v to %v", before, after)
 			}
-			read(eventLine(3, true, hostJSON("new", "10.0.0.3:9", "leaving", unixMs(59))))
+			read(snapshotLine(3, hostJSON("new", "10.0.0.3:9", "leaving", unixMs(59))))
 			if again := startsAt(70, c.initialError); again["new"] != after["new"] {
 				t.Errorf("start time changed when the worker was listed again: %v, %v", after["new"], again["new"])
 			}
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -9,8 +9,13 @@
 	"streamcleat/control"
 )
 
-// eventLine returns the line of an event.
-func eventLine(position int, complete bool, hosts ...string) []byte {
+// snapshotLine returns the line of an event that lists all workers.
+func snapshotLine(position int, hosts ...string) []byte { return eventLine(position, true, hosts) }
+
+// deltaLine returns the line of an event that lists changed workers.
+func deltaLine(position int, hosts ...string) []byte { return eventLine(position, false, hosts) }
+
+func eventLine(position int, complete bool, hosts []string) []byte {
 	return fmt.Appendf(nil, `{"pos":%d,"hosts":{"seq":1,"whole":%v,"hosts":[%s]}}`, position, complete, strings.Join(hosts, ","))
 }
 
@@ -28,18 +33,18 @@
 		fails   bool
 		list    string // names with states
 	}{
-		{string(eventLine(1, true, a, b)), true, false, "a0 b0"},
-		{string(eventLine(1, true, a)), false, false, "a0 b0"}, // duplicate
+		{string(snapshotLine(1, a, b)), true, false, "a0 b0"},
+		{string(snapshotLine(1, a)), false, false, "a0 b0"}, // duplicate
 		{"1", false, false, "a0 b0"},
 		{"", false, false, "a0 b0"},
-		{string(eventLine(2, false, hostJSON("a", "10.0.0.1:9", "leaving", 0)))[:30], false, true, "a0 b0"}, // truncated
-		{string(eventLine(3, false, hostJSON("a", "10.0.0.1:9", "left", 0))), false, true, "a0 b0"},         // gap
-		{"2", false, true, "a0 b0"}, // the service is ahead
-		{string(eventLine(2, false, hostJSON("a", "10.0.0.1:9", "leaving", 0))), true, false, "a1 b0"},
-		{string(eventLine(3, false, hostJSON("b", "nowhere", "active", 0))), false, true, "a1 b0"},
-		{string(eventLine(3, false, hostJSON("b", "10.0.0.2:9", "odd", 0))), false, true, "a1 b0"},
-		{string(eventLine(3, false, hostJSON("a", "10.0.0.1:9", "left", 0), hostJSON("c", "10.0.0.1:9", "active", 9000))), true, false, "b0 c0"},
-		{string(eventLine(9, true, a)), true, false, "a0"}, // a complete list needs no preceding events
+		{string(deltaLine(2, hostJSON("a", "10.0.0.1:9", "leaving", 0)))[:30], false, true, "a0 b0"}, // truncated
+		{string(deltaLine(3, hostJSON("a", "10.0.0.1:9", "left", 0))), false, true, "a0 b0"},         // gap
+		{"2", false, true, "a0 b0"},                                                                  // the service is ahead
+		{string(deltaLine(2, hostJSON("a", "10.0.0.1:9", "leaving", 0))), true, false, "a1 b0"},
+		{string(deltaLine(3, hostJSON("b", "nowhere", "active", 0))), false, true, "a1 b0"},
+		{string(deltaLine(3, hostJSON("b", "10.0.0.2:9", "odd", 0))), false, true, "a1 b0"},
+		{string(deltaLine(3, hostJSON("a", "10.0.0.1:9", "left", 0), hostJSON("c", "10.0.0.1:9", "active", 9000))), true, false, "b0 c0"},
+		{string(snapshotLine(9, a)), true, false, "a0"}, // a complete list needs no preceding events
 	} {
 		changed, err := discovery.ReadLine([]byte(c.line))
 		var names []string
@@ -50,7 +55,7 @@
 			t.Errorf("line %d: changed %v, %v, list %v", i, changed, err, names)
 		}
 	}
-	if snapshot := NewDiscovery(); snapshot.ReadSnapshot(fmt.Appendf(nil, `{"pos":3,"entries":[%s]}`, eventLine(1, true, a))) != nil || snapshot.Position() != 1 {
+	if snapshot := NewDiscovery(); snapshot.ReadSnapshot(fmt.Appendf(nil, `{"pos":3,"entries":[%s]}`, snapshotLine(1, a))) != nil || snapshot.Position() != 1 {
 		t.Errorf("position %d after a snapshot with event 1 only", snapshot.Position())
 	}
 	if string(discovery.ResumeRequest()) != "tail 9\n" {
@@ -63,7 +68,7 @@
 
 func TestEndpointList_ConvertsWorkers(t *testing.T) {
 	discovery := NewDiscovery()
-	if _, err := discovery.ReadLine(eventLine(1, true, hostJSON("a", "10.0.0.1:9", "active", 5000))); err != nil {
+	if _, err := discovery.ReadLine(snapshotLine(1, hostJSON("a", "10.0.0.1:9", "active", 5000))); err != nil {
 		t.Fatal(err)
 	}
 	list := discovery.EndpointList(1000, 900)
@@ -74,7 +79,7 @@
 }
 
 func FuzzReadLine(f *testing.F) {
-	f.Add(eventLine(1, true, hostJSON("a", "10.0.0.1:9", "active", 5000)))
+	f.Add(snapshotLine(1, hostJSON("a", "10.0.0.1:9", "active", 5000)))
 	f.Add([]byte("17"))
 	f.Fuzz(func(t *testing.T, line []byte) {
 		discovery := NewDiscovery()
--- a/internal/upstream/frames/send.go
+++ b/internal/upstream/frames/send.go
@@ -17,6 +17,8 @@
 	millisecondsPerSecond = 1000
 	// minTimeoutMilliseconds is the shortest timeout that is sent to a worker.
 	minTimeoutMilliseconds = 1
+	// attemptFieldsSizeHint is the capacity reserved for the fields of an attempt.
+	attemptFieldsSizeHint = 64
 )
 
 // SendAttempt sends an attempt. Its wire ID is the request's ID.
@@ -39,10 +41,21 @@
 	timeLeft := math.Floor(permit.TimeLeft() * millisecondsPerSecond)
 	milliseconds := strconv.FormatFloat(max(timeLeft, minTimeoutMilliseconds), 'f', 0, 64)
 	var fields strings.Builder
-	fields.WriteString(fieldClass + "=" + a.Class + "," + fieldFunction + "=" + a.Function + "," + fieldTimeout + "=" + milliseconds)
+	fields.Grow(attemptFieldsSizeHint)
+	writeField := func(name, value string) {
+		if fields.Len() > 0 {
+			fields.WriteByte(',')
+		}
+		fields.WriteString(name)
+		fields.WriteByte('=')
+		fields.WriteString(value)
+	}
+	writeField(fieldClass, a.Class)
+	writeField(fieldFunction, a.Function)
+	writeField(fieldTimeout, milliseconds)
 	for _, f := range a.Fields {
 		if f.Name == p.limits.IdempotencyKeyField && f.Value != "" {
-			fields.WriteString("," + fieldIdempotencyKey + "=" + f.Value)
+			writeField(fieldIdempotencyKey, f.Value)
 		}
 	}
 	return fields.String()
