--- a/internal/downstream/cloudevents/request.go
+++ b/internal/downstream/cloudevents/request.go
@@ -35,7 +35,7 @@
 	maxReferenceLength = 256   // of a function or tenant name in bytes
 )
 
-// contentMode is how an HTTP request carries an event (CloudEvents 1.0, HTTP binding, sections 3.1 and 3.2).
+// contentMode is the content mode of an HTTP request (CloudEvents 1.0, HTTP binding, sections 3.1 and 3.2).
 type contentMode uint8
 
 const (
--- a/internal/downstream/frames/request.go
+++ b/internal/downstream/frames/request.go
@@ -141,6 +141,7 @@
 	return profile, err
 }
 
+// parseConcurrency parses a positive integer of the profile that must be at most limit.
 func parseConcurrency(pair, text string, limit int) (int, error) {
 	value, err := parsePositive(pair, text, float64(limit))
 	if err != nil {
@@ -177,6 +178,7 @@
 	})
 }
 
+// isHex16 reports whether text is 16 hexadecimal digits.
 func isHex16(text string) bool {
 	for i := range len(text) {
 		if c := text[i] | 0x20; (text[i] < '0' || text[i] > '9') && (c < 'a' || c > 'f') {
--- a/internal/downstream/frames/session_test.go
+++ b/internal/downstream/frames/session_test.go
@@ -222,15 +222,15 @@
 	f.Add([]byte{0, 0, 0, 5, 4, 0, 0, 0, 0}, uint8(1))
 	f.Add(binary.BigEndian.AppendUint32(nil, 1<<31), uint8(9))
 	f.Fuzz(func(t *testing.T, in []byte, cut uint8) {
-		whole, wholeHandler := newSession()
-		whole.Feed(0, time.Time{}, in)
+		unsplit, unsplitHandler := newSession()
+		unsplit.Feed(0, time.Time{}, in)
 		pieces, piecesHandler := newSession()
 		for rest := in; len(rest) > 0; {
 			n := min(int(cut)+1, len(rest))
 			pieces.Feed(0, time.Time{}, rest[:n])
 			rest = rest[n:]
 		}
-		if a, b := whole.Output(), pieces.Output(); !bytes.Equal(a, b) || len(wholeHandler.requests) != len(piecesHandler.requests) {
+		if a, b := unsplit.Output(), pieces.Output(); !bytes.Equal(a, b) || len(unsplitHandler.requests) != len(piecesHandler.requests) {
 			t.Errorf("in one piece %q, in several %q", a, b)
 		}
 		if len(pieces.framer.buf) > headerSize+maxFields+MaxBody {
--- a/internal/upstream/frames/codec_test.go
+++ b/internal/upstream/frames/codec_test.go
@@ -40,8 +40,8 @@
 			}
 			return got
 		}
-		if whole, pieces := read(len(in)+1), read(int(cut)+1); whole != pieces {
-			t.Errorf("in one piece %q, in several %q", whole, pieces)
+		if unsplit, pieces := read(len(in)+1), read(int(cut)+1); unsplit != pieces {
+			t.Errorf("in one piece %q, in several %q", unsplit, pieces)
 		}
 	})
 }
--- a/internal/upstream/frames/pool.go
+++ b/internal/upstream/frames/pool.go
@@ -26,7 +26,7 @@
 	Unsent(id upstream.ConnID) int // bytes written that are still buffered
 }
 
-// endpoint is what the endpoint list states about a worker.
+// endpoint holds what the endpoint list states about a worker.
 type endpoint struct {
 	address   string
 	serving   bool
--- a/internal/upstream/frames/pool_test.go
+++ b/internal/upstream/frames/pool_test.go
@@ -12,8 +12,8 @@
 	"streamcleat/internal/upstream"
 )
 
-// usualTimeLeft is the time in seconds that the client of an attempt still waits when the attempt is written.
-const usualTimeLeft = 1.5
+// defaultTimeLeft is the time in seconds that the client of an attempt still waits when the attempt is written.
+const defaultTimeLeft = 1.5
 
 // poolFixture is a pool with its transport and handler, which record what the pool sends and reports.
 type poolFixture struct {
@@ -43,15 +43,15 @@
 	fixture.bodies = append(fixture.bodies, string(r.Body))
 }
 
-// AuthorizeAttempt permits every attempt but the denied one, with usualTimeLeft.
+// AuthorizeAttempt permits every attempt but the denied one, with defaultTimeLeft.
 func (fixture *poolFixture) AuthorizeAttempt(id uint64) dispatch.SendPermit {
 	if id == fixture.denied {
 		return dispatch.DenySend(dispatch.DeniedNoWaiter)
 	}
-	return dispatch.PermitSend(usualTimeLeft)
+	return dispatch.PermitSend(defaultTimeLeft)
 }
 
-func (*poolFixture) AuthorizeLoad() dispatch.SendPermit { return dispatch.PermitSend(usualTimeLeft) }
+func (*poolFixture) AuthorizeLoad() dispatch.SendPermit { return dispatch.PermitSend(defaultTimeLeft) }
 
 func (fixture *poolFixture) OnLoadReply(id uint64, outcome control.Outcome, replicas int) {
 	fixture.reported = append(fixture.reported, fmt.Sprintf("load %d:%d %d", id, outcome, replicas))
@@ -330,10 +330,10 @@
 func (discard) Unsent(upstream.ConnID) int                  { return 0 }
 func (discard) OnAttemptReply(uint64, dispatch.WorkerReply) {}
 func (discard) AuthorizeAttempt(uint64) dispatch.SendPermit {
-	return dispatch.PermitSend(usualTimeLeft)
+	return dispatch.PermitSend(defaultTimeLeft)
 }
 
-func (discard) AuthorizeLoad() dispatch.SendPermit       { return dispatch.PermitSend(usualTimeLeft) }
+func (discard) AuthorizeLoad() dispatch.SendPermit       { return dispatch.PermitSend(defaultTimeLeft) }
 func (discard) OnLoadReply(uint64, control.Outcome, int) {}
 
 // BenchmarkExchange measures one attempt and its reply on a reused connection.
