--- a/control/admission.go
+++ b/control/admission.go
@@ -1,28 +1,28 @@
 package control
 
-// Admission: which requests are rejected, by load shedding or because no attempt can help them.
+// Admission: load shedding, and rejection of requests that no attempt can serve.
 
 const (
-	admissionDecreaseFactor = 0.92 // after an answer past the latency objective or a rejection
-	admissionIncrease       = 0.04 // after another; half as much, to fall only while over a third are late
-	maxAdmissionProbability = 1.4  // a reserve above 1, so that single late answers reject nobody
-	retryAfterFraction      = 0.5  // of the longest time that a rejected client waits
+	admissionDecreaseFactor = 0.92 // factor after a response past the latency objective or a rejection
+	admissionIncrease       = 0.04 // increment after another success; falls only while over a third are late
+	maxAdmissionProbability = 1.4  // reserve above 1, so that single late responses shed no load
+	retryAfterFraction      = 0.5  // fraction of MaxRetryAfter that a rejection gives as retry time
 )
 
-// rejectUnservable is the rule for a request that no attempt can help: its time or attempts are used up, or
-// it may have run and must not run again.
+// rejectUnservable rejects a request whose time or attempts are exhausted, or which may have been executed and must
+// not be executed again.
 func (r *Router) rejectUnservable(req *request) bool {
 	expired := r.now >= req.deadline-r.deployment.MinRoundInterval
 	exhausted := expired || req.attempts >= r.deployment.MaxAttempts
-	mustNotRepeat := req.mayHaveRun && req.class.Semantics == AtMostOnce
-	return (exhausted || mustNotRepeat) && r.reject(req)
+	mustNotRetry := req.possiblyExecuted && req.class.Semantics == AtMostOnce
+	return (exhausted || mustNotRetry) && r.reject(req)
 }
 
-// shedLoad is the rule of load shedding. Among many front ends no concurrency limit binds, and an overloaded
-// fleet would work for clients that have left: while answers are late, a part of the new requests is rejected
-// at once. Retries are admitted last, as clients may retry without pause or end.
+// shedLoad rejects a fraction of the new requests while responses are late. It applies only with many front ends,
+// where concurrency limits cannot bind and an overloaded fleet would spend its time on requests that their clients
+// have abandoned. Retries are admitted with lower probability, because clients may retry without backoff.
 func (r *Router) shedLoad(req *request) bool {
-	if req.attempts > 0 || req.loadWaits > 0 || !r.isLargeFleet() {
+	if req.attempts > 0 || req.loadWaits > 0 || !r.hasManyFrontEnds() {
 		return false
 	}
 	probability := r.admissionProbability
@@ -32,10 +32,11 @@
 	return r.random.fraction() > probability && r.reject(req)
 }
 
-// isLargeFleet tells whether each front end's share of a worker's initial limit is under one request.
-func (r *Router) isLargeFleet() bool { return r.initialLimit() < 1 }
+// hasManyFrontEnds reports whether this front end's share of a worker's initial limit is less than one request.
+func (r *Router) hasManyFrontEnds() bool { return r.initialLimitPerFrontEnd() < 1 }
 
-// updateAdmissionProbability follows the answers. Attempts without an answer are no sign of overload.
+// updateAdmissionProbability updates the admission probability from a result. Attempts without a response do not
+// indicate overload and leave it unchanged.
 func (r *Router) updateAdmissionProbability(class *RequestClass, result AttemptResult) {
 	succeeded := result.Outcome == Succeeded
 	if result.Outcome == Rejected || succeeded && result.Latency > class.LatencyObjective {
@@ -45,10 +46,11 @@
 	}
 }
 
-// reject is the last rule: no worker has capacity, and a queue here would only make all answers late. Where a
-// retry by the client is proven harmless the request is rejected with a retry time, otherwise it fails.
+// reject closes a request without a further attempt: with a retry time if a retry by the client is safe, otherwise
+// with a final error. It is also the last request rule, for requests that no worker has capacity for; queueing them
+// here would only make all responses late. It always reports true.
 func (r *Router) reject(req *request) bool {
-	if r.isRetryHarmless(req) {
+	if r.isRetrySafe(req) {
 		r.host.Reject(req.ID, retryAfterFraction*r.deployment.MaxRetryAfter)
 	} else {
 		r.host.Fail(req.ID)
@@ -57,15 +59,16 @@
 	return true
 }
 
-func (r *Router) isRetryHarmless(req *request) bool {
-	if !req.mayHaveRun || req.class.Semantics == Idempotent {
+// isRetrySafe reports whether the client may retry the request, on any worker.
+func (r *Router) isRetrySafe(req *request) bool {
+	if !req.possiblyExecuted || req.class.Semantics == Idempotent {
 		return true
 	}
-	return req.class.DeduplicationScope == ScopeFleet && r.isDeduplicated(req)
+	return req.class.DeduplicationScope == ScopeFleet && r.isRetryDeduplicated(req)
 }
 
-// isDeduplicated tells whether the workers in the scope of the class would still drop a repeat.
-func (r *Router) isDeduplicated(req *request) bool {
-	inWindow := r.now < req.firstRunAt+req.class.DeduplicationWindow
+// isRetryDeduplicated reports whether the workers in the deduplication scope still retain the idempotency key.
+func (r *Router) isRetryDeduplicated(req *request) bool {
+	inWindow := r.now < req.firstExecutionAt+req.class.DeduplicationWindow
 	return req.class.Semantics == IdempotentByKey && inWindow
 }
--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -17,7 +17,7 @@
 		f.router.admissionProbability = 1
 		for n := 0; f.router.admissionProbability > 0.7 && n < 20; n++ {
 			req := &request{function: &function{concurrency: 1, targetReplicas: 1}, class: class}
-			f.router.updateFromWarmAnswer(req, AttemptResult{Outcome: outcome, Latency: 2})
+			f.router.updateFromWarmResponse(req, AttemptResult{Outcome: outcome, Latency: 2})
 		}
 		for range 200 {
 			req := &request{Request: Request{ID: "x", Retried: retried}, class: class, function: &function{}}
@@ -50,7 +50,7 @@
 					latency = 2
 				}
 				req := &request{function: &function{concurrency: 1, targetReplicas: 1}, class: &d.RequestClasses[0]}
-				r.updateFromWarmAnswer(req, AttemptResult{Outcome: Succeeded, Latency: latency})
+				r.updateFromWarmResponse(req, AttemptResult{Outcome: Succeeded, Latency: latency})
 				lowest = min(lowest, r.admissionProbability)
 			}
 			if lowest < 1 != sheds {
--- a/control/concurrency_limit_test.go
+++ b/control/concurrency_limit_test.go
@@ -12,7 +12,7 @@
 	w := r.workers[0]
 	for i := range 50 {
 		r.now += 0.1
-		r.updateConcurrencyLimit(&request{worker: w, sentAt: r.now + float64(i)}, true, false)
+		r.updateConcurrencyLimit(&request{worker: w, attemptStartedAt: r.now + float64(i)}, lateResponse)
 	}
 	if w.concurrencyLimit < 2 {
 		t.Errorf("concurrency limit %g", w.concurrencyLimit)
@@ -46,9 +46,9 @@
 			r := newWorld(1, plainDeployment(), 2).frontEnds[0].router
 			fn, w := r.functionOf(Request{Function: "f"}), r.workers[0]
 			fn.medianLatency, r.loadSlowdown = 0.1, c.loadSlowdown
-			w.lastAnswerAt, w.concurrencyLimit = r.now-c.sinceAnswer, 2
+			w.lastResponseAt, w.concurrencyLimit = r.now-c.sinceAnswer, 2
 			for range 3 {
-				w.inFlight = append(w.inFlight, &request{function: fn, worker: w, inFlight: true, sentAt: r.now - 0.7})
+				w.inFlight = append(w.inFlight, &request{function: fn, worker: w, inFlight: true, attemptStartedAt: r.now - 0.7})
 			}
 			if r.hasCapacity(w) != c.hasCapacity {
 				t.Errorf("capacity %v", !c.hasCapacity)
--- a/control/endpoint_index.go
+++ b/control/endpoint_index.go
@@ -2,39 +2,47 @@
 
 import "slices"
 
-// This file holds the list of workers: their dense index, the lookups by id and digest, and the reuse of
-// slots. Slots are used again so that the list does not grow with each worker that comes and goes.
+// The endpoint index holds the workers in slots, with lookups by ID and digest. Slots are reused so that the state
+// does not grow with every worker that is added and removed.
 
-// addWorker makes the state of a worker that is not in the index.
-func (r *Router) addWorker(id WorkerID) *worker {
-	w := r.freeWorker()
+// addWorker adds an endpoint that is not in the index, in a reusable slot or a new one.
+func (r *Router) addWorker(endpoint Worker) *worker {
+	w := r.reusableWorker()
 	if w == nil {
 		w = &worker{index: len(r.workers)}
 		r.workers = append(r.workers, w)
 	}
-	r.removeFromIndex(w)
-	w.id = id
-	w.hash = hashOf(string(id))
-	w.state = Serving
-	w.lastAnswerAt = 0
+	r.clearSlot(w)
+	w.id = endpoint.ID
+	w.hash = hashOf(string(endpoint.ID))
+	w.state = endpoint.State
+	w.lastResponseAt = 0
 	w.limitDecreasedAt = 0
 	w.reportedLoad = -1
 	w.relativeLatency = 0
-	w.resetLimits(r.initialLimit())
-	r.workersByID[id] = w
+	w.resetLimits(r.initialLimitPerFrontEnd())
+	r.workersByID[w.id] = w
 	r.workersByDigest[w.digest()] = w
+	if w.state != Removed {
+		r.resetProcess(w)
+		r.setEndpoint(w, endpoint)
+	}
 	return w
 }
 
-// updateWorker takes an entry of an endpoint update.
-func (r *Router) updateWorker(w *worker, endpoint Worker, added bool) {
+// updateWorker applies an update of an endpoint that is in the index.
+func (r *Router) updateWorker(w *worker, endpoint Worker) {
 	w.state = endpoint.State
 	if w.state == Removed {
 		return
 	}
-	if added || endpoint.StartedAt != w.startedAt {
-		r.resetRestarted(w)
+	if endpoint.StartedAt != w.startedAt {
+		r.resetProcess(w)
 	}
+	r.setEndpoint(w, endpoint)
+}
+
+func (r *Router) setEndpoint(w *worker, endpoint Worker) {
 	w.zone = endpoint.Zone
 	w.machine = r.machineStatsOf(endpoint.MachineType)
 	w.failureDomain = endpoint.FailureDomain
@@ -42,19 +50,20 @@
 	w.startedAt = endpoint.StartedAt
 }
 
-// resetRestarted forgets what does not hold for a new process: its replicas, limits and ejection.
-func (r *Router) resetRestarted(w *worker) {
+// resetProcess resets what does not apply to a new process: replicas, limits and ejection. Slow start credits start
+// at a random fraction, so that front ends do not use their first ones together.
+func (r *Router) resetProcess(w *worker) {
 	for _, fn := range r.functions {
 		if rep := fn.replicaOn(w); rep != nil {
 			rep.markRestarted()
 		}
 	}
-	w.resetLimits(r.initialLimit())
-	w.slowStartCredits = r.random.fraction()
+	w.resetLimits(r.initialLimitPerFrontEnd())
+	w.grantedCredits = r.random.fraction()
 }
 
-// removeFromIndex drops the lookups and the replicas of the worker that had the slot.
-func (r *Router) removeFromIndex(w *worker) {
+// clearSlot removes the lookups and replicas of the previous worker in a slot.
+func (r *Router) clearSlot(w *worker) {
 	delete(r.workersByID, w.id)
 	if r.workersByDigest[w.digest()] == w {
 		delete(r.workersByDigest, w.digest())
@@ -64,15 +73,15 @@
 	}
 }
 
-// freeWorker returns the first worker that is gone and that no request or load refers to, or nil.
-func (r *Router) freeWorker() *worker {
+// reusableWorker returns the first removed worker that no request or load refers to, or nil.
+func (r *Router) reusableWorker() *worker {
 	used := make([]bool, len(r.workers)+1)
 	for _, req := range r.requests {
-		used[slotOf(req.worker)] = true
-		used[slotOf(req.firstRunOn)] = true
+		used[slotIndexOf(req.worker)] = true
+		used[slotIndexOf(req.firstExecutionOn)] = true
 	}
 	for _, fn := range r.functions {
-		used[slotOf(fn.pendingLoadOn)] = true
+		used[slotIndexOf(fn.pendingLoadOn)] = true
 	}
 	for _, w := range r.workers {
 		if w.state == Removed && !used[w.index] {
@@ -82,15 +91,15 @@
 	return nil
 }
 
-// slotOf is the slot that a reference keeps in use; one to no worker keeps the first.
-func slotOf(w *worker) int {
+// slotIndexOf returns the slot that a reference to w keeps in use. A nil reference counts for the first slot.
+func slotIndexOf(w *worker) int {
 	if w == nil {
 		return 0
 	}
 	return w.index
 }
 
-// machineStatsOf returns the figures of a machine type.
+// machineStatsOf returns the statistics of a machine type, creating them if necessary.
 func (r *Router) machineStatsOf(machineType MachineType) *machineStats {
 	for _, machine := range r.machines {
 		if machine.machineType == machineType {
--- a/control/gossip.go
+++ b/control/gossip.go
@@ -2,33 +2,33 @@
 
 import "encoding/binary"
 
-// Gossip: front ends tell each other a sample of the answers, each as function, worker and latency.
+// Gossip: front ends broadcast a sample of their responses, each as function, worker and latency.
 
 const (
-	gossipMessageBytes       = 4
-	maxGossipBytesPerAnswer  = 150.0 // received by all front ends together; the bound of the sample
-	gossipLatencyStepSeconds = 0.15  // unit of the latency in a message
-	maxGossipLatencySteps    = 15    // highest latency in a message, which has four bits for it
-	maxSavedMessages         = 2.0   // messages for which answers are saved up
-	reportedLoadSeconds      = 2.0   // span over which the load told of a worker is averaged
+	gossipMessageBytes        = 4
+	maxGossipBytesPerResponse = 150.0 // received by all front ends together; bounds the sampling rate
+	gossipLatencyStepSeconds  = 0.15  // unit of the latency in a message
+	maxGossipLatencySteps     = 15    // maximum latency in a message, which has four bits for it
+	maxSavedGossipMessages    = 2.0   // messages for which credits accumulate
+	reportedLoadSeconds       = 2.0   // time constant of the load reported by gossip
 )
 
-// A message has 16 bits of digest of the function, 12 of the worker, and 4 of latency.
+// A message consists of the digest of the function in 16 bits, the digest of the worker in 12, and the latency in 4.
 const (
 	workerDigestShift  = 16
 	gossipLatencyShift = 28
 )
 
-// answersPerMessage is how many answers each message stands for.
-func (r *Router) answersPerMessage() float64 {
-	bytesPerAnswer := float64(gossipMessageBytes * (r.deployment.FrontEnds - 1))
-	return max(bytesPerAnswer/maxGossipBytesPerAnswer, 1)
+// responsesPerMessage returns the number of responses that each message represents.
+func (r *Router) responsesPerMessage() float64 {
+	bytesPerResponse := float64(gossipMessageBytes * (r.deployment.FrontEnds - 1))
+	return max(bytesPerResponse/maxGossipBytesPerResponse, 1)
 }
 
-// broadcastAnswer tells the other front ends of an answer, if it is in the sample.
-func (r *Router) broadcastAnswer(fn *function, w *worker, latency float64) {
-	needed := r.answersPerMessage()
-	r.gossipCredits = min(r.gossipCredits+1, maxSavedMessages*needed)
+// broadcastResponse broadcasts a response to the other front ends if it falls into the sample.
+func (r *Router) broadcastResponse(fn *function, w *worker, latency float64) {
+	needed := r.responsesPerMessage()
+	r.gossipCredits = min(r.gossipCredits+1, maxSavedGossipMessages*needed)
 	if !r.deployment.GossipAllowed || r.gossipCredits < needed || r.deployment.FrontEnds < 2 {
 		return
 	}
@@ -39,7 +39,8 @@
 	r.host.Broadcast(binary.LittleEndian.AppendUint32(nil, message))
 }
 
-// OnGossip takes a message of another front end. A wrong one costs an attempt that finds no replica.
+// OnGossip handles a message of another front end. Malformed messages are ignored. A wrong one costs at most an
+// attempt that finds no replica.
 func (r *Router) OnGossip(now float64, data []byte) {
 	r.now = now
 	if len(data) != gossipMessageBytes {
@@ -51,20 +52,21 @@
 		return
 	}
 	steps := float64(message>>gossipLatencyShift) + 0.5
-	load := r.answersPerMessage() * steps * gossipLatencyStepSeconds / reportedLoadSeconds
+	load := r.responsesPerMessage() * steps * gossipLatencyStepSeconds / reportedLoadSeconds
 	w.reportedLoad = max(w.reportedLoad, 0) + load
 	if fn := r.functionsByDigest[uint16(message)]; fn != nil {
 		fn.ensureReplica(w).markWarm(now)
-		r.countAnswers(fn, r.answersPerMessage())
+		r.recordResponses(fn, r.responsesPerMessage())
 	}
 }
 
-// decayReportedLoads lets what front ends told fade. Without gossip a worker's report holds until its next.
-func (r *Router) decayReportedLoads(span float64) {
+// decayReportedLoads decays the loads reported by gossip. Without gossip, a worker's own report remains valid until
+// the next.
+func (r *Router) decayReportedLoads(elapsed float64) {
 	if !r.deployment.GossipAllowed {
 		return
 	}
 	for _, w := range r.workers {
-		w.reportedLoad = max(w.reportedLoad, 0) * (1 - min(span/reportedLoadSeconds, 1))
+		w.reportedLoad = max(w.reportedLoad, 0) * (1 - min(elapsed/reportedLoadSeconds, 1))
 	}
 }
--- a/control/outlier_ejection.go
+++ b/control/outlier_ejection.go
@@ -1,22 +1,22 @@
 package control
 
-// Outlier ejection: which workers get no requests for a while, by their latencies or for a lost load.
+// Outlier ejection: workers that receive no requests for a time, because of high latency or a lost load.
 
 const (
-	slowLatencyRatio       = 2.0  // a replica is slow above this multiple of its function's median latency
-	slowEvidenceSeconds    = 1.0  // span that slow answers must cover, and age at which a latency lapses
-	slowReplicasToEject    = 2    // slow replicas, each of another function, for which a worker is ejected
+	slowLatencyRatio       = 2.0  // multiple of the function's median latency above which a replica is slow
+	slowEvidenceSeconds    = 1.0  // span that slow responses must cover, and age at which a latency expires
+	slowReplicasToEject    = 2    // slow replicas, each of another function, that eject a worker
 	ejectionSeconds        = 2.0  // duration of an ejection
-	maxEjectedFraction     = 0.4  // of the serving workers: with more in trouble, ejection does harm
-	maxSlowEjectedFraction = 0.05 // the same for slow ones: in overload all are slow
-	recentLatencyWeight    = 0.2  // weight of the newest latency, low against single heavy requests
-	maxLatencyRatio        = 1.5  // expected latencies that one latency counts at most, against the same
+	maxEjectedFraction     = 0.4  // of the serving workers; with more outliers, ejection does harm
+	maxSlowEjectedFraction = 0.05 // the same for slow workers; in an overload all are slow
+	recentLatencyWeight    = 0.2  // weight of the newest latency, low because single requests may be heavy
+	maxLatencyRatio        = 1.5  // multiple of the expected latency at which a latency is capped, likewise
 	medianLatencyStep      = 1.05 // factor of the running median, which outliers move less than a mean
 	relativeLatencyWeight  = 0.01 // weight of the newest latency in a worker's long-run relative latency
 )
 
-// ejectSlowWorker is the rule that ejects a worker whose replicas of several functions are slow. Their slow
-// answers must cover the span: after a single one nothing more may have been sent.
+// ejectSlowWorker ejects a worker whose replicas of several functions are slow. Slow responses must cover the whole
+// evidence span, because no further attempt may follow a single one.
 func (r *Router) ejectSlowWorker(w *worker) bool {
 	slow := 0
 	for _, fn := range r.functions {
@@ -32,7 +32,7 @@
 	return slow >= slowReplicasToEject && w.ejectedUntil <= r.now && r.eject(w, maxSlowEjectedFraction)
 }
 
-// eject removes a worker from routing for a while, unless that fraction of the workers is ejected already.
+// eject ejects w unless maxFraction of the serving workers is ejected already, and reports whether it did.
 func (r *Router) eject(w *worker, maxFraction float64) bool {
 	if r.ejectedFraction() >= maxFraction {
 		return false
@@ -41,18 +41,19 @@
 	return true
 }
 
-// isSlow is the latency test. Neither an old latency nor one of an idle replica may exclude it for good.
+// isSlow reports whether the recent latency of a replica is above the expected one. An idle replica, or one whose
+// newest latency is old, is not slow: it would receive no attempt that could show otherwise.
 func (r *Router) isSlow(fn *function, rep *replica) bool {
 	isCurrent := rep.inFlight > 0 && r.now-rep.lastLatencyAt < slowEvidenceSeconds
 	return isCurrent && rep.recentLatency > r.expectedLatency(fn, rep)
 }
 
-// expectedLatency is the bound above which a replica is slow, given how slow its worker is in the long run.
+// expectedLatency returns the latency above which a replica is slow, given the long-run latency of its worker.
 func (r *Router) expectedLatency(fn *function, rep *replica) float64 {
 	return slowLatencyRatio * fn.medianLatency * max(rep.worker.relativeLatency, 1)
 }
 
-// updateLatency takes the latency of a warm answer into the figures of function, replica and worker.
+// updateLatency updates function, replica and worker with the latency of a warm response.
 func (r *Router) updateLatency(fn *function, rep *replica, latency float64) {
 	if fn.medianLatency == 0 {
 		fn.medianLatency = latency
@@ -64,8 +65,8 @@
 	if latency < fn.medianLatency {
 		fn.medianLatency /= medianLatencyStep * medianLatencyStep
 	}
-	counted := min(latency, maxLatencyRatio*r.expectedLatency(fn, rep))
-	rep.recentLatency += recentLatencyWeight * (counted - rep.recentLatency)
+	capped := min(latency, maxLatencyRatio*r.expectedLatency(fn, rep))
+	rep.recentLatency += recentLatencyWeight * (capped - rep.recentLatency)
 	rep.lastLatencyAt = r.now
 	w := rep.worker
 	w.relativeLatency += relativeLatencyWeight * (latency/fn.medianLatency - w.relativeLatency)
--- a/control/replica_loading.go
+++ b/control/replica_loading.go
@@ -1,39 +1,41 @@
 package control
 
-// Replica loading: when a replica is loaded and on which worker, and which loads are waited for.
+// Replica loading: when and on which worker a replica is loaded, and which loads requests wait for.
 
 const (
-	maxLoadWaits            = 3     // loads that a request waits for, against one whose function fits nowhere
-	loadPauseSeconds        = 2.5   // between loads beside a replica in use, against a jam of loads
-	loadPausePerLossSeconds = 120.0 // added for each unit of the replica loss rate, the sign of a full fleet
-	replicaLossWeight       = 0.02  // weight of the newest attempt in that rate
-	loadSlowdownWeight      = 0.2   // weight of the newest load in the load slowdown
-	maxNormalLoadSlowdown   = 1.3   // above it the store is overloaded, and no load skips the pause
-	loadArrivalRounds       = 4.0   // rounds after which a load command has surely arrived
-	lostLoadRatio           = 3.0   // usual load times after which a silent worker lost the load
-	minUsualLoadSeconds     = 1.0   // least usual load time in that, also where none is told
-	noLoadsSeconds          = 0.5   // without loads for a worker that rejected one or was unreachable
+	maxLoadWaits               = 3     // loads that a request waits for, in case its function fits on no worker
+	loadCooldownSeconds        = 2.5   // minimum time between loads of a function while a replica is in use
+	loadCooldownPerMissSeconds = 120.0 // cooldown added per unit of the replica miss rate, which shows a full fleet
+	replicaMissWeight          = 0.02  // weight of the newest attempt in the replica miss rate
+	loadSlowdownWeight         = 0.2   // weight of the newest load in the load slowdown
+	maxNormalLoadSlowdown      = 1.3   // above it the artifact store is overloaded, and no load skips the cooldown
+	loadArrivalRounds          = 4.0   // rounds after which a load command is certain to have arrived
+	lostLoadRatio              = 3.0   // usual load times without any response after which a load is lost
+	minUsualLoadSeconds        = 1.0   // lower bound of the usual load time in that, also where it is unknown
+	loadBackoffSeconds         = 0.5   // time without load commands for a worker that rejected or was unreachable
 )
 
-// loadMissingReplica loads a replica, one at a time. Beside replicas in use it keeps the pause, unless none
-// can take the request while loads take about their usual time.
-func (r *Router) loadMissingReplica(req *request, missing int, unserved bool) {
+// loadMissingReplica starts the load of a replica for the function of req, unless one is pending. While a replica is
+// in use the cooldown applies, except that it is skipped if no worker serves req now and loads take about their
+// usual time. A nil serving means that no replica can take the request.
+func (r *Router) loadMissingReplica(req *request, missing int, serving *worker) {
 	fn := req.function
 	if fn.pendingLoadOn != nil || req.loadWaits >= maxLoadWaits {
 		return
 	}
-	paused := r.now < fn.loadPauseUntil && r.hasReplicaInUse(fn)
-	skipsPause := unserved && r.loadSlowdown > 0 && r.loadSlowdown < maxNormalLoadSlowdown
-	if paused && !skipsPause || !r.mayCommandLoad() {
+	coolingDown := r.now < fn.loadCooldownUntil && r.hasReplicaInUse(fn)
+	skipsCooldown := serving == nil && r.loadSlowdown > 0 && r.loadSlowdown < maxNormalLoadSlowdown
+	if coolingDown && !skipsCooldown || !r.mayCommandLoad() {
 		return
 	}
 	target := r.pickLoadTarget(req, missing)
-	if target != nil && (!paused || !r.isBusy(target)) {
+	if target != nil && (!coolingDown || !r.isBusy(target)) {
 		r.commandLoad(fn, target)
 	}
 }
 
-// hasReplicaInUse tells whether a warm replica is on a worker that is not ejected, with capacity or without.
+// hasReplicaInUse reports whether a warm replica is on a serving worker that is not ejected, whether or not that
+// worker has capacity.
 func (r *Router) hasReplicaInUse(fn *function) bool {
 	for i := range fn.replicas {
 		rep := &fn.replicas[i]
@@ -44,23 +46,24 @@
 	return false
 }
 
-// mayCommandLoad tells whether the ration of load commands leaves one.
+// mayCommandLoad reports whether the deployment and its quota permit another load command.
 func (r *Router) mayCommandLoad() bool {
 	if !r.deployment.LoadCommandsAllowed || r.deployment.LoadCommandWindow <= 0 {
 		return r.deployment.LoadCommandsAllowed
 	}
-	r.requestTimes = r.timesWithin(r.requestTimes, r.deployment.LoadCommandWindow)
-	r.loadCommandTimes = r.timesWithin(r.loadCommandTimes, r.deployment.LoadCommandWindow)
+	r.requestTimes = r.pruneTimes(r.requestTimes, r.deployment.LoadCommandWindow)
+	r.loadCommandTimes = r.pruneTimes(r.loadCommandTimes, r.deployment.LoadCommandWindow)
 	requests, commands := float64(len(r.requestTimes)), float64(len(r.loadCommandTimes)+1)
 	return commands <= r.deployment.LoadCommandAllowance+r.deployment.LoadCommandsPerRequest*requests
 }
 
-// pickLoadTarget returns the first worker in rendezvous order that is not busy, else the least-loaded one.
-// When several replicas are missing it picks among as many, so that front ends do not load one after another.
+// pickLoadTarget returns the first worker in rendezvous order that is not busy, or else the least-loaded one. If
+// several replicas are missing it picks at random among as many workers, so that front ends load them concurrently
+// rather than one after another.
 func (r *Router) pickLoadTarget(req *request, missing int) *worker {
 	var candidates, notBusy []*worker
 	for _, w := range r.rendezvousOrder(req) {
-		if w.noLoadsUntil > r.now || r.isWarm(req.function.replicaOn(w)) {
+		if w.loadBackoffUntil > r.now || r.isWarm(req.function.replicaOn(w)) {
 			continue
 		}
 		if !r.hasCapacity(w) || !r.isEligible(req, w) {
@@ -83,20 +86,21 @@
 
 func (r *Router) commandLoad(fn *function, w *worker) {
 	fn.pendingLoadOn = w
-	fn.loadSentAt = r.now
-	fn.loadPauseUntil = r.now + loadPauseSeconds + loadPausePerLossSeconds*r.replicaLossRate
-	r.loadCommandTimes = append(r.timesWithin(r.loadCommandTimes, r.deployment.LoadCommandWindow), r.now)
+	fn.loadCommandedAt = r.now
+	fn.loadCooldownUntil = r.now + loadCooldownSeconds + loadCooldownPerMissSeconds*r.replicaMissRate
+	r.loadCommandTimes = append(r.pruneTimes(r.loadCommandTimes, r.deployment.LoadCommandWindow), r.now)
 	r.host.LoadReplicas(w.id, fn.id, 1)
 }
 
-// waitForPendingLoad is the rule while the function is being loaded. Once the command has surely arrived, the
-// request goes to that worker; before, it waits for the result, if that can come in time.
+// waitForPendingLoad handles a request whose function is being loaded. Once the load command is certain to have
+// arrived, the request is sent to the loading worker. Before that it waits for the result, if the load can complete
+// before the deadline.
 func (r *Router) waitForPendingLoad(req *request) bool {
 	fn, w := req.function, req.function.pendingLoadOn
 	if w == nil || req.loadWaits >= maxLoadWaits {
 		return false
 	}
-	hasArrived := r.now-fn.loadSentAt > loadArrivalRounds*r.deployment.MinRoundInterval
+	hasArrived := r.now-fn.loadCommandedAt > loadArrivalRounds*r.deployment.MinRoundInterval
 	if hasArrived && r.isEligible(req, w) && r.hasCapacity(w) && w != req.worker {
 		return r.startAttempt(req, w)
 	}
@@ -108,44 +112,46 @@
 	return true
 }
 
-// remainingLoadTime is the expected rest of the pending load; when overdue, as long as it has taken.
+// remainingLoadTime returns the expected remaining time of the pending load. An overdue load is expected to take as
+// long again as it already has.
 func (r *Router) remainingLoadTime(fn *function) float64 {
-	elapsed := r.now - fn.loadSentAt
+	elapsed := r.now - fn.loadCommandedAt
 	if remaining := fn.loadTime*max(r.loadSlowdown, 1) - elapsed; remaining > 0 {
 		return remaining
 	}
 	return elapsed
 }
 
-// sendToLoadOnMiss is the rule where workers load what they are sent: when no load command may be sent, the
-// request goes to the worker that would have got it.
+// sendToLoadOnMiss sends a request to the worker that would receive the load command, if none may be sent and workers
+// load missing replicas themselves.
 func (r *Router) sendToLoadOnMiss(req *request) bool {
 	mustLoadOnMiss := !r.deployment.NoLoadOnMiss && !r.mayCommandLoad()
 	return mustLoadOnMiss && r.startAttempt(req, r.pickLoadTarget(req, 1))
 }
 
-// abandonLostLoads is the rule for loads on a worker that drains, left or is silent, and ejects the silent
-// one. One that answers other requests has a slow store, which one more load elsewhere would slow further.
+// abandonLostLoads ends pending loads on a worker that is draining, removed or unresponsive, and ejects an
+// unresponsive one. A worker that responds to other requests has a slow artifact store, which a further load
+// elsewhere would only slow down more.
 func (r *Router) abandonLostLoads(w *worker) bool {
 	abandoned := false
 	for _, fn := range r.functions {
 		if fn.pendingLoadOn != w {
 			continue
 		}
-		silentFor := r.now - max(fn.loadSentAt, w.lastAnswerAt)
-		isLost := silentFor > lostLoadRatio*max(fn.loadTime, minUsualLoadSeconds)
+		unresponsiveFor := r.now - max(fn.loadCommandedAt, w.lastResponseAt)
+		isLost := unresponsiveFor > lostLoadRatio*max(fn.loadTime, minUsualLoadSeconds)
 		if isLost {
 			r.eject(w, maxEjectedFraction)
 		}
 		if isLost || w.state != Serving {
-			r.endPendingLoad(fn)
+			r.clearPendingLoad(fn)
 			abandoned = true
 		}
 	}
 	return abandoned
 }
 
-// OnLoadResult takes the answer to a load command: how many replicas the worker holds and how long it took.
+// OnLoadResult handles the result of a load command.
 func (r *Router) OnLoadResult(now float64, result LoadResult) {
 	r.now = now
 	w, known := r.workersByID[result.Worker]
@@ -158,25 +164,26 @@
 	}
 	if result.Replicas > 0 {
 		fn.ensureReplica(w).markWarm(now)
-		if result.Duration < tickSeconds && r.isLargeFleet() { // it was there already, so the store had no work
-			fn.loadPauseUntil = now
+		if result.Duration < tickSeconds && r.hasManyFrontEnds() {
+			fn.loadCooldownUntil = now // it was loaded already, which cost the store nothing
 		}
 	} else if result.Outcome == Rejected || result.Outcome == Unreachable || result.Outcome == ConnectionLost {
-		w.noLoadsUntil = now + noLoadsSeconds // or a dead worker, first in order, is asked again and again
+		// Without backoff, an unreachable worker that is first in rendezvous order gets every further load command.
+		w.loadBackoffUntil = now + loadBackoffSeconds
 	}
-	w.lastAnswerAt = now
+	w.lastResponseAt = now
 	if fn.pendingLoadOn == w {
-		r.endPendingLoad(fn)
+		r.clearPendingLoad(fn)
 	}
 	r.applyRules()
 }
 
-// Preload loads a function that will be requested soon, as by a timer, if no replica can take the request and
-// the ration allows a load. It reports whether it sent a load command.
+// Preload loads a function that is about to be requested, unless a replica can take the request, a load is pending,
+// or the quota is exhausted. It reports whether it sent a load command.
 func (r *Router) Preload(now float64, in Request) bool {
 	r.now = now
 	req := &request{Request: in, function: r.functionOf(in), class: &RequestClass{}}
-	serving, _ := r.pickReplica(req, false)
+	serving, _ := r.pickReplica(req, includeOverloaded)
 	var target *worker
 	if serving == nil && req.function.pendingLoadOn == nil && r.mayCommandLoad() {
 		target = r.pickLoadTarget(req, 1)
@@ -188,10 +195,10 @@
 	return target != nil
 }
 
-// updateReplicaLossRate follows how often a replica that was believed warm was gone.
-func (r *Router) updateReplicaLossRate(result AttemptResult) {
+// updateReplicaMissRate updates the moving average of the fraction of attempts that found no loaded replica.
+func (r *Router) updateReplicaMissRate(result AttemptResult) {
 	if result.Outcome == ReplicaMissing || result.Start == ColdStart {
-		r.replicaLossRate += replicaLossWeight
+		r.replicaMissRate += replicaMissWeight
 	}
-	r.replicaLossRate *= 1 - replicaLossWeight
+	r.replicaMissRate *= 1 - replicaMissWeight
 }
--- a/control/replica_loading_test.go
+++ b/control/replica_loading_test.go
@@ -18,12 +18,12 @@
 		t.Error("a replica is forgotten for a lost connection")
 	}
 	loading := r.workers[1]
-	fn.pendingLoadOn, fn.loadSentAt, loading.lastAnswerAt = loading, r.now-60, r.now
+	fn.pendingLoadOn, fn.loadCommandedAt, loading.lastResponseAt = loading, r.now-60, r.now
 	r.abandonLostLoads(loading)
 	if fn.pendingLoadOn != loading {
 		t.Error("a load on a live worker is abandoned")
 	}
-	loading.lastAnswerAt = r.now - 60
+	loading.lastResponseAt = r.now - 60
 	r.abandonLostLoads(loading)
 	if fn.pendingLoadOn == loading || loading.ejectedUntil <= r.now {
 		t.Error("a load on a silent worker is waited for")
@@ -38,9 +38,9 @@
 	for _, m := range w.machines {
 		m.dropReplicas()
 	}
-	before := w.frontEnds[0].router.replicaLossRate
+	before := w.frontEnds[0].router.replicaMissRate
 	w.sendSteadily(2, 0.1, 1)
-	if w.frontEnds[0].router.replicaLossRate <= before {
+	if w.frontEnds[0].router.replicaMissRate <= before {
 		t.Errorf("the replica loss rate stays at %g", before)
 	}
 }
@@ -83,7 +83,7 @@
 			f := w.frontEnds[0]
 			w.sendSteadily(1, 0.1, 2)
 			fn := f.router.functionsByID["f0"]
-			fn.loadPauseUntil, fn.lastRequestAt = f.router.now+9, f.router.now
+			fn.loadCooldownUntil, fn.lastRequestAt = f.router.now+9, f.router.now
 			for _, worker := range f.router.workers {
 				if rep := fn.replicaOn(worker); rep != nil && rep.warm {
 					worker.concurrencyLimit = 0
--- a/control/replica_selection.go
+++ b/control/replica_selection.go
@@ -9,37 +9,45 @@
 // Replica selection: which replica serves a request, and how many replicas share a function's requests.
 
 const (
-	overloadedInFlightRatio = 2.0   // own requests in flight over concurrency, for an overloaded replica
-	busyLoadRatio           = 1.5   // load over the mean load above which, and
-	busyLoadMargin          = 1.0   // requests more above which a worker is busy, as an idle fleet is uneven
-	targetReplicasGrowth    = 1.5   // without gossip: factor on the target replicas after a late answer
-	targetReplicasDecay     = 0.93  // without gossip: the same after an early answer
-	concurrencyHeadroom     = 2.0   // with gossip: concurrency for each request that runs, against waiting
-	lowLatencyStep          = 0.005 // relative step of the low latency, upwards for each answer
-	lowLatencyDownSteps     = 5     // for an answer under it, so that the quickest fifth stay under it
-	lowLatencyFloor         = 0.5   // of such an answer's latency, below which it does not fall
-	rateAveragingSeconds    = 3.0   // span over which rates of answers are averaged
-	minWorkerWeight         = 0.01  // lower bound of told weights, against division by zero
+	overloadedInFlightRatio = 2.0   // own requests in flight over concurrency at which a replica is overloaded
+	busyLoadRatio           = 1.5   // a worker is busy above this multiple of the mean load
+	busyLoadMargin          = 1.0   // plus this many requests over its weight, as an idle fleet is uneven
+	targetReplicasGrowth    = 1.5   // without gossip: factor on the target replicas after a late response
+	targetReplicasDecay     = 0.93  // without gossip: factor after an early response
+	concurrencyHeadroom     = 2.0   // with gossip: concurrency provided for each running request
+	latencyP20Step          = 0.005 // relative step upwards for each response
+	latencyP20DownSteps     = 5     // steps downwards for a response below it; one such in five balances
+	latencyP20Floor         = 0.5   // fraction of such a response's latency that bounds the estimate from below
+	rateAveragingSeconds    = 3.0   // time constant of response rates
+	minWorkerWeight         = 0.01  // lower bound of stated weights, against division by zero
 )
 
-// sendToWarmReplica is the ordinary rule: a request goes to the least-loaded warm replica that is not
-// overloaded, else to the least-loaded warm one. Where too few are not overloaded, another one is loaded.
+// overloadFilter specifies whether pickReplica considers overloaded replicas.
+type overloadFilter bool
+
+const (
+	excludeOverloaded overloadFilter = true
+	includeOverloaded overloadFilter = false
+)
+
+// sendToWarmReplica sends a request to the least-loaded warm replica that is not overloaded, or else to the
+// least-loaded warm one. It loads another replica if fewer than the target are not overloaded.
 func (r *Router) sendToWarmReplica(req *request) bool {
-	preferred, missing := r.pickReplica(req, true)
+	preferred, missing := r.pickReplica(req, excludeOverloaded)
 	target := preferred
 	if target == nil {
-		target, _ = r.pickReplica(req, false)
+		target, _ = r.pickReplica(req, includeOverloaded)
 	}
 	if preferred == nil || missing > 0 {
-		r.loadMissingReplica(req, missing, target == nil)
+		r.loadMissingReplica(req, missing, target)
 	}
 	return r.startAttempt(req, target)
 }
 
-// pickReplica returns the least-loaded of the first workers with a warm replica in rendezvous order, as many
-// as own requests in flight or the target call for: requests spread over all would keep each from idling out.
-// It tells how many are missing. With strict, overloaded replicas are passed over.
-func (r *Router) pickReplica(req *request, strict bool) (picked *worker, missing int) {
+// pickReplica returns the worker of the least-loaded warm replica, and the number of replicas missing from the
+// target. Only the first workers in rendezvous order are candidates, as many as the target or the own requests in
+// flight call for: spreading requests over all replicas would keep each of them from being unloaded as idle.
+func (r *Router) pickReplica(req *request, filter overloadFilter) (picked *worker, missing int) {
 	fn := req.function
 	target := int(math.Ceil(fn.targetReplicas))
 	var candidates []*worker
@@ -49,7 +57,7 @@
 		if !r.isWarm(rep) || failedBefore || !r.hasCapacity(w) || !r.isEligible(req, w) {
 			continue
 		}
-		if strict && r.isOverloaded(fn, rep) {
+		if filter == excludeOverloaded && r.isOverloaded(fn, rep) {
 			continue
 		}
 		candidates = append(candidates, w)
@@ -60,7 +68,7 @@
 	return r.leastLoaded(candidates), target - len(candidates)
 }
 
-// isWarm tells whether a replica, which may be nil, is believed to be loaded.
+// isWarm reports whether a replica, which may be nil, is believed to be loaded.
 func (r *Router) isWarm(rep *replica) bool {
 	if rep == nil || !rep.warm {
 		return false
@@ -73,18 +81,20 @@
 	return isFull || r.isSlow(fn, rep) || r.isBusy(rep.worker)
 }
 
-// isEligible tells whether a worker may get a request, which may go twice only where that is harmless.
+// isEligible reports whether req may be attempted on w. A request that may already have been executed is retried
+// only if it is idempotent or w deduplicates its key.
 func (r *Router) isEligible(req *request, w *worker) bool {
 	if w.state != Serving || !r.hasSlowStartCredit(w) {
 		return false
 	}
-	if !req.mayHaveRun || req.class.Semantics == Idempotent {
+	if !req.possiblyExecuted || req.class.Semantics == Idempotent {
 		return true
 	}
-	return isInScope(req.class.DeduplicationScope, w, req.firstRunOn) && r.isDeduplicated(req)
+	return inSameScope(req.class.DeduplicationScope, w, req.firstExecutionOn) && r.isRetryDeduplicated(req)
 }
 
-// load is how busy a worker is believed to be, for its weight; without a report its load counts as average.
+// load returns the estimated number of requests on w, including the next one, over its current capacity. A worker
+// without a report counts with the mean reported load.
 func (r *Router) load(w *worker) float64 {
 	reported := w.reportedLoad
 	if reported < 0 {
@@ -93,11 +103,12 @@
 	return (float64(len(w.inFlight)+1) + reported) / (w.weight * r.warmUpProgress(w, r.now))
 }
 
+// isBusy reports whether the load of w is well above the mean.
 func (r *Router) isBusy(w *worker) bool {
 	return r.load(w) > busyLoadRatio*r.meanLoad+busyLoadMargin/w.weight
 }
 
-// leastLoaded returns the worker with the least load, a random one of several; nil for an empty list.
+// leastLoaded returns the candidate with the lowest load, or nil if there is none. Ties are broken at random.
 func (r *Router) leastLoaded(candidates []*worker) *worker {
 	var best *worker
 	lowest, ties := 0.0, 0
@@ -115,71 +126,72 @@
 	return best
 }
 
-// rendezvousOrder lists the serving workers by rendezvous hashing: all front ends keep the replicas of a
-// function on the same few workers. The worker of the request's last attempt comes last.
+// rendezvousOrder returns the serving workers in the order of rendezvous hashing, so that all front ends keep the
+// replicas of a function on the same few workers. The worker of the request's last attempt comes last.
 func (r *Router) rendezvousOrder(req *request) []*worker {
 	fn := req.function
 	if fn.rankedVersion != r.endpointVersion {
 		r.rankWorkers(fn)
 	}
-	i := slices.Index(fn.ranked, req.worker)
+	i := slices.Index(fn.rankedWorkers, req.worker)
 	if i < 0 {
-		return fn.ranked
+		return fn.rankedWorkers
 	}
-	return append(slices.Delete(slices.Clone(fn.ranked), i, i+1), req.worker)
+	return append(slices.Delete(slices.Clone(fn.rankedWorkers), i, i+1), req.worker)
 }
 
 func (r *Router) rankWorkers(fn *function) {
 	fn.rankedVersion = r.endpointVersion
-	fn.ranked = fn.ranked[:0]
+	fn.rankedWorkers = fn.rankedWorkers[:0]
 	for _, w := range r.workers {
 		if w.state == Serving {
-			fn.ranked = append(fn.ranked, w)
+			fn.rankedWorkers = append(fn.rankedWorkers, w)
 		}
 	}
-	slices.SortFunc(fn.ranked, func(a, b *worker) int {
+	slices.SortFunc(fn.rankedWorkers, func(a, b *worker) int {
 		return cmp.Compare(rendezvousWeight(fn, b), rendezvousWeight(fn, a))
 	})
 }
 
 func rendezvousWeight(fn *function, w *worker) uint64 { return mixHash(fn.hash ^ w.hash) }
 
-// updateLowLatency follows the latency that the quickest fifth of the answers stays under.
-func (r *Router) updateLowLatency(result AttemptResult) {
-	r.lowLatency *= 1 + lowLatencyStep
-	if result.Outcome == Succeeded && (result.Latency < r.lowLatency || r.lowLatency == 0) {
-		floor := lowLatencyFloor * result.Latency
-		r.lowLatency = max(r.lowLatency/(1+lowLatencyDownSteps*lowLatencyStep), floor)
+// updateLatencyP20 updates the online estimate of the 20th percentile of response latency.
+func (r *Router) updateLatencyP20(result AttemptResult) {
+	r.latencyP20 *= 1 + latencyP20Step
+	if result.Outcome == Succeeded && (result.Latency < r.latencyP20 || r.latencyP20 == 0) {
+		floor := latencyP20Floor * result.Latency
+		r.latencyP20 = max(r.latencyP20/(1+latencyP20DownSteps*latencyP20Step), floor)
 	}
 }
 
-// updateTargetReplicas follows how many replicas a function needs. Each of many front ends holds next to none
-// of its requests, and by its own count one replica would always be enough.
+// updateTargetReplicas updates the number of replicas that a function needs. With many front ends the own requests
+// in flight do not show it, because each front end has hardly any.
 func (r *Router) updateTargetReplicas(req *request, result AttemptResult) {
 	fn := req.function
 	switch {
 	case r.deployment.GossipAllowed:
-		r.countAnswers(fn, 1)
-	case result.Outcome == Rejected || isLate(req.class, result.Latency):
+		r.recordResponses(fn, 1)
+	case result.Outcome == Rejected || classifyLatency(req.class, result.Latency) == lateResponse:
 		fn.targetReplicas *= targetReplicasGrowth
-	case isEarly(req.class, result.Latency):
+	case classifyLatency(req.class, result.Latency) == earlyResponse:
 		fn.targetReplicas = max(fn.targetReplicas*targetReplicasDecay, 1)
 	}
 	fn.targetReplicas = min(fn.targetReplicas, float64(len(r.workers)))
 }
 
-// countAnswers notes answers in the fleet. Requests that wait do not count, or an overloaded fleet would
-// spread its functions until none fits. Few front ends see enough by their own requests in flight.
-func (r *Router) countAnswers(fn *function, answers float64) {
-	fn.answerRate += answers / rateAveragingSeconds
-	if r.isLargeFleet() {
-		inUse := fn.answerRate * r.lowLatency * concurrencyHeadroom
+// recordResponses adds to a function's response rate and, with many front ends, derives its target replicas from it.
+// Latency enters as the 20th percentile, which excludes queueing: an overloaded fleet would otherwise spread its
+// functions until none fits.
+func (r *Router) recordResponses(fn *function, responses float64) {
+	fn.responseRate += responses / rateAveragingSeconds
+	if r.hasManyFrontEnds() {
+		inUse := fn.responseRate * r.latencyP20 * concurrencyHeadroom
 		fn.targetReplicas = max(inUse/float64(fn.concurrency), 1)
 	}
 }
 
-func (r *Router) decayAnswerRates(span float64) {
+func (r *Router) decayResponseRates(elapsed float64) {
 	for _, fn := range r.functions {
-		fn.answerRate *= 1 - min(span/rateAveragingSeconds, 1)
+		fn.responseRate *= 1 - min(elapsed/rateAveragingSeconds, 1)
 	}
 }
--- a/control/replica_selection_test.go
+++ b/control/replica_selection_test.go
@@ -58,13 +58,13 @@
 			d := plainDeployment()
 			d.FrontEnds, d.GossipAllowed = frontEnds, true
 			r := newWorld(15, d, 3).frontEnds[0].router
-			fn := &function{id: "f", concurrency: 1, targetReplicas: 1, loadPauseUntil: r.now + 9}
-			r.functionsByID["f"], r.lowLatency = fn, 0.5
-			r.countAnswers(fn, 100)
+			fn := &function{id: "f", concurrency: 1, targetReplicas: 1, loadCooldownUntil: r.now + 9}
+			r.functionsByID["f"], r.latencyP20 = fn, 0.5
+			r.recordResponses(fn, 100)
 			r.OnLoadResult(r.now, LoadResult{Worker: r.workers[0].id, Function: "f", Outcome: Succeeded, Replicas: 1, Duration: 0.01})
 			isLarge := frontEnds > 2
-			if (fn.targetReplicas > 1) != isLarge || (fn.loadPauseUntil <= r.now) != isLarge {
-				t.Errorf("target replicas %g, pause until %g at %g", fn.targetReplicas, fn.loadPauseUntil, r.now)
+			if (fn.targetReplicas > 1) != isLarge || (fn.loadCooldownUntil <= r.now) != isLarge {
+				t.Errorf("target replicas %g, pause until %g at %g", fn.targetReplicas, fn.loadCooldownUntil, r.now)
 			}
 		})
 	}
@@ -106,16 +106,16 @@
 
 func TestReplicaIsOverloadedAtTwiceItsConcurrency(t *testing.T) {
 	w := newWarmFunction()
-	pick := func(strict bool) *worker {
-		picked, _ := w.router.pickReplica(&request{function: w.function, class: &w.deployment.RequestClasses[0]}, strict)
+	pick := func(filter overloadFilter) *worker {
+		picked, _ := w.router.pickReplica(&request{function: w.function, class: &w.deployment.RequestClasses[0]}, filter)
 		return picked
 	}
 	w.replica.inFlight = 3
-	if pick(true) != w.replica.worker {
+	if pick(excludeOverloaded) != w.replica.worker {
 		t.Error("a replica under twice its concurrency is passed over")
 	}
 	w.replica.inFlight = 4
-	if pick(true) != nil || pick(false) != w.replica.worker {
+	if pick(excludeOverloaded) != nil || pick(includeOverloaded) != w.replica.worker {
 		t.Error("a replica at twice its concurrency passes, or is not the last resort")
 	}
 }
--- a/control/router.go
+++ b/control/router.go
@@ -1,22 +1,22 @@
 package control
 
-// Entry points of a Router: each notes what came in and then applies the rules of rules.go.
+// Entry points of a Router: each updates the state from its input, then applies the rules of rules.go.
 
 const (
 	tickSeconds         = 0.25 // interval of the periodic updates
-	pollRetrySeconds    = 2.0  // delay of a new request for the endpoint list after one that failed
-	idleFunctionSeconds = 60.0 // a function without requests for so long is forgotten
-	timerEarlyRounds    = 2.0  // rounds before the deadline from which on a request's timer ends it
+	pollRetrySeconds    = 2.0  // delay before the endpoint list is requested again after a failure
+	idleFunctionSeconds = 60.0 // time without requests after which a function is removed
+	timerEarlyRounds    = 2.0  // rounds before its deadline from which a request's timer rejects it
 )
 
-// Timers of the router itself; those of requests have higher numbers.
+// Timer IDs of the router. Requests use higher ones.
 const (
 	tickTimer uint64 = iota
 	pollTimer
 )
 
-// Start starts the periodic updates and, where the deployment polls for it, requests the endpoint list. It is called
-// once, before anything else comes in.
+// Start schedules the periodic updates and, if the deployment polls for it, requests the endpoint list. It must be
+// called once, before any other input.
 func (r *Router) Start() {
 	r.host.SetTimer(tickSeconds, tickTimer)
 	if r.deployment.PollEndpoints {
@@ -30,14 +30,15 @@
 	listed := make([]bool, len(r.workers))
 	for _, endpoint := range endpoints {
 		w, known := r.workersByID[endpoint.ID]
-		if !known {
-			w = r.addWorker(endpoint.ID)
+		if known {
+			r.updateWorker(w, endpoint)
+		} else {
+			w = r.addWorker(endpoint)
 		}
 		if w.index == len(listed) {
 			listed = append(listed, true)
 		}
 		listed[w.index] = true
-		r.updateWorker(w, endpoint, !known)
 	}
 	for i, w := range r.workers {
 		if scope == Snapshot && !listed[i] {
@@ -49,31 +50,31 @@
 	r.applyRules()
 }
 
-// OnEndpointPollFailed schedules another poll for the endpoint list.
+// OnEndpointPollFailed schedules another request for the endpoint list.
 func (r *Router) OnEndpointPollFailed(_ float64) { r.host.SetTimer(pollRetrySeconds, pollTimer) }
 
-// OnRequest takes a new request.
+// OnRequest handles a new request.
 func (r *Router) OnRequest(now float64, in Request) {
 	r.now = now
-	r.lastTimer++
+	r.lastTimerID++
 	req := &request{
 		Request:  in,
-		class:    r.classOf(in),
+		class:    r.requestClassOf(in),
 		function: r.functionOf(in),
 		deadline: now + in.TimeLeft,
-		timer:    r.lastTimer,
+		timerID:  r.lastTimerID,
 	}
 	r.requests[req.ID] = req
-	r.requestsByTimer[req.timer] = req
-	r.requestTimes = append(r.timesWithin(r.requestTimes, r.deployment.LoadCommandWindow), now)
-	// An attempt ends by itself at the deadline; this is for a request that waits for a load.
-	r.host.SetTimer(max(in.TimeLeft-r.deployment.MinRoundInterval, 0), req.timer)
+	r.requestsByTimerID[req.timerID] = req
+	r.requestTimes = append(r.pruneTimes(r.requestTimes, r.deployment.LoadCommandWindow), now)
+	// Attempts time out by themselves at the deadline. The timer covers a request that waits for a load.
+	r.host.SetTimer(max(in.TimeLeft-r.deployment.MinRoundInterval, 0), req.timerID)
 	r.pending = append(r.pending, req)
 	r.applyRules()
 }
 
-// classOf is the class of a request; one that the deployment does not state is treated as at-most-once.
-func (r *Router) classOf(in Request) *RequestClass {
+// requestClassOf returns the class of a request. One that the deployment does not state is treated as at-most-once.
+func (r *Router) requestClassOf(in Request) *RequestClass {
 	for i := len(r.deployment.RequestClasses) - 1; i >= 0; i-- {
 		if class := &r.deployment.RequestClasses[i]; class.Name == in.Class {
 			return class
@@ -82,7 +83,7 @@
 	return &RequestClass{LatencyObjective: in.TimeLeft, Timeout: in.TimeLeft, Semantics: AtMostOnce}
 }
 
-// OnCancel drops a request whose client has gone.
+// OnCancel closes a request whose client has cancelled it or disconnected.
 func (r *Router) OnCancel(now float64, id RequestID) {
 	r.now = now
 	if req := r.requests[id]; req != nil {
@@ -91,7 +92,7 @@
 	r.applyRules()
 }
 
-// OnTimer is called when a timer set with Host.SetTimer fires.
+// OnTimer handles the expiry of a timer that was set with Host.SetTimer.
 func (r *Router) OnTimer(now float64, timer uint64) {
 	r.now = now
 	switch timer {
@@ -102,7 +103,7 @@
 	case pollTimer:
 		r.host.Subscribe()
 	default:
-		req := r.requestsByTimer[timer]
+		req := r.requestsByTimerID[timer]
 		if req != nil && !req.inFlight && now >= req.deadline-timerEarlyRounds*r.deployment.MinRoundInterval {
 			r.reject(req)
 		}
@@ -111,16 +112,16 @@
 }
 
 func (r *Router) tick() {
-	span := max(r.now-r.lastTickAt, tickSeconds/2)
+	elapsed := max(r.now-r.lastTickAt, tickSeconds/2)
 	r.lastTickAt = r.now
-	r.decayAnswerRates(span)
-	r.decayReportedLoads(span)
-	r.grantSlowStartCredits(span)
-	r.updateMachineRates(span)
-	r.forgetFunctions(idleFunctionSeconds)
+	r.decayResponseRates(elapsed)
+	r.decayReportedLoads(elapsed)
+	r.grantSlowStartCredits(elapsed)
+	r.updateMachineRates(elapsed)
+	r.removeIdleFunctions(idleFunctionSeconds)
 }
 
-// OnAttemptResult takes the end of an attempt; that of one which is not in flight is ignored.
+// OnAttemptResult handles the result of an attempt. Results of attempts that are not in flight are ignored.
 func (r *Router) OnAttemptResult(now float64, result AttemptResult) {
 	r.now = now
 	req := r.requests[result.Request]
@@ -132,62 +133,69 @@
 	if report := result.Report; report.Known {
 		w.reportedLoad = max(report.Running+report.Waiting-float64(len(w.inFlight)), 0)
 	}
-	r.updateReplicaLossRate(result)
+	r.updateReplicaMissRate(result)
 	if result.Outcome != TimedOut && result.Outcome != Cancelled {
-		w.lastAnswerAt = now
+		w.lastResponseAt = now
 	}
 	r.updateReplica(req, rep, result)
 	if result.Outcome <= Rejected && result.Outcome != ConnectionLost {
 		if !req.awaitsLoad && result.Start <= WarmStart {
-			r.updateFromWarmAnswer(req, result)
+			r.updateFromWarmResponse(req, result)
 		}
-		r.broadcastAnswer(req.function, w, result.Latency)
+		r.broadcastResponse(req.function, w, result.Latency)
 	}
-	if result.Outcome < Rejected && !req.mayHaveRun {
-		req.mayHaveRun = true
-		req.firstRunAt = req.sentAt
-		req.firstRunOn = w
+	if result.Outcome < Rejected && !req.possiblyExecuted {
+		req.possiblyExecuted = true
+		req.firstExecutionAt = req.attemptStartedAt
+		req.firstExecutionOn = w
 	}
-	r.continueRequest(req, result.Completed)
+	r.finishOrRequeue(req, result)
 	r.applyRules()
 }
 
-// updateReplica takes an attempt result into what is known of the replica and its worker.
+// updateReplica updates a replica and its worker from an attempt result.
 func (r *Router) updateReplica(req *request, rep *replica, result AttemptResult) {
 	w := rep.worker
-	late, early := isLate(req.class, result.Latency), isEarly(req.class, result.Latency)
+	timing := classifyLatency(req.class, result.Latency)
 	switch result.Outcome {
 	case Succeeded:
 		if r.warmUpProgress(w, r.now) >= 1 {
-			w.machine.succeeded++
+			w.machine.successes++
 		}
 		rep.markWarm(r.now)
 		if result.Start <= WarmStart {
 			r.updateLatency(req.function, rep, result.Latency)
-			r.updateConcurrencyLimit(req, late, early)
+			r.updateConcurrencyLimit(req, timing)
+		}
+	case TimedOut:
+		// Counts as late. Otherwise the limit of an overloaded worker that no longer responds would never fall.
+		if timing == lateResponse && !req.awaitsLoad {
+			r.updateConcurrencyLimit(req, lateResponse)
 		}
-	case TimedOut: // counts as late, or an overloaded worker that answers nothing would stay so
-		r.updateConcurrencyLimit(req, late && !req.awaitsLoad, false)
 	case Rejected:
-		w.noLoadsUntil = r.now + noLoadsSeconds
-		r.updateConcurrencyLimit(req, true, false)
-	case Unreachable: // the process is gone with its replicas; the endpoint list will follow
+		w.loadBackoffUntil = r.now + loadBackoffSeconds
+		r.updateConcurrencyLimit(req, lateResponse)
+	case Unreachable:
+		// The process is gone with its replicas. The endpoint list reports that seconds later.
 		rep.warm = false
-		w.noLoadsUntil = r.now + noLoadsSeconds
-	case ReplicaMissing: // says nothing against the worker, which may be tried again
+		w.loadBackoffUntil = r.now + loadBackoffSeconds
+	case ReplicaMissing:
+		// The worker is healthy and may be used again for the same request.
 		rep.warm = false
 		req.worker = nil
+	case Failed, ConnectionLost, Cancelled, NotSent:
+		// No evidence about the replica or the load of its worker.
 	}
 }
 
-// updateFromWarmAnswer takes the result of an attempt that waited for no load into the figures of the fleet.
-func (r *Router) updateFromWarmAnswer(req *request, result AttemptResult) {
+// updateFromWarmResponse updates the fleet-wide estimates from an attempt that did not wait for a load.
+func (r *Router) updateFromWarmResponse(req *request, result AttemptResult) {
 	r.updateAdmissionProbability(req.class, result)
-	r.updateLowLatency(result)
+	r.updateLatencyP20(result)
 	r.updateTargetReplicas(req, result)
 }
 
-// RestoreReplica takes back, after a restart of the front end, that a replica was seen warm age seconds ago.
+// RestoreReplica records, after a restart of the front end, that a replica was seen warm age seconds ago.
 func (r *Router) RestoreReplica(now float64, in Request, id WorkerID, age float64) {
 	r.now = now
 	w, known := r.workersByID[id]
--- /dev/null
+++ b/control/router_state.go
@@ -0,0 +1,104 @@
+package control
+
+import "slices"
+
+// Router makes the routing decisions of one front end from its own view of the fleet. It is not safe for concurrent
+// use.
+type Router struct {
+	deployment *Deployment
+	host       Host
+	now        float64
+	lastTickAt float64
+	random     multiplyWithCarry
+
+	requests          map[RequestID]*request // open, or with an attempt in flight
+	requestsByTimerID map[uint64]*request
+	lastTimerID       uint64
+	pending           []*request // queue of requests for the request rules
+
+	functions         []*function // in the order of their first requests
+	functionsByID     map[FunctionID]*function
+	functionsByDigest map[uint16]*function // by the digest used in gossip messages
+
+	workers          []*worker // slots, reused after their worker is removed
+	workersByID      map[WorkerID]*worker
+	workersByDigest  map[uint32]*worker // by the digest used in gossip messages
+	machines         []*machineStats
+	endpointVersion  int // incremented by each endpoint update
+	endpointRulesDue bool
+
+	meanLoadsUpdatedAt float64
+	meanLoad           float64 // mean load of the serving workers
+	meanReportedLoad   float64 // mean reported load of the serving workers that have one
+
+	requestTimes     []float64 // arrivals within the load command window
+	loadCommandTimes []float64 // load commands within the load command window
+	replicaMissRate  float64   // moving average of the fraction of attempts that found no loaded replica
+	loadSlowdown     float64   // moving average of load duration over usual load time; 0 while unknown
+
+	admissionProbability float64 // probability of admitting a new request; the excess above 1 is a reserve
+	latencyP20           float64 // 20th percentile of response latency, estimated online
+	gossipCredits        float64 // responses not yet reported by gossip
+}
+
+// New returns a Router. Equal seeds and inputs produce equal decisions.
+func New(deployment *Deployment, seed uint64, host Host, now float64) *Router {
+	return &Router{
+		deployment:           deployment,
+		host:                 host,
+		now:                  now,
+		lastTickAt:           now,
+		random:               newMultiplyWithCarry(seed),
+		lastTimerID:          pollTimer,
+		requests:             map[RequestID]*request{},
+		requestsByTimerID:    map[uint64]*request{},
+		functionsByID:        map[FunctionID]*function{},
+		functionsByDigest:    map[uint16]*function{},
+		workersByID:          map[WorkerID]*worker{},
+		workersByDigest:      map[uint32]*worker{},
+		admissionProbability: maxAdmissionProbability,
+	}
+}
+
+// pruneTimes removes the times older than window from times and returns the rest.
+func (r *Router) pruneTimes(times []float64, window float64) []float64 {
+	return slices.DeleteFunc(times, func(time float64) bool { return time <= r.now-window })
+}
+
+// meanOverServing returns the mean over the serving workers for which value reports a known value.
+func (r *Router) meanOverServing(value func(w *worker) (float64, bool)) float64 {
+	sum, count := 0.0, 0.0
+	for _, w := range r.workers {
+		if v, known := value(w); known && w.state == Serving {
+			sum += v
+			count++
+		}
+	}
+	return sum / max(count, 1)
+}
+
+// ejectedFraction returns the fraction of the serving workers that are ejected.
+func (r *Router) ejectedFraction() float64 {
+	return r.meanOverServing(func(w *worker) (float64, bool) {
+		if w.ejectedUntil > r.now {
+			return 1, true
+		}
+		return 0, true
+	})
+}
+
+// updateMeanLoads recomputes the mean loads, once for each instant. The mean reported load comes first because load
+// substitutes it for workers without a report.
+func (r *Router) updateMeanLoads() {
+	if r.meanLoadsUpdatedAt == r.now {
+		return
+	}
+	r.meanLoadsUpdatedAt = r.now
+	r.meanReportedLoad = r.meanOverServing(func(w *worker) (float64, bool) {
+		return w.reportedLoad, w.reportedLoad >= 0
+	})
+	r.meanLoad = r.meanOverServing(func(w *worker) (float64, bool) { return r.load(w), true })
+}
+
+// perFrontEnd returns this front end's share of a fleet-wide amount.
+func (r *Router) perFrontEnd(total float64) float64 { return total / float64(r.deployment.FrontEnds) }
--- a/control/rules.go
+++ b/control/rules.go
@@ -1,12 +1,12 @@
 package control
 
-// RequestRule decides about a request that is pending, and reports whether the request is decided.
+// RequestRule decides a pending request, or reports false to leave it to the next rule.
 type RequestRule func(r *Router, req *request) bool
 
-// EndpointRule decides about a worker, and reports whether that changed anything.
+// EndpointRule updates a worker and reports whether that had an effect.
 type EndpointRule func(r *Router, w *worker) bool
 
-// requestRules are tried in order until the request is decided; the last one always decides.
+// requestRules are tried in order until one decides the request. The last one always does.
 var requestRules = []RequestRule{
 	(*Router).rejectUnservable,
 	(*Router).shedLoad,
@@ -16,7 +16,7 @@
 	(*Router).reject,
 }
 
-// endpointRules are all applied to each worker after a tick and after an endpoint update.
+// endpointRules are all applied to each worker after a tick or an endpoint update.
 var endpointRules = []EndpointRule{
 	(*Router).ejectSlowWorker,
 	(*Router).abandonLostLoads,
@@ -38,15 +38,15 @@
 }
 
 func (r *Router) applyEndpointRules() bool {
-	fired := false
+	applied := false
 	for _, w := range r.workers {
 		for _, rule := range endpointRules {
 			if rule(r, w) {
-				fired = true
+				applied = true
 			}
 		}
 	}
-	return fired
+	return applied
 }
 
 func (r *Router) applyRequestRules(req *request) {
@@ -57,12 +57,13 @@
 	}
 }
 
-// startAttempt sends a request to a worker, if there is one.
+// startAttempt sends a request to w and reports whether it did. It does nothing if w is nil.
 func (r *Router) startAttempt(req *request, w *worker) bool {
 	if w == nil {
 		return false
 	}
-	r.beginAttempt(req, w, !r.isWarm(req.function.replicaOn(w)))
+	req.awaitsLoad = !r.isWarm(req.function.replicaOn(w))
+	r.beginAttempt(req, w)
 	r.useSlowStartCredit(w)
 	r.host.StartAttempt(req.ID, w.id, req.deadline-r.now)
 	return true
--- a/control/rules_test.go
+++ b/control/rules_test.go
@@ -72,8 +72,8 @@
 			}
 		}
 		r := f.router
-		if len(r.requests)+len(r.requestsByTimer)+len(r.pending) > 0 {
-			w.fault("state is left over: %d %d %d", len(r.requests), len(r.requestsByTimer), len(r.pending))
+		if len(r.requests)+len(r.requestsByTimerID)+len(r.pending) > 0 {
+			w.fault("state is left over: %d %d %d", len(r.requests), len(r.requestsByTimerID), len(r.pending))
 		}
 	}
 }
--- a/control/slow_start.go
+++ b/control/slow_start.go
@@ -2,15 +2,15 @@
 
 import "math"
 
-// Slow start: attempts on a worker in its warm-up are limited by a budget, which is granted as credits.
+// Slow start: attempts on a worker that is warming up are limited by a budget, which is granted as credits.
 
 const (
-	slowStartBudgetFraction = 0.9  // part of the capacity that is used, against rates that were misjudged
-	creditFraction          = 0.6  // part of the budget that is granted as credits, used at random times
-	creditLifetimeWindows   = 1.25 // overload windows for which a credit is kept
+	slowStartBudgetFraction = 0.9  // fraction of the capacity that is used, as a margin for misestimated rates
+	creditFraction          = 0.6  // fraction of the budget granted as credits, because they are used at random times
+	creditLifetimeWindows   = 1.25 // overload windows after which an unused credit expires
 )
 
-// warmUpProgress is the least fraction of its capacity that a worker may have at a time after its start.
+// warmUpProgress returns the fraction of its capacity that w has at the given time, as a lower bound.
 func (r *Router) warmUpProgress(w *worker, time float64) float64 {
 	age := time - w.startedAt
 	if w.startedAt <= 0 || age >= r.deployment.WarmUpTime {
@@ -19,8 +19,9 @@
 	return r.deployment.InitialCapacityFraction + (1-r.deployment.InitialCapacityFraction)*max(age, 0)/r.deployment.WarmUpTime
 }
 
-// slowStartBudget is how many attempts this front end may start on a worker within an overload window. Its
-// part of the unknown capacity is the most that a warm worker of the machine type did for it.
+// slowStartBudget returns the number of attempts that this front end may start on w within an overload window. The
+// capacity of w is unknown; this front end's share of it is estimated as the peak rate that it has observed on a warm
+// worker of the same machine type.
 func (r *Router) slowStartBudget(w *worker) float64 {
 	windowStart := max(r.now-r.deployment.OverloadWindow, w.startedAt)
 	fraction := slowStartBudgetFraction * r.deployment.OverloadFactor * r.warmUpProgress(w, windowStart)
@@ -28,35 +29,35 @@
 	return max(budget, 1/float64(r.deployment.FrontEnds))
 }
 
-// hasSlowStartCredit tells whether a worker may get one more attempt. Unused credits lapse soon, or all front
-// ends would use them together when a hot function loses its worker to a rollout.
+// hasSlowStartCredit reports whether w may receive another attempt. Unused credits expire, because otherwise all
+// front ends would use theirs at once when a rollout takes the worker of a hot function.
 func (r *Router) hasSlowStartCredit(w *worker) bool {
 	if r.warmUpProgress(w, r.now) >= 1 {
 		return true
 	}
-	if w.slowStartCredits-w.usedCredits < 1 {
+	if w.grantedCredits-w.usedCredits < 1 {
 		return false
 	}
-	sinceGrant := w.slowStartCredits - math.Floor(w.slowStartCredits)
+	sinceGrant := w.grantedCredits - math.Floor(w.grantedCredits)
 	return sinceGrant < creditLifetimeWindows*creditFraction*r.slowStartBudget(w)
 }
 
-// useSlowStartCredit takes a credit, and drops saved ones so that no window gets more than its budget.
+// useSlowStartCredit uses one credit, and discards saved ones that would let a window exceed its budget.
 func (r *Router) useSlowStartCredit(w *worker) {
-	kept := (1 - creditFraction) * r.slowStartBudget(w)
-	w.usedCredits = max(w.usedCredits+1, w.slowStartCredits-kept)
+	maxSaved := (1 - creditFraction) * r.slowStartBudget(w)
+	w.usedCredits = max(w.usedCredits+1, w.grantedCredits-maxSaved)
 }
 
-func (r *Router) grantSlowStartCredits(span float64) {
+func (r *Router) grantSlowStartCredits(elapsed float64) {
 	for _, w := range r.workers {
 		if r.warmUpProgress(w, r.now) < 1 {
-			w.slowStartCredits += creditFraction * r.slowStartBudget(w) * span / r.deployment.OverloadWindow
+			w.grantedCredits += creditFraction * r.slowStartBudget(w) * elapsed / r.deployment.OverloadWindow
 		}
 	}
 }
 
-// updateMachineRates takes the successful attempts since the last tick into the rates of the machine types.
-func (r *Router) updateMachineRates(span float64) {
+// updateMachineRates updates the rates of the machine types with the successful attempts since the last tick.
+func (r *Router) updateMachineRates(elapsed float64) {
 	for _, machine := range r.machines {
 		machine.warmWorkers = 0
 	}
@@ -66,9 +67,9 @@
 		}
 	}
 	for _, machine := range r.machines {
-		rate := machine.succeeded / span / max(machine.warmWorkers, 1)
-		machine.rate += min(span/rateAveragingSeconds, 1) * (rate - machine.rate)
+		rate := machine.successes / elapsed / max(machine.warmWorkers, 1)
+		machine.rate += min(elapsed/rateAveragingSeconds, 1) * (rate - machine.rate)
 		machine.peakRate = max(machine.peakRate, machine.rate)
-		machine.succeeded = 0
+		machine.successes = 0
 	}
 }
--- a/control/slow_start_test.go
+++ b/control/slow_start_test.go
@@ -43,7 +43,7 @@
 			for _, f := range w.frontEnds {
 				cold := f.router.workers[0]
 				if f.router.hasSlowStartCredit(cold) {
-					cold.usedCredits = cold.slowStartCredits
+					cold.usedCredits = cold.grantedCredits
 					sent++
 				}
 			}
--- a/control/view.go
+++ b/control/view.go
@@ -1,34 +1,34 @@
 package control
 
-// This file shows the state of a Router to consoles and traces. It decides nothing and changes nothing.
+// Read-only views of a Router's state, for consoles and traces.
 
-// WorkerView is what is known of one worker. Spans are in seconds.
+// WorkerView is the state of one worker. Durations are in seconds.
 type WorkerView struct {
 	Worker
-	InFlight         int     // own requests in flight
-	ConcurrencyLimit float64 // own requests that it may hold
-	Load             float64 // how busy it is believed to be, for its weight
-	WarmUpProgress   float64 // least fraction of its capacity that it has by now
-	EjectedFor       float64 // rest of its ejection, 0 while it is not ejected
-	Replicas         int     // functions believed warm there
-	PendingLoads     int     // load commands there without a result yet
+	InFlight         int     // requests of this front end in flight
+	ConcurrencyLimit float64 // maximum of InFlight
+	Load             float64 // estimated requests over its current capacity
+	WarmUpProgress   float64 // fraction of its capacity that it has reached, as a lower bound
+	EjectedFor       float64 // remaining time of its ejection; 0 while not ejected
+	Replicas         int     // functions believed to have a warm replica on it
+	PendingLoads     int     // load commands without a result
 }
 
-// FunctionView is what is known of one function. Times are in seconds.
+// FunctionView is the state of one function. Durations are in seconds.
 type FunctionView struct {
 	ID            FunctionID
 	Concurrency   int
-	InFlight      int        // own requests in flight
+	InFlight      int        // requests of this front end in flight
 	Waiters       int        // requests that wait for the pending load
-	Rate          float64    // answers per second in the fleet, as far as seen
-	MedianLatency float64    // 0 before the first answer
-	Replicas      []WorkerID // workers believed to have a warm replica,
-	ReplicaAges   []float64  // and for each the time since that was last seen
-	LoadTime      float64    // usual duration of a load, 0 where it is not told
-	PendingLoadOn WorkerID   // worker of the pending load, "" for none
+	Rate          float64    // estimated responses per second across all front ends
+	MedianLatency float64    // 0 before the first response
+	Replicas      []WorkerID // workers believed to have a warm replica
+	ReplicaAges   []float64  // time since each of them was last seen warm
+	LoadTime      float64    // usual duration of a load; 0 if unknown
+	PendingLoadOn WorkerID   // worker of the pending load; empty for none
 }
 
-// Workers shows every worker that is not gone, in the order of the dense index.
+// Workers returns the workers that are not removed, in slot order.
 func (r *Router) Workers() []WorkerView {
 	var views []WorkerView
 	for _, w := range r.workers {
@@ -39,7 +39,7 @@
 	return views
 }
 
-// Functions shows every function that was requested lately, in the order of their first requests.
+// Functions returns the functions that are not removed as idle, in the order of their first requests.
 func (r *Router) Functions() []FunctionView {
 	views := make([]FunctionView, 0, len(r.functions))
 	for _, fn := range r.functions {
@@ -48,7 +48,7 @@
 	return views
 }
 
-// Function shows one function; false where it was not requested lately.
+// Function returns one function, or false if it is unknown or was removed as idle.
 func (r *Router) Function(id FunctionID) (FunctionView, bool) {
 	fn := r.functionsByID[id]
 	if fn == nil {
@@ -91,7 +91,7 @@
 		Concurrency:   fn.concurrency,
 		InFlight:      fn.inFlight,
 		Waiters:       len(fn.waiters),
-		Rate:          fn.answerRate,
+		Rate:          fn.responseRate,
 		MedianLatency: fn.medianLatency,
 		LoadTime:      fn.loadTime,
 	}
--- /dev/null
+++ b/control/worker.go
@@ -0,0 +1,56 @@
+package control
+
+// worker holds the router's view of one endpoint. Removed endpoints keep their slot until it is reused.
+type worker struct {
+	index         int // slot in Router.workers
+	id            WorkerID
+	hash          uint64
+	zone          ZoneID
+	failureDomain int
+	state         EndpointState
+	weight        float64
+	startedAt     float64
+	machine       *machineStats // nil until the worker is first listed as serving or draining
+
+	inFlight         []*request // attempts of this front end
+	lastResponseAt   float64
+	concurrencyLimit float64 // maximum number of own requests in flight
+	limitDecreasedAt float64
+	reportedLoad     float64 // requests of other front ends, by load reports and gossip; -1 if unknown
+	relativeLatency  float64 // long-run average of latency over the median of its function
+	ejectedUntil     float64
+	loadBackoffUntil float64 // no load commands are sent before
+
+	grantedCredits float64 // slow start credits granted since the process started
+	usedCredits    float64
+}
+
+// machineStats holds the throughput that this front end has observed on warm workers of one machine type.
+type machineStats struct {
+	machineType MachineType
+	successes   float64 // successful attempts since the last tick
+	rate        float64 // moving average of successful attempts per worker and second
+	peakRate    float64 // maximum of rate
+	warmWorkers float64 // serving workers past their warm-up at the last tick
+}
+
+// resetLimits restores the concurrency limit and clears ejection, load backoff and slow start credits.
+func (w *worker) resetLimits(concurrencyLimit float64) {
+	w.concurrencyLimit = concurrencyLimit
+	w.ejectedUntil = 0
+	w.loadBackoffUntil = 0
+	w.grantedCredits = 0
+	w.usedCredits = 0
+}
+
+// inSameScope reports whether two workers share idempotency keys under scope.
+func inSameScope(scope DeduplicationScope, a, b *worker) bool {
+	switch scope {
+	case ScopeFleet:
+		return true
+	case ScopeZone:
+		return a.zone == b.zone
+	default:
+		return a.zone == b.zone && a.failureDomain == b.failureDomain
+	}
+}
