--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -8,10 +8,10 @@
 // TestLateAnswersShedLoad checks that late answers reject a part of the requests at once, retries before first
 // tries. Lost answers are no sign of overload.
 func TestLateAnswersShedLoad(t *testing.T) {
-	d := plainDeployment()
+	d := basicDeployment()
 	d.FrontEnds = 100
-	w := newWorld(14, d, 3)
-	f := w.frontEnds[0]
+	fleet := newSimulatedFleet(14, d, 3)
+	f := fleet.frontEnds[0]
 	class := &d.RequestClasses[0]
 	countRejected := func(outcome Outcome, retried bool) (rejected int) {
 		f.router.admissionProbability = 1
@@ -21,7 +21,7 @@
 		}
 		for range 200 {
 			req := &request{Request: Request{ID: "x", Retried: retried}, class: class, function: &function{}}
-			f.requests["x"] = &clientRequest{Request: req.Request, class: *class, deadline: w.now + 3}
+			f.requests["x"] = &clientRequest{Request: req.Request, class: *class, deadline: fleet.now + 3}
 			if f.router.shedLoad(req) {
 				rejected++
 			}
@@ -32,17 +32,17 @@
 	if first < 40 || first > 100 || retries < first+40 || retries == 200 || lost > 0 {
 		t.Errorf("rejected of 200: %d first tries, %d retries, %d after lost answers", first, retries, lost)
 	}
-	w.checkRules(t)
+	fleet.checkInvariants(t)
 }
 
 // TestSomeLateAnswersShedNothing checks that lateness which admitting fewer does not mend (a fifth or a fourth of
 // the answers) rejects nobody, and that half of them late does.
 func TestSomeLateAnswersShedNothing(t *testing.T) {
-	d := plainDeployment()
+	d := basicDeployment()
 	d.FrontEnds = 100
 	for lateOneIn, sheds := range map[int]bool{5: false, 4: false, 2: true} {
 		t.Run(fmt.Sprint("one late in ", lateOneIn), func(t *testing.T) {
-			r := newWorld(14, d, 3).frontEnds[0].router
+			r := newSimulatedFleet(14, d, 3).frontEnds[0].router
 			lowest := r.admissionProbability
 			for n := range 400 {
 				latency := 0.1
--- a/control/concurrency_limit_test.go
+++ b/control/concurrency_limit_test.go
@@ -8,7 +8,7 @@
 
 // TestLateAnswerOfIdleWorker checks that late answers to single requests do not close a worker.
 func TestLateAnswerOfIdleWorker(t *testing.T) {
-	r := newWorld(6, plainDeployment(), 1).frontEnds[0].router
+	r := newSimulatedFleet(6, basicDeployment(), 1).frontEnds[0].router
 	w := r.workers[0]
 	for i := range 50 {
 		r.now += 0.1
@@ -21,7 +21,7 @@
 
 // TestWaitsForLoadsUseNoCapacity holds against an old fault: ten of them closed a worker to its warm replicas.
 func TestWaitsForLoadsUseNoCapacity(t *testing.T) {
-	r := newWorld(8, plainDeployment(), 1).frontEnds[0].router
+	r := newSimulatedFleet(8, basicDeployment(), 1).frontEnds[0].router
 	w := r.workers[0]
 	waiting := &request{function: &function{pendingLoadOn: w}, awaitsLoad: true}
 	w.inFlight = slices.Repeat([]*request{waiting}, 20)
@@ -43,7 +43,7 @@
 		hasCapacity               bool
 	}{{3, 0.1, true}, {3, 1, false}, {1, 0.1, false}} {
 		t.Run(fmt.Sprintf("%+v", c), func(t *testing.T) {
-			r := newWorld(1, plainDeployment(), 2).frontEnds[0].router
+			r := newSimulatedFleet(1, basicDeployment(), 2).frontEnds[0].router
 			fn, w := r.functionOf(Request{Function: "f"}), r.workers[0]
 			fn.medianLatency, r.loadSlowdown = 0.1, c.loadSlowdown
 			w.lastResponseAt, w.concurrencyLimit = r.now-c.sinceAnswer, 2
--- a/control/endpoint_index_test.go
+++ b/control/endpoint_index_test.go
@@ -8,7 +8,7 @@
 // TestReplacedWorkersAreDropped checks that workers which came and went leave nothing behind, also where their loads
 // end after they are gone.
 func TestReplacedWorkersAreDropped(t *testing.T) {
-	r := newWorld(1, plainDeployment(), 3).frontEnds[0].router
+	r := newSimulatedFleet(1, basicDeployment(), 3).frontEnds[0].router
 	for i := range 300 {
 		now := r.now + 0.1
 		id := WorkerID(fmt.Sprint("new-", i))
--- a/control/golden_fleet_test.go
+++ b/control/golden_fleet_test.go
@@ -1,19 +1,19 @@
 package control
 
 import (
-	"container/heap"
+	"slices"
 	"strconv"
 )
 
-// The golden fleet is a deterministic simulation with a virtual clock. It uses no name of the package, no
-// map order and no function of math whose last digit may differ.
+// The golden fleet is a deterministic simulation with a virtual clock. It uses no identifier of the package, no map
+// iteration and no function of math whose last digit may differ between platforms.
 
 type (
-	outcome    int
-	start      int
-	state      int
-	repetition int
-	scope      int
+	outcome            int
+	startKind          int
+	endpointState      int
+	semantics          int
+	deduplicationScope int
 )
 
 const (
@@ -22,14 +22,14 @@
 	timedOut
 	disconnected
 	cancelled
-	refused
+	rejected
 	unreachable
-	unsent
-	missing
+	notSent
+	replicaMissing
 )
 
 const (
-	startUnknown start = iota
+	startUnknown startKind = iota
 	startWarm
 	startCold
 	startJoined
@@ -37,96 +37,100 @@
 )
 
 const (
-	stateServing state = iota
+	stateServing endpointState = iota
 	stateDraining
-	stateGone
+	stateRemoved
 )
 
 const (
-	idempotent repetition = iota
-	deduplicated
-	once
+	idempotent semantics = iota
+	idempotentByKey
+	atMostOnce
 )
 
 const (
-	fleetScope scope = iota
+	fleetScope deduplicationScope = iota
 	zoneScope
-	cellScope
+	failureDomainScope
 )
 
-type requestType struct {
-	name                      string
-	target, limit, remembered float64
-	repetition                repetition
-	scope                     scope
+type requestClass struct {
+	name                                           string
+	latencyObjective, timeout, deduplicationWindow float64
+	semantics                                      semantics
+	scope                                          deduplicationScope
 }
 
-var requestTypes = []requestType{
-	{name: "free", target: 1, limit: 3},
-	{name: "once", target: 0.5, limit: 2, repetition: once},
-	{name: "fleet", target: 0.8, limit: 2, remembered: 0.7, repetition: deduplicated},
-	{name: "zone", target: 1, limit: 3, remembered: 0.5, repetition: deduplicated, scope: zoneScope},
-	{name: "cell", target: 0.3, limit: 3, remembered: 2, repetition: deduplicated, scope: cellScope},
+var requestClasses = []requestClass{
+	{name: "idempotent", latencyObjective: 1, timeout: 3},
+	{name: "at-most-once", latencyObjective: 0.5, timeout: 2, semantics: atMostOnce},
+	{name: "by-key-fleet", latencyObjective: 0.8, timeout: 2, deduplicationWindow: 0.7, semantics: idempotentByKey},
+	{name: "by-key-zone", latencyObjective: 1, timeout: 3, deduplicationWindow: 0.5, semantics: idempotentByKey, scope: zoneScope},
+	{name: "by-key-failure-domain", latencyObjective: 0.3, timeout: 3, deduplicationWindow: 2, semantics: idempotentByKey, scope: failureDomainScope},
 }
 
+// simulatedRequest is a request as its client sends it.
 type simulatedRequest struct {
-	id, kind, function string
-	limit, loadTime    float64
-	lanes              int
-	retried            bool
+	id, class, function string
+	timeLeft, loadTime  float64
+	concurrency         int
+	retried             bool
 }
 
-type ended struct {
-	id, worker             string
-	attempt                int
-	outcome                outcome
-	settled, reported      bool
-	took, running, waiting float64
-	start                  start
+// attemptResult is the result of an attempt as the worker and the network produce it.
+type attemptResult struct {
+	id, worker                string
+	attempt                   int
+	outcome                   outcome
+	completed, reported       bool
+	latency, running, waiting float64
+	start                     startKind
 }
 
-type simulatedWorker struct {
-	id, zone, kind string
-	cell           int
-	state          state
-	size, started  float64
+// goldenEndpoint is an entry of the endpoint list.
+type goldenEndpoint struct {
+	id, zone, machineType string
+	failureDomain         int
+	state                 endpointState
+	weight, startedAt     float64
 }
 
-// scenario is one generated world; each seed draws another run of it.
+// scenario configures a simulated fleet. Rates are per virtual second.
 type scenario struct {
-	name                  string
-	frontEnds, routers    int // declared, and simulated
-	workers, functions    int
-	length                float64 // virtual seconds
-	rate                  float64 // requests a second over all routers
-	burst                 float64 // factor on the rate in every fifth second
-	serviceTime, loadTime float64
-	loadTold              bool // requests tell the usual time of a load
-	subscribes            bool
-	reportsMissing        bool
-	mayLoad, mayBroadcast bool
-	maxAttempts           int
-	maxPause, keepWarm    float64
-	loadWindow            float64
-	loadFree, loadShare   float64
-	warmWithin            float64
-	trouble               float64   // changes of some worker's condition a second
-	churn                 float64   // drains, crashes, restarts and joins a second
-	hangUps, retried, hot float64   // shares of the requests
-	preloads              float64   // preloads a second
-	recalls               int       // replicas restored by each router at the start
-	reports               float64   // share of the answers with a load report
-	slowStore             float64   // factor on load times in the middle third
-	always                condition // the single trouble, well for all
-	restarts              bool      // workers are restarted only, under their names
-	spell                 float64   // mean seconds of a trouble after its first, 3 where it is 0
-	only                  string    // the single request type, "" for all
+	name                                         string
+	frontEndCount                                int // stated in the deployment
+	routerCount                                  int // simulated
+	workerCount, functionCount                   int
+	duration                                     float64 // virtual seconds
+	requestRate                                  float64 // over all routers
+	burstFactor                                  float64 // factor on the request rate in every fifth second
+	serviceTime, loadTime                        float64
+	loadTimeKnown                                bool // requests state the usual load time
+	pollsEndpoints                               bool
+	noLoadOnMiss                                 bool
+	loadCommandsAllowed, gossipAllowed           bool
+	maxAttempts                                  int
+	maxRetryAfter, idleReplicaLifetime           float64
+	loadCommandWindow                            float64
+	loadCommandAllowance, loadCommandsPerRequest float64
+	warmUpTime                                   float64
+	faultRate                                    float64         // changes of a worker's condition
+	churnRate                                    float64         // drains, crashes, restarts and joins
+	cancelFraction, retryFraction, hotFraction   float64         // of the requests
+	preloadRate                                  float64         // preloads
+	restoredReplicas                             int             // replicas restored by each router at its start
+	loadReportFraction                           float64         // of the responses
+	slowStoreFactor                              float64         // factor on load times in the middle third
+	onlyCondition                                workerCondition // the only fault; healthy for all faults
+	onlyRestarts                                 bool            // churn only restarts workers, which keep their IDs
+	meanFaultDuration                            float64         // seconds in addition to the first; 0 for 3
+	onlyClass                                    string          // the only request class; empty for all
 }
 
-// random is SplitMix64, the same on all releases of Go.
-type random uint64
+// splitMix64 is the SplitMix64 generator. Unlike math/rand it is equal in all releases of Go.
+type splitMix64 uint64
 
-func (r *random) next() uint64 {
+func (r *splitMix64) next() uint64 {
 	*r += 0x9e3779b97f4a7c15
 	x := uint64(*r)
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -134,251 +138,257 @@
 	return x ^ x>>31
 }
 
-func (r *random) part() float64            { return float64(r.next()>>11) / (1 << 53) }
-func (r *random) below(n int) int          { return int(r.next() % uint64(n)) }
-func (r *random) happens(p float64) bool   { return r.part() < p }
-func (r *random) skewed(m float64) float64 { u := r.part(); return 3 * m * u * u }
+func (r *splitMix64) fraction() float64           { return float64(r.next()>>11) / (1 << 53) }
+func (r *splitMix64) below(n int) int             { return int(r.next() % uint64(n)) }
+func (r *splitMix64) happens(p float64) bool      { return r.fraction() < p }
+func (r *splitMix64) skewed(mean float64) float64 { u := r.fraction(); return 3 * mean * u * u }
 
-type timer struct {
-	at    float64
-	order int
-	do    func()
+// scheduledEvent is a function to be run at a virtual time.
+type scheduledEvent struct {
+	at  float64
+	run func()
 }
 
-type timers []timer
+// eventQueue holds scheduled events by time, and events of equal time in the order in which they were scheduled.
+type eventQueue []scheduledEvent
 
-func (t timers) Len() int { return len(t) }
-func (t timers) Less(i, j int) bool {
-	return t[i].at < t[j].at || t[i].at == t[j].at && t[i].order < t[j].order
+func (q *eventQueue) push(event scheduledEvent) {
+	i, _ := slices.BinarySearchFunc(*q, event.at, func(queued scheduledEvent, at float64) int {
+		if queued.at > at {
+			return 1
+		}
+		return -1
+	})
+	*q = slices.Insert(*q, i, event)
 }
-func (t timers) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
-func (t *timers) Push(x any)   { *t = append(*t, x.(timer)) }
-func (t *timers) Pop() any {
-	last := (*t)[len(*t)-1]
-	*t = (*t)[:len(*t)-1]
-	return last
+
+func (q *eventQueue) pop() scheduledEvent {
+	first := (*q)[0]
+	*q = (*q)[1:]
+	return first
 }
 
-type fleet struct {
+// goldenFleet simulates clients, front ends and workers, and records every call that a router makes.
+type goldenFleet struct {
 	*scenario
-	random   random
-	now      float64
-	timers   timers
-	order    int
-	nodes    []*node
-	fronts   []*front
-	log      []byte
-	lines    int
-	names    int
-	requests int
+	random         splitMix64
+	now            float64
+	events         eventQueue
+	workers        []*goldenWorker
+	frontEnds      []*goldenFrontEnd
+	log            []byte
+	workersCreated int
+	requestsSent   int
 }
 
-const startOfDay = 100.0
+const startTime = 100.0
 
-func newFleet(s *scenario, seed uint64) *fleet {
-	w := &fleet{scenario: s, random: random(seed * 0x632be59bd9b4e019), now: startOfDay}
-	for range s.workers {
-		w.nodes = append(w.nodes, w.newNode(0))
+func newGoldenFleet(s *scenario, seed uint64) *goldenFleet {
+	g := &goldenFleet{scenario: s, random: splitMix64(seed * 0x632be59bd9b4e019), now: startTime}
+	for range s.workerCount {
+		g.workers = append(g.workers, g.newWorker(0))
 	}
-	for i := range s.routers {
-		f := &front{fleet: w, number: i, requests: map[string]*pending{}}
-		f.router = newAdapter(s, w.random.next(), w.now, f)
-		w.fronts = append(w.fronts, f)
+	for i := range s.routerCount {
+		f := &goldenFrontEnd{fleet: g, index: i, requests: map[string]*openRequest{}}
+		f.router = newRouterAdapter(s, g.random.next(), g.now, f)
+		g.frontEnds = append(g.frontEnds, f)
 	}
-	return w
+	return g
 }
 
-func (w *fleet) newNode(started float64) *node {
-	i := w.names
-	w.names++
-	n := &node{readyAt: map[string]float64{}, simulatedWorker: simulatedWorker{
+func (g *goldenFleet) newWorker(startedAt float64) *goldenWorker {
+	i := g.workersCreated
+	g.workersCreated++
+	worker := &goldenWorker{replicasReadyAt: map[string]float64{}, goldenEndpoint: goldenEndpoint{
 		id:   "w" + strconv.Itoa(i),
-		zone: "z" + strconv.Itoa(i%3), cell: i % 4, kind: "small", size: 1, started: started,
+		zone: "z" + strconv.Itoa(i%3), failureDomain: i % 4, machineType: "small", weight: 1, startedAt: startedAt,
 	}}
 	if i%5 == 4 {
-		n.kind, n.size = "large", 2
+		worker.machineType, worker.weight = "large", 2
 	}
-	n.freeAt = make([]float64, 2*int(n.size))
-	return n
+	worker.coresFreeAt = make([]float64, 2*int(worker.weight))
+	return worker
 }
 
-func (w *fleet) after(span float64, do func()) {
-	w.order++
-	heap.Push(&w.timers, timer{w.now + span, w.order, do})
+func (g *goldenFleet) after(delay float64, run func()) {
+	g.events.push(scheduledEvent{g.now + delay, run})
 }
 
-// run plays the whole scenario and gives the log.
-func (w *fleet) run() []byte {
-	for _, f := range w.fronts {
-		f.router.workers(w.now, true, true, w.list())
-		w.restoreReplicas(f)
+// run plays the scenario and returns the log.
+func (g *goldenFleet) run() []byte {
+	for _, f := range g.frontEnds {
+		f.router.start()
+		f.router.endpointSnapshot(g.now, g.endpointList())
+		g.restoreReplicas(f)
 	}
-	w.repeatedly(w.requestGap, w.sendRequest)
-	w.repeatedly(w.gapOf(w.trouble), w.changeCondition)
-	w.repeatedly(w.gapOf(w.churn), w.changeFleet)
-	w.repeatedly(w.gapOf(w.preloads), w.sendPreload)
-	end := startOfDay + w.length + 5
-	for len(w.timers) > 0 && w.timers[0].at < end {
-		next := heap.Pop(&w.timers).(timer)
-		w.now = next.at
-		next.do()
+	g.scheduleRepeatedly(g.requestInterval, g.sendRequest)
+	g.scheduleRepeatedly(g.intervalOf(g.faultRate), g.changeCondition)
+	g.scheduleRepeatedly(g.intervalOf(g.churnRate), g.changeWorker)
+	g.scheduleRepeatedly(g.intervalOf(g.preloadRate), g.preloadFunction)
+	end := startTime + g.duration + 5
+	for len(g.events) > 0 && g.events[0].at < end {
+		event := g.events.pop()
+		g.now = event.at
+		event.run()
 	}
-	return w.log
+	return g.log
 }
 
-func (w *fleet) gapOf(rate float64) func() float64 {
+// intervalOf returns a function that draws the interval to the next event of a rate.
+func (g *goldenFleet) intervalOf(rate float64) func() float64 {
 	return func() float64 {
 		if rate == 0 {
-			return w.length
+			return g.duration
 		}
-		return w.random.skewed(1 / rate)
+		return g.random.skewed(1 / rate)
 	}
 }
 
-func (w *fleet) requestGap() float64 {
-	rate := w.rate
-	if w.burst > 0 && int(w.now)%5 == 0 {
-		rate *= w.burst
+func (g *goldenFleet) requestInterval() float64 {
+	rate := g.requestRate
+	if g.burstFactor > 0 && int(g.now)%5 == 0 {
+		rate *= g.burstFactor
 	}
-	return w.random.skewed(1 / rate)
+	return g.random.skewed(1 / rate)
 }
 
-func (w *fleet) repeatedly(gap func() float64, do func()) {
-	w.after(gap(), func() {
-		if w.now < startOfDay+w.length {
-			do()
-			w.repeatedly(gap, do)
+func (g *goldenFleet) scheduleRepeatedly(interval func() float64, run func()) {
+	g.after(interval(), func() {
+		if g.now < startTime+g.duration {
+			run()
+			g.scheduleRepeatedly(interval, run)
 		}
 	})
 }
 
-func (w *fleet) list() []simulatedWorker {
-	var list []simulatedWorker
-	for _, n := range w.nodes {
-		if n.state != stateGone {
-			list = append(list, n.simulatedWorker)
+func (g *goldenFleet) endpointList() []goldenEndpoint {
+	var list []goldenEndpoint
+	for _, worker := range g.workers {
+		if worker.state != stateRemoved {
+			list = append(list, worker.goldenEndpoint)
 		}
 	}
 	return list
 }
 
-func (w *fleet) node(id string) *node {
-	for _, n := range w.nodes {
-		if n.id == id {
-			return n
+func (g *goldenFleet) workerByID(id string) *goldenWorker {
+	for _, worker := range g.workers {
+		if worker.id == id {
+			return worker
 		}
 	}
-	panic("the router names an unknown worker " + id)
+	panic("the router called an unknown worker " + id)
 }
 
-// announce tells each router of a change, a little apart, by a full list or by the changed line.
-func (w *fleet) announce(n *node) {
-	for _, f := range w.fronts {
-		full := w.random.happens(0.5)
-		w.after(0.05+w.random.part()/5, func() {
-			if full {
-				f.router.workers(w.now, true, false, w.list())
+// sendEndpointUpdates sends each router a snapshot or a delta with the change, with a random delay for each.
+func (g *goldenFleet) sendEndpointUpdates(changed *goldenWorker) {
+	for _, f := range g.frontEnds {
+		isSnapshot := g.random.happens(0.5)
+		g.after(0.05+g.random.fraction()/5, func() {
+			if isSnapshot {
+				f.router.endpointSnapshot(g.now, g.endpointList())
 			} else {
-				f.router.workers(w.now, false, false, []simulatedWorker{n.simulatedWorker})
+				f.router.endpointDelta(g.now, []goldenEndpoint{changed.goldenEndpoint})
 			}
 		})
 	}
-	if w.random.happens(0.1) {
-		w.fronts[w.random.below(len(w.fronts))].router.listFailed(w.now)
+	if g.random.happens(0.1) {
+		g.frontEnds[g.random.below(len(g.frontEnds))].router.endpointPollFailed(g.now)
 	}
 }
 
-func (w *fleet) restoreReplicas(f *front) {
-	for range w.recalls {
-		n, req := w.nodes[w.random.below(len(w.nodes))], w.newRequest()
-		if w.random.happens(0.8) {
-			n.readyAt[req.function] = w.now
+func (g *goldenFleet) restoreReplicas(f *goldenFrontEnd) {
+	for range g.restoredReplicas {
+		worker, req := g.workers[g.random.below(len(g.workers))], g.newRequest()
+		if g.random.happens(0.8) {
+			worker.replicasReadyAt[req.function] = g.now
 		}
-		f.router.recall(w.now, req, n.id, w.random.part()*w.keepWarm*1.3)
+		f.router.restoreReplica(g.now, req, worker.id, g.random.fraction()*g.idleReplicaLifetime*1.3)
 	}
 }
 
-func (w *fleet) newRequest() simulatedRequest {
-	w.requests++
-	kind := requestTypes[w.random.below(len(requestTypes))]
-	req := simulatedRequest{id: "q" + strconv.Itoa(w.requests), kind: kind.name, retried: w.random.happens(w.retried)}
-	req.limit = kind.limit * max(w.random.part(), 0.02)
-	if w.only != "" {
-		req.kind = w.only
-	} else if w.random.happens(0.02) {
-		req.kind = "unstated"
+func (g *goldenFleet) newRequest() simulatedRequest {
+	g.requestsSent++
+	class := requestClasses[g.random.below(len(requestClasses))]
+	req := simulatedRequest{id: "q" + strconv.Itoa(g.requestsSent), class: class.name, retried: g.random.happens(g.retryFraction)}
+	req.timeLeft = class.timeout * max(g.random.fraction(), 0.02)
+	if g.onlyClass != "" {
+		req.class = g.onlyClass
+	} else if g.random.happens(0.02) {
+		req.class = "unknown"
 	}
-	number := w.random.below(1 + w.random.below(w.functions))
-	if w.random.happens(w.hot) {
-		number = 0
+	function := g.random.below(1 + g.random.below(g.functionCount))
+	if g.random.happens(g.hotFraction) {
+		function = 0
 	}
-	req.function, req.lanes = "f"+strconv.Itoa(number), number%4
-	if w.loadTold {
-		req.loadTime = w.loadTime
+	req.function, req.concurrency = "f"+strconv.Itoa(function), function%4
+	if g.loadTimeKnown {
+		req.loadTime = g.loadTime
 	}
 	return req
 }
 
-func (w *fleet) sendRequest() {
-	f, req := w.fronts[w.random.below(len(w.fronts))], w.newRequest()
-	f.requests[req.id] = &pending{simulatedRequest: req}
-	if w.random.happens(w.hangUps) {
-		w.after(w.random.skewed(w.serviceTime), func() { f.hangUp(req.id) })
+func (g *goldenFleet) sendRequest() {
+	f, req := g.frontEnds[g.random.below(len(g.frontEnds))], g.newRequest()
+	f.requests[req.id] = &openRequest{simulatedRequest: req}
+	if g.random.happens(g.cancelFraction) {
+		g.after(g.random.skewed(g.serviceTime), func() { f.cancel(req.id) })
 	}
-	f.router.request(w.now, req)
+	f.router.request(g.now, req)
 }
 
-func (w *fleet) sendPreload() {
-	f, req := w.fronts[w.random.below(len(w.fronts))], w.newRequest()
-	f.line("preload", req.function, strconv.FormatBool(f.router.preload(w.now, req)))
+func (g *goldenFleet) preloadFunction() {
+	f, req := g.frontEnds[g.random.below(len(g.frontEnds))], g.newRequest()
+	f.logCall("preload", req.function, strconv.FormatBool(f.router.preload(g.now, req)))
 }
 
-func (w *fleet) changeCondition() {
-	n := w.nodes[w.random.below(len(w.nodes))]
-	n.condition = condition(w.random.below(int(conditions)))
-	if w.always != well {
-		n.condition = w.always
+func (g *goldenFleet) changeCondition() {
+	worker := g.workers[g.random.below(len(g.workers))]
+	worker.condition = workerCondition(g.random.below(int(conditionCount)))
+	if g.onlyCondition != healthy {
+		worker.condition = g.onlyCondition
 	}
-	spell := 3.0
-	if w.spell > 0 {
-		spell = w.spell
+	meanDuration := 3.0
+	if g.meanFaultDuration > 0 {
+		meanDuration = g.meanFaultDuration
 	}
-	w.after(1+w.random.skewed(spell), func() { n.condition = well })
+	g.after(1+g.random.skewed(meanDuration), func() { worker.condition = healthy })
 }
 
-// changeFleet drains, crashes, restarts, resizes or adds a worker.
-func (w *fleet) changeFleet() {
-	n := w.nodes[w.random.below(len(w.nodes))]
-	change := w.random.below(5)
-	if w.restarts {
+// changeWorker drains, crashes, restarts, resizes or adds a worker.
+func (g *goldenFleet) changeWorker() {
+	worker := g.workers[g.random.below(len(g.workers))]
+	change := g.random.below(5)
+	if g.onlyRestarts {
 		change = 2
 	}
 	switch change {
 	case 0:
-		n.state = stateDraining
-		w.after(1+w.random.part(), func() { w.remove(n) })
+		worker.state = stateDraining
+		g.after(1+g.random.fraction(), func() { g.removeWorker(worker) })
 	case 1:
-		w.remove(n)
+		g.removeWorker(worker)
 	case 2:
-		n.started, n.state, n.condition, n.readyAt = w.now, stateServing, well, map[string]float64{}
+		worker.startedAt, worker.state, worker.condition = g.now, stateServing, healthy
+		worker.replicasReadyAt = map[string]float64{}
 	case 3:
-		n.size = 0.5 + w.random.part()
+		worker.weight = 0.5 + g.random.fraction()
 	case 4:
-		n = w.newNode(w.now)
-		w.nodes = append(w.nodes, n)
+		worker = g.newWorker(g.now)
+		g.workers = append(g.workers, worker)
 	}
-	w.announce(n)
+	g.sendEndpointUpdates(worker)
 }
 
-// remove ends a worker; most are replaced under a new name.
-func (w *fleet) remove(n *node) {
-	n.state = stateGone
-	w.announce(n)
-	if w.random.happens(0.8) {
-		w.after(w.random.part(), func() {
-			fresh := w.newNode(w.now)
-			w.nodes = append(w.nodes, fresh)
-			w.announce(fresh)
+// removeWorker removes a worker. Most are replaced by a new worker with a new ID.
+func (g *goldenFleet) removeWorker(worker *goldenWorker) {
+	worker.state = stateRemoved
+	g.sendEndpointUpdates(worker)
+	if g.random.happens(0.8) {
+		g.after(g.random.fraction(), func() {
+			replacement := g.newWorker(g.now)
+			g.workers = append(g.workers, replacement)
+			g.sendEndpointUpdates(replacement)
 		})
 	}
 }
--- a/control/outlier_ejection_test.go
+++ b/control/outlier_ejection_test.go
@@ -9,9 +9,9 @@
 // TestOldLatencyLapses checks that one old slow answer does not exclude a replica for good, though a request of
 // ours is still there.
 func TestOldLatencyLapses(t *testing.T) {
-	w := newWorld(1, plainDeployment(), 4)
-	w.sendSteadily(1, 0.2, 4)
-	r := w.frontEnds[0].router
+	fleet := newSimulatedFleet(1, basicDeployment(), 4)
+	fleet.sendAtInterval(1, 0.2, 4)
+	r := fleet.frontEnds[0].router
 	fn := r.functionsByID["f0"]
 	rep := &fn.replicas[0]
 	rep.inFlight, rep.recentLatency, rep.lastLatencyAt = 1, 3*fn.medianLatency, r.now
@@ -26,18 +26,18 @@
 
 // TestEjectedFractionIsBounded checks that no more than the stated fraction is ejected when all workers fail.
 func TestEjectedFractionIsBounded(t *testing.T) {
-	w := newWorld(3, plainDeployment(), 10)
-	w.sendSteadily(20, 0.02, 3)
-	for _, m := range w.machines {
+	fleet := newSimulatedFleet(3, basicDeployment(), 10)
+	fleet.sendAtInterval(20, 0.02, 3)
+	for _, m := range fleet.workers {
 		m.condition = failing
 	}
-	f := w.frontEnds[0]
+	f := fleet.frontEnds[0]
 	for i := range 100 {
-		f.send(RequestID(strconv.Itoa(i)), FunctionID(fmt.Sprint("f", i%20)), w.deployment.RequestClasses[0], 3)
-		w.step(0.02)
+		f.sendRequest(RequestID(strconv.Itoa(i)), FunctionID(fmt.Sprint("f", i%20)), fleet.deployment.RequestClasses[0], 3)
+		fleet.advance(0.02)
 		ejected := 0
 		for _, worker := range f.router.workers {
-			if worker.ejectedUntil > w.now {
+			if worker.ejectedUntil > fleet.now {
 				ejected++
 			}
 		}
@@ -52,7 +52,7 @@
 func TestHeavyRequestsAreNotSlowReplicas(t *testing.T) {
 	for _, heavyOneIn := range []int{5, 1} {
 		t.Run(fmt.Sprint("one heavy in ", heavyOneIn), func(t *testing.T) {
-			r := newWorld(1, plainDeployment(), 2).frontEnds[0].router
+			r := newSimulatedFleet(1, basicDeployment(), 2).frontEnds[0].router
 			fn := r.functionOf(Request{Function: "f"})
 			rep := fn.ensureReplica(r.workers[0])
 			for range 50 {
@@ -97,7 +97,7 @@
 		{"just less than a twentieth ejected", 1, 0.5, 2, 21, 1, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newWorld(1, plainDeployment(), c.workers).frontEnds[0].router
+			r := newSimulatedFleet(1, basicDeployment(), c.workers).frontEnds[0].router
 			r.now = 128 // with the figures below exact in binary
 			w := r.workers[0]
 			for i := range c.functions {
@@ -119,7 +119,7 @@
 // TestSlownessLapsesAtItsBounds checks that a latency of the age of the span, and one equal to the expected latency,
 // do not make a replica slow.
 func TestSlownessLapsesAtItsBounds(t *testing.T) {
-	r := newWorld(1, plainDeployment(), 1).frontEnds[0].router
+	r := newSimulatedFleet(1, basicDeployment(), 1).frontEnds[0].router
 	r.now = 128
 	fn := r.functionOf(Request{Function: "f"})
 	rep := fn.ensureReplica(r.workers[0])
@@ -137,15 +137,15 @@
 
 // TestRestartForgetsLatencies checks that a worker's new process starts without the latencies of the old one.
 func TestRestartForgetsLatencies(t *testing.T) {
-	w := newWorld(1, plainDeployment(), 2)
-	f := w.frontEnds[0]
+	fleet := newSimulatedFleet(1, basicDeployment(), 2)
+	f := fleet.frontEnds[0]
 	fn := f.router.functionOf(Request{Function: "f"})
 	for _, worker := range f.router.workers {
 		rep := fn.ensureReplica(worker)
 		rep.warm, rep.recentLatency, rep.slowSince = true, 2, 100
 	}
-	w.machines[0].restart(w.now)
-	f.announce(false)
+	fleet.workers[0].restart(fleet.now)
+	f.sendEndpointList(false)
 	restarted, other := fn.replicaOn(f.router.workers[0]), fn.replicaOn(f.router.workers[1])
 	if restarted.warm || restarted.recentLatency != 0 || restarted.slowSince != 0 {
 		t.Errorf("the restarted worker keeps %+v", *restarted)
--- a/control/replica_loading_test.go
+++ b/control/replica_loading_test.go
@@ -8,12 +8,12 @@
 // TestLostConnectionsAndSlowStores checks that a lost connection says nothing of the replicas there, nor a slow store
 // of its worker, and that a load on a silent worker is abandoned.
 func TestLostConnectionsAndSlowStores(t *testing.T) {
-	w := newWorld(9, plainDeployment(), 3)
-	w.sendSteadily(1, 0.2, 3)
-	f := w.frontEnds[0]
+	fleet := newSimulatedFleet(9, basicDeployment(), 3)
+	fleet.sendAtInterval(1, 0.2, 3)
+	f := fleet.frontEnds[0]
 	r, fn := f.router, f.router.functionsByID["f0"]
-	req := f.send("x", "f0", w.deployment.RequestClasses[0], 3)
-	f.end(req, req.attempts[0], 0, ConnectionLost)
+	req := f.sendRequest("x", "f0", fleet.deployment.RequestClasses[0], 3)
+	f.endAttempt(req, req.attempts[0], 0, ConnectionLost)
 	if !r.isWarm(&fn.replicas[0]) {
 		t.Error("a replica is forgotten for a lost connection")
 	}
@@ -33,14 +33,14 @@
 // TestLostReplicasSlowLoads checks that replicas which were believed warm and are gone raise the loss rate, by which
 // loads beside others wait longer.
 func TestLostReplicasSlowLoads(t *testing.T) {
-	w := newWorld(10, plainDeployment(), 4)
-	w.sendSteadily(2, 0.1, 4)
-	for _, m := range w.machines {
-		m.dropReplicas()
+	fleet := newSimulatedFleet(10, basicDeployment(), 4)
+	fleet.sendAtInterval(2, 0.1, 4)
+	for _, m := range fleet.workers {
+		m.evictReplicas()
 	}
-	before := w.frontEnds[0].router.replicaMissRate
-	w.sendSteadily(2, 0.1, 1)
-	if w.frontEnds[0].router.replicaMissRate <= before {
+	before := fleet.frontEnds[0].router.replicaMissRate
+	fleet.sendAtInterval(2, 0.1, 1)
+	if fleet.frontEnds[0].router.replicaMissRate <= before {
 		t.Errorf("the replica loss rate stays at %g", before)
 	}
 }
@@ -48,22 +48,22 @@
 // TestPreload checks that a preloaded function is there when it is requested, that a replica, a pending load and a
 // used ration get no load command, and that no attempt is started.
 func TestPreload(t *testing.T) {
-	d := plainDeployment()
+	d := basicDeployment()
 	d.LoadCommandWindow, d.LoadCommandAllowance = 5, 2
-	w := newWorld(4, d, 3)
-	f := w.frontEnds[0]
-	w.step(0.1)
+	fleet := newSimulatedFleet(4, d, 3)
+	f := fleet.frontEnds[0]
+	fleet.advance(0.1)
 	preload := func(fn FunctionID) bool {
-		return f.router.Preload(w.now, Request{Class: "free", Function: fn, Concurrency: 1, LoadTime: 0.5})
+		return f.router.Preload(fleet.now, Request{Class: "free", Function: fn, Concurrency: 1, LoadTime: 0.5})
 	}
 	if !preload("f0") || preload("f0") {
 		t.Fatal("one load command is wanted, not none or two")
 	}
-	w.steps(200)
-	if preload("f0") || w.countReplicas() != 1 {
+	fleet.advanceSteps(200)
+	if preload("f0") || fleet.countReplicas() != 1 {
 		t.Fatal("a load command though there is a replica")
 	}
-	req := f.send("e", "f0", d.RequestClasses[0], 3)
+	req := f.sendRequest("e", "f0", d.RequestClasses[0], 3)
 	if len(req.attempts) != 1 {
 		t.Fatal("the request had to wait")
 	}
@@ -71,7 +71,7 @@
 	if preload("f2") {
 		t.Fatal("a load command past the ration")
 	}
-	w.checkRules(t)
+	fleet.checkInvariants(t)
 }
 
 // TestFullReplicaDoesNotKeepThePause checks that a replica whose worker has no capacity is no reason to reject
@@ -79,9 +79,9 @@
 func TestFullReplicaDoesNotKeepThePause(t *testing.T) {
 	for _, storeIsSlow := range []bool{false, true} {
 		t.Run(fmt.Sprint("slow store ", storeIsSlow), func(t *testing.T) {
-			w := newWorld(1, plainDeployment(), 2)
-			f := w.frontEnds[0]
-			w.sendSteadily(1, 0.1, 2)
+			fleet := newSimulatedFleet(1, basicDeployment(), 2)
+			f := fleet.frontEnds[0]
+			fleet.sendAtInterval(1, 0.1, 2)
 			fn := f.router.functionsByID["f0"]
 			fn.loadCooldownUntil, fn.lastRequestAt = f.router.now+9, f.router.now
 			for _, worker := range f.router.workers {
@@ -93,7 +93,7 @@
 			if storeIsSlow {
 				f.router.loadSlowdown = 2
 			}
-			f.send("late", "f0", w.deployment.RequestClasses[0], 3)
+			f.sendRequest("late", "f0", fleet.deployment.RequestClasses[0], 3)
 			if loads := fn.pendingLoadOn != nil; loads == storeIsSlow {
 				t.Errorf("loads another replica: %v", loads)
 			}
@@ -106,11 +106,11 @@
 func TestNoWaitBehindASlowStore(t *testing.T) {
 	for _, loadSlowdown := range []float64{1, 20} {
 		t.Run(fmt.Sprint("load slowdown ", loadSlowdown), func(t *testing.T) {
-			w := newWorld(1, plainDeployment(), 2)
-			f := w.frontEnds[0]
+			fleet := newSimulatedFleet(1, basicDeployment(), 2)
+			f := fleet.frontEnds[0]
 			f.router.loadSlowdown = loadSlowdown
 			f.requests["e"] = &clientRequest{}
-			f.router.OnRequest(w.now, Request{ID: "e", Class: "free", Function: "f", TimeLeft: 3, LoadTime: 0.5})
+			f.router.OnRequest(fleet.now, Request{ID: "e", Class: "free", Function: "f", TimeLeft: 3, LoadTime: 0.5})
 			waits, loads := f.router.requests["e"] != nil, f.router.functionsByID["f"].pendingLoadOn != nil
 			if waits != (loadSlowdown == 1) || !loads {
 				t.Errorf("waits %v, loads %v", waits, loads)
@@ -124,13 +124,13 @@
 func TestLoadsLeaveADeadWorker(t *testing.T) {
 	for _, outcome := range []Outcome{Unreachable, ConnectionLost, Rejected} {
 		t.Run(fmt.Sprint("outcome ", outcome), func(t *testing.T) {
-			w := newWorld(1, plainDeployment(), 3)
-			f := w.frontEnds[0]
+			fleet := newSimulatedFleet(1, basicDeployment(), 3)
+			f := fleet.frontEnds[0]
 			f.requests["e"] = &clientRequest{}
-			f.router.OnRequest(w.now, Request{ID: "e", Class: "free", Function: "f", TimeLeft: 3})
+			f.router.OnRequest(fleet.now, Request{ID: "e", Class: "free", Function: "f", TimeLeft: 3})
 			fn := f.router.functionsByID["f"]
 			dead := fn.pendingLoadOn
-			f.router.OnLoadResult(w.now+0.001, LoadResult{Worker: dead.id, Function: "f", Outcome: outcome, Duration: 0.001})
+			f.router.OnLoadResult(fleet.now+0.001, LoadResult{Worker: dead.id, Function: "f", Outcome: outcome, Duration: 0.001})
 			if fn.pendingLoadOn == nil || fn.pendingLoadOn == dead {
 				t.Errorf("the load goes from %v to %v", dead, fn.pendingLoadOn)
 			}
--- a/control/rules_test.go
+++ b/control/rules_test.go
@@ -12,68 +12,68 @@
 // checks the five rules on each call.
 func TestRulesHold(t *testing.T) {
 	holds := func(seed int64) bool {
-		w := playRandomDay(seed)
-		if w.violation != "" {
-			t.Logf("seed %d: %s", seed, w.violation)
+		fleet := runRandomScenario(seed)
+		if fleet.violation != "" {
+			t.Logf("seed %d: %s", seed, fleet.violation)
 		}
-		return w.violation == ""
+		return fleet.violation == ""
 	}
 	if err := quick.Check(holds, &quick.Config{MaxCount: 150, Rand: rand.New(rand.NewSource(1))}); err != nil {
 		t.Error(err)
 	}
 }
 
-func playRandomDay(seed int64) *world {
+func runRandomScenario(seed int64) *simulatedFleet {
 	rnd := rand.New(rand.NewSource(seed))
-	w := newWorld(seed, randomDeployment(rnd), 1+rnd.Intn(8))
+	fleet := newSimulatedFleet(seed, randomDeployment(rnd), 1+rnd.Intn(8))
 	requests, rate := 0, 0.1+rnd.Float64()*0.5
 	for step := range 1500 {
-		w.step(0.01)
+		fleet.advance(0.01)
 		if step < 1000 && rnd.Float64() < rate {
-			f := w.frontEnds[rnd.Intn(1+rnd.Intn(len(w.frontEnds)))]
-			class := w.deployment.RequestClasses[rnd.Intn(len(w.deployment.RequestClasses))]
+			f := fleet.frontEnds[rnd.Intn(1+rnd.Intn(len(fleet.frontEnds)))]
+			class := fleet.deployment.RequestClasses[rnd.Intn(len(fleet.deployment.RequestClasses))]
 			requests++
 			fn := FunctionID(strconv.Itoa(rnd.Intn(1 + rnd.Intn(12))))
-			f.send(RequestID(strconv.Itoa(requests)), fn, class, class.Timeout*max(rnd.Float64(), 0.01))
+			f.sendRequest(RequestID(strconv.Itoa(requests)), fn, class, class.Timeout*max(rnd.Float64(), 0.01))
 		}
-		if m := w.machines[rnd.Intn(len(w.machines))]; rnd.Intn(60) == 0 {
-			m.change(rnd, w.now)
-			for _, f := range w.frontEnds {
-				w.after(rnd.Float64(), func() { f.announce(false) })
+		if m := fleet.workers[rnd.Intn(len(fleet.workers))]; rnd.Intn(60) == 0 {
+			m.changeRandomly(rnd, fleet.now)
+			for _, f := range fleet.frontEnds {
+				fleet.after(rnd.Float64(), func() { f.sendEndpointList(false) })
 			}
 		}
 	}
-	w.checkNothingIsLeft()
-	return w
+	fleet.checkNoStateLeft()
+	return fleet
 }
 
-// change gives a machine another condition or state, or a new process.
-func (m *machine) change(rnd *rand.Rand, now float64) {
+// changeRandomly gives a machine another condition or state, or a new process.
+func (m *simulatedWorker) changeRandomly(rnd *rand.Rand, now float64) {
 	switch rnd.Intn(8) {
 	case 0, 1, 2, 3:
-		m.condition = condition(rnd.Intn(int(cutOff) + 1))
+		m.condition = workerCondition(rnd.Intn(int(partitioned) + 1))
 	case 4:
 		m.State = Draining
 	case 5:
 		m.State = Removed
 	default:
-		m.State, m.condition = Serving, well
+		m.State, m.condition = Serving, healthy
 		m.restart(now)
-		m.dropReplicas()
+		m.evictReplicas()
 		m.attemptTimes = nil
 	}
 }
 
-func (w *world) checkNothingIsLeft() {
-	for _, f := range w.frontEnds {
+func (s *simulatedFleet) checkNoStateLeft() {
+	for _, f := range s.frontEnds {
 		for id, req := range f.requests {
-			if req.answers != 1 {
-				w.fault("request %s has %d answers", id, req.answers)
+			if req.responses != 1 {
+				s.recordViolation("request %s has %d answers", id, req.responses)
 			}
 		}
 		r := f.router
 		if len(r.requests)+len(r.requestsByTimerID)+len(r.pending) > 0 {
-			w.fault("state is left over: %d %d %d", len(r.requests), len(r.requestsByTimerID), len(r.pending))
+			s.recordViolation("state is left over: %d %d %d", len(r.requests), len(r.requestsByTimerID), len(r.pending))
 		}
 	}
 }
@@ -83,21 +83,21 @@
 func TestRequestsWithoutCapacity(t *testing.T) {
 	for _, machines := range []int{0, 3} {
 		t.Run(fmt.Sprint(machines, " machines"), func(t *testing.T) {
-			w := newWorld(7, plainDeployment(), machines)
-			for _, m := range w.machines {
-				m.condition = refusing
+			fleet := newSimulatedFleet(7, basicDeployment(), machines)
+			for _, m := range fleet.workers {
+				m.condition = rejecting
 			}
-			f := w.frontEnds[0]
+			f := fleet.frontEnds[0]
 			for i := range 500 {
-				f.send(RequestID(strconv.Itoa(i)), "big", w.deployment.RequestClasses[0], []float64{0.001, 3}[i%2])
+				f.sendRequest(RequestID(strconv.Itoa(i)), "big", fleet.deployment.RequestClasses[0], []float64{0.001, 3}[i%2])
 			}
-			w.steps(150)
+			fleet.advanceSteps(150)
 			for id, req := range f.requests {
-				if req.answers != 1 {
-					t.Errorf("request %s has %d answers after half its time", id, req.answers)
+				if req.responses != 1 {
+					t.Errorf("request %s has %d answers after half its time", id, req.responses)
 				}
 			}
-			w.checkRules(t)
+			fleet.checkInvariants(t)
 			if len(f.loadTimes) > 20 {
 				t.Errorf("%d load commands", len(f.loadTimes))
 			}
