--- a/control/function.go
+++ b/control/function.go
@@ -8,7 +8,7 @@
 	hash           uint64
 	concurrency    int     // requests that one replica serves concurrently
 	inFlight       int     // attempts of this front end
-	loadTime       float64 // usual duration of a replica load; 0 if unknown
+	loadTime       float64 // expected duration of a replica load; 0 if unknown
 	medianLatency  float64 // running estimate; 0 before the first sample
 	lastRequestAt  float64
 	replicas       []replica
--- a/control/golden_fleet_test.go
+++ b/control/golden_fleet_test.go
@@ -105,7 +105,7 @@
 	requestRate                                  float64 // over all routers
 	burstFactor                                  float64 // factor on the request rate in every fifth second
 	serviceTime, loadTime                        float64
-	loadTimeKnown                                bool // requests state the usual load time
+	loadTimeKnown                                bool // requests state the expected load time
 	pollsEndpoints                               bool
 	noLoadOnMiss                                 bool
 	loadCommandsAllowed, gossipAllowed           bool
--- a/control/golden_front_end_test.go
+++ b/control/golden_front_end_test.go
@@ -10,10 +10,10 @@
 // openRequest is a request of a client, with the progress that its front end has made.
 type openRequest struct {
 	simulatedRequest
-	attempts           int
-	attemptStartedAt   float64
-	worker             *goldenWorker
-	inFlight, answered bool
+	attempts            int
+	attemptStartedAt    float64
+	worker              *goldenWorker
+	inFlight, completed bool
 }
 
 // goldenFrontEnd is the host of one router in the golden fleet. It logs each call of the router and simulates its
@@ -28,10 +28,10 @@
 // cancel closes a request because its client has disconnected.
 func (f *goldenFrontEnd) cancel(id string) {
 	req := f.requests[id]
-	if req.answered {
+	if req.completed {
 		return
 	}
-	req.answered = true
+	req.completed = true
 	f.router.clientCancelled(f.fleet.now, id)
 	if attempt := req.attempts; req.inFlight && f.fleet.random.happens(0.7) {
 		f.fleet.after(0.002, func() { f.endAttempt(req, attempt, cancelled, startUnknown) })
@@ -59,10 +59,10 @@
 	g, worker := f.fleet, req.worker
 	req.inFlight = false
 	if result == succeeded || result == failed && g.random.happens(0.3) {
-		req.answered = true
+		req.completed = true
 	}
 	a := attemptResult{
-		id: req.id, worker: worker.id, attempt: attempt - 1, outcome: result, completed: req.answered,
+		id: req.id, worker: worker.id, attempt: attempt - 1, outcome: result, completed: req.completed,
 		latency: g.now - req.attemptStartedAt, start: start,
 	}
 	if a.reported = result < cancelled && g.random.happens(g.loadReportFraction); a.reported {
@@ -108,12 +108,12 @@
 
 func (f *goldenFrontEnd) reject(id string, retryAfter float64) {
 	f.logCall("reject", id, formatExact(retryAfter))
-	f.requests[id].answered = true
+	f.requests[id].completed = true
 }
 
 func (f *goldenFrontEnd) fail(id string) {
 	f.logCall("fail", id)
-	f.requests[id].answered = true
+	f.requests[id].completed = true
 }
 
 // broadcast delivers a message to the other routers. Some messages are lost, truncated or corrupted.
--- a/control/host.go
+++ b/control/host.go
@@ -39,7 +39,7 @@
 	TimeLeft     float64 // time until the client's deadline
 	Concurrency  int     // requests that one replica serves concurrently
 	Memory       float64
-	LoadTime     float64 // usual duration of a replica load; 0 if unknown
+	LoadTime     float64 // expected duration of a replica load; 0 if unknown
 	ExpectedWork float64 // 0 if unknown
 	Retried      bool    // the client marked it as a retry
 }
--- a/control/replica_loading.go
+++ b/control/replica_loading.go
@@ -10,14 +10,14 @@
 	loadSlowdownWeight         = 0.2   // weight of the newest load in the load slowdown
 	maxNormalLoadSlowdown      = 1.3   // above it the artifact store is overloaded, and no load skips the cooldown
 	loadArrivalRounds          = 4.0   // rounds after which a load command is certain to have arrived
-	lostLoadRatio              = 3.0   // usual load times without any response after which a load is lost
-	minUsualLoadSeconds        = 1.0   // lower bound of the usual load time in that, also where it is unknown
+	lostLoadRatio              = 3.0   // expected load times without any response after which a load is lost
+	minExpectedLoadSeconds     = 1.0   // lower bound of the expected load time in that, also where it is unknown
 	loadBackoffSeconds         = 0.5   // time without load commands for a worker that rejected or was unreachable
 )
 
 // loadMissingReplica starts the load of a replica for the function of req, unless one is pending. While a replica is
 // in use the cooldown applies, except that it is skipped if no worker serves req now and loads take about their
-// usual time. A nil serving means that no replica can take the request.
+// expected time. A nil serving means that no replica can take the request.
 func (r *Router) loadMissingReplica(req *request, missing int, serving *worker) {
 	fn := req.function
 	if fn.pendingLoadOn != nil || req.loadWaits >= maxLoadWaits {
@@ -139,7 +139,7 @@
 			continue
 		}
 		unresponsiveFor := r.now - max(fn.loadCommandedAt, w.lastResponseAt)
-		isLost := unresponsiveFor > lostLoadRatio*max(fn.loadTime, minUsualLoadSeconds)
+		isLost := unresponsiveFor > lostLoadRatio*max(fn.loadTime, minExpectedLoadSeconds)
 		if isLost {
 			r.eject(w, maxEjectedFraction)
 		}
--- a/control/request.go
+++ b/control/request.go
@@ -23,8 +23,8 @@
 	firstExecutionOn *worker // worker of that attempt
 }
 
-// beginAttempt records the start of an attempt on w.
-func (r *Router) beginAttempt(req *request, w *worker) {
+// recordAttemptStart records the start of an attempt on w.
+func (r *Router) recordAttemptStart(req *request, w *worker) {
 	req.worker = w
 	req.attemptStartedAt = r.now
 	req.inFlight = true
@@ -34,8 +34,8 @@
 	w.inFlight = append(w.inFlight, req)
 }
 
-// endAttempt records the end of the attempt in flight and returns its replica.
-func (r *Router) endAttempt(req *request) *replica {
+// recordAttemptEnd records the end of the attempt in flight and returns its replica.
+func (r *Router) recordAttemptEnd(req *request) *replica {
 	rep := req.function.ensureReplica(req.worker)
 	req.inFlight = false
 	req.function.inFlight--
--- a/control/router.go
+++ b/control/router.go
@@ -129,7 +129,7 @@
 		return
 	}
 	w := req.worker
-	rep := r.endAttempt(req)
+	rep := r.recordAttemptEnd(req)
 	if report := result.Report; report.Known {
 		w.reportedLoad = max(report.Running+report.Waiting-float64(len(w.inFlight)), 0)
 	}
--- a/control/router_state.go
+++ b/control/router_state.go
@@ -34,7 +34,7 @@
 	requestTimes     []float64 // arrivals within the load command window
 	loadCommandTimes []float64 // load commands within the load command window
 	replicaMissRate  float64   // moving average of the fraction of attempts that found no loaded replica
-	loadSlowdown     float64   // moving average of load duration over usual load time; 0 while unknown
+	loadSlowdown     float64   // moving average of load duration over expected load time; 0 while unknown
 
 	admissionProbability float64 // probability of admitting a new request; the excess above 1 is a reserve
 	latencyP20           float64 // 20th percentile of response latency, estimated online
--- a/control/rules.go
+++ b/control/rules.go
@@ -1,13 +1,13 @@
 package control
 
-// RequestRule decides a pending request, or reports false to leave it to the next rule.
-type RequestRule func(r *Router, req *request) bool
+// requestRule decides a pending request, or reports false to leave it to the next rule.
+type requestRule func(r *Router, req *request) bool
 
-// EndpointRule updates a worker and reports whether that had an effect.
-type EndpointRule func(r *Router, w *worker) bool
+// endpointRule updates a worker and reports whether that had an effect.
+type endpointRule func(r *Router, w *worker) bool
 
 // requestRules are tried in order until one decides the request. The last one always does.
-var requestRules = []RequestRule{
+var requestRules = []requestRule{
 	(*Router).rejectUnservable,
 	(*Router).shedLoad,
 	(*Router).sendToWarmReplica,
@@ -17,7 +17,7 @@
 }
 
 // endpointRules are all applied to each worker after a tick or an endpoint update.
-var endpointRules = []EndpointRule{
+var endpointRules = []endpointRule{
 	(*Router).ejectSlowWorker,
 	(*Router).abandonLostLoads,
 }
@@ -25,14 +25,14 @@
 // applyRules applies the rules until no request is pending and no endpoint rule has an effect.
 func (r *Router) applyRules() {
 	r.updateMeanLoads()
-	for again := true; again; {
-		again = r.endpointRulesDue && r.applyEndpointRules()
-		r.endpointRulesDue = again
+	for changed := true; changed; {
+		changed = r.endpointRulesDue && r.applyEndpointRules()
+		r.endpointRulesDue = changed
 		if len(r.pending) > 0 {
 			req := r.pending[0]
 			r.pending = r.pending[1:]
 			r.applyRequestRules(req)
-			again = true
+			changed = true
 		}
 	}
 }
@@ -63,7 +63,7 @@
 		return false
 	}
 	req.awaitsLoad = !r.isWarm(req.function.replicaOn(w))
-	r.beginAttempt(req, w)
+	r.recordAttemptStart(req, w)
 	r.useSlowStartCredit(w)
 	r.host.StartAttempt(req.ID, w.id, req.deadline-r.now)
 	return true
--- a/control/view.go
+++ b/control/view.go
@@ -24,7 +24,7 @@
 	MedianLatency float64    // 0 before the first response
 	Replicas      []WorkerID // workers believed to have a warm replica
 	ReplicaAges   []float64  // time since each of them was last seen warm
-	LoadTime      float64    // usual duration of a load; 0 if unknown
+	LoadTime      float64    // expected duration of a load; 0 if unknown
 	PendingLoadOn WorkerID   // worker of the pending load; empty for none
 }
 
