--- a/cmd/streamcleat/node_process_test.go
+++ b/cmd/streamcleat/node_process_test.go
@@ -5,10 +5,8 @@
 	"bytes"
 	"fmt"
 	"io"
-	"math/rand/v2"
 	"net"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"strings"
 	"syscall"
@@ -16,189 +14,134 @@
 	"time"
 
 	"golang.org/x/sys/unix"
-)
-
-// freeAddresses are loopback addresses that nobody uses at the moment. They lie under the ports that the system gives to
-// connections: one of these could have the port by the time that it is listened at.
-func freeAddresses(t *testing.T, n int) (addrs []string) {
-	t.Helper()
-	for len(addrs) < n {
-		listener, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", 10_000+rand.IntN(2_000)))
-		if err != nil {
-			continue
-		}
-		addrs = append(addrs, listener.Addr().String())
-		if err := listener.Close(); err != nil {
-			t.Fatal(err)
-		}
-	}
-	return addrs
-}
-
-// nodeProcess is a front end as a process of its own.
-type nodeProcess struct {
-	process      *os.Process
-	documentPath string
-	stderr       bytes.Buffer // to be read once it has ended
-	done         chan error
-}
 
-// startNodeProcess runs a front end under a limit of descriptors and waits until it listens.
-func startNodeProcess(t *testing.T, document, addr string, descriptors int) *nodeProcess {
-	t.Helper()
-	node := &nodeProcess{done: make(chan error, 1)}
-	node.start(t, document, addr, fmt.Sprintf("ulimit -n %d; exec streamcleat node", descriptors), &node.stderr)
-	return node
-}
+	"streamcleat/internal/verification/nodetest"
+)
 
-// start runs a front end by a shell's command and waits until it listens.
-func (node *nodeProcess) start(t *testing.T, document, addr, command string, stderr io.Writer) {
+// startNode runs a front end by a shell command and waits until it listens.
+func startNode(t *testing.T, document, addr, command string, stderr io.Writer) *serverProcess {
 	t.Helper()
-	node.documentPath = filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(node.documentPath, []byte(document), 0o600); err != nil {
+	dir := t.TempDir()
+	path := filepath.Join(dir, "config.json")
+	if err := os.WriteFile(path, []byte(document), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cmd := exec.Command("sh", "-c", command)
-	cmd.Env = append(os.Environ(), documentVariable+"="+node.documentPath)
-	cmd.Stderr = stderr
-	if err := cmd.Start(); err != nil {
-		t.Fatal(err)
-	}
-	node.process = cmd.Process
-	go func() { node.done <- cmd.Wait() }()
-	t.Cleanup(func() { _ = node.process.Kill() }) // it has usually ended
-	for range 200 {
-		if conn, err := net.Dial("tcp", addr); err == nil {
-			closeConnection(t, conn)
-			break
-		}
-		time.Sleep(20 * time.Millisecond)
-	}
+	return startServer(t, dir, command, addr, stderr, documentVariable+"="+path)
 }
 
-// dialSilently opens connections on which nothing is sent, as many as come up.
-func dialSilently(t *testing.T, addr string, n int) {
+// startNodeWithLimit runs a front end whose process may have a number of descriptors. The log is complete once the
+// process has ended.
+func startNodeWithLimit(t *testing.T, document, addr string, descriptors int) (node *serverProcess, log *bytes.Buffer) {
 	t.Helper()
-	for range n {
-		if conn, err := net.Dial("tcp", addr); err == nil {
-			closeAtEnd(t, conn)
-		}
-	}
+	log = &bytes.Buffer{}
+	return startNode(t, document, addr, fmt.Sprintf("ulimit -n %d; exec streamcleat node", descriptors), log), log
 }
 
-// As a process under its limit of descriptors, with the journal service down from the start: hundreds of silent clients
-// keep neither usual ones nor the watch out, nor does it end of them. Told to stop it ends in order.
+// The discovery service is down from the start. Hundreds of silent connections keep neither active clients nor the watch
+// out, and do not end the process. A signal shuts it down in order.
 func TestProcessUnderItsDescriptorLimit(t *testing.T) {
 	t.Parallel()
 	const descriptors = 96
-	f := newWorkerFixture(t)
+	worker := nodetest.NewWorker(t)
 	addrs := freeAddresses(t, 2)
-	journalAddr, nodeAddr := addrs[0], addrs[1]
-	node := startNodeProcess(t, documentText(nodeAddr, journalAddr, f.worker.Addr().String(), descriptors), nodeAddr, descriptors)
+	discoveryAddr, nodeAddr := addrs[0], addrs[1]
+	document := nodetest.DocumentText(nodeAddr, discoveryAddr, worker.Addr(), descriptors)
+	node, log := startNodeWithLimit(t, document, nodeAddr, descriptors)
 	dialSilently(t, nodeAddr, 200)
-	client := dialNode(t, nodeAddr)
-	client.send("among silent ones")
-	if got := client.receive(); !strings.Contains(got, "among silent ones") {
+	client := nodetest.Dial(t, nodeAddr)
+	client.Send("among silent ones")
+	if got := client.Receive(); !strings.Contains(got, "among silent ones") {
 		t.Error(got)
 	}
-	journal, err := net.Listen("tcp", journalAddr)
+	discovery, err := net.Listen("tcp", discoveryAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, journal)
+	nodetest.CloseAtEnd(t, discovery)
 	dialSilently(t, nodeAddr, 100)
-	asked := make(chan string, 1)
+	watched := make(chan string, 1)
 	go func() {
-		if conn, err := journal.Accept(); err == nil {
-			line, _ := bufio.NewReader(conn).ReadString('\n') // one that breaks off is compared as far as it came
-			asked <- line
+		if conn, err := discovery.Accept(); err == nil {
+			line, _ := bufio.NewReader(conn).ReadString('\n') // an incomplete line is compared as it is
+			watched <- line
 		}
 	}()
 	select {
-	case line := <-asked:
+	case line := <-watched:
 		if line != "tail 1\n" {
 			t.Errorf("%q", line)
 		}
 	case <-time.After(3 * time.Second):
-		t.Error("the journal service is back and is not asked")
-	}
-	if err := node.process.Signal(syscall.SIGTERM); err != nil {
-		t.Error(err)
+		t.Error("discovery service is back and is not watched")
 	}
-	waitForExit(t, node.done)
-	if said := node.stderr.String(); strings.Contains(said, "too many open files") {
-		t.Error(said)
+	node.signal(t, syscall.SIGTERM)
+	nodetest.WaitForExit(t, node.done)
+	if text := log.String(); strings.Contains(text, "too many open files") {
+		t.Error(text)
 	}
 }
 
-// Where accept fails because the machine has no descriptor left, what is open goes on, and new clients are served once
-// there is one again.
+// While accept fails for lack of descriptors, open requests proceed, and new clients are served once there are
+// descriptors again.
 func TestProcessSurvivesAcceptErrors(t *testing.T) {
 	t.Parallel()
 	const stated, enforced = 1024, 48
-	f := newWorkerFixture(t)
+	worker := nodetest.NewWorker(t)
 	addrs := freeAddresses(t, 2)
-	journalAddr, nodeAddr := addrs[0], addrs[1]
-	node := startNodeProcess(t, documentText(nodeAddr, journalAddr, f.worker.Addr().String(), stated), nodeAddr, enforced)
-	early := dialNode(t, nodeAddr)
-	early.send("early")
-	if got := early.receive(); !strings.Contains(got, "early") {
+	discoveryAddr, nodeAddr := addrs[0], addrs[1]
+	node, _ := startNodeWithLimit(t, nodetest.DocumentText(nodeAddr, discoveryAddr, worker.Addr(), stated), nodeAddr, enforced)
+	early := nodetest.Dial(t, nodeAddr)
+	early.Send("early")
+	if got := early.Receive(); !strings.Contains(got, "early") {
 		t.Fatal(got)
 	}
-	f.silent.Store(true) // an idle connection may be closed to make room, one with a request open may not
-	early.send("open while accept fails")
-	var silent []net.Conn
-	for range 2 * enforced {
-		if conn, err := net.Dial("tcp", nodeAddr); err == nil {
-			silent = append(silent, conn)
-		}
-	}
-	if got := early.receive(); !strings.HasPrefix(got, `2/2 "\b`) {
-		t.Error("what was open does not go on:", got)
+	worker.Silent.Store(true) // an idle connection may be evicted, one with an open request may not
+	early.Send("open while accept fails")
+	silent := dialSilently(t, nodeAddr, 2*enforced)
+	if got := early.Receive(); !strings.HasPrefix(got, `2/2 "\b`) {
+		t.Error("open request does not proceed:", got)
 	}
-	f.silent.Store(false)
+	worker.Silent.Store(false)
 	for _, conn := range silent {
-		closeConnection(t, conn)
-	}
-	late := dialNode(t, nodeAddr)
-	late.send("afterwards")
-	if got := late.receive(); !strings.Contains(got, "afterwards") {
-		t.Error("nobody is served any more:", got)
+		nodetest.Close(t, conn)
 	}
-	if err := node.process.Signal(syscall.SIGTERM); err != nil {
-		t.Error(err)
+	late := nodetest.Dial(t, nodeAddr)
+	late.Send("afterwards")
+	if got := late.Receive(); !strings.Contains(got, "afterwards") {
+		t.Error("no service after accept errors:", got)
 	}
-	waitForExit(t, node.done)
+	node.signal(t, syscall.SIGTERM)
+	nodetest.WaitForExit(t, node.done)
 }
 
-// startWithLogReader runs a front end that logs much, and returns it with the end of the pipe that its log can be read
-// from. The pipe holds little.
-func startWithLogReader(t *testing.T, f *nodeFixture) (node *nodeProcess, addr string, logs *os.File) {
+// startNodeWithLogPipe runs a front end that logs much, and returns the end of a small pipe from which its log can be
+// read.
+func startNodeWithLogPipe(t *testing.T, worker *nodetest.Worker) (node *serverProcess, addr string, logs *os.File) {
 	t.Helper()
 	logs, stderr, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAtEnd(t, logs)
+	nodetest.CloseAtEnd(t, logs)
 	if _, err := unix.FcntlInt(stderr.Fd(), unix.F_SETPIPE_SZ, 4096); err != nil {
 		t.Fatal(err)
 	}
 	addrs := freeAddresses(t, 2)
-	node = &nodeProcess{done: make(chan error, 1)}
-	document := documentText(addrs[0], addrs[1], f.worker.Addr().String(), 256)
-	node.start(t, document, addrs[0], "exec streamcleat node --log debug --log-rate 100000", stderr)
+	document := nodetest.DocumentText(addrs[0], addrs[1], worker.Addr(), 256)
+	node = startNode(t, document, addrs[0], "exec streamcleat node --log debug --log-rate 100000", stderr)
 	if err := stderr.Close(); err != nil {
 		t.Error(err)
 	}
 	return node, addrs[0], logs
 }
 
-// Whoever reads the log may stop reading, or go away: service goes on.
+// A reader of the log that stalls or closes the pipe does not stop the service.
 func TestProcessOutlivesItsLogReader(t *testing.T) {
 	t.Parallel()
 	for name, leave := range map[string]func(t *testing.T, logs *os.File){
-		"stops reading": func(*testing.T, *os.File) {},
-		"goes away": func(t *testing.T, logs *os.File) {
+		"stalls": func(*testing.T, *os.File) {},
+		"closes the pipe": func(t *testing.T, logs *os.File) {
+			t.Helper()
 			if err := logs.Close(); err != nil {
 				t.Error(err)
 			}
@@ -206,70 +149,61 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := newWorkerFixture(t)
-			node, addr, logs := startWithLogReader(t, f)
+			node, addr, logs := startNodeWithLogPipe(t, nodetest.NewWorker(t))
 			leave(t, logs)
-			client := dialNode(t, addr)
-			for n := range 60 { // far more than the pipe holds is logged
+			client := nodetest.Dial(t, addr)
+			for n := range 60 { // logs far more than the pipe holds
 				body := fmt.Sprint("number ", n)
-				client.send(body)
-				if got := client.receive(); !strings.Contains(got, body) {
+				client.Send(body)
+				if got := client.Receive(); !strings.Contains(got, body) {
 					t.Fatal(n, got)
 				}
 			}
-			if err := node.process.Signal(syscall.SIGTERM); err != nil {
-				t.Error(err)
-			}
-			waitForExit(t, node.done)
+			node.signal(t, syscall.SIGTERM)
+			nodetest.WaitForExit(t, node.done)
 		})
 	}
 }
 
-// A request that came while the process was stopped has that much less time, on an open connection and on one that was
-// not accepted yet.
-func TestStoppedProcessCountsTheTime(t *testing.T) {
+// The time for which the process was suspended is part of the deadline of requests that arrived meanwhile, on an open
+// connection and on one that was not accepted yet.
+func TestProcess_DeadlineIncludesSuspendedTime(t *testing.T) {
 	t.Parallel()
-	const timeout, slack, stopped = 1500 * time.Millisecond, 150 * time.Millisecond, 300 * time.Millisecond
-	f := newWorkerFixture(t)
-	type stated struct {
-		budget time.Duration
-		at     time.Time
-	}
-	attempts := make(chan stated, 16)
-	f.handleWorkerConnections(func(conn net.Conn) {
-		f.serveOneAttempt(conn, func(frame workerFrame) { attempts <- stated{statedBudget(t, frame), time.Now()} })
+	const timeout, slack, suspended = 1500 * time.Millisecond, 150 * time.Millisecond, 300 * time.Millisecond
+	worker := nodetest.NewWorker(t)
+	type attempt struct {
+		budget     time.Duration
+		receivedAt time.Time
+	}
+	attempts := make(chan attempt, 16)
+	worker.HandleConnections(func(conn net.Conn) {
+		worker.ObserveAttempts(conn, func(frame nodetest.Frame) { attempts <- attempt{frame.Budget(t), time.Now()} })
 	})
 	addrs := freeAddresses(t, 2)
-	node := startNodeProcess(t, documentText(addrs[0], addrs[1], f.worker.Addr().String(), 256), addrs[0], 256)
-	client := dialNode(t, addrs[0])
-	client.send("warm")
-	client.receive()
+	node, _ := startNodeWithLimit(t, nodetest.DocumentText(addrs[0], addrs[1], worker.Addr(), 256), addrs[0], 256)
+	client := nodetest.Dial(t, addrs[0])
+	client.Send("warm")
+	client.Receive()
 	<-attempts
 	for range 6 {
 		time.Sleep(20 * time.Millisecond)
-		if err := node.process.Signal(syscall.SIGSTOP); err != nil {
-			t.Fatal(err)
-		}
+		node.signal(t, syscall.SIGSTOP)
 		time.Sleep(5 * time.Millisecond) // until it has taken effect
-		newcomer := dialNode(t, addrs[0])
+		newcomer := nodetest.Dial(t, addrs[0])
 		sentAt := time.Now()
-		client.send("on an open connection")
-		newcomer.send("on a new one")
-		time.Sleep(stopped)
-		if err := node.process.Signal(syscall.SIGCONT); err != nil {
-			t.Fatal(err)
-		}
+		client.Send("on an open connection")
+		newcomer.Send("on a new connection")
+		time.Sleep(suspended)
+		node.signal(t, syscall.SIGCONT)
 		for range 2 {
-			attempt := <-attempts
-			if left := timeout - attempt.at.Sub(sentAt); attempt.budget > left+slack {
-				t.Errorf("the worker is told %v, the client has %v left", attempt.budget, left)
+			a := <-attempts
+			if left := timeout - a.receivedAt.Sub(sentAt); a.budget > left+slack {
+				t.Errorf("worker gets %v, client has %v left", a.budget, left)
 			}
 		}
-		client.receive()
-		newcomer.receive()
-	}
-	if err := node.process.Signal(syscall.SIGTERM); err != nil {
-		t.Error(err)
+		client.Receive()
+		newcomer.Receive()
 	}
-	waitForExit(t, node.done)
+	node.signal(t, syscall.SIGTERM)
+	nodetest.WaitForExit(t, node.done)
 }
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// ClientLimits are what requests may name: what the deployment does, and figures that some machine could bear.
-func ClientLimits(deployment *control.Deployment, ready func() bool) *downstreamframes.Limits {
+// clientLimits are what requests may name: what the deployment does, and figures that some machine could bear.
+func clientLimits(deployment *control.Deployment, ready func() bool) *downstreamframes.Limits {
 	timeouts := map[string]float64{}
 	for _, class := range deployment.RequestClasses {
 		timeouts[class.Name] = class.Timeout
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -57,9 +57,6 @@
 	return n, nil
 }
 
-// Server returns the server that carries the node's connections.
-func (n *Node) Server() *eventloop.Server { return n.server }
-
 // Close ends the watch on the discovery service. The server is stopped by Serve, or by its own Stop.
 func (n *Node) Close() { n.discovery.Close() }
 
@@ -88,7 +85,7 @@
 func (n *Node) proxySettings(clients, workers int) proxy.Settings {
 	document := n.document
 	deployment := document.Terms.Deployment()
-	limits := ClientLimits(deployment, n.ready.Load)
+	limits := clientLimits(deployment, n.ready.Load)
 	poolLimits := upstreamLimits(document, workers)
 	settings := proxy.Settings{
 		Name:             document.Name,
--- /dev/null
+++ b/internal/verification/nodetest/client.go
@@ -0,0 +1,87 @@
+package nodetest
+
+import (
+	"encoding/binary"
+	"fmt"
+	"io"
+	"net"
+	"sync/atomic"
+	"testing"
+	"time"
+)
+
+// clientTimeout bounds everything that a client waits for.
+const clientTimeout = 5 * time.Second
+
+// WarmFunction is the function of the requests that Client.Send sends.
+const WarmFunction = "00000000000000f1"
+
+// requestCount makes request IDs unique across all tests of a process.
+var requestCount atomic.Uint64
+
+// Client is a client connection to a front end. A zero Client encodes frames but has no connection.
+type Client struct {
+	Conn net.Conn
+
+	stream uint32 // of the last request
+}
+
+// Dial connects to a front end.
+func Dial(t *testing.T, addr string) *Client {
+	t.Helper()
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	CloseAtEnd(t, conn)
+	if err := conn.SetDeadline(time.Now().Add(clientTimeout)); err != nil {
+		t.Fatal(err)
+	}
+	return &Client{Conn: conn}
+}
+
+// Send sends a request.
+func (c *Client) Send(body string) { c.SendBytes(c.Request(WarmFunction, body)) }
+
+// SendBytes sends encoded frames or parts of them.
+func (c *Client) SendBytes(data []byte) {
+	_, _ = c.Conn.Write(data) // the next Receive reports a closed connection
+}
+
+// Request encodes the next request.
+func (c *Client) Request(function, body string) []byte {
+	c.stream++
+	fields := []string{
+		"kind", "call", "req", fmt.Sprintf("%016x", requestCount.Add(1)), "timeout", "1500", "owner", "acme", "subject",
+		function, "more", "lanes:8;load_ms:50",
+	}
+	payload := []byte{1, 0, 0, 0, byte(c.stream), byte(len(fields) / 2)}
+	for i := 0; i < len(fields); i += 2 {
+		payload = append(append(payload, byte(len(fields[i]))), fields[i]...)
+		payload = append(binary.BigEndian.AppendUint16(payload, uint16(len(fields[i+1]))), fields[i+1]...)
+	}
+	payload = append(payload, body...)
+	return append(binary.BigEndian.AppendUint32(nil, uint32(len(payload))), payload...)
+}
+
+// Cancellation encodes the cancellation of the last request.
+func (c *Client) Cancellation() []byte {
+	return append([]byte{0, 0, 0, 5, 3}, binary.BigEndian.AppendUint32(nil, c.stream)...)
+}
+
+// ReadinessQuery encodes a query whether the front end accepts requests.
+func ReadinessQuery() []byte { return []byte{0, 0, 0, 6, 4, 0, 0, 0, 0, 0} }
+
+// Receive reads the next frame and formats it as type, stream and payload. Where the connection ends it returns the
+// error's text.
+func (c *Client) Receive() string {
+	head := make([]byte, 4)
+	if _, err := io.ReadFull(c.Conn, head); err != nil {
+		return err.Error()
+	}
+	payload := make([]byte, binary.BigEndian.Uint32(head))
+	if _, err := io.ReadFull(c.Conn, payload); err != nil {
+		return err.Error()
+	}
+	return fmt.Sprintf("%d/%d %q", payload[0], payload[4], payload[5:])
+}
--- /dev/null
+++ b/internal/verification/nodetest/discovery.go
@@ -0,0 +1,64 @@
+package nodetest
+
+import (
+	"bufio"
+	"fmt"
+	"net"
+	"testing"
+	"time"
+)
+
+const (
+	// positionInterval is the pause after which the discovery service repeats its position.
+	positionInterval = 300 * time.Millisecond
+	// queuedLines is the number of lines that wait for a watch.
+	queuedLines = 10
+)
+
+// Discovery is a fake discovery service. It sends each line of the test to one of its watches, and its position while it
+// has no line.
+type Discovery struct {
+	listener net.Listener
+	lines    chan string
+}
+
+// NewDiscovery starts a fake discovery service on loopback.
+func NewDiscovery(t *testing.T) *Discovery {
+	t.Helper()
+	d := &Discovery{listener: Listen(t), lines: make(chan string, queuedLines)}
+	go d.serve()
+	return d
+}
+
+// Addr returns the address on which the service listens.
+func (d *Discovery) Addr() string { return d.listener.Addr().String() }
+
+// Send sends a line to a watch.
+func (d *Discovery) Send(line string) { d.lines <- line }
+
+func (d *Discovery) serve() {
+	for {
+		conn, err := d.listener.Accept()
+		if err != nil {
+			return
+		}
+		go d.serveWatch(conn)
+	}
+}
+
+func (d *Discovery) serveWatch(conn net.Conn) {
+	defer func() { _ = conn.Close() }() // the watch has ended
+	if _, err := bufio.NewReader(conn).ReadString('\n'); err != nil {
+		return
+	}
+	for {
+		line := "1"
+		select {
+		case line = <-d.lines:
+		case <-time.After(positionInterval):
+		}
+		if _, err := fmt.Fprintln(conn, line); err != nil {
+			return
+		}
+	}
+}
--- /dev/null
+++ b/internal/verification/nodetest/frame.go
@@ -0,0 +1,98 @@
+package nodetest
+
+import (
+	"encoding/binary"
+	"hash/crc32"
+	"io"
+	"net"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Commands and replies of the platform's worker protocol.
+const (
+	CommandAttempt = 48
+	CommandLoad    = 52
+	ReplySucceeded = 64
+	ReplyFailed    = 68
+	// ReplyMark is the first byte of each reply.
+	ReplyMark = 193
+)
+
+// Fields of replies.
+const (
+	// OneReplica are the fields of a reply to a load command that left one replica loaded.
+	OneReplica = "slots_up=1"
+
+	replicaFound = "detail=hit"
+)
+
+// A frame has a head of 16 bytes (mark, code, sizes of fields and body, request ID), fields, body and checksum.
+const (
+	frameHeadSize  = 16
+	frameIDOffset  = 8
+	frameSumSize   = 4
+	fieldsSizeFrom = 2
+	bodySizeFrom   = 4
+)
+
+// Frame is a frame that a worker received.
+type Frame struct {
+	Fields []byte
+	Body   []byte
+
+	head []byte
+}
+
+// ReadFrame reads the next frame from a connection to a worker.
+func ReadFrame(conn net.Conn) (Frame, error) {
+	head := make([]byte, frameHeadSize)
+	if _, err := io.ReadFull(conn, head); err != nil {
+		return Frame{}, err
+	}
+	fieldsSize := int(binary.BigEndian.Uint16(head[fieldsSizeFrom:]))
+	bodySize := int(binary.BigEndian.Uint32(head[bodySizeFrom:]))
+	rest := make([]byte, fieldsSize+bodySize+frameSumSize)
+	if _, err := io.ReadFull(conn, rest); err != nil {
+		return Frame{}, err
+	}
+	return Frame{head: head, Fields: rest[:fieldsSize], Body: rest[fieldsSize : fieldsSize+bodySize]}, nil
+}
+
+// Command returns the frame's command.
+func (f Frame) Command() byte { return f.head[1] }
+
+// Reply returns a reply to the frame.
+func (f Frame) Reply(code byte, fields string, body []byte) []byte {
+	reply := binary.BigEndian.AppendUint16([]byte{ReplyMark, code}, uint16(len(fields)))
+	reply = binary.BigEndian.AppendUint32(reply, uint32(len(body)))
+	reply = append(reply, f.head[frameIDOffset:]...)
+	reply = append(append(reply, fields...), body...)
+	return binary.BigEndian.AppendUint32(reply, crc32.ChecksumIEEE(reply[frameHeadSize:]))
+}
+
+// CorruptReply returns a reply to the frame whose checksum is wrong.
+func (f Frame) CorruptReply(code byte, fields string, body []byte) []byte {
+	reply := f.Reply(code, fields, body)
+	checksum := reply[len(reply)-frameSumSize:]
+	binary.BigEndian.PutUint32(checksum, binary.BigEndian.Uint32(checksum)+1)
+	return reply
+}
+
+// Budget returns the time that an attempt gives its worker.
+func (f Frame) Budget(t *testing.T) time.Duration {
+	t.Helper()
+	for field := range strings.SplitSeq(string(f.Fields), ",") {
+		if text, ok := strings.CutPrefix(field, "budget="); ok {
+			milliseconds, err := strconv.Atoi(text)
+			if err != nil {
+				t.Error(err)
+			}
+			return time.Duration(milliseconds) * time.Millisecond
+		}
+	}
+	t.Errorf("no budget in %q", f.Fields)
+	return 0
+}
--- /dev/null
+++ b/internal/verification/nodetest/worker.go
@@ -0,0 +1,129 @@
+package nodetest
+
+import (
+	"net"
+	"sync/atomic"
+	"testing"
+)
+
+// repliedBuffer holds the commands of replies that a test has not looked at.
+const repliedBuffer = 64
+
+// Worker is a fake worker of the platform. It replies to attempts with their own body and to load commands with one
+// replica, unless the test has it do otherwise.
+type Worker struct {
+	// Corrupt has replies to attempts carry a wrong checksum.
+	Corrupt atomic.Bool
+	// Silent has attempts remain without a reply.
+	Silent atomic.Bool
+	// Attempts counts the attempts received.
+	Attempts atomic.Int32
+	// Replied receives the command of each reply that was sent while SetReplyCode was in force.
+	Replied chan byte
+
+	listener  net.Listener
+	replyCode atomic.Pointer[func(command byte) (code byte)]
+	intercept atomic.Pointer[func(conn net.Conn) (handled bool)]
+}
+
+// NewWorker starts a fake worker on loopback.
+func NewWorker(t *testing.T) *Worker {
+	t.Helper()
+	w := NewUnstartedWorker(Listen(t))
+	go w.serve()
+	return w
+}
+
+// NewUnstartedWorker returns a fake worker whose connections the test accepts itself.
+func NewUnstartedWorker(listener net.Listener) *Worker {
+	return &Worker{listener: listener, Replied: make(chan byte, repliedBuffer)}
+}
+
+// Addr returns the address on which the worker listens.
+func (w *Worker) Addr() string { return w.listener.Addr().String() }
+
+// Accept accepts a connection to a worker that was not started.
+func (w *Worker) Accept() (net.Conn, error) { return w.listener.Accept() }
+
+// SetReplyCode has code choose the code of each further reply. It is called before the reply is sent.
+func (w *Worker) SetReplyCode(code func(command byte) byte) { w.replyCode.Store(&code) }
+
+// InterceptConnections calls intercept with each further connection. The worker serves those for which it returns false.
+func (w *Worker) InterceptConnections(intercept func(conn net.Conn) (handled bool)) {
+	w.intercept.Store(&intercept)
+}
+
+// HandleConnections has the test handle all further connections.
+func (w *Worker) HandleConnections(handle func(conn net.Conn)) {
+	w.InterceptConnections(func(conn net.Conn) bool {
+		handle(conn)
+		return true
+	})
+}
+
+// ObserveAttempts serves a connection until it ends and calls observe with each attempt before the reply is sent.
+func (w *Worker) ObserveAttempts(conn net.Conn, observe func(frame Frame)) {
+	for {
+		frame, err := ReadFrame(conn)
+		if err != nil {
+			return
+		}
+		if frame.Command() == CommandAttempt {
+			observe(frame)
+		}
+		w.reply(conn, frame, nil)
+	}
+}
+
+// ServeConnection serves a connection until it ends, and closes it.
+func (w *Worker) ServeConnection(conn net.Conn) {
+	defer func() { _ = conn.Close() }() // the front end or the test may have closed it
+	if intercept := w.intercept.Load(); intercept != nil && (*intercept)(conn) {
+		return
+	}
+	for {
+		frame, err := ReadFrame(conn)
+		if err != nil {
+			return
+		}
+		replyCode := w.replyCode.Load()
+		if w.reply(conn, frame, replyCode) && replyCode != nil {
+			w.Replied <- frame.Command()
+		}
+	}
+}
+
+func (w *Worker) serve() {
+	for {
+		conn, err := w.listener.Accept()
+		if err != nil {
+			return
+		}
+		go w.ServeConnection(conn)
+	}
+}
+
+// reply replies to a frame, with success where replyCode is nil, and reports whether a reply was sent.
+func (w *Worker) reply(conn net.Conn, frame Frame, replyCode *func(command byte) (code byte)) bool {
+	fields, body, encode := OneReplica, []byte(nil), frame.Reply
+	switch frame.Command() {
+	case CommandAttempt:
+		w.Attempts.Add(1)
+		if w.Silent.Load() {
+			return false
+		}
+		fields, body = replicaFound, frame.Body
+	case CommandLoad:
+	default:
+		return false
+	}
+	code := byte(ReplySucceeded)
+	if replyCode != nil {
+		code = (*replyCode)(frame.Command())
+	}
+	if frame.Command() == CommandAttempt && w.Corrupt.Load() {
+		encode = frame.CorruptReply
+	}
+	_, _ = conn.Write(encode(code, fields, body)) // the front end may have closed the connection
+	return true
+}
