--- a/internal/node/kernel.go
+++ b/internal/node/kernel.go
@@ -4,5 +4,5 @@
 
 import "streamcleat/internal/syscalls"
 
-// newKernel makes the system calls of a front end.
+// newKernel returns the kernel that a front end calls.
 func newKernel() syscalls.Kernel { return syscalls.Linux{} }
--- a/internal/node/kernel_faults.go
+++ b/internal/node/kernel_faults.go
@@ -10,11 +10,11 @@
 	"streamcleat/internal/syscalls/faults"
 )
 
-// faultsVariable names the seed and the rate of the system calls that fail, as in 17:0.001. Only a program that is built
-// with the tag faults reads it.
+// faultsVariable holds the seed and the rate of injected system call failures, as in 17:0.001. It is read only by a
+// program built with the tag faults.
 const faultsVariable = "STREAMCLEAT_FAULTS"
 
-// newKernel makes the system calls of a front end, some of which fail.
+// newKernel returns a kernel that fails some calls, or none where faultsVariable does not hold a rate.
 func newKernel() syscalls.Kernel {
 	var seed uint64
 	var rate float64
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -8,60 +8,68 @@
 )
 
 const (
-	// Threads is for one core: a second thread only takes over while the event loop waits in the kernel.
+	// Threads is the value of GOMAXPROCS for a front end, which has one core: the second thread runs while the event loop
+	// waits in the kernel.
 	Threads = 2
 
 	mebibyte = 1 << 20
 
-	// heapShare is the part of the memory at which the garbage collector works hardest; the rest is for stacks, the
-	// kernel's buffers and garbage that is not collected yet.
+	// heapShare is the fraction of the memory used as the soft limit of the heap. Stacks, kernel buffers and uncollected
+	// garbage take the rest.
 	heapShare = 0.6
-	// bodyMemoryDivisor keeps a quarter of the memory for bodies of open requests.
+	// bodyMemoryDivisor reserves a quarter of the memory for bodies of open requests.
 	bodyMemoryDivisor = 4
-	// requestOverheadBytes is what an open request takes beside its body.
+	// requestOverheadBytes is the memory of an open request without its body.
 	requestOverheadBytes = 4096
-	// unreadMemoryDivisor keeps an eighth of the memory for responses that clients leave unread, on all connections
+	// unreadMemoryDivisor reserves an eighth of the memory for responses that clients have not read, on all connections
 	// together.
 	unreadMemoryDivisor = 8
-	// minUnreadBytes may be left unread on one connection in any case: less than a few frames would cut off clients
+	// minUnreadBytes is the least that each connection may leave unread. Less than a few frames would disconnect clients
 	// that read slowly.
 	minUnreadBytes = 64 << 10
 
-	// Descriptors for the listener, the loop, the journal service, datagrams, dials that were given up and have not ended,
-	// and connections that are closed as soon as they are accepted.
-	reservedDescriptors        = 24
-	reservedDescriptorsDivisor = 16 // one of so many is kept back besides
-	// upstreamDescriptorDivisor gives a third of the other descriptors to connections to workers.
+	// reservedDescriptors covers the listener, the event loop, the discovery watch, peer datagrams, abandoned dials that
+	// have not ended, and connections that are closed as soon as they are accepted.
+	reservedDescriptors = 24
+	// reservedDescriptorsDivisor reserves a sixteenth of the descriptors in addition.
+	reservedDescriptorsDivisor = 16
+	// upstreamDescriptorDivisor gives connections to workers a third of the remaining descriptors.
 	upstreamDescriptorDivisor = 3
-	// One worker gets a twentieth of the connections, but two at least: a second one while the first is busy.
-	perWorkerDivisor        = 20
+	// perWorkerDivisor limits one worker to a twentieth of the connections to workers.
+	perWorkerDivisor = 20
+	// minConnectionsPerWorker allows a second connection while the first is busy.
 	minConnectionsPerWorker = 2
 
-	// upstreamIdleShare is the part of the platform's idle time after which a connection to a worker is closed here: the
-	// worker must not close it under a request.
+	// upstreamIdleShare is the fraction of the platform's idle timeout after which the front end closes a connection, so
+	// that the worker does not close it under a request.
 	upstreamIdleShare = 0.6
 
 	millisecondsPerSecond = 1000
 )
 
-// Limits of client connections, in seconds, and of what requests may name: figures that some machine could bear.
+// Limits of a client connection; times are in seconds.
 const (
 	maxRequestsPerConnection = 32
 	firstFrameTimeout        = 2.5
 	frameArrivalTimeout      = 2
 	clientIdleTimeout        = 5
-	maxReplicaMemoryMB       = 1 << 16
-	maxReplicaConcurrency    = 256
-	maxLoadSeconds           = 600
-	maxWorkSeconds           = 600
 )
 
-// MemoryLimit is the soft limit of the heap in bytes.
+// Bounds of the values that a request may state. They reject nonsense; the deployment sets none.
+const (
+	maxReplicaMemoryMB    = 1 << 16
+	maxReplicaConcurrency = 256
+	maxLoadSeconds        = 600
+	maxWorkSeconds        = 600
+)
+
+// MemoryLimit returns the soft limit of the heap in bytes.
 func MemoryLimit(document *platform.Document) int64 {
 	return int64(document.MemoryMB * heapShare * mebibyte)
 }
 
-// maxOpenRequests is how many requests may be open: as many as the platform takes, and as their bodies fit into memory.
+// maxOpenRequests returns the maximum number of open requests: the platform's limit, or fewer where their bodies would
+// not fit into memory.
 func maxOpenRequests(document *platform.Document) int {
 	fit := int(document.MemoryMB * mebibyte / bodyMemoryDivisor / (downstreamframes.MaxBody + requestOverheadBytes))
 	return min(document.Terms.Limits.MaxOpen, fit)
@@ -74,12 +82,12 @@
 	return document.MaxDescriptors - reserved - workers, workers
 }
 
-// maxUnreadBytes is how much of its responses each of so many clients may leave unread.
+// maxUnreadBytes returns the number of response bytes that each of a number of clients may leave unread.
 func maxUnreadBytes(document *platform.Document, clients int) int {
 	return max(int(document.MemoryMB*mebibyte/unreadMemoryDivisor)/clients, minUnreadBytes)
 }
 
-// upstreamLimits are those of all connections to workers.
+// upstreamLimits returns the limits of a pool with a maximum number of connections to workers.
 func upstreamLimits(document *platform.Document, connections int) upstreamframes.Limits {
 	caps := &document.Terms.Limits
 	return upstreamframes.Limits{
@@ -92,7 +100,8 @@
 	}
 }
 
-// clientLimits are what requests may name: what the deployment does, and figures that some machine could bear.
+// clientLimits returns the limits of client connections and the classes and tenants that requests may name. A deployment
+// that lists no tenants accepts all.
 func clientLimits(deployment *control.Deployment, ready func() bool) *downstreamframes.Limits {
 	timeouts := map[string]float64{}
 	for _, class := range deployment.RequestClasses {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -15,55 +15,63 @@
 )
 
 const (
-	// discoverySilenceTimeout is the longest silence of a healthy discovery service, which sends its position every second.
+	// discoverySilenceTimeout is the silence after which the discovery watch reconnects. A healthy discovery service sends
+	// its position every second.
 	discoverySilenceTimeout = 1800 * time.Millisecond
-	// responseMargin, in seconds, is by how much a response leaves before its client stops waiting.
+	// responseMargin is the time in seconds between a response and the moment at which its client stops waiting.
 	responseMargin = 0.015
 )
 
-// Node is one front end of the platform in service.
+// Node is a running front end of the platform.
 type Node struct {
 	document  *platform.Document
 	server    *eventloop.Server
 	discovery *eventloop.DiscoveryWatch
-	ready     atomic.Bool // reported to readiness probes
+	ready     atomic.Bool // reported to readiness queries
 	log       *slog.Logger
 }
 
-// Start wires one front end of the platform: its sockets, the dispatcher, and the watch on the discovery service.
+// Start starts a front end: its sockets, its dispatcher and its discovery watch.
 func Start(document *platform.Document, log *slog.Logger) (*Node, error) {
 	n := &Node{document: document, log: log}
-	discovery := document.Discovery
 	settings := n.serverSettings()
-	// The list of the start is in force before a client's first byte is read: nothing waits for the watch.
+	// The document's endpoint list applies before the first byte of a client is read: requests do not wait for the watch.
 	settings.OnStart = func(p *proxy.Proxy) {
-		p.SetEndpointList(discovery.EndpointList(eventloop.Now(), unixSeconds(time.Now())))
+		p.SetEndpointList(n.endpointList())
 		n.ready.Store(true)
 	}
 	var err error
 	if n.server, err = eventloop.Start(settings); err != nil {
 		return nil, err
 	}
-	takeLine := func(line []byte) error {
-		changed, err := discovery.ReadLine(line)
-		if changed {
-			list := discovery.EndpointList(eventloop.Now(), unixSeconds(time.Now()))
-			// A loop that has ended needs no list; Serve reports its end.
-			_ = n.server.Post(func(p *proxy.Proxy) { p.SetEndpointList(list) })
-		}
-		return err
-	}
-	n.discovery = eventloop.StartDiscoveryWatch(document.DiscoveryAddress, discoverySilenceTimeout, discovery.ResumeRequest, takeLine, log)
+	n.discovery = eventloop.StartDiscoveryWatch(document.DiscoveryAddress, discoverySilenceTimeout,
+		document.Discovery.ResumeRequest, n.applyDiscoveryLine, log)
 	return n, nil
 }
 
-// Close ends the watch on the discovery service. The server is stopped by Serve, or by its own Stop.
+// applyDiscoveryLine applies a line of the discovery service and passes a changed endpoint list to the event loop.
+func (n *Node) applyDiscoveryLine(line []byte) error {
+	changed, err := n.document.Discovery.ReadLine(line)
+	if changed {
+		list := n.endpointList()
+		// A loop that has ended needs no list; Serve reports its end.
+		_ = n.server.Post(func(p *proxy.Proxy) { p.SetEndpointList(list) })
+	}
+	return err
+}
+
+// endpointList returns the endpoint list at the present time.
+func (n *Node) endpointList() *upstream.EndpointList {
+	return n.document.Discovery.EndpointList(eventloop.Now(), unixSeconds(time.Now()))
+}
+
+// Close ends the discovery watch. The server is stopped by Serve.
 func (n *Node) Close() { n.discovery.Close() }
 
-// unixSeconds is a time of day as workers state their starts.
+// unixSeconds returns a time as seconds since the epoch, the unit in which workers state their start.
 func unixSeconds(at time.Time) float64 { return float64(at.UnixNano()) / float64(time.Second) }
 
-// serverSettings are those of the front end's sockets and of the proxy on them.
+// serverSettings returns the settings of the event loop and of the proxy on it.
 func (n *Node) serverSettings() eventloop.Settings {
 	document := n.document
 	clients, workers := connectionLimits(document)
@@ -81,7 +89,7 @@
 	return settings
 }
 
-// proxySettings are those of a proxy with so many connections to clients and workers.
+// proxySettings returns the settings of a proxy with a maximum number of connections to clients and to workers.
 func (n *Node) proxySettings(clients, workers int) proxy.Settings {
 	document := n.document
 	deployment := document.Terms.Deployment()
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -9,15 +9,15 @@
 	"streamcleat/internal/proxy"
 )
 
-// shutdownPollInterval is how often the progress of a shutdown is looked at.
+// shutdownPollInterval is the interval at which a shutdown checks its phase.
 const shutdownPollInterval = 20 * time.Millisecond
 
-// Serve runs the front end until stop, then answers what still comes and what is open, and ends it. A reload counts in
-// all of that, also while it drains: what the new journal service tells of draining workers must not be missed. A
-// second stop changes nothing: the first has an end of its own.
+// Serve runs the front end until stop is closed, shuts it down gracefully and returns. A signal on reload has read return
+// the new document, also during the shutdown: drains announced by a new discovery service must not be missed. Serve
+// returns an error if the event loop ends by itself.
 func (n *Node) Serve(stop <-chan struct{}, reload <-chan os.Signal, read func() (*platform.Document, error)) error {
 	loopEnded := make(chan error, 1)
-	go func() { loopEnded <- n.server.Wait() }() // ends with the loop, which every return below follows or ends
+	go func() { loopEnded <- n.server.Wait() }() // returns with the loop, which has ended or is stopped at every return below
 	shutdown := platform.Shutdown{MaxRequestTimeout: n.maxRequestTimeout()}
 	var stoppedAt time.Time
 	var poll <-chan time.Time
@@ -25,7 +25,7 @@
 		select {
 		case <-reload:
 			n.reload(read)
-		case err := <-loopEnded: // else it would go on as a process that serves nobody
+		case err := <-loopEnded: // without a loop the process would run on and serve nobody
 			return fmt.Errorf("event loop on %s ended: %w", n.document.Listen, err)
 		case <-stop:
 			stop, stoppedAt = nil, time.Now()
@@ -46,49 +46,51 @@
 	}
 }
 
-// logTotals logs what the process did, and what it met that it recovered from.
+// logTotals logs the counters of the process and the errors that it recovered from.
 func (n *Node) logTotals() {
 	counts, _, _, err := n.server.Counts()
 	if err != nil {
-		return // the loop has ended, which is reported by itself
+		return // the loop has ended, which Serve reports
 	}
-	faults := n.server.RecoveredErrors()
+	recovered := n.server.RecoveredErrors()
 	closes, unanswered := map[proxy.CloseReason]uint64{}, uint64(0)
 	err = n.server.Do(func(p *proxy.Proxy) { closes, unanswered = p.Closes() })
-	n.log.Info("totals of this process", "accepted", counts.Accepted, "succeeded", counts.Succeeded, "rejected", counts.Rejected,
+	n.log.Info("process totals", "accepted", counts.Accepted, "succeeded", counts.Succeeded, "rejected", counts.Rejected,
 		"failed", counts.Failed, "cancelled", counts.Cancelled, "attempts", counts.Attempts, "timed_out", counts.TimedOut,
-		"sends_denied", counts.SendsDenied, "closes", closes, "closed_unanswered", unanswered, "accept_failures", faults.AcceptFailures,
-		"aborted_connections", faults.AbortedConnections, "registration_failures", faults.RegistrationFailures,
-		"dial_retries", faults.DialRetries, "write_retries", faults.WriteRetries, "slow_iterations", faults.SlowIterations, "error", err)
+		"sends_denied", counts.SendsDenied, "closes", closes, "closed_unanswered", unanswered, "accept_failures", recovered.AcceptFailures,
+		"aborted_connections", recovered.AbortedConnections, "registration_failures", recovered.RegistrationFailures,
+		"dial_retries", recovered.DialRetries, "write_retries", recovered.WriteRetries, "slow_iterations", recovered.SlowIterations, "error", err)
 }
 
-// maxRequestTimeout is the longest time, in seconds, that a client waits for a response.
-func (n *Node) maxRequestTimeout() (longest float64) {
+// maxRequestTimeout returns the longest timeout of a request class in seconds.
+func (n *Node) maxRequestTimeout() float64 {
+	longest := 0.0
 	for _, class := range n.document.Terms.RequestClasses {
 		longest = max(longest, class.TimeoutMs/millisecondsPerSecond)
 	}
 	return longest
 }
 
-// reload reads the document anew and moves to its journal service. A document that is faulty or another front end's
-// leaves the last one in force.
+// reload reads the document again and switches to its discovery service. An invalid document, or one of another front
+// end, changes nothing.
 func (n *Node) reload(read func() (*platform.Document, error)) {
 	next, err := read()
 	if err == nil && (next.Name != n.document.Name || next.Listen != n.document.Listen) {
-		err = fmt.Errorf("name, listen: it is %s's on %s, not %s's on %s", next.Name, next.Listen, n.document.Name, n.document.Listen)
+		err = fmt.Errorf("document is for front end %s on %s, this is %s on %s", next.Name, next.Listen, n.document.Name, n.document.Listen)
 	}
 	if err != nil {
-		n.log.Error("the document is faulty; the last one stays in force", "error", err)
+		n.log.Error("failed to reload document, keeping the previous one", "error", err)
 		return
 	}
 	n.discovery.SetAddress(next.DiscoveryAddress)
 }
 
-// advanceShutdown does what the shutdown's phase asks for and tells whether it is over.
+// advanceShutdown performs the actions of the shutdown's present phase and reports whether the shutdown is complete.
 func (n *Node) advanceShutdown(shutdown *platform.Shutdown, stoppedAt time.Time) (terminated bool, err error) {
 	err = n.server.Do(func(p *proxy.Proxy) {
 		outstanding := platform.Outstanding{Requests: !p.Idle(), UnreadResponses: p.HasClients()}
 		switch shutdown.Phase(time.Since(stoppedAt).Seconds(), outstanding) {
+		case platform.Serving, platform.Draining: // requests are still accepted
 		case platform.GoingAway:
 			p.Drain()
 		case platform.Answering:
