--- a/cmd/streamcleat/admin.go
+++ b/cmd/streamcleat/admin.go
@@ -13,47 +13,47 @@
 	"streamcleat/internal/console"
 )
 
-// Orders on the console's socket; the command of an order has the same word, except for suspend.
+// Names of appliance.Command on the console socket.
 const (
-	orderDrain   = "drain"
-	orderReturn  = "return"
-	orderUnload  = "unload"
-	orderFire    = "fire"
-	orderSuspend = "hold"
-	orderStop    = "stop"
+	actionDrain   = "drain"
+	actionReturn  = "return"
+	actionUnload  = "unload"
+	actionFire    = "fire"
+	actionSuspend = "hold"
+	actionStop    = "stop"
 )
 
 const stopPollInterval = 100 * time.Millisecond
 
-// boxCommands look at a running appliance and give it orders. Each screen of the console has one.
-func boxCommands() []*cobra.Command {
+// applianceCommands returns the commands that show a running appliance and change it. Each screen of the console has one.
+func applianceCommands() []*cobra.Command {
 	return []*cobra.Command{
 		startCommand(),
 		consoleCommand(),
 		statusCommand(),
-		listCommand("workers", "Workers as the front ends believe them to be", console.WorkerRows),
-		listCommand("handlers", "Functions that were requested lately, and where they are loaded", console.FunctionRows),
-		listCommand("events", "Requests that are open or ended lately", console.RequestRows),
-		listCommand("timers", "Timer entries with their last and next firing", func(list []appliance.ScheduleStatus) [][]string {
+		listCommand("workers", "List the workers with their state at the front ends", console.WorkerRows),
+		listCommand("handlers", "List recently requested functions and the workers on which they are loaded", console.FunctionRows),
+		listCommand("events", "List open and recently ended requests", console.RequestRows),
+		listCommand("timers", "List timer entries with their last and next firing", func(list []appliance.ScheduleStatus) [][]string {
 			return console.ScheduleRows(list, time.Now())
 		}),
 		explainCommand(),
-		orderCommand("drain WORKER", "Send a worker no new requests", orderDrain),
-		orderCommand("return WORKER", "Take back a drain: the worker is as the endpoint list says", orderReturn),
-		orderCommand("unload HANDLER", "Have workers unload idle replicas of a handler", orderUnload),
-		orderCommand("fire ENTRY", "Fire a timer entry for the present minute", orderFire),
+		actionCommand("drain WORKER", "Send a worker no new requests", actionDrain),
+		actionCommand("return WORKER", "Undo a drain: the worker's state is that of the endpoint list", actionReturn),
+		actionCommand("unload HANDLER", "Unload idle replicas of a function", actionUnload),
+		actionCommand("fire ENTRY", "Fire a timer entry for the present minute", actionFire),
 		suspendCommand("suspend"),
 		stopCommand(),
 	}
 }
 
-// clientFlags adds the flags by which an appliance is found and returns a function that makes a client of them.
+// clientFlags adds the flags that select an appliance and returns a function that creates a client from them.
 func clientFlags(cmd *cobra.Command) func() (*console.Client, error) {
 	var socket, file, name string
 	flags := cmd.Flags()
-	flags.StringVar(&socket, "socket", "", "the appliance's console socket")
-	flags.StringVarP(&file, "config", "c", "", "configuration that names the socket, in place of --socket")
-	flags.StringVar(&name, "name", fmt.Sprintf("%s-%d", cmd.Name(), os.Getppid()), "name by which other consoles see who gives orders")
+	flags.StringVar(&socket, "socket", "", "console socket of the appliance")
+	flags.StringVarP(&file, "config", "c", "", "configuration that names the socket, instead of --socket")
+	flags.StringVar(&name, "name", fmt.Sprintf("%s-%d", cmd.Name(), os.Getppid()), "name under which other consoles see this one's commands")
 	return func() (*console.Client, error) {
 		path, err := socketPath(socket, file)
 		if err != nil {
@@ -63,7 +63,7 @@
 	}
 }
 
-// socketPath finds the console's socket by flag, by the configuration or by the environment, in this order.
+// socketPath returns the console socket from the flag, the configuration or the environment, in this order.
 func socketPath(socket, configFile string) (string, error) {
 	if socket == "" && configFile != "" {
 		c, err := loadConfig(configFile)
@@ -71,7 +71,7 @@
 			return "", err
 		}
 		if c.Console == nil {
-			return "", usageError(fmt.Errorf("%s: /console: not set; it names the socket", configFile))
+			return "", usageError(fmt.Errorf("%s: /console: not set, no socket to connect to", configFile))
 		}
 		socket = c.Path(c.Console.Socket)
 	}
@@ -79,7 +79,7 @@
 		socket = os.Getenv("STREAMCLEAT_SOCKET")
 	}
 	if socket == "" {
-		return "", usageError(errors.New("which box? --socket, --config or STREAMCLEAT_SOCKET tells"))
+		return "", usageError(errors.New("no appliance selected: set --socket, --config or STREAMCLEAT_SOCKET"))
 	}
 	return socket, nil
 }
@@ -93,15 +93,15 @@
 	return err
 }
 
-// query reads something from an appliance; it returns the value and its text for people.
+// query reads a value from an appliance and returns it with a function that formats it as text.
 type query func(c *console.Client, args []string) (value any, text func() string, err error)
 
-// queryCommand is a command that reads something from the appliance and prints it.
+// queryCommand returns a command that reads a value from the appliance and prints it.
 func queryCommand(use, short string, args cobra.PositionalArgs, read query) *cobra.Command {
 	var asJSON bool
 	cmd := &cobra.Command{Use: use, Short: short, Args: args}
 	client := clientFlags(cmd)
-	cmd.Flags().BoolVar(&asJSON, "json", false, "JSON")
+	cmd.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	cmd.RunE = func(_ *cobra.Command, args []string) error {
 		c, err := client()
 		if err != nil {
@@ -118,14 +118,14 @@
 
 func statusCommand() *cobra.Command {
 	const columns = 80
-	return queryCommand("status", "The appliance at a glance", cobra.NoArgs, func(c *console.Client, _ []string) (any, func() string, error) {
+	return queryCommand("status", "Show the appliance's state and counters", cobra.NoArgs, func(c *console.Client, _ []string) (any, func() string, error) {
 		var status appliance.Status
 		err := c.Get("status", &status)
 		return status, func() string { return console.StatusText(status, columns) }, err
 	})
 }
 
-// listCommand prints the list that the appliance has under the command's name.
+// listCommand returns a command that prints the appliance's list of the command's name.
 func listCommand[T any](name, short string, rows func([]T) [][]string) *cobra.Command {
 	return queryCommand(name, short, cobra.NoArgs, func(c *console.Client, _ []string) (any, func() string, error) {
 		list := []T{}
@@ -135,59 +135,59 @@
 }
 
 func explainCommand() *cobra.Command {
-	cmd := queryCommand("explain ID", "The trace of one request: replicas known, each attempt, load and wait, and why it ended so", cobra.ExactArgs(1),
+	cmd := queryCommand("explain ID", "Show the trace of a request: known replicas, attempts, loads, waits and the cause of its outcome", cobra.ExactArgs(1),
 		func(c *console.Client, args []string) (any, func() string, error) {
 			request, err := c.Explain(args[0])
 			return request, func() string { return console.RequestText(request) }, err
 		})
-	cmd.Long = "explain takes an event's id, or source#id."
+	cmd.Long = "ID is the id of the event, or source#id."
 	return cmd
 }
 
-// orderCommand gives the appliance an order whose target is the argument.
-func orderCommand(use, short, order string) *cobra.Command {
+// actionCommand returns a command that has the appliance execute an action on the argument.
+func actionCommand(use, short, action string) *cobra.Command {
 	cmd := &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(1)}
 	client := clientFlags(cmd)
 	cmd.RunE = func(_ *cobra.Command, args []string) error {
-		return sendOrder(client, appliance.Command{Name: order, Target: args[0]})
+		return execute(client, appliance.Command{Name: action, Target: args[0]})
 	}
 	return cmd
 }
 
-// suspendCommand keeps a timer entry from firing, or lets it fire again.
-func suspendCommand(word string) *cobra.Command {
+// suspendCommand returns the command that suspends a timer entry or resumes it.
+func suspendCommand(name string) *cobra.Command {
 	var release bool
-	cmd := &cobra.Command{Use: word + " ENTRY", Short: "Suspend a timer entry; --release lets it fire again", Args: cobra.ExactArgs(1)}
+	cmd := &cobra.Command{Use: name + " ENTRY", Short: "Suspend a timer entry; --release resumes it", Args: cobra.ExactArgs(1)}
 	client := clientFlags(cmd)
-	cmd.Flags().BoolVar(&release, "release", false, "let it fire again")
+	cmd.Flags().BoolVar(&release, "release", false, "resume the entry")
 	cmd.RunE = func(_ *cobra.Command, args []string) error {
-		return sendOrder(client, appliance.Command{Name: orderSuspend, Target: args[0], Resume: release})
+		return execute(client, appliance.Command{Name: actionSuspend, Target: args[0], Resume: release})
 	}
 	return cmd
 }
 
-// sendOrder sends an order and prints the appliance's answer.
-func sendOrder(client func() (*console.Client, error), order appliance.Command) error {
+// execute has the appliance execute a command and prints its reply.
+func execute(client func() (*console.Client, error), command appliance.Command) error {
 	c, err := client()
 	if err != nil {
 		return err
 	}
-	answer, err := c.Execute(order)
+	reply, err := c.Execute(command)
 	if err != nil {
 		return err
 	}
-	fmt.Println(answer)
+	fmt.Println(reply)
 	return nil
 }
 
 func stopCommand() *cobra.Command {
 	var immediate, wait bool
-	cmd := &cobra.Command{Use: "stop", Short: "Drain the appliance and stop it; every client gets its answer", Args: cobra.NoArgs}
+	cmd := &cobra.Command{Use: "stop", Short: "Shut the appliance down gracefully; every client gets its response", Args: cobra.NoArgs}
 	client := clientFlags(cmd)
-	cmd.Flags().BoolVar(&immediate, "now", false, "answer what is open at once")
-	cmd.Flags().BoolVar(&wait, "wait", false, "return when the appliance has stopped")
+	cmd.Flags().BoolVar(&immediate, "now", false, "answer open requests at once")
+	cmd.Flags().BoolVar(&wait, "wait", false, "wait until the appliance has stopped")
 	cmd.RunE = func(*cobra.Command, []string) error {
-		if err := sendOrder(client, appliance.Command{Name: orderStop, Immediate: immediate}); err != nil || !wait {
+		if err := execute(client, appliance.Command{Name: actionStop, Immediate: immediate}); err != nil || !wait {
 			return err
 		}
 		c, err := client()
@@ -199,14 +199,14 @@
 	return cmd
 }
 
-// waitUntilStopped polls the appliance until its socket is gone.
+// waitUntilStopped polls the appliance until its socket cannot be reached.
 func waitUntilStopped(c *console.Client) error {
 	for {
 		var status appliance.Status
-		var unreached *console.UnreachableError
+		var unreachable *console.UnreachableError
 		err := c.Get("status", &status)
 		switch {
-		case errors.As(err, &unreached):
+		case errors.As(err, &unreachable):
 			fmt.Println("stopped")
 			return nil
 		case err != nil:
@@ -217,7 +217,7 @@
 }
 
 func consoleCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "console", Short: "The terminal console of a running appliance; leaving it leaves the appliance as it is", Args: cobra.NoArgs}
+	cmd := &cobra.Command{Use: "console", Short: "Open the terminal console of a running appliance; closing it does not stop the appliance", Args: cobra.NoArgs}
 	client := clientFlags(cmd)
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		c, err := client()
--- a/cmd/streamcleat/admin_test.go
+++ b/cmd/streamcleat/admin_test.go
@@ -25,20 +25,21 @@
 	"streamcleat/internal/verification/invariants"
 )
 
-// site is an appliance with fake workers that is operated from terminals only.
+// site is an appliance with fake workers that the test operates only through terminals.
 type site struct {
 	t       *testing.T
 	dir     string
 	records *invariants.Recorder
 	workers []*fakes.Worker
-	front   string
+	// frontEnd is the address of the appliance, which keeps it across restarts.
+	frontEnd string
 
 	mu       sync.Mutex
-	statuses map[string][]int // by event, 0 for a broken connection
+	statuses map[string][]int // by request ID; 0 is a broken connection
 }
 
-// freeAddress is a loopback address that nobody uses at the moment; the appliance keeps it over its restarts.
-func freeAddress(t testing.TB) string {
+// freeAddress returns a loopback address that is unused at the moment.
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,7 +51,7 @@
 
 func newSite(t *testing.T, workers int) *site {
 	t.Helper()
-	s := &site{t: t, dir: t.TempDir(), records: invariants.NewRecorder(), front: freeAddress(t), statuses: map[string][]int{}}
+	s := &site{t: t, dir: t.TempDir(), records: invariants.NewRecorder(), frontEnd: freeAddress(t), statuses: map[string][]int{}}
 	functions := fakes.Catalogue(6, 0.03, 5)
 	store := fakes.NewStore(4, 16)
 	memory := fakes.NewDeduplicator(60)
@@ -70,12 +71,12 @@
 		t.Fatal(err)
 	}
 	s.write("crontab", "0 0 1 1 * price-reset shop-001 minato %{\"reset\":1}\n")
-	s.write("box.json", fmt.Sprintf(boxConfig, s.front))
+	s.write("box.json", fmt.Sprintf(applianceConfig, s.frontEnd))
 	return s
 }
 
-// boxConfig is the configuration of a site's appliance; %q is its front end's address.
-const boxConfig = `{"name": "box-1", "listen": [%q], "workers": {"file": "workers.json"}, "stop_within_s": 3,
+// applianceConfig is the configuration of the appliance; %q is the address of its front end.
+const applianceConfig = `{"name": "box-1", "listen": [%q], "workers": {"file": "workers.json"}, "stop_within_s": 3,
 	"event_types": [{"name": "shop-event", "target_time_s": 1, "max_age_s": 3},
 		{"name": "till-entry", "target_time_s": 1, "max_age_s": 3, "repeat": "keyed", "remembered_s": 60},
 		{"name": "price-reset", "target_time_s": 1, "max_age_s": 3, "repeat": "at-most-once"}],
@@ -90,13 +91,13 @@
 	}
 }
 
-// terminal is a program on a pseudo-terminal, 80 by 24, with its screen.
+// terminal is a program on a pseudo-terminal of 80 by 24 characters with an emulated screen.
 type terminal struct {
 	t        *testing.T
 	cmd      *exec.Cmd
 	tty      *os.File
 	emulator *vt.SafeEmulator
-	ended    chan struct{}
+	exited   chan struct{}
 }
 
 func (s *site) terminal(args ...string) *terminal {
@@ -108,14 +109,14 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	x := &terminal{t: s.t, cmd: cmd, tty: tty, emulator: vt.NewSafeEmulator(80, 24), ended: make(chan struct{})}
+	x := &terminal{t: s.t, cmd: cmd, tty: tty, emulator: vt.NewSafeEmulator(80, 24), exited: make(chan struct{})}
 	go x.sendReplies()
 	go x.readOutput()
 	s.t.Cleanup(x.kill)
 	return x
 }
 
-// sendReplies hands the program what the terminal itself answers.
+// sendReplies passes the terminal's replies to the program.
 func (x *terminal) sendReplies() {
 	buf := make([]byte, 1024)
 	for {
@@ -123,33 +124,33 @@
 		if err != nil {
 			return
 		}
-		_, _ = x.tty.Write(buf[:n]) // the program may have ended
+		_, _ = x.tty.Write(buf[:n]) // the program may have exited
 	}
 }
 
-// readOutput draws what the program writes until it ends.
+// readOutput draws the program's output until it exits.
 func (x *terminal) readOutput() {
-	defer close(x.ended)
+	defer close(x.exited)
 	buf := make([]byte, 1<<16)
 	for {
 		n, err := x.tty.Read(buf)
-		_, _ = x.emulator.Write(buf[:n]) // the emulator's Write doesn't fail
+		_, _ = x.emulator.Write(buf[:n]) // the emulator's Write does not fail
 		if err != nil {
 			return
 		}
 	}
 }
 
-// kill ends the program if it still runs.
+// kill kills the program if it is still running.
 func (x *terminal) kill() {
-	_ = x.cmd.Process.Kill() // fails where the program has ended
-	_ = x.cmd.Wait()         // a killed program's status is no news
-	_ = x.tty.Close()        // nothing more is read
+	_ = x.cmd.Process.Kill() // fails if the program has exited
+	_ = x.cmd.Wait()         // the status of a killed program is not checked
+	_ = x.tty.Close()        // no more output is read
 }
 
-var escapes = regexp.MustCompile("\x1b\\[[0-9;?]*[a-zA-Z]")
+var escapeSequence = regexp.MustCompile("\x1b\\[[0-9;?]*[a-zA-Z]")
 
-func (x *terminal) screen() string { return escapes.ReplaceAllString(x.emulator.Render(), "") }
+func (x *terminal) screen() string { return escapeSequence.ReplaceAllString(x.emulator.Render(), "") }
 
 func (x *terminal) press(keys string) {
 	x.t.Helper()
@@ -158,44 +159,44 @@
 	}
 }
 
-// see waits until the screen matches a pattern.
-func (x *terminal) see(pattern string) {
+// waitFor waits until the screen matches a pattern.
+func (x *terminal) waitFor(pattern string) {
 	x.t.Helper()
 	re := regexp.MustCompile(pattern)
-	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		if re.MatchString(x.screen()) {
 			return
 		}
 	}
-	x.t.Fatalf("no %q on the screen:\n%s", pattern, x.screen())
+	x.t.Fatalf("no match of %q on the screen:\n%s", pattern, x.screen())
 }
 
-// end waits until the program has ended.
-func (x *terminal) end() {
+// waitForExit waits until the program has exited.
+func (x *terminal) waitForExit() {
 	x.t.Helper()
 	select {
-	case <-x.ended:
+	case <-x.exited:
 	case <-time.After(20 * time.Second):
-		x.t.Fatalf("does not end:\n%s", x.screen())
+		x.t.Fatalf("program has not exited:\n%s", x.screen())
 	}
-	_ = x.cmd.Wait() // what it printed is what the tests look at
+	_ = x.cmd.Wait() // tests check the screen, not the status
 }
 
-// start starts the appliance; it is killed at the test's end if it still runs.
+// start starts the appliance. It is killed at the end of the test if it is still running.
 func (s *site) start() {
 	s.t.Helper()
 	x := s.terminal("start", "box.json")
-	x.end()
-	m := regexp.MustCompile(`(?s)process\s(\d+)`).FindStringSubmatch(strings.ReplaceAll(x.screen(), "\n", ""))
-	if m == nil {
+	x.waitForExit()
+	match := regexp.MustCompile(`(?s)process\s(\d+)`).FindStringSubmatch(strings.ReplaceAll(x.screen(), "\n", ""))
+	if match == nil {
 		log, _ := os.ReadFile(filepath.Join(s.dir, "box.sock.log"))
 		s.t.Fatalf("not started:\n%s\n%s", x.screen(), log)
 	}
-	pid, err := strconv.Atoi(m[1])
+	pid, err := strconv.Atoi(match[1])
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.t.Cleanup(func() { _ = kill(pid) }) // fails where the appliance was stopped
+	s.t.Cleanup(func() { _ = kill(pid) }) // fails if the appliance was stopped
 }
 
 func kill(pid int) error {
@@ -206,15 +207,15 @@
 	return process.Kill()
 }
 
-// sale sends events from many tills until ctx ends, each event again until it has a final answer other than a
-// rejection: through stops, kills and restarts of the appliance.
-func (s *site) sale(ctx context.Context, tills int) *sync.WaitGroup {
+// startLoad sends requests from a number of clients until ctx ends, also while the appliance is stopped, killed and
+// restarted. Each request is repeated until it succeeds or fails.
+func (s *site) startLoad(ctx context.Context, clients int) *sync.WaitGroup {
 	var running sync.WaitGroup
-	for till := range tills {
+	for client := range clients {
 		running.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
 				class := []string{"shop-event", "till-entry", "price-reset"}[n%3]
-				s.send(class, fmt.Sprintf("till-%d-%d", till, n), fmt.Sprintf("shop-00%d", (till+n)%6))
+				s.send(class, fmt.Sprintf("till-%d-%d", client, n), fmt.Sprintf("shop-00%d", (client+n)%6))
 				time.Sleep(15 * time.Millisecond)
 			}
 		})
@@ -226,7 +227,7 @@
 	const timeout = 3 * time.Second
 	const maxAttempts = 60
 	for range maxAttempts {
-		client := &schedule.Client{Source: "/sale", FrontEnds: []string{s.front}, HTTP: &http.Client{}, DefaultTimeout: timeout, OnAttempt: s.record}
+		client := &schedule.Client{Source: "/sale", FrontEnds: []string{s.frontEnd}, HTTP: &http.Client{}, DefaultTimeout: timeout, OnAttempt: s.record}
 		result := client.Fire(context.Background(), schedule.Firing{Entry: &schedule.Entry{Class: class, Function: function}, ID: id})
 		s.mu.Lock()
 		s.statuses[id] = append(s.statuses[id], result.Status)
@@ -236,58 +237,58 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	s.t.Errorf("%s: no final answer", id)
+	s.t.Errorf("%s: no final response", id)
 }
 
-// record keeps an attempt and its answer for the rules.
+// record records a request and, by the function it returns, its response for the check of the rules.
 func (s *site) record(f schedule.Firing, _ string, remaining time.Duration) func(int, string, error) {
-	r := invariants.Record{Kind: invariants.RequestSent, RequestID: "/sale#" + f.ID, Class: f.Entry.Class, FrontEnd: "box-1", CallID: s.records.NextCallID(), Timeout: remaining.Seconds()}
-	s.records.Add(r)
+	record := invariants.Record{Kind: invariants.RequestSent, RequestID: "/sale#" + f.ID, Class: f.Entry.Class, FrontEnd: "box-1", CallID: s.records.NextCallID(), Timeout: remaining.Seconds()}
+	s.records.Add(record)
 	return func(status int, digest string, _ error) {
-		r.Digest = digest
-		r.Status = status
-		r.Kind = invariants.ResponseReceived
+		record.Digest = digest
+		record.Status = status
+		record.Kind = invariants.ResponseReceived
 		switch status {
 		case 0: // the test stopped or killed the appliance
-			r.Kind = invariants.ConnectionLost
+			record.Kind = invariants.ConnectionLost
 		case http.StatusOK:
-			r.Outcome = invariants.Succeeded
+			record.Outcome = invariants.Succeeded
 		case http.StatusServiceUnavailable:
-			r.Outcome = invariants.Rejected
+			record.Outcome = invariants.Rejected
 		default:
-			r.Outcome = invariants.Failed
+			record.Outcome = invariants.Failed
 		}
-		s.records.Add(r)
+		s.records.Add(record)
 	}
 }
 
-// verify checks the rules on all that passed.
+// verify checks the rules on the recorded requests.
 func (s *site) verify() invariants.Verdict {
 	s.t.Helper()
-	v := invariants.Check(invariants.Rules{
+	verdict := invariants.Check(invariants.Rules{
 		Semantics:           map[string]string{"shop-event": "redeliverable", "till-entry": "keyed", "price-reset": "at-most-once"},
 		DeduplicationWindow: map[string]float64{"till-entry": 60}, DrainGrace: 0.5, ObservationDelay: 0.15,
 	}, s.records.Records())
-	if v.RulesBroken > 0 {
-		s.t.Errorf("%d rules broken: %v", v.RulesBroken, v.Violations)
+	if verdict.RulesBroken > 0 {
+		s.t.Errorf("%d rules broken: %v", verdict.RulesBroken, verdict.Violations)
 	}
-	if v.Succeeded < 100 {
-		s.t.Errorf("nothing much happened: %+v", v)
+	if verdict.Succeeded < 100 {
+		s.t.Errorf("fewer than 100 requests succeeded: %+v", verdict)
 	}
-	return v
+	return verdict
 }
 
-// TestBoxFromTheConsole takes an appliance through a sale: started, looked at, a worker drained while the console is killed,
-// stopped in mid-sale and started again, killed and started again, stopped. Only terminals operate it.
-func TestBoxFromTheConsole(t *testing.T) {
+// An appliance is operated from terminals under load: a worker is drained by a console that is then killed, the appliance
+// is stopped and started, killed and started, and stopped.
+func TestAppliance_OperatedFromConsole(t *testing.T) {
 	s := newSite(t, 3)
 	s.start()
 	first := s.terminal("console")
-	first.see(`streamcleat box-1  serving`)
-	ctx, endSale := context.WithCancel(context.Background())
-	defer endSale()
-	tills := s.sale(ctx, 8)
-	drainAndDisappear(first)
+	first.waitFor(`streamcleat box-1  serving`)
+	ctx, stopLoad := context.WithCancel(context.Background())
+	defer stopLoad()
+	clients := s.startLoad(ctx, 8)
+	drainThenKill(first)
 
 	second := s.terminal("console")
 	s.returnWorker(second)
@@ -295,79 +296,80 @@
 	time.Sleep(500 * time.Millisecond)
 	s.stopAndStart(second)
 	s.killAndStart(second)
-	endSale()
-	tills.Wait()
+	stopLoad()
+	clients.Wait()
 	second.press("q")
-	second.end()
+	second.waitForExit()
 	stop := s.terminal("stop", "--wait")
-	stop.end()
+	stop.waitForExit()
 	if got := stop.screen(); !strings.Contains(got, "stopped") {
 		t.Error(got)
 	}
-	v := s.verify()
-	if v.ConnectionsLost == 0 {
-		t.Error("no client was waiting when the box was killed")
+	verdict := s.verify()
+	if verdict.ConnectionsLost == 0 {
+		t.Error("no client was waiting when the appliance was killed")
 	}
-	t.Logf("%d asks: %d handled, %d deferred, %d dead-lettered, %d lost with the box", v.Requests, v.Succeeded, v.Rejected, v.Failed, v.ConnectionsLost)
+	t.Logf("%d requests: %d succeeded, %d rejected, %d failed, %d connections lost", verdict.Requests, verdict.Succeeded, verdict.Rejected,
+		verdict.Failed, verdict.ConnectionsLost)
 }
 
-// drainAndDisappear drains a worker, looks at requests and functions, and is killed in mid-drain without a word.
-func drainAndDisappear(x *terminal) {
+// drainThenKill drains a worker, shows requests and functions, and kills the console during the drain.
+func drainThenKill(x *terminal) {
 	x.t.Helper()
 	x.press("2")
-	x.see(`wk-2 +serving`)
+	x.waitFor(`wk-2 +serving`)
 	x.press("d")
-	x.see(`wk-0 +draining \(by order\)`)
+	x.waitFor(`wk-0 +draining \(by order\)`)
 	x.press("4")
-	x.see(`handled +answered`)
-	x.press("\r") // the newest event explained
-	x.see(`(?s)taken .*launched +wk-`)
+	x.waitFor(`handled +answered`)
+	x.press("\r") // explains the newest request
+	x.waitFor(`(?s)taken .*launched +wk-`)
 	x.press("\x1b")
 	x.press("3")
-	x.see(`shop-001`)
+	x.waitFor(`shop-001`)
 	x.kill()
 }
 
-// returnWorker takes back the drain that another console ordered, while a third one gives orders too.
+// returnWorker undoes the drain of another console, while a third one executes commands.
 func (s *site) returnWorker(x *terminal) {
 	s.t.Helper()
 	x.press("2")
-	x.see(`wk-0 +draining \(by order\)`)
+	x.waitFor(`wk-0 +draining \(by order\)`)
 	other := s.terminal("drain", "wk-1")
-	other.end()
+	other.waitForExit()
 	if got := other.screen(); !strings.Contains(got, "gives orders now") {
-		s.t.Errorf("two consoles give orders at once: %s", got)
+		s.t.Errorf("two consoles execute commands at once: %s", got)
 	}
 	x.press("r")
-	x.see(`worker wk-0: is as the list says`)
-	x.see(`wk-0 +(serving|set-aside)`)
+	x.waitFor(`worker wk-0: is as the list says`)
+	x.waitFor(`wk-0 +(serving|set-aside)`)
 }
 
 func fireAndSuspend(x *terminal) {
 	x.t.Helper()
 	x.press("5")
-	x.see(`price-reset/shop-001@minato`)
+	x.waitFor(`price-reset/shop-001@minato`)
 	x.press("f")
-	x.see(`fired 0_0_1_1_`)
+	x.waitFor(`fired 0_0_1_1_`)
 	x.press("h")
-	x.see(`held +UTC`)
+	x.waitFor(`held +UTC`)
 }
 
-// stopAndStart stops the appliance from the console and starts it again, while clients wait.
+// stopAndStart stops the appliance from the console and starts it again under load.
 func (s *site) stopAndStart(x *terminal) {
 	s.t.Helper()
 	x.press("s")
-	x.see(`stop \? y does it`)
+	x.waitFor(`stop \? y does it`)
 	x.press("y")
-	x.see(`no box answers`)
+	x.waitFor(`no box answers`)
 	s.start()
-	x.see(`streamcleat box-1  serving`)
+	x.waitFor(`streamcleat box-1  serving`)
 	x.press("1")
-	x.see(`read back`)
+	x.waitFor(`read back`)
 	time.Sleep(time.Second)
 }
 
-// killAndStart kills the appliance in mid-sale and starts it again.
+// killAndStart kills the appliance under load and starts it again.
 func (s *site) killAndStart(x *terminal) {
 	s.t.Helper()
 	if err := kill(s.process()); err != nil {
@@ -375,16 +377,19 @@
 	}
 	time.Sleep(100 * time.Millisecond)
 	s.start()
-	x.see(`streamcleat box-1  serving`)
+	x.waitFor(`streamcleat box-1  serving`)
 	time.Sleep(time.Second)
 }
 
-// process finds the process of the appliance that serves.
+// process returns the process ID of the appliance.
 func (s *site) process() int {
+	s.t.Helper()
 	data, err := exec.Command("streamcleat", "status", "--json", "--socket", filepath.Join(s.dir, "box.sock")).Output()
-	var st struct{ Process int }
-	if err != nil || json.NewDecoder(bytes.NewReader(data)).Decode(&st) != nil || st.Process == 0 {
+	var status struct {
+		Process int `json:"process"`
+	}
+	if err != nil || json.NewDecoder(bytes.NewReader(data)).Decode(&status) != nil || status.Process == 0 {
 		s.t.Fatalf("status: %v %s", err, data)
 	}
-	return st.Process
+	return status.Process
 }
--- a/cmd/streamcleat/architecture_test.go
+++ b/cmd/streamcleat/architecture_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// declaredNames collects "package.Name" and "package.Type.Member" of every package below root, tests excluded.
+// declaredNames returns the names "package.Name" and "package.Type.Member" of every package below root, without tests.
 func declaredNames(t *testing.T, root string) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
@@ -50,7 +50,7 @@
 	}
 }
 
-// receiverPrefix is "Type." for a method and "" for a function.
+// receiverPrefix returns "Type." for a method and "" for a function.
 func receiverPrefix(d *ast.FuncDecl) string {
 	if d.Recv == nil {
 		return ""
@@ -70,11 +70,11 @@
 }
 
 func addInterfaceMethods(names map[string]bool, typeName string, expression ast.Expr) {
-	contract, ok := expression.(*ast.InterfaceType)
+	interfaceType, ok := expression.(*ast.InterfaceType)
 	if !ok {
 		return
 	}
-	for _, method := range contract.Methods.List {
+	for _, method := range interfaceType.Methods.List {
 		for _, name := range method.Names {
 			names[typeName+"."+name.Name] = true
 		}
@@ -111,11 +111,11 @@
 		}
 	}
 	if checked < 60 {
-		t.Errorf("only %d names were checked: has the page changed its form?", checked)
+		t.Errorf("only %d names were checked: has the page changed its format?", checked)
 	}
 }
 
-// Only the dispatcher, and test fakes of it, issue permits to send; nothing else can have a request encoded.
+// Only the dispatcher and its test fakes issue send permits, without which no request is encoded.
 func TestOnlyTheDispatcherIssuesSendPermits(t *testing.T) {
 	err := filepath.WalkDir("../..", func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || filepath.Ext(path) != ".go" || strings.HasSuffix(path, "_test.go") {
--- a/cmd/streamcleat/check.go
+++ b/cmd/streamcleat/check.go
@@ -13,7 +13,7 @@
 func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "check CONFIG",
-		Short: "Check a configuration as a whole; exit 2 names every fault",
+		Short: "Check a configuration and report every fault; exit status 2 if there is one",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			c, err := loadConfig(args[0])
--- a/cmd/streamcleat/deprecated_test.go
+++ b/cmd/streamcleat/deprecated_test.go
@@ -13,7 +13,7 @@
 	"github.com/opencontainers/go-digest"
 )
 
-// invocation is what a script sees of a command.
+// invocation is the result of a command.
 type invocation struct {
 	stdout string
 	stderr string
@@ -43,30 +43,30 @@
 	errorMessage    = regexp.MustCompile(`(?m)^streamcleat: .*`)
 )
 
-// withoutTimes blanks what differs from one run of the same command to the next.
+// withoutTimes masks the times in the output of a command.
 func withoutTimes(stdout string) string {
 	return minutes.ReplaceAllString(milliseconds.ReplaceAllString(stdout, "after N ms"), "MINUTE")
 }
 
-// deprecatedWord is a use of a deprecated command beside the same use of its replacement.
-type deprecatedWord struct {
+// deprecatedCommand is a use of a deprecated command and the same use of its replacement.
+type deprecatedCommand struct {
 	name        string
 	old         string
 	replacement string
 	args        string
 	status      int
-	want        string // in standard output, or in the error message where the status is not 0
-	prepare     func() // before each of the two; may be nil
+	want        string // part of standard output, or of the error message where the status is not 0
+	prepare     func() // called before each of the two commands; may be nil
 }
 
-// Digests of the two versions that the registry has in TestDeprecatedCommands.
+// Digests of the two published versions.
 var (
 	oldDigest = digest.FromString("old")
 	newDigest = digest.FromString("new")
 )
 
-func deprecatedWords(s *site) []deprecatedWord {
-	return []deprecatedWord{
+func deprecatedCommands(s *site) []deprecatedCommand {
+	return []deprecatedCommand{
 		{"scenario list", "drill", "scenario", "--list", 0, "bad-day", nil},
 		{"unknown scenario", "drill", "scenario", "--name nothing", 2, "bad-day", nil},
 		{"faulty scenario", "drill", "scenario", "--script script.json", 2, "troubles[0].kind: rain", nil},
@@ -77,17 +77,17 @@
 		{"no rules file", "referee", "verify", "--rules none.json empty.jsonl", 2, "rules:", nil},
 		{"no flag for rules", "referee", "verify", "empty.jsonl", 1, "rules", nil},
 		{"too many workers", "standin worker", "fake worker", "--count 201", 2, "--count must be 1 to 200", nil},
-		{"fired timers", "standin timers", "fake timers", "--now --repeat 30 --front " + s.front + " --crontab crontab", 0, "status 200", nil},
+		{"fired timers", "standin timers", "fake timers", "--now --repeat 30 --front " + s.frontEnd + " --crontab crontab", 0, "status 200", nil},
 		{
 			"timers without front end", "standin timers", "fake timers", "--now --front 127.0.0.1:1 --crontab crontab", 1,
-			"1 of 1 firings were not handled", nil,
+			"1 of 1 firings failed", nil,
 		},
 		{"faulty crontab", "standin timers", "fake timers", "--now --crontab faulty", 2, "faulty:1: schedule", nil},
 		{"suspended entry", "hold", "suspend", "price-reset --name one", 0, "is held", nil},
 		{"resumed entry", "hold", "suspend", "price-reset --release --name one", 0, "fires again", nil},
 		{"unknown entry", "hold", "suspend", "nothing --name one", 1, `no timer entry fits "nothing"`, nil},
 		{"no entry", "hold", "suspend", "", 1, "accepts 1 arg", nil},
-		{"no box", "hold", "suspend", "price-reset --socket none.sock", 1, "no box answers", nil},
+		{"suspend without appliance", "hold", "suspend", "price-reset --socket none.sock", 1, "no box answers", nil},
 		{"rollout", "handler roll", "handler rollout", "shop-001:current 1.1 --steps 0.5 --hold 600 --name one", 0, "goes over to " + string(newDigest), nil},
 		{"rollout as JSON", "handler roll", "handler rollout", "shop-001:current 1.1 --json --name one", 0, `{"said":"`, nil},
 		{"rollout to an unknown version", "handler roll", "handler rollout", "shop-001:current 7.7 --name one", 1, "not in the registry", nil},
@@ -98,16 +98,16 @@
 		{"rollback of an unknown function", "handler back", "handler rollback", "shop-009:current --name one", 1, "not in the registry", nil},
 		{"audit trail", "handler trail", "handler audit", "", 0, "shop-001", nil},
 		{"audit trail as JSON", "handler trail", "handler audit", "--json", 0, `"publish":`, nil},
-		{"audit without box", "handler trail", "handler audit", "--socket none.sock", 1, "no box answers", nil},
-		{"corrupt content", "handler scrub", "handler verify-content", "--folder content", 1, "1 pieces were wrong", s.putCorruptContent},
-		{"content", "handler scrub", "handler verify-content", "--folder content", 0, "0 pieces checked, 0 wrong", nil},
+		{"audit without appliance", "handler trail", "handler audit", "--socket none.sock", 1, "no box answers", nil},
+		{"corrupt content", "handler scrub", "handler verify-content", "--folder content", 1, "1 corrupt blobs", s.putCorruptContent},
+		{"content", "handler scrub", "handler verify-content", "--folder content", 0, "0 blobs verified, 0 corrupt", nil},
 		{"no folder", "handler scrub", "handler verify-content", "--folder none", 1, "no such file", nil},
 	}
 }
 
-// A deprecated word works as its replacement does, with the same standard output, error message and exit status; only
-// a note on standard error names the replacement.
-func TestDeprecatedCommands(t *testing.T) {
+// A deprecated command has the same standard output, error message and exit status as its replacement, and prints a note
+// on standard error.
+func TestDeprecatedCommands_MatchReplacements(t *testing.T) {
 	s := newSite(t, 1)
 	s.start()
 	s.write("rules.json", `{"Effect":{"shop-event":"redeliverable"}}`)
@@ -119,19 +119,19 @@
 	s.mustRun("handler publish shop-001:1.0 --digest " + string(oldDigest))
 	s.mustRun("handler publish shop-001:1.1 --digest " + string(newDigest))
 	s.mustRun("handler alias shop-001:current 1.0")
-	for _, c := range deprecatedWords(s) {
+	for _, c := range deprecatedCommands(s) {
 		t.Run(c.name, func(t *testing.T) { c.compare(t, s) })
 	}
 }
 
-// compare runs the old word and then its replacement.
-func (c deprecatedWord) compare(t *testing.T, s *site) {
+// compare runs the deprecated command and then its replacement.
+func (c deprecatedCommand) compare(t *testing.T, s *site) {
 	t.Helper()
-	invoke := func(word string) invocation {
+	invoke := func(command string) invocation {
 		if c.prepare != nil {
 			c.prepare()
 		}
-		return s.invoke(append(strings.Fields(word), strings.Fields(c.args)...)...)
+		return s.invoke(append(strings.Fields(command), strings.Fields(c.args)...)...)
 	}
 	before := invoke(c.old)
 	after := invoke(c.replacement)
@@ -145,19 +145,19 @@
 	if old := errorMessage.FindString(before.stderr); old != message {
 		t.Errorf("%s ends with %s, %s with %s", c.old, old, c.replacement, message)
 	}
-	said := after.stdout
+	output := after.stdout
 	if c.status != 0 {
-		said = message
+		output = message
 	}
-	if !strings.Contains(said, c.want) {
-		t.Errorf("%s: %s, want %q", c.replacement, said, c.want)
+	if !strings.Contains(output, c.want) {
+		t.Errorf("%s: %s, want %q", c.replacement, output, c.want)
 	}
 	if deprecationNote.MatchString(after.stderr) {
-		t.Errorf("%s is noted as deprecated:\n%s", c.replacement, after.stderr)
+		t.Errorf("%s is reported as deprecated:\n%s", c.replacement, after.stderr)
 	}
 }
 
-// mustRun runs a command that has to succeed.
+// mustRun runs a command that must succeed.
 func (s *site) mustRun(line string) {
 	s.t.Helper()
 	if out, err := s.run(strings.Fields(line)...); err != nil {
@@ -165,7 +165,7 @@
 	}
 }
 
-// putCorruptContent makes content whose digest is wrong; the next check removes it.
+// putCorruptContent writes a blob with a wrong digest. The next verification removes it.
 func (s *site) putCorruptContent() {
 	s.t.Helper()
 	dir := filepath.Join(s.dir, "content", "sha256")
@@ -177,8 +177,8 @@
 	}
 }
 
-// The note names the replacement, on standard error alone.
-func TestDeprecationNote(t *testing.T) {
+// The note with the replacement is printed on standard error only.
+func TestDeprecatedCommands_PrintNote(t *testing.T) {
 	s := &site{t: t, dir: t.TempDir()}
 	for _, c := range []struct{ args, note string }{
 		{"drill --list", `Command "drill" is deprecated, use "scenario" instead`},
@@ -200,8 +200,8 @@
 	}
 }
 
-// The help text lists the new words only, and the old ones still have theirs.
-func TestDeprecatedCommandsAreHidden(t *testing.T) {
+// The help text lists only the replacements. A deprecated command still has its own help text.
+func TestDeprecatedCommands_HiddenFromHelp(t *testing.T) {
 	s := &site{t: t, dir: t.TempDir()}
 	for _, c := range []struct{ args, listed, hidden string }{
 		{"--help", "scenario verify fake suspend", "drill referee standin hold"},
--- a/cmd/streamcleat/fake.go
+++ b/cmd/streamcleat/fake.go
@@ -14,14 +14,15 @@
 	"streamcleat/internal/verification/fakes"
 )
 
-// fakeCommand runs test fakes as processes of their own.
-func fakeCommand(word string) *cobra.Command {
-	cmd := &cobra.Command{Use: word, Short: "Run a fake worker or timer client as a process of its own"}
+// fakeCommand returns the command that runs test fakes as processes of their own.
+func fakeCommand(name string) *cobra.Command {
+	cmd := &cobra.Command{Use: name, Short: "Run fake workers or a fake timer client as a process"}
 	cmd.AddCommand(fakeWorkerCommand(), fakeTimersCommand())
 	return cmd
 }
 
-const maxFakeWorkers = 200 // of one process
+// maxFakeWorkers is the maximum number of fake workers in one process.
+const maxFakeWorkers = 200
 
 // fakeWorkerOptions are the flags of the fake workers.
 type fakeWorkerOptions struct {
@@ -36,21 +37,21 @@
 	cmd := &cobra.Command{
 		Use:   "worker",
 		Short: "Run fake workers and write the endpoint list that names them",
-		Long: "worker runs fake workers that speak the Open Inference Protocol. POST /standin/fault at a worker injects\n" +
-			`a fault: {"kind":"hang","for":3}, further kinds are lose, errors, slow, stall, reset, cut, late-reports.`,
+		Long: "Runs fake workers that speak the Open Inference Protocol. POST /standin/fault at a worker injects a fault, as in\n" +
+			`{"kind":"hang","for":3}; the other kinds are lose, errors, slow, stall, reset, cut and late-reports.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return runFakeWorkers(cmd.Context(), o)
 		},
 	}
 	flags := cmd.Flags()
-	flags.IntVar(&o.count, "count", 4, "workers")
-	flags.IntVar(&o.functions, "functions", 40, "functions that they know: shop-000 and so on")
-	flags.IntVar(&o.cores, "cores", 2, "cores of each")
-	flags.StringVar(&o.listFile, "list", "workers.json", "file for the list of workers")
-	flags.StringVar(&o.address, "address", "", "host:port, for one worker")
-	flags.Uint64Var(&o.seed, "seed", 1, "seed of the functions' figures")
-	flags.BoolVar(&o.loadOnEvent, "load-on-event", false, "load a function that a request lacks; else answer 404")
+	flags.IntVar(&o.count, "count", 4, "number of workers")
+	flags.IntVar(&o.functions, "functions", 40, "number of functions that can be loaded: shop-000, shop-001, ...")
+	flags.IntVar(&o.cores, "cores", 2, "cores of each worker")
+	flags.StringVar(&o.listFile, "list", "workers.json", "file to write the endpoint list to")
+	flags.StringVar(&o.address, "address", "", "host:port to listen on, with --count 1")
+	flags.Uint64Var(&o.seed, "seed", 1, "seed of the functions' load times and sizes")
+	flags.BoolVar(&o.loadOnEvent, "load-on-event", false, "load a function that is requested and not loaded, instead of replying 404")
 	return cmd
 }
 
@@ -83,7 +84,7 @@
 	return nil
 }
 
-// spec describes the worker of an index, without what the workers share.
+// spec returns the configuration of a worker, except for what the workers share.
 func (o fakeWorkerOptions) spec(index int) fakes.WorkerConfig {
 	address := "127.0.0.1:0"
 	if o.address != "" && o.count == 1 {
@@ -123,7 +124,7 @@
 	var o fakeTimersOptions
 	cmd := &cobra.Command{
 		Use:   "timers",
-		Short: "Fire a crontab's entries at front ends over HTTP",
+		Short: "Fire the entries of a crontab at front ends over HTTP",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return runFakeTimers(cmd.Context(), o)
@@ -131,10 +132,10 @@
 	}
 	flags := cmd.Flags()
 	flags.StringVar(&o.crontab, "crontab", "crontab", "crontab file")
-	flags.StringVar(&o.source, "source", "/timers/streamcleat", "CloudEvents source, the same for all clients of one crontab")
-	flags.StringSliceVar(&o.frontEnds, "front", []string{"127.0.0.1:8080"}, "front ends, host:port")
-	flags.IntVar(&o.maxRetries, "repeat", 2, "retries after a rejection with Retry-After")
-	flags.BoolVar(&o.once, "now", false, "fire every entry once, for the present minute, and end")
+	flags.StringVar(&o.source, "source", "/timers/streamcleat", "CloudEvents source; all clients of one crontab must use the same")
+	flags.StringSliceVar(&o.frontEnds, "front", []string{"127.0.0.1:8080"}, "front ends as host:port")
+	flags.IntVar(&o.maxRetries, "repeat", 2, "maximum number of retries after a rejection with Retry-After")
+	flags.BoolVar(&o.once, "now", false, "fire every entry once for the present minute, and exit")
 	return cmd
 }
 
@@ -158,7 +159,7 @@
 	return nil
 }
 
-// fireOnce fires every entry for the present minute, one after the other.
+// fireOnce fires every entry once for the present minute, one after the other.
 func fireOnce(ctx context.Context, client *schedule.Client, entries []schedule.Entry) error {
 	failed := 0
 	for i := range entries {
@@ -171,7 +172,7 @@
 		}
 	}
 	if failed > 0 {
-		return fmt.Errorf("%d of %d firings were not handled", failed, len(entries))
+		return fmt.Errorf("%d of %d firings failed", failed, len(entries))
 	}
 	return nil
 }
--- a/cmd/streamcleat/files.go
+++ b/cmd/streamcleat/files.go
@@ -13,23 +13,23 @@
 
 // closeReader closes a file that was only read.
 func closeReader(file io.Closer) {
-	_ = file.Close() // nothing was written: there is nothing to lose
+	_ = file.Close() // nothing was written, so no data can be lost
 }
 
-// writeRecords writes the messages of a run to a file, as JSON lines.
+// writeRecords writes the records of a run to a file as JSON lines.
 func writeRecords(path string, records []invariants.Record) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return err
 	}
 	if err := invariants.Write(file, records); err != nil {
-		_ = file.Close() // the failed write is what is reported
+		_ = file.Close() // the failed write is reported
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	return file.Close()
 }
 
-// indentedJSON writes to standard output for people and scripts alike.
+// indentedJSON returns an encoder that writes indented JSON to standard output.
 func indentedJSON() *json.Encoder {
 	encoder := json.NewEncoder(os.Stdout)
 	encoder.SetIndent("", "  ")
@@ -40,7 +40,7 @@
 func require(cmd *cobra.Command, flags ...string) {
 	for _, flag := range flags {
 		if err := cmd.MarkFlagRequired(flag); err != nil {
-			panic(err) // the flag is not defined: an error in this program
+			panic(err) // the flag is not defined, which is a bug
 		}
 	}
 }
--- a/cmd/streamcleat/keys_test.go
+++ b/cmd/streamcleat/keys_test.go
@@ -16,7 +16,7 @@
 	"streamcleat/internal/verification/simulation"
 )
 
-// documents are the types that are read from or written to files, sockets and standard output as JSON.
+// documents are the types that files, sockets and standard output hold as JSON.
 var documents = []any{
 	appliance.Status{},
 	appliance.WorkerStatus{},
@@ -42,10 +42,10 @@
 	simulation.Script{},
 	simulation.Report{},
 	simulation.Explored{},
-	changeAnswer{},
+	changeReply{},
 }
 
-// fieldsWithoutKey returns the fields under a type of this program whose JSON key is their Go name.
+// fieldsWithoutKey returns the fields under a type of this program that have no JSON key.
 func fieldsWithoutKey(t reflect.Type, path string, seen map[reflect.Type]bool) (found []string) {
 	switch t.Kind() {
 	case reflect.Slice, reflect.Pointer, reflect.Map, reflect.Array:
@@ -58,24 +58,24 @@
 		return nil
 	}
 	seen[t] = true
-	for f := range t.Fields() {
-		if !f.IsExported() && !f.Anonymous {
+	for field := range t.Fields() {
+		if !field.IsExported() && !field.Anonymous {
 			continue
 		}
-		if key, _, _ := strings.Cut(f.Tag.Get("json"), ","); key == "" && !f.Anonymous {
-			found = append(found, path+"."+f.Name)
+		if key, _, _ := strings.Cut(field.Tag.Get("json"), ","); key == "" && !field.Anonymous {
+			found = append(found, path+"."+field.Name)
 		}
-		found = append(found, fieldsWithoutKey(f.Type, path+"."+f.Name, seen)...)
+		found = append(found, fieldsWithoutKey(field.Type, path+"."+field.Name, seen)...)
 	}
 	return found
 }
 
-// A rename of a field must not change a document: every field spells its key out.
-func TestDocumentsSpellTheirKeys(t *testing.T) {
+// Renaming a field must not change a document, so every field has an explicit key.
+func TestDocuments_FieldsHaveJSONKeys(t *testing.T) {
 	seen := map[reflect.Type]bool{}
-	for _, d := range documents {
-		for _, f := range fieldsWithoutKey(reflect.TypeOf(d), reflect.TypeOf(d).String(), seen) {
-			t.Errorf("%s has no key", f)
+	for _, document := range documents {
+		for _, field := range fieldsWithoutKey(reflect.TypeOf(document), reflect.TypeOf(document).String(), seen) {
+			t.Errorf("%s has no key", field)
 		}
 	}
 }
--- a/cmd/streamcleat/log.go
+++ b/cmd/streamcleat/log.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// queuedLogRecords is how many log records wait for whoever reads standard error.
+	// queuedLogRecords is the maximum number of log records that wait for the reader of standard error.
 	queuedLogRecords = 256
-	// logCloseTimeout is how long the end of the process waits for the last of them.
+	// logCloseTimeout is the maximum time for which the process waits at its end for queued records to be written.
 	logCloseTimeout = 100 * time.Millisecond
 )
 
-// openLog is standard error for a process that serves: a reader that stalls holds nothing up, and one that goes away
-// does not end the process. The function it returns writes what still waits.
+// openLog returns a writer to standard error for a process that serves. A reader that stalls does not block the process,
+// and one that closes the pipe does not end it. closeLog writes the queued records.
 func openLog() (stderr io.Writer, closeLog func()) {
 	signal.Ignore(syscall.SIGPIPE) // the write fails instead
 	writer := telemetry.NewAsyncWriter(os.Stderr, queuedLogRecords)
--- a/cmd/streamcleat/main.go
+++ b/cmd/streamcleat/main.go
@@ -1,9 +1,9 @@
 // Command streamcleat is a gateway that routes calls to workers which load functions on demand.
 //
-// The package wires sub-commands to the packages that do the work; it holds no state of its own. Each file has the
-// commands of one concern: serve.go and check.go run and check a configuration, admin.go and start.go operate a running
-// appliance, registry.go and its siblings manage versions of functions, scenario.go, simulate.go, verify.go, fake.go and
-// bench.go serve tests and measurements, node.go runs a front end of the utilities' platform.
+// The package parses flags, calls the packages that do the work, and sets the exit status. It owns no state. Each file has
+// the commands of one concern: serve.go and check.go run and check a configuration, admin.go and start.go operate a running
+// appliance, registry.go and the files named registry_ manage versions of functions, scenario.go, simulate.go, soak.go,
+// verify.go, fake.go and bench.go test and measure, and node.go runs a front end of the utilities' platform.
 package main
 
 import (
@@ -27,7 +27,7 @@
 	err := rootCommand().ExecuteContext(ctx)
 	if err != nil {
 		stderr, closeLog := openLog()
-		_, _ = fmt.Fprintln(stderr, "streamcleat:", err) // it never fails
+		_, _ = fmt.Fprintln(stderr, "streamcleat:", err) // the writer drops what it cannot write
 		closeLog()
 	}
 	return exitStatus(err)
@@ -38,12 +38,12 @@
 		Use:   "streamcleat",
 		Short: "A gateway that routes calls to workers which load functions on demand",
 		Long: "streamcleat takes requests (CloudEvents over HTTP, cron-style timers) and routes each to a worker that holds a\n" +
-			"loaded replica of its function, or has one loaded. Each request gets exactly one final answer.",
+			"loaded replica of its function, or has one loaded. Each request gets exactly one final response.",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
 	root.AddCommand(serveCommand(), checkCommand(), schemaCommand(), nodeCommand())
-	root.AddCommand(boxCommands()...)
+	root.AddCommand(applianceCommands()...)
 	root.AddCommand(handlerCommand())
 	root.AddCommand(fakeCommand("fake"), scenarioCommand("scenario"), simulateCommand(), verifyCommand("verify"), benchCommand(),
 		soakCommand())
--- a/cmd/streamcleat/node.go
+++ b/cmd/streamcleat/node.go
@@ -19,9 +19,9 @@
 )
 
 const (
-	// documentVariable names the platform's configuration document.
+	// documentVariable is the environment variable with the path of the platform's configuration document.
 	documentVariable = "RELAY_CONFIG"
-	// nodeLogRate is the most log records a second, unless a flag says otherwise.
+	// nodeLogRate is the default of the maximum number of log records per second.
 	nodeLogRate = 20
 )
 
@@ -29,9 +29,9 @@
 	level, rate := slog.LevelWarn, nodeLogRate
 	cmd := &cobra.Command{
 		Use:   "node",
-		Short: "Run one front end of the platform, as the document that RELAY_CONFIG names tells",
-		Long: "Runs one front end in the foreground. SIGHUP reads the document again and goes over to its journal service;\n" +
-			"SIGTERM takes events for as long as they may still come, answers all that is open and ends with status 0.",
+		Short: "Run one front end of the platform with the configuration document at RELAY_CONFIG",
+		Long: "Runs one front end in the foreground. SIGHUP reloads the document and switches to its discovery service. SIGTERM\n" +
+			"shuts down gracefully: requests are accepted while they may still arrive, all are answered, and the status is 0.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			stderr, closeLog := openLog()
@@ -40,16 +40,16 @@
 			return runNode(cmd.Context(), slog.New(telemetry.RateLimited(handler, rate)))
 		},
 	}
-	cmd.Flags().TextVar(&level, "log", level, "least level that is logged: debug, info (also events that were not handled), warn, error")
-	cmd.Flags().IntVar(&rate, "log-rate", rate, "most log records a second")
+	cmd.Flags().TextVar(&level, "log", level, "minimum level to log: debug, info (includes requests that did not succeed), warn or error")
+	cmd.Flags().IntVar(&rate, "log-rate", rate, "maximum number of log records per second")
 	return cmd
 }
 
-// readDocument reads the document that the environment names.
+// readDocument reads the document whose path is in the environment.
 func readDocument() (*platform.Document, error) {
 	path := os.Getenv(documentVariable)
 	if path == "" {
-		return nil, usageError(errors.New(documentVariable + " is not set: it names the platform's configuration document"))
+		return nil, usageError(errors.New(documentVariable + " is not set: it must hold the path of the platform's configuration document"))
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -65,7 +65,7 @@
 // runNode runs one front end until ctx ends.
 func runNode(ctx context.Context, log *slog.Logger) error {
 	reload := make(chan os.Signal, 1)
-	signal.Notify(reload, syscall.SIGHUP) // before the document is read: a signal must not end the process
+	signal.Notify(reload, syscall.SIGHUP) // before the document is read, as the signal would end the process
 	document, err := readDocument()
 	if err != nil {
 		return err
--- a/cmd/streamcleat/registry.go
+++ b/cmd/streamcleat/registry.go
@@ -11,9 +11,9 @@
 	"streamcleat/internal/registry"
 )
 
-// handlerCommand has the commands of the function registry.
+// handlerCommand returns the commands of the function registry.
 func handlerCommand() *cobra.Command {
-	cmd := &cobra.Command{Use: "handler", Short: "Versions of functions, the aliases that name them, and rollouts"}
+	cmd := &cobra.Command{Use: "handler", Short: "Manage versions of functions, their aliases and rollouts"}
 	cmd.AddCommand(handlerPublish(), handlerAlias(), handlerRollout("rollout"), handlerRelease(), handlerRollback("rollback"),
 		handlerWithdraw(), handlerVerify(), handlerPull(), handlerSign(), handlerKey(), handlerVerifyContent("verify-content"),
 		handlerList(), handlerShow(), handlerAudit("audit"))
@@ -22,22 +22,22 @@
 	return cmd
 }
 
-// Lists on the console's socket.
+// Resources on the console socket.
 const (
 	registryResource   = "registry"
 	auditTrailResource = "trail"
 )
 
 func handlerList() *cobra.Command {
-	return queryCommand("list", "Functions with their versions and aliases", cobra.NoArgs,
+	return queryCommand("list", "List functions with their versions and aliases", cobra.NoArgs,
 		func(c *console.Client, _ []string) (any, func() string, error) {
 			list, err := functions(c)
 			return list, func() string { return console.Table(console.RegistryRows(list)) }, err
 		})
 }
 
-func handlerAudit(word string) *cobra.Command {
-	return queryCommand(word, "The audit trail: who changed what when", cobra.NoArgs,
+func handlerAudit(name string) *cobra.Command {
+	return queryCommand(name, "Show the audit trail: who changed what, and when", cobra.NoArgs,
 		func(c *console.Client, _ []string) (any, func() string, error) {
 			var entries []registry.Entry
 			err := c.Get(auditTrailResource, &entries)
@@ -46,7 +46,7 @@
 }
 
 func handlerShow() *cobra.Command {
-	return queryCommand("show FUNCTION", "One function with its versions, aliases and rollouts", cobra.ExactArgs(1),
+	return queryCommand("show FUNCTION", "Show a function with its versions, aliases and rollouts", cobra.ExactArgs(1),
 		func(c *console.Client, args []string) (any, func() string, error) {
 			list, err := functions(c)
 			if err != nil {
@@ -61,14 +61,14 @@
 		})
 }
 
-// functions reads the appliance's registry.
+// functions returns the functions in the appliance's registry.
 func functions(c *console.Client) ([]registry.View, error) {
 	var list []registry.View
 	err := c.Get(registryResource, &list)
 	return list, err
 }
 
-// findVersion returns the version that a reference names at the appliance.
+// findVersion returns the version to which a reference resolves at the appliance.
 func findVersion(c *console.Client, text string) (registry.Version, error) {
 	list, err := functions(c)
 	if err != nil {
@@ -83,7 +83,7 @@
 			continue
 		}
 		for _, version := range function.Versions {
-			if names(ref, function.Aliases, version) {
+			if resolves(ref, function.Aliases, version) {
 				return version, nil
 			}
 		}
@@ -91,8 +91,8 @@
 	return registry.Version{}, fmt.Errorf("%s: %w", text, registry.ErrUnknown)
 }
 
-// names reports whether a reference to a function names one of its versions, by digest, by the version's name or by alias.
-func names(ref registry.Ref, aliases map[string]digest.Digest, version registry.Version) bool {
+// resolves reports whether a reference resolves to a version, by digest, by the version's name or by alias.
+func resolves(ref registry.Ref, aliases map[string]digest.Digest, version registry.Version) bool {
 	if version.Digest == ref.Digest {
 		return true
 	}
@@ -100,7 +100,7 @@
 }
 
 func handlerVerify() *cobra.Command {
-	cmd := &cobra.Command{Use: "verify FUNCTION:VERSION FILE", Short: "Check a manifest's digest against the registry", Args: cobra.ExactArgs(2)}
+	cmd := &cobra.Command{Use: "verify FUNCTION:VERSION FILE", Short: "Check the digest of a manifest against the registry", Args: cobra.ExactArgs(2)}
 	client := clientFlags(cmd)
 	cmd.RunE = func(_ *cobra.Command, args []string) error {
 		c, err := client()
@@ -116,7 +116,7 @@
 			return err
 		}
 		if actual := digest.FromBytes(manifest); actual != version.Digest {
-			return fmt.Errorf("%s has digest %s, and %s:%s is %s", args[1], actual, version.Function, version.Name, version.Digest)
+			return fmt.Errorf("%s has digest %s, but %s:%s has %s", args[1], actual, version.Function, version.Name, version.Digest)
 		}
 		fmt.Printf("%s is %s:%s\n", args[1], version.Function, version.Name)
 		return nil
--- a/cmd/streamcleat/registry_change.go
+++ b/cmd/streamcleat/registry_change.go
@@ -13,16 +13,16 @@
 	"streamcleat/internal/registry"
 )
 
-// changeBuilder makes a change of the registry from a command's arguments.
+// changeBuilder returns the registry change for a command's arguments.
 type changeBuilder func(c *console.Client, args []string) (appliance.Change, error)
 
-// changeCommand adds the flags that every change has, and the run function that makes the change.
+// changeCommand adds the flags common to all changes, and the run function that sends the change.
 func changeCommand(cmd *cobra.Command, build changeBuilder) *cobra.Command {
 	var reason string
 	var asJSON bool
 	client := clientFlags(cmd)
-	cmd.Flags().StringVar(&reason, "why", "", "reason, for the audit trail")
-	cmd.Flags().BoolVar(&asJSON, "json", false, "JSON")
+	cmd.Flags().StringVar(&reason, "why", "", "reason for the audit trail")
+	cmd.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	cmd.RunE = func(_ *cobra.Command, args []string) error {
 		c, err := client()
 		if err != nil {
@@ -35,45 +35,45 @@
 		if change.Reason == "" {
 			change.Reason = reason
 		}
-		answer, err := c.Change(change)
+		reply, err := c.Change(change)
 		if err != nil {
 			return err
 		}
-		return printValue(asJSON, changeAnswer{Said: answer}, func() string { return answer })
+		return printValue(asJSON, changeReply{Text: reply}, func() string { return reply })
 	}
 	return cmd
 }
 
-// changeAnswer is what --json prints after a change.
-type changeAnswer struct {
-	Said string `json:"said"`
+// changeReply is the JSON output of a change.
+type changeReply struct {
+	Text string `json:"said"`
 }
 
 // publishOptions are the flags of handler publish.
 type publishOptions struct {
-	version    registry.Version // the figures that flags state
+	version    registry.Version // values of the flags
 	from, user string
 	signatures []string
 }
 
 func handlerPublish() *cobra.Command {
 	var o publishOptions
-	cmd := &cobra.Command{Use: "publish FUNCTION:VERSION", Short: "Add a version; versions never change", Args: cobra.ExactArgs(1)}
+	cmd := &cobra.Command{Use: "publish FUNCTION:VERSION", Short: "Add a version; a published version cannot change", Args: cobra.ExactArgs(1)}
 	manifestDigest := manifestFlags(cmd)
 	flags := cmd.Flags()
-	flags.StringVar(&o.from, "from", "", "OCI registry, http(s)://host[/path], that has FUNCTION:VERSION; digest and figures come from there")
-	flags.StringVar(&o.user, "user", "", "user at the registry; STREAMCLEAT_REGISTRY_SECRET holds the secret")
-	flags.IntVar(&o.version.Concurrency, "lanes", 0, "requests that a replica runs at a time")
-	flags.Float64Var(&o.version.MemoryMB, "memory", 0, "MB of one replica")
-	flags.Float64Var(&o.version.LoadTime, "load", 0, "usual seconds of a load")
-	flags.StringSliceVar(&o.version.Classes, "types", nil, "event types that it takes; none: all")
-	flags.StringSliceVar(&o.signatures, "signature", nil, "envelope of handler sign; --from finds those that the registry has by itself")
+	flags.StringVar(&o.from, "from", "", "OCI registry, http(s)://host[/path], to read the digest and the properties of FUNCTION:VERSION from")
+	flags.StringVar(&o.user, "user", "", "user name at the registry; the secret is in STREAMCLEAT_REGISTRY_SECRET")
+	flags.IntVar(&o.version.Concurrency, "lanes", 0, "concurrent requests of a replica")
+	flags.Float64Var(&o.version.MemoryMB, "memory", 0, "memory of a replica in MB")
+	flags.Float64Var(&o.version.LoadTime, "load", 0, "usual load time in seconds")
+	flags.StringSliceVar(&o.version.Classes, "types", nil, "event types that it accepts; all by default")
+	flags.StringSliceVar(&o.signatures, "signature", nil, "file with an envelope from handler sign; --from adds those in the registry")
 	return changeCommand(cmd, func(_ *console.Client, args []string) (appliance.Change, error) {
 		return o.change(args[0], manifestDigest)
 	})
 }
 
-// change makes the publication, from flags or from what the OCI registry has.
+// change returns the change that publishes a version, described by flags or by the OCI registry.
 func (o publishOptions) change(arg string, manifestDigest func() (digest.Digest, error)) (appliance.Change, error) {
 	function, name, err := splitVersion(arg)
 	if err != nil {
@@ -105,7 +105,7 @@
 	return appliance.Change{Entry: registry.Entry{Publish: &version}, Signatures: envelopes}, nil
 }
 
-// splitVersion cuts FUNCTION:VERSION.
+// splitVersion splits FUNCTION:VERSION.
 func splitVersion(arg string) (function, version string, err error) {
 	function, version, ok := strings.Cut(arg, ":")
 	if !ok {
@@ -114,10 +114,10 @@
 	return function, version, nil
 }
 
-// manifestFlags adds the two ways to name a manifest: its digest, or the file whose digest it is.
+// manifestFlags adds the flags for a manifest's digest and file, and returns a function that returns the digest.
 func manifestFlags(cmd *cobra.Command) func() (digest.Digest, error) {
-	stated := cmd.Flags().String("digest", "", "sha256:... of its manifest")
-	file := cmd.Flags().String("file", "", "manifest whose digest it is, in place of --digest")
+	stated := cmd.Flags().String("digest", "", "digest of the manifest, sha256:...")
+	file := cmd.Flags().String("file", "", "file of the manifest, instead of --digest")
 	return func() (digest.Digest, error) {
 		if *file == "" {
 			return digest.Digest(*stated), nil
@@ -129,29 +129,29 @@
 
 func handlerAlias() *cobra.Command {
 	var remove bool
-	cmd := &cobra.Command{Use: "alias FUNCTION:ALIAS [VERSION]", Short: "Make an alias name a version at once", Args: cobra.RangeArgs(1, 2)}
-	cmd.Flags().BoolVar(&remove, "remove", false, "remove the alias")
+	cmd := &cobra.Command{Use: "alias FUNCTION:ALIAS [VERSION]", Short: "Point an alias at a version at once", Args: cobra.RangeArgs(1, 2)}
+	cmd.Flags().BoolVar(&remove, "remove", false, "remove the alias instead")
 	return changeCommand(cmd, func(c *console.Client, args []string) (appliance.Change, error) {
 		ref, err := parseAlias(args[0])
 		if err != nil {
 			return appliance.Change{}, err
 		}
-		move := &registry.AliasUpdate{Function: ref.Function, Alias: ref.Tag}
+		update := &registry.AliasUpdate{Function: ref.Function, Alias: ref.Tag}
 		if !remove {
 			if len(args) < 2 {
-				return appliance.Change{}, usageError(fmt.Errorf("which version is %s to name?", args[0]))
+				return appliance.Change{}, usageError(fmt.Errorf("%s: VERSION or --remove is required", args[0]))
 			}
 			version, err := findVersion(c, ref.Function+":"+args[1])
 			if err != nil {
 				return appliance.Change{}, err
 			}
-			move.Digest = version.Digest
+			update.Digest = version.Digest
 		}
-		return appliance.Change{Entry: registry.Entry{AliasUpdate: move}}, nil
+		return appliance.Change{Entry: registry.Entry{AliasUpdate: update}}, nil
 	})
 }
 
-// parseAlias reads FUNCTION:ALIAS.
+// parseAlias parses FUNCTION:ALIAS.
 func parseAlias(arg string) (registry.Ref, error) {
 	ref, err := registry.ParseRef(arg)
 	if err != nil {
@@ -160,19 +160,19 @@
 	return ref, nil
 }
 
-func handlerRollout(word string) *cobra.Command {
+func handlerRollout(name string) *cobra.Command {
 	var rollout registry.Rollout
 	cmd := &cobra.Command{
-		Use:   word + " FUNCTION:ALIAS VERSION",
-		Short: "Roll an alias out to a version by shares or tenants; it rolls back by itself when answers get worse",
+		Use:   name + " FUNCTION:ALIAS VERSION",
+		Short: "Roll an alias out to a version by traffic share or tenant, with automatic rollback when more requests fail",
 		Args:  cobra.ExactArgs(2),
 	}
 	flags := cmd.Flags()
-	flags.Float64SliceVar(&rollout.Steps, "steps", []float64{0.05, 0.25, 0.5}, "shares that it goes through")
-	flags.Float64Var(&rollout.StepDuration, "hold", 60, "seconds at each step")
-	flags.IntVar(&rollout.MinResponses, "least", 20, "answers of the new version that a step needs")
-	flags.Float64Var(&rollout.MaxExcessFailureRate, "most-bad", 0.05, "share of failed answers, beyond that of the old version, at which it rolls back")
-	flags.StringSliceVar(&rollout.Tenants, "tenants", nil, "tenants whose requests get the new version at once")
+	flags.Float64SliceVar(&rollout.Steps, "steps", []float64{0.05, 0.25, 0.5}, "traffic shares of the steps")
+	flags.Float64Var(&rollout.StepDuration, "hold", 60, "duration of a step in seconds")
+	flags.IntVar(&rollout.MinResponses, "least", 20, "minimum number of responses from the new version in a step")
+	flags.Float64Var(&rollout.MaxExcessFailureRate, "most-bad", 0.05, "failure rate above that of the old version at which it rolls back")
+	flags.StringSliceVar(&rollout.Tenants, "tenants", nil, "tenants whose requests use the new version at once")
 	return changeCommand(cmd, func(c *console.Client, args []string) (appliance.Change, error) {
 		ref, err := parseAlias(args[0])
 		if err != nil {
@@ -193,21 +193,21 @@
 	var release appliance.Release
 	cmd := &cobra.Command{
 		Use:   "release VERSION",
-		Short: "Take many functions to a version, each alias moving when a replica is loaded",
+		Short: "Release a version of many functions, switching each alias once a replica is loaded",
 		Args:  cobra.ExactArgs(1),
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&release.Alias, "alias", registry.Current, "alias that moves")
-	flags.StringSliceVar(&release.Functions, "functions", nil, "functions; none: all that have the version")
-	flags.IntVar(&release.MaxConcurrentLoads, "loads", 4, "loads at a time")
+	flags.StringVar(&release.Alias, "alias", registry.Current, "alias to switch")
+	flags.StringSliceVar(&release.Functions, "functions", nil, "functions; all with the version by default")
+	flags.IntVar(&release.MaxConcurrentLoads, "loads", 4, "maximum number of concurrent loads")
 	return changeCommand(cmd, func(_ *console.Client, args []string) (appliance.Change, error) {
 		release.Tag = args[0]
 		return appliance.Change{Release: &release}, nil
 	})
 }
 
-func handlerRollback(word string) *cobra.Command {
-	cmd := &cobra.Command{Use: word + " FUNCTION:ALIAS", Short: "Take an alias back to what it named before", Args: cobra.ExactArgs(1)}
+func handlerRollback(name string) *cobra.Command {
+	cmd := &cobra.Command{Use: name + " FUNCTION:ALIAS", Short: "Roll an alias back to its previous version", Args: cobra.ExactArgs(1)}
 	return changeCommand(cmd, func(_ *console.Client, args []string) (appliance.Change, error) {
 		ref, err := parseAlias(args[0])
 		if err != nil {
@@ -222,7 +222,7 @@
 }
 
 func handlerWithdraw() *cobra.Command {
-	cmd := &cobra.Command{Use: "withdraw FUNCTION:VERSION", Short: "Take a version out of use for good", Args: cobra.ExactArgs(1)}
+	cmd := &cobra.Command{Use: "withdraw FUNCTION:VERSION", Short: "Withdraw a version permanently", Args: cobra.ExactArgs(1)}
 	return changeCommand(cmd, func(c *console.Client, args []string) (appliance.Change, error) {
 		version, err := findVersion(c, args[0])
 		if err != nil {
--- a/cmd/streamcleat/registry_content.go
+++ b/cmd/streamcleat/registry_content.go
@@ -17,16 +17,16 @@
 	registrySecretVariable = "STREAMCLEAT_REGISTRY_SECRET"
 	contentFolder          = "handlers"
 	resolveTimeout         = time.Minute
-	resolveFolderBytes     = 64 << 20 // manifests and signatures of one version
+	resolveFolderBytes     = 64 << 20 // for the manifests and signatures of one version
 )
 
-// resolveRemote asks an OCI registry for a version and for the signatures attached to it; what it reads is not kept.
+// resolveRemote returns a version from an OCI registry with the signatures attached to it. No content is kept.
 func resolveRemote(from, user, function, tag string) (version registry.Version, signatures [][]byte, err error) {
 	dir, err := os.MkdirTemp("", "handler")
 	if err != nil {
 		return version, nil, err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // a folder left in the temporary one does no harm
+	defer func() { _ = os.RemoveAll(dir) }() // the system cleans its temporary folder
 	folder, err := oci.OpenFolder(dir, resolveFolderBytes)
 	if err != nil {
 		return version, nil, err
@@ -52,13 +52,13 @@
 	return client, nil
 }
 
-// handlerPull fetches a version's content into a folder, for workers that load from there.
+// handlerPull returns the command that fetches a version's content into a folder from which workers load it.
 func handlerPull() *cobra.Command {
 	var from, user, dir string
 	var maxMegabytes int64
 	cmd := &cobra.Command{
 		Use:   "pull FUNCTION@DIGEST",
-		Short: "Fetch a version's content into a folder, each layer once, checked by digest",
+		Short: "Fetch the content of a version into a folder and verify its digests; layers that are present are not fetched",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return pull(cmd.Context(), args[0], from, user, dir, maxMegabytes<<20)
@@ -66,9 +66,9 @@
 	}
 	flags := cmd.Flags()
 	flags.StringVar(&from, "from", "", "OCI registry, http(s)://host[/path]")
-	flags.StringVar(&user, "user", "", "user at the registry; "+registrySecretVariable+" holds the secret")
-	flags.StringVar(&dir, "folder", contentFolder, "folder for content, by digest")
-	flags.Int64Var(&maxMegabytes, "most", 4096, "MB that the folder may hold; the least recently used content goes first")
+	flags.StringVar(&user, "user", "", "user name at the registry; the secret is in "+registrySecretVariable)
+	flags.StringVar(&dir, "folder", contentFolder, "content folder")
+	flags.Int64Var(&maxMegabytes, "most", 4096, "maximum size of the folder in MB; the least recently used content is evicted")
 	require(cmd, "from")
 	return cmd
 }
@@ -86,34 +86,35 @@
 	if err != nil {
 		return err
 	}
-	held, err := client.Pull(ctx, ref.Function, ref.Digest)
+	blobs, err := client.Pull(ctx, ref.Function, ref.Digest)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: %d pieces held, %d bytes of layers fetched\n", text, len(held), client.Fetched)
+	fmt.Printf("%s: %d blobs stored, %d bytes of layers fetched\n", text, len(blobs), client.Fetched)
 	return nil
 }
 
-// handlerVerifyContent checks a content folder. It is not called verify: that one checks a manifest against the registry.
-func handlerVerifyContent(word string) *cobra.Command {
+// handlerVerifyContent returns the command that verifies a content folder. The command verify checks a manifest against
+// the registry.
+func handlerVerifyContent(name string) *cobra.Command {
 	var dir string
 	var minAge time.Duration
 	cmd := &cobra.Command{
-		Use:   word,
-		Short: "Check a content folder against its digests; what is wrong is removed and fetched anew by the next pull",
+		Use:   name,
+		Short: "Verify the digests in a content folder; corrupt blobs are removed, and the next pull fetches them again",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			return verifyContent(dir, minAge)
 		},
 	}
-	cmd.Flags().StringVar(&dir, "folder", contentFolder, "folder of handler pull")
-	cmd.Flags().DurationVar(&minAge, "every", 0, "pass over what was written within this time")
+	cmd.Flags().StringVar(&dir, "folder", contentFolder, "content folder of handler pull")
+	cmd.Flags().DurationVar(&minAge, "every", 0, "skip blobs that were written or verified within this time")
 	return cmd
 }
 
 func verifyContent(dir string, minAge time.Duration) error {
-	// Content checked in this run is younger than the run by at least this much.
-	const checkedMargin = 1e-3 // seconds
+	// verifiedMargin, in seconds, separates blobs verified in this run from older ones.
+	const verifiedMargin = 1e-3
 	if _, err := os.Stat(dir); err != nil {
 		return err
 	}
@@ -121,20 +122,20 @@
 	if err != nil {
 		return err
 	}
-	checked, corrupt := 0, 0
-	for start := time.Now(); ; checked++ {
-		digest, ok := folder.VerifyOldest(max(minAge.Seconds(), time.Since(start).Seconds()+checkedMargin))
+	verified, corrupt := 0, 0
+	for start := time.Now(); ; verified++ {
+		digest, ok := folder.VerifyOldest(max(minAge.Seconds(), time.Since(start).Seconds()+verifiedMargin))
 		if digest == "" {
 			break
 		}
 		if !ok {
 			corrupt++
-			fmt.Printf("%s is wrong and let go\n", digest)
+			fmt.Printf("%s: corrupt, removed\n", digest)
 		}
 	}
-	fmt.Printf("%d pieces checked, %d wrong\n", checked, corrupt)
+	fmt.Printf("%d blobs verified, %d corrupt\n", verified, corrupt)
 	if corrupt > 0 {
-		return fmt.Errorf("%d pieces were wrong", corrupt)
+		return fmt.Errorf("%d corrupt blobs", corrupt)
 	}
 	return nil
 }
--- a/cmd/streamcleat/registry_signing.go
+++ b/cmd/streamcleat/registry_signing.go
@@ -18,15 +18,15 @@
 
 const keyFileSuffix = ".pem"
 
-// handlerSign makes an envelope in which a key vouches for a version.
+// handlerSign returns the command that writes a signed envelope for a version.
 func handlerSign() *cobra.Command {
 	var keyFile, id, output string
 	cmd := &cobra.Command{Use: "sign FUNCTION:VERSION", Short: "Sign a version with a key", Args: cobra.ExactArgs(1)}
 	manifestDigest := manifestFlags(cmd)
 	flags := cmd.Flags()
-	flags.StringVar(&keyFile, "key", "", "private key, PEM")
-	flags.StringVar(&id, "id", "", "the key's id in the ring; its file's name without .pem otherwise")
-	flags.StringVarP(&output, "output", "o", "", "file for the envelope, DSSE JSON; standard output otherwise")
+	flags.StringVar(&keyFile, "key", "", "file with the private key, PEM")
+	flags.StringVar(&id, "id", "", "id of the key in the ring; by default the name of its file without .pem")
+	flags.StringVarP(&output, "output", "o", "", "file for the envelope, DSSE JSON; standard output by default")
 	require(cmd, "key")
 	cmd.RunE = func(_ *cobra.Command, args []string) error {
 		function, version, err := splitVersion(args[0])
@@ -65,11 +65,11 @@
 	return envelope, nil
 }
 
-// handlerKey makes a key pair: the private key in a file, the public one on standard output.
+// handlerKey returns the command that creates a key pair: the private key in a file, the public key on standard output.
 func handlerKey() *cobra.Command {
 	return &cobra.Command{
 		Use:   "key ID",
-		Short: "Make a key: ID.pem, kept secret, and its entry for the ring",
+		Short: "Create a key pair: the private key in ID.pem, the public key as a ring on standard output",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			return makeKey(args[0])
@@ -92,7 +92,7 @@
 	return indentedJSON().Encode(signing.Ring{Threshold: 1, Keys: []signing.Key{key}})
 }
 
-// writeNewFile writes a file that only its owner may read; one that exists is an error.
+// writeNewFile writes a file that only its owner may read. It fails if the file exists.
 func writeNewFile(path string, data []byte) error {
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
--- a/cmd/streamcleat/scenario.go
+++ b/cmd/streamcleat/scenario.go
@@ -23,14 +23,14 @@
 	asJSON, list, verbose  bool
 }
 
-// scenarioCommand runs fault-injection scenarios.
-func scenarioCommand(word string) *cobra.Command {
+// scenarioCommand returns the command that runs fault-injection scenarios.
+func scenarioCommand(name string) *cobra.Command {
 	var o scenarioOptions
 	cmd := &cobra.Command{
-		Use:   word,
-		Short: "Run a fault-injection scenario on loopback and check the rules on what passed on the sockets",
-		Long: word + " starts front ends, fake workers, a fake function store and timer clients on loopback, runs a script of\n" +
-			"faults and checks the five rules on what passed on the sockets. It exits 0 only if all of them held.",
+		Use:   name,
+		Short: "Run a fault-injection scenario on loopback and check the rules on the recorded traffic",
+		Long: "Starts front ends, fake workers, a fake function store and timer clients on loopback, injects the faults of a\n" +
+			"script and checks the five rules on the recorded traffic. The exit status is 0 only if all rules held.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if o.list {
@@ -40,14 +40,14 @@
 		},
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&o.file, "script", "", "script file, in place of one that comes with the program")
-	flags.StringVar(&o.name, "name", "bad-day", "script that comes with the program")
-	flags.BoolVar(&o.list, "list", false, "list the scripts that come with the program")
+	flags.StringVar(&o.file, "script", "", "script file, instead of a built-in script")
+	flags.StringVar(&o.name, "name", "bad-day", "built-in script")
+	flags.BoolVar(&o.list, "list", false, "list the built-in scripts")
 	flags.Uint64Var(&o.firstSeed, "seed", 1, "first seed")
 	flags.IntVar(&o.runs, "seeds", 1, "number of runs, each with the next seed")
 	flags.BoolVar(&o.asJSON, "json", false, "one JSON object for each run")
-	flags.StringVar(&o.recordFile, "record", "", "write what passed on the sockets to this file, as JSON lines")
-	flags.BoolVarP(&o.verbose, "verbose", "v", false, "log what the front ends do")
+	flags.StringVar(&o.recordFile, "record", "", "write the recorded traffic to this file as JSON lines")
+	flags.BoolVarP(&o.verbose, "verbose", "v", false, "log the front ends at debug level")
 	return cmd
 }
 
@@ -86,7 +86,7 @@
 		if !report.OK() {
 			failed++
 		}
-		if err := o.show(report); err != nil {
+		if err := o.print(report); err != nil {
 			return err
 		}
 		if ctx.Err() != nil {
@@ -94,12 +94,12 @@
 		}
 	}
 	if failed > 0 {
-		return fmt.Errorf("%d of %d days broke a rule or failed", failed, runs)
+		return fmt.Errorf("%d of %d runs violated a rule or failed", failed, runs)
 	}
 	return nil
 }
 
-// script reads the script that the flags name.
+// script returns the script selected by the flags.
 func (o scenarioOptions) script() (*scenario.Script, error) {
 	if o.file == "" {
 		return scenario.Builtin(o.name)
@@ -111,7 +111,7 @@
 	return scenario.ParseScript(data, o.file)
 }
 
-func (o scenarioOptions) show(report *scenario.Report) error {
+func (o scenarioOptions) print(report *scenario.Report) error {
 	if o.asJSON {
 		return json.NewEncoder(os.Stdout).Encode(report)
 	}
@@ -125,24 +125,27 @@
 		verdict = fmt.Sprintf("%d of five rules BROKEN", r.RulesBroken)
 	}
 	fmt.Printf("%s, seed %d, %.1f s: %s\n", r.Script, r.Seed, r.Seconds, verdict)
-	fmt.Printf("  events     %d asked: %d handled, %d deferred, %d dead-lettered, %d refused, %d clients left, %d unanswered\n",
+	fmt.Printf("  requests   %d sent: %d succeeded, %d rejected, %d failed, %d invalid, %d cancelled, %d unanswered\n",
 		r.Requests, r.Succeeded, r.Rejected, r.Failed, r.Invalid, r.Cancelled, r.Unanswered)
-	fmt.Printf("  service    %.1f%% of %d firings handled in time, %.1f%% in the worst 2 s; %d asks joined another's event\n", 100*r.InTime, r.Firings, 100*r.WorstInTime, r.Deduplicated)
-	fmt.Printf("  launches   %d, load orders %d, store fetches %d\n", r.Attempts, r.LoadCommands, r.Fetches)
+	fmt.Printf("  firings    %.1f%% of %d succeeded in time, %.1f%% in the worst 2 s; %d requests deduplicated\n",
+		100*r.InTime, r.Firings, 100*r.WorstInTime, r.Deduplicated)
+	fmt.Printf("  attempts   %d, load commands %d, store fetches %d\n", r.Attempts, r.LoadCommands, r.Fetches)
 	fmt.Printf("  latency    p50 %.0f ms, p90 %.0f ms, p99 %.0f ms, max %.0f ms\n", r.Latency["p50"], r.Latency["p90"],
 		r.Latency["p99"], r.Latency["max"])
 	var causes []string
-	for c, n := range r.Causes {
-		causes = append(causes, fmt.Sprintf("%s %d", c, n))
+	for cause, count := range r.Causes {
+		causes = append(causes, fmt.Sprintf("%s %d", cause, count))
 	}
 	sort.Strings(causes)
 	if len(causes) > 0 {
-		fmt.Printf("  not handled: %s\n", strings.Join(causes, ", "))
+		fmt.Printf("  causes of other outcomes: %s\n", strings.Join(causes, ", "))
 	}
-	fmt.Printf("  rule 1 %d unanswered, %d answered twice, %d sent after the end; rule 2 %d launches at once, %d ran twice, "+
-		"%d bad deferrals\n  rule 3 %d after drain; rule 4 %d cold pushes; rule 5 %d load floods\n",
-		r.Unanswered, r.DuplicateResponses, r.AttemptsAfterEnd, r.ConcurrentAttempts, r.DuplicateExecutions, r.WrongRejections, r.SentAfterDrain, r.WarmUpOverloads, r.ExcessLoadCommands)
-	for _, f := range append(r.Violations, r.Failures...) {
-		fmt.Println("  !", f)
+	fmt.Printf("  rule 1: %d unanswered, %d duplicate responses, %d attempts after the end; rule 2: %d concurrent attempts, "+
+		"%d duplicate executions, %d wrong rejections\n  rule 3: %d sent after drain; rule 4: %d warm-up overloads; "+
+		"rule 5: %d excess load commands\n",
+		r.Unanswered, r.DuplicateResponses, r.AttemptsAfterEnd, r.ConcurrentAttempts, r.DuplicateExecutions, r.WrongRejections,
+		r.SentAfterDrain, r.WarmUpOverloads, r.ExcessLoadCommands)
+	for _, finding := range append(r.Violations, r.Failures...) {
+		fmt.Println("  !", finding)
 	}
 }
--- a/cmd/streamcleat/serve.go
+++ b/cmd/streamcleat/serve.go
@@ -35,7 +35,7 @@
 			return serve(cmd.Context(), c)
 		},
 	}
-	cmd.Flags().StringSliceVar(&listen, "listen", nil, "host:port in place of the configuration's; one front end for each")
+	cmd.Flags().StringSliceVar(&listen, "listen", nil, "host:port of each front end, instead of the configuration's")
 	return cmd
 }
 
@@ -47,10 +47,11 @@
 	return c, nil
 }
 
-// serveLogRate is the most log records a second: a fault that shows with each request must not fill a disk.
+// serveLogRate is the maximum number of log records per second: a fault that is logged with each request must not fill a
+// disk.
 const serveLogRate = 100
 
-// serve runs the appliance until ctx ends and open requests are answered. A second signal shortens the graceful shutdown.
+// serve runs the appliance until ctx ends and its graceful shutdown is complete. A second signal shortens the shutdown.
 func serve(ctx context.Context, c *config.Config) error {
 	abort := make(chan struct{})
 	go func() {
--- a/cmd/streamcleat/serve_process_test.go
+++ b/cmd/streamcleat/serve_process_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// startAppliance runs an appliance whose process may have a number of descriptors.
-func startAppliance(t *testing.T, addr string, descriptors int) (appliance *serverProcess, stderr *bytes.Buffer) {
+// startServeProcess runs an appliance whose process may have a number of descriptors.
+func startServeProcess(t *testing.T, addr string, descriptors int) (appliance *serverProcess, stderr *bytes.Buffer) {
 	t.Helper()
 	dir := t.TempDir()
 	document := fmt.Sprintf(`{"listen":[%q],"console":{"socket":%q},"workers":{"file":"workers.json"},"event_types":[{"name":"call","target_time_s":0.5,"max_age_s":1}],
@@ -33,7 +33,7 @@
 func TestServeUnderItsDescriptorLimit(t *testing.T) {
 	t.Parallel()
 	addr := freeAddresses(t, 1)[0]
-	appliance, stderr := startAppliance(t, addr, 128)
+	appliance, stderr := startServeProcess(t, addr, 128)
 	dialSilently(t, addr, 300)
 	client := &http.Client{Transport: &http.Transport{}, Timeout: 3 * time.Second}
 	for range 3 {
--- a/cmd/streamcleat/simulate.go
+++ b/cmd/streamcleat/simulate.go
@@ -27,23 +27,23 @@
 	parallel         int
 }
 
-// simulateCommand runs the program in simulated worlds.
+// simulateCommand returns the command that runs the program in a simulated environment.
 func simulateCommand() *cobra.Command {
 	var o sweepOptions
 	cmd := &cobra.Command{
 		Use:   "sim",
-		Short: "Run the program on a virtual clock, with faults from seeds, and check every rule",
+		Short: "Simulate the program on a virtual clock with faults drawn from seeds, and check every rule",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return sweep(cmd.Context(), o)
 		},
 	}
 	flags := cmd.Flags()
-	flags.Uint64Var(&o.seeds, "seeds", 100, "how many seeds")
+	flags.Uint64Var(&o.seeds, "seeds", 100, "number of seeds")
 	flags.Uint64Var(&o.firstSeed, "from", 0, "first seed")
-	flags.StringVar(&o.profile, "profile", defaultProfile, "sizes and kinds of fault: see sim profiles")
-	flags.BoolVar(&o.asJSON, "json", false, "a report of each seed as a JSON line")
-	flags.IntVar(&o.parallel, "at-once", runtime.GOMAXPROCS(0), "seeds at a time")
+	flags.StringVar(&o.profile, "profile", defaultProfile, "sizes and fault kinds: see sim profiles")
+	flags.BoolVar(&o.asJSON, "json", false, "print the report of each seed as a JSON line")
+	flags.IntVar(&o.parallel, "at-once", runtime.GOMAXPROCS(0), "number of concurrent seeds")
 	cmd.AddCommand(replayCommand(), shrinkCommand(), profilesCommand(), exploreCommand())
 	return cmd
 }
@@ -70,12 +70,12 @@
 		fmt.Print(summary)
 	}
 	if summary.Broken > 0 {
-		return fmt.Errorf("%d of %d seeds broke something", summary.Broken, summary.Seeds)
+		return fmt.Errorf("%d of %d seeds have findings", summary.Broken, summary.Seeds)
 	}
 	return nil
 }
 
-// readScript returns the script of a seed, or of a file.
+// readScript returns the script of a seed or in a file.
 func readScript(profile, arg string) (*simulation.Script, error) {
 	if seed, err := strconv.ParseUint(arg, 10, 64); err == nil {
 		script, err := simulation.Generate(profile, seed)
@@ -106,7 +106,7 @@
 	var o replayOptions
 	cmd := &cobra.Command{
 		Use:   "replay SEED|FILE",
-		Short: "Run one seed or script again; the digest of its trace proves that it was the same",
+		Short: "Replay a seed or a script and compare the digests of the traces",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			script, err := readScript(o.profile, args[0])
@@ -121,10 +121,10 @@
 	}
 	flags := cmd.Flags()
 	flags.StringVar(&o.profile, "profile", defaultProfile, "profile of the seed")
-	flags.BoolVar(&o.trace, "trace", false, "print every step")
-	flags.BoolVar(&o.printScript, "script", false, "print the script and run nothing")
-	flags.StringVar(&o.recordFile, "tape", "", "file for what passed between clients, front ends and workers, JSON lines")
-	flags.IntVar(&o.runs, "times", 2, "run it so often and compare the digests")
+	flags.BoolVar(&o.trace, "trace", false, "print each step")
+	flags.BoolVar(&o.printScript, "script", false, "print the script without running it")
+	flags.StringVar(&o.recordFile, "tape", "", "file for the traffic between clients, front ends and workers, as JSON lines")
+	flags.IntVar(&o.runs, "times", 2, "number of runs whose digests are compared")
 	return cmd
 }
 
@@ -156,11 +156,11 @@
 			return err
 		}
 		if report.Digest != first.Digest {
-			return fmt.Errorf("run %d took another way: %s, before %s", run, report.Digest, first.Digest)
+			return fmt.Errorf("run %d diverged: digest %s, first run %s", run, report.Digest, first.Digest)
 		}
 	}
 	if !first.OK() {
-		return errors.New("the script broke something")
+		return errors.New("the script has findings")
 	}
 	return nil
 }
@@ -169,7 +169,7 @@
 	var profile, output string
 	cmd := &cobra.Command{
 		Use:   "shrink SEED|FILE",
-		Short: "Cut a script that breaks something to a small one that still does",
+		Short: "Shrink a script that has findings to a small one that still has",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			script, err := readScript(profile, args[0])
@@ -180,7 +180,7 @@
 		},
 	}
 	cmd.Flags().StringVar(&profile, "profile", defaultProfile, "profile of the seed")
-	cmd.Flags().StringVarP(&output, "output", "o", "", "file for the small script; standard output otherwise")
+	cmd.Flags().StringVarP(&output, "output", "o", "", "file for the small script; standard output by default")
 	return cmd
 }
 
@@ -193,7 +193,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(os.Stderr, "%d faults of %d are left after %d runs; it breaks: %s\n", len(small.Faults), len(script.Faults), runs,
+	fmt.Fprintf(os.Stderr, "%d of %d faults left after %d runs; findings: %s\n", len(small.Faults), len(script.Faults), runs,
 		strings.Join(report.Findings, "; "))
 	if output == "" {
 		fmt.Println(string(data))
@@ -205,10 +205,10 @@
 func profilesCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "profiles",
-		Short: "What profiles there are",
+		Short: "List the profiles",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			rows := [][]string{{"PROFILE", "ABOUT"}}
+			rows := [][]string{{"PROFILE", "DESCRIPTION"}}
 			names, descriptions := simulation.Profiles()
 			for i := range names {
 				rows = append(rows, []string{names[i], descriptions[i]})
@@ -223,14 +223,14 @@
 	var depth, maxStates int
 	cmd := &cobra.Command{
 		Use:   "explore",
-		Short: "Explore every order of messages in a small world to a depth, and check rules 1 to 3",
+		Short: "Explore every order of messages in a small environment up to a depth, and check rules 1 to 3",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			return explore(depth, maxStates)
 		},
 	}
-	cmd.Flags().IntVar(&depth, "depth", 6, "moves")
-	cmd.Flags().IntVar(&maxStates, "states", 2_000_000, "worlds after which it ends")
+	cmd.Flags().IntVar(&depth, "depth", 6, "maximum number of steps")
+	cmd.Flags().IntVar(&maxStates, "states", 2_000_000, "number of states after which the exploration ends")
 	return cmd
 }
 
@@ -243,7 +243,7 @@
 		return err
 	}
 	if len(result.Violations) > 0 {
-		return fmt.Errorf("%d ways broke a rule", len(result.Violations))
+		return fmt.Errorf("%d paths violate a rule", len(result.Violations))
 	}
 	return nil
 }
--- a/cmd/streamcleat/sites_test.go
+++ b/cmd/streamcleat/site_names_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// No file of the program or of its deployment has a name of the site on which it is tested.
-func TestNoNameOfASiteIsInTheProgram(t *testing.T) {
+// Neither the program nor its deployment file contains a name of a site on which it is tested.
+func TestProgram_ContainsNoSiteNames(t *testing.T) {
 	names := regexp.MustCompile(`tomakomai|shop-event|kitaboshi|minato|bureau-mr|handler-workers|std-5c|eco-5c|berth|tram-signs`)
 	read := 0
 	for _, dir := range []string{
--- a/cmd/streamcleat/soak.go
+++ b/cmd/streamcleat/soak.go
@@ -14,8 +14,8 @@
 	"streamcleat/internal/verification/soak"
 )
 
-// errSoakBroken is the error of a soak that broke something.
-var errSoakBroken = errors.New("a rule was broken")
+// errSoakBroken reports that a soak violated a rule or failed.
+var errSoakBroken = errors.New("a rule was violated")
 
 // soakOptions are the flags of the soak command.
 type soakOptions struct {
@@ -26,16 +26,16 @@
 	verbose    bool
 }
 
-// soakCommand runs real processes under troubles from seeds.
+// soakCommand returns the command that runs front ends as processes under random faults.
 func soakCommand() *cobra.Command {
 	var o soakOptions
 	cmd := &cobra.Command{
 		Use:   "soak",
-		Short: "Run front ends as real processes under overlapping troubles and check the rules on what passed on the sockets",
+		Short: "Run front ends as processes under overlapping faults and check the rules on the recorded traffic",
 		Long: "Starts front ends of the platform as processes on loopback, with fake workers, a fake discovery service and clients,\n" +
-			"overlaps troubles that are drawn from a seed (restarts, kills, reloads, pauses, misbehaving workers, discovery, clients\n" +
-			"and log readers) and checks the rules. Built with the tag faults, system calls of the front ends fail too.\n" +
-			"It exits 0 only if nothing was broken.",
+			"injects overlapping faults drawn from a seed (restarts, kills, reloads, pauses, misbehaving workers, discovery, clients\n" +
+			"and log readers) and checks the rules. In a build with the tag faults, system calls of the front ends fail too.\n" +
+			"The exit status is 0 only if no rule was violated and nothing failed.",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return runSoak(cmd.Context(), &o) },
 	}
@@ -44,11 +44,11 @@
 	flags.IntVar(&o.runs, "seeds", 1, "number of runs, each with the next seed")
 	flags.IntVar(&o.settings.FrontEnds, "front-ends", 24, "number of front ends")
 	flags.IntVar(&o.settings.Workers, "workers", 12, "number of workers at the start")
-	flags.DurationVar(&o.settings.Duration, "duration", 20*time.Second, "time of the load of each run")
-	flags.Float64Var(&o.settings.FaultRate, "fault-rate", 0.001, "part of the system calls that fail, in a build with the tag faults")
+	flags.DurationVar(&o.settings.Duration, "duration", 20*time.Second, "duration of the load in each run")
+	flags.Float64Var(&o.settings.FaultRate, "fault-rate", 0.001, "fraction of system calls that fail, in a build with the tag faults")
 	flags.BoolVar(&o.asJSON, "json", false, "one JSON object for each run")
-	flags.StringVar(&o.recordFile, "record", "", "write what passed on the sockets of the last run to this file, as JSON lines")
-	flags.BoolVarP(&o.verbose, "verbose", "v", false, "print each trouble as it begins")
+	flags.StringVar(&o.recordFile, "record", "", "write the recorded traffic of the last run to this file as JSON lines")
+	flags.BoolVarP(&o.verbose, "verbose", "v", false, "print each fault as it is injected")
 	return cmd
 }
 
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// report prints a result and keeps its records where that is asked for.
+// report prints a result and writes its records where --record is set.
 func (o *soakOptions) report(result *soak.Result, records []invariants.Record) error {
 	if o.recordFile != "" {
 		file, err := os.Create(o.recordFile)
--- a/cmd/streamcleat/soak_test.go
+++ b/cmd/streamcleat/soak_test.go
@@ -9,7 +9,7 @@
 	"streamcleat/internal/verification/soak"
 )
 
-// One short seed of the soak, with fewer processes than by hand: see docs/simulation.md.
+// One short run with fewer processes than the default of the command; see docs/simulation.md.
 func TestSoak(t *testing.T) {
 	program, err := exec.LookPath("streamcleat")
 	if err != nil {
@@ -24,6 +24,6 @@
 	}
 	t.Log(result)
 	if result.Broken() || result.Verdict.Succeeded < 100 {
-		t.Error("the soak broke something, or served hardly anything")
+		t.Error("a rule was violated, or fewer than 100 requests succeeded")
 	}
 }
--- a/cmd/streamcleat/start.go
+++ b/cmd/streamcleat/start.go
@@ -15,38 +15,38 @@
 )
 
 const (
-	startTimeout      = 30 * time.Second // reading back the state takes this long at most
+	startTimeout      = 30 * time.Second // includes restoring the state
 	startPollInterval = 50 * time.Millisecond
 )
 
-// startCommand starts an appliance that goes on when the terminal closes.
+// startCommand returns the command that starts an appliance in the background.
 func startCommand() *cobra.Command {
 	var logFile string
 	cmd := &cobra.Command{
 		Use:   "start CONFIG",
-		Short: "Start an appliance that goes on when the terminal closes",
+		Short: "Start an appliance in the background; it continues when the terminal closes",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			return startBox(args[0], logFile)
+			return startAppliance(args[0], logFile)
 		},
 	}
-	cmd.Flags().StringVar(&logFile, "log", "", "file for the appliance's log (the socket's name with .log)")
+	cmd.Flags().StringVar(&logFile, "log", "", "log file of the appliance; by default the socket's name with .log")
 	return cmd
 }
 
-func startBox(configFile, logFile string) error {
+func startAppliance(configFile, logFile string) error {
 	c, err := loadConfig(configFile)
 	if err != nil {
 		return err
 	}
 	if c.Console == nil {
-		return usageError(fmt.Errorf("%s: /console: not set; a box that is started needs a console's socket", configFile))
+		return usageError(fmt.Errorf("%s: /console: not set, start needs a console socket", configFile))
 	}
 	socket := c.Path(c.Console.Socket)
 	client := console.NewClient(socket, "start")
 	var status appliance.Status
 	if client.Get("status", &status) == nil {
-		return fmt.Errorf("box %s runs already and is %s", status.Name, status.State)
+		return fmt.Errorf("appliance %s is already running and %s", status.Name, status.State)
 	}
 	if logFile == "" {
 		logFile = socket + ".log"
@@ -58,7 +58,7 @@
 	return waitUntilServing(client, process, logFile)
 }
 
-// startDetached starts the serve command in a session of its own.
+// startDetached starts the command serve in a session of its own.
 func startDetached(configFile, logFile string) (*exec.Cmd, error) {
 	log, err := os.OpenFile(logFile, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o640)
 	if err != nil {
@@ -80,27 +80,27 @@
 	return process, process.Start()
 }
 
-// waitUntilServing returns when the appliance serves, has ended or has not served for startTimeout.
+// waitUntilServing returns when the appliance serves or has exited, or after startTimeout.
 func waitUntilServing(client *console.Client, process *exec.Cmd, logFile string) error {
-	ended := make(chan error, 1)
-	go func() { ended <- process.Wait() }()
+	exited := make(chan error, 1)
+	go func() { exited <- process.Wait() }()
 	for deadline := time.Now().Add(startTimeout); time.Now().Before(deadline); time.Sleep(startPollInterval) {
 		select {
-		case err := <-ended:
+		case err := <-exited:
 			return earlyExitError{cause: err, logFile: logFile}
 		default:
 		}
 		var status appliance.Status
 		if client.Get("status", &status) == nil && status.State == "serving" {
-			fmt.Printf("box %s serves on %v, process %d, log in %s\n", status.Name, status.FrontEnds, process.Process.Pid, logFile)
+			fmt.Printf("appliance %s serves on %v, process %d, log %s\n", status.Name, status.FrontEnds, process.Process.Pid, logFile)
 			return nil
 		}
 	}
-	return fmt.Errorf("the box does not serve after %.0f s and is left running as process %d; %s tells more",
+	return fmt.Errorf("appliance is not serving after %.0f s, process %d left running, log %s",
 		startTimeout.Seconds(), process.Process.Pid, logFile)
 }
 
-// earlyExitError reports that the process of the appliance ended before it served. Its cause is nil after exit status 0.
+// earlyExitError reports that the appliance exited before it served. Its cause is nil after exit status 0.
 type earlyExitError struct {
 	cause   error
 	logFile string
@@ -108,8 +108,8 @@
 
 // Error names the cause and the log file.
 func (e earlyExitError) Error() string {
-	return fmt.Sprintf("the box ended at once (%v); %s tells why", e.cause, e.logFile)
+	return fmt.Sprintf("appliance exited before serving (%v), log %s", e.cause, e.logFile)
 }
 
-// Unwrap returns why the process ended.
+// Unwrap returns the error of the process.
 func (e earlyExitError) Unwrap() error { return e.cause }
--- a/cmd/streamcleat/verify.go
+++ b/cmd/streamcleat/verify.go
@@ -10,18 +10,18 @@
 	"streamcleat/internal/verification/invariants"
 )
 
-// verifyCommand checks the invariants on a recorded run.
-func verifyCommand(word string) *cobra.Command {
+// verifyCommand returns the command that checks the five rules on a recorded run.
+func verifyCommand(name string) *cobra.Command {
 	var rulesFile string
 	cmd := &cobra.Command{
-		Use:   word + " RECORD",
-		Short: "Check the five rules on a record of what passed on the sockets; a JSON file has the rules' figures",
+		Use:   name + " RECORD",
+		Short: "Check the five rules on recorded traffic, with parameters from a JSON file",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
 			return verifyRecord(rulesFile, args[0])
 		},
 	}
-	cmd.Flags().StringVar(&rulesFile, "rules", "", "figures of the rules, JSON")
+	cmd.Flags().StringVar(&rulesFile, "rules", "", "JSON file with the parameters of the rules")
 	require(cmd, "rules")
 	return cmd
 }
