--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter serves the simulator of the bench on standard input and output: it hosts the routers of simulated
-// front ends.
+// Command simadapter hosts the routers of simulated front ends for the bench's simulator, which drives them over standard
+// input and output. It owns no state; package simadapter has the protocol.
 package main
 
 import (
--- a/cmd/streamcleat/main.go
+++ b/cmd/streamcleat/main.go
@@ -27,7 +27,7 @@
 	err := rootCommand().ExecuteContext(ctx)
 	if err != nil {
 		stderr, closeLog := openLog()
-		_, _ = fmt.Fprintln(stderr, "streamcleat:", err) // the writer drops what it cannot write
+		_, _ = fmt.Fprintln(stderr, "streamcleat:", err) // the writer reports no error
 		closeLog()
 	}
 	return exitStatus(err)
--- a/cmd/streamcleat/soak.go
+++ b/cmd/streamcleat/soak.go
@@ -82,11 +82,7 @@
 // report prints a result and writes its records where --record is set.
 func (o *soakOptions) report(result *soak.Result, records []invariants.Record) error {
 	if o.recordFile != "" {
-		file, err := os.Create(o.recordFile)
-		if err != nil {
-			return err
-		}
-		if err := errors.Join(invariants.Write(file, records), file.Close()); err != nil {
+		if err := writeRecords(o.recordFile, records); err != nil {
 			return err
 		}
 	}
