--- a/cmd/streamcleat/fake.go
+++ b/cmd/streamcleat/fake.go
@@ -29,7 +29,7 @@
 	count, functions, cores int
 	listFile, address       string
 	seed                    uint64
-	loadOnEvent             bool
+	loadOnRequest           bool
 }
 
 func fakeWorkerCommand() *cobra.Command {
@@ -51,7 +51,7 @@
 	flags.StringVar(&o.listFile, "list", "workers.json", "file to write the endpoint list to")
 	flags.StringVar(&o.address, "address", "", "host:port to listen on, with --count 1")
 	flags.Uint64Var(&o.seed, "seed", 1, "seed of the functions' load times and sizes")
-	flags.BoolVar(&o.loadOnEvent, "load-on-event", false, "load a function that is requested and not loaded, instead of replying 404")
+	flags.BoolVar(&o.loadOnRequest, "load-on-event", false, "load a function that is requested and not loaded, instead of replying 404")
 	return cmd
 }
 
@@ -104,7 +104,7 @@
 		WarmUpTime:              16,
 		OverloadFactor:          2.5,
 		OverloadWindow:          1.5,
-		LoadsOnRequest:          o.loadOnEvent,
+		LoadsOnRequest:          o.loadOnRequest,
 		MeanWork:                0.04,
 		Deduplicator:            fakes.NewDeduplicator(60),
 		IdempotentByKeyClasses:  map[string]bool{"till-entry": true},
--- /dev/null
+++ b/internal/verification/nodetest/nodetest_test.go
@@ -0,0 +1,105 @@
+package nodetest
+
+import (
+	"bytes"
+	"encoding/binary"
+	"hash/crc32"
+	"net"
+	"testing"
+	"time"
+
+	"streamcleat/control"
+	"streamcleat/internal/platform"
+)
+
+// encodeFrame encodes a frame as a front end sends it.
+func encodeFrame(command byte, fields, body string) []byte {
+	frame := binary.BigEndian.AppendUint16([]byte{ReplyMark, command}, uint16(len(fields)))
+	frame = binary.BigEndian.AppendUint32(frame, uint32(len(body)))
+	frame = append(frame, 0, 0, 0, 0, 0, 0, 0, 7)
+	frame = append(append(frame, fields...), body...)
+	return binary.BigEndian.AppendUint32(frame, crc32.ChecksumIEEE(frame[frameHeadSize:]))
+}
+
+// exchange sends a frame to a worker and returns its reply, which is empty if there is none within timeout.
+func exchange(t *testing.T, w *Worker, frame []byte, timeout time.Duration) []byte {
+	t.Helper()
+	conn, err := net.Dial("tcp", w.Addr())
+	if err != nil {
+		t.Fatal(err)
+	}
+	CloseAtEnd(t, conn)
+	if _, err := conn.Write(frame); err != nil {
+		t.Fatal(err)
+	}
+	if err := conn.SetReadDeadline(time.Now().Add(timeout)); err != nil {
+		t.Fatal(err)
+	}
+	reply := make([]byte, 1024)
+	n, _ := conn.Read(reply) // no reply is a timeout
+	return reply[:n]
+}
+
+func isChecksumValid(reply []byte) bool {
+	end := len(reply) - frameSumSize
+	return binary.BigEndian.Uint32(reply[end:]) == crc32.ChecksumIEEE(reply[frameHeadSize:end])
+}
+
+func TestWorker_RepliesToAttempt(t *testing.T) {
+	w := NewWorker(t)
+	attempt := encodeFrame(CommandAttempt, "budget=5", "body")
+	reply := exchange(t, w, attempt, clientTimeout)
+	if len(reply) == 0 || reply[1] != ReplySucceeded || !bytes.Contains(reply, []byte("body")) || !isChecksumValid(reply) {
+		t.Errorf("%q", reply)
+	}
+	w.Corrupt.Store(true)
+	if reply := exchange(t, w, attempt, clientTimeout); len(reply) == 0 || isChecksumValid(reply) {
+		t.Errorf("corrupt: %q", reply)
+	}
+	w.Silent.Store(true)
+	if reply := exchange(t, w, attempt, 100*time.Millisecond); len(reply) != 0 {
+		t.Errorf("silent: %q", reply)
+	}
+	if n := w.Attempts.Load(); n != 3 {
+		t.Errorf("%d attempts counted, want 3", n)
+	}
+}
+
+func TestWorker_RepliesToLoadWithChosenCode(t *testing.T) {
+	w := NewWorker(t)
+	w.Corrupt.Store(true) // applies to attempts only
+	w.SetReplyCode(func(byte) byte { return ReplyFailed })
+	reply := exchange(t, w, encodeFrame(CommandLoad, "", ""), clientTimeout)
+	if len(reply) == 0 || reply[1] != ReplyFailed || !bytes.Contains(reply, []byte(OneReplica)) || !isChecksumValid(reply) {
+		t.Errorf("%q", reply)
+	}
+	if command := <-w.Replied; command != CommandLoad {
+		t.Errorf("replied to %d", command)
+	}
+}
+
+func TestFrame_Budget(t *testing.T) {
+	if budget := (Frame{Fields: []byte("a=1,budget=250,uniq=k")}).Budget(t); budget != 250*time.Millisecond {
+		t.Error(budget)
+	}
+}
+
+func TestDrainLine_DrainsWorkerOfDocument(t *testing.T) {
+	const worker = "127.0.0.1:3"
+	document, err := platform.ReadDocument([]byte(DocumentText("127.0.0.1:1", "127.0.0.1:2", worker, 64)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if document.Listen != "127.0.0.1:1" || document.DiscoveryAddress != "127.0.0.1:2" || document.MaxDescriptors != 64 {
+		t.Errorf("%+v", document)
+	}
+	if workers := document.Discovery.EndpointList(0, 0).Workers; len(workers) != 1 || workers[0].State != control.Serving {
+		t.Fatalf("%+v", workers)
+	}
+	if changed, err := document.Discovery.ReadLine([]byte(DrainLine(worker))); !changed || err != nil {
+		t.Error(changed, err)
+	}
+	if workers := document.Discovery.EndpointList(0, 0).Workers; len(workers) != 1 || workers[0].State != control.Draining {
+		t.Errorf("%+v", workers)
+	}
+}
