--- a/cmd/streamcleat/admin.go
+++ b/cmd/streamcleat/admin.go
@@ -1,7 +1,6 @@
 package main
 
 import (
-	"encoding/json"
 	"errors"
 	"fmt"
 	"os"
@@ -47,52 +46,6 @@
 	}
 }
 
-// clientFlags adds the flags that select an appliance and returns a function that creates a client from them.
-func clientFlags(cmd *cobra.Command) func() (*console.Client, error) {
-	var socket, file, name string
-	flags := cmd.Flags()
-	flags.StringVar(&socket, "socket", "", "console socket of the appliance")
-	flags.StringVarP(&file, "config", "c", "", "configuration that names the socket, instead of --socket")
-	flags.StringVar(&name, "name", fmt.Sprintf("%s-%d", cmd.Name(), os.Getppid()), "name under which other consoles see this one's commands")
-	return func() (*console.Client, error) {
-		path, err := socketPath(socket, file)
-		if err != nil {
-			return nil, err
-		}
-		return console.NewClient(path, name), nil
-	}
-}
-
-// socketPath returns the console socket from the flag, the configuration or the environment, in this order.
-func socketPath(socket, configFile string) (string, error) {
-	if socket == "" && configFile != "" {
-		c, err := loadConfig(configFile)
-		if err != nil {
-			return "", err
-		}
-		if c.Console == nil {
-			return "", usageError(fmt.Errorf("%s: /console: not set, no socket to connect to", configFile))
-		}
-		socket = c.Path(c.Console.Socket)
-	}
-	if socket == "" {
-		socket = os.Getenv("STREAMCLEAT_SOCKET")
-	}
-	if socket == "" {
-		return "", usageError(errors.New("no appliance selected: set --socket, --config or STREAMCLEAT_SOCKET"))
-	}
-	return socket, nil
-}
-
-// printValue writes a value to standard output, as JSON or as text.
-func printValue(asJSON bool, value any, text func() string) error {
-	if asJSON {
-		return json.NewEncoder(os.Stdout).Encode(value)
-	}
-	_, err := fmt.Println(text())
-	return err
-}
-
 // query reads a value from an appliance and returns it with a function that formats it as text.
 type query func(c *console.Client, args []string) (value any, text func() string, err error)
 
--- a/cmd/streamcleat/bench.go
+++ b/cmd/streamcleat/bench.go
@@ -2,9 +2,7 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
-	"os"
 
 	"github.com/spf13/cobra"
 
@@ -83,14 +81,3 @@
 	return fmt.Sprintf("%8d requests, %4d MB: state read in %.2f s, restored in %.2f s, %.1f us per request", r.Requests, r.Bytes>>20,
 		r.OpenTime, r.RestoreTime, r.PerRequest)
 }
-
-// printRows prints measurements as one JSON list, or as one line each.
-func printRows[Row any](asJSON bool, rows []Row, format func(Row) string) error {
-	if asJSON {
-		return json.NewEncoder(os.Stdout).Encode(rows)
-	}
-	for _, row := range rows {
-		fmt.Println(format(row))
-	}
-	return nil
-}
--- a/cmd/streamcleat/files.go
+++ b/cmd/streamcleat/files.go
@@ -1,13 +1,10 @@
 package main
 
 import (
-	"encoding/json"
 	"fmt"
 	"io"
 	"os"
 
-	"github.com/spf13/cobra"
-
 	"streamcleat/internal/verification/invariants"
 )
 
@@ -28,19 +25,3 @@
 	}
 	return file.Close()
 }
-
-// indentedJSON returns an encoder that writes indented JSON to standard output.
-func indentedJSON() *json.Encoder {
-	encoder := json.NewEncoder(os.Stdout)
-	encoder.SetIndent("", "  ")
-	return encoder
-}
-
-// require marks flags that have no default as required.
-func require(cmd *cobra.Command, flags ...string) {
-	for _, flag := range flags {
-		if err := cmd.MarkFlagRequired(flag); err != nil {
-			panic(err) // the flag is not defined, which is a bug
-		}
-	}
-}
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -14,9 +14,9 @@
 
 	mebibyte = 1 << 20
 
-	// heapShare is the fraction of the memory used as the soft limit of the heap. Stacks, kernel buffers and uncollected
+	// heapFraction is the fraction of the memory used as the soft limit of the heap. Stacks, kernel buffers and uncollected
 	// garbage take the rest.
-	heapShare = 0.6
+	heapFraction = 0.6
 	// bodyMemoryDivisor reserves a quarter of the memory for bodies of open requests.
 	bodyMemoryDivisor = 4
 	// requestOverheadBytes is the memory of an open request without its body.
@@ -40,9 +40,9 @@
 	// minConnectionsPerWorker allows a second connection while the first is busy.
 	minConnectionsPerWorker = 2
 
-	// upstreamIdleShare is the fraction of the platform's idle timeout after which the front end closes a connection, so
+	// upstreamIdleFraction is the fraction of the platform's idle timeout after which the front end closes a connection, so
 	// that the worker does not close it under a request.
-	upstreamIdleShare = 0.6
+	upstreamIdleFraction = 0.6
 
 	millisecondsPerSecond = 1000
 )
@@ -65,7 +65,7 @@
 
 // MemoryLimit returns the soft limit of the heap in bytes.
 func MemoryLimit(document *platform.Document) int64 {
-	return int64(document.MemoryMB * heapShare * mebibyte)
+	return int64(document.MemoryMB * heapFraction * mebibyte)
 }
 
 // maxOpenRequests returns the maximum number of open requests: the platform's limit, or fewer where their bodies would
@@ -92,7 +92,7 @@
 	caps := &document.Terms.Limits
 	return upstreamframes.Limits{
 		DialTimeout:         caps.DialTimeoutMs / millisecondsPerSecond,
-		IdleTimeout:         caps.IdleTimeoutMs / millisecondsPerSecond * upstreamIdleShare,
+		IdleTimeout:         caps.IdleTimeoutMs / millisecondsPerSecond * upstreamIdleFraction,
 		MaxTotal:            connections,
 		MaxPerWorker:        max(connections/perWorkerDivisor, minConnectionsPerWorker),
 		MaxStreams:          max(caps.MaxStreams, 1),
--- a/internal/verification/nodetest/frame.go
+++ b/internal/verification/nodetest/frame.go
@@ -31,11 +31,11 @@
 
 // A frame has a head of 16 bytes (mark, code, sizes of fields and body, request ID), fields, body and checksum.
 const (
-	frameHeadSize  = 16
-	frameIDOffset  = 8
-	frameSumSize   = 4
-	fieldsSizeFrom = 2
-	bodySizeFrom   = 4
+	frameHeadSize    = 16
+	requestIDOffset  = 8
+	checksumSize     = 4
+	fieldsSizeOffset = 2
+	bodySizeOffset   = 4
 )
 
 // Frame is a frame that a worker received.
@@ -52,9 +52,9 @@
 	if _, err := io.ReadFull(conn, head); err != nil {
 		return Frame{}, err
 	}
-	fieldsSize := int(binary.BigEndian.Uint16(head[fieldsSizeFrom:]))
-	bodySize := int(binary.BigEndian.Uint32(head[bodySizeFrom:]))
-	rest := make([]byte, fieldsSize+bodySize+frameSumSize)
+	fieldsSize := int(binary.BigEndian.Uint16(head[fieldsSizeOffset:]))
+	bodySize := int(binary.BigEndian.Uint32(head[bodySizeOffset:]))
+	rest := make([]byte, fieldsSize+bodySize+checksumSize)
 	if _, err := io.ReadFull(conn, rest); err != nil {
 		return Frame{}, err
 	}
@@ -68,7 +68,7 @@
 func (f Frame) Reply(code byte, fields string, body []byte) []byte {
 	reply := binary.BigEndian.AppendUint16([]byte{ReplyMark, code}, uint16(len(fields)))
 	reply = binary.BigEndian.AppendUint32(reply, uint32(len(body)))
-	reply = append(reply, f.head[frameIDOffset:]...)
+	reply = append(reply, f.head[requestIDOffset:]...)
 	reply = append(append(reply, fields...), body...)
 	return binary.BigEndian.AppendUint32(reply, crc32.ChecksumIEEE(reply[frameHeadSize:]))
 }
@@ -76,7 +76,7 @@
 // CorruptReply returns a reply to the frame whose checksum is wrong.
 func (f Frame) CorruptReply(code byte, fields string, body []byte) []byte {
 	reply := f.Reply(code, fields, body)
-	checksum := reply[len(reply)-frameSumSize:]
+	checksum := reply[len(reply)-checksumSize:]
 	binary.BigEndian.PutUint32(checksum, binary.BigEndian.Uint32(checksum)+1)
 	return reply
 }
--- a/internal/verification/nodetest/nodetest_test.go
+++ b/internal/verification/nodetest/nodetest_test.go
@@ -41,7 +41,7 @@
 }
 
 func isChecksumValid(reply []byte) bool {
-	end := len(reply) - frameSumSize
+	end := len(reply) - checksumSize
 	return binary.BigEndian.Uint32(reply[end:]) == crc32.ChecksumIEEE(reply[frameHeadSize:end])
 }
 
