--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -2,7 +2,7 @@
 
 import "streamcleat/control"
 
-// activeAttempt is an attempt that is in flight.
+// activeAttempt is an attempt in flight.
 type activeAttempt struct {
 	id       uint64
 	request  *openRequest
@@ -12,26 +12,26 @@
 	number   int // 0 for the first attempt of the request
 }
 
-// mayHaveRun tells whether an attempt that ended so may have run; the outcomes from control.Rejected on prove that it
-// did not.
-func mayHaveRun(outcome control.Outcome) bool { return outcome < control.Rejected }
+// possiblyExecuted reports whether an attempt with this outcome may have been executed. The outcomes from
+// control.Rejected on prove that it was not.
+func possiblyExecuted(outcome control.Outcome) bool { return outcome < control.Rejected }
 
-// startAttempt sends an open request to a worker. Where the request must not run twice, a record that it may have run
-// becomes durable first.
+// startAttempt sends an open request to a worker. Unless the request is idempotent, a record that it was possibly
+// executed is stored first, and the attempt waits until that record is durable.
 func (d *Dispatcher) startAttempt(req *openRequest, worker control.WorkerID, timeout float64) {
 	attempt := &activeAttempt{
 		id: d.nextID(), request: req, worker: worker, sentAt: d.now,
 		deadline: d.now + timeout, number: req.attempts,
 	}
-	req.attemptStarted(attempt)
+	req.onAttemptStarted(attempt)
 	d.inFlight[attempt.id] = attempt
 	d.counts.Attempts++
-	d.arm(timeout, attemptDeadline, attempt.id, nil)
+	d.armTimer(timeout, attemptDeadline, attempt.id, nil)
 	awaitsRecord := req.class.Semantics != control.Idempotent
 	if awaitsRecord {
-		d.recordAttempt(req)
+		d.storeAttemptRecord(req)
 	}
-	d.addStep(req, StepAttemptStarted, string(worker), d.routingSummary(req.routingFunction()))
+	d.traceStep(req, StepAttemptStarted, string(worker), d.routingSummary(req.routingFunction()))
 	d.effects.SendAttempt(Attempt{
 		ID:           attempt.id,
 		Worker:       worker,
@@ -47,7 +47,7 @@
 	})
 }
 
-// OnAttemptReply tells how an attempt ended. Replies to attempts that were abandoned are ignored.
+// OnAttemptReply processes the end of an attempt. Replies to abandoned attempts are ignored.
 func (d *Dispatcher) OnAttemptReply(now float64, id uint64, reply WorkerReply) {
 	d.advance(now)
 	if attempt := d.inFlight[id]; attempt != nil {
@@ -55,17 +55,17 @@
 	}
 }
 
-// endAttempt ends an attempt. A success completes its request; else the router, which still holds the request unless it
-// is orphaned, retries it, rejects it or fails it.
+// endAttempt ends an attempt. A success completes its request. Otherwise the router, which holds the request unless it is
+// an orphan, retries, rejects or fails it.
 func (d *Dispatcher) endAttempt(attempt *activeAttempt, reply WorkerReply) {
 	req := attempt.request
 	delete(d.inFlight, attempt.id)
 	if reply.Outcome == control.Succeeded && req.binding.ID != "" && reply.Digest != req.binding.Digest {
-		reply.Outcome = control.Failed // what ran is not the version that was bound
-		req.wrongDigest = true
+		reply.Outcome = control.Failed // the worker ran another version than the bound one
+		req.digestMismatch = true
 	}
-	req.attemptEnded(attempt, reply)
-	d.addStep(req, outcomeSteps[reply.Outcome], string(attempt.worker), startDetails[reply.Start])
+	req.onAttemptEnded(attempt, reply)
+	d.traceStep(req, outcomeSteps[reply.Outcome], string(attempt.worker), startDetails[reply.Start])
 	released := req.released
 	result := control.AttemptResult{
 		Request:   req.id,
@@ -90,16 +90,16 @@
 	}
 }
 
-// endOrphan ends a request whose waiters had all left while its attempt, which did not succeed, was in flight. It is
-// admitted anew for waiters that have joined since, if it may run again.
+// endOrphan ends an orphaned request whose attempt did not succeed. The request is admitted again for waiters that have
+// joined since, provided that it is safe to retry.
 func (d *Dispatcher) endOrphan(req *openRequest) {
-	safe := req.safeToRepeat()
-	if len(req.waiters) > 0 && safe && !d.draining {
+	safeToRetry := req.isSafeToRetry()
+	if len(req.waiters) > 0 && safeToRetry && !d.draining {
 		d.readmit(req)
 		return
 	}
 	response := d.newResponse(req, Rejected, d.causeOf(req))
-	if !safe {
+	if !safeToRetry {
 		response.Kind = Failed
 	}
 	d.complete(req, response)
--- a/internal/dispatch/check.go
+++ b/internal/dispatch/check.go
@@ -5,28 +5,28 @@
 	"fmt"
 )
 
-// ErrInconsistent is what [Dispatcher.Check] finds: state that contradicts itself.
+// ErrInconsistent is wrapped by the errors of [Dispatcher.Check].
 var ErrInconsistent = errors.New("dispatcher state is inconsistent")
 
-// inconsistencies collects what a check finds.
+// inconsistencies collects the errors of a check.
 type inconsistencies []error
 
-// addf adds one finding.
+// addf adds one error.
 func (f *inconsistencies) addf(format string, args ...any) {
 	*f = append(*f, fmt.Errorf("%w: %s", ErrInconsistent, fmt.Sprintf(format, args...)))
 }
 
-// Waiters is how many waiters have no response yet.
+// Waiters returns the number of waiters without a response.
 func (d *Dispatcher) Waiters() int { return len(d.requestByWaiter) }
 
-// Check returns errors, each an [ErrInconsistent], for state that contradicts itself; it is for tests and the
-// simulation. Where full is set it also checks the cache, which takes time by the number of cached responses.
+// Check verifies the invariants of the dispatcher's state, for tests and the simulation. It joins one [ErrInconsistent]
+// for each violation. If full is set it also checks the cache, in time proportional to the number of cached responses.
 func (d *Dispatcher) Check(full bool) error {
 	var found inconsistencies
 	waiters, inFlight := 0, 0
 	for id, req := range d.requests {
 		if req.id != id {
-			found.addf("request %s is held as %s", req.id, id)
+			found.addf("request %s is indexed as %s", req.id, id)
 		}
 		d.checkRequest(req, &found)
 		d.checkWaiters(req, &found)
@@ -36,13 +36,13 @@
 		}
 	}
 	if waiters != len(d.requestByWaiter) {
-		found.addf("%d waiters are known, %d belong to open requests", len(d.requestByWaiter), waiters)
+		found.addf("%d waiters indexed, %d of open requests", len(d.requestByWaiter), waiters)
 	}
 	if inFlight != len(d.inFlight) {
-		found.addf("%d attempts are in flight, %d of open requests", len(d.inFlight), inFlight)
+		found.addf("%d attempts in flight, %d of open requests", len(d.inFlight), inFlight)
 	}
 	if len(d.openByIdentity) != len(d.requests) {
-		found.addf("%d requests are open, %d identities", len(d.requests), len(d.openByIdentity))
+		found.addf("%d requests open, %d identities indexed", len(d.requests), len(d.openByIdentity))
 	}
 	d.checkTimers(&found)
 	if full {
@@ -56,17 +56,17 @@
 	identity := req.request.Identity
 	switch state := req.state(); {
 	case d.openByIdentity[identity] == nil:
-		found.addf("request %s is open and not found by its identity", identity)
+		found.addf("open request %s not indexed by its identity", identity)
 	case state == stateClosed:
-		found.addf("request %s has ended and is open", identity)
+		found.addf("closed request %s still indexed as open", identity)
 	case !req.released && len(req.waiters) == 0:
-		found.addf("request %s is open and has no waiter", identity)
+		found.addf("open request %s has no waiter", identity)
 	case !req.released && d.now > req.deadline+d.settings.ResponseMargin:
-		found.addf("request %s is open %.3f s past its deadline", identity, d.now-req.deadline)
+		found.addf("request %s open %.3f s past its deadline", identity, d.now-req.deadline)
 	}
 	attempt := req.attempt
 	if attempt != nil && (d.inFlight[attempt.id] != attempt || attempt.request != req) {
-		found.addf("request %s has an attempt in flight that is not known", identity)
+		found.addf("attempt of request %s not indexed as in flight", identity)
 	}
 }
 
@@ -74,15 +74,15 @@
 func (d *Dispatcher) checkWaiters(req *openRequest, found *inconsistencies) {
 	for _, w := range req.waiters {
 		if d.requestByWaiter[w.id] != req {
-			found.addf("waiter %d of request %s is not known", w.id, req.request.Identity)
+			found.addf("waiter %d of request %s not indexed", w.id, req.request.Identity)
 		}
 		if d.now > w.deadline+d.settings.ResponseMargin {
-			found.addf("waiter %d of request %s waits %.3f s past its deadline", w.id, req.request.Identity, d.now-w.deadline)
+			found.addf("waiter %d of request %s waiting %.3f s past its deadline", w.id, req.request.Identity, d.now-w.deadline)
 		}
 	}
 }
 
-// checkTimers checks that every attempt and load command has a timeout.
+// checkTimers checks that every attempt and load command has an armed timer.
 func (d *Dispatcher) checkTimers(found *inconsistencies) {
 	armed := map[uint64]bool{}
 	for _, t := range d.timers {
@@ -92,31 +92,31 @@
 	}
 	for id := range d.inFlight {
 		if !armed[id] {
-			found.addf("attempt %d is in flight without a timeout", id)
+			found.addf("attempt %d in flight without a timer", id)
 		}
 	}
 	for id := range d.pendingLoads {
 		if !armed[id] {
-			found.addf("load command %d is pending without a timeout", id)
+			found.addf("load command %d pending without a timer", id)
 		}
 	}
 }
 
-// checkLimits checks the cache and the limits on what is open and cached.
+// checkLimits checks the cache, and the limits on open requests and cached bodies.
 func (d *Dispatcher) checkLimits(found *inconsistencies) {
 	bytes := 0
 	for identity, cached := range d.cache.byIdentity {
 		if cached.identity != identity || cached.superseded {
-			found.addf("the response of %s is cached for %s", cached.identity, identity)
+			found.addf("response of %s cached under %s", cached.identity, identity)
 		}
 		if !cached.bodyDropped {
 			bytes += cached.bodySize()
 		}
 	}
 	if bytes != d.cache.bodyBytes || bytes > d.cache.maxBodyBytes {
-		found.addf("cached bodies hold %d bytes, %d are counted, %d allowed", bytes, d.cache.bodyBytes, d.cache.maxBodyBytes)
+		found.addf("%d bytes of cached bodies, %d counted, %d allowed", bytes, d.cache.bodyBytes, d.cache.maxBodyBytes)
 	}
 	if len(d.requests) > d.settings.MaxOpen {
-		found.addf("%d requests are open, %d allowed", len(d.requests), d.settings.MaxOpen)
+		found.addf("%d requests open, %d allowed", len(d.requests), d.settings.MaxOpen)
 	}
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -8,30 +8,30 @@
 	"streamcleat/control"
 )
 
-// Settings configure a [Dispatcher]; they are decoded once at start.
+// Settings configures a [Dispatcher].
 type Settings struct {
 	Deployment          *control.Deployment
-	Functions           func(name string) FunctionProfile                        // configured profile of a function; nil: none is configured
-	ResolveVersion      func(request *Request) (Binding, FunctionProfile, error) // nil, or a zero Binding: the function has no versions
-	VersionAllowed      func(binding Binding) bool                               // whether the version of an earlier attempt may still run
-	ResponseMargin      float64                                                  // seconds before the client's deadline by which the response leaves
-	LoadTimeout         float64                                                  // seconds after which a load command counts as unanswered
-	MaxOpen             int                                                      // open requests
-	DeduplicationWindow float64                                                  // seconds for which final responses are cached; 0: none are
-	MaxCachedBytes      int                                                      // bytes of cached bodies; beyond it the oldest are dropped
+	Functions           func(name string) FunctionProfile                        // returns the configured profile of a function; nil: no profiles are configured
+	ResolveVersion      func(request *Request) (Binding, FunctionProfile, error) // binds a request to a version; nil, or a zero Binding: no versions
+	VersionAllowed      func(binding Binding) bool                               // reports whether the version of an earlier attempt may still run
+	ResponseMargin      float64                                                  // seconds before the client's deadline at which a response is sent at the latest
+	LoadTimeout         float64                                                  // seconds after which a load command is abandoned
+	MaxOpen             int                                                      // maximum number of open requests
+	DeduplicationWindow float64                                                  // seconds for which final responses are cached; 0: no caching
+	MaxCachedBytes      int                                                      // maximum total size of cached bodies; beyond it the oldest are dropped
 	Seed                uint64
-	CancelAbandoned     bool // cancel an attempt once its request has no waiter, instead of letting it run for a repeat
-	TracingDisabled     bool // record no traces: they cost time and memory
+	CancelAbandoned     bool // cancel an attempt once its request has no waiter, instead of keeping its response for a retry
+	TracingDisabled     bool // record no traces, which take time and memory
 }
 
-// Dispatcher holds the state of one front end. It is not safe for concurrent use.
+// Dispatcher manages the requests of one front end. It is not safe for concurrent use.
 type Dispatcher struct {
 	settings Settings
 	effects  Effects
 	router   *control.Router
 	classes  map[string]*control.RequestClass
 	now      float64
-	lastID   uint64 // of requests, attempts and load commands
+	lastID   uint64 // shared by requests, attempts and load commands
 	draining bool
 
 	requests        map[control.RequestID]*openRequest
@@ -39,7 +39,7 @@
 	requestByWaiter map[WaiterID]*openRequest
 	inFlight        map[uint64]*activeAttempt
 	pendingLoads    map[uint64]*pendingLoad
-	bindings        map[string]Binding // by the function's ID for routing
+	bindings        map[string]Binding // by Binding.ID
 	timers          timerQueue
 	timerSequence   uint64
 	cache           responseCache
@@ -47,18 +47,18 @@
 	traces          traceLog
 }
 
-// Counts are totals since the start and gauges of this moment.
+// Counts holds totals since the start, and gauges.
 type Counts struct {
-	Accepted, Deduplicated, Replayed            uint64 // requests admitted, joined to an open one, answered from the cache
+	Accepted, Deduplicated, Replayed            uint64 // requests admitted, joined to an open one, served from the cache
 	Succeeded, Rejected, Failed                 uint64
 	Attempts, LoadCommands, TimedOut, Cancelled uint64
-	Open, InFlight, Cached, CachedBytes, Timers int // at this moment
-	PendingLoads                                int // at this moment
+	Open, InFlight, Cached, CachedBytes, Timers int // gauges
+	PendingLoads                                int // gauge
 
-	SendsDenied [sendDenialCount]uint64 // attempts that were not written any more, by SendRefusal
+	SendsDenied [sendDenialCount]uint64 // attempts that were denied before they were written, by SendDenial
 }
 
-// New returns a Dispatcher whose clock reads now, in seconds of a clock that never goes back.
+// New returns a Dispatcher. now is the current time in seconds of a monotonic clock.
 func New(settings Settings, effects Effects, now float64) *Dispatcher {
 	d := &Dispatcher{
 		settings:        settings,
@@ -83,7 +83,7 @@
 	return d
 }
 
-// Counts is a copy of the totals with the gauges of this moment.
+// Counts returns the current counts.
 func (d *Dispatcher) Counts() Counts {
 	counts := d.counts
 	counts.Open = len(d.requests)
@@ -95,21 +95,23 @@
 	return counts
 }
 
-// NextTimer is when [Dispatcher.Tick] must be called next, in seconds of the clock.
+// NextTimer returns the time at which [Dispatcher.Tick] must be called next.
 func (d *Dispatcher) NextTimer() float64 { return d.timers[0].at }
 
-// Tick fires the timers that are due.
+// Tick runs the timers that are due.
 func (d *Dispatcher) Tick(now float64) {
 	d.advance(now)
 	for len(d.timers) > 0 && d.timers[0].at <= d.now {
-		d.fire(heap.Pop(&d.timers).(timer))
+		due := d.timers[0]
+		heap.Pop(&d.timers)
+		d.fireTimer(due)
 	}
 }
 
-// advance sets the clock forward; it never goes back.
+// advance moves the clock forward, never backward.
 func (d *Dispatcher) advance(now float64) { d.now = max(d.now, now) }
 
-// nextID draws the ID of a request, attempt or load command.
+// nextID returns a new ID for a request, attempt or load command.
 func (d *Dispatcher) nextID() uint64 {
 	d.lastID++
 	return d.lastID
@@ -121,19 +123,19 @@
 	d.router.OnEndpointUpdate(d.now, scope, workers)
 }
 
-// OnGossip takes a message of another front end.
+// OnGossip processes a gossip message from another front end.
 func (d *Dispatcher) OnGossip(now float64, message []byte) {
 	d.advance(now)
 	d.router.OnGossip(d.now, message)
 }
 
-// Submit takes a request for a waiter, who gets exactly one response unless it cancels. The response may be given
-// before Submit returns.
+// Submit submits a request on behalf of a waiter, which gets exactly one response unless it cancels. The response may be
+// delivered before Submit returns.
 func (d *Dispatcher) Submit(now float64, to WaiterID, request Request) {
 	d.advance(now)
 	class := d.classes[request.Class]
 	if class == nil {
-		d.refuse(to, request, Failed, CauseUnknownClass)
+		d.denyAdmission(to, request, Failed, CauseUnknownClass)
 		return
 	}
 	if request.Timeout == 0 || request.Timeout > class.Timeout {
@@ -142,22 +144,25 @@
 	deadline := d.now + max(request.Timeout-request.QueueTime-d.settings.ResponseMargin, 0)
 	if req := d.openByIdentity[request.Identity]; req != nil {
 		if request.RejectDuplicates {
-			d.refuse(to, request, Rejected, CauseDuplicate)
+			d.denyAdmission(to, request, Rejected, CauseDuplicate)
 			return
 		}
 		d.join(req, waiter{id: to, deadline: deadline})
 		return
 	}
-	if cached := d.cache.lookup(request.Identity, d.now); cached != nil && cached.mustReplay(class, d.now) {
-		d.replay(to, cached, class)
-		return
+	if cached := d.cache.lookup(request.Identity, d.now); cached != nil {
+		cached.failIfDeduplicationExpired(class, d.now)
+		if cached.mustReplay() {
+			d.replay(to, cached, class)
+			return
+		}
 	}
 	if d.draining {
-		d.refuse(to, request, Rejected, CauseShuttingDown)
+		d.denyAdmission(to, request, Rejected, CauseShuttingDown)
 		return
 	}
 	if len(d.requests) >= d.settings.MaxOpen {
-		d.refuse(to, request, Rejected, CauseTooManyOpen)
+		d.denyAdmission(to, request, Rejected, CauseTooManyOpen)
 		return
 	}
 	req := &openRequest{
@@ -168,13 +173,13 @@
 		deadline:  deadline,
 	}
 	if err := d.resolveFunction(req); err != nil {
-		d.refuse(to, request, Failed, CauseNoVersion)
+		d.denyAdmission(to, request, Failed, CauseNoVersion)
 		return
 	}
 	d.admit(req)
 }
 
-// Preload has a replica of a function loaded that will be needed soon, if routing finds that none is loaded and that the
+// Preload loads a replica of a function that will be requested soon, if the router knows of no loaded replica and the
 // budget of load commands allows it. It reports whether a load command was sent.
 func (d *Dispatcher) Preload(now float64, class, function string) bool {
 	d.advance(now)
@@ -185,13 +190,13 @@
 	return d.router.Preload(d.now, req.routingRequest(0))
 }
 
-// Drain admits no more requests; those that are open go on.
+// Drain stops admitting requests. Open requests continue.
 func (d *Dispatcher) Drain(now float64) {
 	d.advance(now)
 	d.draining = true
 }
 
-// Terminate drains and ends every open request at once.
+// Terminate stops admitting requests and ends every open request immediately.
 func (d *Dispatcher) Terminate(now float64) {
 	d.advance(now)
 	d.draining = true
@@ -205,16 +210,16 @@
 	}
 }
 
-// terminateRequest ends one open request, and abandons its attempt, because the front end stops.
+// terminateRequest ends an open request and abandons its attempt.
 func (d *Dispatcher) terminateRequest(req *openRequest) {
 	if attempt := req.attempt; attempt != nil {
 		delete(d.inFlight, attempt.id)
 		d.effects.Abandon(attempt.id)
 		req.attempt = nil
-		req.mayHaveRun = true
+		req.possiblyExecuted = true
 	}
 	response := d.newResponse(req, Rejected, CauseShuttingDown)
-	if !req.safeToRepeat() {
+	if !req.isSafeToRetry() {
 		response.Kind = Failed
 	}
 	if !req.released {
@@ -223,5 +228,5 @@
 	d.complete(req, response)
 }
 
-// Idle reports that no request is open.
+// Idle reports whether no request is open.
 func (d *Dispatcher) Idle() bool { return len(d.requests) == 0 }
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -1,11 +1,11 @@
 // Package dispatch manages the lifecycle of requests in one front end.
 //
-// It owns what is open: requests and the waiters for their responses, attempts in flight, pending load commands, timers
-// and the cache of final responses. It joins a duplicate to the request that is already open, replays cached responses
-// and gives each waiter exactly one final response. Which worker an attempt goes to is decided by package control,
-// which a [Dispatcher] hosts; nothing here decides it.
+// A [Dispatcher] owns the open requests with the waiters for their responses, the attempts in flight, the pending load
+// commands, the timers, the cache of final responses and the traces. It joins a duplicate to the request that is already
+// open, replays cached responses and gives each waiter exactly one final response. Package control, which a Dispatcher
+// hosts, decides which worker runs an attempt and when a request is rejected.
 //
-// The package has no sockets, no clock and no randomness of its own. The proxy, the simulation and the scenarios call a
-// Dispatcher with the current time and with what arrived; the Dispatcher calls back through [Effects]. One goroutine
-// owns a Dispatcher.
+// The package has no sockets, no clock and no source of randomness. Its callers (the proxy, the simulation and the
+// scenarios) pass the current time with each event; the Dispatcher calls back through [Effects]. A Dispatcher is
+// confined to one goroutine.
 package dispatch
--- a/internal/dispatch/load.go
+++ b/internal/dispatch/load.go
@@ -6,7 +6,7 @@
 	"streamcleat/control"
 )
 
-// pendingLoad is a load command that has no reply yet.
+// pendingLoad is a load command without a reply.
 type pendingLoad struct {
 	worker   control.WorkerID
 	function control.FunctionID
@@ -18,8 +18,8 @@
 	id := d.nextID()
 	d.pendingLoads[id] = &pendingLoad{worker: worker, function: function, sentAt: d.now}
 	d.counts.LoadCommands++
-	d.arm(d.settings.LoadTimeout, loadDeadline, id, nil)
-	d.addLoadStep(string(function), string(worker), stepLoadStarted, "")
+	d.armTimer(d.settings.LoadTimeout, loadDeadline, id, nil)
+	d.traceLoadStep(string(function), string(worker), stepLoadStarted, "")
 	d.effects.SendLoad(LoadCommand{
 		ID:       id,
 		Worker:   worker,
@@ -29,7 +29,8 @@
 	})
 }
 
-// OnLoadReply tells how a load command ended: replicas is how many the worker holds, 0 where it did not reply.
+// OnLoadReply processes the end of a load command. replicas is the number that the worker has loaded, 0 if it did not
+// reply.
 func (d *Dispatcher) OnLoadReply(now float64, id uint64, outcome control.Outcome, replicas int) {
 	d.advance(now)
 	load := d.pendingLoads[id]
@@ -37,7 +38,7 @@
 		return
 	}
 	delete(d.pendingLoads, id)
-	d.addLoadStep(string(load.function), string(load.worker), stepLoadPrefix+outcomeSteps[outcome],
+	d.traceLoadStep(string(load.function), string(load.worker), stepLoadPrefix+outcomeSteps[outcome],
 		strconv.Itoa(replicas)+" copies stand")
 	d.router.OnLoadResult(d.now, control.LoadResult{
 		Worker: load.worker, Function: load.function, Outcome: outcome, Replicas: replicas, Duration: d.now - load.sentAt,
--- a/internal/dispatch/recovery.go
+++ b/internal/dispatch/recovery.go
@@ -6,44 +6,45 @@
 	"streamcleat/control"
 )
 
-// RecordKind is what a record is about.
+// RecordKind is the kind of a Record.
 type RecordKind uint8
 
 // The kinds of records.
 const (
-	RecordAttemptStarted RecordKind = iota // an attempt is about to be sent: from now on the request may have run
-	RecordRequestEnded                     // the request has its final response
+	RecordAttemptStarted RecordKind = iota // an attempt is about to be sent; the request is possibly executed from now on
+	RecordRequestEnded                     // the request has a final response
 )
 
-// Record is what must outlive the process. It is stored before the attempt or response that it is about; where that
-// says AwaitsRecord, it may be sent only once the record is durable.
+// Record is state that must outlive the process. It is passed to [Effects.Store] before the attempt or response that it
+// describes. An attempt or response with AwaitsRecord set must not be sent until the record is durable.
 type Record struct {
 	Kind        RecordKind
 	Response    Response // Identity, Class and Function are always set; the rest for RecordRequestEnded
-	MayHaveRun  bool     // some attempt may have run
-	FirstRunAgo float64  // seconds since the first of these started
+	MayHaveRun  bool     // the request was possibly executed
+	FirstRunAgo float64  // seconds since the start of the first attempt that was possibly executed
 }
 
-// RecoveredRecord is a record that was read back after a restart.
+// RecoveredRecord is a Record read back after a restart.
 type RecoveredRecord struct {
 	Record
-	Age      float64 // seconds of service since it was stored: how much of the deduplication window is used up
-	Reliable bool    // FirstRunAgo counts from now and can be trusted; else any time may have passed
+	Age      float64 // seconds of the deduplication window that have elapsed since it was stored
+	Reliable bool    // FirstRunAgo, counted back from now, is exact; if false, any time may have passed
 }
 
-// ReplicaSnapshot is a replica that a front end believes to be loaded: what one process hands to the next.
+// ReplicaSnapshot describes a replica that a front end believes to be loaded. A process stores its snapshots for the next
+// one.
 type ReplicaSnapshot struct {
 	Function        string // the function's ID for routing
 	Binding         Binding
 	Concurrency     int
 	LoadTime        float64
 	Worker          string
-	WorkerStartedAt float64 // Unix seconds of the worker's start; 0: long ago
+	WorkerStartedAt float64 // Unix time in seconds; 0: unknown, long ago
 	Age             float64 // seconds since the replica was last seen
 }
 
-// recordAttempt stores that a request may have run.
-func (d *Dispatcher) recordAttempt(req *openRequest) {
+// storeAttemptRecord stores that a request is possibly executed.
+func (d *Dispatcher) storeAttemptRecord(req *openRequest) {
 	record := Record{
 		Kind: RecordAttemptStarted,
 		Response: Response{
@@ -55,29 +56,30 @@
 		},
 		MayHaveRun: true,
 	}
-	if req.mayHaveRun {
-		record.FirstRunAgo = d.now - req.firstRunAt
+	if req.possiblyExecuted {
+		record.FirstRunAgo = d.now - req.firstExecutedAt
 	}
-	req.recorded = true
+	req.attemptRecorded = true
 	d.effects.Store(record)
 }
 
-// recordEnd stores the final response of a request.
-func (d *Dispatcher) recordEnd(req *openRequest, response Response) {
-	record := Record{Kind: RecordRequestEnded, Response: response, MayHaveRun: req.mayHaveRun}
-	if req.mayHaveRun {
-		record.FirstRunAgo = d.now - req.firstRunAt
+// storeEndRecord stores the final response to a request.
+func (d *Dispatcher) storeEndRecord(req *openRequest, response Response) {
+	record := Record{Kind: RecordRequestEnded, Response: response, MayHaveRun: req.possiblyExecuted}
+	if req.possiblyExecuted {
+		record.FirstRunAgo = d.now - req.firstExecutedAt
 	}
 	d.effects.Store(record)
 }
 
-// Recover takes the records of an earlier process, before the first request. An attempt without an end may have run:
+// Recover restores the cache from the records of an earlier process. It must be called before the first request. A
+// request whose attempt has no recorded end was possibly executed:
 //
-//   - an idempotent request runs again when a client repeats it;
-//   - one with an idempotency key does too, as long as the workers are sure to remember its first run;
+//   - an idempotent request is executed again when its client retries it;
+//   - so is a request with an idempotency key, as long as the workers are certain to deduplicate it;
 //   - an at-most-once request fails.
 //
-// Recover returns the requests that failed so.
+// Recover returns the responses of the requests that failed.
 func (d *Dispatcher) Recover(now float64, records []RecoveredRecord) (failed []Response) {
 	d.advance(now)
 	for i := range records {
@@ -88,17 +90,18 @@
 			continue
 		}
 		cached := &cachedResponse{
-			identity:   record.Response.Identity,
-			response:   record.Response,
-			expiresAt:  d.now + window,
-			mayHaveRun: record.MayHaveRun,
-			firstRunAt: math.Inf(-1),
+			identity:         record.Response.Identity,
+			response:         record.Response,
+			expiresAt:        d.now + window,
+			possiblyExecuted: record.MayHaveRun,
+			firstExecutedAt:  math.Inf(-1),
 		}
 		if record.Reliable {
-			cached.firstRunAt = d.now - record.FirstRunAgo
+			cached.firstExecutedAt = d.now - record.FirstRunAgo
 		}
 		if record.Kind == RecordAttemptStarted {
-			if d.recoverAttempt(cached, class) {
+			d.recoverAttempt(cached, class)
+			if cached.response.Kind == Failed {
 				failed = append(failed, cached.response)
 			}
 		}
@@ -107,37 +110,35 @@
 	return failed
 }
 
-// recoverAttempt sets the response to a request whose attempt has no recorded end, and tells whether it is a failure.
-func (d *Dispatcher) recoverAttempt(cached *cachedResponse, class *control.RequestClass) (failed bool) {
+// recoverAttempt sets the response to a request whose attempt has no recorded end.
+func (d *Dispatcher) recoverAttempt(cached *cachedResponse, class *control.RequestClass) {
 	cached.response.Kind = Rejected
 	cached.response.Cause = CauseRestarted
 	cached.response.RetryAfter = d.settings.Deployment.MaxRetryAfter
-	// A repeat may meet a worker that never knew the first run, unless the whole fleet deduplicates.
-	forgotten := class.Semantics == control.IdempotentByKey &&
-		(class.DeduplicationScope != control.ScopeFleet || deduplicationExpired(class, cached.firstRunAt, d.now))
-	failed = class.Semantics == control.AtMostOnce || forgotten
-	if failed {
+	// Unless the whole fleet deduplicates, a retry may reach a worker that does not know of the first execution.
+	duplicateUndetected := class.Semantics == control.IdempotentByKey &&
+		(class.DeduplicationScope != control.ScopeFleet || deduplicationExpired(class, cached.firstExecutedAt, d.now))
+	if class.Semantics == control.AtMostOnce || duplicateUndetected {
 		cached.response.Kind, cached.response.RetryAfter = Failed, 0
 	}
-	return failed
 }
 
-// StoredRecords are the records that a restart must find, by what this process knows: requests that may have run, and
-// how requests ended.
+// StoredRecords returns the records that a restart is expected to find: those of open requests that were possibly
+// executed, and the final responses in the cache. It is for the simulation's check of the record store.
 func (d *Dispatcher) StoredRecords() map[Identity]Record {
 	records := map[Identity]Record{}
 	for identity, cached := range d.cache.byIdentity {
 		if cached.expiresAt <= d.now || cached.bodyDropped {
 			continue
 		}
-		record := Record{Kind: RecordRequestEnded, Response: cached.response, MayHaveRun: cached.mayHaveRun}
-		if cached.response.Cause == CauseRestarted { // it is on disk as the attempt that an earlier process recorded
+		record := Record{Kind: RecordRequestEnded, Response: cached.response, MayHaveRun: cached.possiblyExecuted}
+		if cached.response.Cause == CauseRestarted { // still on disk as the attempt record of an earlier process
 			record.Kind = RecordAttemptStarted
 		}
 		records[identity] = record
 	}
 	for _, req := range d.requests {
-		if req.recorded {
+		if req.attemptRecorded {
 			response := d.newResponse(req, Rejected, CauseResponded)
 			records[req.request.Identity] = Record{Kind: RecordAttemptStarted, Response: response, MayHaveRun: true}
 		}
@@ -145,8 +146,8 @@
 	return records
 }
 
-// ReplicaSnapshots are the replicas that the router believes to be loaded. startedAt tells a worker's start in Unix
-// seconds.
+// ReplicaSnapshots returns the replicas that the router believes to be loaded. startedAt returns the start of a worker in
+// Unix seconds.
 func (d *Dispatcher) ReplicaSnapshots(startedAt func(control.WorkerID) float64) []ReplicaSnapshot {
 	var snapshots []ReplicaSnapshot
 	for _, function := range d.router.Functions() {
@@ -165,7 +166,8 @@
 	return snapshots
 }
 
-// RestoreReplica hands a replica that an earlier process knew to the router, once the workers are listed.
+// RestoreReplica passes a replica that an earlier process knew to the router. The replica's worker must have been listed
+// by OnEndpointUpdate before.
 func (d *Dispatcher) RestoreReplica(now float64, snapshot ReplicaSnapshot) {
 	d.advance(now)
 	if snapshot.Binding.ID != "" {
--- a/internal/dispatch/routing_host.go
+++ b/internal/dispatch/routing_host.go
@@ -2,7 +2,7 @@
 
 import "streamcleat/control"
 
-// routingHost implements [control.Host]: it carries out what the router of a dispatcher decides.
+// routingHost implements [control.Host] for a dispatcher: it executes the router's decisions.
 type routingHost struct{ dispatcher *Dispatcher }
 
 var _ control.Host = routingHost{}
@@ -12,14 +12,14 @@
 	h.dispatcher.startAttempt(h.dispatcher.requests[id], worker, timeout)
 }
 
-// Reject implements [control.Host]. The router sees only this request: where an earlier one of the same identity may
-// have run and a further run is not safe, the request fails instead.
+// Reject implements [control.Host]. The router does not know about earlier requests of the same identity: if one was
+// possibly executed and another execution is not safe, the request fails instead.
 func (h routingHost) Reject(id control.RequestID, retryAfter float64) {
 	d := h.dispatcher
 	req := d.requests[id]
 	response := d.newResponse(req, Rejected, d.causeOf(req))
 	response.RetryAfter = retryAfter
-	if req.mayHaveRun && (req.class.Semantics == control.AtMostOnce || deduplicationExpired(req.class, req.firstRunAt, d.now)) {
+	if req.possiblyExecuted && (req.class.Semantics == control.AtMostOnce || deduplicationExpired(req.class, req.firstExecutedAt, d.now)) {
 		response.Kind = Failed
 	}
 	d.complete(req, response)
@@ -42,8 +42,8 @@
 
 // SetTimer implements [control.Host].
 func (h routingHost) SetTimer(after float64, mark uint64) {
-	h.dispatcher.arm(after, routerTimer, mark, nil)
+	h.dispatcher.armTimer(after, routerTimer, mark, nil)
 }
 
-// Subscribe implements [control.Host]. It does nothing: the list of workers is pushed to the dispatcher.
+// Subscribe implements [control.Host]. It does nothing: endpoint updates are pushed to the dispatcher.
 func (h routingHost) Subscribe() {}
--- a/internal/dispatch/send_permit.go
+++ b/internal/dispatch/send_permit.go
@@ -1,48 +1,48 @@
 package dispatch
 
-// SendPermit permits one attempt or load command to be written now. Pools encode what they send from a SendPermit alone,
-// so that nothing that was decided earlier leaves without being checked again at the moment at which it leaves.
-// Only the [Dispatcher] issues permits.
+// SendPermit is the decision whether an attempt or load command may be written now. Pools need a SendPermit to encode a
+// message, so that a decision made earlier is always checked again immediately before the message is written. Only the
+// [Dispatcher] issues permits.
 type SendPermit struct {
 	denial   SendDenial
 	timeLeft float64
 }
 
-// PermitSend returns a permit to send, with the seconds that the client has left. It is for the dispatcher and for test
-// fakes of it.
+// PermitSend returns a permit. timeLeft is the number of seconds until the client's deadline. It is for the Dispatcher
+// and its test fakes.
 func PermitSend(timeLeft float64) SendPermit { return SendPermit{timeLeft: timeLeft} }
 
-// DenySend returns a denial. It is for the dispatcher and for test fakes of it.
+// DenySend returns a SendPermit that denies sending. It is for the Dispatcher and its test fakes.
 func DenySend(denial SendDenial) SendPermit { return SendPermit{denial: denial} }
 
-// Permitted reports whether the request may be written.
+// Permitted reports whether the message may be written.
 func (p SendPermit) Permitted() bool { return p.denial == sendPermitted }
 
-// TimeLeft returns the seconds that the client has left at the time of the permit.
+// TimeLeft returns the number of seconds until the client's deadline, as of the permit's issue.
 func (p SendPermit) TimeLeft() float64 { return p.timeLeft }
 
-// Denial returns why the request must not be written.
+// Denial returns the reason why the message must not be written.
 func (p SendPermit) Denial() SendDenial { return p.denial }
 
-// SendDenial is the reason why an attempt must not be written any more.
+// SendDenial is the reason why an attempt must not be written.
 type SendDenial uint8
 
 // The send denials.
 const (
 	sendPermitted          SendDenial = iota
-	DeniedSuperseded                  // it has ended, or was abandoned, since it was handed to the pool
-	DeniedNoWaiter                    // every client that waited for it has left
-	DeniedDeadlineExceeded            // the time of its clients is up
-	sendDenialCount                   // count of the values
+	DeniedSuperseded                  // the attempt has ended or was abandoned in the meantime
+	DeniedNoWaiter                    // the request has no waiter left
+	DeniedDeadlineExceeded            // the attempt's deadline has passed
+	sendDenialCount                   // number of values
 )
 
-// String returns the denial as logs spell it.
+// String returns the denial's name in logs.
 func (d SendDenial) String() string {
 	return [sendDenialCount]string{"permitted", "superseded", "no-waiter", "deadline-exceeded"}[d]
 }
 
-// AuthorizeAttempt decides whether an attempt may be written now. Pools call it directly before the bytes leave; no other
-// code decides this.
+// AuthorizeAttempt decides whether an attempt may be written now. Pools call it immediately before they write the
+// attempt.
 func (d *Dispatcher) AuthorizeAttempt(now float64, id uint64) SendPermit {
 	d.advance(now)
 	permit := d.decideSend(id)
@@ -52,12 +52,13 @@
 	return permit
 }
 
-// AuthorizeLoad permits a load command, which no client in particular waits for.
+// AuthorizeLoad permits a load command. It never denies, because no client waits for the command.
 func (d *Dispatcher) AuthorizeLoad(now float64) SendPermit {
 	d.advance(now)
 	return PermitSend(d.settings.LoadTimeout)
 }
 
+// decideSend returns the decision of AuthorizeAttempt.
 func (d *Dispatcher) decideSend(id uint64) SendPermit {
 	attempt := d.inFlight[id]
 	if attempt == nil {
@@ -73,7 +74,7 @@
 	return PermitSend(timeLeft)
 }
 
-// FirstWaiter is the first waiter of the request that an attempt in flight belongs to; 0: there is none.
+// FirstWaiter returns the first waiter for the request of an attempt in flight, 0 if there is none.
 func (d *Dispatcher) FirstWaiter(attempt uint64) WaiterID {
 	if active := d.inFlight[attempt]; active != nil && len(active.request.waiters) > 0 {
 		return active.request.waiters[0].id
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -6,44 +6,50 @@
 	"streamcleat/control"
 )
 
-// routerPeriodicMark is the mark of the timer that the router arms again each time it fires; the cache expires with it.
+// routerPeriodicMark is the mark of the router's periodic timer, which also expires cached responses.
 const routerPeriodicMark = 0
 
-// timerKind tells what a timer is for, and so what its key means.
+// timerKind is the purpose of a timer. It determines the meaning of the timer's key.
 type timerKind uint8
 
 const (
-	routerTimer     timerKind = iota // asked for by the router; the key is its mark
-	waiterDeadline                   // a waiter's deadline comes before that of its request; the key is its WaiterID
-	attemptDeadline                  // an attempt timed out; the key is the attempt's ID
-	loadDeadline                     // a load command timed out; the key is the command's ID
+	routerTimer     timerKind = iota // set by the router; the key is its mark
+	waiterDeadline                   // deadline of a waiter that the router does not enforce; the key is its WaiterID
+	attemptDeadline                  // timeout of an attempt; the key is the attempt's ID
+	loadDeadline                     // timeout of a load command; the key is the command's ID
 )
 
-// timer is one entry of the deadline queue.
+// timer is an entry of a timerQueue.
 type timer struct {
 	at       float64
 	kind     timerKind
 	key      uint64
-	sequence uint64 // order of arming: timers that are due at the same time fire in it
+	sequence uint64 // order of arming; timers due at the same time fire in this order
 	request  *openRequest
 }
 
-// timerQueue is a heap of timers, the earliest first. Timers aren't disarmed: one that has become moot does nothing.
+// timerQueue is a heap of timers, the earliest first. Timers are never disarmed: one whose subject has ended does nothing
+// when it fires.
 type timerQueue []timer
 
 // Len implements heap.Interface.
-func (q timerQueue) Len() int { return len(q) }
+func (q *timerQueue) Len() int { return len(*q) }
 
 // Less implements heap.Interface.
-func (q timerQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
+func (q *timerQueue) Less(i, j int) bool {
+	a, b := &(*q)[i], &(*q)[j]
+	return a.at < b.at || a.at == b.at && a.sequence < b.sequence
 }
 
 // Swap implements heap.Interface.
-func (q timerQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *timerQueue) Swap(i, j int) { (*q)[i], (*q)[j] = (*q)[j], (*q)[i] }
 
 // Push implements heap.Interface.
-func (q *timerQueue) Push(x any) { *q = append(*q, x.(timer)) }
+func (q *timerQueue) Push(x any) {
+	if t, ok := x.(timer); ok {
+		*q = append(*q, t)
+	}
+}
 
 // Pop implements heap.Interface.
 func (q *timerQueue) Pop() any {
@@ -52,8 +58,8 @@
 	return last
 }
 
-// arm adds a timer that is due after so many seconds.
-func (d *Dispatcher) arm(after float64, kind timerKind, key uint64, req *openRequest) {
+// armTimer adds a timer that is due in the given number of seconds.
+func (d *Dispatcher) armTimer(after float64, kind timerKind, key uint64, req *openRequest) {
 	d.timerSequence++
 	heap.Push(&d.timers, timer{
 		at:       d.now + max(after, 0),
@@ -64,8 +70,8 @@
 	})
 }
 
-// fire acts on a timer that is due.
-func (d *Dispatcher) fire(t timer) {
+// fireTimer runs the action of a timer that is due.
+func (d *Dispatcher) fireTimer(t timer) {
 	switch t.kind {
 	case routerTimer:
 		if t.key == routerPeriodicMark {
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -9,14 +9,14 @@
 	"streamcleat/control"
 )
 
-// Limits of what is traced: they bound its memory, whatever the rate of requests.
+// Limits that bound the memory of traces at any request rate.
 const (
-	maxSteps       = 32   // steps of one request; later ones are dropped
-	maxEndedTraces = 2000 // requests that ended last
-	maxLoadSteps   = 2000 // steps of load commands
+	maxSteps       = 32   // steps of one request; further ones are dropped
+	maxEndedTraces = 2000 // ended requests, the newest
+	maxLoadSteps   = 2000 // steps of load commands, the newest
 )
 
-// Texts of steps, as the explain command prints them.
+// Texts of steps. The explain command and its JSON output print them, so they don't follow renamed constants.
 const (
 	StepAttemptStarted   = "launched" // an attempt was sent
 	StepAttemptSucceeded = "handled"  // an attempt succeeded
@@ -27,7 +27,7 @@
 	stepLoadStarted = stepLoadPrefix + "ordered"
 )
 
-// outcomeSteps are the texts of how an attempt or load command ended.
+// outcomeSteps holds the texts of the outcomes of attempts and load commands.
 var outcomeSteps = [...]string{
 	control.Succeeded:      StepAttemptSucceeded,
 	control.Failed:         "failed",
@@ -40,7 +40,7 @@
 	control.ReplicaMissing: "missed",
 }
 
-// startDetails are the texts of how an attempt found its replica.
+// startDetails holds the texts of the start types of attempts.
 var startDetails = [...]string{
 	control.StartUnknown:    "",
 	control.WarmStart:       "found it warm",
@@ -49,7 +49,7 @@
 	control.StartFailed:     "the load failed",
 }
 
-// TraceStep is one thing that happened to a request.
+// TraceStep is an event in the history of a request.
 type TraceStep struct {
 	At     float64 `json:"at"` // seconds since the request was admitted
 	Event  string  `json:"what"`
@@ -57,40 +57,40 @@
 	Detail string  `json:"detail,omitempty"`
 }
 
-// Trace is the history of one request, open or ended.
+// Trace is the history of a request, open or ended.
 type Trace struct {
 	Identity  Identity
 	Class     string
 	Function  string
 	Tenant    string
-	StartedAt float64 // on the dispatcher's clock
+	StartedAt float64 // on the Dispatcher's clock
 	TimeLeft  float64 // seconds until its deadline, while it is open
 	Open      bool
 	Waiters   int
-	Response  Response // without body and fields; while open, only Worker, Attempts and Binding are set
+	Response  Response // without body and fields; only Worker, Attempts and Binding while the request is open
 	Steps     []TraceStep
 }
 
-// traceLog holds the traces of requests that ended last, and the last steps of load commands.
+// traceLog holds the traces of the requests that ended last and the latest steps of load commands.
 type traceLog struct {
 	ended ring[*Trace]
 	loads ring[loadStep]
 }
 
-// loadStep is one thing that happened to a load command.
+// loadStep is an event in the history of a load command.
 type loadStep struct {
 	at       float64
 	function string
 	step     TraceStep
 }
 
-// ring holds the newest items up to a limit.
+// ring is a buffer of the newest items.
 type ring[T any] struct {
 	items  []T
-	oldest int // index of the item that is replaced next, once the ring is full
+	oldest int // index of the oldest item once the ring is full; it is replaced next
 }
 
-// add adds an item; once there are limit items it replaces the oldest.
+// add adds an item, which replaces the oldest once there are limit items.
 func (r *ring[T]) add(item T, limit int) {
 	if len(r.items) < limit {
 		r.items = append(r.items, item)
@@ -100,28 +100,28 @@
 	r.oldest = (r.oldest + 1) % limit
 }
 
-// inOrder returns a copy of the items, the oldest first.
-func (r *ring[T]) inOrder() []T {
+// oldestFirst returns a copy of the items, the oldest first.
+func (r *ring[T]) oldestFirst() []T {
 	return append(slices.Clone(r.items[r.oldest:]), r.items[:r.oldest]...)
 }
 
-// addStep traces a step of an open request.
-func (d *Dispatcher) addStep(req *openRequest, what, worker, detail string) {
+// traceStep adds a step to the trace of an open request.
+func (d *Dispatcher) traceStep(req *openRequest, event, worker, detail string) {
 	if !d.settings.TracingDisabled && len(req.steps) < maxSteps {
-		req.steps = append(req.steps, TraceStep{At: d.now - req.startedAt, Event: what, Worker: worker, Detail: detail})
+		req.steps = append(req.steps, TraceStep{At: d.now - req.startedAt, Event: event, Worker: worker, Detail: detail})
 	}
 }
 
-// addLoadStep traces a step of a load command.
-func (d *Dispatcher) addLoadStep(function, worker, what, detail string) {
+// traceLoadStep adds a step to the history of load commands.
+func (d *Dispatcher) traceLoadStep(function, worker, event, detail string) {
 	if d.settings.TracingDisabled {
 		return
 	}
-	step := TraceStep{Event: what, Worker: worker, Detail: detail}
+	step := TraceStep{Event: event, Worker: worker, Detail: detail}
 	d.traces.loads.add(loadStep{at: d.now, function: function, step: step}, maxLoadSteps)
 }
 
-// routingSummary tells what the router knew of a function when it decided.
+// routingSummary describes the router's current view of a function.
 func (d *Dispatcher) routingSummary(function string) string {
 	if d.settings.TracingDisabled {
 		return ""
@@ -137,7 +137,7 @@
 	return fmt.Sprintf("%d warm copies, %d of ours in flight", len(view.Replicas), view.InFlight)
 }
 
-// newTrace is the trace of an open request; it shares the request's steps.
+// newTrace returns the trace of an open request. The trace shares the request's steps.
 func (d *Dispatcher) newTrace(req *openRequest) *Trace {
 	return &Trace{
 		Identity:  req.request.Identity,
@@ -153,8 +153,8 @@
 	}
 }
 
-// Explain is the trace of a request with the load commands of its function while it was open; the newest where its
-// identity came more than once. id is a request's id, or source#id.
+// Explain returns the trace of a request, including the load commands of its function while the request was open. id is
+// the request's id, or source#id. If several traces match, Explain returns the newest.
 func (d *Dispatcher) Explain(id string) (Trace, bool) {
 	found := d.findTrace(id)
 	if found == nil {
@@ -180,7 +180,7 @@
 	return trace, true
 }
 
-// findTrace returns the newest trace of a request's id, or source#id; nil: none.
+// findTrace returns the newest trace for a request's id, or source#id; nil if there is none.
 func (d *Dispatcher) findTrace(id string) *Trace {
 	matches := func(identity Identity) bool { return identity.ID == id || identity.String() == id }
 	var found *Trace
@@ -197,10 +197,10 @@
 	return found
 }
 
-// EndedTraces are the traces of the requests that ended last, the oldest first.
-func (d *Dispatcher) EndedTraces() []*Trace { return d.traces.ended.inOrder() }
+// EndedTraces returns the traces of the requests that ended last, the oldest first.
+func (d *Dispatcher) EndedTraces() []*Trace { return d.traces.ended.oldestFirst() }
 
-// OpenTraces are the traces of the open requests, the oldest first.
+// OpenTraces returns the traces of the open requests, the oldest first.
 func (d *Dispatcher) OpenTraces() []Trace {
 	traces := make([]Trace, 0, len(d.requests))
 	for _, req := range d.requests {
@@ -215,7 +215,7 @@
 	return traces
 }
 
-// RoutingView shows what the router knows of workers and functions.
+// RoutingView returns the router's view of the workers and functions.
 func (d *Dispatcher) RoutingView() ([]control.WorkerView, []control.FunctionView) {
 	return d.router.Workers(), d.router.Functions()
 }
