--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -7,7 +7,7 @@
 	"streamcleat/control"
 )
 
-func TestRepeatsGetTheSameResponse(t *testing.T) {
+func TestSubmit_DuplicatesGetSameResponse(t *testing.T) {
 	h := newHarness(t, nil)
 	attempt := h.submitAndStart(classAtMostOnce, "minute")
 	h.submit(2, classAtMostOnce, "minute", 0)
@@ -19,29 +19,29 @@
 	for id := WaiterID(1); id <= 4; id++ {
 		h.wantResponse(id, Succeeded, CauseResponded)
 		if got := h.response(id); string(got.Body) != "done" || got.Replayed != (id > 1) {
-			t.Fatalf("waiter %d got body %q, replayed %v", id, got.Body, got.Replayed)
+			t.Fatalf("waiter %d: body %q, replayed %v", id, got.Body, got.Replayed)
 		}
 	}
 	if len(h.attempts) != 1 {
-		t.Fatalf("%d attempts of one request", len(h.attempts))
+		t.Fatalf("%d attempts, want 1", len(h.attempts))
 	}
 }
 
-func TestWorkerThatNeverReplies(t *testing.T) {
+func TestTick_AbandonsAttemptAtDeadline(t *testing.T) {
 	for class, want := range map[string]ResponseKind{classIdempotent: Rejected, classKeyed: Rejected, classAtMostOnce: Failed} {
 		t.Run(class, func(t *testing.T) {
 			h := newHarness(t, nil)
 			attempt := h.submitAndStart(class, "e")
 			h.advanceTo(startTime + 3.89)
 			if len(h.responses[1]) != 0 {
-				t.Fatal("response before the deadline")
+				t.Fatal("responded before the deadline")
 			}
 			h.advanceTo(startTime + 3.91)
 			h.wantResponse(1, want, CauseDeadlineExceeded)
 			if !h.abandoned[attempt.ID] {
-				t.Fatal("the attempt was not abandoned")
+				t.Fatal("attempt not abandoned")
 			}
-			h.reply(attempt.ID, control.Succeeded) // the reply comes after the deadline
+			h.reply(attempt.ID, control.Succeeded) // after the deadline
 			h.response(1)
 			if counts := h.dispatcher.Counts(); counts.Open+counts.InFlight != 0 {
 				t.Fatalf("%+v", counts)
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestRetryAfterAttempt(t *testing.T) {
+func TestOnAttemptReply_RetriesBySemantics(t *testing.T) {
 	for _, test := range []struct {
 		class   string
 		outcome control.Outcome
@@ -84,14 +84,14 @@
 	}
 }
 
-func TestOrphanedAttemptServesARepeat(t *testing.T) {
+func TestOnCancel_OrphanedAttemptServesDuplicate(t *testing.T) {
 	h := newHarness(t, nil)
 	attempt := h.submitAndStart(classAtMostOnce, "e")
 	h.dispatcher.OnCancel(h.now, 1)
 	h.submit(2, classAtMostOnce, "e", 0)
 	h.reply(attempt.ID, control.Succeeded)
 	if len(h.responses[1]) != 0 {
-		t.Fatal("a client that left got a response")
+		t.Fatal("canceled waiter got a response")
 	}
 	h.wantResponse(2, Succeeded, CauseResponded)
 	if len(h.attempts) != 1 {
@@ -99,8 +99,9 @@
 	}
 }
 
-// An orphaned attempt whose connection was lost may have run: only an idempotent request runs again for its repeat.
-func TestOrphanedAttemptThatMayHaveRun(t *testing.T) {
+// An orphaned attempt whose connection was lost was possibly executed: only an idempotent request is retried for the
+// waiter that joined it.
+func TestOnCancel_OrphanedAttemptPossiblyExecuted(t *testing.T) {
 	for class, want := range map[string]int{classIdempotent: 2, classAtMostOnce: 1} {
 		t.Run(class, func(t *testing.T) {
 			h := newHarness(t, nil)
@@ -111,7 +112,7 @@
 			h.advanceTo(h.now + 0.2)
 			h.completeLoads()
 			if len(h.attempts) != want {
-				t.Errorf("%d attempts, not %d", len(h.attempts), want)
+				t.Errorf("%d attempts, want %d", len(h.attempts), want)
 			}
 			if want == 1 {
 				h.wantResponse(2, Failed, CauseConnectionLost)
@@ -120,21 +121,21 @@
 	}
 }
 
-func TestNoAttemptWithoutWaiters(t *testing.T) {
+func TestOnCancel_NoAttemptWithoutWaiters(t *testing.T) {
 	h := newHarness(t, nil)
 	h.submit(1, classIdempotent, "e", 0)
 	h.dispatcher.OnCancel(h.now, 1)
 	h.advanceTo(h.now + 0.2)
 	h.completeLoads()
 	if len(h.attempts) != 0 {
-		t.Fatal("an attempt was started though the client had left")
+		t.Fatal("attempt started without a waiter")
 	}
 	if counts := h.dispatcher.Counts(); counts.Open != 0 {
 		t.Fatalf("%+v", counts)
 	}
 }
 
-func TestWaiterWithEarlierDeadline(t *testing.T) {
+func TestSubmit_DuplicateWithEarlierDeadline(t *testing.T) {
 	for class, want := range map[string]ResponseKind{classIdempotent: Rejected, classAtMostOnce: Failed} {
 		t.Run(class, func(t *testing.T) {
 			h := newHarness(t, nil)
@@ -149,18 +150,18 @@
 	}
 }
 
-func TestKeyedRequestRunsAgainOnlyWithinDeduplicationWindow(t *testing.T) {
+func TestSubmit_KeyedRequestRetriedOnlyWithinDeduplicationWindow(t *testing.T) {
 	h := newHarness(t, nil)
 	h.submitAndStart(classKeyed, "e")
 	firstRunAt := h.now
 	h.advanceTo(startTime + 3.95)
 	h.wantResponse(1, Rejected, CauseDeadlineExceeded)
-	h.submit(2, classKeyed, "e", 0) // within the window: it runs again, but only until the workers forget
+	h.submit(2, classKeyed, "e", 0) // retried, with a deadline within the window
 	h.advanceTo(firstRunAt + 6.5)
 	h.response(2)
 	for _, attempt := range h.attempts[1:] {
 		if attempt.Timeout > firstRunAt+6-startTime-3.95+0.01 {
-			t.Fatalf("the second run may take %.2f s, past the deduplication window", attempt.Timeout)
+			t.Fatalf("timeout of the retry is %.2f s, past the deduplication window", attempt.Timeout)
 		}
 	}
 	attempts := len(h.attempts)
@@ -171,18 +172,18 @@
 		t.Fatalf("after the deduplication window: %s (%s)", got.Kind, got.Cause)
 	}
 	if len(h.attempts) != attempts {
-		t.Fatal("another attempt after the deduplication window")
+		t.Fatal("attempt started after the deduplication window")
 	}
 }
 
-func TestRefusals(t *testing.T) {
+func TestSubmit_RequestsNotAdmitted(t *testing.T) {
 	h := newHarness(t, func(s *Settings) { s.MaxOpen = 1 })
 	h.submit(1, "nonsense", "a", 0)
 	h.wantResponse(1, Failed, CauseUnknownClass)
 	h.submit(2, classIdempotent, "b", 0)
 	h.submit(3, classIdempotent, "c", 0)
 	h.wantResponse(3, Rejected, CauseTooManyOpen)
-	h.submit(4, classIdempotent, "b", 0) // a repeat is no further request
+	h.submit(4, classIdempotent, "b", 0) // joins the open request, so it doesn't count
 	h.dispatcher.Drain(h.now)
 	h.submit(5, classIdempotent, "d", 0)
 	h.wantResponse(5, Rejected, CauseShuttingDown)
@@ -193,11 +194,11 @@
 		t.Fatal("not idle after Terminate")
 	}
 	h = newHarness(t, nil)
-	h.submit(1, classIdempotent, "e", -1) // its client had stopped waiting when it came
+	h.submit(1, classIdempotent, "e", -1) // its client's timeout had expired on arrival
 	h.wantResponse(1, Rejected, CauseDeadlineExceeded)
 }
 
-func TestTerminateFailsWhatMayHaveRun(t *testing.T) {
+func TestTerminate_FailsPossiblyExecutedRequests(t *testing.T) {
 	for class, want := range map[string]ResponseKind{classIdempotent: Rejected, classKeyed: Failed, classAtMostOnce: Failed} {
 		t.Run(class, func(t *testing.T) {
 			h := newHarness(t, nil)
@@ -205,32 +206,32 @@
 			h.dispatcher.Terminate(h.now)
 			h.wantResponse(1, want, CauseShuttingDown)
 			if !h.abandoned[attempt.ID] {
-				t.Error("its attempt goes on")
+				t.Error("attempt not abandoned")
 			}
 		})
 	}
 }
 
-func TestNothingIsSentToWorkersThatAreGone(t *testing.T) {
+func TestOnEndpointUpdate_NothingSentToRemovedWorkers(t *testing.T) {
 	h := newHarness(t, nil)
 	attempt := h.submitAndStart(classIdempotent, "e")
-	gone := testWorkers("wk-a", "wk-b", "wk-c")
-	for i := range gone {
-		gone[i].State = control.Removed
+	removed := testWorkers("wk-a", "wk-b", "wk-c")
+	for i := range removed {
+		removed[i].State = control.Removed
 	}
-	h.dispatcher.OnEndpointUpdate(h.now, control.Delta, gone)
+	h.dispatcher.OnEndpointUpdate(h.now, control.Delta, removed)
 	h.submit(2, classIdempotent, "other", 0)
-	h.wantResponse(2, Rejected, CauseNoCapacity) // all workers gone: at once
+	h.wantResponse(2, Rejected, CauseNoCapacity) // immediately, without a worker
 	h.reply(attempt.ID, control.ConnectionLost)
 	h.wantResponse(1, Rejected, CauseConnectionLost)
 	sent := len(h.attempts) + len(h.loads)
 	h.advanceTo(h.now + 3)
 	if len(h.attempts)+len(h.loads) != sent {
-		t.Fatal("something was sent to a worker that is gone")
+		t.Fatal("attempt or load command sent to a removed worker")
 	}
 }
 
-func TestCachedResponsesAreBounded(t *testing.T) {
+func TestResponseCache_BoundsBodies(t *testing.T) {
 	h := newHarness(t, func(s *Settings) { s.MaxCachedBytes, s.MaxOpen = 40, 1000 })
 	for i := range 50 {
 		class := []string{classIdempotent, classAtMostOnce}[i%2]
@@ -246,7 +247,7 @@
 	if counts := h.dispatcher.Counts(); counts.CachedBytes > 40 || counts.Succeeded != 50 {
 		t.Fatalf("%+v", counts)
 	}
-	h.submit(1000, classAtMostOnce, "1", 0) // its body was dropped, but it must not run again
+	h.submit(1000, classAtMostOnce, "1", 0) // its body was dropped, but it must not be executed again
 	h.wantResponse(1000, Failed, CauseResponseExpired)
 	h.advanceTo(h.now + 61)
 	cache := &h.dispatcher.cache
@@ -255,9 +256,9 @@
 	}
 }
 
-// Where clients never repeat a request under its identity, nothing is cached or traced, a second request under an open
-// identity is rejected, and an attempt is cancelled once nobody waits for it.
-func TestWithoutDeduplication(t *testing.T) {
+// Where clients never reuse an identity, nothing is cached or traced, a duplicate of an open request is rejected, and an
+// attempt is canceled once its request has no waiter.
+func TestSubmit_DeduplicationDisabled(t *testing.T) {
 	h := newHarness(t, func(s *Settings) {
 		s.DeduplicationWindow, s.MaxCachedBytes, s.CancelAbandoned, s.TracingDisabled, s.Functions = 0, 0, true, true, nil
 	})
@@ -280,7 +281,7 @@
 	if !h.abandoned[h.attempts[0].ID] || !h.dispatcher.Idle() || len(h.responses[1]) > 0 {
 		t.Errorf("abandoned %v, idle %v, responses %v", h.abandoned, h.dispatcher.Idle(), h.responses[1])
 	}
-	h.reply(h.attempts[0].ID, control.Succeeded) // its reply came all the same
+	h.reply(h.attempts[0].ID, control.Succeeded) // a late reply is ignored
 	h.dispatcher.Submit(h.now, 3, request)
 	h.reply(h.attempts[1].ID, control.Succeeded)
 	h.wantResponse(3, Succeeded, CauseResponded)
@@ -289,6 +290,6 @@
 		t.Errorf("%+v, %d traces", counts, len(h.dispatcher.EndedTraces()))
 	}
 	if view, _ := h.dispatcher.router.Function("f"); view.Concurrency != 3 || view.LoadTime != 0.5 {
-		t.Errorf("the profile that the request states is lost: %+v", view)
+		t.Errorf("profile stated by the request not applied: %+v", view)
 	}
 }
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -7,18 +7,18 @@
 	"streamcleat/control"
 )
 
-// startTime is the reading of the clock at which each test begins.
+// startTime is the time at which each test begins.
 const startTime = 1000.0
 
-// Request classes of the tests, one of each delivery semantics.
+// Request classes of the tests, one for each delivery semantics.
 const (
 	classIdempotent = "idempotent"
 	classKeyed      = "keyed"
 	classAtMostOnce = "at-most-once"
 )
 
-// harness implements Effects for a dispatcher under test: it records what the dispatcher asks for and replies when the
-// test says so.
+// harness implements Effects for a dispatcher under test. It records the dispatcher's actions; tests reply to attempts and
+// load commands.
 type harness struct {
 	t          *testing.T
 	dispatcher *Dispatcher
@@ -29,8 +29,8 @@
 	loads      []LoadCommand
 	abandoned  map[uint64]bool
 	inFlight   map[Identity]uint64
-	mayHaveRun map[Identity]bool // some attempt of it may have run
-	atMostOnce map[Identity]bool // it must not run again then
+	executed   map[Identity]bool // possibly, by an attempt that has ended
+	atMostOnce map[Identity]bool // by the class of the request
 	violations []string
 }
 
@@ -40,10 +40,10 @@
 
 func (h *harness) SendAttempt(attempt Attempt) {
 	if id, busy := h.inFlight[attempt.Identity]; busy {
-		h.violations = append(h.violations, fmt.Sprintf("%v: attempt %d while %d is in flight", attempt.Identity, attempt.ID, id))
+		h.violations = append(h.violations, fmt.Sprintf("%v: attempt %d started while %d is in flight", attempt.Identity, attempt.ID, id))
 	}
-	if h.atMostOnce[attempt.Identity] && h.mayHaveRun[attempt.Identity] {
-		h.violations = append(h.violations, fmt.Sprintf("%v: another attempt though it may have run", attempt.Identity))
+	if h.atMostOnce[attempt.Identity] && h.executed[attempt.Identity] {
+		h.violations = append(h.violations, fmt.Sprintf("%v: retried after a possible execution", attempt.Identity))
 	}
 	h.inFlight[attempt.Identity] = attempt.ID
 	h.attempts = append(h.attempts, attempt)
@@ -57,16 +57,20 @@
 
 func (h *harness) Abandon(id uint64) {
 	h.abandoned[id] = true
-	h.attemptEnded(id, true)
+	if identity, ok := h.endInFlight(id); ok {
+		h.executed[identity] = true
+	}
 }
 
-func (h *harness) attemptEnded(id uint64, mayHaveRun bool) {
+// endInFlight removes an attempt from those in flight and returns the identity of its request.
+func (h *harness) endInFlight(id uint64) (Identity, bool) {
 	for identity, current := range h.inFlight {
 		if current == id {
 			delete(h.inFlight, identity)
-			h.mayHaveRun[identity] = h.mayHaveRun[identity] || mayHaveRun
+			return identity, true
 		}
 	}
+	return Identity{}, false
 }
 
 func testDeployment() *control.Deployment {
@@ -103,15 +107,16 @@
 	}
 }
 
-// newHarness returns a harness around a dispatcher with three workers; change, where given, adjusts its settings.
+// newHarness returns a harness with a dispatcher and three workers. change, unless nil, adjusts the settings.
 func newHarness(t *testing.T, change func(*Settings)) *harness {
+	t.Helper()
 	h := &harness{
 		t:          t,
 		now:        startTime,
 		responses:  map[WaiterID][]Response{},
 		abandoned:  map[uint64]bool{},
 		inFlight:   map[Identity]uint64{},
-		mayHaveRun: map[Identity]bool{},
+		executed:   map[Identity]bool{},
 		atMostOnce: map[Identity]bool{},
 	}
 	settings := testSettings()
@@ -131,7 +136,7 @@
 	return workers
 }
 
-// advanceTo moves the clock and fires the timers that come due on the way.
+// advanceTo moves the clock and runs each timer at the time at which it is due.
 func (h *harness) advanceTo(now float64) {
 	for h.dispatcher.NextTimer() <= now {
 		h.now = max(h.now, h.dispatcher.NextTimer())
@@ -169,30 +174,32 @@
 	h.loads = nil
 }
 
-// reply ends an attempt.
+// reply ends an attempt with an outcome.
 func (h *harness) reply(id uint64, outcome control.Outcome) {
-	h.attemptEnded(id, outcome < control.Rejected)
+	if identity, ok := h.endInFlight(id); ok && outcome < control.Rejected {
+		h.executed[identity] = true
+	}
 	h.dispatcher.OnAttemptReply(h.now, id, WorkerReply{Outcome: outcome, Body: []byte("done")})
 }
 
-// response returns the one response that a waiter must have.
+// response returns the response of a waiter. It fails the test unless there is exactly one.
 func (h *harness) response(to WaiterID) Response {
 	h.t.Helper()
 	if len(h.responses[to]) != 1 {
-		h.t.Fatalf("waiter %d has %d responses: %+v", to, len(h.responses[to]), h.responses[to])
+		h.t.Fatalf("waiter %d got %d responses: %+v", to, len(h.responses[to]), h.responses[to])
 	}
 	return h.responses[to][0]
 }
 
-// wantResponse fails the test unless a waiter has one response of this kind and cause.
+// wantResponse fails the test unless a waiter got one response, of this kind and cause.
 func (h *harness) wantResponse(to WaiterID, kind ResponseKind, cause Cause) {
 	h.t.Helper()
 	if got := h.response(to); got.Kind != kind || got.Cause != cause {
-		h.t.Fatalf("waiter %d got %s (%s), not %s (%s)", to, got.Kind, got.Cause, kind, cause)
+		h.t.Fatalf("waiter %d got %s (%s), want %s (%s)", to, got.Kind, got.Cause, kind, cause)
 	}
 }
 
-// discardEffects implements Effects and keeps only the newest attempt and load command.
+// discardEffects implements Effects. It keeps only the IDs of the newest attempt and load command.
 type discardEffects struct{ attempt, load uint64 }
 
 func (e *discardEffects) Respond(WaiterID, Response)    {}
@@ -204,7 +211,7 @@
 func (e *discardEffects) Store(Record)                  {}
 func (e *discardEffects) OnRequestEnd(Response, *Trace) {}
 
-// newDiscarding returns a dispatcher with two workers whose effects are discarded.
+// newDiscarding returns a dispatcher with two workers and a discardEffects.
 func newDiscarding(settings Settings) (*Dispatcher, *discardEffects) {
 	effects := &discardEffects{}
 	d := New(settings, effects, startTime)
--- a/internal/dispatch/memory_test.go
+++ b/internal/dispatch/memory_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// A million requests in two hours leave nothing behind but what is cached.
-func TestHeapStaysFlat(t *testing.T) {
+// A million requests in two hours retain no memory except for the cache.
+func TestDispatcher_HeapBounded(t *testing.T) {
 	const requests, firstMeasured = 1_000_000, 200_000
 	settings := testSettings()
 	settings.DeduplicationWindow = 10
@@ -47,7 +47,7 @@
 			d.OnLoadReply(now, effects.load, control.Succeeded, 1)
 			effects.load = 0
 		}
-		if effects.attempt != 0 && i%7 > 0 { // one in seven gets no reply
+		if effects.attempt != 0 && i%7 > 0 { // one in seven attempts gets no reply
 			d.OnAttemptReply(now+0.0001, effects.attempt, WorkerReply{Outcome: control.Succeeded, Body: []byte("some answer")})
 		}
 		effects.attempt = 0
@@ -67,7 +67,7 @@
 	}
 }
 
-// heapBytes is the size of the heap after a collection.
+// heapBytes returns the size of the heap after a garbage collection.
 func heapBytes() uint64 {
 	var stats runtime.MemStats
 	runtime.GC()
--- a/internal/dispatch/request_test.go
+++ b/internal/dispatch/open_request_test.go
@@ -7,19 +7,19 @@
 	"streamcleat/control"
 )
 
-// wantState fails the test unless request e is open in this state.
+// wantState fails the test unless request e is open and in this state.
 func (h *harness) wantState(want requestState) {
 	h.t.Helper()
 	req := h.dispatcher.openByIdentity[Identity{"/t", "e"}]
 	if req == nil {
-		h.t.Fatal("the request is not open")
+		h.t.Fatal("request not open")
 	}
 	if got := req.state(); got != want {
-		h.t.Fatalf("the request is in state %d, not %d", got, want)
+		h.t.Fatalf("request in state %d, want %d", got, want)
 	}
 }
 
-func TestRequestStates(t *testing.T) {
+func TestOpenRequest_StateTransitions(t *testing.T) {
 	h := newHarness(t, nil)
 	h.submit(1, classIdempotent, "e", 0)
 	h.wantState(stateQueued)
@@ -33,16 +33,16 @@
 	h.reply(h.attempts[0].ID, control.ConnectionLost)
 	h.advanceTo(h.now + 0.2)
 	h.completeLoads()
-	h.wantState(stateInFlight) // admitted anew for the repeat
+	h.wantState(stateInFlight) // admitted again for the waiter that joined
 	req := h.dispatcher.openByIdentity[Identity{"/t", "e"}]
 	h.reply(h.attempts[1].ID, control.Succeeded)
 	h.wantResponse(2, Succeeded, CauseResponded)
 	if got := req.state(); got != stateClosed {
-		t.Fatalf("a request that succeeded is in state %d", got)
+		t.Fatalf("completed request in state %d", got)
 	}
 }
 
-func TestCheckFindsInconsistentState(t *testing.T) {
+func TestCheck_FindsLostAttempt(t *testing.T) {
 	h := newHarness(t, nil)
 	attempt := h.submitAndStart(classIdempotent, "e")
 	if err := h.dispatcher.Check(true); err != nil {
@@ -50,6 +50,6 @@
 	}
 	delete(h.dispatcher.inFlight, attempt.ID)
 	if err := h.dispatcher.Check(true); !errors.Is(err, ErrInconsistent) {
-		t.Fatalf("an attempt is lost, and Check returns %v", err)
+		t.Fatalf("Check with a lost attempt returned %v", err)
 	}
 }
--- a/internal/dispatch/random_test.go
+++ b/internal/dispatch/random_test.go
@@ -9,7 +9,7 @@
 	"streamcleat/control"
 )
 
-// randomRun plays random requests, repeats, cancellations, replies and endpoint updates against a dispatcher.
+// randomRun applies random submissions, retries, cancellations, replies and endpoint updates to a dispatcher.
 type randomRun struct {
 	*harness
 	rng        *rand.Rand
@@ -18,9 +18,9 @@
 	classes    map[string]string // by the request's id
 }
 
-// TestRandomRuns plays 150 random runs: every waiter that stays gets one response, no request has two attempts in flight,
-// and nothing is left over.
-func TestRandomRuns(t *testing.T) {
+// Over 150 random runs, every waiter that doesn't cancel gets one response, no request has two attempts in flight, and no
+// state is left over.
+func TestDispatcher_RandomOperations(t *testing.T) {
 	for seed := range uint64(150) {
 		run := &randomRun{
 			harness:   newHarness(t, nil),
@@ -40,12 +40,12 @@
 		}
 		run.advanceTo(run.now + 120)
 		if counts := run.dispatcher.Counts(); counts.Cached > 0 || counts.Timers > 2 {
-			t.Fatalf("seed %d: still cached %+v", seed, counts)
+			t.Fatalf("seed %d: state left over: %+v", seed, counts)
 		}
 	}
 }
 
-// step plays one random action.
+// step applies one random operation.
 func (r *randomRun) step() {
 	switch r.rng.IntN(10) {
 	case 0, 1, 2:
@@ -119,14 +119,14 @@
 	r.dispatcher.OnEndpointUpdate(r.now, control.Delta, []control.Worker{worker})
 }
 
-// check tells what is wrong at the end of a run, when every deadline has passed.
+// check returns an error if a run violated an invariant. It is called after every deadline has passed.
 func (r *randomRun) check() error {
 	for waiter := WaiterID(1); waiter <= r.lastWaiter; waiter++ {
 		switch responses := len(r.responses[waiter]); {
 		case r.cancelled[waiter] && responses > 0:
-			return fmt.Errorf("waiter %d left and got a response", waiter)
+			return fmt.Errorf("canceled waiter %d got a response", waiter)
 		case !r.cancelled[waiter] && responses != 1:
-			return fmt.Errorf("waiter %d has %d responses", waiter, responses)
+			return fmt.Errorf("waiter %d got %d responses", waiter, responses)
 		}
 	}
 	if len(r.violations) > 0 {
@@ -134,7 +134,7 @@
 	}
 	d := r.dispatcher
 	if counts := d.Counts(); counts.Open+counts.InFlight > 0 || len(d.requestByWaiter)+len(d.openByIdentity) > 0 {
-		return fmt.Errorf("left over %+v", counts)
+		return fmt.Errorf("state left over: %+v", counts)
 	}
 	return nil
 }
--- a/internal/dispatch/recovery_test.go
+++ b/internal/dispatch/recovery_test.go
@@ -6,24 +6,24 @@
 	"streamcleat/control"
 )
 
-// A request whose attempt has no recorded end may have run: what a repeat gets depends on its delivery semantics and on
-// how far the time since the first run can be trusted.
-func TestRecoverAttemptWithoutEnd(t *testing.T) {
+// A request whose attempt has no recorded end was possibly executed. The response to a retry depends on the delivery
+// semantics and on whether the time since the first execution is known.
+func TestRecover_AttemptWithoutEnd(t *testing.T) {
 	for _, test := range []struct {
-		name     string
-		class    string
-		reliable bool
-		ranAgo   float64
-		age      float64
-		failed   bool
-		attempts int // of a repeat
+		name        string
+		class       string
+		reliable    bool
+		firstRunAgo float64
+		age         float64
+		failed      bool
+		attempts    int // for a retry
 	}{
 		{"idempotent", classIdempotent, true, 1, 1, false, 1},
-		{"keyed within its window", classKeyed, true, 1, 1, false, 1},
-		{"keyed past its window", classKeyed, true, 7, 7, true, 0},
-		{"keyed at an unknown time", classKeyed, false, 1, 1, true, 0},
+		{"keyed within deduplication window", classKeyed, true, 1, 1, false, 1},
+		{"keyed past deduplication window", classKeyed, true, 7, 7, true, 0},
+		{"keyed with unreliable age", classKeyed, false, 1, 1, true, 0},
 		{"at most once", classAtMostOnce, true, 1, 1, true, 0},
-		{"no longer remembered", classAtMostOnce, true, 61, 61, false, 1},
+		{"record expired", classAtMostOnce, true, 61, 61, false, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h := newHarness(t, nil)
@@ -32,19 +32,19 @@
 					Kind:        RecordAttemptStarted,
 					Response:    Response{Identity: Identity{"/t", "e"}, Class: test.class, Function: "f"},
 					MayHaveRun:  true,
-					FirstRunAgo: test.ranAgo,
+					FirstRunAgo: test.firstRunAgo,
 				},
 				Age:      test.age,
 				Reliable: test.reliable,
 			}})
 			if got := len(failed) == 1; got != test.failed {
-				t.Fatalf("failed %+v", failed)
+				t.Fatalf("failed responses: %+v", failed)
 			}
 			h.submit(1, test.class, "e", 0)
 			h.advanceTo(h.now + 0.2)
 			h.completeLoads()
 			if len(h.attempts) != test.attempts {
-				t.Fatalf("%d attempts, not %d", len(h.attempts), test.attempts)
+				t.Fatalf("%d attempts, want %d", len(h.attempts), test.attempts)
 			}
 			if test.failed {
 				h.wantResponse(1, Failed, CauseRestarted)
@@ -53,14 +53,14 @@
 	}
 }
 
-func TestRecoveredEndIsReplayed(t *testing.T) {
+func TestRecover_EndIsReplayed(t *testing.T) {
 	h := newHarness(t, nil)
 	end := Response{Kind: Succeeded, Identity: Identity{"/t", "e"}, Class: classAtMostOnce, Function: "f", Body: []byte("done")}
 	failed := h.dispatcher.Recover(h.now, []RecoveredRecord{{
 		Record: Record{Kind: RecordRequestEnded, Response: end, MayHaveRun: true, FirstRunAgo: 1}, Age: 1, Reliable: true,
 	}})
 	if len(failed) != 0 {
-		t.Fatalf("failed %+v", failed)
+		t.Fatalf("failed responses: %+v", failed)
 	}
 	h.submit(1, classAtMostOnce, "e", 0)
 	h.wantResponse(1, Succeeded, CauseResponded)
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestReplicaSnapshotsAreRestored(t *testing.T) {
+func TestRestoreReplica_FromSnapshot(t *testing.T) {
 	h := newHarness(t, nil)
 	h.reply(h.submitAndStart(classIdempotent, "e").ID, control.Succeeded)
 	snapshots := h.dispatcher.ReplicaSnapshots(func(control.WorkerID) float64 { return 7 })
@@ -80,6 +80,6 @@
 	next.dispatcher.RestoreReplica(next.now, snapshots[0])
 	next.submit(1, classIdempotent, "e", 0)
 	if len(next.attempts) != 1 || string(next.attempts[0].Worker) != snapshots[0].Worker {
-		t.Fatalf("attempts %+v of a replica on %s", next.attempts, snapshots[0].Worker)
+		t.Fatalf("attempts %+v, want one on %s", next.attempts, snapshots[0].Worker)
 	}
 }
