--- /dev/null
+++ b/internal/proxy/close_reason.go
@@ -0,0 +1,67 @@
+package proxy
+
+import (
+	"context"
+	"log/slog"
+)
+
+// CloseReason is the reason for which the front end closed or rejected a client connection.
+type CloseReason uint8
+
+// The close reasons.
+const (
+	CloseEvicted     CloseReason = iota // idle, closed in favor of a new connection
+	CloseUnread                         // too many bytes of responses that the client did not read
+	CloseLingered                       // the client did not close its side within the linger timeout
+	CloseOversent                       // the client sent too many bytes after our side was closed
+	RejectedFull                        // the connection limit is reached, and no connection is idle
+	RejectedDraining                    // no connections are accepted while draining
+	closeReasonCount                    // number of values
+)
+
+// String returns the reason's name in logs.
+func (r CloseReason) String() string {
+	return [closeReasonCount]string{"evicted", "unread", "lingered", "oversent", "full", "draining"}[r]
+}
+
+// closeCounts counts the client connections that the front end closed or rejected.
+type closeCounts struct {
+	byReason   [closeReasonCount]uint64
+	unanswered uint64 // requests that were open on closed connections
+}
+
+// Closes returns the number of client connections that the front end closed or rejected, by reason, and the number of
+// requests that were open on them. Only CloseUnread may leave requests unanswered.
+func (p *Proxy) Closes() (byReason map[CloseReason]uint64, unanswered uint64) {
+	byReason = map[CloseReason]uint64{}
+	for reason, count := range p.closes.byReason {
+		byReason[CloseReason(reason)] = count
+	}
+	return byReason, p.closes.unanswered
+}
+
+// closeClient closes a client connection. All closes initiated by the front end go through it, so that each is counted and
+// logged. The client must have no open request unless it caused the close itself.
+func (p *Proxy) closeClient(client *Client, reason CloseReason) {
+	open := len(client.waiters)
+	name := client.conn.Name()
+	if !p.removeClient(client) {
+		return
+	}
+	client.conn.Close()
+	p.recordClose(name, reason, open)
+}
+
+// recordClose counts and logs a client connection that was closed or rejected with open requests.
+func (p *Proxy) recordClose(client string, reason CloseReason, open int) {
+	p.closes.byReason[reason]++
+	p.closes.unanswered += uint64(open)
+	level := slog.LevelDebug
+	switch {
+	case open > 0 && reason != CloseUnread:
+		level = slog.LevelError
+	case open > 0 || reason == CloseUnread || reason == RejectedFull:
+		level = slog.LevelWarn
+	}
+	p.log.Log(context.Background(), level, "client connection closed", "client", client, "cause", reason.String(), "open", open)
+}
--- a/internal/proxy/downstream.go
+++ b/internal/proxy/downstream.go
@@ -7,31 +7,31 @@
 )
 
 const (
-	lingerSeconds     = 1.0     // a client may still read for so long after the last response
-	maxDiscardedBytes = 1 << 20 // that a client may send meanwhile
-	maxReadAheadBytes = 1 << 20 // read from one client at a time ahead of the event loop
+	lingerTimeout     = 1.0     // seconds that a client has to read and close after our side was closed
+	maxDiscardedBytes = 1 << 20 // maximum number of bytes that a client may send in that time
+	maxReadAheadBytes = 1 << 20 // maximum number of bytes read ahead of the event loop per call
 )
 
-// Client is one client connection.
+// Client is a client connection.
 type Client struct {
 	conn                   Conn
 	index                  int // in Proxy.clients
 	session                Session
 	waiters                map[uint64]dispatch.WaiterID // by the session's slot
-	markedForSend          bool                         // is in Proxy.clientsToSend
+	sendScheduled          bool                         // is in Proxy.clientsToSend
 	closeAfterLastResponse bool
-	writeClosedAt          float64 // when our side was closed; 0 before
-	discardedBytes         int     // that came since
+	writeClosedAt          float64 // time at which our side was closed; 0: open
+	discardedBytes         int     // received since then
 	closed                 bool
 }
 
-// clientRequest is where the response to a client's request goes.
+// clientRequest identifies an open request by its connection and the session's slot.
 type clientRequest struct {
 	client *Client
 	slot   uint64
 }
 
-// clientHandler hands the requests of one client connection to the dispatcher.
+// clientHandler passes the requests of a client connection to the dispatcher.
 type clientHandler struct {
 	proxy  *Proxy
 	client *Client
@@ -56,14 +56,14 @@
 	}
 }
 
-// Accept takes a client's connection. It returns nil where there is no room for it; the host closes it then.
+// Accept adds a client connection. It returns nil if the connection is rejected; the host must close it then.
 func (p *Proxy) Accept(conn Conn) *Client {
 	if p.draining {
-		p.noteClose(conn.Name(), RejectedDraining, 0)
+		p.recordClose(conn.Name(), RejectedDraining, 0)
 		return nil
 	}
 	if len(p.clients) >= p.settings.MaxClients && !p.EvictIdleClient() {
-		p.noteClose(conn.Name(), RejectedFull, 0)
+		p.recordClose(conn.Name(), RejectedFull, 0)
 		return nil
 	}
 	client := &Client{conn: conn, index: len(p.clients), waiters: map[uint64]dispatch.WaiterID{}}
@@ -72,7 +72,7 @@
 	return client
 }
 
-// OnClientData takes bytes from a client.
+// OnClientData processes bytes from a client.
 func (p *Proxy) OnClientData(client *Client, data []byte) {
 	if client.closed {
 		return
@@ -81,14 +81,14 @@
 	p.Flush()
 }
 
-// OnClientClosed tells that a client's connection closed or broke.
+// OnClientClosed reports that a client connection was closed or lost.
 func (p *Proxy) OnClientClosed(client *Client) {
 	if p.removeClient(client) {
 		p.Flush()
 	}
 }
 
-// feed hands bytes to the client's session. What comes after the end of the session is discarded, within bounds.
+// feed passes bytes to the client's session. Bytes that arrive after our side was closed are discarded, up to a limit.
 func (p *Proxy) feed(client *Client, data []byte) {
 	if client.writeClosedAt > 0 {
 		client.discardedBytes += len(data)
@@ -98,15 +98,15 @@
 		return
 	}
 	client.session.Feed(p.host.Now(), p.host.Wall(), data)
-	p.markForSend(client)
+	p.scheduleSend(client)
 }
 
-// readAhead takes what a client sent and the host has not handed over, within bounds.
+// readAhead processes bytes that the client sent and that the host has not passed on yet, up to a limit.
 func (p *Proxy) readAhead(client *Client) {
 	for read := 0; !client.closed && read < maxReadAheadBytes; {
 		data, open := client.conn.ReadAhead()
 		if !open {
-			p.removeClient(client) // the host reports its end too, later
+			p.removeClient(client) // the host will report the close too
 			return
 		}
 		if len(data) == 0 {
@@ -117,8 +117,8 @@
 	}
 }
 
-// respond hands a response to whoever waits for it, if anybody still does.
-func (p *Proxy) respond(to dispatch.WaiterID, response dispatch.Response) {
+// deliverResponse passes a response to its waiter, unless the waiter has left.
+func (p *Proxy) deliverResponse(to dispatch.WaiterID, response dispatch.Response) {
 	if respond := p.internalWaiters[to]; respond != nil {
 		delete(p.internalWaiters, to)
 		respond(response)
@@ -131,18 +131,18 @@
 	delete(p.clientRequests, to)
 	delete(request.client.waiters, request.slot)
 	request.client.session.Respond(p.host.Now(), request.slot, response)
-	p.markForSend(request.client)
+	p.scheduleSend(request.client)
 }
 
-// markForSend has the next flush send a client what its session has to say.
-func (p *Proxy) markForSend(client *Client) {
-	if !client.markedForSend {
-		client.markedForSend = true
+// scheduleSend makes the next flush send the output of the client's session.
+func (p *Proxy) scheduleSend(client *Client) {
+	if !client.sendScheduled {
+		client.sendScheduled = true
 		p.clientsToSend = append(p.clientsToSend, client)
 	}
 }
 
-// send writes the output of a session and closes our side behind its last response.
+// send writes the output of a session and closes our side after the last response.
 func (p *Proxy) send(client *Client) {
 	if client.closed {
 		return
@@ -150,7 +150,7 @@
 	if output := client.session.Output(); len(output) > 0 {
 		client.conn.Write(output)
 		if client.closed {
-			return // the write broke it
+			return // by a write error
 		}
 		if client.conn.Unsent() > p.settings.Downstream.MaxUnread {
 			p.closeClient(client, CloseUnread)
@@ -159,28 +159,28 @@
 	}
 	ended := client.session.Done() || client.closeAfterLastResponse && len(client.waiters) == 0
 	if ended && client.writeClosedAt == 0 && client.conn.Unsent() == 0 {
-		// The client may still be sending: a close now could take the response from it (RFC 9112 9.6).
+		// The client may still be sending: a full close could reset the connection and lose the response (RFC 9112 9.6).
 		client.writeClosedAt = p.host.Now()
 		client.conn.CloseWrite()
 	}
 }
 
-// sweepClients closes connections whose time to linger is up and enforces the timeouts of the other sessions. It goes
-// from the end: a client that is removed is replaced by one that was already looked at.
+// sweepClients closes connections past their linger timeout and enforces the timeouts of the other sessions. It iterates
+// backward, because removing a client moves the last one, which was already visited, to its place.
 func (p *Proxy) sweepClients(now float64) {
 	for _, client := range slices.Backward(p.clients) {
-
-		if client.writeClosedAt > 0 && now-client.writeClosedAt > lingerSeconds {
+		if client.writeClosedAt > 0 && now-client.writeClosedAt > lingerTimeout {
 			p.closeClient(client, CloseLingered)
 			continue
 		}
 		if client.session.Tick(now) || client.closeAfterLastResponse {
-			p.markForSend(client)
+			p.scheduleSend(client)
 		}
 	}
 }
 
-// removeClient forgets a connection and cancels its requests; it tells whether the connection was still known.
+// removeClient removes a client connection and cancels its requests. It reports whether the connection was not removed
+// before.
 func (p *Proxy) removeClient(client *Client) bool {
 	if client.closed {
 		return false
--- a/internal/proxy/durability.go
+++ b/internal/proxy/durability.go
@@ -8,48 +8,49 @@
 )
 
 const (
-	// recordsPerRequest is how many records an open request may have: one of its attempt, one of its end.
+	// recordsPerRequest is the maximum number of pending records per open request: one for its attempt, one for its end.
 	recordsPerRequest = 2
-	// recordTimeoutReached is the part of RecordTimeout after which it counts as over: a timer may fire a little early.
-	recordTimeoutReached = 0.99
+	// recordTimeoutFraction is the fraction of RecordTimeout after which a response is overdue. It is below 1 because
+	// timers may fire slightly early.
+	recordTimeoutFraction = 0.99
 )
 
-// durabilityBarrier holds effects back until the records that they depend on are on disk. Records gather while a commit
-// is under way, so that one sync serves all that came meanwhile.
+// durabilityBarrier delays effects until the records that they depend on are durable. Records that arrive during a commit
+// are batched into the next one.
 type durabilityBarrier struct {
-	pendingRecords  []dispatch.Record // for the next commit
-	awaitingNext    []pendingEffect   // behind the next commit
-	awaitingCurrent []pendingEffect   // behind the commit that is under way
-	committing      bool
-	timeoutSet      bool // sendOverdueResponses is scheduled
-	fullLogged      bool // it was logged that no more records are taken
+	pendingRecords        []dispatch.Record // to be stored by the next commit
+	awaitingNextCommit    []pendingEffect   // to be released by the next commit
+	awaitingCurrentCommit []pendingEffect   // to be released by the commit under way
+	committing            bool
+	timeoutScheduled      bool // sendOverdueResponses is scheduled
+	fullLogged            bool // the overload of the record store was logged
 }
 
-// pendingEffect is an attempt or a response that waits: until its record is on disk, or an attempt until what its
-// client sent is read.
+// pendingEffect is an attempt or a response that waits for its record, or an attempt that waits until its client's input
+// has been read.
 type pendingEffect struct {
-	attempt  *dispatch.Attempt // nil: it is a response
-	response dispatch.Response
-	waiter   dispatch.WaiterID // of the response
-	canceled bool
-	since    float64 // when it began to wait
+	attempt      *dispatch.Attempt // nil: the effect is a response
+	response     dispatch.Response
+	waiter       dispatch.WaiterID // of the response
+	canceled     bool
+	waitingSince float64 // when a response began to wait; 0 for attempts
 }
 
-// isCanceled tells that an effect is no longer to be carried out.
+// isCanceled reports whether an effect was canceled.
 func isCanceled(effect pendingEffect) bool { return effect.canceled }
 
-// recordsFull tells that so many records wait that no more are taken. What must not run twice is not sent then, and
-// responses wait for nothing, as where the disk fails.
+// recordsFull reports whether the limit of pending records is reached. As after a disk failure, attempts that await a
+// record are then rejected and responses are sent without one.
 func (p *Proxy) recordsFull() bool {
 	return len(p.durability.pendingRecords) >= recordsPerRequest*p.settings.Dispatch.MaxOpen
 }
 
-// RecordsStored tells that every record is on disk and that all effects that waited for it were carried out.
+// RecordsStored reports whether every record is durable and no effect is waiting for one.
 func (p *Proxy) RecordsStored() bool {
-	return !p.durability.committing && len(p.durability.pendingRecords) == 0 && len(p.durability.awaitingNext) == 0
+	return !p.durability.committing && len(p.durability.pendingRecords) == 0 && len(p.durability.awaitingNextCommit) == 0
 }
 
-// storeRecord has the next commit store a record.
+// storeRecord adds a record to the next commit.
 func (p *Proxy) storeRecord(record dispatch.Record) {
 	barrier := &p.durability
 	switch {
@@ -58,48 +59,49 @@
 		barrier.pendingRecords = append(barrier.pendingRecords, record)
 	case !barrier.fullLogged:
 		barrier.fullLogged = true
-		p.log.Error("record store does not keep up: requests that must not run twice are rejected",
+		p.log.Error("record store overloaded, rejecting non-idempotent requests",
 			"waiting", len(barrier.pendingRecords))
 	}
 }
 
-// sendOnceStored sends an attempt once its record is on disk.
+// sendOnceStored sends an attempt once its record is durable.
 func (p *Proxy) sendOnceStored(attempt *dispatch.Attempt) {
 	if p.recordsFull() {
 		p.rejectedAttempts = append(p.rejectedAttempts, attempt.ID)
 		return
 	}
-	p.durability.awaitingNext = append(p.durability.awaitingNext, pendingEffect{attempt: attempt})
+	p.durability.awaitingNextCommit = append(p.durability.awaitingNextCommit, pendingEffect{attempt: attempt})
 }
 
-// respondOnceStored hands out a response, after its record is on disk where it awaits one. The record is in the next
-// commit, in the one that is under way, or already on disk.
+// respondOnceStored delivers a response. If the response awaits a record, that record is in the next commit, in the commit
+// under way, or already durable.
 func (p *Proxy) respondOnceStored(to dispatch.WaiterID, response dispatch.Response) {
 	barrier := &p.durability
 	switch {
 	case !response.AwaitsRecord || p.settings.RecordStore == nil || p.recordsFull():
-		p.respond(to, response)
+		p.deliverResponse(to, response)
 	case len(barrier.pendingRecords) > 0:
-		p.deferResponse(&barrier.awaitingNext, to, response)
+		p.deferResponse(&barrier.awaitingNextCommit, to, response)
 	case barrier.committing:
-		p.deferResponse(&barrier.awaitingCurrent, to, response)
+		p.deferResponse(&barrier.awaitingCurrentCommit, to, response)
 	default:
-		p.respond(to, response)
+		p.deliverResponse(to, response)
 	}
 }
 
-// deferResponse makes a response wait for its record, for RecordTimeout at most.
+// deferResponse makes a response wait for its record, at most for RecordTimeout.
 func (p *Proxy) deferResponse(list *[]pendingEffect, to dispatch.WaiterID, response dispatch.Response) {
-	*list = append(*list, pendingEffect{response: response, waiter: to, since: p.host.Now()})
-	if p.settings.RecordTimeout > 0 && !p.durability.timeoutSet {
-		p.durability.timeoutSet = true
+	*list = append(*list, pendingEffect{response: response, waiter: to, waitingSince: p.host.Now()})
+	if p.settings.RecordTimeout > 0 && !p.durability.timeoutScheduled {
+		p.durability.timeoutScheduled = true
 		p.host.After(p.settings.RecordTimeout, p.sendOverdueResponses)
 	}
 }
 
-// cancelPending cancels an attempt that waits and tells whether one did.
-func (p *Proxy) cancelPending(attempt uint64) (canceled bool) {
-	for _, list := range [...][]pendingEffect{p.durability.awaitingNext, p.durability.awaitingCurrent, p.outgoingAttempts} {
+// cancelPending cancels a waiting attempt and reports whether there was one.
+func (p *Proxy) cancelPending(attempt uint64) bool {
+	canceled := false
+	for _, list := range [...][]pendingEffect{p.durability.awaitingNextCommit, p.durability.awaitingCurrentCommit, p.outgoingAttempts} {
 		for i := range list {
 			effect := &list[i]
 			if effect.attempt != nil && effect.attempt.ID == attempt {
@@ -111,35 +113,36 @@
 	return canceled
 }
 
-// commitRecords hands the pending records to the store, unless it is still busy with the last ones.
+// commitRecords starts a commit of the pending records, unless one is under way.
 func (p *Proxy) commitRecords() {
 	barrier := &p.durability
 	if barrier.committing || len(barrier.pendingRecords) == 0 {
 		return
 	}
 	records := barrier.pendingRecords
-	barrier.awaitingCurrent = barrier.awaitingNext
-	barrier.pendingRecords, barrier.awaitingNext = nil, nil
+	barrier.awaitingCurrentCommit = barrier.awaitingNextCommit
+	barrier.pendingRecords, barrier.awaitingNextCommit = nil, nil
 	barrier.committing = true
 	p.settings.RecordStore.Commit(records, func(err error) {
 		p.host.Post(func() { p.onCommitted(err) })
 	})
 }
 
-// onCommitted carries out what waited for a commit. An attempt whose record was not stored is not sent; responses go
-// out all the same: the attempt was recorded before, so that after a restart a repeat fails and nothing runs twice.
+// onCommitted releases the effects that waited for a commit. If the commit failed, attempts are rejected, but responses
+// are sent: the records of their attempts are durable, so that after a restart a retry fails instead of being executed
+// again.
 func (p *Proxy) onCommitted(err error) {
 	barrier := &p.durability
-	effects := barrier.awaitingCurrent
-	barrier.awaitingCurrent, barrier.committing, barrier.fullLogged = nil, false, false
+	effects := barrier.awaitingCurrentCommit
+	barrier.awaitingCurrentCommit, barrier.committing, barrier.fullLogged = nil, false, false
 	if err != nil {
-		p.log.Error("records were not stored: requests that must not run twice are rejected", "error", err)
+		p.log.Error("failed to store records, rejecting non-idempotent requests", "error", err)
 	}
 	for _, effect := range effects {
 		switch {
 		case effect.canceled:
 		case effect.attempt == nil:
-			p.respond(effect.waiter, effect.response)
+			p.deliverResponse(effect.waiter, effect.response)
 		case err != nil:
 			p.dispatcher.OnAttemptReply(p.host.Now(), effect.attempt.ID, dispatch.WorkerReply{Outcome: control.NotSent})
 		default:
@@ -149,27 +152,28 @@
 	p.Flush()
 }
 
-// sendOverdueResponses sends responses whose record takes too long: a slow disk must not use up a client's time.
+// sendOverdueResponses sends responses that have waited for RecordTimeout, so that a slow disk does not make clients miss
+// their deadlines.
 func (p *Proxy) sendOverdueResponses() {
 	barrier := &p.durability
 	now, oldest := p.host.Now(), 0.0
-	barrier.timeoutSet = false
-	for _, list := range [][]pendingEffect{barrier.awaitingCurrent, barrier.awaitingNext} {
+	barrier.timeoutScheduled = false
+	for _, list := range [][]pendingEffect{barrier.awaitingCurrentCommit, barrier.awaitingNextCommit} {
 		for i := range list {
 			switch effect := &list[i]; {
 			case effect.attempt != nil || effect.canceled:
-			case now-effect.since >= p.settings.RecordTimeout*recordTimeoutReached:
+			case now-effect.waitingSince >= p.settings.RecordTimeout*recordTimeoutFraction:
 				effect.canceled = true
-				p.respond(effect.waiter, effect.response)
-			case oldest == 0 || effect.since < oldest:
-				oldest = effect.since
+				p.deliverResponse(effect.waiter, effect.response)
+			case oldest == 0 || effect.waitingSince < oldest:
+				oldest = effect.waitingSince
 			}
 		}
 	}
-	barrier.awaitingCurrent = slices.DeleteFunc(barrier.awaitingCurrent, isCanceled)
-	barrier.awaitingNext = slices.DeleteFunc(barrier.awaitingNext, isCanceled)
+	barrier.awaitingCurrentCommit = slices.DeleteFunc(barrier.awaitingCurrentCommit, isCanceled)
+	barrier.awaitingNextCommit = slices.DeleteFunc(barrier.awaitingNextCommit, isCanceled)
 	if oldest > 0 {
-		barrier.timeoutSet = true
+		barrier.timeoutScheduled = true
 		p.host.After(oldest+p.settings.RecordTimeout-now, p.sendOverdueResponses)
 	}
 	p.Flush()
--- a/internal/proxy/durability_test.go
+++ b/internal/proxy/durability_test.go
@@ -58,9 +58,9 @@
 		})
 		host.run(p, 0.2)
 		barrier := &p.durability
-		if n := len(barrier.pendingRecords); n > 20 || len(barrier.awaitingCurrent)+len(barrier.awaitingNext) > 40 {
+		if n := len(barrier.pendingRecords); n > 20 || len(barrier.awaitingCurrentCommit)+len(barrier.awaitingNextCommit) > 40 {
 			t.Fatalf("after %d requests %d records wait, %d and %d effects for them", submitted, n,
-				len(barrier.awaitingCurrent), len(barrier.awaitingNext))
+				len(barrier.awaitingCurrentCommit), len(barrier.awaitingNextCommit))
 		}
 		if err := p.Check(true); err != nil {
 			t.Fatal(err)
--- a/internal/proxy/effects.go
+++ b/internal/proxy/effects.go
@@ -7,7 +7,7 @@
 	"streamcleat/internal/dispatch"
 )
 
-// dispatchEffects carries out what the dispatcher asks for.
+// dispatchEffects implements dispatch.Effects for a Proxy.
 type dispatchEffects struct{ proxy *Proxy }
 
 // Respond implements dispatch.Effects.
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -9,33 +9,33 @@
 )
 
 const (
-	// startTolerance, in seconds, is by how much two statements of a worker's start may differ and mean the same one.
-	startTolerance = 0.5
-	// snapshotStartTolerance, in seconds, is the same between the endpoint list and a replica snapshot.
+	// restartTolerance is the maximum difference, in seconds, between two stated starts of a worker that did not restart.
+	restartTolerance = 0.5
+	// snapshotStartTolerance is the same between the endpoint list and a replica snapshot.
 	snapshotStartTolerance = 1
 )
 
-// endpointState is the list of workers: as its source tells it, and as orders to drain change it.
+// endpointState holds the endpoint list as configured, and as operators' drains change it.
 type endpointState struct {
-	configured   *upstream.EndpointList // as read last; nil before the first
-	active       *upstream.EndpointList // in force
-	clockOffset  float64                // from Unix seconds to the host's clock, at the last reading
+	configured   *upstream.EndpointList // as last read; nil before the first reading
+	active       *upstream.EndpointList // in force, including drains
+	clockOffset  float64                // host's clock minus Unix time, at the last reading
 	startClock   upstream.StartClock
-	statedStarts map[control.WorkerID]float64 // starts of workers in Unix seconds, as read
-	readAt       float64                      // time of the last reading, on the host's clock
-	drained      map[control.WorkerID]bool    // by order
-	lastUnload   uint64                       // IDs of unload commands count down, so that none meets the dispatcher's
-	snapshots    []dispatch.ReplicaSnapshot   // of an earlier process, until the first list
+	statedStarts map[control.WorkerID]float64 // starts of workers in Unix seconds, as the list states them
+	lastReadAt   float64                      // time of the last reading, on the host's clock
+	drained      map[control.WorkerID]bool    // by operators
+	lastUnloadID uint64                       // IDs of unload commands count down, to differ from the dispatcher's
+	snapshots    []dispatch.ReplicaSnapshot   // of an earlier process; nil after the first list
 }
 
 func newEndpointState(snapshots []dispatch.ReplicaSnapshot) endpointState {
 	return endpointState{drained: map[control.WorkerID]bool{}, snapshots: snapshots}
 }
 
-// statedStart is a worker's start in Unix seconds as the list states it, 0 where it states none.
+// statedStart returns the start of a worker in Unix seconds as the list states it, 0 if it does not.
 func (e *endpointState) statedStart(id control.WorkerID) float64 { return e.statedStarts[id] }
 
-// ReadEndpointList takes the text of the endpoint list. A faulty one leaves the last good one in force.
+// ReadEndpointList parses an endpoint list and puts it in force. After an error the previous list stays in force.
 func (p *Proxy) ReadEndpointList(data []byte) error {
 	e := &p.endpoints
 	e.clockOffset = p.host.Now() - float64(p.host.Wall().UnixNano())/1e9
@@ -49,16 +49,16 @@
 	return nil
 }
 
-// SetEndpointList puts a list of workers in force as it is. Their starts are on the host's clock.
+// SetEndpointList puts an endpoint list in force. The starts of its workers are on the host's clock.
 func (p *Proxy) SetEndpointList(list *upstream.EndpointList) {
 	p.endpoints.configured = list
 	p.applyEndpoints()
 }
 
-// adjustStarts settles when the workers of a new list started. The list states it by a time of day, and the machines'
-// clocks differ and are set: a worker restarted only where the list states another time than before, whatever the
-// clock here does; then it did so after the last reading that stated the old one, however long ago that time seems to
-// be. No start lies in the future.
+// adjustStarts converts the starts of the workers in a new list to the host's clock. The list states starts as wall-clock
+// times, and the clocks of machines differ and may be stepped. Therefore a worker counts as restarted only if its stated
+// start changed. It then restarted after the previous reading, even if the stated time is earlier. No start is in the
+// future.
 func (e *endpointState) adjustStarts(list *upstream.EndpointList, now float64) {
 	previous := e.workersByID()
 	stated := make(map[control.WorkerID]float64, len(list.Workers))
@@ -69,18 +69,24 @@
 			worker.StartedAt = e.startClock.StartedAt(stated[worker.ID], now, now-e.clockOffset)
 		}
 		old, known := previous[worker.ID]
-		switch difference := stated[worker.ID] - e.statedStarts[worker.ID]; {
+		switch {
 		case !known || e.configured.Addresses[worker.ID] != list.Addresses[worker.ID]:
-		case difference > -startTolerance && difference < startTolerance:
+		case isSameStart(stated[worker.ID], e.statedStarts[worker.ID], restartTolerance):
 			worker.StartedAt = e.configured.Workers[old].StartedAt
 		case worker.StartedAt > 0:
-			worker.StartedAt = max(worker.StartedAt, e.readAt)
+			worker.StartedAt = max(worker.StartedAt, e.lastReadAt)
 		}
 	}
-	e.statedStarts, e.readAt = stated, now
+	e.statedStarts, e.lastReadAt = stated, now
 }
 
-// workersByID are the indexes of the workers in the list that was read last.
+// isSameStart reports whether two stated starts of a worker differ by less than a tolerance.
+func isSameStart(a, b, tolerance float64) bool {
+	difference := a - b
+	return difference > -tolerance && difference < tolerance
+}
+
+// workersByID returns the indexes of the workers in the list that was read last.
 func (e *endpointState) workersByID() map[control.WorkerID]int {
 	if e.configured == nil {
 		return nil
@@ -92,7 +98,7 @@
 	return indexes
 }
 
-// withDrains is the list that was read last, with the drains that operators ordered.
+// withDrains returns the list that was read last, with the operators' drains applied.
 func (e *endpointState) withDrains() *upstream.EndpointList {
 	list := &upstream.EndpointList{Workers: slices.Clone(e.configured.Workers), Addresses: e.configured.Addresses}
 	for i := range list.Workers {
@@ -103,7 +109,7 @@
 	return list
 }
 
-// applyEndpoints puts the list in force that its source and the operators' orders make together.
+// applyEndpoints puts the configured list with the operators' drains in force.
 func (p *Proxy) applyEndpoints() {
 	if p.endpoints.configured == nil {
 		return
@@ -120,27 +126,27 @@
 	p.Flush()
 }
 
-// restoreReplicas hands on, with the first list, what an earlier process knew of workers that have not restarted since.
+// restoreReplicas restores, after the first list, the replicas of an earlier process on workers that have not restarted.
 func (p *Proxy) restoreReplicas() {
 	snapshots := p.endpoints.snapshots
 	p.endpoints.snapshots = nil
 	for _, snapshot := range snapshots {
 		snapshot.Age += p.host.Now() - p.startedAt
-		difference := p.endpoints.statedStart(control.WorkerID(snapshot.Worker)) - snapshot.WorkerStartedAt
-		if difference > -snapshotStartTolerance && difference < snapshotStartTolerance {
+		stated := p.endpoints.statedStart(control.WorkerID(snapshot.Worker))
+		if isSameStart(stated, snapshot.WorkerStartedAt, snapshotStartTolerance) {
 			p.dispatcher.RestoreReplica(p.host.Now(), snapshot)
 		}
 	}
 }
 
-// ReplicaSnapshots are the replicas that this front end knows.
+// ReplicaSnapshots returns the replicas that this front end believes to be loaded.
 func (p *Proxy) ReplicaSnapshots() []dispatch.ReplicaSnapshot {
 	return p.dispatcher.ReplicaSnapshots(p.endpoints.statedStart)
 }
 
-// DrainWorker makes a worker drain, or returns it to the state that the list states. An order stays in force over
-// updates of the list. It tells whether the list names the worker.
-func (p *Proxy) DrainWorker(id control.WorkerID, drain bool) (known bool) {
+// DrainWorker starts or ends the draining of a worker by an operator. A drain stays in force across updates of the
+// endpoint list. DrainWorker reports whether the list names the worker.
+func (p *Proxy) DrainWorker(id control.WorkerID, drain bool) bool {
 	e := &p.endpoints
 	if e.configured == nil || e.configured.Addresses[id] == "" {
 		return false
@@ -154,7 +160,7 @@
 	return true
 }
 
-// DrainedWorkers are the workers that drain by order, sorted.
+// DrainedWorkers returns the workers that operators drain, sorted.
 func (p *Proxy) DrainedWorkers() []string {
 	var workers []string
 	for id := range p.endpoints.drained {
@@ -164,20 +170,21 @@
 	return workers
 }
 
-// UnloadReplicas asks every worker that is believed to have a function loaded to unload its idle replicas, and tells
-// how many were asked.
-func (p *Proxy) UnloadReplicas(function string) (asked int) {
+// UnloadReplicas sends an unload command for idle replicas to every worker that is believed to have a function loaded. It
+// returns the number of commands.
+func (p *Proxy) UnloadReplicas(function string) int {
+	commands := 0
 	_, functions := p.dispatcher.RoutingView()
 	for _, f := range functions {
 		if string(f.ID) != function {
 			continue
 		}
 		for _, worker := range f.Replicas {
-			p.endpoints.lastUnload--
-			p.pool.SendLoad(p.host.Now(), dispatch.LoadCommand{ID: p.endpoints.lastUnload, Worker: worker, Function: function})
-			asked++
+			p.endpoints.lastUnloadID--
+			p.pool.SendLoad(p.host.Now(), dispatch.LoadCommand{ID: p.endpoints.lastUnloadID, Worker: worker, Function: function})
+			commands++
 		}
 	}
 	p.Flush()
-	return asked
+	return commands
 }
--- a/internal/proxy/eviction.go
+++ b/internal/proxy/eviction.go
@@ -1,8 +1,8 @@
 package proxy
 
-// EvictIdleClient closes the client connection that has been idle longest, where the settings allow it, and tells
-// whether there was one. A connection with a request open, or on which a part of one came, is never closed; nor is one on
-// which a request lies unread, or whose last response has not left, which closing would cut off.
+// EvictIdleClient closes the client connection that has been idle longest, if the settings allow it, and reports whether
+// it closed one. It never closes a connection with an open or partially received request, with unread input, or with
+// unsent bytes of a response.
 func (p *Proxy) EvictIdleClient() bool {
 	for p.settings.EvictIdleClients {
 		oldest, idleSince := p.longestIdleClient()
@@ -19,7 +19,7 @@
 	return false
 }
 
-// longestIdleClient returns the client that has been idle longest, nil where none is idle.
+// longestIdleClient returns the client that has been idle longest, nil if none is idle.
 func (p *Proxy) longestIdleClient() (oldest *Client, idleSince float64) {
 	for _, client := range p.clients {
 		if since, idle := client.session.Idle(); idle && client.conn.Unsent() == 0 && (oldest == nil || since < idleSince) {
--- a/internal/proxy/flush.go
+++ b/internal/proxy/flush.go
@@ -5,19 +5,19 @@
 	"streamcleat/internal/dispatch"
 )
 
-// Flush carries out what the pool and the dispatcher asked for since the last call, until nothing is left. Whatever
-// happens on a connection meanwhile may ask for more; a nested call returns at once.
+// Flush executes the work that the pool and the dispatcher have queued, until none is left. The work may queue more; a
+// nested call returns immediately.
 func (p *Proxy) Flush() {
 	if p.flushing {
 		return
 	}
 	p.flushing = true
-	for p.queued() > 0 || p.pool.Pending() {
+	for p.pendingWork() > 0 || p.pool.Pending() {
 		p.pool.Flush()
 		p.flushAttempts()
 		p.flushRejectedAttempts()
 		p.commitRecords()
-		p.flushOperations()
+		p.flushUpstream()
 		p.flushClients()
 	}
 	p.commitRecords()
@@ -25,20 +25,20 @@
 	p.resetTimer()
 }
 
-// queued counts the work that waits for Flush, without the pool's own.
-func (p *Proxy) queued() int {
-	return len(p.operations) + len(p.clientsToSend) + len(p.rejectedAttempts) + len(p.outgoingAttempts)
+// pendingWork returns the number of work items that wait for Flush, excluding those of the pool.
+func (p *Proxy) pendingWork() int {
+	return len(p.upstreamOperations) + len(p.clientsToSend) + len(p.rejectedAttempts) + len(p.outgoingAttempts)
 }
 
-// flushAttempts sends attempts, each once all that its client sent is read: a cancel or a close that lies unread, behind
-// the request itself, behind a worker's response that was read first or behind much other input, must prevent it.
+// flushAttempts sends attempts. It reads the pending input of each attempt's client first, because an unread cancel or
+// close must prevent the attempt.
 func (p *Proxy) flushAttempts() {
 	for len(p.outgoingAttempts) > 0 {
 		first := &p.outgoingAttempts[0]
 		if !first.canceled {
 			p.readClientOf(first.attempt.ID)
 		}
-		// Reading may have added others and moved the slice, so the first is looked up anew.
+		// Reading may have reallocated the slice or canceled the attempt.
 		canceled, attempt := p.outgoingAttempts[0].canceled, p.outgoingAttempts[0].attempt
 		p.outgoingAttempts = p.outgoingAttempts[1:]
 		if !canceled {
@@ -48,14 +48,14 @@
 	p.outgoingAttempts = nil
 }
 
-// readClientOf reads what the client that an attempt is for has sent and the event loop has not come to yet.
+// readClientOf reads the pending input of an attempt's client ahead of the event loop.
 func (p *Proxy) readClientOf(attempt uint64) {
 	if request, ok := p.clientRequests[p.dispatcher.FirstWaiter(attempt)]; ok {
 		p.readAhead(request.client)
 	}
 }
 
-// flushRejectedAttempts tells the dispatcher of attempts that were never sent because their records can't be taken.
+// flushRejectedAttempts reports attempts that were not sent, because their records can't be stored, to the dispatcher.
 func (p *Proxy) flushRejectedAttempts() {
 	rejected := p.rejectedAttempts
 	p.rejectedAttempts = nil
@@ -64,21 +64,21 @@
 	}
 }
 
-// flushOperations applies what the pool asked for on connections to workers.
-func (p *Proxy) flushOperations() {
-	operations := p.operations
-	p.operations = nil
-	for _, o := range operations {
-		p.applyOperation(o)
+// flushUpstream executes the pool's operations on connections to workers.
+func (p *Proxy) flushUpstream() {
+	operations := p.upstreamOperations
+	p.upstreamOperations = nil
+	for _, operation := range operations {
+		p.applyUpstreamOperation(operation)
 	}
 }
 
-// flushClients writes to every client whose session may have output.
+// flushClients writes the output of sessions to their clients.
 func (p *Proxy) flushClients() {
 	clients := p.clientsToSend
 	p.clientsToSend = nil
 	for _, client := range clients {
-		client.markedForSend = false
+		client.sendScheduled = false
 		client.session.Advance(p.host.Now())
 		p.send(client)
 	}
--- a/internal/proxy/gossip.go
+++ b/internal/proxy/gossip.go
@@ -5,20 +5,21 @@
 	"hash/crc32"
 )
 
-// A datagram is the magic, the CRC-32 of the cluster's name in little-endian order, and a gossip message of control.
+// A datagram consists of the magic, the CRC-32 of the cluster's name in little-endian order, and a gossip message of
+// package control.
 const (
 	datagramMagic      = "SCL1"
 	datagramHeaderSize = len(datagramMagic) + 4 // magic and checksum
 )
 
-// datagramHeader is what every datagram of a cluster begins with.
+// datagramHeader returns the header of a cluster's datagrams.
 func datagramHeader(cluster string) (header [datagramHeaderSize]byte) {
 	copy(header[:], datagramMagic)
 	binary.LittleEndian.PutUint32(header[len(datagramMagic):], crc32.ChecksumIEEE([]byte(cluster)))
 	return header
 }
 
-// OnDatagram takes a datagram from another front end. One of another cluster or format is dropped.
+// OnDatagram processes a datagram from another front end. Datagrams of other clusters or formats are dropped.
 func (p *Proxy) OnDatagram(data []byte) {
 	if len(data) >= datagramHeaderSize && [datagramHeaderSize]byte(data) == p.datagramHeader {
 		p.dispatcher.OnGossip(p.host.Now(), data[datagramHeaderSize:])
--- a/internal/proxy/interfaces.go
+++ b/internal/proxy/interfaces.go
@@ -8,102 +8,101 @@
 	"streamcleat/internal/upstream"
 )
 
-// RecordStore keeps records on disk.
+// RecordStore makes records durable.
 type RecordStore interface {
-	// Commit stores records and then calls done once, from any goroutine. A Proxy has one commit under way at a time;
-	// records that come meanwhile go into the next.
+	// Commit stores records and then calls done once, from any goroutine. A Proxy has at most one commit under way.
 	Commit(records []dispatch.Record, done func(error))
 }
 
-// RequestHandler takes requests on behalf of a session.
+// RequestHandler receives the requests that a Session decodes.
 type RequestHandler = cloudevents.RequestHandler
 
-// Session is the state of one client connection, in whatever protocol. It has no socket and no clock.
+// Session is the protocol state of a client connection. It has no socket and no clock.
 type Session interface {
-	// Feed takes bytes that the client sent.
+	// Feed processes bytes that the client sent.
 	Feed(now float64, wall time.Time, data []byte)
-	// Respond takes the final response to the request that RequestHandler.Submit took for the slot.
+	// Respond delivers the final response to the request that was passed to RequestHandler.Submit with the slot.
 	Respond(now float64, slot uint64, response dispatch.Response)
-	// Advance is called after responses came.
+	// Advance is called after calls of Feed or Respond, before Output.
 	Advance(now float64)
-	// Output is what is to be sent.
+	// Output returns the bytes to be sent and removes them from the session.
 	Output() []byte
-	// Done tells that the connection is to be closed once all output is sent.
+	// Done reports whether the connection is to be closed once all output is sent.
 	Done() bool
-	// Tick enforces the session's timeouts and tells whether there is output, or an end, since.
+	// Tick enforces the session's timeouts. It reports whether there may be new output or the session is done.
 	Tick(now float64) bool
-	// Drain asks the client to send no more requests; those that are open are answered.
+	// Drain asks the client to send no more requests. Open requests still get their responses.
 	Drain()
-	// Disconnected tells that the client left.
+	// Disconnected reports that the connection was closed or lost.
 	Disconnected()
-	// Idle tells that no request is open or half read, and since when.
+	// Idle reports whether no request is open or partially received, and since when.
 	Idle() (since float64, idle bool)
 }
 
-// Transport carries the bytes of an UpstreamPool.
+// Transport provides connections to workers for an UpstreamPool.
 type Transport interface {
 	upstream.Transport
-	// Unsent counts bytes that were written to a connection and have not left.
+	// Unsent returns the number of bytes that were written to a connection and that the kernel has not accepted.
 	Unsent(conn upstream.ConnID) int
 }
 
-// UpstreamPool is the set of connections to workers, in whatever protocol. It has no socket and no clock.
+// UpstreamPool manages the connections to workers in some protocol. It has no socket and no clock.
 type UpstreamPool interface {
 	SetEndpoints(list *upstream.EndpointList)
 	SendAttempt(now float64, attempt dispatch.Attempt)
 	SendLoad(now float64, command dispatch.LoadCommand)
-	// WaitingFor are the attempts that wait for a dial to end.
+	// WaitingFor returns the attempts that wait for a connection to be dialed.
 	WaitingFor(conn upstream.ConnID) []uint64
-	// CancelUnsent takes an attempt back if no byte of it has left, and tells whether it did.
+	// CancelUnsent cancels an attempt if no byte of it was written, and reports whether it did.
 	CancelUnsent(attempt uint64) bool
-	// Abandon drops an attempt or a load command whose result is no longer wanted.
+	// Abandon drops an attempt or load command. Its result is not reported.
 	Abandon(now float64, id uint64)
 	OnDialed(now float64, conn upstream.ConnID, err error)
 	OnData(now float64, conn upstream.ConnID, data []byte)
 	OnClosed(now float64, conn upstream.ConnID)
 	Tick(now float64)
-	// Pending tells that Flush has work to do.
+	// Pending reports whether Flush has work to do.
 	Pending() bool
 	Flush()
 	CloseAll(now float64)
-	// Len counts the connections.
+	// Len returns the number of connections.
 	Len() int
-	// Check returns an error where the pool's state contradicts itself.
+	// Check verifies the invariants of the pool's state.
 	Check() error
 }
 
-// Host is what a front end runs on: clocks, timers, sockets.
+// Host provides a front end with clocks, timers and sockets.
 type Host interface {
-	// Now is a monotonic clock in seconds.
+	// Now returns the time of a monotonic clock in seconds.
 	Now() float64
-	// Wall is the time of day; it may jump.
+	// Wall returns the wall-clock time, which may be stepped.
 	Wall() time.Time
-	// SetTimer asks for a call of Proxy.Tick at a time; it replaces an earlier call of SetTimer.
+	// SetTimer schedules a call of Proxy.Tick and replaces an earlier schedule.
 	SetTimer(at float64)
-	// After runs f on the front end's goroutine once so many seconds have passed.
+	// After runs f on the front end's goroutine after a number of seconds.
 	After(seconds float64, f func())
-	// Post runs f on the front end's goroutine, soon. It may be called from any goroutine.
+	// Post schedules f to run on the front end's goroutine. It may be called from any goroutine.
 	Post(f func())
-	// Dial opens a connection to a worker. Proxy.OnDialed follows, at once or later.
+	// Dial opens a connection to a worker. The host calls Proxy.OnDialed with the result, possibly before Dial returns.
 	Dial(conn upstream.ConnID, addr string)
-	// Broadcast sends a datagram to every other front end; it may be lost.
+	// Broadcast sends a datagram to every other front end, without guarantee of delivery.
 	Broadcast(datagram []byte)
 }
 
-// Conn is one connection of the host.
+// Conn is a connection of the host.
 type Conn interface {
 	Write(data []byte)
-	// Close closes the connection. The host reports nothing of it afterwards.
+	// Close closes the connection. The host reports no further events of it.
 	Close()
-	// CloseWrite closes our side behind what was written; the other side is still read.
+	// CloseWrite closes our side after the bytes written so far. The other side is still read.
 	CloseWrite()
-	// Unsent counts bytes that were written and have not left.
+	// Unsent returns the number of bytes that were written and that the kernel has not accepted.
 	Unsent() int
-	// ReadAhead hands out bytes that came and were not handed over yet, or nil; open is false where the connection has
-	// ended. It is for clients' connections only.
+	// ReadAhead returns received bytes that the host has not passed on yet, nil if there are none. open is false if the
+	// connection has ended. ReadAhead is for client connections only.
 	ReadAhead() (data []byte, open bool)
-	// InputAge is the longest time, in seconds, for which bytes that are handed over now may have waited to be read.
+	// InputAge returns the maximum time, in seconds, for which the bytes that are being passed on may have been buffered.
 	InputAge() float64
-	// Name is the address of the other side, for logs.
+	// Name returns the address of the other side, for logs.
 	Name() string
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,7 +1,3 @@
-// Package proxy is one front end without its sockets and its clock: the clients' sessions, the dispatcher, the
-// connections to workers, the endpoint list, and what waits for records to reach the disk. It owns all of that state.
-// It is called on one goroutine, with what came in, and calls out through Host: eventloop gives it real sockets,
-// simulation a virtual network and clock. It makes no routing decision; package control does.
 package proxy
 
 import (
@@ -13,29 +9,29 @@
 	"streamcleat/internal/upstream/openinference"
 )
 
-// SweepEvery is the interval, in seconds, at which the host calls Sweep.
+// SweepEvery is the interval, in seconds, at which the host must call Sweep.
 const SweepEvery = 0.1
 
-// Settings of one front end. Times are seconds.
+// Settings configures a [Proxy]. Times are in seconds.
 type Settings struct {
 	Name             string // for Proxy-Status and logs
 	Cluster          string // datagrams of another cluster are dropped
 	Dispatch         dispatch.Settings
 	Upstream         openinference.Limits
 	Downstream       cloudevents.Limits
-	MaxClients       int                                                              // client connections; any further one is closed
-	EvictIdleClients bool                                                             // the client connection idle longest is closed instead
-	NewSession       func(handler RequestHandler, now float64) Session                // a client's connection; nil: the HTTP ingress
-	NewPool          func(t Transport, results upstream.ExchangeHandler) UpstreamPool // connections to workers; nil: Open Inference Protocol
-	Log              *slog.Logger                                                     // nil: nothing is logged
-	RecordStore      RecordStore                                                      // keeps what must outlive the process; nil: nothing does
-	RecordTimeout    float64                                                          // a response waits no longer than this for its record
-	Recovered        []dispatch.RecoveredRecord                                       // what an earlier process recorded
-	ReplicaSnapshots []dispatch.ReplicaSnapshot                                       // replicas that it knew, with their ages at the start
-	OnRequestEnd     func(response dispatch.Response, trace *dispatch.Trace)          // called on the loop for each ended request; may be nil
+	MaxClients       int                                                              // maximum number of client connections
+	EvictIdleClients bool                                                             // at the maximum, close the connection idle longest instead of rejecting the new one
+	NewSession       func(handler RequestHandler, now float64) Session                // nil: CloudEvents over HTTP
+	NewPool          func(t Transport, results upstream.ExchangeHandler) UpstreamPool // nil: Open Inference Protocol
+	Log              *slog.Logger                                                     // nil: no logging
+	RecordStore      RecordStore                                                      // nil: no records are stored
+	RecordTimeout    float64                                                          // maximum time that a response waits for its record; 0: no limit
+	Recovered        []dispatch.RecoveredRecord                                       // records of an earlier process
+	ReplicaSnapshots []dispatch.ReplicaSnapshot                                       // replicas of an earlier process, with their ages at the start
+	OnRequestEnd     func(response dispatch.Response, trace *dispatch.Trace)          // called for each ended request; may be nil
 }
 
-// Proxy is the state of one front end.
+// Proxy is one front end. It is confined to one goroutine.
 type Proxy struct {
 	settings   Settings
 	host       Host
@@ -43,32 +39,32 @@
 	dispatcher *dispatch.Dispatcher
 	pool       UpstreamPool
 	startedAt  float64             // on the host's clock
-	unanswered []dispatch.Response // of an earlier process, see Lost
-	timerAt    float64             // for which the host's timer is set; 0: it has fired
+	unanswered []dispatch.Response // of an earlier process, see Unanswered
+	timerAt    float64             // time for which the host's timer is set; 0: not set
 
-	// Requests that wait for a response, by the waiter that the dispatcher knows them by.
+	// Open requests by the dispatcher's waiter.
 	lastWaiter      dispatch.WaiterID
 	clientRequests  map[dispatch.WaiterID]clientRequest
-	internalWaiters map[dispatch.WaiterID]func(dispatch.Response) // submitted within the process
+	internalWaiters map[dispatch.WaiterID]func(dispatch.Response) // submitted by Proxy.Submit
 
 	clients       []*Client
 	upstreamConns map[upstream.ConnID]Conn
 	endpoints     endpointState
 	durability    durabilityBarrier
-	draining      bool // no connection is accepted any more
+	draining      bool // client connections are rejected
 	closes        closeCounts
 
-	// Work for Flush, in the order in which it was asked for.
-	flushing         bool
-	operations       []operation
-	rejectedAttempts []uint64        // attempts whose records can't be taken
-	outgoingAttempts []pendingEffect // attempts, until what their clients sent is read
-	clientsToSend    []*Client
+	// Work for Flush.
+	flushing           bool
+	upstreamOperations []upstreamOperation
+	rejectedAttempts   []uint64        // attempts whose records can't be stored
+	outgoingAttempts   []pendingEffect // attempts that wait until their clients' input has been read
+	clientsToSend      []*Client
 
 	datagramHeader [datagramHeaderSize]byte
 }
 
-// New makes a front end that serves from now on.
+// New returns a Proxy that accepts connections and requests.
 func New(settings Settings, host Host) *Proxy {
 	if settings.Log == nil {
 		settings.Log = slog.New(slog.DiscardHandler)
@@ -84,7 +80,7 @@
 		}
 	}
 	recovered, snapshots := settings.Recovered, settings.ReplicaSnapshots
-	settings.Recovered, settings.ReplicaSnapshots = nil, nil // not kept for the life of the process
+	settings.Recovered, settings.ReplicaSnapshots = nil, nil // release their memory
 	p := &Proxy{
 		settings:        settings,
 		host:            host,
@@ -103,16 +99,17 @@
 	return p
 }
 
-// Unanswered are requests of an earlier process that may have run and must not run again; nobody was told how they ended.
+// Unanswered returns the responses to requests of an earlier process that were possibly executed and must not be executed
+// again. The responses were not sent to a client.
 func (p *Proxy) Unanswered() []dispatch.Response { return p.unanswered }
 
-// Dispatcher is the front end's dispatcher; whoever changes it calls Flush.
+// Dispatcher returns the front end's dispatcher. A caller that changes its state must call Flush.
 func (p *Proxy) Dispatcher() *dispatch.Dispatcher { return p.dispatcher }
 
-// Connections counts the connections to clients and workers.
-func (p *Proxy) Connections() (clients, backends int) { return len(p.clients), p.pool.Len() }
+// Connections returns the number of connections to clients and to workers.
+func (p *Proxy) Connections() (clients, workers int) { return len(p.clients), p.pool.Len() }
 
-// Submit takes a request from within the process; respond is called exactly once, on the front end's goroutine.
+// Submit submits an internal request. respond is called exactly once, on the front end's goroutine.
 func (p *Proxy) Submit(request dispatch.Request, respond func(dispatch.Response)) {
 	p.lastWaiter++
 	p.internalWaiters[p.lastWaiter] = respond
@@ -120,14 +117,14 @@
 	p.Flush()
 }
 
-// Tick fires the dispatcher's timers that are due.
+// Tick runs the dispatcher's timers that are due.
 func (p *Proxy) Tick() {
 	p.timerAt = 0
 	p.dispatcher.Tick(p.host.Now())
 	p.Flush()
 }
 
-// Sweep looks at idle and slow connections.
+// Sweep enforces the timeouts of connections to clients and workers.
 func (p *Proxy) Sweep() {
 	now := p.host.Now()
 	p.pool.Tick(now)
@@ -135,14 +132,14 @@
 	p.Flush()
 }
 
-// Preload has a replica of a function loaded that will be needed soon; it tells whether a load was ordered.
-func (p *Proxy) Preload(class, function string) (ordered bool) {
-	ordered = p.dispatcher.Preload(p.host.Now(), class, function)
+// Preload loads a replica of a function that will be requested soon. It reports whether a load command was sent.
+func (p *Proxy) Preload(class, function string) bool {
+	sent := p.dispatcher.Preload(p.host.Now(), class, function)
 	p.Flush()
-	return ordered
+	return sent
 }
 
-// resetTimer sets the host's timer to the dispatcher's next one.
+// resetTimer sets the host's timer to the dispatcher's next timer.
 func (p *Proxy) resetTimer() {
 	if next := p.dispatcher.NextTimer(); p.timerAt == 0 || next != p.timerAt {
 		p.timerAt = next
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// Drain tells clients to send no more requests here; those that come all the same are taken.
+// Drain asks clients to send no more requests. Requests that arrive nevertheless are accepted.
 func (p *Proxy) Drain() {
 	p.drainClients()
 	p.Flush()
 }
 
-// StopListening takes no more connections and requests; what is open goes on.
+// StopListening rejects new connections and requests. Open requests continue.
 func (p *Proxy) StopListening() {
 	p.draining = true
 	p.dispatcher.Drain(p.host.Now())
@@ -16,36 +16,38 @@
 	p.Flush()
 }
 
+// drainClients asks every client to send no more requests.
 func (p *Proxy) drainClients() {
 	for _, client := range p.clients {
 		client.session.Drain()
-		p.markForSend(client)
+		p.scheduleSend(client)
 	}
 }
 
-// Terminate answers at once whatever is open. It follows StopListening, or Drain where requests are still taken.
+// Terminate ends every open request immediately. It is called after StopListening, or after Drain where requests are
+// accepted until the end.
 func (p *Proxy) Terminate() {
 	p.dispatcher.Terminate(p.host.Now())
 	p.Flush()
 }
 
-// CloseClients closes our side of every connection behind its last response. What still comes is read and discarded:
-// a connection that is closed over unread bytes is reset, and its responses may be lost.
+// CloseClients closes our side of every client connection after its last response. Further input is read and discarded,
+// because closing a connection with unread input resets it and may lose responses.
 func (p *Proxy) CloseClients() {
 	for _, client := range p.clients {
 		client.closeAfterLastResponse = true
-		p.markForSend(client)
+		p.scheduleSend(client)
 	}
 	p.Flush()
 }
 
-// CloseUpstream closes all connections to workers, after Terminate.
+// CloseUpstream closes all connections to workers. It is called after Terminate.
 func (p *Proxy) CloseUpstream() {
 	p.pool.CloseAll(p.host.Now())
 	p.Flush()
 }
 
-// Idle tells that nothing is open: no request, and on no connection a part of one.
+// Idle reports whether no request is open or partially received.
 func (p *Proxy) Idle() bool {
 	return p.dispatcher.Idle() && !slices.ContainsFunc(p.clients, func(client *Client) bool {
 		_, idle := client.session.Idle()
@@ -53,10 +55,10 @@
 	})
 }
 
-// AllSent tells that the kernel has taken all that was written to clients.
+// AllSent reports whether the kernel has accepted all bytes written to clients.
 func (p *Proxy) AllSent() bool {
 	return !slices.ContainsFunc(p.clients, func(client *Client) bool { return client.conn.Unsent() > 0 })
 }
 
-// HasClients tells that some client may not have read all of its responses.
+// HasClients reports whether client connections are left, whose clients may not have read all responses.
 func (p *Proxy) HasClients() bool { return len(p.clients) > 0 }
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -6,24 +6,25 @@
 	"streamcleat/internal/upstream"
 )
 
-// operation is something that the pool asked to be done on a connection to a worker.
-type operation struct {
+// upstreamOperation is a write to or the close of a connection to a worker.
+type upstreamOperation struct {
 	conn  upstream.ConnID
 	data  []byte
 	close bool
 }
 
-// upstreamTransport carries the pool's bytes. Writes and closes wait for Flush, until the pool's call is over.
+// upstreamTransport implements Transport. Writes and closes are queued for Flush, so that their events don't reenter the
+// pool.
 type upstreamTransport struct{ proxy *Proxy }
 
 // Write implements Transport.
 func (t upstreamTransport) Write(conn upstream.ConnID, data []byte) {
-	t.proxy.operations = append(t.proxy.operations, operation{conn: conn, data: data})
+	t.proxy.upstreamOperations = append(t.proxy.upstreamOperations, upstreamOperation{conn: conn, data: data})
 }
 
 // Close implements Transport.
 func (t upstreamTransport) Close(conn upstream.ConnID) {
-	t.proxy.operations = append(t.proxy.operations, operation{conn: conn, close: true})
+	t.proxy.upstreamOperations = append(t.proxy.upstreamOperations, upstreamOperation{conn: conn, close: true})
 }
 
 // Unsent implements Transport.
@@ -37,25 +38,25 @@
 // Dial implements Transport.
 func (t upstreamTransport) Dial(conn upstream.ConnID, addr string) { t.proxy.host.Dial(conn, addr) }
 
-// exchangeHandler hands what workers replied to the dispatcher.
+// exchangeHandler implements upstream.ExchangeHandler on top of the dispatcher.
 type exchangeHandler struct{ proxy *Proxy }
 
-// OnAttemptReply implements upstream.Results.
-func (r exchangeHandler) OnAttemptReply(attempt uint64, reply dispatch.WorkerReply) {
+// OnAttemptReply implements upstream.ExchangeHandler.
+func (h exchangeHandler) OnAttemptReply(attempt uint64, reply dispatch.WorkerReply) {
 	if reply.Outcome != control.Succeeded {
-		r.proxy.log.Debug("attempt ended", "attempt", attempt, "outcome", int(reply.Outcome))
+		h.proxy.log.Debug("attempt ended", "attempt", attempt, "outcome", int(reply.Outcome))
 	}
-	r.proxy.dispatcher.OnAttemptReply(r.proxy.host.Now(), attempt, reply)
+	h.proxy.dispatcher.OnAttemptReply(h.proxy.host.Now(), attempt, reply)
 }
 
-// OnLoadReply implements upstream.Results.
-func (r exchangeHandler) OnLoadReply(command uint64, outcome control.Outcome, replicas int) {
-	r.proxy.dispatcher.OnLoadReply(r.proxy.host.Now(), command, outcome, replicas)
+// OnLoadReply implements upstream.ExchangeHandler.
+func (h exchangeHandler) OnLoadReply(command uint64, outcome control.Outcome, replicas int) {
+	h.proxy.dispatcher.OnLoadReply(h.proxy.host.Now(), command, outcome, replicas)
 }
 
 // AuthorizeAttempt implements upstream.ExchangeHandler.
-func (r exchangeHandler) AuthorizeAttempt(id uint64) dispatch.SendPermit {
-	p := r.proxy
+func (h exchangeHandler) AuthorizeAttempt(id uint64) dispatch.SendPermit {
+	p := h.proxy
 	permit := p.dispatcher.AuthorizeAttempt(p.host.Now(), id)
 	if !permit.Permitted() {
 		p.log.Info("attempt not sent", "attempt", id, "cause", permit.Denial().String())
@@ -64,12 +65,12 @@
 }
 
 // AuthorizeLoad implements upstream.ExchangeHandler.
-func (r exchangeHandler) AuthorizeLoad() dispatch.SendPermit {
-	return r.proxy.dispatcher.AuthorizeLoad(r.proxy.host.Now())
+func (h exchangeHandler) AuthorizeLoad() dispatch.SendPermit {
+	return h.proxy.dispatcher.AuthorizeLoad(h.proxy.host.Now())
 }
 
-// OnDialed tells how a dial ended: with a connection or an error. What the clients of the attempts that waited for it
-// have sent is read first: they may have left meanwhile.
+// OnDialed reports the result of a dial. It reads the pending input of the clients whose attempts wait for the connection
+// first, because they may have left in the meantime.
 func (p *Proxy) OnDialed(id upstream.ConnID, conn Conn, err error) {
 	if err == nil {
 		p.upstreamConns[id] = conn
@@ -81,7 +82,7 @@
 	p.Flush()
 }
 
-// OnUpstreamData takes bytes from a worker.
+// OnUpstreamData processes bytes from a worker.
 func (p *Proxy) OnUpstreamData(id upstream.ConnID, data []byte) {
 	if p.upstreamConns[id] == nil {
 		return
@@ -90,7 +91,7 @@
 	p.Flush()
 }
 
-// OnUpstreamClosed tells that a connection to a worker closed or broke.
+// OnUpstreamClosed reports that a connection to a worker was closed or lost.
 func (p *Proxy) OnUpstreamClosed(id upstream.ConnID) {
 	if p.upstreamConns[id] == nil {
 		return
@@ -100,16 +101,16 @@
 	p.Flush()
 }
 
-// applyOperation writes to or closes a connection to a worker, unless it has ended meanwhile.
-func (p *Proxy) applyOperation(o operation) {
-	conn := p.upstreamConns[o.conn]
+// applyUpstreamOperation writes to or closes a connection to a worker, unless the connection has ended in the meantime.
+func (p *Proxy) applyUpstreamOperation(operation upstreamOperation) {
+	conn := p.upstreamConns[operation.conn]
 	if conn == nil {
 		return
 	}
-	if o.close {
-		delete(p.upstreamConns, o.conn)
+	if operation.close {
+		delete(p.upstreamConns, operation.conn)
 		conn.Close()
 		return
 	}
-	conn.Write(o.data)
+	conn.Write(operation.data)
 }
