--- a/internal/proxy/durability_test.go
+++ b/internal/proxy/durability_test.go
@@ -8,12 +8,12 @@
 	"streamcleat/internal/dispatch"
 )
 
-// hangingStore is a disk that never ends what it began.
+// hangingStore is a RecordStore whose commits never complete.
 type hangingStore struct{ commits int }
 
 func (s *hangingStore) Commit([]dispatch.Record, func(error)) { s.commits++ }
 
-// atMostOnceSettings are those of a front end whose requests must not run twice.
+// atMostOnceSettings returns settings of a front end with at-most-once requests.
 func atMostOnceSettings(store RecordStore) Settings {
 	return Settings{
 		RecordStore:   store,
@@ -39,9 +39,9 @@
 	}
 }
 
-// A disk that hangs for good makes nothing grow without bound: everyone is answered, and what must not run twice
-// is never sent without a record.
-func TestDiskThatNeverAnswers(t *testing.T) {
+// If commits never complete, every request gets a response, no at-most-once attempt is sent without its record, and the
+// queues of records and effects stay bounded.
+func TestRecordStore_CommitNeverCompletes(t *testing.T) {
 	host, store := &fakeHost{now: 1000}, &hangingStore{}
 	p := New(atMostOnceSettings(store), host)
 	if err := p.ReadEndpointList([]byte(`[{"targets":["h:1"],"labels":{"instance":"wk"}}]`)); err != nil {
@@ -59,7 +59,7 @@
 		host.run(p, 0.2)
 		barrier := &p.durability
 		if n := len(barrier.pendingRecords); n > 20 || len(barrier.awaitingCurrentCommit)+len(barrier.awaitingNextCommit) > 40 {
-			t.Fatalf("after %d requests %d records wait, %d and %d effects for them", submitted, n,
+			t.Fatalf("after %d requests: %d pending records, %d and %d pending effects", submitted, n,
 				len(barrier.awaitingCurrentCommit), len(barrier.awaitingNextCommit))
 		}
 		if err := p.Check(true); err != nil {
@@ -68,6 +68,6 @@
 	}
 	host.run(p, 3)
 	if responses != submitted || rejected == 0 || host.dials > 0 || store.commits != 1 {
-		t.Errorf("%d of %d answered, %d of them rejected, %d dials, %d commits", responses, submitted, rejected, host.dials, store.commits)
+		t.Errorf("%d of %d requests got responses, %d of them rejected; %d dials, %d commits", responses, submitted, rejected, host.dials, store.commits)
 	}
 }
--- a/internal/proxy/endpoints_test.go
+++ b/internal/proxy/endpoints_test.go
@@ -8,8 +8,9 @@
 	"streamcleat/internal/dispatch"
 )
 
-// Times of day in the list never make a worker seem older or newer than it can be, however the clock here is set.
-func TestStartsOfWorkersUnderAWrongClock(t *testing.T) {
+// Stated starts are wall-clock times. Steps of this machine's clock don't change the start of a worker, and a restart is
+// placed after the previous reading of the list.
+func TestReadEndpointList_WorkerStartsAfterClockSteps(t *testing.T) {
 	host := &fakeHost{now: 1000}
 	p := New(Settings{Dispatch: dispatch.Settings{
 		Deployment:     &control.Deployment{FrontEnds: 1, MaxAttempts: 2, MinRoundInterval: 0.004},
@@ -29,24 +30,24 @@
 	}
 	unix := func(at float64) float64 { return hostEpoch + at }
 	if start := readStart(unix(990)); start != 990 {
-		t.Errorf("started 10 s ago: %v", start)
+		t.Errorf("worker started at %v, want 990", start)
 	}
 	host.skew, host.now = 120, 1010
 	if start := readStart(unix(990)); start != 990 {
-		t.Errorf("the clock was set, and the worker seems to have started at %v", start)
+		t.Errorf("after a clock step, worker started at %v, want 990", start)
 	}
 	host.now = 1020
 	if start := readStart(unix(1015)); start < 1010 || start > 1020 {
-		t.Errorf("it restarted between two readings, and seems to at %v", start)
+		t.Errorf("restart between two readings placed at %v", start)
 	}
 	host.skew, host.now = -300, 1030
 	if start := readStart(unix(1025)); start < 1020 || start > 1030 {
-		t.Errorf("it restarted by a clock ahead of this one, and seems to at %v", start)
+		t.Errorf("restart stated by a clock ahead of this one placed at %v", start)
 	}
 	if start := readStart(0); start != 0 {
-		t.Errorf("it is said to run for long: %v", start)
+		t.Errorf("worker without a stated start started at %v, want 0", start)
 	}
 	if p.endpoints.statedStart("wk") != 0 || p.ReadEndpointList([]byte("[")) == nil || len(p.endpoints.configured.Workers) != 1 {
-		t.Error("a faulty list changed something")
+		t.Error("invalid list accepted or applied")
 	}
 }
--- a/internal/proxy/eviction_test.go
+++ b/internal/proxy/eviction_test.go
@@ -9,7 +9,7 @@
 	"streamcleat/internal/http1"
 )
 
-// fakeConn is a client's connection of which nothing is read.
+// fakeConn is a client connection without input.
 type fakeConn struct {
 	unsent int
 	closed bool
@@ -23,9 +23,9 @@
 func (c *fakeConn) InputAge() float64         { return 0 }
 func (c *fakeConn) Name() string              { return "client" }
 
-// The connection that has been idle longest goes, but none whose last response has not left; where there is no other,
-// the newcomer is refused, and both are counted.
-func TestEvictionSparesUnsentResponses(t *testing.T) {
+// The connection that has been idle longest is evicted, unless its last response is unsent. If there is no other, the new
+// connection is rejected. Both cases are counted.
+func TestEvictIdleClient_SparesUnsentResponses(t *testing.T) {
 	host := &fakeHost{now: 1}
 	p := New(Settings{
 		MaxClients:       2,
@@ -36,16 +36,16 @@
 	oldest, idle := &fakeConn{unsent: 10}, &fakeConn{}
 	for _, conn := range []*fakeConn{oldest, idle} {
 		if p.Accept(conn) == nil {
-			t.Fatal("refused below the limit")
+			t.Fatal("rejected below the limit")
 		}
 		host.now++
 	}
-	newcomer := &fakeConn{unsent: 1}
-	if p.Accept(newcomer) == nil || oldest.closed || !idle.closed {
+	newest := &fakeConn{unsent: 1}
+	if p.Accept(newest) == nil || oldest.closed || !idle.closed {
 		t.Errorf("oldest closed %v, idle closed %v", oldest.closed, idle.closed)
 	}
-	if p.Accept(&fakeConn{}) != nil || oldest.closed || newcomer.closed {
-		t.Error("room was made at the cost of a response")
+	if p.Accept(&fakeConn{}) != nil || oldest.closed || newest.closed {
+		t.Error("connection with an unsent response evicted")
 	}
 	closes, unanswered := p.Closes()
 	if closes[CloseEvicted] != 1 || closes[RejectedFull] != 1 || unanswered != 0 {
--- a/internal/proxy/host_test.go
+++ b/internal/proxy/fake_host_test.go
@@ -9,20 +9,21 @@
 // hostEpoch is the Unix time at which the clock of a fakeHost is 0.
 const hostEpoch = 1_800_000_000
 
-// fakeHost is a host whose clocks the test sets.
+// fakeHost implements Host with clocks that the test sets.
 type fakeHost struct {
 	now    float64
-	skew   float64 // of the time of day
+	skew   float64 // of the wall clock
 	timers []fakeTimer
 	dials  int
 }
 
+// fakeTimer is a call of Host.After.
 type fakeTimer struct {
 	at float64
 	f  func()
 }
 
-// fireTimers calls what is due.
+// fireTimers calls the functions that are due.
 func (h *fakeHost) fireTimers() {
 	timers := h.timers
 	h.timers = nil
@@ -35,7 +36,7 @@
 	}
 }
 
-// run lets some seconds pass in steps of 50 ms.
+// run advances the clock by some seconds in steps of 50 ms.
 func (h *fakeHost) run(p *Proxy, seconds float64) {
 	for end := h.now + seconds; h.now < end; h.now += 0.05 {
 		h.fireTimers()
