--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -8,20 +8,31 @@
 	"streamcleat/control"
 )
 
-// Settings configures a [Dispatcher].
+// Settings configures a [Dispatcher]. Times are in seconds.
 type Settings struct {
-	Deployment          *control.Deployment
-	Functions           func(name string) FunctionProfile                        // returns the configured profile of a function; nil: no profiles are configured
-	ResolveVersion      func(request *Request) (Binding, FunctionProfile, error) // binds a request to a version; nil, or a zero Binding: no versions
-	VersionAllowed      func(binding Binding) bool                               // reports whether the version of an earlier attempt may still run
-	ResponseMargin      float64                                                  // seconds before the client's deadline at which a response is sent at the latest
-	LoadTimeout         float64                                                  // seconds after which a load command is abandoned
-	MaxOpen             int                                                      // maximum number of open requests
-	DeduplicationWindow float64                                                  // seconds for which final responses are cached; 0: no caching
-	MaxCachedBytes      int                                                      // maximum total size of cached bodies; beyond it the oldest are dropped
-	Seed                uint64
-	CancelAbandoned     bool // cancel an attempt once its request has no waiter, instead of keeping its response for a retry
-	TracingDisabled     bool // record no traces, which take time and memory
+	Deployment *control.Deployment
+	// Functions returns the configured profile of a function. If it is nil, no profiles are configured.
+	Functions func(name string) FunctionProfile
+	// ResolveVersion binds a request to a version of its function. If it is nil or returns a zero Binding, the function has
+	// no versions.
+	ResolveVersion func(request *Request) (Binding, FunctionProfile, error)
+	// VersionAllowed reports whether the version of an earlier attempt may still run. It is set if ResolveVersion is.
+	VersionAllowed func(binding Binding) bool
+	// ResponseMargin is the time before the client's deadline at which the response is sent at the latest.
+	ResponseMargin float64
+	// LoadTimeout is the time after which a load command is abandoned.
+	LoadTimeout float64
+	// MaxOpen is the maximum number of open requests.
+	MaxOpen int
+	// DeduplicationWindow is the time for which final responses are cached. If it is 0, none are.
+	DeduplicationWindow float64
+	// MaxCachedBytes is the maximum total size of cached bodies. Beyond it the oldest are dropped.
+	MaxCachedBytes int
+	Seed           uint64
+	// CancelAbandoned cancels an attempt once its request has no waiter, instead of keeping its response for a retry.
+	CancelAbandoned bool
+	// TracingDisabled turns off traces, which take time and memory.
+	TracingDisabled bool
 }
 
 // Dispatcher manages the requests of one front end. It is not safe for concurrent use.
@@ -50,12 +61,12 @@
 // Counts holds totals since the start, and gauges.
 type Counts struct {
 	Accepted, Deduplicated, Replayed            uint64 // requests admitted, joined to an open one, served from the cache
-	Succeeded, Rejected, Failed                 uint64
-	Attempts, LoadCommands, TimedOut, Cancelled uint64
-	Open, InFlight, Cached, CachedBytes, Timers int // gauges
-	PendingLoads                                int // gauge
+	Succeeded, Rejected, Failed                 uint64 // final responses by kind
+	Attempts, LoadCommands, TimedOut, Cancelled uint64 // attempts, load commands, attempt timeouts, canceled waiters
 
-	SendsDenied [sendDenialCount]uint64 // attempts that were denied before they were written, by SendDenial
+	Open, InFlight, Cached, CachedBytes, Timers, PendingLoads int // gauges
+
+	SendsDenied [sendDenialCount]uint64 // total, by SendDenial
 }
 
 // New returns a Dispatcher. now is the current time in seconds of a monotonic clock.
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -20,18 +20,18 @@
 // harness implements Effects for a dispatcher under test. It records the dispatcher's actions; tests reply to attempts and
 // load commands.
 type harness struct {
-	t          *testing.T
-	dispatcher *Dispatcher
-	now        float64
-	responses  map[WaiterID][]Response
-	attempts   []Attempt
-	records    []Record
-	loads      []LoadCommand
-	abandoned  map[uint64]bool
-	inFlight   map[Identity]uint64
-	executed   map[Identity]bool // possibly, by an attempt that has ended
-	atMostOnce map[Identity]bool // by the class of the request
-	violations []string
+	t                *testing.T
+	dispatcher       *Dispatcher
+	now              float64
+	responses        map[WaiterID][]Response
+	attempts         []Attempt
+	records          []Record
+	loads            []LoadCommand
+	abandoned        map[uint64]bool
+	inFlight         map[Identity]uint64
+	possiblyExecuted map[Identity]bool // by an attempt that has ended
+	atMostOnce       map[Identity]bool // by the class of the request
+	violations       []string
 }
 
 func (h *harness) Respond(to WaiterID, response Response) {
@@ -42,7 +42,7 @@
 	if id, busy := h.inFlight[attempt.Identity]; busy {
 		h.violations = append(h.violations, fmt.Sprintf("%v: attempt %d started while %d is in flight", attempt.Identity, attempt.ID, id))
 	}
-	if h.atMostOnce[attempt.Identity] && h.executed[attempt.Identity] {
+	if h.atMostOnce[attempt.Identity] && h.possiblyExecuted[attempt.Identity] {
 		h.violations = append(h.violations, fmt.Sprintf("%v: retried after a possible execution", attempt.Identity))
 	}
 	h.inFlight[attempt.Identity] = attempt.ID
@@ -58,7 +58,7 @@
 func (h *harness) Abandon(id uint64) {
 	h.abandoned[id] = true
 	if identity, ok := h.endInFlight(id); ok {
-		h.executed[identity] = true
+		h.possiblyExecuted[identity] = true
 	}
 }
 
@@ -111,13 +111,13 @@
 func newHarness(t *testing.T, change func(*Settings)) *harness {
 	t.Helper()
 	h := &harness{
-		t:          t,
-		now:        startTime,
-		responses:  map[WaiterID][]Response{},
-		abandoned:  map[uint64]bool{},
-		inFlight:   map[Identity]uint64{},
-		executed:   map[Identity]bool{},
-		atMostOnce: map[Identity]bool{},
+		t:                t,
+		now:              startTime,
+		responses:        map[WaiterID][]Response{},
+		abandoned:        map[uint64]bool{},
+		inFlight:         map[Identity]uint64{},
+		possiblyExecuted: map[Identity]bool{},
+		atMostOnce:       map[Identity]bool{},
 	}
 	settings := testSettings()
 	if change != nil {
@@ -177,7 +177,7 @@
 // reply ends an attempt with an outcome.
 func (h *harness) reply(id uint64, outcome control.Outcome) {
 	if identity, ok := h.endInFlight(id); ok && outcome < control.Rejected {
-		h.executed[identity] = true
+		h.possiblyExecuted[identity] = true
 	}
 	h.dispatcher.OnAttemptReply(h.now, id, WorkerReply{Outcome: outcome, Body: []byte("done")})
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -14,21 +14,30 @@
 
 // Settings configures a [Proxy]. Times are in seconds.
 type Settings struct {
-	Name             string // for Proxy-Status and logs
-	Cluster          string // datagrams of another cluster are dropped
-	Dispatch         dispatch.Settings
-	Upstream         openinference.Limits
-	Downstream       cloudevents.Limits
-	MaxClients       int                                                              // maximum number of client connections
-	EvictIdleClients bool                                                             // at the maximum, close the connection idle longest instead of rejecting the new one
-	NewSession       func(handler RequestHandler, now float64) Session                // nil: CloudEvents over HTTP
-	NewPool          func(t Transport, results upstream.ExchangeHandler) UpstreamPool // nil: Open Inference Protocol
-	Log              *slog.Logger                                                     // nil: no logging
-	RecordStore      RecordStore                                                      // nil: no records are stored
-	RecordTimeout    float64                                                          // maximum time that a response waits for its record; 0: no limit
-	Recovered        []dispatch.RecoveredRecord                                       // records of an earlier process
-	ReplicaSnapshots []dispatch.ReplicaSnapshot                                       // replicas of an earlier process, with their ages at the start
-	OnRequestEnd     func(response dispatch.Response, trace *dispatch.Trace)          // called for each ended request; may be nil
+	Name       string // for Proxy-Status and logs
+	Cluster    string // datagrams of other clusters are dropped
+	Dispatch   dispatch.Settings
+	Upstream   openinference.Limits
+	Downstream cloudevents.Limits
+	// MaxClients is the maximum number of client connections.
+	MaxClients int
+	// EvictIdleClients closes the connection that has been idle longest, instead of rejecting a new one at MaxClients.
+	EvictIdleClients bool
+	// NewSession returns the session of a new client connection. The default speaks CloudEvents over HTTP.
+	NewSession func(handler RequestHandler, now float64) Session
+	// NewPool returns the pool of connections to workers. The default speaks the Open Inference Protocol.
+	NewPool func(t Transport, results upstream.ExchangeHandler) UpstreamPool
+	Log     *slog.Logger // nil: no logging
+	// RecordStore stores the records that must outlive the process. If it is nil, none are stored.
+	RecordStore RecordStore
+	// RecordTimeout is the maximum time that a response waits for its record. If it is 0, there is no limit.
+	RecordTimeout float64
+	// Recovered holds the records of an earlier process.
+	Recovered []dispatch.RecoveredRecord
+	// ReplicaSnapshots holds the replicas of an earlier process, with their ages at the start of this one.
+	ReplicaSnapshots []dispatch.ReplicaSnapshot
+	// OnRequestEnd, unless nil, is called on the front end's goroutine for each ended request.
+	OnRequestEnd func(response dispatch.Response, trace *dispatch.Trace)
 }
 
 // Proxy is one front end. It is confined to one goroutine.
