--- a/internal/proxy/close_reason.go
+++ b/internal/proxy/close_reason.go
@@ -52,7 +52,7 @@
 	p.recordClose(name, reason, open)
 }
 
-// recordClose counts and logs a client connection that was closed or rejected with open requests.
+// recordClose counts and logs the close or rejection of a client connection. open is the number of its open requests.
 func (p *Proxy) recordClose(client string, reason CloseReason, open int) {
 	p.closes.byReason[reason]++
 	p.closes.unanswered += uint64(open)
