--- a/internal/appliance/appliance_test.go
+++ b/internal/appliance/appliance_test.go
@@ -86,7 +86,7 @@
 	}
 	other := r.config()
 	other.Console = nil
-	if err := Run(context.Background(), other, quiet, nil, nil); err == nil || !strings.Contains(err.Error(), "another process uses") {
+	if err := Run(context.Background(), other, quiet, nil, nil); err == nil || !strings.Contains(err.Error(), "in use by another process") {
 		t.Error("same state: ", err)
 	}
 	info, err := os.Stat(filepath.Join(r.dir, "s"))
--- a/internal/storage/batch.go
+++ b/internal/storage/batch.go
@@ -2,17 +2,18 @@
 
 import "github.com/cockroachdb/pebble/v2"
 
-// pendingWrite is a write that waits for the next batch.
+// pendingWrite is a queued write. It is committed with the next batch.
 type pendingWrite struct {
 	mutations []mutation
-	done      func(error) // called once, after the batch is on disk or with the error
-	records   int         // records of requests among the mutations
+	done      func(error) // called once, when the batch is on disk or has failed
+	records   int         // number of request records among the mutations
 }
 
-// enqueue adds a write to the next batch and wakes the committer. On a closed or failed store it calls done at once.
+// enqueue adds a write to the next batch and wakes the committer. If the store is closed or has failed, it calls done
+// immediately with the error.
 func (s *Store) enqueue(p pendingWrite) {
 	s.mu.Lock()
-	err := s.failed
+	err := s.writeErr
 	if s.closed {
 		err = ErrClosed
 	}
@@ -30,7 +31,7 @@
 	}
 }
 
-// write commits mutations and waits until they are on disk.
+// write commits mutations and returns when they are on disk.
 func (s *Store) write(mutations []mutation) error {
 	result := make(chan error, 1)
 	s.enqueue(pendingWrite{mutations: mutations, done: func(err error) { result <- err }})
@@ -40,7 +41,7 @@
 	return <-result
 }
 
-// commitLoop commits one batch after the other; writes that are queued during a sync go into the next batch.
+// commitLoop commits batches until the store is closed. Writes that are queued during a sync form the next batch.
 func (s *Store) commitLoop() {
 	defer close(s.committerDone)
 	for range s.wake {
@@ -49,11 +50,11 @@
 	}
 }
 
-// Step commits all queued writes as one batch and calls their callbacks. It reports whether there were any. Only the
-// owner of a store with Options.Synchronous calls it.
+// Step commits all queued writes as one batch and calls their callbacks. It reports whether there were any. With
+// Options.Synchronous the owner of the store calls it, otherwise only the committer does.
 func (s *Store) Step() bool {
 	s.mu.Lock()
-	writes, err := s.queue, s.failed
+	writes, err := s.queue, s.writeErr
 	s.queue = nil
 	s.mu.Unlock()
 	if len(writes) == 0 {
@@ -71,17 +72,17 @@
 	return true
 }
 
-// recordFailure refuses all further writes: what a failed sync left on the disk is unknown.
+// recordFailure makes the store reject all further writes, because the state on disk after a failed sync is unknown.
 func (s *Store) recordFailure(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.failed == nil {
-		s.options.Log.Error("the state can't be written any more", "error", err)
+	if s.writeErr == nil {
+		s.options.Log.Error("state write failed, rejecting further writes", "error", err)
 	}
-	s.failed = err
+	s.writeErr = err
 }
 
-// commitBatch writes mutations together with the present service time and waits for the disk.
+// commitBatch commits the writes and the current service time as one batch and waits for the sync.
 func (s *Store) commitBatch(writes []pendingWrite) (err error) {
 	if s.libraryFailed.Load() {
 		return ErrLibraryFailed
@@ -106,7 +107,7 @@
 	return batch.Commit(pebble.Sync)
 }
 
-// addTo adds the mutation to a batch.
+// addTo adds m to batch as a set or a delete.
 func (m mutation) addTo(batch *pebble.Batch) error {
 	if m.value == nil {
 		return batch.Delete(m.key, nil)
--- a/internal/storage/clock.go
+++ b/internal/storage/clock.go
@@ -7,29 +7,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// bootIDPath has the identifier that the kernel draws at each boot.
+// bootIDPath holds a random identifier that the kernel generates at each boot.
 const bootIDPath = "/proc/sys/kernel/random/boot_id"
 
-// Timestamp is a moment on clocks that are independent of the wall clock. The time between two timestamps of the same
-// boot is known; across a reboot only the difference of their service times is.
+// Timestamp is an instant on two clocks that are independent of the wall clock. The time between two timestamps is known
+// if they are of the same boot; across a reboot only their service times can be compared.
 type Timestamp struct {
 	ServiceTime float64 `cbor:"1,keyasint"` // seconds of service since the store was created
-	BootID      string  `cbor:"2,keyasint"` // boot identifier of the machine; empty when it is unknown
+	BootID      string  `cbor:"2,keyasint"` // boot identifier of the machine; empty if unknown
 	Uptime      float64 `cbor:"3,keyasint"` // seconds since that boot
 }
 
-// since returns the seconds from t to the later timestamp now. It reports false when the time between them is unknown.
-func (t Timestamp) since(now Timestamp) (float64, bool) {
+// until returns the seconds from t to now. It returns false if they are unknown: the timestamps are of different boots,
+// or now is before t.
+func (t Timestamp) until(now Timestamp) (float64, bool) {
 	if t.BootID == "" || t.BootID != now.BootID || now.Uptime < t.Uptime {
 		return 0, false
 	}
 	return now.Uptime - t.Uptime, true
 }
 
-// MachineClock returns the boot identifier of the machine and the seconds since its boot. It returns the zero
-// Timestamp when the clock can't be read: the time from or to it is then unknown.
+// MachineClock returns the boot identifier and the uptime of the machine. If the clock can't be read, it returns the zero
+// Timestamp, from which no elapsed time is known.
 func MachineClock() Timestamp {
-	boot, _ := os.ReadFile(bootIDPath) // an empty identifier makes every span unknown
+	boot, _ := os.ReadFile(bootIDPath) // with an empty identifier no elapsed time is known
 	var uptime unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &uptime) != nil {
 		return Timestamp{}
@@ -37,11 +38,11 @@
 	return Timestamp{BootID: string(bytes.TrimSpace(boot)), Uptime: float64(uptime.Sec) + float64(uptime.Nsec)/1e9}
 }
 
-// now returns the present time, including the service time.
+// now returns the current time including the service time.
 func (s *Store) now() Timestamp {
 	now := s.options.Clock()
 	now.ServiceTime = s.initialServiceTime
-	if elapsed, known := s.startedAt.since(now); known {
+	if elapsed, known := s.startedAt.until(now); known {
 		now.ServiceTime += elapsed
 	}
 	return now
--- a/internal/storage/crash_test.go
+++ b/internal/storage/crash_test.go
@@ -14,12 +14,12 @@
 	"streamcleat/internal/dispatch"
 )
 
-// faultInjector makes a write or sync, and all after it, fail: the process is killed there, or the disk is gone.
+// faultInjector injects a fault at one write or sync and all later ones: a crash of the process or a disk error.
 type faultInjector struct {
-	writes  atomic.Int64 // writes and syncs until now
-	failAt  atomic.Int64 // the first one that fails; 0 for none
-	err     error        // what the failing ones return; nil lets them pass
-	onFault func()       // called at the first one
+	writes  atomic.Int64 // number of writes and syncs so far
+	failAt  atomic.Int64 // number of the first write that fails; 0 for none
+	err     error        // error returned by the failing writes; nil lets them succeed
+	onFault func()       // called once, at write failAt
 }
 
 // MaybeError implements errorfs.Injector.
@@ -40,98 +40,98 @@
 // String implements errorfs.Injector.
 func (f *faultInjector) String() string { return "fault injector" }
 
-// crashRun plays one run against a store whose process is killed at one of its writes.
+// crashRun is one run of a store whose process crashes at one of its writes.
 type crashRun struct {
-	seed     uint64
-	killAt   int64 // write at which the process is killed; 0 for none
-	unsynced int   // percentage of unsynced data that the disk has kept
-
-	clock    fakeClock
-	injector faultInjector
-	killed   atomic.Bool
-	disk     *vfs.MemFS // what the process writes to; after the kill nobody reads it
-	crashed  *vfs.MemFS // what the restart finds
-
-	committed map[string]dispatch.RecordKind // records that were confirmed as stored
-	attempted map[string]bool                // records that were written, confirmed or not
-	confirmed int                            // last minute whose firing was confirmed
-	tried     int                            // last minute whose firing was written
+	seed            uint64
+	crashAt         int64 // number of the write at which the process crashes; 0 for none
+	unsyncedPercent int   // percentage of unsynced data that survives the crash
+
+	clock          fakeClock
+	injector       faultInjector
+	hasCrashed     atomic.Bool
+	disk           *vfs.MemFS // disk of the process; not read after the crash
+	diskAfterCrash *vfs.MemFS // disk after the crash
+
+	committed           map[string]dispatch.RecordKind // records whose commit succeeded
+	attempted           map[string]bool                // records whose commit was attempted
+	lastCommittedMinute int                            // last minute whose firing was stored
+	lastAttemptedMinute int                            // last minute whose firing was attempted
 }
 
-func newCrashRun(killAt int64, unsynced int, seed uint64) *crashRun {
+func newCrashRun(crashAt int64, unsynced int, seed uint64) *crashRun {
 	r := &crashRun{
-		seed: seed, killAt: killAt, unsynced: unsynced, clock: fakeClock{boot: "a"}, disk: vfs.NewCrashableMem(),
+		seed: seed, crashAt: crashAt, unsyncedPercent: unsynced, clock: fakeClock{boot: "a"}, disk: vfs.NewCrashableMem(),
 		committed: map[string]dispatch.RecordKind{}, attempted: map[string]bool{},
 	}
-	r.injector.onFault = r.kill
-	r.injector.failAt.Store(killAt)
+	r.injector.onFault = r.crash
+	r.injector.failAt.Store(crashAt)
 	return r
 }
 
-func (r *crashRun) kill() {
-	r.killed.Store(true)
-	r.crashed = r.disk.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: r.unsynced, RNG: rand.New(rand.NewPCG(r.seed, 5))})
+func (r *crashRun) crash() {
+	r.hasCrashed.Store(true)
+	r.diskAfterCrash = r.disk.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: r.unsyncedPercent, RNG: rand.New(rand.NewPCG(r.seed, 5))})
 }
 
-// write runs the process until it has written all, or is killed.
-func (r *crashRun) write(t *testing.T) {
+// runUntilCrash runs the process until it ends or crashes.
+func (r *crashRun) runUntilCrash(t *testing.T) {
 	t.Helper()
 	s, _, err := OpenStore("state", Options{FS: errorfs.Wrap(r.disk, &r.injector), Clock: r.clock.now, Retention: testRetention})
 	if err != nil {
-		return // killed at the start: the restart is what counts
+		return // diskAfterCrash at startup; checkRecovery checks the restart
 	}
 	rng := rand.New(rand.NewPCG(r.seed, 6))
 	for minute := range 12 {
 		r.clock.uptime++
 		id := strconv.Itoa(rng.IntN(8))
 		kind := dispatch.RecordKind(rng.IntN(2))
-		if r.killed.Load() {
+		if r.hasCrashed.Load() {
 			break
 		}
 		r.writeMinute(s, minute, id, kind)
 		if minute == 6 {
-			if _, err := s.Expire(5); err != nil && !r.killed.Load() {
-				t.Errorf("expiry: %v", err)
+			if _, err := s.Expire(5); err != nil && !r.hasCrashed.Load() {
+				t.Errorf("Expire: %v", err)
 			}
 		}
 	}
-	if err := s.Close(); err != nil && !r.killed.Load() {
-		t.Errorf("shutdown: %v", err)
+	if err := s.Close(); err != nil && !r.hasCrashed.Load() {
+		t.Errorf("Close: %v", err)
 	}
 }
 
-// writeMinute writes a record and the firing of a minute, and remembers what was confirmed.
+// writeMinute writes a record and the firing of a minute, and records which of them succeeded.
 func (r *crashRun) writeMinute(s *Store, minute int, id string, kind dispatch.RecordKind) {
 	r.attempted[id] = true
-	if commit(s, newRecord(kind, "once", id, 0)) == nil && !r.killed.Load() {
+	if commit(s, newRecord(kind, "once", id, 0)) == nil && !r.hasCrashed.Load() {
 		r.committed[id] = kind
 	} else {
-		delete(r.committed, id) // either of the two records may be there
+		delete(r.committed, id) // the old or the new record may be stored
 	}
-	r.tried = minute
+	r.lastAttemptedMinute = minute
 	request := dispatch.Request{Identity: dispatch.Identity{Source: "/own", ID: strconv.Itoa(minute)}}
 	firing := Firing{"entry", time.Unix(int64(minute*60), 0), time.Unix(0, 0), request}
-	if s.RecordFirings([]Firing{firing}) == nil && !r.killed.Load() {
-		r.confirmed = minute
+	if s.RecordFirings([]Firing{firing}) == nil && !r.hasCrashed.Load() {
+		r.lastCommittedMinute = minute
 	}
 }
 
-// check opens the store after the crash. Everything that was confirmed must be there, and nothing that was not
-// written.
-func (r *crashRun) check(t *testing.T) {
+// checkRecovery opens the store after the crash. It must recover everything that was committed and nothing
+// that was never written.
+func (r *crashRun) checkRecovery(t *testing.T) {
 	t.Helper()
-	if r.crashed == nil {
-		r.crashed = r.disk
+	if r.diskAfterCrash == nil {
+		r.diskAfterCrash = r.disk
 	}
 	r.clock.uptime += 2
-	s, state, err := OpenStore("state", Options{FS: r.crashed, Clock: r.clock.now, Retention: testRetention})
+	s, state, err := OpenStore("state", Options{FS: r.diskAfterCrash, Clock: r.clock.now, Retention: testRetention})
 	if err != nil {
-		t.Fatalf("killed at write %d, %d%% unsynced: %v", r.killAt, r.unsynced, err)
+		t.Fatalf("crash at write %d, %d%% unsynced: %v", r.crashAt, r.unsyncedPercent, err)
 	}
 	defer closeStore(t, s)
-	// A store that was killed while it was created may be unusable; a later one must never count as corrupt.
-	if state.QuarantinePath != "" && len(r.committed)+r.confirmed > 0 {
-		t.Fatalf("killed at write %d, %d%% unsynced: the store counts as corrupt", r.killAt, r.unsynced)
+	// A crash during the creation of the store may leave it corrupt; a later crash must not.
+	if state.QuarantinePath != "" && len(r.committed)+r.lastCommittedMinute > 0 {
+		t.Fatalf("crash at write %d, %d%% unsynced: store quarantined", r.crashAt, r.unsyncedPercent)
 	}
 	r.checkRecords(t, state)
 	r.checkFirings(t, state)
@@ -144,12 +144,12 @@
 		id := record.Response.Identity.ID
 		recovered[id] = record
 		if !r.attempted[id] {
-			t.Fatalf("killed at write %d: request %s was never written", r.killAt, id)
+			t.Fatalf("crash at write %d: recovered request %s, which was never written", r.crashAt, id)
 		}
 	}
 	for id, kind := range r.committed {
 		if record, ok := recovered[id]; !ok || record.Kind != kind {
-			t.Fatalf("killed at write %d, %d%% unsynced: request %s was committed, recovered %v %+v", r.killAt, r.unsynced, id, ok, record)
+			t.Fatalf("crash at write %d, %d%% unsynced: request %s committed, recovered %v %+v", r.crashAt, r.unsyncedPercent, id, ok, record)
 		}
 	}
 }
@@ -157,24 +157,24 @@
 func (r *crashRun) checkFirings(t *testing.T, state *RecoveredState) {
 	t.Helper()
 	last, ok := state.LastFirings["entry"]
-	if r.confirmed > 0 && (!ok || last.Unix() < int64(r.confirmed*60) || last.Unix() > int64(r.tried*60)) {
-		t.Fatalf("killed at write %d: minute %d was confirmed, recovered %v", r.killAt, r.confirmed, last)
+	if r.lastCommittedMinute > 0 && (!ok || last.Unix() < int64(r.lastCommittedMinute*60) || last.Unix() > int64(r.lastAttemptedMinute*60)) {
+		t.Fatalf("crash at write %d: minute %d stored, recovered %v", r.crashAt, r.lastCommittedMinute, last)
 	}
-	if len(state.ScheduledRequests) < r.confirmed { // the request of each confirmed minute is open
-		t.Fatalf("killed at write %d: %d open requests for minute %d", r.killAt, len(state.ScheduledRequests), r.confirmed)
+	if len(state.ScheduledRequests) < r.lastCommittedMinute { // the request of each stored minute is open
+		t.Fatalf("crash at write %d: %d open requests, minute %d stored", r.crashAt, len(state.ScheduledRequests), r.lastCommittedMinute)
 	}
 }
 
-// runCrash plays and checks one run and returns the writes that it made.
-func runCrash(t *testing.T, killAt int64, unsynced int, seed uint64) int64 {
+// runCrash performs and checks one run and returns the number of its writes.
+func runCrash(t *testing.T, crashAt int64, unsynced int, seed uint64) int64 {
 	t.Helper()
-	r := newCrashRun(killAt, unsynced, seed)
-	r.write(t)
-	r.check(t)
+	r := newCrashRun(crashAt, unsynced, seed)
+	r.runUntilCrash(t)
+	r.checkRecovery(t)
 	return r.injector.writes.Load()
 }
 
-func TestCrashAtEachWrite(t *testing.T) {
+func TestStore_RecoversCommittedStateAfterCrashAtAnyWrite(t *testing.T) {
 	writes := runCrash(t, 0, 0, 1)
 	if writes < 40 {
 		t.Fatalf("only %d writes", writes)
@@ -184,14 +184,14 @@
 		step = 5
 	}
 	for seed := range uint64(3) {
-		for killAt := int64(1); killAt <= writes; killAt += step {
-			runCrash(t, killAt, []int{0, 50, 100}[seed], seed)
+		for crashAt := int64(1); crashAt <= writes; crashAt += step {
+			runCrash(t, crashAt, []int{0, 50, 100}[seed], seed)
 		}
 	}
-	t.Logf("%d writes, each with 3 seeds", writes)
+	t.Logf("%d crash points, each with 3 seeds", writes)
 }
 
-func TestDiskFullAndFailedSync(t *testing.T) {
+func TestStore_RejectsWritesAfterDiskFullOrFailedSync(t *testing.T) {
 	for _, cause := range []error{syscall.ENOSPC, syscall.EIO} {
 		t.Run(cause.Error(), func(t *testing.T) {
 			injector := &faultInjector{err: cause}
@@ -202,16 +202,16 @@
 			}
 			mustCommit(t, s, newRecord(dispatch.RecordAttemptStarted, "once", "1", 0))
 			injector.failAt.Store(injector.writes.Load() + 1)
-			for range 2 { // it stays failed: nobody knows what a failed sync left
+			for range 2 { // the store keeps rejecting writes although the disk works again
 				if err := commit(s, newRecord(dispatch.RecordAttemptStarted, "once", "2", 0)); err == nil {
-					t.Error("a record counts as stored")
+					t.Error("commit succeeded on a failed store")
 				}
 				injector.failAt.Store(1 << 60)
 			}
 			if s.Err() == nil {
-				t.Error("the store has no error")
+				t.Error("Err() = nil after a failed write")
 			}
-			_ = s.Close() // the store has failed
+			_ = s.Close() // returns the write error
 		})
 	}
 }
--- a/internal/storage/doc.go
+++ b/internal/storage/doc.go
@@ -1,13 +1,13 @@
-// Package storage keeps the state of one appliance that must survive a restart: the records of requests that may have
-// run and of those lately answered, the last firing of each schedule entry, the appliance's own requests that are
-// still open, the replicas that were known, the audit trail of the function registry and the last configuration.
+// Package storage persists the state of one appliance: records of requests that may have executed or were recently
+// answered, the last firing of each schedule entry, open requests of the appliance's own schedules, known replicas, the
+// audit trail of the function registry, and the last configuration.
 //
-// The package owns the state folder and the Pebble database in it. The appliance and the simulation open a Store,
-// read the RecoveredState once, and write through the Store from then on; the event loops write their records through
-// Store.Commit.
+// The package owns the state folder and the Pebble database in it. The appliance and the simulation open a Store and
+// read its RecoveredState once; all later changes are written through the Store. The event loops write request records
+// with Store.Commit.
 //
 //   - store.go opens and closes a store.
-//   - recovery.go reads back what an earlier process left; quarantine.go replaces a corrupt store.
-//   - batch.go is the commit queue; writes.go has the writes that callers ask for; retention.go deletes and compacts.
-//   - keys.go, stored_types.go and record_codec.go are the stored format, without I/O.
+//   - recovery.go reads the stored state at startup; quarantine.go replaces a corrupt store.
+//   - batch.go implements group commit; writes.go holds the write operations; retention.go expires and compacts.
+//   - keys.go, stored_types.go and record_codec.go define the stored format and do no I/O.
 package storage
--- a/internal/storage/errors.go
+++ b/internal/storage/errors.go
@@ -12,20 +12,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// Errors of this package. They are wrapped with the state folder or the operation they concern.
+// Sentinel errors. They are wrapped with the state folder or the operation.
 var (
-	// ErrInUse is returned when another process has the store open.
-	ErrInUse = errors.New("another process uses this state folder")
-	// ErrUnsupportedFormat is returned for a store whose records have another format.
-	ErrUnsupportedFormat = errors.New("the store has another form")
-	// ErrClosed is returned for a write to a closed store.
-	ErrClosed = errors.New("the store is closed")
-	// ErrLibraryFailed is returned once the database library has panicked over a failed disk.
-	ErrLibraryFailed = errors.New("the store's library gave up on the disk")
+	// ErrInUse is returned by OpenStore if another process has the store open.
+	ErrInUse = errors.New("state folder in use by another process")
+	// ErrUnsupportedFormat is returned by OpenStore for a store with a different record format.
+	ErrUnsupportedFormat = errors.New("unsupported store format")
+	// ErrClosed is passed to the callback of a write to a closed store.
+	ErrClosed = errors.New("store closed")
+	// ErrLibraryFailed is returned after the database library has panicked on a disk error.
+	ErrLibraryFailed = errors.New("database library failed on a disk error")
 )
 
-// isCorruption reports whether an error means that the files of the store are damaged or missing. The library marks
-// only some of these errors; the others are known by their text alone.
+// isCorruption reports whether err means that files of the store are corrupt or missing. Pebble marks only some of these
+// errors; the others can be recognized only by their text.
 func isCorruption(err error) bool {
 	if pebble.IsCorruptionError(err) || errors.Is(err, os.ErrNotExist) {
 		return true
@@ -34,8 +34,8 @@
 	return strings.Contains(text, "corrupt") || strings.Contains(text, "checksum")
 }
 
-// isLocked reports whether an error means that another store has the folder locked. The library returns the error of
-// the system call, and for a lock of this process an error that is known by its text alone.
+// isLocked reports whether err means that the folder is locked by another store. Pebble returns the error of the system
+// call, or, if this process holds the lock, an error that can be recognized only by its text.
 func isLocked(err error) bool {
 	if errors.Is(err, unix.EAGAIN) {
 		return true
@@ -45,7 +45,8 @@
 		strings.Contains(text, "lock held by current process")
 }
 
-// libraryError returns the error with which the library panicked. Other panics, and those of the runtime, go on.
+// libraryError returns the error that the library panicked with. It panics again for a runtime error or a value that is
+// not an error.
 func libraryError(panicked any) error {
 	if fault, ok := panicked.(runtime.Error); ok {
 		panic(fault)
@@ -57,17 +58,17 @@
 	return err
 }
 
-// recoverLibraryPanic is deferred around calls of the library and turns its panic over a failed disk into an error. A
-// panic in a goroutine of the library, as over a failed sync of the folder, can't be recovered: it ends the process,
-// and the next one recovers from what was stored.
+// recoverLibraryPanic is deferred around calls of the library and converts its panic on a disk error into an error. A
+// panic in one of the library's own goroutines, such as on a failed directory sync, can't be recovered. It ends the
+// process, and the next process recovers from the stored state.
 func recoverLibraryPanic(err *error) {
 	if panicked := recover(); panicked != nil {
 		*err = libraryError(panicked)
 	}
 }
 
-// recoverPanic is recoverLibraryPanic for an open store. The library may have panicked with a lock held, so it is not
-// called again.
+// recoverPanic is recoverLibraryPanic for an open store. It also marks the library as failed: it may have panicked while
+// holding a lock, so it must not be called again.
 func (s *Store) recoverPanic(err *error) {
 	if panicked := recover(); panicked != nil {
 		s.libraryFailed.Store(true)
@@ -75,17 +76,17 @@
 	}
 }
 
-// pebbleLogger passes the library's errors to the log and drops its routine messages.
+// pebbleLogger implements pebble.Logger. It logs Pebble's errors and discards its informational messages.
 type pebbleLogger struct{ log *slog.Logger }
 
-// Infof implements pebble.Logger and discards the message.
+// Infof discards the message.
 func (pebbleLogger) Infof(string, ...any) {}
 
-// Errorf implements pebble.Logger.
+// Errorf logs an error.
 func (l pebbleLogger) Errorf(format string, args ...any) { l.log.Error(fmt.Sprintf(format, args...)) }
 
-// Fatalf implements pebble.Logger. It panics where the library expects the process to end: the panic is recovered,
-// and the appliance goes on with the requests that need no storage.
+// Fatalf logs an error and panics. Pebble expects it to end the process; the store instead recovers the panic, so that
+// the appliance continues to serve requests that need no storage.
 func (l pebbleLogger) Fatalf(format string, args ...any) {
 	l.log.Error(fmt.Sprintf(format, args...))
 	panic(fmt.Errorf(format, args...))
--- a/internal/storage/format_test.go
+++ b/internal/storage/format_test.go
@@ -21,8 +21,8 @@
 	"streamcleat/internal/dispatch"
 )
 
-// The fixtures hold the keys and values of stores as users have them on disk. They never change: another format of
-// records gets fixtures of its own. Run with -update only to write a new fixture.
+// The fixtures hold the keys and values of existing stores and must not change. A new record format gets new fixtures;
+// run with -update only to create those.
 var update = flag.Bool("update", false, "write the fixtures of the stored format")
 
 const fixtureRetention = 1000
@@ -39,8 +39,8 @@
 	fixtureFields  = []dispatch.Field{{Name: "Content-Type", Value: "text/plain"}, {Name: "Ce-Subject", Value: ""}}
 )
 
-// fixtureRecords are requests in every state that is stored: open attempts, responses with every field set, and
-// responses with as few as possible.
+// fixtureRecords returns records of every kind: open attempts, responses with all fields set, and responses with the
+// minimum of fields.
 func fixtureRecords() []dispatch.Record {
 	return []dispatch.Record{
 		{Kind: dispatch.RecordAttemptStarted, MayHaveRun: true, FirstRunAgo: 2.5, Response: dispatch.Response{
@@ -57,13 +57,13 @@
 		{Kind: dispatch.RecordRequestEnded, Response: dispatch.Response{
 			Identity: dispatch.Identity{Source: "/shop", ID: "ended-2"}, Class: "once", Kind: dispatch.Rejected, Cause: dispatch.CauseNoCapacity,
 		}},
-		{Kind: dispatch.RecordRequestEnded, MayHaveRun: true, FirstRunAgo: math.Inf(1), Response: dispatch.Response{ // as a restored store has it for an unknown time
+		{Kind: dispatch.RecordRequestEnded, MayHaveRun: true, FirstRunAgo: math.Inf(1), Response: dispatch.Response{ // the encoding of an unknown time in a restored store
 			Identity: dispatch.Identity{Source: "/shop", ID: "ended-3"}, Class: "once", Function: "f", Fields: []dispatch.Field{}, Body: []byte{}}},
 	}
 }
 
-// fixtureScheduledRequests are open requests of the appliance itself: one with every field set, and others with as
-// few as possible.
+// fixtureScheduledRequests returns open requests of the appliance's schedules: one with all fields set, the others with
+// the minimum of fields.
 func fixtureScheduledRequests() []dispatch.Request {
 	return []dispatch.Request{
 		{
@@ -83,7 +83,7 @@
 	}
 }
 
-// writeFull makes a store with one of everything, writeSparse one with empty lists; both by the store's own methods.
+// writeFull writes every kind of value with the store's exported methods.
 func writeFull(s *Store, clock *fakeClock) error {
 	clock.uptime++
 	if err := commit(s, fixtureRecords()...); err != nil {
@@ -110,17 +110,18 @@
 	return s.SaveReplicas(fixtureReplicas())
 }
 
+// writeSparse writes only a nil list of replicas.
 func writeSparse(s *Store, _ *fakeClock) error { return s.SaveReplicas(nil) }
 
-// writeEmptyList differs from writeSparse by an empty list in place of none.
+// writeEmptyList writes only an empty list of replicas, which is encoded differently from nil.
 func writeEmptyList(s *Store, _ *fakeClock) error {
 	return s.SaveReplicas([]dispatch.ReplicaSnapshot{})
 }
 
 var fixtures = map[string]func(*Store, *fakeClock) error{"full": writeFull, "sparse": writeSparse, "empty-list": writeEmptyList}
 
-// dump is everything in a store, a line for each key: key and value as hexadecimal.
-func dump(t *testing.T, db *pebble.DB) string {
+// dumpStore returns the content of a database, one line per key: key and value in hexadecimal.
+func dumpStore(t *testing.T, db *pebble.DB) string {
 	t.Helper()
 	it, err := db.NewIter(nil)
 	if err != nil {
@@ -140,12 +141,12 @@
 	return text.String()
 }
 
-func fixturePath(name string) string { return filepath.Join("testdata", "store-1-"+name+".hex") }
+func fixtureFile(name string) string { return filepath.Join("testdata", "store-1-"+name+".hex") }
 
-// load makes a store of what a fixture holds, with nothing of this package between.
+// loadFixture creates a database with the content of a fixture. It does not use the code under test.
 func loadFixture(t *testing.T, fs vfs.FS, name string) {
 	t.Helper()
-	data, err := os.ReadFile(fixturePath(name))
+	data, err := os.ReadFile(fixtureFile(name))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -175,8 +176,8 @@
 	}
 }
 
-// What is written today has the very bytes that users' stores hold.
-func TestStoredBytesMatchFixtures(t *testing.T) {
+// The bytes written must equal those in existing stores.
+func TestStoredFormat_MatchesFixtures(t *testing.T) {
 	for name, write := range fixtures {
 		t.Run(name, func(t *testing.T) {
 			clock := &fakeClock{uptime: 50, boot: "boot-a"}
@@ -188,26 +189,26 @@
 			if err := write(s, clock); err != nil {
 				t.Fatal(err)
 			}
-			got := dump(t, s.db)
+			got := dumpStore(t, s.db)
 			if *update {
-				if err := os.WriteFile(fixturePath(name), []byte(got), 0o644); err != nil {
+				if err := os.WriteFile(fixtureFile(name), []byte(got), 0o644); err != nil {
 					t.Fatal(err)
 				}
 			}
-			want, err := os.ReadFile(fixturePath(name))
+			want, err := os.ReadFile(fixtureFile(name))
 			if err != nil {
 				t.Fatal(err)
 			}
 			if got != string(want) {
-				t.Errorf("written:\n%s\nin the fixture:\n%s", got, want)
+				t.Errorf("stored:\n%s\nwant:\n%s", got, want)
 			}
 		})
 	}
 }
 
-// Everything in a user's store comes back with each of its values.
-func TestFixtureIsRecovered(t *testing.T) {
-	fs, clock := vfs.NewMem(), &fakeClock{uptime: 60, boot: "boot-a"} // written until 53
+// Every value of an existing store must be recovered unchanged.
+func TestOpenStore_RecoversFullFixture(t *testing.T) {
+	fs, clock := vfs.NewMem(), &fakeClock{uptime: 60, boot: "boot-a"} // the fixture was written until uptime 53
 	loadFixture(t, fs, "full")
 	s, state, err := OpenStore("state", Options{FS: fs, Clock: clock.now, Retention: fixtureRetention})
 	if err != nil {
@@ -225,7 +226,7 @@
 	}
 	replicas := fixtureReplicas()
 	for i := range replicas {
-		replicas[i].Age += 7 // written at 53
+		replicas[i].Age += 7 // the fixture was written at uptime 53
 	}
 	if !reflect.DeepEqual(state.Replicas, replicas) {
 		t.Errorf("replicas: %+v, want %+v", state.Replicas, replicas)
@@ -250,13 +251,13 @@
 	}
 	for _, record := range records {
 		if len(record.Response.Fields) == 0 {
-			record.Response.Fields = nil // empty ones are not written
+			record.Response.Fields = nil // empty lists are not stored
 		}
 		if len(record.Response.Body) == 0 {
 			record.Response.Body = nil
 		}
-		record.FirstRunAgo += 9                                                  // written at 51
-		want := dispatch.RecoveredRecord{Record: record, Age: 2, Reliable: true} // of service, whose last write was at 53
+		record.FirstRunAgo += 9                                                  // written at uptime 51
+		want := dispatch.RecoveredRecord{Record: record, Age: 2, Reliable: true} // the last service time was stored at uptime 53
 		if got := byID[record.Response.Identity.ID]; !reflect.DeepEqual(got, want) {
 			t.Errorf("request %s:\n%+v, want\n%+v", record.Response.Identity.ID, got, want)
 		}
@@ -280,8 +281,8 @@
 	}
 }
 
-// A store in which no replicas are known is read, too.
-func TestSparseFixturesAreRecovered(t *testing.T) {
+// A store without known replicas must be readable.
+func TestOpenStore_RecoversSparseFixtures(t *testing.T) {
 	for _, name := range []string{"sparse", "empty-list"} {
 		fs, clock := vfs.NewMem(), &fakeClock{uptime: 60, boot: "boot-a"}
 		loadFixture(t, fs, name)
@@ -296,14 +297,14 @@
 	}
 }
 
-// Outcomes and causes are stored as numbers, which must go on meaning the same.
-func TestStoredNumbersKeepTheirMeaning(t *testing.T) {
+// Record kinds, response kinds and causes are stored as numbers whose meaning must not change.
+func TestStoredFormat_EnumValuesUnchanged(t *testing.T) {
 	if dispatch.RecordAttemptStarted != 0 || dispatch.RecordRequestEnded != 1 {
-		t.Error("the numbers of record kinds have changed")
+		t.Error("numeric values of record kinds changed")
 	}
 	for i, want := range []string{"handled", "deferred", "dead-lettered"} {
 		if got := dispatch.ResponseKind(i).String(); got != want {
-			t.Errorf("outcome %d is %s, was %s", i, got, want)
+			t.Errorf("response kind %d is %s, want %s", i, got, want)
 		}
 	}
 	for i, want := range []string{
@@ -311,12 +312,12 @@
 		"load-failed", "forgotten", "stopping", "unknown-type", "overflow", "restarted", "not-kept", "no-version", "wrong-digest", "duplicate",
 	} {
 		if got := dispatch.Cause(i).String(); got != want {
-			t.Errorf("cause %d is %s, was %s", i, got, want)
+			t.Errorf("cause %d is %s, want %s", i, got, want)
 		}
 	}
 }
 
-// containsDispatchType reports whether a type from dispatch stands in a record.
+// containsDispatchType reports whether t is or contains a type of package dispatch.
 func containsDispatchType(t reflect.Type) bool {
 	switch t.Kind() {
 	case reflect.Slice, reflect.Pointer, reflect.Map, reflect.Array:
@@ -327,16 +328,18 @@
 				return true
 			}
 		}
+	default: // other kinds contain no types
 	}
 	return strings.HasSuffix(t.PkgPath(), "/dispatch")
 }
 
-// No record holds a type of dispatch, and each field of a record spells its key out.
-func TestRecordsSpellTheirKeys(t *testing.T) {
+// Stored types must not contain types of dispatch, and every field must have an explicit key, so that renames in Go do
+// not change the stored format.
+func TestStoredTypes_HaveExplicitKeys(t *testing.T) {
 	for _, v := range []any{storedRecord{}, storedScheduledRequest{}, storedReplicaList{}, storedField{}, storedBinding{}, storedFunctionProfile{}, storedRequest{}, storedReplica{}} {
 		r := reflect.TypeOf(v)
 		if containsDispatchType(r) {
-			t.Errorf("%s holds a type of dispatch", r)
+			t.Errorf("%s contains a type of dispatch", r)
 		}
 		for f := range r.Fields() {
 			if f.Tag.Get("cbor") == "" {
--- a/internal/storage/keys.go
+++ b/internal/storage/keys.go
@@ -9,17 +9,17 @@
 	"streamcleat/internal/dispatch"
 )
 
-// formatName is the value of formatKey. A store with another one was written by a program whose records differ.
+// formatName is the value of formatKey. A store with a different value has an incompatible record format.
 const formatName = "streamcleat 1"
 
 // The prefixes and keys of the database are part of the stored format:
 //
-//	e/HASH            the record of a request, by the hash of its identity
-//	x/MILLISECONDS/HASH  the position of a record in the order of expiry, by the service time at which it was written
-//	t/ENTRY           the last minute for which a schedule entry fired
-//	o/HASH            an open request of the appliance itself
-//	h/NUMBER          an entry of the registry's audit trail
-//	m/...             the store itself
+//	e/HASH               record of a request, by the hash of its identity
+//	x/MILLISECONDS/HASH  expiry index of the records, by the service time at which the record was written
+//	t/ENTRY              last minute for which a schedule entry fired
+//	o/HASH               open request of the appliance's own schedules
+//	h/NUMBER             entry of the registry's audit trail
+//	m/...                metadata of the store
 var (
 	recordPrefix    = []byte("e/")
 	expiryPrefix    = []byte("x/")
@@ -38,33 +38,34 @@
 )
 
 const (
-	uint64Size = 8 // bytes of a stored number
-	// expiryHashOffset is where the hash begins in an expiry key without its prefix: after the time and a slash.
+	uint64Size = 8 // encoded size in bytes
+	// expiryHashOffset is the offset of the hash in an expiry key without its prefix, after the time and a slash.
 	expiryHashOffset = uint64Size + 1
 	// expiryUnitsPerSecond is the resolution of the times in expiry keys.
 	expiryUnitsPerSecond = 1000
 )
 
-// identityHash returns the hash under which a request is stored.
+// identityHash returns the hash that identifies a request in keys.
 func identityHash(identity dispatch.Identity) []byte {
 	hash := fnv.New128a()
-	_, _ = fmt.Fprintf(hash, "%d:%s%s", len(identity.Source), identity.Source, identity.ID) // a hash never fails to write
+	_, _ = fmt.Fprintf(hash, "%d:%s%s", len(identity.Source), identity.Source, identity.ID) // hash.Hash never returns an error
 	return hash.Sum(nil)
 }
 
-// joinKey returns the key of a prefix and the rest in memory of its own.
+// joinKey returns a newly allocated key of prefix and rest.
 func joinKey(prefix, rest []byte) []byte {
 	return append(append(make([]byte, 0, len(prefix)+len(rest)), prefix...), rest...)
 }
 
-// expiryKey returns the key of a record in the order of expiry. Without a hash it is the lower bound of a service time.
+// expiryKey returns the key of a record in the expiry index. With a nil hash it returns the lower bound of the keys of a
+// service time.
 func expiryKey(serviceTime float64, hash []byte) []byte {
 	key := binary.BigEndian.AppendUint64(append([]byte{}, expiryPrefix...), uint64(max(serviceTime, 0)*expiryUnitsPerSecond))
 	return append(append(key, '/'), hash...)
 }
 
-// parseExpiryKey splits an expiry key into its time, in milliseconds of service, and its hash. It reports false for a
-// key that is too short.
+// parseExpiryKey splits an expiry key into its service time in milliseconds and its hash. It returns false for a key that
+// is too short.
 func parseExpiryKey(key []byte) (milliseconds float64, hash []byte, ok bool) {
 	rest := key[len(expiryPrefix):]
 	if len(rest) < expiryHashOffset {
@@ -73,7 +74,7 @@
 	return float64(binary.BigEndian.Uint64(rest[:uint64Size])), rest[expiryHashOffset:], true
 }
 
-// auditKey returns the key of an entry of the audit trail by its number.
+// auditKey returns the key of the audit trail entry with the given number.
 func auditKey(number int) []byte {
 	return binary.BigEndian.AppendUint64(bytes.Clone(auditPrefix), uint64(number))
 }
--- a/internal/storage/quarantine.go
+++ b/internal/storage/quarantine.go
@@ -11,13 +11,14 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 )
 
-// replaceCorruptStore moves a corrupt store out of its folder and creates a new one with what could be read of it.
+// replaceCorruptStore quarantines a corrupt store and creates a new one from the part that could be read. cause is the
+// error that showed the corruption.
 func replaceCorruptStore(dir string, options Options, state *RecoveredState, cause error) (*Store, *RecoveredState, error) {
 	path := quarantinePath(dir, options.FS)
 	if err := options.FS.Rename(dir, path); err != nil {
-		return nil, nil, fmt.Errorf("state folder %s is corrupt (%w) and can't be put aside: %w", dir, cause, err)
+		return nil, nil, fmt.Errorf("state folder %s: failed to quarantine corrupt store (%w): %w", dir, cause, err)
 	}
-	options.Log.Error("the state was corrupt: it is set aside, and what could be read of it goes on", "folder", path,
+	options.Log.Error("corrupt state quarantined, continuing with its readable part", "folder", path,
 		"events", len(state.Records), "unread", state.UnreadableRecords, "error", cause)
 	if err := options.FS.MkdirAll(dir, stateFolderMode); err != nil {
 		return nil, nil, fmt.Errorf("state folder %s: %w", dir, err)
@@ -32,13 +33,13 @@
 		return nil, nil, err
 	}
 	if err := s.restoreState(state); err != nil {
-		_ = s.Close() // the error of the copy is the one to report
-		return nil, nil, fmt.Errorf("state folder %s: taking over what was read: %w", dir, err)
+		_ = s.Close() // the copy's error is returned
+		return nil, nil, fmt.Errorf("state folder %s: restoring the readable part of a corrupt store: %w", dir, err)
 	}
 	return s, state, nil
 }
 
-// quarantinePath returns a name beside the folder that is not taken.
+// quarantinePath returns an unused path next to the folder.
 func quarantinePath(dir string, fs vfs.FS) string {
 	for number := 1; ; number++ {
 		path := fmt.Sprintf("%s.set-aside-%d", strings.TrimRight(dir, "/"), number)
@@ -48,7 +49,7 @@
 	}
 }
 
-// restoreState writes what was read of a corrupt store into this new one, as one batch.
+// restoreState writes the readable part of a corrupt store into this new store as one batch.
 func (s *Store) restoreState(state *RecoveredState) error {
 	mutations, err := encodeRecords(state, s.now())
 	if err != nil {
@@ -77,8 +78,8 @@
 	return batch.Commit(pebble.Sync)
 }
 
-// encodeRecords returns the mutations that store recovered records as of now, with the ages they have. A first run of
-// unknown time counts as infinitely long ago.
+// encodeRecords returns the mutations that store recovered records with their ages at now. If the time since a first run
+// is unknown, it is stored as infinite.
 func encodeRecords(state *RecoveredState, now Timestamp) ([]mutation, error) {
 	var all []mutation
 	for _, recovered := range state.Records {
--- a/internal/storage/quarantine_test.go
+++ b/internal/storage/quarantine_test.go
@@ -10,8 +10,9 @@
 	"streamcleat/internal/dispatch"
 )
 
-// corruptFiles damages the files of a closed store. The damage returns the new content of a file, or nil to remove it.
-func corruptFiles(t *testing.T, dir string, damage func(name string, data []byte) []byte) {
+// corruptStore applies damage to each file of a closed store. damage returns the new content of a file, or nil to remove
+// it.
+func corruptStore(t *testing.T, dir string, damage func(name string, data []byte) []byte) {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -34,7 +35,7 @@
 	}
 }
 
-func flipTables(name string, data []byte) []byte {
+func flipTableBits(name string, data []byte) []byte {
 	if strings.HasSuffix(name, ".sst") {
 		for i := range data {
 			data[i] ^= 0x5a
@@ -57,13 +58,13 @@
 	return data
 }
 
-// A corrupt store is renamed, never silently replaced by an empty one.
-func TestCorruptStoreIsQuarantined(t *testing.T) {
+// A corrupt store must be renamed, not silently replaced by an empty one.
+func TestOpenStore_QuarantinesCorruptStore(t *testing.T) {
 	tests := []struct {
 		name   string
 		damage func(name string, data []byte) []byte
 	}{
-		{"flipped tables", flipTables},
+		{"flipped tables", flipTableBits},
 		{"truncated manifest", truncateManifest},
 		{"missing tables", removeTables},
 	}
@@ -86,14 +87,14 @@
 		t.Fatal(err)
 	}
 	closeStore(t, s)
-	corruptFiles(t, dir, damage)
+	corruptStore(t, dir, damage)
 
 	s, state, err := OpenStore(dir, Options{Retention: testRetention})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if state.QuarantinePath == "" && len(state.Records) != 100 {
-		t.Errorf("%d of 100 records, and no quarantine", len(state.Records))
+		t.Errorf("%d of 100 records recovered, but no quarantine", len(state.Records))
 	}
 	if state.QuarantinePath != "" {
 		if _, err := os.Stat(state.QuarantinePath); err != nil {
--- a/internal/storage/record_codec.go
+++ b/internal/storage/record_codec.go
@@ -12,28 +12,28 @@
 	"streamcleat/internal/dispatch"
 )
 
-// errInvalidRecord is a record that was decoded but whose values are outside their ranges.
+// errInvalidRecord is returned for a record that can be decoded but has missing or out-of-range values.
 var errInvalidRecord = errors.New("invalid record")
 
-// mutation is one change of the database; a nil value deletes the key.
+// mutation sets a key of the database, or deletes it if value is nil.
 type mutation struct{ key, value []byte }
 
-// encodeRecord returns the mutations that store a record. A newer record of the same request replaces the older one.
-// The older one's position in the order of expiry stays and is skipped when its time comes.
+// encodeRecord returns the mutations that store a record. A record replaces an older one of the same request. The older
+// one's key in the expiry index remains and is ignored when it comes due; see hasExpired.
 func encodeRecord(record dispatch.Record, now Timestamp) ([]mutation, error) {
 	value, err := cbor.Marshal(newStoredRecord(record, now))
 	if err != nil {
-		return nil, fmt.Errorf("encoding the record of request %q: %w", record.Response.Identity.ID, err)
+		return nil, fmt.Errorf("encoding record of request %q: %w", record.Response.Identity.ID, err)
 	}
 	hash := identityHash(record.Response.Identity)
 	return []mutation{{joinKey(recordPrefix, hash), value}, {expiryKey(now.ServiceTime, hash), []byte{}}}, nil
 }
 
-// decodeRecord returns the record of a stored value, with its age at now.
+// decodeRecord decodes a stored record and computes its age at now.
 func decodeRecord(value []byte, now Timestamp) (dispatch.RecoveredRecord, error) {
 	var stored storedRecord
 	if err := cbor.Unmarshal(value, &stored); err != nil {
-		return dispatch.RecoveredRecord{}, fmt.Errorf("decoding a record: %w", err)
+		return dispatch.RecoveredRecord{}, fmt.Errorf("decoding record: %w", err)
 	}
 	if stored.ID == "" || stored.Source == "" ||
 		stored.Kind > uint8(dispatch.RecordRequestEnded) || stored.ResponseKind > uint8(dispatch.Failed) {
@@ -43,16 +43,16 @@
 		Record: stored.record(),
 		Age:    max(now.ServiceTime-stored.RecordedAt.ServiceTime, 0),
 	}
-	recovered.FirstRunAgo, recovered.Reliable = stored.FirstRunAt.since(now)
+	recovered.FirstRunAgo, recovered.Reliable = stored.FirstRunAt.until(now)
 	return recovered, nil
 }
 
-// hasExpired reports whether the record that an expiry key points to is older than the retention. It reports false
-// when a newer record has replaced the one of that key, whose time is in milliseconds.
+// hasExpired reports whether a stored record is older than the retention. keyTime is the time of its expiry key in
+// milliseconds. If a newer record has replaced the one that the key was written for, hasExpired reports false.
 func hasExpired(value []byte, keyTime, retention float64, now Timestamp) bool {
 	var stored storedRecord
 	if cbor.Unmarshal(value, &stored) != nil {
-		return true // an unreadable record is of no use
+		return true // an unreadable record need not be retained
 	}
 	recordedAt := stored.RecordedAt.ServiceTime
 	return math.Floor(max(recordedAt, 0)*expiryUnitsPerSecond) <= keyTime && now.ServiceTime-recordedAt >= retention
@@ -63,7 +63,7 @@
 	return mutation{joinKey(firingPrefix, []byte(entry)), binary.BigEndian.AppendUint64(nil, uint64(due.Unix()))}
 }
 
-// decodeLastFiring returns the time of encodeLastFiring. It reports false for a value that is not one.
+// decodeLastFiring decodes a value of encodeLastFiring. It returns false for a value of the wrong length.
 func decodeLastFiring(value []byte) (time.Time, bool) {
 	if len(value) != uint64Size {
 		return time.Time{}, false
@@ -71,7 +71,7 @@
 	return time.Unix(int64(binary.BigEndian.Uint64(value)), 0), true
 }
 
-// encodeScheduledRequest returns the mutation that stores an open request of the appliance itself.
+// encodeScheduledRequest returns the mutation that stores an open request of the appliance's own schedules.
 func encodeScheduledRequest(request *dispatch.Request, due, deadline time.Time) (mutation, error) {
 	stored := storedScheduledRequest{Request: newStoredRequest(request), Due: due.Unix(), Deadline: deadline.Unix()}
 	value, err := cbor.Marshal(stored)
@@ -81,12 +81,12 @@
 	return mutation{joinKey(scheduledPrefix, identityHash(request.Identity)), value}, nil
 }
 
-// encodeServiceTime returns the stored value of a service time in seconds.
+// encodeServiceTime encodes a service time in seconds.
 func encodeServiceTime(seconds float64) []byte {
 	return binary.BigEndian.AppendUint64(nil, math.Float64bits(seconds))
 }
 
-// decodeServiceTime returns the seconds of encodeServiceTime. It reports false for a value that is not one.
+// decodeServiceTime decodes a value of encodeServiceTime. It returns false for a value of the wrong length.
 func decodeServiceTime(value []byte) (float64, bool) {
 	if len(value) != uint64Size {
 		return 0, false
@@ -94,8 +94,9 @@
 	return math.Float64frombits(binary.BigEndian.Uint64(value)), true
 }
 
-// convert applies a conversion to each element. A nil list stays nil and an empty one empty: they differ on disk.
-func convert[From, To any](list []From, conversion func(From) To) []To {
+// convertSlice returns the converted elements of list. It keeps nil and empty lists apart, because they are encoded
+// differently.
+func convertSlice[From, To any](list []From, conversion func(From) To) []To {
 	if list == nil {
 		return nil
 	}
@@ -134,7 +135,7 @@
 		Tenant:           r.Tenant,
 		Function:         r.Function,
 		Timeout:          r.Timeout,
-		Fields:           convert(r.Fields, newStoredField),
+		Fields:           convertSlice(r.Fields, newStoredField),
 		Body:             r.Body,
 		Retried:          r.Retried,
 		StatedProfile:    newStoredFunctionProfile(r.StatedProfile),
@@ -150,7 +151,7 @@
 		Tenant:           r.Tenant,
 		Function:         r.Function,
 		Timeout:          r.Timeout,
-		Fields:           convert(r.Fields, storedField.field),
+		Fields:           convertSlice(r.Fields, storedField.field),
 		Body:             r.Body,
 		Retried:          r.Retried,
 		StatedProfile:    r.StatedProfile.profile(),
@@ -187,7 +188,7 @@
 	}
 }
 
-// newStoredRecord returns the stored form of a record that is written at now.
+// newStoredRecord returns the stored form of a record written at now.
 func newStoredRecord(record dispatch.Record, now Timestamp) storedRecord {
 	response := record.Response
 	firstRunAt := now
@@ -205,7 +206,7 @@
 		RetryAfter:   response.RetryAfter,
 		Worker:       response.Worker,
 		Attempts:     response.Attempts,
-		Fields:       convert(response.Fields, newStoredField),
+		Fields:       convertSlice(response.Fields, newStoredField),
 		Body:         response.Body,
 		MayHaveRun:   record.MayHaveRun,
 		FirstRunAt:   firstRunAt,
@@ -215,7 +216,7 @@
 	}
 }
 
-// record returns the record without the time since its first run, which depends on the clock.
+// record returns the record without FirstRunAgo, which depends on the clock.
 func (r *storedRecord) record() dispatch.Record {
 	return dispatch.Record{
 		Kind:       dispatch.RecordKind(r.Kind),
@@ -230,7 +231,7 @@
 			RetryAfter: r.RetryAfter,
 			Worker:     r.Worker,
 			Attempts:   r.Attempts,
-			Fields:     convert(r.Fields, storedField.field),
+			Fields:     convertSlice(r.Fields, storedField.field),
 			Body:       r.Body,
 			Elapsed:    r.Elapsed,
 			Binding:    r.Binding.binding(),
--- a/internal/storage/recovery.go
+++ b/internal/storage/recovery.go
@@ -12,42 +12,42 @@
 	"streamcleat/internal/dispatch"
 )
 
-// ScheduledRequest is a request of the appliance itself that had no answer when the last process ended.
+// ScheduledRequest is a request of the appliance's own schedules that was open when the last process ended.
 type ScheduledRequest struct {
 	Request  dispatch.Request
 	Due      time.Time
-	Deadline time.Time // when it is no longer retried
+	Deadline time.Time // it is not retried after this time
 }
 
-// RecoveredState is what an earlier process left.
+// RecoveredState is the state that earlier processes stored.
 type RecoveredState struct {
 	Records           []dispatch.RecoveredRecord
 	ScheduledRequests []ScheduledRequest
-	LastFirings       map[string]time.Time       // by schedule entry: the last minute for which it fired
-	Replicas          []dispatch.ReplicaSnapshot // replicas that were known, with their ages by now
-	AuditTrail        [][]byte                   // entries of the registry's audit trail, in order
-	Config            []byte                     // the last configuration that was in force
-	Created           bool                       // there was no store
-	QuarantinePath    string                     // where a corrupt store was moved; empty when there was none
-	UnreadableRecords int                        // values that could not be decoded
+	LastFirings       map[string]time.Time       // last minute fired, by schedule entry
+	Replicas          []dispatch.ReplicaSnapshot // known replicas, with their current ages
+	AuditTrail        [][]byte                   // entries of the registry's audit trail in order
+	Config            []byte                     // last configuration in force
+	Created           bool                       // the store did not exist
+	QuarantinePath    string                     // path of the quarantined corrupt store, or empty
+	UnreadableRecords int                        // number of values that could not be decoded
 	CleanShutdown     bool                       // the last process closed the store
 }
 
-// newRecoveredState returns the state of a store in which nothing was found.
+// newRecoveredState returns an empty state.
 func newRecoveredState() *RecoveredState {
 	return &RecoveredState{LastFirings: map[string]time.Time{}}
 }
 
-// stateReader reads the state that an earlier process left in a database.
+// stateReader reads the recovered state from a database.
 type stateReader struct {
 	db        *pebble.DB
 	retention float64
 	clock     func() Timestamp
-	now       Timestamp // with the service time that was last stored
+	now       Timestamp // with the last stored service time
 	state     *RecoveredState
 }
 
-// readState reads everything out of a database. With an error it returns what was read before it.
+// readState reads all stored state. On error it also returns the state read so far.
 func readState(db *pebble.DB, options Options) (*RecoveredState, error) {
 	r := stateReader{db: db, retention: options.Retention, clock: options.Clock, state: newRecoveredState()}
 	r.state.Created = true
@@ -103,7 +103,8 @@
 	return err
 }
 
-// readClock takes the present time, with the service time at the last write: time between processes is no service.
+// readClock sets the current time. Its service time is that of the last write, because the time between processes does
+// not count as service.
 func (r *stateReader) readClock() error {
 	r.now = r.clock()
 	seconds, known, err := readServiceTime(r.db)
@@ -113,33 +114,42 @@
 	return err
 }
 
-// readReplicas reads the known replicas. They are dropped when their age is unknown.
 func (r *stateReader) readReplicas() error {
 	value, err := readValue(r.db, replicasKey)
 	if err != nil || value == nil {
 		return err
 	}
+	r.state.Replicas = r.decodeReplicas(value)
+	return nil
+}
+
+// decodeReplicas returns the known replicas with their ages. It returns none if their age is unknown, or if the list is
+// unreadable: replicas are only a hint, so that is counted and does not fail the recovery.
+func (r *stateReader) decodeReplicas(value []byte) []dispatch.ReplicaSnapshot {
 	var stored storedReplicaList
-	if cbor.Unmarshal(value, &stored) != nil {
-		r.state.UnreadableRecords++
+	if err := cbor.Unmarshal(value, &stored); err != nil {
+		r.countUnreadable()
 		return nil
 	}
-	age, known := stored.RecordedAt.since(r.now)
+	age, known := stored.RecordedAt.until(r.now)
 	if !known {
 		return nil
 	}
-	r.state.Replicas = convert(stored.Replicas, storedReplica.replica)
-	for i := range r.state.Replicas {
-		r.state.Replicas[i].Age += age
+	replicas := convertSlice(stored.Replicas, storedReplica.replica)
+	for i := range replicas {
+		replicas[i].Age += age
 	}
-	return nil
+	return replicas
 }
 
+// countUnreadable counts a value that could not be decoded. Such a value is skipped and does not fail the recovery.
+func (r *stateReader) countUnreadable() { r.state.UnreadableRecords++ }
+
 func (r *stateReader) readLastFirings() error {
 	return iteratePrefix(r.db, firingPrefix, func(entry, value []byte) {
 		due, ok := decodeLastFiring(value)
 		if !ok {
-			r.state.UnreadableRecords++
+			r.countUnreadable()
 			return
 		}
 		r.state.LastFirings[string(entry)] = due
@@ -150,7 +160,7 @@
 	return iteratePrefix(r.db, scheduledPrefix, func(_, value []byte) {
 		var stored storedScheduledRequest
 		if cbor.Unmarshal(value, &stored) != nil || stored.Request.ID == "" {
-			r.state.UnreadableRecords++
+			r.countUnreadable()
 			return
 		}
 		r.state.ScheduledRequests = append(r.state.ScheduledRequests, stored.scheduledRequest())
@@ -163,12 +173,12 @@
 	})
 }
 
-// readRecords reads the records of requests that are younger than the retention.
+// readRecords reads the request records that are younger than the retention.
 func (r *stateReader) readRecords() error {
 	return iteratePrefix(r.db, recordPrefix, func(_, value []byte) {
 		record, err := decodeRecord(value, r.now)
 		if err != nil {
-			r.state.UnreadableRecords++
+			r.countUnreadable()
 			return
 		}
 		if record.Age < r.retention {
@@ -177,7 +187,7 @@
 	})
 }
 
-// readValue returns a copy of the value of a key, or nil when there is none.
+// readValue returns a copy of the value of key, or nil if the key does not exist.
 func readValue(db *pebble.DB, key []byte) ([]byte, error) {
 	value, closer, err := db.Get(key)
 	if errors.Is(err, pebble.ErrNotFound) {
@@ -187,11 +197,11 @@
 		return nil, err
 	}
 	value = bytes.Clone(value)
-	_ = closer.Close() // releases the library's buffer; the copy is complete
+	_ = closer.Close() // releases Pebble's buffer after the copy
 	return value, nil
 }
 
-// readServiceTime returns the seconds of service that were last stored. It reports false when there are none.
+// readServiceTime returns the last stored service time in seconds. known is false if there is none.
 func readServiceTime(db *pebble.DB) (seconds float64, known bool, err error) {
 	value, err := readValue(db, serviceTimeKey)
 	if err != nil {
@@ -201,7 +211,7 @@
 	return seconds, known, nil
 }
 
-// iteratePrefix visits every key with a prefix, in order. The visitor gets the key without its prefix; key and value
+// iteratePrefix calls visit for every key with the prefix, in order. The key is passed without its prefix. Key and value
 // are valid only during the call.
 func iteratePrefix(db *pebble.DB, prefix []byte, visit func(key, value []byte)) error {
 	upper := bytes.Clone(prefix)
--- a/internal/storage/retention.go
+++ b/internal/storage/retention.go
@@ -8,24 +8,24 @@
 	"github.com/cockroachdb/pebble/v2"
 )
 
-// Expire deletes records whose retention is over. It examines at most limit of them and returns how many it examined;
-// fewer than limit means that no more are due.
+// Expire deletes records that are older than the retention. It examines at most limit expiry keys and returns how many
+// it examined; fewer than limit means that no more are due.
 func (s *Store) Expire(limit int) (examined int, err error) {
 	if s.libraryFailed.Load() {
 		return 0, ErrLibraryFailed
 	}
 	defer s.recoverPanic(&err)
 	now := s.now()
-	mutations, count, err := s.expiredRecords(limit, now)
+	mutations, count, err := s.expiryDeletions(limit, now)
 	if err != nil || len(mutations) == 0 {
 		return count, err
 	}
 	return count, s.write(mutations)
 }
 
-// expiredRecords returns the deletions of at most limit expiry keys that are due, with the records that have expired,
-// and how many keys it examined.
-func (s *Store) expiredRecords(limit int, now Timestamp) (mutations []mutation, examined int, err error) {
+// expiryDeletions returns the mutations that delete up to limit due expiry keys and their expired records, and the number
+// of keys examined.
+func (s *Store) expiryDeletions(limit int, now Timestamp) (mutations []mutation, examined int, err error) {
 	upper := expiryKey(max(now.ServiceTime-s.options.Retention, 0), nil)
 	iterator, err := s.db.NewIter(&pebble.IterOptions{LowerBound: expiryPrefix, UpperBound: upper})
 	if err != nil {
@@ -42,8 +42,8 @@
 	return mutations, examined, errors.Join(iterator.Error(), iterator.Close())
 }
 
-// expiredRecordKey returns the key of the record that an expiry key points to, or nil when there is none that has
-// expired. A record that can't be read is left in place.
+// expiredRecordKey returns the key of the record that an expiry key points to, or nil if the record does not exist, can't
+// be read from the database or has not expired.
 func (s *Store) expiredRecordKey(expiry []byte, now Timestamp) []byte {
 	keyTime, hash, ok := parseExpiryKey(expiry)
 	if !ok {
@@ -55,14 +55,14 @@
 		return nil
 	}
 	expired := hasExpired(value, keyTime, s.options.Retention, now)
-	_ = closer.Close() // releases the library's buffer; the value is no longer used
+	_ = closer.Close() // releases Pebble's buffer
 	if !expired {
 		return nil
 	}
 	return key
 }
 
-// Size returns the bytes that the database takes on disk.
+// Size returns the size of the database on disk in bytes.
 func (s *Store) Size() uint64 {
 	if s.libraryFailed.Load() {
 		return 0
@@ -70,7 +70,7 @@
 	return s.db.Metrics().DiskSpaceUsage()
 }
 
-// Compact frees the disk space of deleted expiry keys.
+// Compact compacts the expiry index to reclaim the disk space of deleted keys.
 func (s *Store) Compact() (err error) {
 	if err := s.Err(); err != nil {
 		return err
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -11,33 +11,33 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 )
 
-// Memory of the database.
+// Memory limits of the database.
 const (
-	memTableSize         = 4 << 20 // bytes; the library's default
-	memTablesBeforeStall = 4       // memory tables, full ones included, before writes wait for the disk
+	memTableSize         = 4 << 20 // bytes; Pebble's default
+	memTablesBeforeStall = 4       // memtables, including full ones, before writes stall
 )
 
-// The state folder.
+// Permissions of the state folder and its write probe.
 const (
-	stateFolderMode = 0o700    // only the appliance's user may read requests and answers
-	probeFileName   = "probe"  // written and removed at each start
+	stateFolderMode = 0o700    // requests and responses are readable only by the appliance's user
+	probeFileName   = "probe"  // written and removed at each startup
 	probeSize       = 64 << 10 // bytes
 )
 
-// cleanShutdownValue is the value of cleanShutdownKey; only its presence counts.
+// cleanShutdownValue is the value of cleanShutdownKey. Only its presence is significant.
 var cleanShutdownValue = []byte{1}
 
-// Options are the settings of a store.
+// Options configures a store.
 type Options struct {
-	FS          vfs.FS           // file system; nil: the operating system's
-	Clock       func() Timestamp // boot and time since boot, without service time; nil: MachineClock
-	Retention   float64          // seconds of service for which records of requests are kept
-	Log         *slog.Logger     // nil: nothing is logged
-	NoSync      bool             // for benchmarks only: writes do not wait for the disk
-	Synchronous bool             // the store starts no goroutine: its owner calls Step to commit what is queued
+	FS          vfs.FS           // nil means the operating system's file system
+	Clock       func() Timestamp // returns boot ID and uptime without service time; nil means MachineClock
+	Retention   float64          // seconds of service time for which request records are retained
+	Log         *slog.Logger     // nil disables logging
+	NoSync      bool             // do not wait for the disk; for benchmarks only
+	Synchronous bool             // start no goroutine; the owner commits queued writes with Step
 }
 
-// withDefaults returns the options with every unset one replaced by its default.
+// withDefaults returns a copy of o with defaults for unset fields.
 func (o Options) withDefaults() Options {
 	if o.FS == nil {
 		o.FS = vfs.Default
@@ -51,35 +51,35 @@
 	return o
 }
 
-// Store is the durable state of one appliance. Its methods may be called from any goroutine.
+// Store is the durable state of one appliance. It is safe for concurrent use.
 type Store struct {
 	db                 *pebble.DB
 	options            Options
 	startedAt          Timestamp
-	initialServiceTime float64 // seconds of service before this process
+	initialServiceTime float64 // service time at startup, in seconds
 
-	mu     sync.Mutex // guards the fields of this group
-	failed error      // the first failed write; no write is tried after it
-	queue  []pendingWrite
-	closed bool
+	mu       sync.Mutex // guards the fields below, up to the blank line
+	writeErr error      // error of the failed write; all later writes are rejected with it
+	queue    []pendingWrite
+	closed   bool
 
-	wake          chan struct{} // tells the committer that the queue is not empty
+	wake          chan struct{} // signals the committer that the queue is not empty
 	committerDone chan struct{}
-	libraryFailed atomic.Bool // the library panicked, perhaps with a lock held: it must not be called again
+	libraryFailed atomic.Bool // the library panicked, possibly holding a lock, and must not be called again
 
-	CommittedBatches atomic.Int64 // batches committed
-	CommittedRecords atomic.Int64 // records in these batches
+	CommittedBatches atomic.Int64 // number of batches submitted
+	CommittedRecords atomic.Int64 // number of request records in these batches
 }
 
-// OpenStore opens or creates the store in a folder and recovers what an earlier process left. A corrupt store is
-// renamed, the readable part of it is copied into a new store, and RecoveredState.QuarantinePath says where it is.
+// OpenStore opens or creates the store in dir and returns it with the recovered state. A corrupt store is quarantined: it
+// is renamed to RecoveredState.QuarantinePath, and its readable part is copied into a new store.
 func OpenStore(dir string, options Options) (*Store, *RecoveredState, error) {
 	options = options.withDefaults()
 	if err := options.FS.MkdirAll(dir, stateFolderMode); err != nil {
 		return nil, nil, fmt.Errorf("state folder %s: %w", dir, err)
 	}
 	if err := checkWritable(dir, options.FS); err != nil {
-		return nil, nil, fmt.Errorf("state folder %s can't be written: %w", dir, err)
+		return nil, nil, fmt.Errorf("state folder %s is not writable: %w", dir, err)
 	}
 	db, err := openDatabase(dir, options)
 	switch {
@@ -93,23 +93,23 @@
 	return nil, nil, fmt.Errorf("state folder %s: %w", dir, err)
 }
 
-// recoverStore reads the state out of an open database and starts the store. Only a corrupt database is replaced: one
-// on a disk that fails for now, or of another format, is left as it is.
+// recoverStore reads the state of an open database and starts the store. It replaces a corrupt database. After any other
+// error, such as a transient disk failure or an unsupported format, the database is left untouched.
 func recoverStore(dir string, db *pebble.DB, options Options) (*Store, *RecoveredState, error) {
 	state, err := readState(db, options)
 	if err == nil {
 		s, err := newStore(db, options)
 		return s, state, err
 	}
-	_ = db.Close() // the error of the read is the one to report
+	_ = db.Close() // the read's error is returned
 	if !isCorruption(err) {
 		return nil, nil, fmt.Errorf("state folder %s: %w", dir, err)
 	}
 	return replaceCorruptStore(dir, options, state, err)
 }
 
-// checkWritable writes and removes a file, because the library would retry the writes of its log without end on a
-// disk that takes none.
+// checkWritable writes and removes a probe file. Without this check Pebble would retry its WAL writes forever on a disk
+// that rejects them.
 func checkWritable(dir string, fs vfs.FS) error {
 	name := fs.PathJoin(dir, probeFileName)
 	file, err := fs.Create(name, vfs.WriteCategoryUnspecified)
@@ -123,12 +123,12 @@
 	return errors.Join(err, file.Close(), fs.Remove(name))
 }
 
-// openDatabase opens or creates the database in a folder.
+// openDatabase opens or creates the database in dir.
 func openDatabase(dir string, options Options) (db *pebble.DB, err error) {
 	defer recoverLibraryPanic(&err)
 	listener := &pebble.EventListener{
-		DataCorruption: func(info pebble.DataCorruptionInfo) { // without it the library treats corruption as fatal
-			options.Log.Error("the state is corrupt", "file", info.Path, "error", info.Details)
+		DataCorruption: func(info pebble.DataCorruptionInfo) { // without this callback Pebble treats corruption as fatal
+			options.Log.Error("state corruption detected", "file", info.Path, "error", info.Details)
 		},
 	}
 	return pebble.Open(dir, &pebble.Options{
@@ -141,16 +141,16 @@
 	})
 }
 
-// newStore starts a store on an open database and marks it as being in use.
+// newStore starts a store on an open database and clears its mark of a clean shutdown.
 func newStore(db *pebble.DB, options Options) (*Store, error) {
 	s := &Store{
 		db:            db,
 		options:       options,
 		startedAt:     options.Clock(),
-		wake:          make(chan struct{}, 1), // one wake-up covers all writes that are queued before it is received
+		wake:          make(chan struct{}, 1), // one wake-up covers all writes queued before it is received
 		committerDone: make(chan struct{}),
 	}
-	// Recovery has read this value without an error, or the database is new.
+	// An error can't occur here: recovery has read this value already, or the database is new.
 	if seconds, known, err := readServiceTime(db); err == nil && known {
 		s.initialServiceTime = seconds
 	}
@@ -160,20 +160,20 @@
 		go s.commitLoop()
 	}
 	if err := s.write([]mutation{{formatKey, []byte(formatName)}, {cleanShutdownKey, nil}}); err != nil {
-		_ = s.Close() // the error of the write is the one to report
-		return nil, fmt.Errorf("state: first write: %w", err)
+		_ = s.Close() // the write's error is returned
+		return nil, fmt.Errorf("initializing state: %w", err)
 	}
 	return s, nil
 }
 
-// Err returns the error after which nothing is written any more, or nil.
+// Err returns the error that made the store reject writes, or nil.
 func (s *Store) Err() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.failed
+	return s.writeErr
 }
 
-// Close commits what is queued, marks the shutdown as clean and closes the database. A second call does nothing.
+// Close commits the queued writes, marks the shutdown as clean and closes the database. Later calls do nothing.
 func (s *Store) Close() error {
 	err := s.write([]mutation{{cleanShutdownKey, cleanShutdownValue}})
 	s.mu.Lock()
@@ -188,8 +188,8 @@
 	return errors.Join(err, s.closeDatabase())
 }
 
-// Drop closes the database as a crash of the process would leave it: queued writes are discarded and their callbacks
-// are not called. It is for simulations.
+// Drop closes the database in the state that a process crash would leave. Queued writes are discarded without calling
+// their callbacks. It is used by simulations.
 func (s *Store) Drop() error {
 	s.mu.Lock()
 	wasClosed := s.closed
@@ -203,7 +203,7 @@
 	return s.closeDatabase()
 }
 
-// closeDatabase closes the database unless the library has failed.
+// closeDatabase closes the database, or returns ErrLibraryFailed if the library must not be called.
 func (s *Store) closeDatabase() (err error) {
 	if s.libraryFailed.Load() {
 		return ErrLibraryFailed
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -16,7 +16,7 @@
 // testRetention is the retention, in seconds, of most stores in the tests.
 const testRetention = 100
 
-// fakeClock is a clock that tests advance: uptime runs on, boot changes when the machine restarts.
+// fakeClock is a manual clock. Tests advance uptime, and change boot to simulate a reboot.
 type fakeClock struct {
 	uptime float64
 	boot   string
@@ -24,7 +24,7 @@
 
 func (c *fakeClock) now() Timestamp { return Timestamp{BootID: c.boot, Uptime: c.uptime} }
 
-// newRecord returns a record of a request that succeeds, if it has ended.
+// newRecord returns a record of a request; if kind is RecordRequestEnded, the request succeeded.
 func newRecord(kind dispatch.RecordKind, class, id string, firstRunAgo float64) dispatch.Record {
 	return dispatch.Record{Kind: kind, MayHaveRun: true, FirstRunAgo: firstRunAgo, Response: dispatch.Response{
 		Identity: dispatch.Identity{Source: "/t", ID: id}, Class: class, Function: "f", Kind: dispatch.Succeeded,
@@ -48,7 +48,7 @@
 	}
 }
 
-// commit stores records and waits for them.
+// commit stores records and waits until they are on disk.
 func commit(s *Store, records ...dispatch.Record) error {
 	result := make(chan error, 1)
 	s.Commit(records, func(err error) { result <- err })
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestStateSurvivesCrashAndRestart(t *testing.T) {
+func TestStore_StateSurvivesCrashAndRestart(t *testing.T) {
 	fs, clock := vfs.NewCrashableMem(), &fakeClock{uptime: 50, boot: "a"}
 	s, state := openStore(t, fs, clock)
 	if !state.Created || len(state.Records) != 0 {
@@ -109,7 +109,7 @@
 	mustSaveReplicas(t, s)
 	closeStore(t, s)
 
-	clock.boot, clock.uptime = "b", 1 // after a reboot the times of first runs are unknown
+	clock.boot, clock.uptime = "b", 1 // after a reboot the time since a first run is unknown
 	s, state = openStore(t, crashed, clock)
 	if !state.CleanShutdown || len(state.ScheduledRequests) != 0 || len(state.Records) != 2 || state.Records[0].Reliable {
 		t.Fatalf("%+v", state)
@@ -117,7 +117,7 @@
 	closeStore(t, s)
 }
 
-// expireAll calls Expire until nothing more is due and returns how many keys it examined.
+// expireAll calls Expire until nothing is due and returns the number of keys examined.
 func expireAll(t *testing.T, s *Store) int {
 	t.Helper()
 	const limit = 7
@@ -134,23 +134,23 @@
 	}
 }
 
-// Records expire by service time, whatever the wall clock does, and in slices.
-func TestExpireInSlices(t *testing.T) {
+// Records expire by service time, in batches of at most the limit.
+func TestExpire_InBoundedBatches(t *testing.T) {
 	fs, clock := vfs.NewMem(), &fakeClock{boot: "a"}
 	s, _ := openStore(t, fs, clock)
 	for i := range 50 {
 		mustCommit(t, s, newRecord(dispatch.RecordRequestEnded, "once", strconv.Itoa(i), 0))
 		clock.uptime++
 	}
-	mustCommit(t, s, newRecord(dispatch.RecordRequestEnded, "once", "0", 0)) // the first once more: it is kept longer
-	clock.uptime += 74.5                                                     // 25 of them are a hundred seconds old
+	mustCommit(t, s, newRecord(dispatch.RecordRequestEnded, "once", "0", 0)) // the newer record extends the retention of request 0
+	clock.uptime += 74.5                                                     // 25 expiry keys are past the retention
 	examined := expireAll(t, s)
 	mustSaveReplicas(t, s)
 	closeStore(t, s)
 
 	s, state := openStore(t, fs, clock)
 	if examined != 25 || len(state.Records) != 26 {
-		t.Errorf("examined %d, %d left", examined, len(state.Records))
+		t.Errorf("examined %d keys, %d records left; want 25, 26", examined, len(state.Records))
 	}
 	clock.uptime += 1000
 	expireAll(t, s)
@@ -170,7 +170,7 @@
 	closeStore(t, s)
 }
 
-func TestTwoProcessesOnOneFolder(t *testing.T) {
+func TestOpenStore_FolderInUse(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "state")
 	s, _, err := OpenStore(dir, Options{Retention: 10})
 	if err != nil {
@@ -186,9 +186,9 @@
 	closeStore(t, s)
 }
 
-// A store of another format, by a newer program say, is refused. In quarantine, its records of requests that must not
-// run twice would be forgotten.
-func TestUnsupportedFormatIsRefused(t *testing.T) {
+// A store of another format, for example of a newer version, must not be quarantined: the records that prevent duplicate
+// execution would be lost.
+func TestOpenStore_UnsupportedFormat(t *testing.T) {
 	fs, clock := vfs.NewMem(), &fakeClock{boot: "a"}
 	s, _ := openStore(t, fs, clock)
 	if err := s.write([]mutation{{formatKey, []byte("streamcleat 99")}}); err != nil {
@@ -201,7 +201,7 @@
 	}
 }
 
-func TestWriteAfterCloseIsRefused(t *testing.T) {
+func TestCommit_AfterClose(t *testing.T) {
 	s, _ := openStore(t, vfs.NewMem(), &fakeClock{boot: "a"})
 	closeStore(t, s)
 	if err := commit(s, newRecord(dispatch.RecordAttemptStarted, "once", "1", 0)); !errors.Is(err, ErrClosed) {
--- a/internal/storage/stored_types.go
+++ b/internal/storage/stored_types.go
@@ -1,11 +1,11 @@
 package storage
 
-// The types in this file are the values on disk. Their CBOR keys and the order of their fields are part of the stored
-// format: a change of either loses data or needs a migration. Fields of dispatch may be renamed freely, because each
-// value passes through the conversions of record_codec.go. The numbers of dispatch.RecordKind, dispatch.ResponseKind
-// and dispatch.Cause are stored as they are.
+// The types in this file are the stored values. Their CBOR keys and the order of their fields are part of the stored
+// format: changing either loses data unless stores are migrated. Types of dispatch can change freely, because
+// record_codec.go converts between them and the types here. Only the numeric values of dispatch.RecordKind,
+// dispatch.ResponseKind and dispatch.Cause are stored directly and must not change.
 
-// storedRecord is a dispatch.Record: a request with an attempt that is still open, or an answered one.
+// storedRecord is the stored form of dispatch.Record: an open request with an attempt, or an ended request.
 type storedRecord struct {
 	Kind         uint8         `cbor:"1,keyasint"` // dispatch.RecordKind
 	Source       string        `cbor:"2,keyasint"`
@@ -21,32 +21,32 @@
 	Fields       []storedField `cbor:"12,keyasint,omitempty"`
 	Body         []byte        `cbor:"13,keyasint,omitempty"`
 	MayHaveRun   bool          `cbor:"14,keyasint,omitempty"`
-	FirstRunAt   Timestamp     `cbor:"15,keyasint"` // first attempt that may have run
+	FirstRunAt   Timestamp     `cbor:"15,keyasint"` // start of the first attempt that may have executed
 	RecordedAt   Timestamp     `cbor:"16,keyasint"`
 	Elapsed      float64       `cbor:"17,keyasint,omitempty"`
-	Binding      storedBinding `cbor:"18,keyasint,omitempty"` // written also when it is zero: the encoder omits no structs
+	Binding      storedBinding `cbor:"18,keyasint,omitempty"` // written even if zero, as the encoder never omits structs
 }
 
-// storedScheduledRequest is a ScheduledRequest: a request of the appliance itself that has no answer yet.
+// storedScheduledRequest is the stored form of ScheduledRequest.
 type storedScheduledRequest struct {
 	Request  storedRequest `cbor:"1,keyasint"`
-	Due      int64         `cbor:"2,keyasint"` // Unix seconds of the minute at which it was due
+	Due      int64         `cbor:"2,keyasint"` // Unix seconds; the minute at which the request was due
 	Deadline int64         `cbor:"3,keyasint"` // Unix seconds
 }
 
-// storedReplicaList is the list of known replicas and the time of its writing. A nil list is stored as null.
+// storedReplicaList is the list of known replicas at RecordedAt. A nil list is stored as null.
 type storedReplicaList struct {
 	RecordedAt Timestamp       `cbor:"1,keyasint"`
 	Replicas   []storedReplica `cbor:"2,keyasint"`
 }
 
-// storedField is a dispatch.Field.
+// storedField is the stored form of dispatch.Field.
 type storedField struct {
 	Name  string `cbor:"Name"`
 	Value string `cbor:"Value"`
 }
 
-// storedBinding is a dispatch.Binding.
+// storedBinding is the stored form of dispatch.Binding.
 type storedBinding struct {
 	ID       string `cbor:"ID"`
 	Version  string `cbor:"Version"`
@@ -54,14 +54,14 @@
 	Function string `cbor:"Function"`
 }
 
-// storedFunctionProfile is a dispatch.FunctionProfile.
+// storedFunctionProfile is the stored form of dispatch.FunctionProfile.
 type storedFunctionProfile struct {
 	Concurrency int     `cbor:"Lanes"`
 	MemoryMB    float64 `cbor:"Memory"`
 	LoadTime    float64 `cbor:"Load"`
 }
 
-// storedRequest is a dispatch.Request. The source and id of its identity are keys beside the others.
+// storedRequest is the stored form of dispatch.Request, with the identity flattened into Source and ID.
 type storedRequest struct {
 	Source           string                `cbor:"Source"`
 	ID               string                `cbor:"ID"`
@@ -77,7 +77,7 @@
 	RejectDuplicates bool                  `cbor:"Alone"`
 }
 
-// storedReplica is a dispatch.ReplicaSnapshot.
+// storedReplica is the stored form of dispatch.ReplicaSnapshot.
 type storedReplica struct {
 	Function        string        `cbor:"Function"`
 	Binding         storedBinding `cbor:"Binding"`
--- a/internal/storage/writes.go
+++ b/internal/storage/writes.go
@@ -9,16 +9,16 @@
 	"streamcleat/internal/dispatch"
 )
 
-// Firing is one minute for which a schedule entry fired and the request that it makes.
+// Firing is a firing of a schedule entry and the request that it triggers.
 type Firing struct {
 	Entry    string
 	Due      time.Time
-	Deadline time.Time // when the request is no longer retried
+	Deadline time.Time // the request is not retried after this time
 	Request  dispatch.Request
 }
 
-// Commit stores records of requests. It calls done once they are on disk, or with the error that prevents it. It
-// implements proxy.RecordStore.
+// Commit stores request records asynchronously. It calls done once, with nil when the records are on disk or with the
+// error. It implements proxy.RecordStore.
 func (s *Store) Commit(records []dispatch.Record, done func(error)) {
 	now := s.now()
 	p := pendingWrite{done: done, records: len(records)}
@@ -33,8 +33,8 @@
 	s.enqueue(p)
 }
 
-// RecordFirings stores that schedule entries have fired and that their requests are open, as one batch. The requests
-// may be submitted only after it has returned without an error.
+// RecordFirings stores the firings and their open requests as one batch. The requests must not be submitted unless it
+// returns nil; otherwise an entry could fire again after a crash.
 func (s *Store) RecordFirings(firings []Firing) error {
 	var mutations []mutation
 	for i := range firings {
@@ -48,14 +48,14 @@
 	return s.write(mutations)
 }
 
-// ScheduledRequestDone stores that a request of the appliance itself has its answer. It does not wait for the disk,
-// since submitting the request again after a crash does no harm.
+// ScheduledRequestDone deletes the open scheduled request with the given identity. It does not wait for the disk: if the
+// deletion is lost in a crash, the request is submitted again, which is harmless.
 func (s *Store) ScheduledRequestDone(id dispatch.Identity) {
 	deletion := mutation{joinKey(scheduledPrefix, identityHash(id)), nil}
 	s.enqueue(pendingWrite{mutations: []mutation{deletion}, done: func(error) {}})
 }
 
-// AppendAudit stores an entry of the registry's audit trail under its number, counted from 0.
+// AppendAudit stores an entry of the registry's audit trail under its zero-based number.
 func (s *Store) AppendAudit(number int, entry []byte) error {
 	return s.write([]mutation{{auditKey(number), entry}})
 }
@@ -63,11 +63,12 @@
 // SaveConfig stores the configuration in force.
 func (s *Store) SaveConfig(document []byte) error { return s.write([]mutation{{configKey, document}}) }
 
-// SaveReplicas stores the known replicas and, as every write does, the service time from which a restart counts.
+// SaveReplicas stores the known replicas. Like every write it also stores the current service time, from which the next
+// process continues to count.
 func (s *Store) SaveReplicas(replicas []dispatch.ReplicaSnapshot) error {
-	value, err := cbor.Marshal(storedReplicaList{RecordedAt: s.now(), Replicas: convert(replicas, newStoredReplica)})
+	value, err := cbor.Marshal(storedReplicaList{RecordedAt: s.now(), Replicas: convertSlice(replicas, newStoredReplica)})
 	if err != nil {
-		return fmt.Errorf("encoding the replicas: %w", err)
+		return fmt.Errorf("encoding replicas: %w", err)
 	}
 	return s.write([]mutation{{replicasKey, value}})
 }
