--- a/cmd/streamcleat/registry_test.go
+++ b/cmd/streamcleat/registry_test.go
@@ -35,7 +35,7 @@
 		ok   bool
 	}{
 		{"publish shop-001:1.0 --from " + ociRegistry.URL(), "published shop-001:1.0 as " + string(digest0), true},
-		{"publish shop-001:1.0 --from " + ociRegistry.URL(), "versions don't change", false},
+		{"publish shop-001:1.0 --from " + ociRegistry.URL(), "versions are immutable", false},
 		{"publish shop-001:9.9 --from " + ociRegistry.URL(), "shop-001:9.9", false},
 		{"publish shop-001:1.1 --digest " + string(digest1) + " --lanes 3", "published", true},
 		{"alias shop-001:current 1.0", "names " + string(digest0), true},
--- a/internal/registry/errors.go
+++ b/internal/registry/errors.go
@@ -6,27 +6,27 @@
 )
 
 var (
-	// ErrUnknown reports that a reference names nothing.
+	// ErrUnknown means that no function, version or alias has the given name.
 	ErrUnknown = errors.New("not in the registry")
-	// ErrWithdrawn reports that a version must not run any more.
+	// ErrWithdrawn means that a version is withdrawn and must no longer run.
 	ErrWithdrawn = errors.New("withdrawn")
-	// ErrEmptyEntry reports an entry without a change.
-	ErrEmptyEntry = errors.New("an entry that changes nothing")
+	// ErrEmptyEntry is returned for an entry without a change.
+	ErrEmptyEntry = errors.New("entry contains no change")
 )
 
-// ReferenceError reports a reference that can't be read.
+// ReferenceError is a syntax error in a reference.
 type ReferenceError struct {
 	Text string
 	Err  error
 }
 
-// Error names the reference and its fault.
+// Error returns the reference and what is wrong with it.
 func (e *ReferenceError) Error() string { return fmt.Sprintf("reference %q: %v", e.Text, e.Err) }
 
-// Unwrap returns the fault.
+// Unwrap returns the underlying error.
 func (e *ReferenceError) Unwrap() error { return e.Err }
 
-// ChangeError reports a change that is rejected.
+// ChangeError is the rejection of a change.
 type ChangeError struct {
 	Change   string // publish, alias or rollout
 	Function string
@@ -34,19 +34,19 @@
 	Err      error
 }
 
-// Error names what was to be changed and why it is rejected.
+// Error returns what was to be changed and why it was rejected.
 func (e *ChangeError) Error() string {
 	return fmt.Sprintf("%s %s:%s: %v", e.Change, e.Function, e.Name, e.Err)
 }
 
-// Unwrap returns why the change is rejected.
+// Unwrap returns the reason for the rejection.
 func (e *ChangeError) Unwrap() error { return e.Err }
 
-// Changes that a ChangeError names.
+// Values of ChangeError.Change.
 const (
 	changePublish = "publish"
 	changeAlias   = "alias"
 	changeRollout = "rollout"
 )
 
-func unknownFunction(name string) error { return fmt.Errorf("function %s: %w", name, ErrUnknown) }
+func unknownFunctionError(name string) error { return fmt.Errorf("function %s: %w", name, ErrUnknown) }
--- a/internal/registry/format_test.go
+++ b/internal/registry/format_test.go
@@ -12,37 +12,37 @@
 	"github.com/opencontainers/go-digest"
 )
 
-// The fixture holds entries of the audit trail, one a line, as users' stores have them. Run with -update only to write
-// a new one.
+// The fixture holds audit trail entries of existing stores, one per line. It must not change; run with -update only to
+// create a new one.
 var update = flag.Bool("update", false, "write the fixture of the audit trail")
 
 var (
-	fixtureTrail = filepath.Join("testdata", "trail-1.jsonl")
-	fixtureOld   = digest.FromString("old")
-	fixtureNew   = digest.FromString("new")
+	auditTrailFixture = filepath.Join("testdata", "trail-1.jsonl")
+	oldDigest         = digest.FromString("old")
+	newDigest         = digest.FromString("new")
 )
 
-// fixtureEntries are changes of every kind, with all fields set and with as few as can be.
+// fixtureEntries returns entries of every kind, with all fields set and with the minimum of fields.
 func fixtureEntries() []Entry {
 	return []Entry{
 		{At: 1_800_000_000.25, Actor: "ann", Reason: "first", Publish: &Version{
-			Function: "team/f", Name: "1.0.0", Digest: fixtureOld,
+			Function: "team/f", Name: "1.0.0", Digest: oldDigest,
 			Concurrency: 4, MemoryMB: 256.5, LoadTime: 1.5, Classes: []string{"once", "again"}, SignedBy: []string{"key-1", "key-2"},
 		}},
-		{At: 1_800_000_001, Actor: "ann", Publish: &Version{Function: "team/f", Name: "1.1.0", Digest: fixtureNew}},
-		{At: 1_800_000_002, Actor: "ann", AliasUpdate: &AliasUpdate{Function: "team/f", Alias: Current, Digest: fixtureOld}},
-		{At: 1_800_000_003, Actor: "ann", AliasUpdate: &AliasUpdate{Function: "team/f", Alias: "gone", Digest: fixtureOld}},
+		{At: 1_800_000_001, Actor: "ann", Publish: &Version{Function: "team/f", Name: "1.1.0", Digest: newDigest}},
+		{At: 1_800_000_002, Actor: "ann", AliasUpdate: &AliasUpdate{Function: "team/f", Alias: Current, Digest: oldDigest}},
+		{At: 1_800_000_003, Actor: "ann", AliasUpdate: &AliasUpdate{Function: "team/f", Alias: "gone", Digest: oldDigest}},
 		{At: 1_800_000_004, Actor: "ann", AliasUpdate: &AliasUpdate{Function: "team/f", Alias: "gone"}},
 		{At: 1_800_000_005, Actor: "bob", Rollout: &Rollout{
-			Function: "team/f", Alias: Current, From: fixtureOld, To: fixtureNew, CanaryFraction: 0.1,
+			Function: "team/f", Alias: Current, From: oldDigest, To: newDigest, CanaryFraction: 0.1,
 			Tenants: []string{"north"}, Steps: []float64{0.1, 0.5}, StepDuration: 60, MinResponses: 20, MaxExcessFailureRate: 0.02,
 		}},
-		{At: 1_800_000_006, Actor: "rollout", Reason: "it has held at 0.10", Rollout: &Rollout{Function: "team/f", Alias: Current, From: fixtureOld, To: fixtureNew}},
-		{At: 1_800_000_007, Actor: "keys", Withdraw: "team/f@" + string(fixtureOld), Reason: "none in force vouches for it"},
+		{At: 1_800_000_006, Actor: "rollout", Reason: "it has held at 0.10", Rollout: &Rollout{Function: "team/f", Alias: Current, From: oldDigest, To: newDigest}},
+		{At: 1_800_000_007, Actor: "keys", Withdraw: "team/f@" + string(oldDigest), Reason: "none in force vouches for it"},
 	}
 }
 
-func TestTrailBytesAreThoseOfTheFixture(t *testing.T) {
+func TestAuditTrailFormat_MatchesFixture(t *testing.T) {
 	var got bytes.Buffer
 	for _, e := range fixtureEntries() {
 		data, err := json.Marshal(e)
@@ -52,21 +52,21 @@
 		got.Write(append(data, '\n'))
 	}
 	if *update {
-		if err := os.WriteFile(fixtureTrail, got.Bytes(), 0o644); err != nil {
+		if err := os.WriteFile(auditTrailFixture, got.Bytes(), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
-	want, err := os.ReadFile(fixtureTrail)
+	want, err := os.ReadFile(auditTrailFixture)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got.String() != string(want) {
-		t.Errorf("written:\n%s\nin the fixture:\n%s", &got, want)
+		t.Errorf("encoded:\n%s\nwant:\n%s", &got, want)
 	}
 }
 
-func TestTrailFixtureMakesItsRegistry(t *testing.T) {
-	data, err := os.ReadFile(fixtureTrail)
+func TestApply_AuditTrailFixture(t *testing.T) {
+	data, err := os.ReadFile(auditTrailFixture)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,16 +86,16 @@
 	if !reflect.DeepEqual(entries, want) {
 		t.Errorf("entries:\n%+v, want\n%+v", entries, want)
 	}
-	old, fresh := *want[0].Publish, *want[1].Publish
-	old.Withdrawn = true
-	views := []View{{Function: "team/f", Versions: []Version{old, fresh}, Aliases: map[string]digest.Digest{Current: fixtureNew}}}
+	oldVersion, newVersion := *want[0].Publish, *want[1].Publish
+	oldVersion.Withdrawn = true
+	views := []View{{Function: "team/f", Versions: []Version{oldVersion, newVersion}, Aliases: map[string]digest.Digest{Current: newDigest}}}
 	if got := r.List(); !reflect.DeepEqual(got, views) {
 		t.Errorf("registry:\n%+v, want\n%+v", got, views)
 	}
 }
 
-// A view is what the console's socket and handler list --json show.
-func TestViewHasItsKeys(t *testing.T) {
+// The JSON form of a View is part of the admin API and of handler list --json.
+func TestView_JSONKeys(t *testing.T) {
 	data, err := json.Marshal(View{
 		Function: "f", Versions: []Version{{Function: "f", Name: "1", Digest: "d", Withdrawn: true}},
 		Aliases: map[string]digest.Digest{"current": "d"}, Rollouts: []Rollout{{Function: "f", Alias: "current", From: "d", To: "e", MaxExcessFailureRate: 0.5}},
--- a/internal/registry/oci/cache.go
+++ b/internal/registry/oci/cache.go
@@ -7,8 +7,8 @@
 	"github.com/opencontainers/go-digest"
 )
 
-// cachedContent is one piece of content that is kept. Times are in seconds.
-type cachedContent struct {
+// cacheEntry is one piece of content that is kept. Times are in seconds.
+type cacheEntry struct {
 	digest     digest.Digest
 	size       int64
 	lastUsed   float64
@@ -21,16 +21,16 @@
 type contentCache struct {
 	maxBytes int64
 	size     int64
-	items    map[digest.Digest]*cachedContent
+	entries  map[digest.Digest]*cacheEntry
 }
 
 func newContentCache(maxBytes int64) *contentCache {
-	return &contentCache{maxBytes: maxBytes, items: map[digest.Digest]*cachedContent{}}
+	return &contentCache{maxBytes: maxBytes, entries: map[digest.Digest]*cacheEntry{}}
 }
 
-// use reports whether content is held, and marks it as used.
-func (c *contentCache) use(d digest.Digest, now float64) bool {
-	item := c.items[d]
+// touch reports whether content is held, and marks it as used.
+func (c *contentCache) touch(d digest.Digest, now float64) bool {
+	item := c.entries[d]
 	if item != nil {
 		item.lastUsed = max(item.lastUsed, now)
 	}
@@ -40,7 +40,7 @@
 // add takes content in and returns what is evicted for it, the least recently used first; pinned content never is. ok is
 // false, and nothing changes, where there is no room.
 func (c *contentCache) add(d digest.Digest, size int64, now float64) (evicted []digest.Digest, ok bool) {
-	if item := c.items[d]; item != nil {
+	if item := c.entries[d]; item != nil {
 		item.lastUsed = now
 		return nil, true
 	}
@@ -60,25 +60,25 @@
 	for _, e := range evicted {
 		c.remove(e)
 	}
-	c.items[d] = &cachedContent{digest: d, size: size, lastUsed: now, verifiedAt: now}
+	c.entries[d] = &cacheEntry{digest: d, size: size, lastUsed: now, verifiedAt: now}
 	c.size += size
 	return evicted, true
 }
 
 func (c *contentCache) remove(d digest.Digest) {
-	if item := c.items[d]; item != nil {
+	if item := c.entries[d]; item != nil {
 		c.size -= item.size
-		delete(c.items, d)
+		delete(c.entries, d)
 	}
 }
 
 // pin protects the content that versions in use need; all other may be evicted.
 func (c *contentCache) pin(needed []digest.Digest) {
-	for _, item := range c.items {
+	for _, item := range c.entries {
 		item.pinned = false
 	}
 	for _, d := range needed {
-		if item := c.items[d]; item != nil {
+		if item := c.entries[d]; item != nil {
 			item.pinned = true
 		}
 	}
@@ -86,7 +86,7 @@
 
 // oldestVerified returns the content whose digest was verified longest ago, if that is at least minAge; "" for none.
 func (c *contentCache) oldestVerified(now, minAge float64) digest.Digest {
-	var oldest *cachedContent
+	var oldest *cacheEntry
 	for _, item := range c.leastRecentlyUsed() {
 		if now-item.verifiedAt >= minAge && (oldest == nil || item.verifiedAt < oldest.verifiedAt) {
 			oldest = item
@@ -100,7 +100,7 @@
 
 // verified notes whether content was found right; wrong content is removed.
 func (c *contentCache) verified(d digest.Digest, ok bool, now float64) {
-	item := c.items[d]
+	item := c.entries[d]
 	switch {
 	case item == nil:
 	case ok:
@@ -111,12 +111,12 @@
 }
 
 // leastRecentlyUsed orders by last use, then by digest, so that the same calls evict the same content.
-func (c *contentCache) leastRecentlyUsed() []*cachedContent {
-	list := make([]*cachedContent, 0, len(c.items))
-	for _, item := range c.items {
+func (c *contentCache) leastRecentlyUsed() []*cacheEntry {
+	list := make([]*cacheEntry, 0, len(c.entries))
+	for _, item := range c.entries {
 		list = append(list, item)
 	}
-	slices.SortFunc(list, func(a, b *cachedContent) int {
+	slices.SortFunc(list, func(a, b *cacheEntry) int {
 		return cmp.Or(cmp.Compare(a.lastUsed, b.lastUsed), cmp.Compare(a.digest, b.digest))
 	})
 	return list
--- a/internal/registry/oci/cache_test.go
+++ b/internal/registry/oci/cache_test.go
@@ -7,16 +7,16 @@
 	"pgregory.net/rapid"
 )
 
-const modelBytes = 100 // that the cache of the model test holds
+const modelCapacity = 100 // that the cache of the model test holds
 
-// modelItem is content as the model of the cache has it.
-type modelItem struct {
+// modelEntry is content as the model of the cache has it.
+type modelEntry struct {
 	size     int64
 	lastUsed float64
 	pinned   bool
 }
 
-type cacheModel map[digest.Digest]*modelItem
+type cacheModel map[digest.Digest]*modelEntry
 
 // add compares what the cache evicts for content with the model.
 func (m cacheModel) add(t *rapid.T, c *contentCache, d digest.Digest, size int64, now float64) {
@@ -41,13 +41,13 @@
 		return
 	}
 	if m[d] == nil {
-		m[d] = &modelItem{size: size}
+		m[d] = &modelEntry{size: size}
 	}
 	m[d].lastUsed = now
 }
 
 func (m cacheModel) use(t *rapid.T, c *contentCache, d digest.Digest, now float64) {
-	if c.use(d, now) != (m[d] != nil) {
+	if c.touch(d, now) != (m[d] != nil) {
 		t.Fatalf("%s is held: %v, in the model: %v", d, m[d] == nil, m[d] != nil)
 	}
 	if m[d] != nil {
@@ -71,9 +71,9 @@
 }
 
 // The bound holds whatever comes, pinned content is never evicted, and what is evicted was used longest ago.
-func TestCacheModel(t *testing.T) {
+func TestContentCache_MatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cache := newContentCache(modelBytes)
+		cache := newContentCache(modelCapacity)
 		model := cacheModel{}
 		for now := 1.0; now < 60; now++ {
 			d := digest.FromString(string(rune('a' + rapid.IntRange(0, 9).Draw(t, "content"))))
@@ -85,7 +85,7 @@
 			case 3:
 				model.pin(cache, d)
 			}
-			if sum := model.size(); sum != cache.size || sum > modelBytes {
+			if sum := model.size(); sum != cache.size || sum > modelCapacity {
 				t.Fatalf("%d bytes, the model has %d", cache.size, sum)
 			}
 		}
--- a/internal/registry/oci/client_test.go
+++ b/internal/registry/oci/client_test.go
@@ -40,7 +40,7 @@
 	return r
 }
 
-var layer = bytes.Repeat([]byte("layer"), 2000)
+var testLayer = bytes.Repeat([]byte("layer"), 2000)
 
 // roundTripFunc carries requests in place of a connection.
 type roundTripFunc func(*http.Request) (*http.Response, error)
@@ -48,12 +48,12 @@
 // RoundTrip calls f.
 func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-func TestVersionsComeWithWhatTheFrontEndNeeds(t *testing.T) {
+func TestClient_ResolveReadsAnnotations(t *testing.T) {
 	r := startRegistry(t)
 	d := r.Push("shops/tally", map[string]string{
 		"org.opencontainers.image.version": "1.4.0", concurrencyAnnotation: "2", memoryAnnotation: "400",
 		loadTimeAnnotation: "0.7", classesAnnotation: "shop-event,till-entry",
-	}, [][]byte{layer}, "current")
+	}, [][]byte{testLayer}, "current")
 	c, _ := newClient(t, r)
 	v, err := c.Resolve(context.Background(), "tally", "current")
 	if err != nil || v.Digest != d || v.Name != "1.4.0" || v.Concurrency != 2 || v.MemoryMB != 400 || v.LoadTime != 0.7 || len(v.Classes) != 2 {
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestFaultsOfTheRegistry(t *testing.T) {
+func TestClient_PullWithRegistryFaults(t *testing.T) {
 	for _, c := range []struct {
 		name                     string
 		cut, wrong, fail, status int
@@ -94,7 +94,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := startRegistry(t)
-			d := r.Push("shops/tally", nil, [][]byte{layer}, "current")
+			d := r.Push("shops/tally", nil, [][]byte{testLayer}, "current")
 			client, folder := newClient(t, r)
 			r.FailNext(c.cut, c.wrong, c.fail, c.status)
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
@@ -103,7 +103,7 @@
 			if (err == nil) != c.ok {
 				t.Error(err)
 			}
-			if data, held := folder.Get(digest.FromBytes(layer)); held != c.ok || held && !bytes.Equal(data, layer) {
+			if data, held := folder.Get(digest.FromBytes(testLayer)); held != c.ok || held && !bytes.Equal(data, testLayer) {
 				t.Errorf("layer held %v", held)
 			}
 		})
@@ -111,10 +111,10 @@
 }
 
 // Tokens that expire in the middle of a pull are asked for anew.
-func TestExpiringTokens(t *testing.T) {
+func TestClient_PullRenewsExpiredTokens(t *testing.T) {
 	r := startRegistry(t)
 	r.RequireTokens(2)
-	d := r.Push("shops/tally", nil, [][]byte{layer, []byte("a"), []byte("b"), []byte("c")}, "current")
+	d := r.Push("shops/tally", nil, [][]byte{testLayer, []byte("a"), []byte("b"), []byte("c")}, "current")
 	c, _ := newClient(t, r)
 	if held, err := c.Pull(context.Background(), "tally", d); err != nil || len(held) != 6 {
 		t.Error(held, err)
@@ -124,10 +124,10 @@
 	}
 }
 
-func TestLayersAreFetchedOnceAndShared(t *testing.T) {
+func TestClient_PullFetchesSharedLayersOnce(t *testing.T) {
 	r := startRegistry(t)
-	a := r.Push("shops/tally", map[string]string{"v": "1"}, [][]byte{layer, []byte("one")})
-	b := r.Push("shops/tally", map[string]string{"v": "2"}, [][]byte{layer, []byte("two")})
+	a := r.Push("shops/tally", map[string]string{"v": "1"}, [][]byte{testLayer, []byte("one")})
+	b := r.Push("shops/tally", map[string]string{"v": "2"}, [][]byte{testLayer, []byte("two")})
 	c, f := newClient(t, r)
 	for range 3 {
 		for _, d := range []digest.Digest{a, b} {
@@ -136,15 +136,15 @@
 			}
 		}
 	}
-	if want := int64(len(layer) + len("one") + len("two") + len("{}")); c.Fetched != want {
-		t.Errorf("%d bytes fetched, whole copies each time are %d, each layer once is %d", c.Fetched, 6*len(layer), want)
+	if want := int64(len(testLayer) + len("one") + len("two") + len("{}")); c.Fetched != want {
+		t.Errorf("%d bytes fetched, whole copies each time are %d, each layer once is %d", c.Fetched, 6*len(testLayer), want)
 	}
 	r.Close() // unreachable: what is held still serves
 	if _, err := c.Pull(context.Background(), "tally", a); err != nil {
 		t.Error(err)
 	}
 	// What turns wrong on disk is never handed out; a scrub finds it.
-	d := digest.FromBytes(layer)
+	d := digest.FromBytes(testLayer)
 	if err := os.WriteFile(f.path(d), []byte("rot"), 0o640); err != nil {
 		t.Fatal(err)
 	}
@@ -160,9 +160,9 @@
 	}
 }
 
-func TestReferrersOfAVersion(t *testing.T) {
+func TestClient_SignaturesReadsReferrers(t *testing.T) {
 	r := startRegistry(t)
-	d := r.Push("shops/tally", nil, [][]byte{layer}, "current")
+	d := r.Push("shops/tally", nil, [][]byte{testLayer}, "current")
 	c, _ := newClient(t, r)
 	if list, err := c.Signatures(context.Background(), "tally", d); err != nil || len(list) != 0 {
 		t.Error(list, err)
@@ -181,9 +181,9 @@
 
 // Ten minutes without registry, on a virtual clock: each pull gives up in bounded time, what is held serves, and the
 // first pull after it succeeds.
-func TestTenMinutesWithoutRegistry(t *testing.T) {
+func TestClient_PullDuringRegistryOutage(t *testing.T) {
 	r := startRegistry(t)
-	d, next := r.Push("shops/tally", map[string]string{"v": "1"}, [][]byte{layer}), r.Push("shops/tally", map[string]string{"v": "2"}, [][]byte{[]byte("two")})
+	d, next := r.Push("shops/tally", map[string]string{"v": "1"}, [][]byte{testLayer}), r.Push("shops/tally", map[string]string{"v": "2"}, [][]byte{[]byte("two")})
 	c, _ := newClient(t, r)
 	synctest.Test(t, func(t *testing.T) {
 		start, attempts := time.Now(), 0
--- a/internal/registry/oci/folder.go
+++ b/internal/registry/oci/folder.go
@@ -41,14 +41,14 @@
 		if d.Validate() != nil || err != nil {
 			continue
 		}
-		if _, ok := f.cache.add(d, info.Size(), seconds(info.ModTime())); !ok {
+		if _, ok := f.cache.add(d, info.Size(), unixSeconds(info.ModTime())); !ok {
 			f.removeFile(d) // the bound was lowered
 		}
 	}
 	return f, nil
 }
 
-func seconds(t time.Time) float64 { return float64(t.UnixNano()) / 1e9 }
+func unixSeconds(t time.Time) float64 { return float64(t.UnixNano()) / 1e9 }
 
 func (f *Folder) path(d digest.Digest) string {
 	return filepath.Join(f.dir, d.Algorithm().String(), d.Encoded())
@@ -63,7 +63,7 @@
 func (f *Folder) Get(d digest.Digest) ([]byte, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if d.Validate() != nil || !f.cache.use(d, seconds(time.Now())) {
+	if d.Validate() != nil || !f.cache.touch(d, unixSeconds(time.Now())) {
 		return nil, false
 	}
 	data, ok := f.read(d)
@@ -91,7 +91,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	evicted, ok := f.cache.add(d, int64(len(data)), seconds(time.Now()))
+	evicted, ok := f.cache.add(d, int64(len(data)), unixSeconds(time.Now()))
 	if !ok {
 		return fmt.Errorf("content folder: no room for %d bytes of %s", len(data), d)
 	}
@@ -124,7 +124,7 @@
 func (f *Folder) VerifyOldest(minAge float64) (d digest.Digest, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	now := seconds(time.Now())
+	now := unixSeconds(time.Now())
 	if d = f.cache.oldestVerified(now, minAge); d == "" {
 		return "", true
 	}
--- a/internal/registry/oci/folder_test.go
+++ b/internal/registry/oci/folder_test.go
@@ -7,7 +7,7 @@
 	"github.com/opencontainers/go-digest"
 )
 
-func TestFolderIsBoundAndReopened(t *testing.T) {
+func TestFolder_BoundedAndReopened(t *testing.T) {
 	dir := t.TempDir()
 	f, err := OpenFolder(dir, 100)
 	if err != nil {
--- a/internal/registry/reference.go
+++ b/internal/registry/reference.go
@@ -8,23 +8,24 @@
 	"github.com/opencontainers/go-digest"
 )
 
-// Current is the alias that a reference names which states none.
+// Current is the default alias, used by references without a tag or digest.
 const Current = "current"
 
-// Bounds of the names in a reference, by the OCI distribution specification's rules for tags and repositories.
+// Length limits of the names in a reference, in accordance with the OCI distribution specification.
 const (
 	maxTagLength          = 128
 	maxFunctionNameLength = 200
 )
 
-// Ref is what requests and people write: function, function:alias, function:version or function@digest.
+// Ref is a parsed reference: function, function:alias, function:version or function@digest.
 type Ref struct {
 	Function string
-	Tag      string // an alias or a version; Current where none was written
-	Digest   digest.Digest
+	Tag      string        // alias or version name; Current if the reference has none
+	Digest   digest.Digest // takes precedence over Tag; empty if the reference has none
 }
 
-// ParseRef reads a reference in the form of the OCI distribution specification. Its errors are of type *ReferenceError.
+// ParseRef parses a reference as specified by the OCI distribution specification. Its errors are of type
+// *ReferenceError.
 func ParseRef(text string) (Ref, error) {
 	name, sum, pinned := strings.Cut(text, "@")
 	ref := Ref{Tag: Current}
@@ -44,11 +45,12 @@
 	}
 	ref.Function = name
 	if !isFunctionName(name) {
-		return ref, &ReferenceError{Text: text, Err: fmt.Errorf("%q is not a function's name", name)}
+		return ref, &ReferenceError{Text: text, Err: fmt.Errorf("%q is not a function name", name)}
 	}
 	return ref, nil
 }
 
+// isTag reports whether s is a valid tag: an alias or a version name.
 func isTag(s string) bool {
 	return s != "" && len(s) <= maxTagLength && !strings.ContainsFunc(s, func(c rune) bool { return !isTagCharacter(c) })
 }
@@ -62,7 +64,7 @@
 	}
 }
 
-// isFunctionName reports whether s is a path of tags.
+// isFunctionName reports whether s consists of tags separated by slashes.
 func isFunctionName(s string) bool {
 	return s != "" && len(s) <= maxFunctionNameLength &&
 		!slices.ContainsFunc(strings.Split(s, "/"), func(part string) bool { return !isTag(part) })
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -10,7 +10,7 @@
 	"github.com/opencontainers/go-digest"
 )
 
-func sum(v string) digest.Digest { return digest.FromString(v) }
+func digestOf(v string) digest.Digest { return digest.FromString(v) }
 
 func mustApply(t *testing.T, r *Registry, e Entry) {
 	t.Helper()
@@ -19,18 +19,18 @@
 	}
 }
 
-// published is a registry with versions of one function; the alias current names the first.
-func published(t *testing.T, versions ...string) *Registry {
+// newPublishedRegistry returns a registry with the given versions of one function. The alias current names the first.
+func newPublishedRegistry(t *testing.T, versions ...string) *Registry {
 	t.Helper()
 	r := New()
 	for _, v := range versions {
-		mustApply(t, r, Entry{Publish: &Version{Function: "shop", Name: v, Digest: sum(v)}})
+		mustApply(t, r, Entry{Publish: &Version{Function: "shop", Name: v, Digest: digestOf(v)}})
 	}
-	mustApply(t, r, Entry{AliasUpdate: &AliasUpdate{"shop", Current, sum(versions[0])}})
+	mustApply(t, r, Entry{AliasUpdate: &AliasUpdate{"shop", Current, digestOf(versions[0])}})
 	return r
 }
 
-// resolvedName is the name of the version that a request with a reference gets.
+// resolvedName returns the name of the version that a reference resolves to.
 func resolvedName(t *testing.T, r *Registry, ref string) string {
 	t.Helper()
 	v, err := r.Resolve(ref, "x", "tenant", "e")
@@ -40,64 +40,64 @@
 	return v.Name
 }
 
-func TestReferences(t *testing.T) {
-	r := published(t, "1.0", "1.1")
+func TestResolve_ValidReference(t *testing.T) {
+	r := newPublishedRegistry(t, "1.0", "1.1")
 	for _, c := range []struct{ ref, version string }{
 		{"shop", "1.0"},
 		{"shop:current", "1.0"},
 		{"shop:1.1", "1.1"},
-		{"shop@" + string(sum("1.1")), "1.1"},
-		{"shop:current@" + string(sum("1.1")), "1.1"},
+		{"shop@" + string(digestOf("1.1")), "1.1"},
+		{"shop:current@" + string(digestOf("1.1")), "1.1"},
 	} {
 		t.Run(c.ref, func(t *testing.T) {
 			if got := resolvedName(t, r, c.ref); got != c.version {
-				t.Errorf("%s resolves to %s, not %s", c.ref, got, c.version)
+				t.Errorf("%s resolves to %s, want %s", c.ref, got, c.version)
 			}
 		})
 	}
 }
 
-func TestFaultyReferences(t *testing.T) {
-	r := published(t, "1.0", "1.1")
+func TestResolve_InvalidOrUnknownReference(t *testing.T) {
+	r := newPublishedRegistry(t, "1.0", "1.1")
 	for _, c := range []struct {
 		ref, text string
-		faulty    bool // the reference can't be read
+		invalid   bool // syntax error in the reference
 	}{
-		{"", "not a function's name", true},
+		{"", "not a function name", true},
 		{"shop:", "not a tag", true},
 		{"shop@md5:1", "digest", true},
-		{"a//b", "not a function's name", true},
+		{"a//b", "not a function name", true},
 		{"other", "not in the registry", false},
 		{"shop:old", "not in the registry", false},
-		{"shop@" + string(sum("9")), "not in the registry", false},
+		{"shop@" + string(digestOf("9")), "not in the registry", false},
 	} {
 		t.Run(c.ref, func(t *testing.T) {
 			_, err := r.Resolve(c.ref, "x", "", "e")
 			if err == nil || !strings.Contains(err.Error(), c.text) {
 				t.Fatalf("%q: %v", c.ref, err)
 			}
-			var fault *ReferenceError
-			if errors.As(err, &fault) != c.faulty || errors.Is(err, ErrUnknown) == c.faulty {
+			var syntaxError *ReferenceError
+			if errors.As(err, &syntaxError) != c.invalid || errors.Is(err, ErrUnknown) == c.invalid {
 				t.Errorf("%q: %T %v", c.ref, err, err)
 			}
 		})
 	}
 }
 
-func TestChangesThatAreTurnedAwayChangeNothing(t *testing.T) {
-	r := published(t, "1.0", "1.1")
+func TestApply_RejectedChangeHasNoEffect(t *testing.T) {
+	r := newPublishedRegistry(t, "1.0", "1.1")
 	for _, e := range []Entry{
 		{},
-		{Publish: &Version{Function: "shop", Name: "1.0", Digest: sum("other")}},
-		{Publish: &Version{Function: "shop", Name: "2.0", Digest: sum("1.0")}},
+		{Publish: &Version{Function: "shop", Name: "1.0", Digest: digestOf("other")}},
+		{Publish: &Version{Function: "shop", Name: "2.0", Digest: digestOf("1.0")}},
 		{Publish: &Version{Function: "shop", Name: "2.0", Digest: "sha256:short"}},
-		{Publish: &Version{Function: "shop", Name: Current, Digest: sum("c")}},
-		{AliasUpdate: &AliasUpdate{"shop", "sale", sum("9")}},
-		{AliasUpdate: &AliasUpdate{"shop", "1.0", sum("1.1")}},
-		{AliasUpdate: &AliasUpdate{"none", Current, sum("1.0")}},
-		{Rollout: &Rollout{Function: "shop", Alias: Current, To: sum("1.0")}},
-		{Rollout: &Rollout{Function: "shop", Alias: "sale", To: sum("1.1")}},
-		{Rollout: &Rollout{Function: "shop", Alias: Current, To: sum("1.1"), Steps: []float64{0.5, 0.2}}},
+		{Publish: &Version{Function: "shop", Name: Current, Digest: digestOf("c")}},
+		{AliasUpdate: &AliasUpdate{"shop", "sale", digestOf("9")}},
+		{AliasUpdate: &AliasUpdate{"shop", "1.0", digestOf("1.1")}},
+		{AliasUpdate: &AliasUpdate{"none", Current, digestOf("1.0")}},
+		{Rollout: &Rollout{Function: "shop", Alias: Current, To: digestOf("1.0")}},
+		{Rollout: &Rollout{Function: "shop", Alias: "sale", To: digestOf("1.1")}},
+		{Rollout: &Rollout{Function: "shop", Alias: Current, To: digestOf("1.1"), Steps: []float64{0.5, 0.2}}},
 		{Withdraw: "shop:1.0"},
 	} {
 		before := fmt.Sprint(r.List())
@@ -107,9 +107,9 @@
 	}
 }
 
-func TestAliasMovesAndMovesBack(t *testing.T) {
-	r := published(t, "1.0", "1.1")
-	mustApply(t, r, Entry{AliasUpdate: &AliasUpdate{"shop", Current, sum("1.1")}})
+func TestAlias_MoveRollbackAndWithdrawal(t *testing.T) {
+	r := newPublishedRegistry(t, "1.0", "1.1")
+	mustApply(t, r, Entry{AliasUpdate: &AliasUpdate{"shop", Current, digestOf("1.1")}})
 	if got := resolvedName(t, r, "shop"); got != "1.1" {
 		t.Error(got)
 	}
@@ -121,56 +121,56 @@
 	if got := resolvedName(t, r, "shop"); got != "1.0" {
 		t.Error(got)
 	}
-	mustApply(t, r, Entry{Withdraw: "shop@" + string(sum("1.0"))})
-	if got := resolvedName(t, r, "shop"); got != "1.1" || r.IsAllowed("shop", sum("1.0")) {
-		t.Error("a withdrawn version is still named: ", got)
+	mustApply(t, r, Entry{Withdraw: "shop@" + string(digestOf("1.0"))})
+	if got := resolvedName(t, r, "shop"); got != "1.1" || r.IsAllowed("shop", digestOf("1.0")) {
+		t.Errorf("alias names %s after the withdrawal, want 1.1; or the withdrawn version is still allowed", got)
 	}
 	if _, err := r.Resolve("shop:1.0", "x", "", "e"); !errors.Is(err, ErrWithdrawn) {
 		t.Error(err)
 	}
 }
 
-// An event that has the new version keeps it as the share grows, and shares come out as stated.
-func TestRolloutByShareAndTenant(t *testing.T) {
-	r := published(t, "1.0", "1.1")
-	got := map[string]bool{}
-	for _, share := range []float64{0.1, 0.5, 0.9, 1} {
-		mustApply(t, r, Entry{Rollout: &Rollout{Function: "shop", Alias: Current, To: sum("1.1"), CanaryFraction: share, Tenants: []string{"first"}}})
-		n := 0
+// A request that gets the new version keeps it as the canary fraction grows, and the measured fraction is as configured.
+func TestRollout_SelectsByFractionAndTenant(t *testing.T) {
+	r := newPublishedRegistry(t, "1.0", "1.1")
+	isCanary := map[string]bool{}
+	for _, fraction := range []float64{0.1, 0.5, 0.9, 1} {
+		mustApply(t, r, Entry{Rollout: &Rollout{Function: "shop", Alias: Current, To: digestOf("1.1"), CanaryFraction: fraction, Tenants: []string{"first"}}})
+		canaries := 0
 		for i := range 2000 {
 			id := strconv.Itoa(i)
-			b, _ := r.Resolve("shop", "x", "other", id)
-			if got[id] && !b.Canary {
-				t.Fatalf("event %s went back at share %v", id, share)
+			v, _ := r.Resolve("shop", "x", "other", id)
+			if isCanary[id] && !v.Canary {
+				t.Fatalf("request %s returned to the old version at fraction %v", id, fraction)
 			}
-			if got[id] = b.Canary; b.Canary {
-				n++
+			if isCanary[id] = v.Canary; v.Canary {
+				canaries++
 			}
-			if b, _ := r.Resolve("shop", "x", "first", id); !b.Canary {
-				t.Fatal("a named tenant has the old version")
+			if v, _ := r.Resolve("shop", "x", "first", id); !v.Canary {
+				t.Fatal("a listed tenant got the old version")
 			}
 		}
-		if f := float64(n) / 2000; f < share-0.03 || f > share+0.03 {
-			t.Errorf("%.3f of the events, not %v", f, share)
+		if measured := float64(canaries) / 2000; measured < fraction-0.03 || measured > fraction+0.03 {
+			t.Errorf("%.3f of the requests, want %v", measured, fraction)
 		}
 	}
 }
 
-func TestRolloutGoesOnHoldsAndGoesBack(t *testing.T) {
+func TestRollout_AdvancesHoldsAndRollsBack(t *testing.T) {
 	start := func() *Registry {
-		r := published(t, "1.0", "1.1")
-		mustApply(t, r, Entry{At: 100, Rollout: &Rollout{Function: "shop", Alias: Current, To: sum("1.1"), Steps: []float64{0.1, 0.5}, StepDuration: 10, MinResponses: 5, MaxExcessFailureRate: 0.2}})
+		r := newPublishedRegistry(t, "1.0", "1.1")
+		mustApply(t, r, Entry{At: 100, Rollout: &Rollout{Function: "shop", Alias: Current, To: digestOf("1.1"), Steps: []float64{0.1, 0.5}, StepDuration: 10, MinResponses: 5, MaxExcessFailureRate: 0.2}})
 		return r
 	}
-	answers := func(r *Registry, v string, good, bad int) {
-		for i := range good + bad {
-			r.RecordResult("shop", sum(v), i < bad)
+	record := func(r *Registry, v string, succeeded, failed int) {
+		for i := range succeeded + failed {
+			r.RecordResult("shop", digestOf(v), i < failed)
 		}
 	}
 	r := start()
-	answers(r, "1.1", 20, 0)
+	record(r, "1.1", 20, 0)
 	if len(r.AdvanceRollouts(105)) != 0 {
-		t.Error("went on before its time")
+		t.Error("advanced before the end of the step")
 	}
 	for now, want := range map[float64]float64{111: 0.5} {
 		due := r.AdvanceRollouts(now)
@@ -180,28 +180,28 @@
 		mustApply(t, r, due[0])
 	}
 	if len(r.AdvanceRollouts(130)) != 0 {
-		t.Error("went on though nothing was seen at this step")
+		t.Error("advanced without responses in the step")
 	}
-	answers(r, "1.1", 5, 0)
+	record(r, "1.1", 5, 0)
 	mustApply(t, r, r.AdvanceRollouts(130)[0])
-	answers(r, "1.1", 5, 0)
+	record(r, "1.1", 5, 0)
 	due := r.AdvanceRollouts(150)
-	if len(due) != 1 || due[0].AliasUpdate == nil || due[0].AliasUpdate.Digest != sum("1.1") {
+	if len(due) != 1 || due[0].AliasUpdate == nil || due[0].AliasUpdate.Digest != digestOf("1.1") {
 		t.Fatalf("%+v", due)
 	}
 	mustApply(t, r, due[0])
 	if got := resolvedName(t, r, "shop"); got != "1.1" || len(r.AdvanceRollouts(1000)) != 0 {
-		t.Error("not ended: ", got)
+		t.Error("rollout did not end, alias names ", got)
 	}
 	r = start()
-	answers(r, "1.0", 50, 25) // the old one fails too: the new one must not be blamed for the fleet
-	answers(r, "1.1", 10, 5)
+	record(r, "1.0", 50, 25) // the old version fails as well, so the new one is not the cause
+	record(r, "1.1", 10, 5)
 	if due := r.AdvanceRollouts(101); len(due) != 0 {
-		t.Errorf("went back though the old version is no better: %+v", due)
+		t.Errorf("rolled back although the old version is no better: %+v", due)
 	}
-	answers(r, "1.1", 0, 10)
+	record(r, "1.1", 0, 10)
 	due = r.AdvanceRollouts(102)
-	if len(due) != 1 || due[0].AliasUpdate == nil || due[0].AliasUpdate.Digest != sum("1.0") || due[0].Reason == "" {
+	if len(due) != 1 || due[0].AliasUpdate == nil || due[0].AliasUpdate.Digest != digestOf("1.0") || due[0].Reason == "" {
 		t.Fatalf("%+v", due)
 	}
 }
--- a/internal/registry/resolve.go
+++ b/internal/registry/resolve.go
@@ -8,20 +8,20 @@
 	"github.com/opencontainers/go-digest"
 )
 
-// ResolvedVersion is what a request runs on, resolved once when it is admitted.
+// ResolvedVersion is the version that a request is bound to. It is resolved once, when the request is admitted.
 type ResolvedVersion struct {
 	Version
-	Alias  string // by which it was named; "" for a digest or a version
-	Canary bool   // it is the newer side of a rollout
+	Alias  string // alias that named the version; empty for a digest or a version name
+	Canary bool   // the version is the new one of a rollout
 }
 
-// ID is the function's id for the routing decisions: a version is a function of its own, so that a warm replica of the
-// old one never stands for the new.
+// ID returns the function ID used for routing. Each version is routed as a separate function, so that a warm replica of
+// an old version never counts as a replica of the new one.
 func (v ResolvedVersion) ID() string { return v.Function + "@" + string(v.Digest) }
 
-// Resolve returns the version of a request; an empty class is any. The tenant and the request's identity choose the side
-// of a rollout: the same request always gets the same side at the same share, and a request that got the new side keeps
-// it as the share grows.
+// Resolve returns the version that a reference names for a request. An empty class is accepted by every version. During
+// a rollout the tenant and the request's identity select the old or the new version. The selection is deterministic, and
+// a request that gets the new version keeps it while the canary fraction grows.
 func (r *Registry) Resolve(text, class, tenant, request string) (ResolvedVersion, error) {
 	ref, err := ParseRef(text)
 	if err != nil {
@@ -29,7 +29,7 @@
 	}
 	f := r.functions[ref.Function]
 	if f == nil {
-		return ResolvedVersion{}, unknownFunction(ref.Function)
+		return ResolvedVersion{}, unknownFunctionError(ref.Function)
 	}
 	resolved := ResolvedVersion{}
 	d := ref.Digest
@@ -44,20 +44,20 @@
 		return ResolvedVersion{}, err
 	}
 	if len(v.Classes) > 0 && class != "" && !slices.Contains(v.Classes, class) {
-		return ResolvedVersion{}, fmt.Errorf("%s:%s takes %s, not %s", v.Function, v.Name, strings.Join(v.Classes, ", "), class)
+		return ResolvedVersion{}, fmt.Errorf("%s:%s accepts request classes %s, not %s", v.Function, v.Name, strings.Join(v.Classes, ", "), class)
 	}
 	resolved.Version = *v
 	return resolved, nil
 }
 
-// resolveTag returns what a tag names for a request: a version's name comes before an alias, and a rollout of the alias
-// before what it names. The digest is empty where the tag names nothing.
+// resolveTag returns the digest that a tag names for a request, or an empty one if the tag is unknown. A version name
+// takes precedence over an alias, and a rollout of an alias over the version that the alias names.
 func (f *functionRecord) resolveTag(ref Ref, tenant, request string) (d digest.Digest, alias string, canary bool) {
 	if v := f.versionByName(ref.Tag); v != nil {
 		return v.Digest, "", false
 	}
 	if rollout := f.rollouts[ref.Tag]; rollout != nil {
-		if rollout.includes(tenant, request) {
+		if rollout.isCanary(tenant, request) {
 			return rollout.To, ref.Tag, true
 		}
 		return rollout.From, ref.Tag, false
@@ -65,16 +65,16 @@
 	return f.aliases[ref.Tag], ref.Tag, false
 }
 
-// IsAllowed reports whether a version that a request was bound to earlier may still run.
+// IsAllowed reports whether a version may still run: it is published and not withdrawn.
 func (r *Registry) IsAllowed(name string, d digest.Digest) bool {
 	_, _, err := r.findUsable(name, d)
 	return err == nil
 }
 
-// Contains reports whether a function was ever published.
+// Contains reports whether any version of a function was published.
 func (r *Registry) Contains(name string) bool { return r.functions[name] != nil }
 
-// Find returns the version that a reference names now, rollouts and withdrawals apart.
+// Find returns the version that a reference names, regardless of rollouts and withdrawals.
 func (r *Registry) Find(text string) (Version, error) {
 	ref, err := ParseRef(text)
 	if err != nil {
@@ -82,7 +82,7 @@
 	}
 	f := r.functions[ref.Function]
 	if f == nil {
-		return Version{}, unknownFunction(ref.Function)
+		return Version{}, unknownFunctionError(ref.Function)
 	}
 	d := ref.Digest
 	if d == "" {
@@ -91,7 +91,7 @@
 			d = v.Digest
 		}
 	}
-	if v := f.version(d); v != nil {
+	if v := f.versionByDigest(d); v != nil {
 		return *v, nil
 	}
 	return Version{}, fmt.Errorf("%s: %w", text, ErrUnknown)
--- a/internal/registry/rollout.go
+++ b/internal/registry/rollout.go
@@ -11,33 +11,34 @@
 	"streamcleat/internal/stablehash"
 )
 
-// Rollout is a release under way: an alias names From for some requests and To for the others.
+// Rollout is a gradual move of an alias: it names To for the canary requests and From for all others. Its JSON form is
+// stored.
 type Rollout struct {
 	Function             string        `json:"function"`
 	Alias                string        `json:"alias"`
 	From                 digest.Digest `json:"from"`
 	To                   digest.Digest `json:"to"`
-	CanaryFraction       float64       `json:"share"`             // of requests that get To
-	Tenants              []string      `json:"tenants,omitempty"` // whose requests get it whatever the share
-	Steps                []float64     `json:"steps,omitempty"`   // shares that it goes through by itself
-	StepDuration         float64       `json:"hold_s,omitempty"`  // seconds at each step before the next
-	MinResponses         int           `json:"least,omitempty"`   // answers of To that a step needs
-	MaxExcessFailureRate float64       `json:"most_bad"`          // share of failures, beyond that of From, at which it rolls back
+	CanaryFraction       float64       `json:"share"`             // fraction of requests that get To
+	Tenants              []string      `json:"tenants,omitempty"` // tenants whose requests always get To
+	Steps                []float64     `json:"steps,omitempty"`   // canary fractions to advance through automatically
+	StepDuration         float64       `json:"hold_s,omitempty"`  // minimum duration of a step in seconds
+	MinResponses         int           `json:"least,omitempty"`   // minimum number of responses of To in a step
+	MaxExcessFailureRate float64       `json:"most_bad"`          // the rollout rolls back if the failure rate of To exceeds that of From by more
 
 	stepStartedAt float64
-	fromResults   resultCounts // since the step began
+	fromResults   resultCounts // since the start of the step
 	toResults     resultCounts
 }
 
-// resultCounts counts the answers of a version.
+// resultCounts counts the responses of a version.
 type resultCounts struct {
 	succeeded int
-	failed    int // by the version's fault
+	failed    int // failures caused by the version
 }
 
-func (c resultCounts) total() int { return c.succeeded + c.failed }
+func (c *resultCounts) total() int { return c.succeeded + c.failed }
 
-func (c resultCounts) failureShare() float64 {
+func (c *resultCounts) failureRate() float64 {
 	if c.total() == 0 {
 		return 0
 	}
@@ -52,10 +53,10 @@
 	}
 }
 
-// rolloutActor is who the audit trail names for what rollouts do by themselves.
+// rolloutActor is the actor of automatic changes in the audit trail.
 const rolloutActor = "rollout"
 
-// startRollout begins a rollout, or goes on with the next step of one.
+// startRollout starts a rollout, or the next step of the current one.
 func (r *Registry) startRollout(rollout Rollout, now float64) error {
 	f, _, err := r.findUsable(rollout.Function, rollout.To)
 	if err != nil {
@@ -65,11 +66,11 @@
 	if !ok {
 		return &ChangeError{
 			Change: changeAlias, Function: rollout.Function, Name: rollout.Alias,
-			Err: fmt.Errorf("%w; a rollout goes from one version to another", ErrUnknown),
+			Err: fmt.Errorf("%w; a rollout requires an alias that names a version", ErrUnknown),
 		}
 	}
 	if from == rollout.To {
-		return fmt.Errorf("alias %s:%s names that version already", rollout.Function, rollout.Alias)
+		return fmt.Errorf("alias %s:%s already names that version", rollout.Function, rollout.Alias)
 	}
 	if err := rollout.validate(); err != nil {
 		return &ChangeError{Change: changeRollout, Function: rollout.Function, Name: rollout.Alias, Err: err}
@@ -87,45 +88,46 @@
 	last := 0.0
 	for _, step := range append(slices.Clone(ro.Steps), 1) {
 		if step < last || step > 1 {
-			return errors.New("steps must rise and stay within 1")
+			return errors.New("steps must be ascending and at most 1")
 		}
 		last = step
 	}
 	if ro.CanaryFraction < 0 || ro.CanaryFraction > 1 || ro.StepDuration < 0 || ro.MinResponses < 0 || ro.MaxExcessFailureRate < 0 || ro.MaxExcessFailureRate > 1 {
-		return errors.New("shares lie between 0 and 1, and hold and least are not below 0")
+		return errors.New("share and most_bad must be between 0 and 1, and hold_s and least must not be negative")
 	}
 	return nil
 }
 
-// includes reports whether a request gets the new version.
-func (ro *Rollout) includes(tenant, request string) bool {
+// isCanary reports whether a request gets the new version.
+func (ro *Rollout) isCanary(tenant, request string) bool {
 	return slices.Contains(ro.Tenants, tenant) || rolloutPosition(ro.Function, request) < ro.CanaryFraction
 }
 
-// rolloutPosition places a request between 0 and 1, by its identity alone; it gets the new version while its position is
-// below the share.
+// rolloutPosition maps a request to a fixed position in [0, 1). The request gets the new version if its position is below
+// the canary fraction.
 func rolloutPosition(function, request string) float64 {
-	const significantBits = 53 // of a float64
+	const significantBits = 53 // precision of a float64
 	return float64(stablehash.Pair(function, request)>>(64-significantBits)) / (1 << significantBits)
 }
 
-// Rollback returns the move that takes an alias back to what it named before its last move or its rollout.
+// Rollback returns the update that moves an alias back: to the old version of its rollout if there is one, otherwise to
+// the version that it named before its last move.
 func (r *Registry) Rollback(name, alias string) (AliasUpdate, error) {
 	f := r.functions[name]
 	if f == nil {
-		return AliasUpdate{}, unknownFunction(name)
+		return AliasUpdate{}, unknownFunctionError(name)
 	}
 	if rollout := f.rollouts[alias]; rollout != nil {
 		return AliasUpdate{Function: name, Alias: alias, Digest: rollout.From}, nil
 	}
-	previous := f.previous[alias]
+	previous := f.previousDigests[alias]
 	if previous == "" {
-		return AliasUpdate{}, fmt.Errorf("alias %s:%s never named anything else", name, alias)
+		return AliasUpdate{}, fmt.Errorf("alias %s:%s has no previous version", name, alias)
 	}
 	return AliasUpdate{Function: name, Alias: alias, Digest: previous}, nil
 }
 
-// RecordResult counts an answer of a version in the rollouts from or to it. A failed one is the version's fault.
+// RecordResult counts a response of a version in the rollouts from or to it. failed means a failure caused by the version.
 func (r *Registry) RecordResult(name string, d digest.Digest, failed bool) {
 	f := r.functions[name]
 	if f == nil {
@@ -141,11 +143,11 @@
 	}
 }
 
-// AdvanceRollouts returns the changes that rollouts ask for now, in the order of functions and aliases. Its entries are
-// for Apply; while there are none, nothing is due.
+// AdvanceRollouts returns the entries that advance, end or roll back rollouts at now, ordered by function and alias. It
+// does not change the registry: the caller stores the entries and passes them to Apply.
 func (r *Registry) AdvanceRollouts(now float64) []Entry {
 	var due []Entry
-	for _, name := range r.names {
+	for _, name := range r.functionNames {
 		f := r.functions[name]
 		for _, alias := range slices.Sorted(maps.Keys(f.rollouts)) {
 			if entry, ok := f.rollouts[alias].advance(now); ok {
@@ -156,22 +158,26 @@
 	return due
 }
 
-// advance returns the change that a rollout asks for now. The rules, in order: it rolls back where the new version fails
-// more by more than it may, and enough answers were seen to say so; it waits until the step has lasted long enough and
-// enough answers were seen; it goes a step on; after the last step it ends with the new version for all.
+// advance returns the entry that is due for a rollout at now, if any. The first rule that applies decides:
+//   - The rollout rolls back if there are enough responses and the failure rate of the new version is too high.
+//   - It waits while the step is too short or there are not enough responses.
+//   - It advances to the next step.
+//   - After the last step it ends, and the alias moves to the new version.
+//
+// The reasons are stored in the audit trail.
 func (ro *Rollout) advance(now float64) (Entry, bool) {
 	entry := Entry{At: now, Actor: rolloutActor}
-	seen := ro.toResults.total()
-	excess := ro.toResults.failureShare() - ro.fromResults.failureShare()
-	if seen > 0 && seen >= ro.MinResponses && excess > ro.MaxExcessFailureRate {
-		entry.AliasUpdate = ro.moveTo(ro.From)
-		entry.Reason = fmt.Sprintf("%d of %d answers were bad, %.2f more than of the version before", ro.toResults.failed, seen, excess)
+	responses := ro.toResults.total()
+	excess := ro.toResults.failureRate() - ro.fromResults.failureRate()
+	if responses > 0 && responses >= ro.MinResponses && excess > ro.MaxExcessFailureRate {
+		entry.AliasUpdate = ro.aliasUpdateTo(ro.From)
+		entry.Reason = fmt.Sprintf("%d of %d answers were bad, %.2f more than of the version before", ro.toResults.failed, responses, excess)
 		return entry, true
 	}
-	if len(ro.Steps) == 0 || now-ro.stepStartedAt < ro.StepDuration || seen < ro.MinResponses {
+	if len(ro.Steps) == 0 || now-ro.stepStartedAt < ro.StepDuration || responses < ro.MinResponses {
 		return Entry{}, false
 	}
-	if next := ro.nextShare(); ro.CanaryFraction < 1 && next > ro.CanaryFraction {
+	if next := ro.nextFraction(); ro.CanaryFraction < 1 && next > ro.CanaryFraction {
 		step := *ro
 		step.CanaryFraction = next
 		step.fromResults = resultCounts{}
@@ -180,20 +186,20 @@
 		entry.Reason = fmt.Sprintf("it has held at %.2f", ro.CanaryFraction)
 		return entry, true
 	}
-	entry.AliasUpdate = ro.moveTo(ro.To)
+	entry.AliasUpdate = ro.aliasUpdateTo(ro.To)
 	entry.Reason = "it has held at every step"
 	return entry, true
 }
 
-func (ro *Rollout) moveTo(d digest.Digest) *AliasUpdate {
+func (ro *Rollout) aliasUpdateTo(d digest.Digest) *AliasUpdate {
 	return &AliasUpdate{Function: ro.Function, Alias: ro.Alias, Digest: d}
 }
 
-// nextShare returns the share of the next step; 1 after the last one.
-func (ro *Rollout) nextShare() float64 {
-	for _, share := range ro.Steps {
-		if share > ro.CanaryFraction {
-			return share
+// nextFraction returns the canary fraction of the next step, or 1 after the last step.
+func (ro *Rollout) nextFraction() float64 {
+	for _, fraction := range ro.Steps {
+		if fraction > ro.CanaryFraction {
+			return fraction
 		}
 	}
 	return 1
--- a/internal/registry/rollout_pacer.go
+++ b/internal/registry/rollout_pacer.go
@@ -7,53 +7,56 @@
 	"github.com/opencontainers/go-digest"
 )
 
-// Migration is one function of a release.
+// Migration is the move of one function to its new version in a release.
 type Migration struct {
 	Function    string
 	To          digest.Digest
-	RequestRate float64 // how much it is requested; the most requested functions go first
-	LoadTime    float64 // usual seconds of a load, 0 where unknown
+	RequestRate float64 // functions with a higher request rate migrate first
+	LoadTime    float64 // expected load time in seconds, 0 if unknown
 
 	state         migrationState
-	loadStartedAt float64 // seconds
-	attempts      int
+	loadStartedAt float64 // in seconds
+	attempts      int     // load attempts
 }
 
+// migrationState is the progress of a migration.
 type migrationState uint8
 
 const (
 	migrationPending migrationState = iota
 	migrationLoading
 	migrationDone
-	migrationAbandoned // its alias stays where it was
+	migrationAbandoned // all load attempts failed; the alias did not move
 )
 
 const (
-	// maxLoadSlowdown is the multiple of its usual time at which a load counts as lost: the store has a fault.
+	// maxLoadSlowdown is the multiple of its expected time after which a load counts as failed.
 	maxLoadSlowdown = 4.0
-	// pauseLoadSlowdown is the multiple at which a load that succeeded pauses the release.
+	// pauseLoadSlowdown is the multiple of its expected time after which a successful load pauses the release.
 	pauseLoadSlowdown = maxLoadSlowdown / 2
-	// minExpectedLoadTime, in seconds, is the least that a usual load counts as: a hiccup makes quick loads slow.
+	// minExpectedLoadTime is the lower bound of the expected load time in seconds, so that jitter of short loads does not
+	// count as a slowdown.
 	minExpectedLoadTime = 0.5
-	// pauseDuration is for how many seconds a release pauses.
+	// pauseDuration is the length of a pause in seconds.
 	pauseDuration = 3.0
-	// maxLoadAttempts is how often the load of one function is tried.
+	// maxLoadAttempts is the maximum number of load attempts for one function.
 	maxLoadAttempts = 5
 )
 
-// RolloutPacer takes a release of many functions through one by one: a replica of the new version is loaded ahead, and
-// only when it is loaded the alias moves, so that no request waits for the load and the store doesn't get all loads at
-// once. A faulty store stops the release, not the service. It has no I/O; calls bring the time in seconds.
+// RolloutPacer limits the loads of a release of many functions. The alias of a function moves only after a replica of the
+// new version is loaded, so that no request waits for the load, and the number of concurrent loads is bounded to protect
+// the function store. Slow or failed loads pause the release; the old versions continue to serve. A RolloutPacer does no
+// I/O, and its caller passes the time in seconds.
 type RolloutPacer struct {
 	Alias  string
-	Pauses int // how often it paused
+	Pauses int // number of pauses so far
 
 	maxLoads    int
 	migrations  []*Migration
 	pausedUntil float64
 }
 
-// NewRolloutPacer plans a release; at most maxLoads loads are under way at once.
+// NewRolloutPacer returns the pacer of a release with at most maxLoads concurrent loads.
 func NewRolloutPacer(alias string, maxLoads int, list []Migration) *RolloutPacer {
 	p := &RolloutPacer{Alias: alias, maxLoads: max(maxLoads, 1)}
 	for i := range list {
@@ -72,14 +75,14 @@
 	return nil
 }
 
-// Next returns what is to be loaded now; OnRequest follows for each load that was requested. Rules, in order: what loads
-// too long counts as failed and pauses the release; while it is paused nothing is begun; no more than maxLoads at once;
-// the most requested functions first.
+// Next returns the migrations whose loads are to be started now, by descending request rate. The caller confirms each
+// started load with OnRequest. A load that takes too long counts as failed and pauses the release; during a pause Next
+// returns nothing.
 func (p *RolloutPacer) Next(now float64) []Migration {
 	loads := 0
 	for _, m := range p.migrations {
-		if m.state == migrationLoading && m.isSlowerThan(maxLoadSlowdown, now) {
-			p.pauseAfterFailure(m, now)
+		if m.state == migrationLoading && m.loadExceeds(maxLoadSlowdown, now) {
+			p.handleLoadFailure(m, now)
 		}
 		if m.state == migrationLoading {
 			loads++
@@ -97,12 +100,12 @@
 	return next
 }
 
-// isSlowerThan reports whether the load under way has taken more than a multiple of its usual time.
-func (m *Migration) isSlowerThan(multiple, now float64) bool {
+// loadExceeds reports whether the current load has taken longer than a multiple of its expected time.
+func (m *Migration) loadExceeds(multiple, now float64) bool {
 	return now-m.loadStartedAt > multiple*max(m.LoadTime, minExpectedLoadTime)
 }
 
-// OnRequest notes that a load was requested.
+// OnRequest records that the load of a function was requested.
 func (p *RolloutPacer) OnRequest(function string, now float64) {
 	if m := p.find(function); m != nil && m.state == migrationPending {
 		m.state = migrationLoading
@@ -116,7 +119,8 @@
 	p.Pauses++
 }
 
-func (p *RolloutPacer) pauseAfterFailure(m *Migration, now float64) {
+// handleLoadFailure pauses the release and schedules another load attempt, unless the attempts are used up.
+func (p *RolloutPacer) handleLoadFailure(m *Migration, now float64) {
 	p.pause(now)
 	m.state = migrationPending
 	if m.attempts >= maxLoadAttempts {
@@ -124,27 +128,28 @@
 	}
 }
 
-// OnLoadFailed notes that a load failed.
+// OnLoadFailed records that the load of a function failed.
 func (p *RolloutPacer) OnLoadFailed(function string, now float64) {
 	if m := p.find(function); m != nil && m.state == migrationLoading {
-		p.pauseAfterFailure(m, now)
+		p.handleLoadFailure(m, now)
 	}
 }
 
-// OnLoaded notes that a replica is loaded, and returns the move that is due. One that took long pauses the release.
+// OnLoaded records that a replica of a function is loaded and returns the alias update that is now due, if any. A slow
+// load pauses the release.
 func (p *RolloutPacer) OnLoaded(function string, now float64) (AliasUpdate, bool) {
 	m := p.find(function)
 	if m == nil || m.state == migrationDone || m.state == migrationAbandoned {
 		return AliasUpdate{}, false
 	}
-	if m.state == migrationLoading && m.isSlowerThan(pauseLoadSlowdown, now) {
+	if m.state == migrationLoading && m.loadExceeds(pauseLoadSlowdown, now) {
 		p.pause(now)
 	}
 	m.state = migrationDone
 	return AliasUpdate{Function: m.Function, Alias: p.Alias, Digest: m.To}, true
 }
 
-// Loading returns the functions whose loads are under way.
+// Loading returns the migrations whose loads are in progress.
 func (p *RolloutPacer) Loading() []Migration {
 	var list []Migration
 	for _, m := range p.migrations {
@@ -155,7 +160,7 @@
 	return list
 }
 
-// Remaining returns how many functions are still to migrate, and which were abandoned.
+// Remaining returns the number of unfinished migrations and the functions whose migrations were abandoned.
 func (p *RolloutPacer) Remaining() (remaining int, abandoned []string) {
 	for _, m := range p.migrations {
 		switch m.state {
@@ -163,6 +168,7 @@
 			remaining++
 		case migrationAbandoned:
 			abandoned = append(abandoned, m.Function)
+		case migrationDone:
 		}
 	}
 	return remaining, abandoned
--- a/internal/registry/rollout_pacer_test.go
+++ b/internal/registry/rollout_pacer_test.go
@@ -7,11 +7,11 @@
 	"testing"
 )
 
-func TestReleaseRestsWhenTheStoreIsInTrouble(t *testing.T) {
+func TestRolloutPacer_PausesOnSlowOrFailedLoads(t *testing.T) {
 	p := NewRolloutPacer(Current, 2, []Migration{{Function: "b", RequestRate: 1}, {Function: "a", RequestRate: 5}, {Function: "c"}})
 	next := p.Next(0)
 	if len(next) != 2 || next[0].Function != "a" || next[1].Function != "b" {
-		t.Fatalf("the most used two go first: %+v", next)
+		t.Fatalf("want the two most requested functions first: %+v", next)
 	}
 	p.OnRequest("a", 0)
 	p.OnRequest("b", 0)
@@ -22,27 +22,28 @@
 		t.Fatalf("%+v", n)
 	}
 	if p.Next(2.1); len(p.Next(2.2)) != 0 || p.Pauses != 1 {
-		t.Fatal("goes on though a load hangs")
+		t.Fatal("did not pause after a load timed out")
 	}
 	if n := p.Next(5.2); len(n) != 2 || n[0].Function != "b" {
-		t.Fatalf("after its rest: %+v", n)
+		t.Fatalf("after the pause: %+v", n)
 	}
-	if _, again := p.OnLoaded("a", 6); again {
-		t.Error("moved twice")
+	if _, due := p.OnLoaded("a", 6); due {
+		t.Error("second alias update for one function")
 	}
 	for range maxLoadAttempts {
 		p.OnRequest("b", 10)
 		p.OnLoadFailed("b", 10)
 	}
-	if left, lost := p.Remaining(); left != 1 || fmt.Sprint(lost) != "[b]" {
-		t.Error(left, lost)
+	if remaining, abandoned := p.Remaining(); remaining != 1 || fmt.Sprint(abandoned) != "[b]" {
+		t.Error(remaining, abandoned)
 	}
 }
 
 const simulatedFunctions = 30
 
-// Under any store every function moves at most once, never more loads are under way than stated, and the release ends.
-func TestReleaseEndsUnderAnyStore(t *testing.T) {
+// Whatever the results of the loads, every function moves at most once, the number of concurrent loads is bounded, and the
+// release ends.
+func TestRolloutPacer_TerminatesUnderRandomLoadResults(t *testing.T) {
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 1))
@@ -56,14 +57,14 @@
 			remaining := simulatedFunctions
 			for now := 0.0; remaining > 0; now += 0.25 {
 				if now > 3000 {
-					t.Fatalf("%d still to go", remaining)
+					t.Fatalf("%d migrations still remaining", remaining)
 				}
-				stepRelease(t, p, rng, maxLoads, now, moves)
+				stepPacer(t, p, rng, maxLoads, now, moves)
 				remaining, _ = p.Remaining()
 			}
 			_, abandoned := p.Remaining()
 			if len(moves)+len(abandoned) != simulatedFunctions {
-				t.Fatalf("%d moved, %d given up", len(moves), len(abandoned))
+				t.Fatalf("%d moved, %d abandoned", len(moves), len(abandoned))
 			}
 			for f, n := range moves {
 				if n != 1 {
@@ -74,14 +75,14 @@
 	}
 }
 
-// stepRelease begins the loads that are due and ends some of those under way; it counts the moves by function.
-func stepRelease(t *testing.T, p *RolloutPacer, rng *rand.Rand, maxLoads int, now float64, moves map[string]int) {
+// stepPacer starts the loads that are due and completes some of those in progress. It counts the alias moves by function.
+func stepPacer(t *testing.T, p *RolloutPacer, rng *rand.Rand, maxLoads int, now float64, moves map[string]int) {
 	t.Helper()
 	for _, m := range p.Next(now) {
 		p.OnRequest(m.Function, now)
 	}
 	if n := len(p.Loading()); n > maxLoads {
-		t.Fatalf("%d loads at once, %d are allowed", n, maxLoads)
+		t.Fatalf("%d concurrent loads, limit %d", n, maxLoads)
 	}
 	for _, m := range p.Loading() {
 		switch rng.IntN(6) {
--- a/internal/registry/signing/envelope.go
+++ b/internal/registry/signing/envelope.go
@@ -45,8 +45,8 @@
 	return s
 }
 
-// isAbout reports whether a statement says that a version of a function has a digest.
-func (s *statement) isAbout(function, version string, d digest.Digest) bool {
+// matches reports whether a statement says that a version of a function has a digest.
+func (s *statement) matches(function, version string, d digest.Digest) bool {
 	return s.Type == statementType && s.PredicateType == predicateType && s.Predicate.Version == version &&
 		slices.ContainsFunc(s.Subject, func(subject subject) bool {
 			return subject.Name == function && subject.Digest[d.Algorithm().String()] == d.Encoded()
--- a/internal/registry/signing/ring.go
+++ b/internal/registry/signing/ring.go
@@ -117,8 +117,8 @@
 	return k.ValidUntil.IsZero() || now.Before(k.ValidUntil)
 }
 
-// maySign reports whether the key may vouch for a function.
-func (k *Key) maySign(function string) bool {
+// maySignFor reports whether the key may vouch for a function.
+func (k *Key) maySignFor(function string) bool {
 	return len(k.FunctionPatterns) == 0 || slices.ContainsFunc(k.FunctionPatterns, func(pattern string) bool {
 		matched, _ := path.Match(pattern, function) // patterns are checked when the ring is read
 		return matched
--- a/internal/registry/signing/verify.go
+++ b/internal/registry/signing/verify.go
@@ -63,7 +63,7 @@
 	if err := json.Unmarshal(payload, &s); err != nil {
 		return nil, fmt.Errorf("statement: %w", err)
 	}
-	if !s.isAbout(function, version, d) {
+	if !s.matches(function, version, d) {
 		return nil, fmt.Errorf("it is about something else than %s:%s with %s", function, version, d)
 	}
 	var ids []string
@@ -77,7 +77,7 @@
 func (r *Ring) usableKeys(signatures []dsse.Signature, now time.Time, function string) (usable []dsse.Verifier, rejections []error) {
 	for _, signature := range signatures {
 		k := r.findKey(signature.KeyID)
-		if err := k.check(signature.KeyID, now, function); err != nil {
+		if err := k.checkUsable(signature.KeyID, now, function); err != nil {
 			rejections = append(rejections, err)
 			continue
 		}
@@ -86,8 +86,8 @@
 	return usable, rejections
 }
 
-// check returns why a key may not vouch for a function now. The key is nil where the ring doesn't have the id.
-func (k *Key) check(id string, now time.Time, function string) error {
+// checkUsable returns why a key may not vouch for a function now. The key is nil where the ring doesn't have the id.
+func (k *Key) checkUsable(id string, now time.Time, function string) error {
 	switch {
 	case k == nil:
 		return fmt.Errorf("key %q is not in the ring", id)
@@ -95,7 +95,7 @@
 		return fmt.Errorf("key %q is revoked", id)
 	case !k.isValidAt(now):
 		return fmt.Errorf("key %q is not valid at %s", id, now.Format(time.RFC3339))
-	case !k.maySign(function):
+	case !k.maySignFor(function):
 		return fmt.Errorf("key %q may not vouch for %s", id, function)
 	default:
 		return nil
