--- a/internal/registry/oci/cache.go
+++ b/internal/registry/oci/cache.go
@@ -7,20 +7,20 @@
 	"github.com/opencontainers/go-digest"
 )
 
-// cacheEntry is one piece of content that is kept. Times are in seconds.
+// cacheEntry describes one piece of cached content. Times are in seconds.
 type cacheEntry struct {
 	digest     digest.Digest
 	size       int64
 	lastUsed   float64
-	verifiedAt float64 // when its digest was last found right
-	pinned     bool    // a version in use needs it
+	verifiedAt float64 // last successful verification of the digest
+	pinned     bool    // must not be evicted
 }
 
-// contentCache decides what a folder of at most maxBytes holds: a cache that evicts the least recently used content. It
-// has no I/O and no clock; its calls bring the time in seconds.
+// contentCache is the LRU index of a folder that holds at most maxBytes. It does no I/O, and its caller passes the time in
+// seconds.
 type contentCache struct {
 	maxBytes int64
-	size     int64
+	size     int64 // total size of the entries in bytes
 	entries  map[digest.Digest]*cacheEntry
 }
 
@@ -28,30 +28,30 @@
 	return &contentCache{maxBytes: maxBytes, entries: map[digest.Digest]*cacheEntry{}}
 }
 
-// touch reports whether content is held, and marks it as used.
+// touch marks content as used now. It reports whether the content is cached.
 func (c *contentCache) touch(d digest.Digest, now float64) bool {
-	item := c.entries[d]
-	if item != nil {
-		item.lastUsed = max(item.lastUsed, now)
+	entry := c.entries[d]
+	if entry != nil {
+		entry.lastUsed = max(entry.lastUsed, now)
 	}
-	return item != nil
+	return entry != nil
 }
 
-// add takes content in and returns what is evicted for it, the least recently used first; pinned content never is. ok is
-// false, and nothing changes, where there is no room.
+// add adds content and returns what it evicted, least recently used first. Pinned content is never evicted. If the capacity
+// does not suffice, add changes nothing and ok is false.
 func (c *contentCache) add(d digest.Digest, size int64, now float64) (evicted []digest.Digest, ok bool) {
-	if item := c.entries[d]; item != nil {
-		item.lastUsed = now
+	if entry := c.entries[d]; entry != nil {
+		entry.lastUsed = now
 		return nil, true
 	}
 	free := c.maxBytes - c.size
-	for _, item := range c.leastRecentlyUsed() {
+	for _, entry := range c.leastRecentlyUsed() {
 		if free >= size {
 			break
 		}
-		if !item.pinned {
-			evicted = append(evicted, item.digest)
-			free += item.size
+		if !entry.pinned {
+			evicted = append(evicted, entry.digest)
+			free += entry.size
 		}
 	}
 	if free < size {
@@ -66,30 +66,30 @@
 }
 
 func (c *contentCache) remove(d digest.Digest) {
-	if item := c.entries[d]; item != nil {
-		c.size -= item.size
+	if entry := c.entries[d]; entry != nil {
+		c.size -= entry.size
 		delete(c.entries, d)
 	}
 }
 
-// pin protects the content that versions in use need; all other may be evicted.
-func (c *contentCache) pin(needed []digest.Digest) {
-	for _, item := range c.entries {
-		item.pinned = false
+// pin pins the given content and unpins all other.
+func (c *contentCache) pin(digests []digest.Digest) {
+	for _, entry := range c.entries {
+		entry.pinned = false
 	}
-	for _, d := range needed {
-		if item := c.entries[d]; item != nil {
-			item.pinned = true
+	for _, d := range digests {
+		if entry := c.entries[d]; entry != nil {
+			entry.pinned = true
 		}
 	}
 }
 
-// oldestVerified returns the content whose digest was verified longest ago, if that is at least minAge; "" for none.
+// oldestVerified returns the content with the oldest verification, or "" if none is at least minAge seconds old.
 func (c *contentCache) oldestVerified(now, minAge float64) digest.Digest {
 	var oldest *cacheEntry
-	for _, item := range c.leastRecentlyUsed() {
-		if now-item.verifiedAt >= minAge && (oldest == nil || item.verifiedAt < oldest.verifiedAt) {
-			oldest = item
+	for _, entry := range c.leastRecentlyUsed() {
+		if now-entry.verifiedAt >= minAge && (oldest == nil || entry.verifiedAt < oldest.verifiedAt) {
+			oldest = entry
 		}
 	}
 	if oldest == nil {
@@ -98,23 +98,19 @@
 	return oldest.digest
 }
 
-// verified notes whether content was found right; wrong content is removed.
-func (c *contentCache) verified(d digest.Digest, ok bool, now float64) {
-	item := c.entries[d]
-	switch {
-	case item == nil:
-	case ok:
-		item.verifiedAt = now
-	default:
-		c.remove(d)
+// markVerified records a successful verification of content.
+func (c *contentCache) markVerified(d digest.Digest, now float64) {
+	if entry := c.entries[d]; entry != nil {
+		entry.verifiedAt = now
 	}
 }
 
-// leastRecentlyUsed orders by last use, then by digest, so that the same calls evict the same content.
+// leastRecentlyUsed returns the entries ordered by last use. Ties are ordered by digest, which makes evictions
+// deterministic.
 func (c *contentCache) leastRecentlyUsed() []*cacheEntry {
 	list := make([]*cacheEntry, 0, len(c.entries))
-	for _, item := range c.entries {
-		list = append(list, item)
+	for _, entry := range c.entries {
+		list = append(list, entry)
 	}
 	slices.SortFunc(list, func(a, b *cacheEntry) int {
 		return cmp.Or(cmp.Compare(a.lastUsed, b.lastUsed), cmp.Compare(a.digest, b.digest))
--- a/internal/registry/oci/cache_test.go
+++ b/internal/registry/oci/cache_test.go
@@ -7,18 +7,19 @@
 	"pgregory.net/rapid"
 )
 
-const modelCapacity = 100 // that the cache of the model test holds
+const modelCapacity = 100 // capacity of the cache in the model test, in bytes
 
-// modelEntry is content as the model of the cache has it.
+// modelEntry is one piece of content in the model.
 type modelEntry struct {
 	size     int64
 	lastUsed float64
 	pinned   bool
 }
 
+// cacheModel is a reference model of a contentCache.
 type cacheModel map[digest.Digest]*modelEntry
 
-// add compares what the cache evicts for content with the model.
+// add adds content to the cache and checks the evictions against the model.
 func (m cacheModel) add(t *rapid.T, c *contentCache, d digest.Digest, size int64, now float64) {
 	if m[d] != nil {
 		size = m[d].size
@@ -27,14 +28,14 @@
 	newest := 0.0
 	for _, e := range evicted {
 		if m[e] == nil || m[e].pinned {
-			t.Fatal("pinned or unknown content was evicted")
+			t.Fatal("evicted pinned or unknown content")
 		}
 		newest = max(newest, m[e].lastUsed)
 		delete(m, e)
 	}
-	for _, kept := range m {
-		if len(evicted) > 0 && !kept.pinned && kept.lastUsed < newest {
-			t.Fatal("something used longer ago stayed")
+	for _, retained := range m {
+		if len(evicted) > 0 && !retained.pinned && retained.lastUsed < newest {
+			t.Fatal("evicted content that was used more recently than retained content")
 		}
 	}
 	if !ok {
@@ -46,9 +47,9 @@
 	m[d].lastUsed = now
 }
 
-func (m cacheModel) use(t *rapid.T, c *contentCache, d digest.Digest, now float64) {
+func (m cacheModel) touch(t *rapid.T, c *contentCache, d digest.Digest, now float64) {
 	if c.touch(d, now) != (m[d] != nil) {
-		t.Fatalf("%s is held: %v, in the model: %v", d, m[d] == nil, m[d] != nil)
+		t.Fatalf("%s cached: %v, in the model: %v", d, m[d] == nil, m[d] != nil)
 	}
 	if m[d] != nil {
 		m[d].lastUsed = now
@@ -57,20 +58,21 @@
 
 func (m cacheModel) pin(c *contentCache, d digest.Digest) {
 	c.pin([]digest.Digest{d})
-	for other, item := range m {
-		item.pinned = other == d
+	for other, entry := range m {
+		entry.pinned = other == d
 	}
 }
 
 func (m cacheModel) size() int64 {
 	sum := int64(0)
-	for _, item := range m {
-		sum += item.size
+	for _, entry := range m {
+		sum += entry.size
 	}
 	return sum
 }
 
-// The bound holds whatever comes, pinned content is never evicted, and what is evicted was used longest ago.
+// Under random calls the cache never exceeds its capacity, never evicts pinned content, and evicts the least recently used
+// content first.
 func TestContentCache_MatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cache := newContentCache(modelCapacity)
@@ -81,12 +83,12 @@
 			case 0, 1:
 				model.add(t, cache, d, int64(rapid.IntRange(1, 60).Draw(t, "size")), now)
 			case 2:
-				model.use(t, cache, d, now)
+				model.touch(t, cache, d, now)
 			case 3:
 				model.pin(cache, d)
 			}
 			if sum := model.size(); sum != cache.size || sum > modelCapacity {
-				t.Fatalf("%d bytes, the model has %d", cache.size, sum)
+				t.Fatalf("cache has %d bytes, model %d", cache.size, sum)
 			}
 		}
 	})
--- a/internal/registry/oci/client.go
+++ b/internal/registry/oci/client.go
@@ -20,7 +20,7 @@
 	"streamcleat/internal/registry/signing"
 )
 
-// How HTTP requests are retried and bounded.
+// Retries and timeout of HTTP requests.
 const (
 	minRetryWait   = 50 * time.Millisecond
 	maxRetryWait   = 2 * time.Second
@@ -28,33 +28,34 @@
 	requestTimeout = 30 * time.Second
 )
 
-// How content is read.
+// Limits on reading content.
 const (
-	maxReadAttempts    = 4 // of content that is cut off or wrong
+	maxReadAttempts    = 4 // for truncated or corrupt content
 	readBackoffInitial = 20 * time.Millisecond
 	maxManifestBytes   = 4 << 20
-	maxSignatures      = 32 // that are read of one version
+	maxSignatures      = 32 // read per version
 	maxSignatureBytes  = 64 << 10
 )
 
-// Client reads versions from a registry. One goroutine uses it at a time.
+// Client reads versions from a registry. It is not safe for concurrent use.
 type Client struct {
-	Fetched int64 // bytes of layers that came over the network
+	Fetched int64 // bytes of layers fetched over the network
 
 	host      string
 	plainHTTP bool
-	prefix    string // of the repositories' names
+	prefix    string // of repository names
 	folder    *Folder
 	http      *http.Client
 	user      string
 	secret    string
 }
 
-// NewClient makes a client of a registry at http://host[/path] or https://. User and secret may be empty.
+// NewClient returns a client of the registry at base, an http or https URL. The path of the URL is a prefix of the
+// repository names. user and secret may be empty.
 func NewClient(base, user, secret string, folder *Folder) (*Client, error) {
 	u, err := url.Parse(base)
 	if err != nil || u.Host == "" || u.Scheme != "http" && u.Scheme != "https" {
-		return nil, fmt.Errorf("registry %q is not http://host or https://host", base)
+		return nil, fmt.Errorf("registry URL %q: want http://host or https://host", base)
 	}
 	c := &Client{
 		host:      u.Host,
@@ -68,7 +69,7 @@
 	return c, nil
 }
 
-// setTransport sets what carries requests; retries go over it.
+// setTransport sets the transport that requests and their retries use.
 func (c *Client) setTransport(base http.RoundTripper) {
 	transport := retry.NewTransport(base)
 	transport.Policy = func() retry.Policy {
@@ -90,7 +91,7 @@
 	}
 	repository, err := remote.NewRepository(c.host + "/" + name)
 	if err != nil {
-		return nil, fmt.Errorf("function %q can't be a repository's name: %w", function, err)
+		return nil, fmt.Errorf("function %q is not a valid repository name: %w", function, err)
 	}
 	repository.PlainHTTP = c.plainHTTP
 	repository.ManifestMediaTypes = []string{ocispec.MediaTypeImageManifest}
@@ -102,12 +103,12 @@
 	return repository, nil
 }
 
-// fetcher opens content of a registry: its manifests or its layers.
+// fetcher opens manifests or layers of a repository.
 type fetcher interface {
 	Fetch(ctx context.Context, target ocispec.Descriptor) (io.ReadCloser, error)
 }
 
-// fetch reads content and checks its size and digest. It tries again where content was cut off or wrong.
+// fetch reads content and verifies its size and digest. It retries if the content is truncated or corrupt.
 func (c *Client) fetch(ctx context.Context, from fetcher, target ocispec.Descriptor) (data []byte, err error) {
 	for attempt := range maxReadAttempts {
 		if data, err = fetchOnce(ctx, from, target); err == nil {
@@ -127,11 +128,11 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = r.Close() }() // the content is checked by its digest
+	defer func() { _ = r.Close() }() // ReadAll verifies the content by its digest
 	return content.ReadAll(r, target)
 }
 
-// Pull fetches a version's layers into the folder; those that are there are not fetched again. It returns their
+// Pull fetches the manifest and layers of a version into the folder, except those already cached. It returns their
 // digests, the manifest's first.
 func (c *Client) Pull(ctx context.Context, function string, d digest.Digest) ([]digest.Digest, error) {
 	repository, err := c.repository(function)
@@ -142,19 +143,19 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", function, err)
 	}
-	held := []digest.Digest{d}
+	cached := []digest.Digest{d}
 	for _, layer := range append([]ocispec.Descriptor{manifest.Config}, manifest.Layers...) {
 		if _, ok := c.folder.Get(layer.Digest); !ok {
 			if err := c.pullLayer(ctx, repository, function, layer); err != nil {
-				return held, err
+				return cached, err
 			}
 		}
-		held = append(held, layer.Digest)
+		cached = append(cached, layer.Digest)
 	}
-	return held, nil
+	return cached, nil
 }
 
-// pullLayer fetches a layer into the folder.
+// pullLayer fetches a layer and stores it in the folder.
 func (c *Client) pullLayer(ctx context.Context, repository *remote.Repository, function string, layer ocispec.Descriptor) error {
 	data, err := c.fetch(ctx, repository.Blobs(), layer)
 	if err != nil {
@@ -164,8 +165,8 @@
 	return c.folder.Put(layer.Digest, data)
 }
 
-// Signatures reads the envelopes that refer to a version, by the registry's list of referrers; none where it has no
-// such list.
+// Signatures returns the signature envelopes attached to a version, by the registry's referrers list. It skips the
+// remaining referrers once it has maxSignatures envelopes, and returns none if the registry has no referrers.
 func (c *Client) Signatures(ctx context.Context, function string, d digest.Digest) ([][]byte, error) {
 	repository, err := c.repository(function)
 	if err != nil {
@@ -195,7 +196,7 @@
 	return envelopes, nil
 }
 
-// envelopes reads the envelopes among the layers of a referrer.
+// envelopes returns the signature envelopes among the layers of a referrer.
 func (c *Client) envelopes(ctx context.Context, repository *remote.Repository, referrer digest.Digest) ([][]byte, error) {
 	manifest, err := c.manifest(ctx, repository, referrer)
 	if err != nil {
--- a/internal/registry/oci/client_test.go
+++ b/internal/registry/oci/client_test.go
@@ -19,7 +19,7 @@
 	"streamcleat/internal/verification/fakes"
 )
 
-// newClient makes a client of a registry with a folder of its own.
+// newClient returns a client of a registry and its empty folder.
 func newClient(t *testing.T, r *fakes.Registry) (*Client, *Folder) {
 	t.Helper()
 	folder, err := OpenFolder(t.TempDir(), 1<<20)
@@ -42,7 +42,7 @@
 
 var testLayer = bytes.Repeat([]byte("layer"), 2000)
 
-// roundTripFunc carries requests in place of a connection.
+// roundTripFunc is a function that implements http.RoundTripper.
 type roundTripFunc func(*http.Request) (*http.Response, error)
 
 // RoundTrip calls f.
@@ -67,60 +67,60 @@
 	}
 	var annotation *AnnotationError
 	if _, err := c.Resolve(context.Background(), "tally", "odd"); !errors.As(err, &annotation) || annotation.Value != "none" {
-		t.Errorf("not an error of the annotation: %v", err)
+		t.Errorf("not an AnnotationError: %v", err)
 	}
 	r.Untag("shops/tally", "current")
 	if _, err := c.Resolve(context.Background(), "tally", "current"); err == nil {
-		t.Error("a deleted tag still names something")
+		t.Error("a deleted tag still resolves")
 	}
-	if held, err := c.Pull(context.Background(), "tally", d); err != nil || len(held) != 3 {
-		t.Error("the version itself is there all the same: ", held, err)
+	if pulled, err := c.Pull(context.Background(), "tally", d); err != nil || len(pulled) != 3 {
+		t.Error("version not pulled by digest: ", pulled, err)
 	}
 }
 
 func TestClient_PullWithRegistryFaults(t *testing.T) {
 	for _, c := range []struct {
-		name                     string
-		cut, wrong, fail, status int
-		ok                       bool
+		name                               string
+		truncated, corrupt, failed, status int // faults of the next responses
+		ok                                 bool
 	}{
-		{"cut off twice", 2, 0, 0, 0, true},
-		{"wrong content once", 0, 1, 0, 0, true},
-		{"wrong content for good", 0, 1000, 0, 0, false},
-		{"cut off for good", 1000, 0, 0, 0, false},
+		{"truncated twice", 2, 0, 0, 0, true},
+		{"corrupt once", 0, 1, 0, 0, true},
+		{"always corrupt", 0, 1000, 0, 0, false},
+		{"always truncated", 1000, 0, 0, 0, false},
 		{"too many requests", 0, 0, 2, 429, true},
 		{"unavailable", 0, 0, 2, 503, true},
-		{"broken for good", 0, 0, 1000, 500, false},
+		{"always failing", 0, 0, 1000, 500, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := startRegistry(t)
 			d := r.Push("shops/tally", nil, [][]byte{testLayer}, "current")
 			client, folder := newClient(t, r)
-			r.FailNext(c.cut, c.wrong, c.fail, c.status)
+			r.FailNext(c.truncated, c.corrupt, c.failed, c.status)
 			ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 			_, err := client.Pull(ctx, "tally", d)
 			cancel()
 			if (err == nil) != c.ok {
 				t.Error(err)
 			}
-			if data, held := folder.Get(digest.FromBytes(testLayer)); held != c.ok || held && !bytes.Equal(data, testLayer) {
-				t.Errorf("layer held %v", held)
+			if data, cached := folder.Get(digest.FromBytes(testLayer)); cached != c.ok || cached && !bytes.Equal(data, testLayer) {
+				t.Errorf("layer cached: %v, want %v", cached, c.ok)
 			}
 		})
 	}
 }
 
-// Tokens that expire in the middle of a pull are asked for anew.
+// Tokens that expire during a pull are renewed.
 func TestClient_PullRenewsExpiredTokens(t *testing.T) {
 	r := startRegistry(t)
 	r.RequireTokens(2)
 	d := r.Push("shops/tally", nil, [][]byte{testLayer, []byte("a"), []byte("b"), []byte("c")}, "current")
 	c, _ := newClient(t, r)
-	if held, err := c.Pull(context.Background(), "tally", d); err != nil || len(held) != 6 {
-		t.Error(held, err)
+	if pulled, err := c.Pull(context.Background(), "tally", d); err != nil || len(pulled) != 6 {
+		t.Error(pulled, err)
 	}
 	if r.TokensIssued() < 3 {
-		t.Errorf("%d tokens for seven requests, each good for two", r.TokensIssued())
+		t.Errorf("%d tokens for seven requests, each token valid for two", r.TokensIssued())
 	}
 }
 
@@ -137,25 +137,25 @@
 		}
 	}
 	if want := int64(len(testLayer) + len("one") + len("two") + len("{}")); c.Fetched != want {
-		t.Errorf("%d bytes fetched, whole copies each time are %d, each layer once is %d", c.Fetched, 6*len(testLayer), want)
+		t.Errorf("%d bytes fetched, want %d: each layer once", c.Fetched, want)
 	}
-	r.Close() // unreachable: what is held still serves
+	r.Close() // cached content is served without the registry
 	if _, err := c.Pull(context.Background(), "tally", a); err != nil {
 		t.Error(err)
 	}
-	// What turns wrong on disk is never handed out; a scrub finds it.
+	// Content that is corrupted on disk is found by verification and never returned.
 	d := digest.FromBytes(testLayer)
-	if err := os.WriteFile(f.path(d), []byte("rot"), 0o640); err != nil {
+	if err := os.WriteFile(f.path(d), []byte("corrupt"), 0o640); err != nil {
 		t.Fatal(err)
 	}
 	checked, ok := f.VerifyOldest(0)
 	for checked != d {
 		checked, ok = f.VerifyOldest(0)
 	}
-	if _, held := f.Get(d); held || ok {
-		t.Error("rotten content is held")
+	if _, cached := f.Get(d); cached || ok {
+		t.Error("corrupt content still cached")
 	}
-	if err := f.Put(d, []byte("rot")); !errors.Is(err, ErrDigestMismatch) {
+	if err := f.Put(d, []byte("corrupt")); !errors.Is(err, ErrDigestMismatch) {
 		t.Error(err)
 	}
 }
@@ -175,12 +175,12 @@
 	}
 	r.FailNext(0, 0, 1000, 500)
 	if _, err := c.Signatures(context.Background(), "tally", d); err == nil {
-		t.Error("a registry in trouble passes for one without signatures")
+		t.Error("no error from a failing registry")
 	}
 }
 
-// Ten minutes without registry, on a virtual clock: each pull gives up in bounded time, what is held serves, and the
-// first pull after it succeeds.
+// During an outage of ten minutes, on a virtual clock, each pull fails in bounded time and cached versions can be pulled.
+// The first pull after the outage succeeds.
 func TestClient_PullDuringRegistryOutage(t *testing.T) {
 	r := startRegistry(t)
 	d, next := r.Push("shops/tally", map[string]string{"v": "1"}, [][]byte{testLayer}), r.Push("shops/tally", map[string]string{"v": "2"}, [][]byte{[]byte("two")})
@@ -209,15 +209,15 @@
 				t.Fatal(err)
 			}
 			if took := time.Since(pullStart); took > 10*time.Second {
-				t.Fatalf("a pull took %v to give up", took)
+				t.Fatalf("failed pull took %v", took)
 			}
 			if _, err := c.Pull(t.Context(), "tally", d); err != nil {
-				t.Fatal("what is held does not serve: ", err)
+				t.Fatal("pulling a cached version: ", err)
 			}
 		}
 		unreachable = false
-		if held, err := c.Pull(t.Context(), "tally", next); err != nil || len(held) != 3 {
-			t.Error(held, err)
+		if pulled, err := c.Pull(t.Context(), "tally", next); err != nil || len(pulled) != 3 {
+			t.Error(pulled, err)
 		}
 		t.Logf("%d requests refused in %v", attempts, time.Since(start))
 	})
--- a/internal/registry/oci/doc.go
+++ b/internal/registry/oci/doc.go
@@ -1,6 +1,6 @@
-// Package oci reads versions of functions from a registry that speaks the OCI distribution specification, and keeps
-// content by digest in a bounded folder.
+// Package oci reads versions of functions from a registry that implements the OCI distribution specification, and caches
+// their content by digest in a folder of bounded size.
 //
-// A Client has the network, a Folder owns the files on disk, and its cache decides without I/O what is evicted and what
-// is verified next. The handler commands are the callers; a running box needs neither.
+// A Client talks to the registry. A Folder owns the files on disk; its contentCache decides, without I/O, which content is
+// evicted and which is verified next. Only the handler commands use this package; a running appliance does not.
 package oci
--- a/internal/registry/oci/folder.go
+++ b/internal/registry/oci/folder.go
@@ -12,19 +12,19 @@
 	"github.com/opencontainers/go-digest"
 )
 
-// ErrDigestMismatch reports that content has another digest than it was asked for by.
-var ErrDigestMismatch = errors.New("content has another digest")
+// ErrDigestMismatch is returned for content that does not have the expected digest.
+var ErrDigestMismatch = errors.New("content digest mismatch")
 
-// Folder keeps content on disk under its digest. Content whose digest is wrong is never returned. It may be used by
-// several goroutines.
+// Folder is a content-addressed cache on disk. It never returns content that does not match its digest. It is safe for
+// concurrent use.
 type Folder struct {
 	mu    sync.Mutex
 	dir   string
 	cache *contentCache
 }
 
-// OpenFolder makes a folder of at most maxBytes or takes up what it holds. Files whose names are no digests are left
-// alone.
+// OpenFolder opens or creates a folder of at most maxBytes. Existing content is indexed by the modification times of its
+// files; files whose names are not digests are ignored.
 func OpenFolder(dir string, maxBytes int64) (*Folder, error) {
 	contentDir := filepath.Join(dir, digest.SHA256.String())
 	if err := os.MkdirAll(contentDir, 0o750); err != nil {
@@ -42,7 +42,7 @@
 			continue
 		}
 		if _, ok := f.cache.add(d, info.Size(), unixSeconds(info.ModTime())); !ok {
-			f.removeFile(d) // the bound was lowered
+			f.removeFile(d) // maxBytes is lower than before
 		}
 	}
 	return f, nil
@@ -54,12 +54,12 @@
 	return filepath.Join(f.dir, d.Algorithm().String(), d.Encoded())
 }
 
-// removeFile removes a file whose content is not held any more.
+// removeFile deletes the file of content that is no longer cached.
 func (f *Folder) removeFile(d digest.Digest) {
-	_ = os.Remove(f.path(d)) // a file that stays is taken up, and checked, when the folder is opened next
+	_ = os.Remove(f.path(d)) // a file left behind is indexed when the folder is opened again, and verified when it is read
 }
 
-// Get reads content; false where it is not held. Content that has turned wrong on disk is removed and counts as not held.
+// Get returns cached content and reports whether it is present. Content that no longer matches its digest is removed.
 func (f *Folder) Get(d digest.Digest) ([]byte, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -68,32 +68,38 @@
 	}
 	data, ok := f.read(d)
 	if !ok {
-		f.cache.remove(d)
-		f.removeFile(d)
+		f.discard(d)
 		return nil, false
 	}
 	return data, true
 }
 
-// read returns content from the disk, and whether it can be read and its digest is right.
+// discard removes content that can't be read or does not match its digest.
+func (f *Folder) discard(d digest.Digest) {
+	f.cache.remove(d)
+	f.removeFile(d)
+}
+
+// read reads content from disk. ok is false if it can't be read or does not match its digest.
 func (f *Folder) read(d digest.Digest) (data []byte, ok bool) {
 	data, err := os.ReadFile(f.path(d))
 	return data, err == nil && digest.FromBytes(data) == d
 }
 
-// Put keeps content. It is rejected where its digest is wrong or there is no room for it.
+// Put stores content, evicting other content if necessary. It returns an error if the content does not match its digest
+// or does not fit.
 func (f *Folder) Put(d digest.Digest, data []byte) error {
 	if err := d.Validate(); err != nil {
 		return err
 	}
 	if actual := digest.FromBytes(data); actual != d {
-		return fmt.Errorf("%w: %s, not %s", ErrDigestMismatch, actual, d)
+		return fmt.Errorf("%w: got %s, want %s", ErrDigestMismatch, actual, d)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	evicted, ok := f.cache.add(d, int64(len(data)), unixSeconds(time.Now()))
 	if !ok {
-		return fmt.Errorf("content folder: no room for %d bytes of %s", len(data), d)
+		return fmt.Errorf("content folder: insufficient capacity for %d bytes of %s", len(data), d)
 	}
 	for _, e := range evicted {
 		f.removeFile(e)
@@ -105,22 +111,23 @@
 	return nil
 }
 
-// Pin protects content that is needed from eviction; all other may be evicted.
-func (f *Folder) Pin(needed []digest.Digest) {
+// Pin protects the given content from eviction and unpins all other.
+func (f *Folder) Pin(digests []digest.Digest) {
 	f.mu.Lock()
-	f.cache.pin(needed)
+	f.cache.pin(digests)
 	f.mu.Unlock()
 }
 
-// Size returns the bytes held.
+// Size returns the total size of the content in bytes.
 func (f *Folder) Size() int64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.cache.size
 }
 
-// VerifyOldest checks the content that was verified longest ago, if that is at least minAge seconds; it returns which,
-// "" for none, and whether it was right. Wrong content is removed.
+// VerifyOldest verifies the content with the oldest verification, if that is at least minAge seconds old. It returns the
+// digest and whether the content matches it; content that does not is removed. If there is nothing to verify, it returns
+// "" and true.
 func (f *Folder) VerifyOldest(minAge float64) (d digest.Digest, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -128,10 +135,10 @@
 	if d = f.cache.oldestVerified(now, minAge); d == "" {
 		return "", true
 	}
-	_, ok = f.read(d)
-	f.cache.verified(d, ok, now)
-	if !ok {
-		f.removeFile(d)
+	if _, ok = f.read(d); ok {
+		f.cache.markVerified(d, now)
+	} else {
+		f.discard(d)
 	}
 	return d, ok
 }
--- a/internal/registry/oci/folder_test.go
+++ b/internal/registry/oci/folder_test.go
@@ -23,16 +23,16 @@
 	a, b := put("a", 40), put("b", 40)
 	f.Pin([]digest.Digest{a})
 	put("c", 50)
-	if _, held := f.Get(b); held || f.Size() != 90 {
-		t.Error("the unpinned one had to go: ", f.Size())
+	if _, cached := f.Get(b); cached || f.Size() != 90 {
+		t.Error("unpinned content not evicted, size ", f.Size())
 	}
 	if err := f.Put(digest.FromBytes(make([]byte, 70)), make([]byte, 70)); err == nil {
-		t.Error("pinned content went")
+		t.Error("Put succeeded although only pinned content could be evicted")
 	}
 	if f, err = OpenFolder(dir, 100); err != nil || f.Size() != 90 {
 		t.Error(err, f.Size())
 	}
-	if _, held := f.Get(a); !held {
-		t.Error("lost over a restart")
+	if _, cached := f.Get(a); !cached {
+		t.Error("content missing after reopening")
 	}
 }
--- a/internal/registry/oci/manifest.go
+++ b/internal/registry/oci/manifest.go
@@ -14,7 +14,7 @@
 	"streamcleat/internal/registry"
 )
 
-// Annotations of a manifest that carry what the front end needs to know.
+// Manifest annotations with the properties of a version.
 const (
 	concurrencyAnnotation = "org.streamcleat.lanes"
 	memoryAnnotation      = "org.streamcleat.memory-mb"
@@ -22,20 +22,20 @@
 	classesAnnotation     = "org.streamcleat.event-types"
 )
 
-// AnnotationError reports a value of an annotation that can't be used.
+// AnnotationError is an invalid annotation value.
 type AnnotationError struct {
 	Annotation string
 	Value      string
 	Expected   string
 }
 
-// Error names the annotation, its value and what is expected.
+// Error returns the annotation, its value and what is expected.
 func (e *AnnotationError) Error() string {
 	return fmt.Sprintf("annotation %s: %q is not %s", e.Annotation, e.Value, e.Expected)
 }
 
-// Resolve reads what a tag names now. The manifest is read by the digest that the tag resolved to, so that a tag that
-// moves between the two reads gives one version or the other, never half of each.
+// Resolve returns the version that a tag currently names. The manifest is fetched by the digest that the tag resolved to,
+// so that a concurrent move of the tag can't mix two versions.
 func (c *Client) Resolve(ctx context.Context, function, tag string) (registry.Version, error) {
 	version, err := c.resolve(ctx, function, tag)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return version, err
 }
 
-// readAnnotations fills in what a manifest's annotations state.
+// readAnnotations sets the fields of a version that are given by manifest annotations.
 func readAnnotations(version *registry.Version, annotations map[string]string) (err error) {
 	if name := annotations[ocispec.AnnotationVersion]; name != "" {
 		version.Name = name
@@ -78,13 +78,13 @@
 	}
 	if text := annotations[concurrencyAnnotation]; text != "" {
 		if version.Concurrency, err = strconv.Atoi(text); err != nil || version.Concurrency < 1 {
-			return &AnnotationError{Annotation: concurrencyAnnotation, Value: text, Expected: "a whole number above 0"}
+			return &AnnotationError{Annotation: concurrencyAnnotation, Value: text, Expected: "a positive integer"}
 		}
 	}
 	return nil
 }
 
-// readNumber reads an annotation; 0 where it is missing.
+// readNumber returns the value of a numeric annotation, or 0 if it is missing.
 func readNumber(annotations map[string]string, name string) (float64, error) {
 	text := annotations[name]
 	if text == "" {
@@ -92,15 +92,15 @@
 	}
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil || value < 0 {
-		return 0, &AnnotationError{Annotation: name, Value: text, Expected: "a number of 0 or more"}
+		return 0, &AnnotationError{Annotation: name, Value: text, Expected: "a non-negative number"}
 	}
 	return value, nil
 }
 
-// manifest reads a manifest by digest, from the folder where it is there.
+// manifest returns the manifest with a digest, from the folder if it is cached there.
 func (c *Client) manifest(ctx context.Context, repository *remote.Repository, d digest.Digest) (m ocispec.Manifest, err error) {
-	data, held := c.folder.Get(d)
-	if !held {
+	data, cached := c.folder.Get(d)
+	if !cached {
 		if data, err = c.fetchManifest(ctx, repository, d); err != nil {
 			return m, err
 		}
@@ -111,14 +111,14 @@
 	return m, nil
 }
 
-// fetchManifest fetches a manifest into the folder.
+// fetchManifest fetches a manifest and stores it in the folder.
 func (c *Client) fetchManifest(ctx context.Context, repository *remote.Repository, d digest.Digest) ([]byte, error) {
 	descriptor, err := repository.Resolve(ctx, d.String())
 	if err != nil {
 		return nil, err
 	}
 	if descriptor.Size > maxManifestBytes {
-		return nil, fmt.Errorf("manifest of %d bytes is over %d", descriptor.Size, maxManifestBytes)
+		return nil, fmt.Errorf("manifest of %d bytes exceeds the limit of %d", descriptor.Size, maxManifestBytes)
 	}
 	descriptor.Digest = d
 	data, err := c.fetch(ctx, repository, descriptor)
--- a/internal/registry/signing/envelope.go
+++ b/internal/registry/signing/envelope.go
@@ -9,7 +9,7 @@
 	"github.com/secure-systems-lab/go-securesystemslib/dsse"
 )
 
-// Types of the envelope's payload and of the artifact that carries it in a registry.
+// Media types of the payload and the envelope, and types of the statement and its predicate.
 const (
 	PayloadType   = "application/vnd.in-toto+json"
 	EnvelopeType  = "application/vnd.dsse.envelope.v1+json"
@@ -17,10 +17,10 @@
 	predicateType = "https://streamcleat.org/release/v1"
 )
 
-// maxEnvelopeBytes bounds what is decoded for a signature: a real one has less than a kilobyte.
+// maxEnvelopeBytes is the maximum size of an envelope that is decoded. Typical envelopes are below 1 KiB.
 const maxEnvelopeBytes = 64 << 10
 
-// statement is what is signed.
+// statement is the signed payload, an in-toto Statement v1.
 type statement struct {
 	Type          string    `json:"_type"`
 	Subject       []subject `json:"subject"`
@@ -30,6 +30,7 @@
 	} `json:"predicate"`
 }
 
+// subject is the subject of a statement: a function and the digest of its manifest.
 type subject struct {
 	Name   string            `json:"name"`
 	Digest map[string]string `json:"digest"` // by algorithm
@@ -45,7 +46,7 @@
 	return s
 }
 
-// matches reports whether a statement says that a version of a function has a digest.
+// matches reports whether the statement asserts the digest of a version of a function.
 func (s *statement) matches(function, version string, d digest.Digest) bool {
 	return s.Type == statementType && s.PredicateType == predicateType && s.Predicate.Version == version &&
 		slices.ContainsFunc(s.Subject, func(subject subject) bool {
@@ -53,17 +54,17 @@
 		})
 }
 
-// decodeEnvelope reads an envelope without looking at its signatures.
+// decodeEnvelope decodes an envelope without verifying its signatures.
 func decodeEnvelope(data []byte) (*dsse.Envelope, error) {
 	if len(data) > maxEnvelopeBytes {
-		return nil, fmt.Errorf("%d bytes are too many", len(data))
+		return nil, fmt.Errorf("envelope of %d bytes exceeds the limit of %d", len(data), maxEnvelopeBytes)
 	}
 	var envelope dsse.Envelope
 	if err := json.Unmarshal(data, &envelope); err != nil {
 		return nil, err
 	}
 	if envelope.PayloadType != PayloadType {
-		return nil, fmt.Errorf("its payload is %q, not %s", envelope.PayloadType, PayloadType)
+		return nil, fmt.Errorf("payload type %q, want %s", envelope.PayloadType, PayloadType)
 	}
 	return &envelope, nil
 }
--- a/internal/registry/signing/pem.go
+++ b/internal/registry/signing/pem.go
@@ -12,11 +12,11 @@
 	privateKeyBlock = "PRIVATE KEY" // PKCS 8
 )
 
-// parseKey reads an Ed25519 key of type K from a PEM block; parse decodes the block's content.
+// parseKey parses an Ed25519 key of type K from a PEM block. parse decodes the DER content of the block.
 func parseKey[K any](text []byte, blockType string, parse func([]byte) (any, error)) (key K, err error) {
 	block, _ := pem.Decode(text)
 	if block == nil || block.Type != blockType {
-		return key, errors.New("no PEM block " + blockType)
+		return key, errors.New("no PEM block of type " + blockType)
 	}
 	parsed, err := parse(block.Bytes)
 	if err != nil {
--- a/internal/registry/signing/ring.go
+++ b/internal/registry/signing/ring.go
@@ -1,11 +1,3 @@
-// Package signing decides which versions of functions are vouched for: signatures in DSSE envelopes over in-toto
-// statements, by keys that come, go and are revoked.
-//
-// A Ring owns the keys in force. It has no I/O and no clock. The appliance verifies what is published by it, and looks
-// again at what was published when the ring changes; the handler commands make keys and signatures.
-//
-// Sources: https://github.com/secure-systems-lab/dsse (envelope, pre-authentication encoding),
-// https://github.com/in-toto/attestation (Statement v1).
 package signing
 
 import (
@@ -20,70 +12,71 @@
 	"time"
 )
 
-// Key is one that may vouch for versions. Its signatures count for what is published between ValidFrom and Until. A key
-// that is revoked never counts, nor does what it vouched for before.
+// Key is a signing key. Its signatures are accepted for versions that are published from ValidFrom until ValidUntil; a zero
+// time means no limit. If a key is revoked, none of its signatures count, including earlier ones.
 type Key struct {
 	ID               string    `json:"id"`
 	PublicKey        string    `json:"public_key"` // PEM, PKIX, Ed25519
 	ValidFrom        time.Time `json:"from,omitzero"`
 	ValidUntil       time.Time `json:"until,omitzero"`
 	Revoked          bool      `json:"revoked,omitempty"`
-	FunctionPatterns []string  `json:"functions,omitempty"` // names or patterns with * and ? that it may vouch for; none: all
+	FunctionPatterns []string  `json:"functions,omitempty"` // functions that it may sign for, as path.Match patterns; empty means all
 
 	publicKey ed25519.PublicKey
 }
 
-// Ring is the keys in force, and how many of them must vouch for a version.
+// Ring is the set of keys, and the number of them that must sign a version. It has no mutable state and is safe for
+// concurrent use.
 type Ring struct {
 	Threshold int   `json:"need"`
 	Keys      []Key `json:"keys"`
 }
 
-// FieldError is one fault of a ring's document.
+// FieldError is an invalid field of a key ring document.
 type FieldError struct {
 	Pointer string // JSON pointer
 	Err     error
 }
 
-// Error names the field and its fault.
+// Error returns the field and what is wrong with it.
 func (e *FieldError) Error() string { return fmt.Sprintf("%s: %v", e.Pointer, e.Err) }
 
-// Unwrap returns the fault.
+// Unwrap returns the underlying error.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// ReadRing reads a ring from JSON and reports every fault with its place, as a FieldError.
+// ReadRing parses a ring from JSON. It reports all invalid fields, each as a *FieldError.
 func ReadRing(data []byte) (*Ring, error) {
 	r := &Ring{Threshold: 1}
 	decoder := json.NewDecoder(bytes.NewReader(data))
-	decoder.DisallowUnknownFields() // a misspelt "revoked" must not go unseen
+	decoder.DisallowUnknownFields() // a misspelled "revoked" must not be ignored
 	if err := decoder.Decode(r); err != nil {
-		return nil, fmt.Errorf("keys: %w", err)
+		return nil, fmt.Errorf("key ring: %w", err)
 	}
-	var faults []error
+	var fieldErrors []error
 	ids := map[string]bool{}
 	for i := range r.Keys {
 		k := &r.Keys[i]
-		for _, fault := range k.parse(ids[k.ID]) {
-			faults = append(faults, &FieldError{Pointer: fmt.Sprintf("/keys/%d/%s", i, fault.Pointer), Err: fault.Err})
+		for _, e := range k.parse(ids[k.ID]) {
+			fieldErrors = append(fieldErrors, &FieldError{Pointer: fmt.Sprintf("/keys/%d/%s", i, e.Pointer), Err: e.Err})
 		}
 		ids[k.ID] = true
 	}
 	if r.Threshold < 1 || r.Threshold > len(r.Keys) {
-		faults = append(faults, &FieldError{Pointer: "/need", Err: fmt.Errorf("%d keys can't be had of %d", r.Threshold, len(r.Keys))})
+		fieldErrors = append(fieldErrors, &FieldError{Pointer: "/need", Err: fmt.Errorf("%d is not between 1 and the number of keys, %d", r.Threshold, len(r.Keys))})
 	}
-	if len(faults) > 0 {
-		return nil, fmt.Errorf("keys: %w", errors.Join(faults...))
+	if len(fieldErrors) > 0 {
+		return nil, fmt.Errorf("key ring: %w", errors.Join(fieldErrors...))
 	}
 	return r, nil
 }
 
-// parse decodes the public key and checks the fields; its faults have pointers relative to the key.
-func (k *Key) parse(duplicateID bool) (faults []FieldError) {
+// parse decodes the public key and checks the other fields. The pointers of its errors are relative to the key.
+func (k *Key) parse(duplicateID bool) (fieldErrors []FieldError) {
 	fail := func(pointer string, err error) {
-		faults = append(faults, FieldError{Pointer: pointer, Err: err})
+		fieldErrors = append(fieldErrors, FieldError{Pointer: pointer, Err: err})
 	}
 	if k.ID == "" || duplicateID {
-		fail("id", fmt.Errorf("%q is empty or stands twice", k.ID))
+		fail("id", fmt.Errorf("%q is empty or duplicate", k.ID))
 	}
 	var err error
 	if k.publicKey, err = parseKey[ed25519.PublicKey]([]byte(k.PublicKey), publicKeyBlock, x509.ParsePKIXPublicKey); err != nil {
@@ -94,10 +87,10 @@
 	}
 	for i, pattern := range k.FunctionPatterns {
 		if _, err := path.Match(pattern, ""); err != nil {
-			fail(fmt.Sprintf("functions/%d", i), fmt.Errorf("%q is no pattern", pattern))
+			fail(fmt.Sprintf("functions/%d", i), fmt.Errorf("%q is not a valid pattern", pattern))
 		}
 	}
-	return faults
+	return fieldErrors
 }
 
 func (r *Ring) findKey(id string) *Key {
@@ -109,7 +102,7 @@
 	return nil
 }
 
-// isValidAt reports whether signatures of the key count for what is published at a time.
+// isValidAt reports whether the key is within its validity period at now.
 func (k *Key) isValidAt(now time.Time) bool {
 	if !k.ValidFrom.IsZero() && now.Before(k.ValidFrom) {
 		return false
@@ -117,17 +110,17 @@
 	return k.ValidUntil.IsZero() || now.Before(k.ValidUntil)
 }
 
-// maySignFor reports whether the key may vouch for a function.
+// maySignFor reports whether the key may sign versions of a function.
 func (k *Key) maySignFor(function string) bool {
 	return len(k.FunctionPatterns) == 0 || slices.ContainsFunc(k.FunctionPatterns, func(pattern string) bool {
-		matched, _ := path.Match(pattern, function) // patterns are checked when the ring is read
+		matched, _ := path.Match(pattern, function) // ReadRing has checked the pattern
 		return matched
 	})
 }
 
-// IsTrusted reports whether a version that was published with these keys may still run: keys that were retired since
-// vouch on, revoked ones and ones that left the ring do not. A version that was published before keys were asked
-// for has none, and may run.
+// IsTrusted reports whether a version that was signed by the given keys at publication may still run. Signatures of expired
+// keys remain valid; those of revoked or removed keys do not. A version without signatures was published before signatures
+// were required, and is trusted.
 func (r *Ring) IsTrusted(ids []string) bool {
 	if len(ids) == 0 {
 		return true
--- a/internal/registry/signing/ring_test.go
+++ b/internal/registry/signing/ring_test.go
@@ -17,7 +17,7 @@
 	manifestDigest = digest.FromString("manifest")
 )
 
-// newKey makes a key pair whose seed is the first letter of its id.
+// newKey returns a key pair whose seed is derived from the first letter of its ID.
 func newKey(t *testing.T, id string) ([]byte, Key) {
 	t.Helper()
 	private, k, err := NewKey(id, bytes.Repeat([]byte(id[:1]), 32))
@@ -27,9 +27,9 @@
 	return private, k
 }
 
-func newRing(t *testing.T, need int, keys ...Key) *Ring {
+func newRing(t *testing.T, threshold int, keys ...Key) *Ring {
 	t.Helper()
-	data, err := json.Marshal(Ring{need, keys})
+	data, err := json.Marshal(Ring{threshold, keys})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,40 +50,42 @@
 }
 
 func TestRing_Verify(t *testing.T) {
-	old, oldKey := newKey(t, "old")
-	fresh, freshKey := newKey(t, "fresh")
-	by, byFresh := mustSign(t, "old", old, "tally", "1.0", manifestDigest), mustSign(t, "fresh", fresh, "tally", "1.0", manifestDigest)
-	until, from, gone, only := oldKey, freshKey, oldKey, oldKey
-	until.ValidUntil, from.ValidFrom, gone.Revoked, only.FunctionPatterns = rotationTime, rotationTime, true, []string{"shop-*"}
-	forged := bytes.Replace(by, []byte(`"old"`), []byte(`"fresh"`), 1)
-	both := newRing(t, 1, until, from)
+	oldPrivate, oldKey := newKey(t, "old")
+	freshPrivate, freshKey := newKey(t, "fresh")
+	signedByOld := mustSign(t, "old", oldPrivate, "tally", "1.0", manifestDigest)
+	signedByFresh := mustSign(t, "fresh", freshPrivate, "tally", "1.0", manifestDigest)
+	expiring, upcoming, revoked, restricted := oldKey, freshKey, oldKey, oldKey
+	expiring.ValidUntil, upcoming.ValidFrom = rotationTime, rotationTime
+	revoked.Revoked, restricted.FunctionPatterns = true, []string{"shop-*"}
+	forged := bytes.Replace(signedByOld, []byte(`"old"`), []byte(`"fresh"`), 1)
+	rotation := newRing(t, 1, expiring, upcoming)
 	for name, c := range map[string]struct {
-		ring *Ring
-		now  time.Time
-		envs [][]byte
-		want string // ids, or part of the reason
-		ok   bool
+		ring      *Ring
+		now       time.Time
+		envelopes [][]byte
+		want      string // key IDs, or part of the error
+		ok        bool
 	}{
-		"a known key":                {newRing(t, 1, oldKey), rotationTime, [][]byte{by}, "old", true},
-		"no signature":               {newRing(t, 1, oldKey), rotationTime, nil, "0 of 1", false},
-		"an unknown key":             {newRing(t, 1, freshKey), rotationTime, [][]byte{by}, `"old" is not in the ring`, false},
-		"another key's name":         {newRing(t, 1, oldKey, freshKey), rotationTime, [][]byte{forged}, "signature 1", false},
-		"revoked":                    {newRing(t, 1, gone), rotationTime, [][]byte{by}, "revoked", false},
-		"other functions":            {newRing(t, 1, only), rotationTime, [][]byte{by}, "may not vouch for tally", false},
-		"rotation, the day before":   {both, rotationTime.Add(-time.Hour), [][]byte{by}, "old", true},
-		"rotation, new key too soon": {both, rotationTime.Add(-time.Hour), [][]byte{byFresh}, "not valid", false},
-		"rotation, old key too late": {both, rotationTime, [][]byte{by}, "not valid", false},
-		"rotation, the day itself":   {both, rotationTime, [][]byte{by, byFresh}, "fresh", true},
-		"two wanted, one twice":      {newRing(t, 2, oldKey, freshKey), rotationTime, [][]byte{by, by}, "1 of 2", false},
-		"two wanted, two there":      {newRing(t, 2, oldKey, freshKey), rotationTime, [][]byte{byFresh, by}, "fresh old", true},
-		"another version":            {newRing(t, 1, oldKey), rotationTime, [][]byte{mustSign(t, "old", old, "tally", "1.1", manifestDigest)}, "something else", false},
-		"another function":           {newRing(t, 1, oldKey), rotationTime, [][]byte{mustSign(t, "old", old, "count", "1.0", manifestDigest)}, "something else", false},
-		"another digest":             {newRing(t, 1, oldKey), rotationTime, [][]byte{mustSign(t, "old", old, "tally", "1.0", digest.FromString("x"))}, "something else", false},
-		"no envelope":                {newRing(t, 1, oldKey), rotationTime, [][]byte{[]byte("{")}, "signature 1", false},
-		"too long":                   {newRing(t, 1, oldKey), rotationTime, [][]byte{bytes.Repeat([]byte("x"), maxEnvelopeBytes+1)}, "too many", false},
+		"known key":                              {newRing(t, 1, oldKey), rotationTime, [][]byte{signedByOld}, "old", true},
+		"no signature":                           {newRing(t, 1, oldKey), rotationTime, nil, "0 of 1", false},
+		"unknown key":                            {newRing(t, 1, freshKey), rotationTime, [][]byte{signedByOld}, `"old" is not in the ring`, false},
+		"signature under another key ID":         {newRing(t, 1, oldKey, freshKey), rotationTime, [][]byte{forged}, "signature 1", false},
+		"revoked key":                            {newRing(t, 1, revoked), rotationTime, [][]byte{signedByOld}, "revoked", false},
+		"key for other functions":                {newRing(t, 1, restricted), rotationTime, [][]byte{signedByOld}, "may not sign for tally", false},
+		"rotation, old key before the rotation":  {rotation, rotationTime.Add(-time.Hour), [][]byte{signedByOld}, "old", true},
+		"rotation, new key before the rotation":  {rotation, rotationTime.Add(-time.Hour), [][]byte{signedByFresh}, "not valid", false},
+		"rotation, old key after the rotation":   {rotation, rotationTime, [][]byte{signedByOld}, "not valid", false},
+		"rotation, both keys after the rotation": {rotation, rotationTime, [][]byte{signedByOld, signedByFresh}, "fresh", true},
+		"threshold two, one key twice":           {newRing(t, 2, oldKey, freshKey), rotationTime, [][]byte{signedByOld, signedByOld}, "1 of 2", false},
+		"threshold two, two keys":                {newRing(t, 2, oldKey, freshKey), rotationTime, [][]byte{signedByFresh, signedByOld}, "fresh old", true},
+		"other version":                          {newRing(t, 1, oldKey), rotationTime, [][]byte{mustSign(t, "old", oldPrivate, "tally", "1.1", manifestDigest)}, "statement does not match", false},
+		"other function":                         {newRing(t, 1, oldKey), rotationTime, [][]byte{mustSign(t, "old", oldPrivate, "count", "1.0", manifestDigest)}, "statement does not match", false},
+		"other digest":                           {newRing(t, 1, oldKey), rotationTime, [][]byte{mustSign(t, "old", oldPrivate, "tally", "1.0", digest.FromString("x"))}, "statement does not match", false},
+		"malformed envelope":                     {newRing(t, 1, oldKey), rotationTime, [][]byte{[]byte("{")}, "signature 1", false},
+		"envelope too large":                     {newRing(t, 1, oldKey), rotationTime, [][]byte{bytes.Repeat([]byte("x"), maxEnvelopeBytes+1)}, "exceeds the limit", false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			ids, err := c.ring.Verify(c.now, "tally", "1.0", manifestDigest, c.envs)
+			ids, err := c.ring.Verify(c.now, "tally", "1.0", manifestDigest, c.envelopes)
 			switch {
 			case c.ok && (err != nil || strings.Join(ids, " ") != c.want):
 				t.Errorf("%v %v", ids, err)
@@ -94,8 +96,7 @@
 	}
 }
 
-// What was published stands while enough of its keys are in the ring and not revoked, retired ones too.
-// The error of a version that nobody signed is whole.
+// Without any reason to append, the error must still be formatted correctly.
 func TestRing_VerifyWithoutSignatures(t *testing.T) {
 	_, key := newKey(t, "a")
 	_, err := newRing(t, 1, key).Verify(rotationTime, "tally", "1.0", manifestDigest, nil)
@@ -104,12 +105,13 @@
 	}
 }
 
+// A published version is trusted while enough of its keys are in the ring and not revoked. Expired keys count.
 func TestRing_IsTrusted(t *testing.T) {
-	_, retired := newKey(t, "old")
+	_, expired := newKey(t, "old")
 	_, revoked := newKey(t, "fresh")
-	retired.ValidUntil = rotationTime
+	expired.ValidUntil = rotationTime
 	revoked.Revoked = true
-	ring := newRing(t, 1, retired, revoked)
+	ring := newRing(t, 1, expired, revoked)
 	for _, c := range []struct {
 		ids  string
 		want bool
@@ -120,62 +122,64 @@
 		{"fresh old", true},
 		{"lost", false},
 	} {
-		t.Run("by "+c.ids, func(t *testing.T) {
+		t.Run("signed by "+c.ids, func(t *testing.T) {
 			if ring.IsTrusted(strings.Fields(c.ids)) != c.want {
-				t.Errorf("published with %q: stands is not %v", c.ids, c.want)
+				t.Errorf("signed by %q: trusted is not %v", c.ids, c.want)
 			}
 		})
 	}
 }
 
-// One bit changed anywhere in the envelope's payload or signature makes it count for nothing.
+// An envelope with one flipped bit in its payload or signature must be rejected.
 func TestRing_VerifyTamperedEnvelope(t *testing.T) {
 	private, key := newKey(t, "old")
 	envelope := mustSign(t, "old", private, "tally", "1.0", manifestDigest)
 	for i := range envelope {
-		broken := bytes.Clone(envelope)
-		broken[i] ^= 1
-		ids, err := newRing(t, 1, key).Verify(rotationTime, "tally", "1.0", manifestDigest, [][]byte{broken})
-		if err == nil && !decodeEqual(envelope, broken) {
-			t.Fatalf("byte %d changed and still vouched for by %v:\n%s", i, ids, broken)
+		tampered := bytes.Clone(envelope)
+		tampered[i] ^= 1
+		ids, err := newRing(t, 1, key).Verify(rotationTime, "tally", "1.0", manifestDigest, [][]byte{tampered})
+		if err == nil && !decodeEqual(envelope, tampered) {
+			t.Fatalf("byte %d changed, signature by %v still accepted:\n%s", i, ids, tampered)
 		}
 	}
 }
 
-// decodeEqual reports whether two envelopes decode to the same: the last digit of a base64 text has bits that say nothing,
-// and names of JSON fields are read without their case.
+// decodedEnvelope is the decoded content of an envelope.
+type decodedEnvelope struct {
+	Payload    []byte `json:"payload"`
+	Type       string `json:"payloadType"`
+	Signatures []struct {
+		KeyID string `json:"keyid"`
+		Sig   []byte `json:"sig"`
+	} `json:"signatures"`
+}
+
+// decodeEqual reports whether two envelopes decode to the same content. They may differ in unused bits of base64 digits and
+// in the case of JSON field names.
 func decodeEqual(a, b []byte) bool {
-	decode := func(data []byte) (e struct {
-		Payload    []byte
-		Type       string `json:"payloadType"`
-		Signatures []struct {
-			KeyID string
-			Sig   []byte
-		}
-	},
-	) {
-		_ = json.Unmarshal(data, &e) // what can't be read means nothing
-		return e
+	decode := func(data []byte) (envelope decodedEnvelope) {
+		_ = json.Unmarshal(data, &envelope) // malformed JSON leaves the fields decoded so far
+		return envelope
 	}
 	return reflect.DeepEqual(decode(a), decode(b))
 }
 
 func TestReadRing_ErrorsHavePointers(t *testing.T) {
 	_, k := newKey(t, "a")
-	bad := Key{ID: "b", PublicKey: "no key", ValidFrom: rotationTime, ValidUntil: rotationTime, FunctionPatterns: []string{"["}}
-	data, _ := json.Marshal(Ring{3, []Key{k, k, bad}})
+	invalid := Key{ID: "b", PublicKey: "no key", ValidFrom: rotationTime, ValidUntil: rotationTime, FunctionPatterns: []string{"["}}
+	data, _ := json.Marshal(Ring{3, []Key{k, k, invalid}})
 	_, err := ReadRing(data)
 	for _, want := range []string{"/keys/1/id", "/keys/2/public_key", "/keys/2/until", "/keys/2/functions/0"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v does not name %s", err, want)
+			t.Errorf("error %v does not contain %s", err, want)
 		}
 	}
-	var fault *FieldError
-	if !errors.As(err, &fault) || fault.Pointer != "/keys/1/id" {
-		t.Errorf("the first fault is %+v", fault)
+	var fieldError *FieldError
+	if !errors.As(err, &fieldError) || fieldError.Pointer != "/keys/1/id" {
+		t.Errorf("first field error is %+v", fieldError)
 	}
 	if _, err := ReadRing([]byte(`{"need":1,"keys":[{"id":"a","revokd":true}]}`)); err == nil || !strings.Contains(err.Error(), "revokd") {
-		t.Error("a misspelt field went unseen: ", err)
+		t.Error("misspelled field accepted: ", err)
 	}
 	if _, err := ReadRing([]byte(`{"need":2,"keys":[]}`)); err == nil || !strings.Contains(err.Error(), "/need") {
 		t.Error(err)
--- a/internal/registry/signing/sign.go
+++ b/internal/registry/signing/sign.go
@@ -12,21 +12,21 @@
 	"github.com/secure-systems-lab/go-securesystemslib/dsse"
 )
 
-// signer is a private key as the DSSE library takes it.
+// signer implements dsse.Signer with an Ed25519 private key.
 type signer struct {
 	id  string
 	key ed25519.PrivateKey
 }
 
-// Sign returns a signature.
+// Sign returns the signature of data.
 func (s signer) Sign(_ context.Context, data []byte) ([]byte, error) {
 	return ed25519.Sign(s.key, data), nil
 }
 
-// KeyID returns the key's id.
+// KeyID returns the ID of the key.
 func (s signer) KeyID() (string, error) { return s.id, nil }
 
-// Sign makes an envelope in which a key, in PEM (PKCS 8, Ed25519), vouches for a version.
+// Sign returns a DSSE envelope that signs a version with a private key in PEM (PKCS 8, Ed25519).
 func Sign(id string, private []byte, function, version string, d digest.Digest) ([]byte, error) {
 	key, err := parseKey[ed25519.PrivateKey](private, privateKeyBlock, x509.ParsePKCS8PrivateKey)
 	if err != nil {
@@ -50,10 +50,11 @@
 	return json.Marshal(envelope)
 }
 
-// NewKey makes a key pair from ed25519.SeedSize random bytes: the private key in PEM, and the ring's entry for it.
+// NewKey returns the key pair that is derived from a random seed of ed25519.SeedSize bytes: the private key in PEM, and the
+// public key as an entry of a ring.
 func NewKey(id string, seed []byte) (private []byte, k Key, err error) {
 	if id == "" || len(seed) != ed25519.SeedSize {
-		return nil, k, fmt.Errorf("a key wants a name and %d random bytes", ed25519.SeedSize)
+		return nil, k, fmt.Errorf("a key requires a name and a seed of %d bytes", ed25519.SeedSize)
 	}
 	key := ed25519.NewKeyFromSeed(seed)
 	privateDER, err := x509.MarshalPKCS8PrivateKey(key)
--- a/internal/registry/signing/verify.go
+++ b/internal/registry/signing/verify.go
@@ -14,12 +14,12 @@
 	"github.com/secure-systems-lab/go-securesystemslib/dsse"
 )
 
-// ErrUntrusted reports that too few keys vouch for a version.
-var ErrUntrusted = errors.New("not vouched for")
+// ErrUntrusted means that fewer keys than required have signed a version.
+var ErrUntrusted = errors.New("insufficient valid signatures")
 
-// Verify returns which keys vouch, by envelopes, for a version that is published at the time now. An envelope that
-// says something else, or whose key is unknown, too old, too new or revoked, counts for nothing; the error, which is
-// ErrUntrusted where too few keys are left, tells why.
+// Verify returns the IDs of the keys that have validly signed a version that is published at now. It ignores envelopes
+// whose statement does not match the version, or whose keys are unknown, revoked or outside their validity period. If
+// fewer keys than the threshold remain, it returns an error that wraps ErrUntrusted and the reasons.
 func (r *Ring) Verify(now time.Time, function, version string, d digest.Digest, envelopes [][]byte) (ids []string, err error) {
 	var reasons []error
 	for i, data := range envelopes {
@@ -32,7 +32,7 @@
 	slices.Sort(ids)
 	ids = slices.Compact(ids)
 	if len(ids) < r.Threshold {
-		err := fmt.Errorf("%s:%s: %w: %d of %d keys that it takes", function, version, ErrUntrusted, len(ids), r.Threshold)
+		err := fmt.Errorf("%s:%s: %w: %d of %d required keys", function, version, ErrUntrusted, len(ids), r.Threshold)
 		if len(reasons) > 0 {
 			err = fmt.Errorf("%w %w", err, errors.Join(reasons...))
 		}
@@ -41,7 +41,7 @@
 	return ids, nil
 }
 
-// verifyEnvelope returns the ids of the keys whose signatures in an envelope count.
+// verifyEnvelope returns the IDs of the keys with a valid signature in an envelope.
 func (r *Ring) verifyEnvelope(now time.Time, function, version string, d digest.Digest, data []byte) ([]string, error) {
 	envelope, err := decodeEnvelope(data)
 	if err != nil {
@@ -64,7 +64,7 @@
 		return nil, fmt.Errorf("statement: %w", err)
 	}
 	if !s.matches(function, version, d) {
-		return nil, fmt.Errorf("it is about something else than %s:%s with %s", function, version, d)
+		return nil, fmt.Errorf("statement does not match %s:%s with digest %s", function, version, d)
 	}
 	var ids []string
 	for _, key := range accepted {
@@ -73,7 +73,7 @@
 	return ids, nil
 }
 
-// usableKeys returns the keys that the signatures name and that may vouch for a function now, and why others may not.
+// usableKeys returns the keys of the signatures that may sign for a function at now, and the reasons why others may not.
 func (r *Ring) usableKeys(signatures []dsse.Signature, now time.Time, function string) (usable []dsse.Verifier, rejections []error) {
 	for _, signature := range signatures {
 		k := r.findKey(signature.KeyID)
@@ -86,7 +86,8 @@
 	return usable, rejections
 }
 
-// checkUsable returns why a key may not vouch for a function now. The key is nil where the ring doesn't have the id.
+// checkUsable returns an error if the key may not sign for a function at now. The key is nil if the ring does not contain
+// the ID.
 func (k *Key) checkUsable(id string, now time.Time, function string) error {
 	switch {
 	case k == nil:
@@ -96,24 +97,24 @@
 	case !k.isValidAt(now):
 		return fmt.Errorf("key %q is not valid at %s", id, now.Format(time.RFC3339))
 	case !k.maySignFor(function):
-		return fmt.Errorf("key %q may not vouch for %s", id, function)
+		return fmt.Errorf("key %q may not sign for %s", id, function)
 	default:
 		return nil
 	}
 }
 
-// verifier is a key as the DSSE library takes it.
+// verifier implements dsse.Verifier with a key of the ring.
 type verifier struct{ key *Key }
 
-// Verify returns an error where a signature is not the key's.
+// Verify returns an error if the signature of data is invalid.
 func (v verifier) Verify(_ context.Context, data, signature []byte) error {
 	if !ed25519.Verify(v.key.publicKey, data, signature) {
-		return fmt.Errorf("the signature of key %q is wrong", v.key.ID)
+		return fmt.Errorf("invalid signature of key %q", v.key.ID)
 	}
 	return nil
 }
 
-// KeyID returns the key's id.
+// KeyID returns the ID of the key.
 func (v verifier) KeyID() (string, error) { return v.key.ID, nil }
 
 // Public returns the public key.
