--- a/internal/stablehash/stablehash_test.go
+++ b/internal/stablehash/stablehash_test.go
@@ -2,9 +2,8 @@
 
 import "testing"
 
-// The values are what clients and registries in use have computed: another value would move requests to another front
-// end or to the other side of a rollout.
-func TestPairIsStable(t *testing.T) {
+// The values must not change: clients and registries in use rely on them to select a front end or the side of a rollout.
+func TestPair_StableValues(t *testing.T) {
 	for _, c := range []struct {
 		first, second string
 		want          uint64
@@ -18,6 +17,6 @@
 		}
 	}
 	if Pair("ab", "c") == Pair("a", "bc") {
-		t.Error("the strings run into each other")
+		t.Error("the boundary between the strings is not hashed")
 	}
 }
--- a/internal/telemetry/async_writer.go
+++ b/internal/telemetry/async_writer.go
@@ -8,26 +8,26 @@
 	"time"
 )
 
-// AsyncWriter writes to another writer on a goroutine of its own, so that nobody who logs waits for whoever reads the log.
-// What does not fit into its queue is dropped and counted. It is safe for concurrent use.
+// AsyncWriter writes to another writer on its own goroutine, so that logging never blocks on a slow reader of the log.
+// Writes that do not fit into its queue are dropped and counted. It is safe for concurrent use.
 type AsyncWriter struct {
 	writer  io.Writer
 	queue   chan []byte
-	dropped atomic.Uint64 // since the last notice of it
+	dropped atomic.Uint64 // since the last notice
 	done    chan struct{}
 
-	mu     sync.RWMutex // held for reading by Write, so that nothing is queued behind the end
+	mu     sync.RWMutex // read-locked by Write, so that queue is not closed during a send
 	closed bool
 }
 
-// NewAsyncWriter starts a writer whose queue holds so many writes. Close ends it.
-func NewAsyncWriter(writer io.Writer, queued int) *AsyncWriter {
-	w := &AsyncWriter{writer: writer, queue: make(chan []byte, queued), done: make(chan struct{})}
+// NewAsyncWriter returns a writer with a queue of capacity writes. The caller must close it.
+func NewAsyncWriter(writer io.Writer, capacity int) *AsyncWriter {
+	w := &AsyncWriter{writer: writer, queue: make(chan []byte, capacity), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write queues a copy of data. It never blocks and never fails.
+// Write queues a copy of data. It never blocks and never returns an error. After Close it discards data.
 func (w *AsyncWriter) Write(data []byte) (int, error) {
 	w.mu.RLock()
 	defer w.mu.RUnlock()
@@ -42,18 +42,20 @@
 	return len(data), nil
 }
 
-// run writes until Close. Errors are ignored: there is no other place to report them, and a reader may come back.
+// run writes queued data until Close. Errors are ignored, because there is nowhere to report them and later writes may
+// succeed.
 func (w *AsyncWriter) run() {
 	defer close(w.done)
 	for data := range w.queue {
 		if dropped := w.dropped.Swap(0); dropped > 0 {
-			_, _ = fmt.Fprintf(w.writer, "%d log records were dropped: nobody read them in time\n", dropped)
+			_, _ = fmt.Fprintf(w.writer, "%d log records dropped: log output blocked\n", dropped)
 		}
 		_, _ = w.writer.Write(data)
 	}
 }
 
-// Close writes what is queued, for as long as timeout at most.
+// Close stops accepting data and waits until the queue is written, at most for timeout. It may be called again to wait
+// longer.
 func (w *AsyncWriter) Close(timeout time.Duration) {
 	w.mu.Lock()
 	if !w.closed {
--- a/internal/telemetry/async_writer_test.go
+++ b/internal/telemetry/async_writer_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// blockedWriter holds each write until it is let go.
+// blockedWriter blocks each write until release is closed.
 type blockedWriter struct {
 	release chan struct{}
 	bytes.Buffer
@@ -19,7 +19,7 @@
 	return w.Buffer.Write(data)
 }
 
-func TestAsyncWriterNeverWaits(t *testing.T) {
+func TestAsyncWriter_DropsInsteadOfBlocking(t *testing.T) {
 	blocked := &blockedWriter{release: make(chan struct{})}
 	w := NewAsyncWriter(blocked, 2)
 	for range 10 {
@@ -27,10 +27,10 @@
 			t.Fatal(n, err)
 		}
 	}
-	began := time.Now()
+	start := time.Now()
 	w.Close(20 * time.Millisecond)
-	if took := time.Since(began); took > time.Second {
-		t.Errorf("a close with a stalled reader took %v", took)
+	if took := time.Since(start); took > time.Second {
+		t.Errorf("Close with a blocked writer took %v", took)
 	}
 	close(blocked.release)
 	w.Close(time.Second)
@@ -43,6 +43,7 @@
 	}
 }
 
+// failingWriter returns an error from every write.
 type failingWriter struct{ calls int }
 
 func (w *failingWriter) Write([]byte) (int, error) {
@@ -50,14 +51,14 @@
 	return 0, errors.New("broken pipe")
 }
 
-func TestAsyncWriterGoesOnAfterErrors(t *testing.T) {
+func TestAsyncWriter_ContinuesAfterWriteErrors(t *testing.T) {
 	failing := &failingWriter{}
 	w := NewAsyncWriter(failing, 8)
 	for range 3 {
-		_, _ = w.Write([]byte("line")) // it never fails
+		_, _ = w.Write([]byte("line")) // never returns an error
 	}
 	w.Close(time.Second)
 	if failing.calls != 3 {
-		t.Errorf("%d writes were tried", failing.calls)
+		t.Errorf("%d writes attempted, want 3", failing.calls)
 	}
 }
--- a/internal/telemetry/ratelimit.go
+++ b/internal/telemetry/ratelimit.go
@@ -7,47 +7,47 @@
 	"time"
 )
 
-// leftOutKey is the log key of how many records were dropped before the one that has it.
-const leftOutKey = "left_out_before"
+// droppedRecordsKey is the log key for the number of records dropped before a record.
+const droppedRecordsKey = "left_out_before"
 
-// RateLimited passes on at most so many log records a second, so that a flood neither fills the disk nor takes the only
-// core. The first record after a flood tells how many were dropped.
+// RateLimited returns a handler that passes at most perSecond records per second to handler, to bound the disk space and CPU
+// time of logging. The first record after dropped ones has an attribute with their number.
 func RateLimited(handler slog.Handler, perSecond int) slog.Handler {
 	return &rateLimitedHandler{Handler: handler, limiter: &recordLimiter{perSecond: perSecond}}
 }
 
-// rateLimitedHandler is a slog.Handler whose derived handlers share one limiter.
+// rateLimitedHandler implements slog.Handler. Handlers derived from it share its limiter.
 type rateLimitedHandler struct {
 	slog.Handler
 	limiter *recordLimiter
 }
 
-// recordLimiter counts the records of the current second. It is safe for concurrent use.
+// recordLimiter limits records in windows of one second. It is safe for concurrent use.
 type recordLimiter struct {
-	mu        sync.Mutex
-	perSecond int
-	second    time.Time
-	passed    int // in this second
-	dropped   int // since the last record that passed
+	mu          sync.Mutex
+	perSecond   int
+	windowStart time.Time
+	admitted    int // records admitted in this window
+	dropped     int // records dropped since the last admitted one
 }
 
-// allow tells whether one more record may pass, and how many were dropped before it.
+// allow reports whether a record is admitted, and how many records were dropped since the last admitted one.
 func (l *recordLimiter) allow(at time.Time) (ok bool, dropped int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if second := at.Truncate(time.Second); !second.Equal(l.second) {
-		l.second, l.passed = second, 0
+	if window := at.Truncate(time.Second); !window.Equal(l.windowStart) {
+		l.windowStart, l.admitted = window, 0
 	}
-	if l.passed >= l.perSecond {
+	if l.admitted >= l.perSecond {
 		l.dropped++
 		return false, 0
 	}
-	l.passed++
+	l.admitted++
 	dropped, l.dropped = l.dropped, 0
 	return true, dropped
 }
 
-// Handle implements slog.Handler.
+// Handle passes the record to the wrapped handler, or drops it.
 func (h *rateLimitedHandler) Handle(ctx context.Context, record slog.Record) error {
 	ok, dropped := h.limiter.allow(record.Time)
 	if !ok {
@@ -55,17 +55,17 @@
 	}
 	if dropped > 0 {
 		record = record.Clone()
-		record.AddAttrs(slog.Int(leftOutKey, dropped))
+		record.AddAttrs(slog.Int(droppedRecordsKey, dropped))
 	}
 	return h.Handler.Handle(ctx, record)
 }
 
-// WithAttrs implements slog.Handler.
+// WithAttrs returns a derived handler that shares the limiter.
 func (h *rateLimitedHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
 	return &rateLimitedHandler{Handler: h.Handler.WithAttrs(attrs), limiter: h.limiter}
 }
 
-// WithGroup implements slog.Handler.
+// WithGroup returns a derived handler that shares the limiter.
 func (h *rateLimitedHandler) WithGroup(name string) slog.Handler {
 	return &rateLimitedHandler{Handler: h.Handler.WithGroup(name), limiter: h.limiter}
 }
--- a/internal/telemetry/ratelimit_test.go
+++ b/internal/telemetry/ratelimit_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func TestRateLimitedCountsDroppedRecords(t *testing.T) {
+func TestRateLimited_ReportsDroppedRecords(t *testing.T) {
 	var out bytes.Buffer
 	handler := RateLimited(slog.NewTextHandler(&out, nil), 2).WithAttrs([]slog.Attr{slog.String("front_end", "n0")})
 	start := time.Unix(1_800_000_000, 0)
--- a/internal/telemetry/recorder_test.go
+++ b/internal/telemetry/recorder_test.go
@@ -14,8 +14,8 @@
 	"streamcleat/internal/dispatch"
 )
 
-// testRequest is a request that was retried once and ended after so many seconds.
-func testRequest(kind dispatch.ResponseKind, cause dispatch.Cause, elapsed float64) (dispatch.Response, *dispatch.Trace) {
+// newRetriedRequest returns a request that was retried once and ended after elapsed seconds.
+func newRetriedRequest(kind dispatch.ResponseKind, cause dispatch.Cause, elapsed float64) (dispatch.Response, *dispatch.Trace) {
 	response := dispatch.Response{
 		Kind:     kind,
 		Cause:    cause,
@@ -44,14 +44,14 @@
 	return recorder
 }
 
-func TestRecorderMetrics(t *testing.T) {
+func TestRecorder_Metrics(t *testing.T) {
 	recorder := newTestRecorder(t, Settings{Gauges: func() map[string]float64 { return map[string]float64{"open": 3} }})
-	recorder.OnRequestEnd(testRequest(dispatch.Succeeded, dispatch.CauseResponded, 0.5))
-	recorder.OnRequestEnd(testRequest(dispatch.Rejected, dispatch.CauseWorkerFull, 2))
+	recorder.OnRequestEnd(newRetriedRequest(dispatch.Succeeded, dispatch.CauseResponded, 0.5))
+	recorder.OnRequestEnd(newRetriedRequest(dispatch.Rejected, dispatch.CauseWorkerFull, 2))
 	recorder.OnRequestEnd(dispatch.Response{Kind: dispatch.Failed, Cause: dispatch.CauseUnknownClass, Class: "any text"}, nil)
-	answer := httptest.NewRecorder()
-	recorder.Handler().ServeHTTP(answer, httptest.NewRequest("GET", "/metrics", nil))
-	got := answer.Body.String()
+	response := httptest.NewRecorder()
+	recorder.Handler().ServeHTTP(response, httptest.NewRequest("GET", "/metrics", nil))
+	got := response.Body.String()
 	for _, want := range []string{
 		`streamcleat_events_total{late="false",outcome="handled",type="call"} 1`,
 		`streamcleat_events_total{late="true",outcome="deferred",type="call"} 1`,
@@ -71,47 +71,53 @@
 	}
 }
 
-// span is what the test reads of one exported span.
-type span struct {
-	Name   string
-	Events []struct{ Name string }
-	Status struct{ Code, Description string }
+// exportedSpan holds the fields of an exported span that the tests check.
+type exportedSpan struct {
+	Name   string `json:"Name"`
+	Events []struct {
+		Name string `json:"Name"`
+	} `json:"Events"`
+	Status struct {
+		Code        string `json:"Code"`
+		Description string `json:"Description"`
+	} `json:"Status"`
 }
 
-func TestRecorderSpans(t *testing.T) {
+func TestRecorder_Spans(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		kind    dispatch.ResponseKind
 		cause   dispatch.Cause
 		elapsed float64
-		share   float64
-		want    string // names of spans, with the error of each
+		ratio   float64
+		want    string // names of the spans and their status descriptions
 	}{
-		{"in time", dispatch.Succeeded, dispatch.CauseResponded, 0.5, 0, ""},
-		{"in time and sampled", dispatch.Succeeded, dispatch.CauseResponded, 0.5, 1, "launch wk-a: broken, launch wk-b: , event call: "},
-		{"late", dispatch.Succeeded, dispatch.CauseResponded, 2, 0, "launch wk-a: broken, launch wk-b: , event call: "},
+		{"objective met, not sampled", dispatch.Succeeded, dispatch.CauseResponded, 0.5, 0, ""},
+		{"objective met, sampled", dispatch.Succeeded, dispatch.CauseResponded, 0.5, 1, "launch wk-a: broken, launch wk-b: , event call: "},
+		{"objective exceeded", dispatch.Succeeded, dispatch.CauseResponded, 2, 0, "launch wk-a: broken, launch wk-b: , event call: "},
 		{"rejected", dispatch.Rejected, dispatch.CauseWorkerFull, 0.5, 0, "launch wk-a: broken, launch wk-b: , event call: worker-full"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			var out bytes.Buffer
-			recorder := newTestRecorder(t, Settings{Spans: &out, SamplingRatio: test.share})
-			recorder.OnRequestEnd(testRequest(test.kind, test.cause, test.elapsed))
+			recorder := newTestRecorder(t, Settings{Spans: &out, SamplingRatio: test.ratio})
+			recorder.OnRequestEnd(newRetriedRequest(test.kind, test.cause, test.elapsed))
 			if err := recorder.Close(); err != nil {
 				t.Fatal(err)
 			}
 			if got := spanNames(t, &out); got != test.want {
-				t.Errorf("spans %q, not %q", got, test.want)
+				t.Errorf("spans %q, want %q", got, test.want)
 			}
 		})
 	}
 }
 
-// spanNames reads exported spans and checks that the span of the request has its one event.
+// spanNames returns the names of exported spans with their status descriptions. It also checks that the request's span has
+// exactly one event.
 func spanNames(t *testing.T, exported io.Reader) string {
 	t.Helper()
 	var names []string
 	for decoder := json.NewDecoder(exported); ; {
-		var s span
+		var s exportedSpan
 		if err := decoder.Decode(&s); errors.Is(err, io.EOF) {
 			return strings.Join(names, ", ")
 		} else if err != nil {
@@ -124,7 +130,7 @@
 	}
 }
 
-func TestSpanFileError(t *testing.T) {
+func TestSpanFile_MissingDirectory(t *testing.T) {
 	_, err := SpanFile(filepath.Join(t.TempDir(), "missing", "spans"))
 	if !errors.Is(err, ErrSpans) || !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("%v", err)
--- a/internal/telemetry/spans.go
+++ b/internal/telemetry/spans.go
@@ -15,13 +15,13 @@
 	"streamcleat/internal/dispatch"
 )
 
-// spanFileMode lets the group read spans: they hold identities of requests, no bodies.
+// spanFileMode allows the group to read spans. They contain identities of requests, but no bodies.
 const spanFileMode = 0o640
 
-// ErrSpans is in the chain of every error about the writing of spans.
+// ErrSpans is wrapped by all errors of the span export.
 var ErrSpans = errors.New("traces")
 
-// SpanFile opens a file for spans; they are appended to it.
+// SpanFile opens or creates a file to which spans are appended.
 func SpanFile(path string) (*os.File, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_WRONLY|os.O_APPEND, spanFileMode)
 	if err != nil {
@@ -30,21 +30,22 @@
 	return file, nil
 }
 
-// sampled draws a fixed share of identities, the same at every front end.
-func (r *Recorder) sampled(identity dispatch.Identity) bool {
+// isSampled reports whether a request is in the sample. The decision depends only on the identity, so that all front ends
+// sample the same requests.
+func (r *Recorder) isSampled(identity dispatch.Identity) bool {
 	hash := fnv.New32a()
-	_, _ = io.WriteString(hash, identity.String()) // a hash takes every write
+	_, _ = io.WriteString(hash, identity.String()) // hash.Hash never returns an error
 	return float64(hash.Sum32())/(1<<32) < r.settings.SamplingRatio
 }
 
-// writeSpans writes a request as a span with a child for each attempt; its other steps are events of the first span.
-func (r *Recorder) writeSpans(response dispatch.Response, steps []dispatch.TraceStep, late bool) {
+// writeSpans exports a request as a span with a child span per attempt. The other steps are events of the request's span.
+func (r *Recorder) writeSpans(response dispatch.Response, steps []dispatch.TraceStep, overObjective bool) {
 	end := time.Now()
-	start := end.Add(-seconds(response.Elapsed))
-	ctx, root := r.startRequestSpan(response, start, late)
+	start := end.Add(-toDuration(response.Elapsed))
+	ctx, root := r.startRequestSpan(response, start, overObjective)
 	var attempt trace.Span
 	for _, step := range steps {
-		at := start.Add(seconds(step.At))
+		at := start.Add(toDuration(step.At))
 		switch {
 		case step.Event == dispatch.StepAttemptStarted:
 			attempt = r.startAttemptSpan(ctx, step, at)
@@ -64,8 +65,8 @@
 	root.End(trace.WithTimestamp(end))
 }
 
-// startRequestSpan starts the span of a request.
-func (r *Recorder) startRequestSpan(response dispatch.Response, start time.Time, late bool) (context.Context, trace.Span) {
+// startRequestSpan starts the span of a request. Dashboards depend on the names of spans and attributes.
+func (r *Recorder) startRequestSpan(response dispatch.Response, start time.Time, overObjective bool) (context.Context, trace.Span) {
 	return r.tracer.Start(context.Background(), "event "+response.Class,
 		trace.WithTimestamp(start),
 		trace.WithSpanKind(trace.SpanKindServer),
@@ -77,7 +78,7 @@
 			attribute.String("streamcleat.tenant", response.Tenant),
 			attribute.String("streamcleat.outcome", response.Kind.String()),
 			attribute.String("streamcleat.cause", response.Cause.String()),
-			attribute.Bool("streamcleat.late", late),
+			attribute.Bool("streamcleat.late", overObjective),
 			attribute.Int("streamcleat.launches", response.Attempts)))
 }
 
@@ -92,7 +93,7 @@
 	return span
 }
 
-// endAttemptSpan ends the span of an attempt with how it ended.
+// endAttemptSpan ends the span of an attempt with its result.
 func endAttemptSpan(span trace.Span, step dispatch.TraceStep, at time.Time) {
 	span.SetAttributes(
 		attribute.String("streamcleat.result", step.Event),
@@ -103,4 +104,5 @@
 	span.End(trace.WithTimestamp(at))
 }
 
-func seconds(v float64) time.Duration { return time.Duration(v * float64(time.Second)) }
+// toDuration converts seconds to a time.Duration.
+func toDuration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
