--- a/internal/registry/oci/client.go
+++ b/internal/registry/oci/client.go
@@ -109,18 +109,21 @@
 }
 
 // fetch reads content and verifies its size and digest. It retries if the content is truncated or corrupt.
-func (c *Client) fetch(ctx context.Context, from fetcher, target ocispec.Descriptor) (data []byte, err error) {
+func (c *Client) fetch(ctx context.Context, from fetcher, target ocispec.Descriptor) ([]byte, error) {
+	var lastErr error
 	for attempt := range maxReadAttempts {
-		if data, err = fetchOnce(ctx, from, target); err == nil {
+		data, err := fetchOnce(ctx, from, target)
+		if err == nil {
 			return data, nil
 		}
+		lastErr = err
 		select {
 		case <-ctx.Done():
 			return nil, errors.Join(ctx.Err(), err)
 		case <-time.After(readBackoffInitial << attempt):
 		}
 	}
-	return nil, err
+	return nil, lastErr
 }
 
 func fetchOnce(ctx context.Context, from fetcher, target ocispec.Descriptor) ([]byte, error) {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -130,34 +130,34 @@
 }
 
 // updateAlias moves or removes an alias and ends its rollout.
-func (r *Registry) updateAlias(m AliasUpdate) error {
-	if !isTag(m.Alias) {
-		return fmt.Errorf("alias %q is not a tag", m.Alias)
+func (r *Registry) updateAlias(update AliasUpdate) error {
+	if !isTag(update.Alias) {
+		return fmt.Errorf("alias %q is not a tag", update.Alias)
 	}
-	f := r.functions[m.Function]
+	f := r.functions[update.Function]
 	if f == nil {
-		return unknownFunctionError(m.Function)
+		return unknownFunctionError(update.Function)
 	}
-	if f.versionByName(m.Alias) != nil {
-		return &ChangeError{Change: changeAlias, Function: m.Function, Name: m.Alias, Err: errors.New("name in use by a version")}
+	if f.versionByName(update.Alias) != nil {
+		return &ChangeError{Change: changeAlias, Function: update.Function, Name: update.Alias, Err: errors.New("name in use by a version")}
 	}
-	current, exists := f.aliases[m.Alias]
-	if m.Digest == "" {
+	current, exists := f.aliases[update.Alias]
+	if update.Digest == "" {
 		if !exists {
-			return &ChangeError{Change: changeAlias, Function: m.Function, Name: m.Alias, Err: ErrUnknown}
+			return &ChangeError{Change: changeAlias, Function: update.Function, Name: update.Alias, Err: ErrUnknown}
 		}
-		f.previousDigests[m.Alias] = current
-		delete(f.aliases, m.Alias)
+		f.previousDigests[update.Alias] = current
+		delete(f.aliases, update.Alias)
 	} else {
-		if _, _, err := r.findUsable(m.Function, m.Digest); err != nil {
+		if _, _, err := r.findUsable(update.Function, update.Digest); err != nil {
 			return err
 		}
-		if exists && current != m.Digest {
-			f.previousDigests[m.Alias] = current
+		if exists && current != update.Digest {
+			f.previousDigests[update.Alias] = current
 		}
-		f.aliases[m.Alias] = m.Digest
+		f.aliases[update.Alias] = update.Digest
 	}
-	delete(f.rollouts, m.Alias)
+	delete(f.rollouts, update.Alias)
 	return nil
 }
 
--- a/internal/registry/signing/ring.go
+++ b/internal/registry/signing/ring.go
@@ -56,7 +56,10 @@
 	ids := map[string]bool{}
 	for i := range r.Keys {
 		k := &r.Keys[i]
-		for _, e := range k.parse(ids[k.ID]) {
+		if k.ID == "" || ids[k.ID] {
+			fieldErrors = append(fieldErrors, &FieldError{Pointer: fmt.Sprintf("/keys/%d/id", i), Err: fmt.Errorf("%q is empty or duplicate", k.ID)})
+		}
+		for _, e := range k.parse() {
 			fieldErrors = append(fieldErrors, &FieldError{Pointer: fmt.Sprintf("/keys/%d/%s", i, e.Pointer), Err: e.Err})
 		}
 		ids[k.ID] = true
@@ -70,14 +73,11 @@
 	return r, nil
 }
 
-// parse decodes the public key and checks the other fields. The pointers of its errors are relative to the key.
-func (k *Key) parse(duplicateID bool) (fieldErrors []FieldError) {
+// parse decodes the public key and checks the other fields except the ID. The pointers of its errors are relative to the key.
+func (k *Key) parse() (fieldErrors []FieldError) {
 	fail := func(pointer string, err error) {
 		fieldErrors = append(fieldErrors, FieldError{Pointer: pointer, Err: err})
 	}
-	if k.ID == "" || duplicateID {
-		fail("id", fmt.Errorf("%q is empty or duplicate", k.ID))
-	}
 	var err error
 	if k.publicKey, err = parseKey[ed25519.PublicKey]([]byte(k.PublicKey), publicKeyBlock, x509.ParsePKIXPublicKey); err != nil {
 		fail("public_key", err)
--- a/internal/storage/errors.go
+++ b/internal/storage/errors.go
@@ -18,7 +18,7 @@
 	ErrInUse = errors.New("state folder in use by another process")
 	// ErrUnsupportedFormat is returned by OpenStore for a store with a different record format.
 	ErrUnsupportedFormat = errors.New("unsupported store format")
-	// ErrClosed is passed to the callback of a write to a closed store.
+	// ErrClosed is the error of a write to a closed store.
 	ErrClosed = errors.New("store closed")
 	// ErrLibraryFailed is returned after the database library has panicked on a disk error.
 	ErrLibraryFailed = errors.New("database library failed on a disk error")
--- a/internal/storage/format_test.go
+++ b/internal/storage/format_test.go
@@ -1,181 +1,18 @@
 package storage
 
 import (
-	"bufio"
 	"bytes"
-	"encoding/hex"
-	"errors"
-	"flag"
-	"fmt"
-	"math"
 	"os"
-	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
 	"time"
 
-	"github.com/cockroachdb/pebble/v2"
 	"github.com/cockroachdb/pebble/v2/vfs"
 
 	"streamcleat/internal/dispatch"
 )
 
-// The fixtures hold the keys and values of existing stores and must not change. A new record format gets new fixtures;
-// run with -update only to create those.
-var update = flag.Bool("update", false, "write the fixtures of the stored format")
-
-const fixtureRetention = 1000
-
-var (
-	fixtureDue        = time.Unix(1_800_000_060, 0)
-	fixtureDeadline   = time.Unix(1_800_000_360, 0)
-	fixtureAuditTrail = [][]byte{
-		[]byte(`{"at":1800000000,"who":"ann","move":{"function":"f","alias":"current","digest":""},"why":"first"}`),
-		[]byte(`{"at":1800000001,"who":"bob","withdraw":"f@sha256:00"}`),
-	}
-	fixtureConfig  = []byte(`{"name":"box","listen":["127.0.0.1:0"]}`)
-	fixtureBinding = dispatch.Binding{ID: "team/f@sha256:ab", Version: "1.2.0", Digest: "sha256:ab", Function: "team/f"}
-	fixtureFields  = []dispatch.Field{{Name: "Content-Type", Value: "text/plain"}, {Name: "Ce-Subject", Value: ""}}
-)
-
-// fixtureRecords returns records of every kind: open attempts, responses with all fields set, and responses with the
-// minimum of fields.
-func fixtureRecords() []dispatch.Record {
-	return []dispatch.Record{
-		{Kind: dispatch.RecordAttemptStarted, MayHaveRun: true, FirstRunAgo: 2.5, Response: dispatch.Response{
-			Identity: dispatch.Identity{Source: "/shop", ID: "open-1"}, Class: "price-reset", Function: "f", Tenant: "north",
-		}},
-		{Kind: dispatch.RecordAttemptStarted, MayHaveRun: true, Response: dispatch.Response{
-			Identity: dispatch.Identity{Source: "/shop", ID: "open-2"}, Class: "till-entry", Function: "team/f", Binding: fixtureBinding,
-		}},
-		{Kind: dispatch.RecordRequestEnded, MayHaveRun: true, FirstRunAgo: 4, Response: dispatch.Response{
-			Identity: dispatch.Identity{Source: "/shop", ID: "ended-1"}, Class: "till-entry", Function: "team/f", Tenant: "south",
-			Kind: dispatch.Failed, Cause: dispatch.CauseWrongDigest, RetryAfter: 0.5, Worker: "w-7", Attempts: 3, Elapsed: 1.25,
-			Fields: fixtureFields, Body: []byte("an answer\x00\xff"), Binding: fixtureBinding,
-		}},
-		{Kind: dispatch.RecordRequestEnded, Response: dispatch.Response{
-			Identity: dispatch.Identity{Source: "/shop", ID: "ended-2"}, Class: "once", Kind: dispatch.Rejected, Cause: dispatch.CauseNoCapacity,
-		}},
-		{Kind: dispatch.RecordRequestEnded, MayHaveRun: true, FirstRunAgo: math.Inf(1), Response: dispatch.Response{ // the encoding of an unknown time in a restored store
-			Identity: dispatch.Identity{Source: "/shop", ID: "ended-3"}, Class: "once", Function: "f", Fields: []dispatch.Field{}, Body: []byte{}}},
-	}
-}
-
-// fixtureScheduledRequests returns open requests of the appliance's schedules: one with all fields set, the others with
-// the minimum of fields.
-func fixtureScheduledRequests() []dispatch.Request {
-	return []dispatch.Request{
-		{
-			Identity: dispatch.Identity{Source: "/timers", ID: "own-1"}, Class: "till-entry", Tenant: "north", Function: "team/f:current",
-			Timeout: 12.5, Fields: fixtureFields, Body: []byte("a body\x00\xff"), Retried: true,
-			StatedProfile: dispatch.FunctionProfile{Concurrency: 4, MemoryMB: 256.5, LoadTime: 1.5}, ExpectedWork: 0.75, RejectDuplicates: true,
-		},
-		{Identity: dispatch.Identity{Source: "/timers", ID: "own-2"}, Class: "once", Function: "f"},
-		{Identity: dispatch.Identity{Source: "/timers", ID: "own-3"}, Class: "once", Fields: []dispatch.Field{}, Body: []byte{}},
-	}
-}
-
-func fixtureReplicas() []dispatch.ReplicaSnapshot {
-	return []dispatch.ReplicaSnapshot{
-		{Function: "team/f@sha256:ab", Binding: fixtureBinding, Concurrency: 4, LoadTime: 1.5, Worker: "w-7", WorkerStartedAt: 1_799_999_000.5, Age: 3.5},
-		{Function: "g", Worker: "w-8"},
-	}
-}
-
-// writeFull writes every kind of value with the store's exported methods.
-func writeFull(s *Store, clock *fakeClock) error {
-	clock.uptime++
-	if err := commit(s, fixtureRecords()...); err != nil {
-		return err
-	}
-	clock.uptime++
-	scheduled := fixtureScheduledRequests()
-	if err := s.RecordFirings([]Firing{
-		{"* * * * * till-entry team/f", fixtureDue, fixtureDeadline, scheduled[0]},
-		{"5 * * * * once f", fixtureDue.Add(time.Minute), fixtureDeadline.Add(time.Minute), scheduled[1]},
-		{"@hourly once", fixtureDue, fixtureDeadline, scheduled[2]},
-	}); err != nil {
-		return err
-	}
-	if err := s.SaveConfig(fixtureConfig); err != nil {
-		return err
-	}
-	for i, entry := range fixtureAuditTrail {
-		if err := s.AppendAudit(i, entry); err != nil {
-			return err
-		}
-	}
-	clock.uptime++
-	return s.SaveReplicas(fixtureReplicas())
-}
-
-// writeSparse writes only a nil list of replicas.
-func writeSparse(s *Store, _ *fakeClock) error { return s.SaveReplicas(nil) }
-
-// writeEmptyList writes only an empty list of replicas, which is encoded differently from nil.
-func writeEmptyList(s *Store, _ *fakeClock) error {
-	return s.SaveReplicas([]dispatch.ReplicaSnapshot{})
-}
-
-var fixtures = map[string]func(*Store, *fakeClock) error{"full": writeFull, "sparse": writeSparse, "empty-list": writeEmptyList}
-
-// dumpStore returns the content of a database, one line per key: key and value in hexadecimal.
-func dumpStore(t *testing.T, db *pebble.DB) string {
-	t.Helper()
-	it, err := db.NewIter(nil)
-	if err != nil {
-		t.Fatal(err)
-	}
-	var text strings.Builder
-	for ok := it.First(); ok; ok = it.Next() {
-		v, err := it.ValueAndErr()
-		if err != nil {
-			t.Fatal(err)
-		}
-		fmt.Fprintf(&text, "%x %x\n", it.Key(), v)
-	}
-	if err := errors.Join(it.Error(), it.Close()); err != nil {
-		t.Fatal(err)
-	}
-	return text.String()
-}
-
-func fixtureFile(name string) string { return filepath.Join("testdata", "store-1-"+name+".hex") }
-
-// loadFixture creates a database with the content of a fixture. It does not use the code under test.
-func loadFixture(t *testing.T, fs vfs.FS, name string) {
-	t.Helper()
-	data, err := os.ReadFile(fixtureFile(name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	db, err := pebble.Open("state", &pebble.Options{FS: fs, FormatMajorVersion: pebble.FormatNewest})
-	if err != nil {
-		t.Fatal(err)
-	}
-	lines := bufio.NewScanner(bytes.NewReader(data))
-	lines.Buffer(nil, 1<<20)
-	b := db.NewBatch()
-	for lines.Scan() {
-		k, v, _ := strings.Cut(lines.Text(), " ")
-		key, kerr := hex.DecodeString(k)
-		value, verr := hex.DecodeString(v)
-		if kerr != nil || verr != nil || len(key) == 0 {
-			t.Fatalf("%s: line %q", name, lines.Text())
-		}
-		if err := b.Set(key, value, nil); err != nil {
-			t.Fatal(err)
-		}
-	}
-	if err := b.Commit(pebble.Sync); err != nil {
-		t.Fatal(err)
-	}
-	if err := db.Close(); err != nil {
-		t.Fatal(err)
-	}
-}
-
 // The bytes written must equal those in existing stores.
 func TestStoredFormat_MatchesFixtures(t *testing.T) {
 	for name, write := range fixtures {
