--- a/internal/eventloop/connection.go
+++ b/internal/eventloop/connection.go
@@ -1,7 +1,6 @@
 package eventloop
 
 import (
-	"errors"
 	"net/netip"
 	"time"
 
@@ -13,57 +12,58 @@
 )
 
 const (
-	// readSize is how many bytes are read from a connection in a turn: others wait for no more than that.
+	// readSize is the maximum number of bytes read from a connection in one iteration, so that it cannot starve others.
 	readSize = 64 << 10
-	// readEvents and writeEvents are what epoll is asked for; errors and hang-ups are reported in any case.
+
 	readEvents  = unix.EPOLLIN
 	writeEvents = unix.EPOLLOUT
-	endEvents   = unix.EPOLLERR | unix.EPOLLHUP
+	// closeEvents are reported whatever the interest is.
+	closeEvents = unix.EPOLLERR | unix.EPOLLHUP
 )
 
-// connection is one connection, of a client or to a worker. It implements proxy.Conn.
+// connection is a connection of a client or to a worker. It implements proxy.Conn.
 type connection struct {
-	server       *Server
-	registration *registration // nil once it is closed
-	peer         netip.AddrPort
-	output       []byte          // written and not taken by the kernel yet
-	unreadSince  time.Time       // since when input may have waited though the loop ran; zero: it has not
-	waited       bool            // its first bytes may have waited with it to be accepted
-	client       *proxy.Client   // nil: it is to a worker
-	upstreamID   upstream.ConnID // of a connection to a worker
+	server        *Server
+	registration  *registration // nil once closed
+	remoteAddr    netip.AddrPort
+	writeBuffer   []byte          // written but not yet taken by the kernel
+	unreadSince   time.Time       // since when input may have waited although the loop ran; zero if it has not
+	acceptDelayed bool            // the first bytes may have waited until the connection was accepted
+	client        *proxy.Client   // nil if the connection is to a worker
+	upstreamID    upstream.ConnID // of a connection to a worker
 }
 
 func (c *connection) isOpen() bool { return c.registration != nil }
 
 // onEvents implements eventHandler.
 func (c *connection) onEvents(events uint32) {
-	if events&(writeEvents|endEvents) != 0 && len(c.output) > 0 {
-		c.flushOutput()
+	if events&(writeEvents|closeEvents) != 0 && len(c.writeBuffer) > 0 {
+		c.flushWriteBuffer()
 	}
-	if events&(readEvents|endEvents) != 0 && c.isOpen() {
+	if events&(readEvents|closeEvents) != 0 && c.isOpen() {
 		c.readInput()
 	}
 }
 
-// readInput reads what came, up to readSize, and hands it on.
+// readInput reads up to readSize bytes and passes them on.
 func (c *connection) readInput() {
 	buffer := c.server.readBuffer
 	n, err := c.read(buffer)
 	switch {
 	case err == nil && n > 0:
 		c.onData(buffer[:n])
-		c.unreadSince, c.waited = time.Time{}, false
+		c.unreadSince, c.acceptDelayed = time.Time{}, false
 	case err == nil:
-		c.onEnd(nil)
+		c.onClosed(nil)
 	case syscalls.ClassOf(err) == syscalls.WouldBlock:
 	case syscalls.ClassOf(err) == syscalls.Exhausted:
 		c.pauseReading()
 	default:
-		c.onEnd(err)
+		c.onClosed(err)
 	}
 }
 
-// read reads from the socket; an interrupted call is made again.
+// read reads from the socket and retries interrupted calls.
 func (c *connection) read(buffer []byte) (int, error) {
 	for {
 		n, err := c.server.kernel.Read(c.registration.fd, buffer)
@@ -73,16 +73,16 @@
 	}
 }
 
-// pauseReading waits a little before it reads again: the kernel lacks memory for it at the moment.
+// pauseReading stops reading for retryDelay, after the kernel lacked memory for a read.
 func (c *connection) pauseReading() {
 	reactor := c.server.reactor
 	if c.unreadSince.IsZero() {
 		c.unreadSince = time.Now()
 	}
-	reactor.watch(c.registration, c.registration.interest&^readEvents)
-	reactor.after(retryPause, func() {
+	reactor.poller.setInterest(c.registration, c.registration.interest&^readEvents)
+	reactor.timers.after(retryDelay, func() {
 		if c.isOpen() {
-			reactor.watch(c.registration, c.registration.interest|readEvents)
+			reactor.poller.setInterest(c.registration, c.registration.interest|readEvents)
 		}
 	})
 }
@@ -95,8 +95,8 @@
 	}
 }
 
-// onEnd closes a connection that the other side ended, or that broke, and reports it.
-func (c *connection) onEnd(err error) {
+// onClosed closes a connection that the peer closed or that broke, and reports it to the proxy.
+func (c *connection) onClosed(err error) {
 	if !c.isOpen() {
 		return
 	}
@@ -106,25 +106,25 @@
 		return
 	}
 	if err != nil {
-		c.server.log.Debug("connection to a worker broke", "address", c.peer.String(), "error", err)
+		c.server.log.Debug("worker connection broken", "address", c.remoteAddr.String(), "error", err)
 	}
 	c.server.proxy.OnUpstreamClosed(c.upstreamID)
 }
 
-// release closes the socket. What was not sent is dropped.
+// release closes the socket and drops unsent output.
 func (c *connection) release() {
-	c.server.reactor.unregister(c.registration)
-	c.registration, c.output = nil, nil
+	c.server.reactor.poller.unregister(c.registration)
+	c.registration, c.writeBuffer = nil, nil
 }
 
-// Write implements proxy.Conn. What the kernel does not take at once leaves later; where the connection has broken its
-// end is reported before Write returns.
+// Write implements proxy.Conn. Bytes that the kernel does not take at once are buffered. If the connection is broken, its
+// close is reported to the proxy before Write returns.
 func (c *connection) Write(data []byte) {
 	if !c.isOpen() {
 		return
 	}
-	if len(c.output) > 0 {
-		c.output = append(c.output, data...)
+	if len(c.writeBuffer) > 0 {
+		c.writeBuffer = append(c.writeBuffer, data...)
 		return
 	}
 	rest, err := c.writeNow(data)
@@ -133,18 +133,18 @@
 	}
 }
 
-// flushOutput writes what could not be written before.
-func (c *connection) flushOutput() {
-	rest, err := c.writeNow(c.output)
+// flushWriteBuffer retries to write the buffered output.
+func (c *connection) flushWriteBuffer() {
+	rest, err := c.writeNow(c.writeBuffer)
 	if err != nil {
 		c.onWriteError(rest, err)
 		return
 	}
-	c.output = nil
-	c.server.reactor.watch(c.registration, c.registration.interest&^writeEvents)
+	c.writeBuffer = nil
+	c.server.reactor.poller.setInterest(c.registration, c.registration.interest&^writeEvents)
 }
 
-// writeNow writes until all is written or a call fails, and returns what is left.
+// writeNow writes until everything is written or a call fails, and returns the unwritten rest.
 func (c *connection) writeNow(data []byte) (rest []byte, err error) {
 	for len(data) > 0 {
 		n, err := c.server.kernel.Write(c.registration.fd, data)
@@ -159,28 +159,28 @@
 	return nil, nil
 }
 
-// onWriteError keeps what is left for later, or ends the connection where it broke.
+// onWriteError buffers the unwritten rest after a transient error and closes the connection after any other.
 func (c *connection) onWriteError(rest []byte, err error) {
 	class := syscalls.ClassOf(err)
 	if class != syscalls.WouldBlock && class != syscalls.Exhausted {
-		c.onEnd(err)
+		c.onClosed(err)
 		return
 	}
-	if len(c.output) == 0 {
-		c.output = append([]byte(nil), rest...) // the caller may use its bytes again
+	if len(c.writeBuffer) == 0 {
+		c.writeBuffer = append([]byte(nil), rest...) // the caller may reuse its slice
 	} else {
-		c.output = rest
+		c.writeBuffer = rest
 	}
 	reactor := c.server.reactor
 	if class == syscalls.WouldBlock {
-		reactor.watch(c.registration, c.registration.interest|writeEvents)
+		reactor.poller.setInterest(c.registration, c.registration.interest|writeEvents)
 		return
 	}
 	c.server.counters.writeRetries.Add(1)
-	reactor.watch(c.registration, c.registration.interest&^writeEvents) // it would be reported at once
-	reactor.after(retryPause, func() {
-		if c.isOpen() && len(c.output) > 0 {
-			c.flushOutput()
+	reactor.poller.setInterest(c.registration, c.registration.interest&^writeEvents) // epoll would report it at once
+	reactor.timers.after(retryDelay, func() {
+		if c.isOpen() && len(c.writeBuffer) > 0 {
+			c.flushWriteBuffer()
 		}
 	})
 }
@@ -195,20 +195,21 @@
 // CloseWrite implements proxy.Conn.
 func (c *connection) CloseWrite() {
 	if c.isOpen() {
-		_ = c.server.kernel.ShutdownWrite(c.registration.fd) // fails where the other side has closed, which is reported
+		_ = c.server.kernel.ShutdownWrite(c.registration.fd) // fails only if the peer has closed, which epoll reports
 	}
 }
 
 // Unsent implements proxy.Conn.
-func (c *connection) Unsent() int { return len(c.output) }
+func (c *connection) Unsent() int { return len(c.writeBuffer) }
 
 // InputAge implements proxy.Conn.
 func (c *connection) InputAge() float64 {
-	age := c.server.reactor.inputAge()
+	estimate := &c.server.reactor.inputAge
+	age := estimate.age()
 	if !c.unreadSince.IsZero() {
 		age = max(age, time.Since(c.unreadSince))
 	}
-	if (c.server.reactor.blockedLong || c.waited) && c.isOpen() {
+	if (estimate.waitedLong || c.acceptDelayed) && c.isOpen() {
 		if ago, err := c.server.kernel.LastReceived(c.registration.fd); err == nil && ago >= negligibleAge {
 			age = max(age, ago)
 		}
@@ -217,10 +218,10 @@
 }
 
 // Name implements proxy.Conn.
-func (c *connection) Name() string { return c.peer.String() }
+func (c *connection) Name() string { return c.remoteAddr.String() }
 
-// ReadAhead implements proxy.Conn: it reads from the socket what the event loop has not come to yet. What it returns is
-// valid until the next call, for any connection.
+// ReadAhead implements proxy.Conn. It reads from the socket what the event loop has not read yet. The returned slice is
+// valid until the next call on any connection.
 func (c *connection) ReadAhead() (data []byte, open bool) {
 	if !c.isOpen() {
 		return nil, false
@@ -232,29 +233,3 @@
 	}
 	return c.server.readAheadBuffer[:n], n > 0
 }
-
-// socketPeer is the other side of a socket as accept tells it.
-func socketPeer(address unix.Sockaddr) netip.AddrPort {
-	switch a := address.(type) {
-	case *unix.SockaddrInet4:
-		return netip.AddrPortFrom(netip.AddrFrom4(a.Addr), uint16(a.Port))
-	case *unix.SockaddrInet6:
-		return netip.AddrPortFrom(netip.AddrFrom16(a.Addr), uint16(a.Port))
-	}
-	return netip.AddrPort{}
-}
-
-// errNotAnAddress is the error of an address that has no IP.
-var errNotAnAddress = errors.New("not an IP address and port")
-
-// socketAddress is an address as the kernel takes it.
-func socketAddress(addr netip.AddrPort) (family int, sockaddr unix.Sockaddr, err error) {
-	ip := addr.Addr().Unmap()
-	switch {
-	case ip.Is4():
-		return unix.AF_INET, &unix.SockaddrInet4{Port: int(addr.Port()), Addr: ip.As4()}, nil
-	case ip.Is6():
-		return unix.AF_INET6, &unix.SockaddrInet6{Port: int(addr.Port()), Addr: ip.As16()}, nil
-	}
-	return 0, nil, errNotAnAddress
-}
--- a/internal/eventloop/counters.go
+++ b/internal/eventloop/counters.go
@@ -2,22 +2,22 @@
 
 import "sync/atomic"
 
-// counters count what the event loop met that it recovers from by itself.
+// counters counts faults that the event loop recovered from.
 type counters struct {
-	acceptFailures       atomic.Uint64 // accept failed for want of a resource and was paused
-	abortedConnections   atomic.Uint64 // ended before they were accepted
-	registrationFailures atomic.Uint64 // epoll could not take a socket
-	dialRetries          atomic.Uint64 // a socket or connect failed for want of a resource
-	writeRetries         atomic.Uint64 // a write failed likewise
-	slowTurns            atomic.Uint64 // turns that took longer than slowTurn
+	acceptFailures       atomic.Uint64 // accept failed for lack of a local resource and was paused
+	abortedConnections   atomic.Uint64 // connections that ended before they were accepted
+	registrationFailures atomic.Uint64 // epoll could not add or modify a socket
+	dialRetries          atomic.Uint64 // socket or connect failed for lack of a local resource
+	writeRetries         atomic.Uint64 // write failed for lack of a local resource
+	slowIterations       atomic.Uint64 // iterations that took longer than slowIteration
 }
 
-// RecoveredErrors are totals, since the start, of what the event loop met and recovered from by itself.
+// RecoveredErrors holds totals, since the start, of faults that the event loop recovered from.
 type RecoveredErrors struct {
 	AcceptFailures, AbortedConnections, RegistrationFailures, DialRetries, WriteRetries, SlowIterations uint64
 }
 
-// RecoveredErrors are the totals at this moment; any goroutine may ask for them.
+// RecoveredErrors returns the current totals. It may be called from any goroutine.
 func (s *Server) RecoveredErrors() RecoveredErrors {
 	c := &s.counters
 	return RecoveredErrors{
@@ -26,6 +26,6 @@
 		RegistrationFailures: c.registrationFailures.Load(),
 		DialRetries:          c.dialRetries.Load(),
 		WriteRetries:         c.writeRetries.Load(),
-		SlowIterations:       c.slowTurns.Load(),
+		SlowIterations:       c.slowIterations.Load(),
 	}
 }
--- a/internal/eventloop/dialer.go
+++ b/internal/eventloop/dialer.go
@@ -13,47 +13,51 @@
 	"streamcleat/internal/upstream"
 )
 
-// errDialTimeout is the error of a connection that did not come up in time.
-var errDialTimeout = errors.New("connection not established in time")
+// errDialTimeout reports a connection that was not established within the dial timeout.
+var errDialTimeout = errors.New("dial timeout")
 
-// dial is a connection to a worker that is being established. Its end is reported once, on the loop.
+// dial is a connection to a worker that is being established. Its result is reported once, on the loop.
 type dial struct {
 	server       *Server
 	id           upstream.ConnID
 	addr         netip.AddrPort
 	deadline     time.Time
-	registration *registration // nil while there is no socket
+	cancelLookup context.CancelFunc // nil unless the address has to be looked up
+	registration *registration      // nil while there is no socket
 	ended        bool
 }
 
-// startDial connects to a worker. The proxy is told of the end, never before startDial returns.
+// startDial connects to a worker. The result is reported to the proxy, never before startDial returns.
 func (s *Server) startDial(id upstream.ConnID, address string) {
 	d := &dial{server: s, id: id, deadline: time.Now().Add(time.Duration(s.settings.Upstream.DialTimeout * float64(time.Second)))}
 	s.dials[id] = d
 	addr, err := netip.ParseAddrPort(address)
 	if err != nil {
-		s.background.Go(func() { d.resolve(address) })
+		d.startLookup(address)
 		return
 	}
 	d.addr = addr
-	s.reactor.after(0, d.connect) // the proxy is in the middle of a call
+	s.reactor.timers.after(0, d.connect) // the proxy is within a call
 }
 
-// resolve looks up a name off the loop and connects to the first address that it stands for.
-func (d *dial) resolve(address string) {
-	ctx, cancel := context.WithDeadline(d.server.backgroundCtx, d.deadline)
-	defer cancel()
-	addr, err := lookUp(ctx, address)
-	d.server.postIfRunning(func() {
-		if d.addr = addr; err != nil {
-			d.fail(err)
-			return
-		}
-		d.connect()
+// startLookup resolves a host name off the loop and connects to its first address.
+func (d *dial) startLookup(address string) {
+	ctx, cancel := context.WithDeadline(context.Background(), d.deadline)
+	d.cancelLookup = cancel
+	d.server.background.Go(func() {
+		defer cancel()
+		addr, err := lookUp(ctx, address)
+		d.server.postIfRunning(func() {
+			if d.addr = addr; err != nil {
+				d.fail(err)
+				return
+			}
+			d.connect()
+		})
 	})
 }
 
-// lookUp finds the first address, of IPv4 where there is one, that host:port stands for.
+// lookUp returns the first address of host:port, preferring IPv4.
 func lookUp(ctx context.Context, address string) (netip.AddrPort, error) {
 	host, service, err := net.SplitHostPort(address)
 	if err != nil {
@@ -77,13 +81,13 @@
 	return netip.AddrPortFrom(best, uint16(port)), nil
 }
 
-// connect makes a socket and has the kernel connect it. Where this machine lacks a resource for that it is tried again
-// until the dial's time is up: nothing was sent, and it says nothing of the worker.
+// connect opens a socket and starts to connect it. If this machine lacks a resource, connect is retried until the dial's
+// deadline: nothing was sent, and the failure says nothing about the worker.
 func (d *dial) connect() {
 	if d.ended {
 		return
 	}
-	family, sockaddr, err := socketAddress(d.addr)
+	family, sockaddr, err := sockaddrOf(d.addr)
 	if err != nil {
 		d.fail(err)
 		return
@@ -96,29 +100,29 @@
 	}
 	err = kernel.Connect(fd, sockaddr)
 	if err == nil || syscalls.ClassOfConnect(err) == syscalls.WouldBlock {
-		d.registration = d.server.reactor.register(fd, writeEvents, d)
-		return // a connection that is up at once is reported as one that comes up
+		d.registration = d.server.reactor.poller.register(fd, writeEvents, d)
+		return // epoll also reports a connection that is established at once
 	}
 	_ = kernel.Close(fd) // nothing was written to it
 	d.onConnectError("connect", err)
 }
 
-// onConnectError tries again after an error that may pass, and ends the dial after any other.
+// onConnectError retries after a transient error and fails the dial after any other.
 func (d *dial) onConnectError(call string, err error) {
 	err = fmt.Errorf("%s: %w", d.addr, os.NewSyscallError(call, err))
 	if syscalls.ClassOfConnect(err) != syscalls.Exhausted {
 		d.fail(err)
 		return
 	}
-	if time.Now().Add(retryPause).After(d.deadline) {
+	if time.Now().Add(retryDelay).After(d.deadline) {
 		d.fail(errors.Join(upstream.ErrLocal, err))
 		return
 	}
 	d.server.counters.dialRetries.Add(1)
-	d.server.reactor.after(retryPause, d.connect)
+	d.server.reactor.timers.after(retryDelay, d.connect)
 }
 
-// onEvents implements eventHandler: the connect has ended.
+// onEvents implements eventHandler. The connect has completed or failed.
 func (d *dial) onEvents(uint32) {
 	registered := d.registration
 	if err := d.server.kernel.SocketError(registered.fd); err != nil {
@@ -126,32 +130,32 @@
 		return
 	}
 	d.finish()
-	c := &connection{server: d.server, registration: registered, peer: d.addr, upstreamID: d.id}
+	c := &connection{server: d.server, registration: registered, remoteAddr: d.addr, upstreamID: d.id}
 	registered.handler = c
-	d.server.reactor.watch(registered, readEvents)
+	d.server.reactor.poller.setInterest(registered, readEvents)
 	d.server.proxy.OnDialed(d.id, c, nil)
 }
 
-// finish notes that the dial has ended.
+// finish marks the dial as ended and forgets it.
 func (d *dial) finish() {
 	d.ended, d.registration = true, nil
 	delete(d.server.dials, d.id)
 }
 
-// fail gives the socket back and reports that the dial failed.
+// fail closes the socket and reports the failure to the proxy.
 func (d *dial) fail(err error) {
 	if d.ended {
 		return
 	}
 	if d.registration != nil {
-		d.server.reactor.unregister(d.registration)
+		d.server.reactor.poller.unregister(d.registration)
 	}
 	d.finish()
-	d.server.log.Debug("worker not connected", "address", d.addr.String(), "error", err)
+	d.server.log.Debug("worker dial failed", "address", d.addr.String(), "error", err)
 	d.server.proxy.OnDialed(d.id, nil, err)
 }
 
-// expireDials ends the dials whose time is up: a connection that never comes up must not hold its descriptor.
+// expireDials fails the dials that are past their deadline, so that they do not keep their descriptors.
 func (s *Server) expireDials(now time.Time) {
 	for _, id := range sortedKeys(s.dials) {
 		if d := s.dials[id]; d != nil && now.After(d.deadline) {
@@ -159,3 +163,12 @@
 		}
 	}
 }
+
+// cancelLookups ends the name lookups in progress, whose results nobody waits for.
+func (s *Server) cancelLookups() {
+	for _, d := range s.dials {
+		if d.cancelLookup != nil {
+			d.cancelLookup()
+		}
+	}
+}
--- a/internal/eventloop/dialer_test.go
+++ b/internal/eventloop/dialer_test.go
@@ -12,9 +12,8 @@
 	"streamcleat/internal/upstream"
 )
 
-// listenWithFullQueue listens on loopback and fills the queue of connections that are not accepted: further ones never
-// come up.
-func listenWithFullQueue(t *testing.T) (addr string) {
+// listenWithFullBacklog listens on loopback and fills the accept queue, so that further dials hang.
+func listenWithFullBacklog(t *testing.T) (addr string) {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err != nil {
@@ -31,7 +30,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr = socketPeer(bound).String()
+	addr = addrPortOf(bound).String()
 	for range 8 {
 		conn, err := net.DialTimeout("tcp", addr, 50*time.Millisecond)
 		if err != nil {
@@ -39,41 +38,40 @@
 		}
 		closeAtEnd(t, conn)
 	}
-	t.Fatal("the queue takes any number")
+	t.Fatal("accept queue did not fill up")
 	return ""
 }
 
-// A connection that never comes up holds its descriptor no longer than a dial may take.
-func TestDialThatNeverComesUpEnds(t *testing.T) {
+func TestDial_TimeoutReleasesSocket(t *testing.T) {
 	settings := startSettings("127.0.0.1:0")
 	settings.Upstream.DialTimeout = 0.3
 	server, err := Start(settings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := listenWithFullQueue(t)
-	const firstID, dials = upstream.ConnID(1000), 5
-	watched := func() (dials, sockets int) {
-		if err := server.Do(func(*proxy.Proxy) { dials, sockets = len(server.dials), len(server.reactor.registrations) }); err != nil {
+	addr := listenWithFullBacklog(t)
+	const firstID, dialCount = upstream.ConnID(1000), 5
+	openDials := func() (dials, sockets int) {
+		if err := server.Do(func(*proxy.Proxy) { dials, sockets = len(server.dials), len(server.reactor.poller.registrations) }); err != nil {
 			t.Fatal(err)
 		}
 		return dials, sockets
 	}
-	_, before := watched()
+	_, socketsBefore := openDials()
 	err = server.Do(func(*proxy.Proxy) {
-		for i := range upstream.ConnID(dials) {
+		for i := range upstream.ConnID(dialCount) {
 			server.startDial(firstID+i, addr)
 		}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if underWay, sockets := watched(); underWay != dials || sockets != before+dials {
-		t.Errorf("%d dials are under way on %d sockets", underWay, sockets-before)
+	if dials, sockets := openDials(); dials != dialCount || sockets != socketsBefore+dialCount {
+		t.Errorf("%d dials in progress on %d sockets, want %d each", dials, sockets-socketsBefore, dialCount)
 	}
 	time.Sleep(600 * time.Millisecond)
-	if underWay, sockets := watched(); underWay != 0 || sockets != before {
-		t.Errorf("%d dials on %d sockets are left", underWay, sockets-before)
+	if dials, sockets := openDials(); dials != 0 || sockets != socketsBefore {
+		t.Errorf("%d dials on %d sockets after the timeout, want none", dials, sockets-socketsBefore)
 	}
 	if err := server.Stop(0); err != nil {
 		t.Error(err)
--- a/internal/eventloop/discovery_watch_test.go
+++ b/internal/eventloop/discovery_watch_test.go
@@ -10,17 +10,17 @@
 	"strings"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"testing"
 	"time"
 )
 
-// closeAtEnd closes something with the test.
+// closeAtEnd closes c when the test ends.
 func closeAtEnd(t *testing.T, c io.Closer) {
-	t.Cleanup(func() { _ = c.Close() }) // the test may have closed it already
+	t.Helper()
+	t.Cleanup(func() { _ = c.Close() }) // the test may have closed it
 }
 
-// listenLoopback listens on a free port for the time of the test.
+// listenLoopback listens on a free port until the test ends.
 func listenLoopback(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -31,8 +31,8 @@
 	return listener
 }
 
-// serveConnections is a service that treats each of its connections by the next of some functions, and hands out the
-// line that each began with.
+// serveConnections starts a service that handles each connection with the next handler. It returns its address and the
+// first line of each connection.
 func serveConnections(t *testing.T, handlers ...func(net.Conn)) (addr string, requests chan string) {
 	t.Helper()
 	listener := listenLoopback(t)
@@ -43,7 +43,7 @@
 			if err != nil {
 				return
 			}
-			line, _ := bufio.NewReader(conn).ReadString('\n') // one that breaks off is compared as far as it came
+			line, _ := bufio.NewReader(conn).ReadString('\n') // a truncated line is compared as it is
 			requests <- line
 			handle(conn)
 		}
@@ -51,27 +51,27 @@
 	return listener.Addr().String(), requests
 }
 
-// send writes to a connection that the other side may have left.
+// send writes to a connection that the peer may have closed.
 func send(conn net.Conn, text string) {
-	_, _ = io.WriteString(conn, text) // what matters is what the other side makes of it
+	_, _ = io.WriteString(conn, text) // the test checks what the peer received
 }
 
-// wantText waits for a text on a channel.
-func wantText(t *testing.T, from chan string, want string) {
+// wantText waits for a string on a channel and compares it.
+func wantText(t *testing.T, from <-chan string, want string) {
 	t.Helper()
 	select {
 	case got := <-from:
 		if got != want {
-			t.Errorf("%q, want %q", got, want)
+			t.Errorf("got %q, want %q", got, want)
 		}
 	case <-time.After(3 * time.Second):
-		t.Fatalf("%q did not come", want)
+		t.Fatalf("timeout waiting for %q", want)
 	}
 }
 
-// A service that breaks off, falls silent or sends what can't be read is asked again from where it got to; one that
-// moved is asked at its new address.
-func TestFollowAsksAgain(t *testing.T) {
+// The watch reconnects when the service closes the connection, falls silent or sends a malformed line, and requests the
+// events after the last one processed. SetAddress switches to the new address.
+func TestDiscoveryWatch_ReconnectsFromLastPosition(t *testing.T) {
 	keepOpen := func(conn net.Conn) { closeAtEnd(t, conn) }
 	sendAndKeep := func(text string) func(net.Conn) {
 		return func(conn net.Conn) {
@@ -81,22 +81,22 @@
 	}
 	next, nextRequests := serveConnections(t, sendAndKeep("e\n"))
 	first, requests := serveConnections(t,
-		func(conn net.Conn) { // breaks off; what is cut off is for the line's reader to judge
+		func(conn net.Conn) { // closes within a line, which is processed as it is
 			send(conn, "a\nb")
-			_ = conn.Close() // all was sent
+			_ = conn.Close() // nothing is left to send
 		},
 		sendAndKeep("c\n"),    // falls silent
 		keepOpen,              // sends nothing at all
-		sendAndKeep("bad ha"), // falls silent in the middle of a line
+		sendAndKeep("bad ha"), // falls silent within a line
 		sendAndKeep("bad\n"),
 		sendAndKeep("d\n"))
-	var taken atomic.Int32
+	var processed atomic.Int32
 	lines := make(chan string, 10)
-	watch := StartDiscoveryWatch(first, 150*time.Millisecond, func() []byte { return fmt.Appendf(nil, "from %d\n", taken.Load()) }, func(line []byte) error {
+	watch := StartDiscoveryWatch(first, 150*time.Millisecond, func() []byte { return fmt.Appendf(nil, "from %d\n", processed.Load()) }, func(line []byte) error {
 		if strings.HasPrefix(string(line), "bad") {
 			return errors.New("bad line")
 		}
-		taken.Add(1)
+		processed.Add(1)
 		lines <- string(line)
 		return nil
 	}, slog.New(slog.DiscardHandler))
@@ -122,11 +122,11 @@
 	wantText(t, lines, "e")
 }
 
-// watchedService listens, answers each request with a text and tells when it was asked.
-func watchedService(t *testing.T, text string) (addr string, asked chan struct{}) {
+// serveText starts a service that answers each request with text. requested receives a value for each request.
+func serveText(t *testing.T, text string) (addr string, requested chan struct{}) {
 	t.Helper()
 	listener := listenLoopback(t)
-	asked = make(chan struct{}, 1000)
+	requested = make(chan struct{}, 1000)
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -134,42 +134,15 @@
 				return
 			}
 			closeAtEnd(t, conn)
-			_, _ = bufio.NewReader(conn).ReadString('\n') // a request that breaks off counts too
-			asked <- struct{}{}
+			_, _ = bufio.NewReader(conn).ReadString('\n') // a truncated request counts too
+			requested <- struct{}{}
 			send(conn, text)
 		}
 	}()
-	return listener.Addr().String(), asked
-}
-
-// hangingAddress is an address at which dials hang: its queue of connections is full and nobody accepts them.
-func hangingAddress(t *testing.T) string {
-	t.Helper()
-	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { _ = syscall.Close(fd) }) // nothing was written to it
-	if err := errors.Join(syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}), syscall.Listen(fd, 0)); err != nil {
-		t.Fatal(err)
-	}
-	sockaddr, err := syscall.Getsockname(fd)
-	if err != nil {
-		t.Fatal(err)
-	}
-	addr := fmt.Sprintf("127.0.0.1:%d", sockaddr.(*syscall.SockaddrInet4).Port)
-	for range 5 {
-		conn, err := net.DialTimeout("tcp", addr, 50*time.Millisecond)
-		if err != nil {
-			return addr
-		}
-		closeAtEnd(t, conn)
-	}
-	t.Fatal("dials do not hang")
-	return ""
+	return listener.Addr().String(), requested
 }
 
-// startWatch watches an address for the time of the test.
+// startWatch watches an address until the test ends.
 func startWatch(t *testing.T, addr string, onLine func([]byte) error) *DiscoveryWatch {
 	t.Helper()
 	watch := StartDiscoveryWatch(addr, time.Second, func() []byte { return []byte("from 0\n") }, onLine, slog.New(slog.DiscardHandler))
@@ -177,45 +150,44 @@
 	return watch
 }
 
-// A move does not wait for the dial to the old address, nor for the pause after one that failed.
-func TestMoveEndsTheDialAndThePause(t *testing.T) {
+func TestDiscoveryWatchSetAddress_InterruptsDialAndBackoff(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		addr   string
-		settle time.Duration // until the watch is in that state
+		settle time.Duration // until the watch reaches that state
 	}{
-		{"dial", hangingAddress(t), 60 * time.Millisecond},
-		{"pause", "127.0.0.1:1", 860 * time.Millisecond}, // by then the pauses are long
+		{"dial", listenWithFullBacklog(t), 60 * time.Millisecond},
+		{"backoff", "127.0.0.1:1", 860 * time.Millisecond}, // by then the backoff is long
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var watches []*DiscoveryWatch
-			for range 8 { // chance lets a pause end by itself
+			for range 8 { // a single backoff may end by chance
 				watches = append(watches, startWatch(t, c.addr, func([]byte) error { return nil }))
 			}
 			time.Sleep(c.settle)
-			next, asked := watchedService(t, "")
-			began := time.Now()
+			next, requested := serveText(t, "")
+			start := time.Now()
 			for _, watch := range watches {
 				watch.SetAddress(next)
 			}
 			for range watches {
 				select {
-				case <-asked:
-					if took := time.Since(began); took > 100*time.Millisecond {
-						t.Errorf("asked after %v", took)
+				case <-requested:
+					if took := time.Since(start); took > 100*time.Millisecond {
+						t.Errorf("new address requested after %v", took)
 					}
 				case <-time.After(2 * time.Second):
-					t.Fatal("the new address was not asked")
+					t.Fatal("new address not requested")
 				}
 			}
 		})
 	}
 }
 
-// What the old address sent, and lies read, must not act after the move.
-func TestNothingOldIsTakenAfterAMove(t *testing.T) {
-	old, _ := watchedService(t, strings.Repeat("old\n", 1000))
-	next, asked := watchedService(t, "new\n")
+// Lines of the old address that were received before SetAddress, but not processed, must not take effect after it.
+func TestDiscoveryWatchSetAddress_DropsBufferedLines(t *testing.T) {
+	old, _ := serveText(t, strings.Repeat("old\n", 1000))
+	next, requested := serveText(t, "new\n")
 	step := make(chan struct{})
 	watch := startWatch(t, old, func(line []byte) error {
 		if string(line) == "old" {
@@ -224,47 +196,46 @@
 		return nil
 	})
 	release := sync.OnceFunc(func() { close(step) })
-	t.Cleanup(release) // before the watch's own: a line that still waits would hold it up
+	t.Cleanup(release) // runs before the watch's cleanup, which a blocked line would hang
 	step <- struct{}{}
-	moved := make(chan struct{})
+	addressSet := make(chan struct{})
 	go func() {
 		watch.SetAddress(next)
-		close(moved)
+		close(addressSet)
 	}()
-	for moving := true; moving; {
+	for waiting := true; waiting; {
 		select {
-		case step <- struct{}{}: // the line that is being taken
-		case <-moved:
-			moving = false
+		case step <- struct{}{}: // the line being processed
+		case <-addressSet:
+			waiting = false
 		}
 	}
 	select {
 	case step <- struct{}{}:
-		t.Error("a line of the old address was taken after the move")
+		t.Error("line of the old address processed after SetAddress")
 		release()
-	case <-asked:
+	case <-requested:
 	case <-time.After(2 * time.Second):
-		t.Error("the new address was not asked")
+		t.Error("new address not requested")
 	}
 }
 
-// Hundreds of watchers that lose a service together come back spread out, and soon.
-func TestBackoff(t *testing.T) {
-	for failed, bound := range []time.Duration{100, 200, 400, 800, 800, 800} {
+func TestBackoff_SpreadsOverDoublingBound(t *testing.T) {
+	for failures, bound := range []time.Duration{100, 200, 400, 800, 800, 800} {
 		bound *= time.Millisecond
 		early, late := 0, 0
 		for range 1000 {
-			switch pause := backoff(failed); {
-			case pause < 0 || pause >= bound:
-				t.Fatalf("%v after %d tries", pause, failed)
-			case pause < bound/4:
+			switch delay := backoff(failures); {
+			case delay < 0 || delay >= bound:
+				t.Fatalf("backoff of %v after %d failures, want [0, %v)", delay, failures, bound)
+			case delay < bound/4:
 				early++
-			case pause >= bound*3/4:
+			case delay >= bound*3/4:
 				late++
 			}
 		}
 		if early < 150 || late < 150 {
-			t.Errorf("after %d tries %d of 1000 pauses are in the first quarter of %v and %d in the last", failed, early, bound, late)
+			t.Errorf("after %d failures: %d of 1000 backoffs in the first quarter of %v, %d in the last, want 150 each", failures, early, bound, late)
 		}
 	}
 }
--- a/internal/eventloop/faults_test.go
+++ b/internal/eventloop/faults_test.go
@@ -16,30 +16,30 @@
 	"streamcleat/internal/syscalls/faults"
 )
 
-// Each error that a manual page states for a call which the loop makes leaves the front end serving: what is open goes
-// on, and what comes while the call fails is served once it no longer does.
-func TestDocumentedErrorsOfEachCall(t *testing.T) {
+// Whatever documented error a system call of the loop fails with, the front end keeps serving: open connections
+// continue, and requests that arrive meanwhile are served once the call succeeds.
+func TestServer_SurvivesDocumentedSyscallErrors(t *testing.T) {
 	for _, call := range []faults.Call{faults.Accept, faults.Read, faults.Write, faults.Connect, faults.Socket, faults.EpollAdd, faults.Wait} {
-		for _, failure := range faults.Documented(call) {
-			t.Run(fmt.Sprintf("%s %v", call, failure), func(t *testing.T) {
+		for _, errno := range faults.Documented(call) {
+			t.Run(fmt.Sprintf("%s %v", call, errno), func(t *testing.T) {
 				t.Parallel()
 				var script faults.Script
-				f := newFixtureOn(t, 2, "", faults.Kernel{Decide: script.Decide})
+				f := newFixtureWithKernel(t, 2, "", faults.Kernel{Decide: script.Decide})
 				f.warmUp()
 				open, in := f.dial()
-				f.send(open, requestText("again", "before"))
+				f.send(open, requestText("idempotent", "before"))
 				if line, err := in.ReadString('\n'); line != "HTTP/1.1 200 OK\r\n" {
 					t.Fatal(line, err)
 				}
 				closeUpstream(t, f) // the next attempt needs a new connection
-				script.Fail(call, failure, 3)
-				if result := f.request("once", "meanwhile"); result.Status != 200 {
-					t.Errorf("a new client: %+v", result)
+				script.Fail(call, errno, 3)
+				if result := f.request("at-most-once", "meanwhile"); result.Status != 200 {
+					t.Errorf("request of a new client: %+v", result)
 				}
-				f.send(open, requestText("again", "after"))
+				f.send(open, requestText("idempotent", "after"))
 				readUntil(t, in, "HTTP/1.1 200 OK\r\n")
 				if script.Count() == 0 {
-					t.Error("the call was never made")
+					t.Error("faulty call never made")
 				}
 			})
 		}
@@ -54,70 +54,70 @@
 	}
 }
 
-// Accept that fails for long is paused and not asked in a busy loop; who waited is accepted when it recovers.
-func TestAcceptIsPausedWhileItFails(t *testing.T) {
+// While accept keeps failing it is retried with backoff, not in a busy loop. Waiting clients are accepted when it
+// recovers.
+func TestAccept_BacksOffWhileFailing(t *testing.T) {
 	var script faults.Script
-	f := newFixtureOn(t, 1, "", faults.Kernel{Decide: script.Decide})
+	f := newFixtureWithKernel(t, 1, "", faults.Kernel{Decide: script.Decide})
 	f.warmUp()
-	script.Fail(faults.Accept, unix.ENFILE, 6) // about 0.6 s by the pauses, of the 1.2 s that the client waits
-	began := time.Now()
+	script.Fail(faults.Accept, unix.ENFILE, 6) // about 0.6 s with backoff, of the client's 1.2 s
+	start := time.Now()
 	conn, in := f.dial()
-	f.send(conn, requestText("again", "late"))
+	f.send(conn, requestText("idempotent", "late"))
 	readUntil(t, in, "HTTP/1.1 200 OK\r\n")
-	if took := time.Since(began); took < 300*time.Millisecond || script.Count() != 6 {
-		t.Errorf("accepted after %v and %d failures", took, script.Count())
+	if took := time.Since(start); took < 300*time.Millisecond || script.Count() != 6 {
+		t.Errorf("accepted after %v and %d failures, want at least 300ms and 6", took, script.Count())
 	}
 	if n := f.server.RecoveredErrors().AcceptFailures; n != 6 {
-		t.Errorf("%d failures are counted", n)
+		t.Errorf("AcceptFailures = %d, want 6", n)
 	}
 }
 
-// Functions that are posted without end hold up neither sockets nor timers.
-func TestPostedFunctionsDoNotHoldUpSockets(t *testing.T) {
+// Tasks that keep posting themselves starve neither sockets nor timers.
+func TestPost_EndlessTasksDoNotStarveSockets(t *testing.T) {
 	f := newFixture(t, 1, "")
 	f.warmUp()
 	stop := make(chan struct{})
 	var posting sync.WaitGroup
-	var again func(*proxy.Proxy)
-	again = func(*proxy.Proxy) {
+	var repost func(*proxy.Proxy)
+	repost = func(*proxy.Proxy) {
 		select {
 		case <-stop:
 			posting.Done()
 		default:
-			if f.server.Post(again) != nil {
+			if f.server.Post(repost) != nil {
 				posting.Done()
 			}
 		}
 	}
 	for range 4 {
 		posting.Add(1)
-		if err := f.server.Post(again); err != nil {
+		if err := f.server.Post(repost); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if result := f.request("once", "among them"); result.Status != 200 {
+	if result := f.request("at-most-once", "between tasks"); result.Status != 200 {
 		t.Errorf("%+v", result)
 	}
 	close(stop)
 	posting.Wait()
 }
 
-// A start waits for a while where the machine lacks a descriptor at the moment.
-func TestStartWaitsForResources(t *testing.T) {
+func TestStart_RetriesOnResourceExhaustion(t *testing.T) {
 	for _, call := range []faults.Call{faults.Socket, faults.EpollAdd} {
 		t.Run(string(call), func(t *testing.T) {
 			var script faults.Script
 			script.Fail(call, faults.Documented(call)[0], 5)
-			f := newFixtureOn(t, 1, "", faults.Kernel{Decide: script.Decide})
-			if result := f.request("again", "first"); result.Status != 200 || script.Count() != 5 {
-				t.Errorf("%+v after %d failures", result, script.Count())
+			f := newFixtureWithKernel(t, 1, "", faults.Kernel{Decide: script.Decide})
+			if result := f.request("idempotent", "first"); result.Status != 200 || script.Count() != 5 {
+				t.Errorf("%+v after %d failures, want 5", result, script.Count())
 			}
 		})
 	}
 }
 
-// A loop that can't wait for sockets any more ends with that error, which its owner is told.
-func TestLoopThatCantWaitEnds(t *testing.T) {
+// If epoll_wait fails, the loop ends and Wait returns the error.
+func TestServer_EndsWhenEpollWaitFails(t *testing.T) {
 	var script faults.Script
 	server, err := eventloop.Start(eventloop.Settings{
 		Listen: "127.0.0.1:0", Kernel: faults.Kernel{Decide: script.Decide},
@@ -135,14 +135,14 @@
 			t.Error(err)
 		}
 	case <-time.After(3 * time.Second):
-		t.Fatal("it goes on")
+		t.Fatal("loop still running")
 	}
 	if err := server.Stop(0); err != nil {
 		t.Error(err)
 	}
 }
 
-// readUntil reads lines up to one.
+// readUntil reads lines up to and including want.
 func readUntil(t *testing.T, in interface{ ReadString(byte) (string, error) }, want string) {
 	t.Helper()
 	for {
@@ -151,7 +151,7 @@
 			return
 		}
 		if err != nil {
-			t.Fatal("no", want, err)
+			t.Fatalf("reading until %q: %v", want, err)
 		}
 	}
 }
--- a/internal/eventloop/file_watch.go
+++ b/internal/eventloop/file_watch.go
@@ -9,36 +9,37 @@
 	"github.com/fsnotify/fsnotify"
 )
 
-// rereadInterval is how often a watched file is read without a sign of change, since a sign can be missed.
+// rereadInterval is the interval at which a watched file is read even without an event, since events can be lost.
 const rereadInterval = 2 * time.Second
 
-// fileWatch reads a file when it changes. It watches the directory: files are replaced by renaming.
+// fileWatch reads a file when it changes. It watches the directory, since files are replaced by renaming.
 type fileWatch struct {
 	path    string
-	last    []byte // content that was handed on last
-	failed  bool   // the last reading failed, which was reported
-	read    func([]byte, error)
+	content []byte // content reported last
+	failed  bool   // the last read failed and was reported
+	onRead  func([]byte, error)
 	watcher *fsnotify.Watcher
 	stop    chan struct{}
 	stopped chan struct{}
 }
 
-// watchFile calls read with the file's content at once, and on a goroutine of its own whenever it differs from the last.
-func watchFile(path string, read func([]byte, error)) (*fileWatch, error) {
+// watchFile calls onRead with the file's content before it returns, and later on its own goroutine whenever the content
+// has changed or a read starts to fail.
+func watchFile(path string, onRead func([]byte, error)) (*fileWatch, error) {
 	watcher, err := fsnotify.NewWatcher()
 	if err != nil {
 		return nil, err
 	}
-	w := &fileWatch{path: path, read: read, watcher: watcher, stop: make(chan struct{}), stopped: make(chan struct{})}
+	w := &fileWatch{path: path, onRead: onRead, watcher: watcher, stop: make(chan struct{}), stopped: make(chan struct{})}
 	if err := watcher.Add(filepath.Dir(path)); err != nil {
 		w.closeWatcher()
 		return nil, err
 	}
-	if w.last, err = os.ReadFile(path); err != nil {
+	if w.content, err = os.ReadFile(path); err != nil {
 		w.closeWatcher()
 		return nil, err
 	}
-	read(w.last, nil)
+	onRead(w.content, nil)
 	go w.run()
 	return w, nil
 }
@@ -58,27 +59,27 @@
 			if filepath.Base(event.Name) != filepath.Base(w.path) {
 				continue
 			}
-		case <-w.watcher.Errors: //nolint:errcheck // an overflow: the reading below makes up for it
+		case <-w.watcher.Errors: //nolint:errcheck // an overflow, which the read below makes up for
 		case <-reread.C:
 		}
 		w.reread()
 	}
 }
 
-// reread hands the file's content on if it changed, and an error if the last reading brought none.
+// reread reports the file's content if it has changed, and an error unless the previous read failed too.
 func (w *fileWatch) reread() {
 	data, err := os.ReadFile(w.path)
-	if err != nil && w.failed || err == nil && bytes.Equal(data, w.last) {
+	if err != nil && w.failed || err == nil && bytes.Equal(data, w.content) {
 		return
 	}
 	w.failed = err != nil
 	if !w.failed {
-		w.last = data
+		w.content = data
 	}
-	w.read(data, err)
+	w.onRead(data, err)
 }
 
-// close ends the watch; read is not called any more once it has returned.
+// close stops the watch. Once it has returned, onRead is not called any more.
 func (w *fileWatch) close() {
 	close(w.stop)
 	w.closeWatcher()
@@ -86,5 +87,5 @@
 }
 
 func (w *fileWatch) closeWatcher() {
-	_ = w.watcher.Close() // nothing was written
+	_ = w.watcher.Close() // a watcher has nothing to flush
 }
--- a/internal/eventloop/fixture_test.go
+++ b/internal/eventloop/fixture_test.go
@@ -22,32 +22,32 @@
 
 // fixture is a front end with fake workers on loopback.
 type fixture struct {
-	t       *testing.T
-	tape    *invariants.Recorder
-	workers []*fakes.Worker
-	list    *fakes.EndpointList
-	path    string // of the endpoint list
-	server  *eventloop.Server
+	t        *testing.T
+	recorder *invariants.Recorder
+	workers  []*fakes.Worker
+	list     *fakes.EndpointList
+	path     string // of the endpoint list
+	server   *eventloop.Server
 }
 
-// newFixture starts a front end and so many workers; limits are members of the configuration's limits.
+// newFixture starts a front end and workers. limits are members of the configuration's "limits" object.
 func newFixture(t *testing.T, workers int, limits string) *fixture {
 	t.Helper()
-	return newFixtureOn(t, workers, limits, nil)
+	return newFixtureWithKernel(t, workers, limits, nil)
 }
 
-// newFixtureOn is newFixture with a kernel of the test's own.
-func newFixtureOn(t *testing.T, workers int, limits string, kernel syscalls.Kernel) *fixture {
+// newFixtureWithKernel is newFixture with a kernel that may inject faults.
+func newFixtureWithKernel(t *testing.T, workers int, limits string, kernel syscalls.Kernel) *fixture {
 	t.Helper()
-	f := &fixture{t: t, tape: invariants.NewRecorder(), path: filepath.Join(t.TempDir(), "workers.json")}
+	f := &fixture{t: t, recorder: invariants.NewRecorder(), path: filepath.Join(t.TempDir(), "workers.json")}
 	f.startWorkers(workers)
 	var err error
-	if f.list, err = fakes.NewEndpointList(f.path, f.tape, f.workers); err != nil {
+	if f.list, err = fakes.NewEndpointList(f.path, f.recorder, f.workers); err != nil {
 		t.Fatal(err)
 	}
-	c, err := config.Parse([]byte(`{"event_types":[{"name":"again","target_time_s":0.5,"max_age_s":1.2},
+	c, err := config.Parse([]byte(`{"event_types":[{"name":"idempotent","target_time_s":0.5,"max_age_s":1.2},
 		{"name":"keyed","target_time_s":0.5,"max_age_s":1.2,"repeat":"keyed","remembered_s":30},
-		{"name":"once","target_time_s":0.5,"max_age_s":1.2,"repeat":"at-most-once"}],"functions":[{"match":"*","lanes":4,"load_s":0.03}],
+		{"name":"at-most-once","target_time_s":0.5,"max_age_s":1.2,"repeat":"at-most-once"}],"functions":[{"match":"*","lanes":4,"load_s":0.03}],
 		"rules":{"cold_share":0.5,"warm_within_s":1,"fall_multiple":5,"fall_window_s":1},"limits":{`+limits+`}}`), ".")
 	if err != nil {
 		t.Fatal(err)
@@ -78,12 +78,12 @@
 func (f *fixture) startWorkers(n int) {
 	f.t.Helper()
 	functions := []fakes.Function{{Name: "tally", MemoryMB: 100, Concurrency: 4, FetchTime: 0.02, StartTime: 0.01, MeanWork: 0.05}}
-	store, memory := fakes.NewStore(8, 32), fakes.NewDeduplicator(30)
+	store, deduplicator := fakes.NewStore(8, 32), fakes.NewDeduplicator(30)
 	for i := range n {
 		worker, err := fakes.NewWorker(fakes.WorkerConfig{
 			Name: fmt.Sprintf("wk-%d", i), Cores: 4, Speed: 1, Memory: 1000, QueueLimit: 50, MaxConcurrentLoads: 4,
 			IdleReplicaLifetime: 20, InitialCapacityFraction: 0.5, WarmUpTime: 1, OverloadFactor: 5, OverloadWindow: 1, MeanWork: 0.05, Functions: functions, Store: store,
-			Deduplicator: memory, IdempotentByKeyClasses: map[string]bool{"keyed": true}, Recorder: f.tape, Seed: uint64(i),
+			Deduplicator: deduplicator, IdempotentByKeyClasses: map[string]bool{"keyed": true}, Recorder: f.recorder, Seed: uint64(i),
 		})
 		if err != nil {
 			f.t.Fatal(err)
@@ -93,7 +93,7 @@
 	}
 }
 
-// request sends a request of a class as a client without retries does.
+// request sends a request of an event type, without retries, and waits for the response.
 func (f *fixture) request(class, id string) schedule.Result {
 	client := &schedule.Client{
 		Source: "/t", FrontEnds: []string{f.server.Addr()}, HTTP: &http.Client{Transport: &http.Transport{}},
@@ -102,15 +102,15 @@
 	return client.Fire(context.Background(), schedule.Firing{Entry: &schedule.Entry{Class: class, Function: "tally"}, ID: id})
 }
 
-// warmUp has a replica loaded.
+// warmUp loads a replica.
 func (f *fixture) warmUp() {
 	f.t.Helper()
-	if result := f.request("again", "warm"); result.Status != 200 {
+	if result := f.request("idempotent", "warm"); result.Status != 200 {
 		f.t.Fatal(result)
 	}
 }
 
-// inject puts a fault into every worker.
+// inject injects a fault into every worker.
 func (f *fixture) inject(fault fakes.Fault) {
 	f.t.Helper()
 	for _, worker := range f.workers {
@@ -120,9 +120,9 @@
 	}
 }
 
-// count tells how many records of a kind there are of a request, "" for any.
+// count returns the number of records of a kind for a request, or for all requests if id is empty.
 func (f *fixture) count(kind invariants.Kind, id string) (n int) {
-	for _, record := range f.tape.Records() {
+	for _, record := range f.recorder.Records() {
 		if record.Kind == kind && (id == "" || record.RequestID == "/t#"+id) {
 			n++
 		}
@@ -130,7 +130,7 @@
 	return n
 }
 
-// waitIdle waits until no request is open.
+// waitIdle waits until no request is open and no attempt in flight.
 func (f *fixture) waitIdle() {
 	f.t.Helper()
 	for range 200 {
@@ -143,30 +143,30 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	f.t.Fatal("requests are still open")
+	f.t.Fatal("requests still open")
 }
 
-// requestText is a request as it stands on the wire.
+// requestText returns a request in wire format.
 func requestText(class, id string) string {
 	return fmt.Sprintf("POST /events HTTP/1.1\r\nHost: f\r\nce-specversion: 1.0\r\nce-source: /t\r\nce-id: %s\r\nce-type: %s\r\n"+
 		"ce-function: tally\r\nContent-Length: 0\r\n\r\n", id, class)
 }
 
-// dial opens a client's connection.
+// dial opens a client connection.
 func (f *fixture) dial() (net.Conn, *bufio.Reader) {
 	f.t.Helper()
 	conn, err := net.Dial("tcp", f.server.Addr())
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	f.t.Cleanup(func() { _ = conn.Close() }) // the test may have closed it already
+	f.t.Cleanup(func() { _ = conn.Close() }) // the test may have closed it
 	if err := conn.SetDeadline(time.Now().Add(5 * time.Second)); err != nil {
 		f.t.Fatal(err)
 	}
 	return conn, bufio.NewReader(conn)
 }
 
-// send writes to a connection of dial.
+// send writes to a connection.
 func (f *fixture) send(conn net.Conn, text string) {
 	f.t.Helper()
 	if _, err := io.WriteString(conn, text); err != nil {
--- a/internal/eventloop/host.go
+++ b/internal/eventloop/host.go
@@ -6,16 +6,16 @@
 	"streamcleat/internal/upstream"
 )
 
-// clockBase is the clock's reading, in seconds, at the start of the process. It lies above 0, so that the starts of
-// workers that are older than the process fit.
+// clockBase is the reading of Now, in seconds, at the start of the process. It is large enough that start times of
+// workers which are older than the process stay positive.
 const clockBase = 1e6
 
 var processStart = time.Now()
 
-// Now is the clock of every front end of this process: monotonic seconds.
+// Now returns the time in seconds on the monotonic clock that all front ends of this process share.
 func Now() float64 { return clockBase + time.Since(processStart).Seconds() }
 
-// loopHost is what a proxy runs on: this process's clock, its event loop and its sockets. It implements proxy.Host.
+// loopHost implements proxy.Host on a server's event loop and sockets and on the process's clock.
 type loopHost struct{ server *Server }
 
 // Now implements proxy.Host.
@@ -26,12 +26,12 @@
 
 // SetTimer implements proxy.Host.
 func (h loopHost) SetTimer(at float64) {
-	h.server.reactor.tickAt = processStart.Add(time.Duration((at - clockBase) * float64(time.Second)))
+	h.server.reactor.timers.tickAt = processStart.Add(time.Duration((at - clockBase) * float64(time.Second)))
 }
 
 // After implements proxy.Host.
 func (h loopHost) After(seconds float64, f func()) {
-	h.server.reactor.after(time.Duration(seconds*float64(time.Second)), f)
+	h.server.reactor.timers.after(time.Duration(seconds*float64(time.Second)), f)
 }
 
 // Post implements proxy.Host.
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -13,29 +13,30 @@
 )
 
 const (
-	// listenBacklog is how many connections may wait to be accepted; the kernel's own limit may be lower.
+	// listenBacklog is the maximum number of connections in the accept queue. The kernel's own limit may be lower.
 	listenBacklog = 4096
-	// maxAcceptsPerTurn is how many connections are accepted before others are served.
-	maxAcceptsPerTurn = 64
-	// Pauses of accepting after it failed for want of a resource double from the first to the longest.
-	firstAcceptPause   = 10 * time.Millisecond
-	longestAcceptPause = 500 * time.Millisecond
-	// addressTimeout is for how long the start waits for an address that is in use.
-	addressTimeout = time.Second
-	// startTimeout is for how long the start asks again for a socket where the machine lacks a resource.
+	// maxAcceptsPerIteration is the maximum number of connections accepted before other sockets are served.
+	maxAcceptsPerIteration = 64
+	// The delay before accept is retried, after it failed for lack of a local resource, doubles between these bounds.
+	initialAcceptBackoff = 10 * time.Millisecond
+	maxAcceptBackoff     = 500 * time.Millisecond
+	// addressInUseTimeout is the time for which Start waits for an address that is in use.
+	addressInUseTimeout = time.Second
+	// startTimeout is the time for which Start retries to open a socket while the machine lacks a resource.
 	startTimeout = 5 * time.Second
 )
 
-// listener is the socket at which clients connect. Nothing that accept fails with ends it.
+// listener accepts clients' connections. No error of accept closes it.
 type listener struct {
 	server       *Server
 	fd           int
-	registration *registration // nil before watch, and once it is closed
-	pause        time.Duration // after the last failure; 0: the last accept did not fail
-	pausedSince  time.Time     // since when connections wait that could not be accepted; zero: none do
+	registration *registration // nil before listen and once closed
+	backoff      time.Duration // 0 unless the last accept failed
+	pausedSince  time.Time     // since when connections have waited for accept to recover; zero if none do
 }
 
-// openListener binds an address, and tells which one port 0 stands for. Nobody can connect before listen.
+// openListener binds a socket to an address and returns the bound address, which differs if the port is 0. Connections
+// are refused until listen is called.
 func openListener(kernel syscalls.Kernel, address string) (l *listener, bound string, err error) {
 	tcpAddr, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil {
@@ -44,7 +45,7 @@
 	if tcpAddr.IP == nil {
 		tcpAddr.IP = net.IPv4zero
 	}
-	family, sockaddr, err := socketAddress(tcpAddr.AddrPort())
+	family, sockaddr, err := sockaddrOf(tcpAddr.AddrPort())
 	if err != nil {
 		return nil, "", err
 	}
@@ -59,49 +60,49 @@
 	if err != nil {
 		return nil, "", errors.Join(os.NewSyscallError("getsockname", err), kernel.Close(fd))
 	}
-	return &listener{fd: fd}, socketPeer(local).String(), nil
+	return &listener{fd: fd}, addrPortOf(local).String(), nil
 }
 
-// retryStart makes calls again that fail because the machine lacks a resource at the moment, or because the address is
-// still in use: an earlier process may be about to end, or a connection of any process may have the port for a moment.
+// retryStart retries a call that fails because the machine lacks a resource, or because the address is in use: an earlier
+// process may be about to exit, or a connection of some process may hold the port briefly.
 func retryStart(call func() error) error {
-	began := time.Now()
+	start := time.Now()
 	for {
 		err := call()
 		timeout := time.Duration(0)
 		switch {
 		case errors.Is(err, unix.EADDRINUSE):
-			timeout = addressTimeout
+			timeout = addressInUseTimeout
 		case syscalls.ClassOf(err) == syscalls.Exhausted, syscalls.ClassOf(err) == syscalls.Interrupted:
 			timeout = startTimeout
 		}
-		if err == nil || time.Since(began) >= timeout {
+		if err == nil || time.Since(start) >= timeout {
 			return err
 		}
-		time.Sleep(retryPause)
+		time.Sleep(retryDelay)
 	}
 }
 
-// listen lets clients connect from now on, and accepts them on the loop of a server.
+// listen starts to accept connections on the server's loop.
 func (l *listener) listen(s *Server) error {
 	if err := s.kernel.Listen(l.fd, listenBacklog); err != nil {
 		return errors.Join(os.NewSyscallError("listen", err), s.kernel.Close(l.fd))
 	}
 	l.server = s
-	l.registration = s.reactor.register(l.fd, readEvents, l)
+	l.registration = s.reactor.poller.register(l.fd, readEvents, l)
 	return nil
 }
 
-// onEvents implements eventHandler: it accepts what waits, within bounds.
+// onEvents implements eventHandler. It accepts up to maxAcceptsPerIteration connections.
 func (l *listener) onEvents(uint32) {
-	for range maxAcceptsPerTurn {
+	for range maxAcceptsPerIteration {
 		if l.registration == nil {
-			return // closed by what a connection brought
+			return // closed while a connection was handled
 		}
 		fd, peer, err := l.server.kernel.Accept(l.fd)
 		if err == nil {
-			l.pause = 0
-			l.server.onAccepted(fd, socketPeer(peer), l.pausedSince)
+			l.backoff = 0
+			l.server.onAccepted(fd, addrPortOf(peer), l.pausedSince)
 			continue
 		}
 		switch syscalls.ClassOfAccept(err) {
@@ -118,46 +119,46 @@
 	}
 }
 
-// pauseAccepting leaves connections where they wait for a while, so that what lacks can come back. An idle client makes
-// room where the settings allow that.
+// pauseAccepting leaves connections in the accept queue for a while, until resources are available again. It evicts an
+// idle client if the settings allow that.
 func (l *listener) pauseAccepting(err error) {
 	if l.pausedSince.IsZero() {
 		l.pausedSince = time.Now()
 	}
-	l.pause = min(max(2*l.pause, firstAcceptPause), longestAcceptPause)
+	l.backoff = min(max(2*l.backoff, initialAcceptBackoff), maxAcceptBackoff)
 	s := l.server
 	s.counters.acceptFailures.Add(1)
 	evicted := s.proxy.EvictIdleClient()
-	s.log.Warn("connections are not accepted for a while", "address", s.settings.Listen, "error", err,
-		"seconds", l.pause.Seconds(), "evicted", evicted)
-	s.reactor.watch(l.registration, 0)
-	s.reactor.after(l.pause, func() {
+	s.log.Warn("accept paused", "address", s.settings.Listen, "error", err,
+		"seconds", l.backoff.Seconds(), "evicted", evicted)
+	s.reactor.poller.setInterest(l.registration, 0)
+	s.reactor.timers.after(l.backoff, func() {
 		if l.registration != nil {
-			s.reactor.watch(l.registration, readEvents)
+			s.reactor.poller.setInterest(l.registration, readEvents)
 		}
 	})
 }
 
-// close ends listening. Connections that were not accepted are reset.
+// close stops listening. Connections that were not accepted are reset.
 func (l *listener) close() {
 	if l.registration == nil {
 		return
 	}
-	l.server.reactor.unregister(l.registration)
+	l.server.reactor.poller.unregister(l.registration)
 	l.registration = nil
 }
 
-// onAccepted takes a connection into service that may have waited for that; waitedSince is zero where it has not.
+// onAccepted hands an accepted connection to the proxy. waitedSince is when accept was paused, or zero if it was not.
 func (s *Server) onAccepted(fd int, peer netip.AddrPort, waitedSince time.Time) {
-	c := &connection{server: s, peer: peer, waited: s.reactor.blockedLong || !waitedSince.IsZero()}
-	c.registration = s.reactor.register(fd, readEvents, c)
+	c := &connection{server: s, remoteAddr: peer, acceptDelayed: s.reactor.inputAge.waitedLong || !waitedSince.IsZero()}
+	c.registration = s.reactor.poller.register(fd, readEvents, c)
 	switch {
-	case !waitedSince.IsZero(): // the kernel tells how long ago what is read came, if it can
+	case !waitedSince.IsZero(): // the kernel's arrival time is preferred, see connection.InputAge
 		if _, err := s.kernel.LastReceived(fd); err != nil {
 			c.unreadSince = waitedSince
 		}
-	case s.reactor.inputAge() > 0: // what was sent on it may be as old as the connection
-		c.unreadSince = s.reactor.inputSince
+	case s.reactor.inputAge.age() > 0: // input may be as old as the connection
+		c.unreadSince = s.reactor.inputAge.since
 	case !c.registration.added:
 		c.unreadSince = time.Now()
 	}
--- a/internal/eventloop/listener_test.go
+++ b/internal/eventloop/listener_test.go
@@ -18,7 +18,7 @@
 	"streamcleat/internal/syscalls"
 )
 
-// freeAddress is a loopback address that nobody uses at the moment.
+// freeAddress returns a loopback address that is not in use.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -31,6 +31,7 @@
 	return listener.Addr().String()
 }
 
+// startSettings returns the settings of a front end without workers.
 func startSettings(addr string) Settings {
 	return Settings{
 		Listen: addr,
@@ -43,9 +44,9 @@
 	}
 }
 
-// From before the start on, every connection that comes up is served, the very first included, and what must be known
-// to serve it is: no address is listened on and closed again.
-func TestEveryConnectionThatComesUpIsServed(t *testing.T) {
+// Every connection that is established during the start is served, from the first on, and only after OnStart: the
+// listener is not opened and closed again, and never accepts before the front end is ready.
+func TestStart_ServesEveryEstablishedConnection(t *testing.T) {
 	addr := freeAddress(t)
 	var started atomic.Bool
 	served, stop := make(chan int, 1), make(chan struct{})
@@ -65,10 +66,10 @@
 				}
 				continue
 			}
-			_, _ = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: f\r\nConnection: close\r\n\r\n") // the read tells
+			_, _ = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: f\r\nConnection: close\r\n\r\n") // the read reports a failure
 			got, err := io.ReadAll(conn)
 			if !strings.HasPrefix(string(got), "HTTP/1.1 405") || err != nil || !started.Load() {
-				t.Errorf("connection %d got %q, %v; before it %v", n, got, err, started.Load())
+				t.Errorf("connection %d got %q, %v; OnStart called: %v", n, got, err, started.Load())
 			}
 			if err := conn.Close(); err != nil {
 				t.Error(err)
@@ -86,15 +87,15 @@
 	time.Sleep(50 * time.Millisecond)
 	close(stop)
 	if n := <-served; n == 0 {
-		t.Error("no connection came up")
+		t.Error("no connection established")
 	}
 	if err := server.Stop(0); err != nil {
 		t.Error(err)
 	}
 }
 
-// A front end that is stopped as soon as it runs ends, its goroutines with it, and runs nothing more.
-func TestStopRightAfterTheStart(t *testing.T) {
+// A front end that is stopped right after its start ends with all its goroutines and runs no further tasks.
+func TestStop_ImmediatelyAfterStart(t *testing.T) {
 	server, err := Start(startSettings("127.0.0.1:0"))
 	if err != nil {
 		t.Fatal(err)
@@ -107,15 +108,15 @@
 			t.Error(err)
 		}
 	case <-time.After(3 * time.Second):
-		t.Fatal("it does not end")
+		t.Fatal("Stop hangs")
 	}
 	if err := server.Do(func(*proxy.Proxy) {}); !errors.Is(err, ErrLoopEnded) {
-		t.Error("a function ran on a loop that has ended:", err)
+		t.Errorf("Do after Stop: %v, want ErrLoopEnded", err)
 	}
 }
 
-// A socket that is bound and does not listen yet accepts nobody: a connection made then would be cut off.
-func TestABoundAddressAcceptsNobody(t *testing.T) {
+// A connection that was established before listen would be reset.
+func TestOpenListener_RefusesConnectionsBeforeListen(t *testing.T) {
 	kernel := syscalls.Linux{}
 	l, addr, err := openListener(kernel, "127.0.0.1:0")
 	if err != nil {
@@ -125,7 +126,7 @@
 		conn, err := net.DialTimeout("tcp", addr, time.Second)
 		if err == nil {
 			closeAtEnd(t, conn)
-			t.Fatal("a connection came up")
+			t.Fatal("connection established before listen")
 		}
 		if !errors.Is(err, syscall.ECONNREFUSED) {
 			t.Fatal(err)
@@ -136,8 +137,7 @@
 	}
 }
 
-// An address that is in use for a moment does not end the start.
-func TestStartWaitsForABusyAddress(t *testing.T) {
+func TestStart_WaitsForAddressInUse(t *testing.T) {
 	busy, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/eventloop/server.go
+++ b/internal/eventloop/server.go
@@ -1,12 +1,7 @@
-// Package eventloop has the program's only real sockets and its only real clock: an event loop that carries bytes
-// between clients, a front end, workers and the other front ends. One Server owns one proxy.Proxy: all of the proxy's
-// state is used on one event loop, so that nothing in it is locked. The package makes no decision. The program's
-// commands and the appliance start servers.
 package eventloop
 
 import (
 	"cmp"
-	"context"
 	"errors"
 	"fmt"
 	"log/slog"
@@ -22,38 +17,37 @@
 )
 
 const (
-	// storeTimeout is how long Stop waits for records to reach the disk.
+	// storeTimeout is the time for which Stop waits for records to be stored.
 	storeTimeout = 5 * time.Second
-	// sendTimeout is how long Stop waits for the last responses to leave.
+	// sendTimeout is the time for which Stop waits for the last responses to be sent.
 	sendTimeout = time.Second
-	// loopStopTimeout is how long Stop waits for the event loop's end.
+	// loopStopTimeout is the time for which Stop waits for the event loop to end.
 	loopStopTimeout = 5 * time.Second
-	// pollInterval is how often Stop looks whether what it waits for has happened.
+	// pollInterval is the interval at which Stop checks a condition that it waits for.
 	pollInterval = 10 * time.Millisecond
-	// readAheadSize is how many bytes are read at a time ahead of the event loop.
+	// readAheadSize is the maximum number of bytes that one ReadAhead returns.
 	readAheadSize = 16 << 10
 )
 
-// Errors of servers.
 var (
-	// ErrLoopEnded is returned by functions that need the event loop once it has ended.
+	// ErrLoopEnded is returned by methods that need the event loop, after it has ended.
 	ErrLoopEnded = errors.New("event loop ended")
-	// ErrLoopStalled is returned by Stop where the event loop does not end.
-	ErrLoopStalled = errors.New("event loop does not end")
+	// ErrLoopStalled is returned by Stop if the event loop does not end in time.
+	ErrLoopStalled = errors.New("event loop stalled")
 )
 
-// Settings of one front end's sockets.
+// Settings configure one front end and its sockets.
 type Settings struct {
 	proxy.Settings
-	Listen        string   // host:port for clients; port 0 takes a free one
-	PeerListen    string   // host:port for other front ends' datagrams, "" for none
-	Peers         []string // host:port of each other front end, and of this one where Self is set
-	WorkersFile   string   // the endpoint list, read whenever it changes; "" for none
-	PeerBroadcast string   // one address that reaches all other front ends; "": a datagram is sent to each of Peers
-	// Self is this front end's own address among Peers. Where it is set, datagrams are taken from Peers alone.
+	Listen        string   // host:port for clients; port 0 selects a free port
+	PeerListen    string   // host:port for other front ends' datagrams; empty for none
+	Peers         []string // host:port of each other front end, and of this one if Self is set
+	WorkersFile   string   // endpoint list, read again whenever it changes; empty for none
+	PeerBroadcast string   // address that reaches all other front ends; if empty, each of Peers gets a datagram
+	// Self is this front end's own address among Peers. If it is set, datagrams are accepted from Peers only.
 	Self    string
-	OnStart func(*proxy.Proxy) // called on the event loop before anything that came in; may be nil
-	Kernel  syscalls.Kernel    // makes the system calls on sockets; nil: syscalls.Linux
+	OnStart func(*proxy.Proxy) // called on the event loop before any input is handled; may be nil
+	Kernel  syscalls.Kernel    // makes the system calls on sockets; nil means syscalls.Linux
 }
 
 // Server is one running front end.
@@ -69,22 +63,19 @@
 	readAheadBuffer []byte
 	counters        counters
 	unanswered      []dispatch.Response // see Unanswered
-	peers           *peerSockets
-	fileWatch       *fileWatch // nil without a file
+	peers           *peerSocket
+	fileWatch       *fileWatch // nil without a WorkersFile
 
-	started   chan error    // takes the result of the start
-	loopEnded chan struct{} // closed with the loop's end
-	loopErr   error         // valid after loopEnded
-
-	background       sync.WaitGroup // goroutines that Stop waits for
-	backgroundCtx    context.Context
-	cancelBackground context.CancelFunc
+	started    chan error     // receives the result of the start
+	loopEnded  chan struct{}  // closed when the loop has ended
+	loopErr    error          // valid once loopEnded is closed
+	background sync.WaitGroup // goroutines that Stop waits for
 
 	stopOnce sync.Once
 	stopErr  error
 }
 
-// Start opens the sockets of a front end and returns once it serves.
+// Start starts a front end and returns once it serves.
 func Start(settings Settings) (*Server, error) {
 	s, err := newServer(settings)
 	if err != nil {
@@ -92,14 +83,13 @@
 	}
 	s.background.Go(s.runLoop)
 	if err := <-s.started; err != nil {
-		s.cancelBackground()
 		s.peers.close()
 		return nil, fmt.Errorf("front end %s: %w", settings.Name, err)
 	}
 	if settings.WorkersFile != "" {
 		if s.fileWatch, err = watchFile(settings.WorkersFile, s.readEndpointList); err != nil {
-			_ = s.Stop(0) // the watch's error is the one that tells why
-			return nil, fmt.Errorf("list of workers %s: %w", settings.WorkersFile, err)
+			_ = s.Stop(0) // the watch's error is the cause
+			return nil, fmt.Errorf("watch endpoint list %s: %w", settings.WorkersFile, err)
 		}
 	}
 	if s.peers.receives {
@@ -109,7 +99,7 @@
 	return s, nil
 }
 
-// newServer makes a server whose address is bound and which does not run yet.
+// newServer returns a server whose address is bound and which does not run yet.
 func newServer(settings Settings) (*Server, error) {
 	if settings.Log == nil {
 		settings.Log = slog.New(slog.DiscardHandler)
@@ -131,11 +121,11 @@
 		return nil, err
 	}
 	s.settings = settings
-	s.backgroundCtx, s.cancelBackground = context.WithCancel(context.Background())
 	return s, nil
 }
 
-// open opens the sockets and the loop. Where the machine lacks a resource at the moment it waits for it.
+// open opens the sockets and the event loop, waiting for resources that the machine lacks. It sets settings.Listen to the
+// bound address.
 func (s *Server) open(settings *Settings) error {
 	var bound string
 	err := retryStart(func() (err error) {
@@ -153,26 +143,27 @@
 	if err != nil {
 		return errors.Join(err, s.kernel.Close(s.listener.fd))
 	}
-	if s.peers, err = openPeerSockets(settings); err != nil {
-		s.reactor.close()
+	if s.peers, err = openPeerSocket(settings); err != nil {
+		s.reactor.poller.close()
 		return errors.Join(err, s.kernel.Close(s.listener.fd))
 	}
 	return nil
 }
 
-// runLoop serves until the loop is stopped.
+// runLoop serves until the loop is stopped or fails, then closes its sockets.
 func (s *Server) runLoop() {
-	err := s.begin()
+	err := s.startServing()
 	if err == nil {
 		s.started <- nil
 		err = s.reactor.run()
 	}
-	s.reactor.end()
+	s.reactor.tasks.close()
 	s.listener.close()
+	s.cancelLookups()
 	s.closeConnections()
-	s.reactor.close()
+	s.reactor.poller.close()
 	if s.loopErr = err; err != nil {
-		s.log.Error("event loop ended", "error", err)
+		s.log.Error("event loop failed", "error", err)
 		select {
 		case s.started <- err:
 		default:
@@ -181,48 +172,49 @@
 	close(s.loopEnded)
 }
 
-// begin makes the front end and lets clients connect.
-func (s *Server) begin() error {
+// startServing creates the proxy and starts to accept clients.
+func (s *Server) startServing() error {
 	s.proxy = proxy.New(s.settings.Settings, loopHost{s})
-	s.reactor.onTick = s.proxy.Tick
-	s.reactor.onSweep = s.sweep
+	s.reactor.timers.onTick = s.proxy.Tick
+	s.reactor.timers.onSweep = s.sweep
 	s.unanswered = s.proxy.Unanswered()
 	if s.settings.OnStart != nil {
 		s.settings.OnStart(s.proxy)
 	}
-	s.reactor.sweepAt = time.Now()
+	s.reactor.timers.sweepAt = time.Now()
 	return s.listener.listen(s)
 }
 
-// closeConnections closes all sockets of a loop that has ended; nothing is reported of them.
+// closeConnections closes all sockets after the loop has ended. The proxy is not notified.
 func (s *Server) closeConnections() {
-	for _, id := range sortedKeys(s.reactor.registrations) {
-		if registered := s.reactor.registrations[id]; registered != nil {
-			s.reactor.unregister(registered)
+	for _, id := range sortedKeys(s.reactor.poller.registrations) {
+		if registered := s.reactor.poller.registrations[id]; registered != nil {
+			s.reactor.poller.unregister(registered)
 		}
 	}
 }
 
-// sortedKeys are the keys of a map in their order.
+// sortedKeys returns the keys of a map in ascending order.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-// Unanswered are requests of an earlier process that may have run and must not run again; nobody was told how they ended.
+// Unanswered returns the failure responses of an earlier process's requests that may have executed and must not be
+// retried. No client received them.
 func (s *Server) Unanswered() []dispatch.Response { return s.unanswered }
 
-// Addr is where clients connect.
+// Addr returns the address that clients connect to.
 func (s *Server) Addr() string { return s.settings.Listen }
 
-// Wait returns when the loop has ended, with its error.
+// Wait blocks until the loop has ended and returns its error.
 func (s *Server) Wait() error {
 	<-s.loopEnded
 	return s.loopErr
 }
 
-// StopListening takes no more connections and requests; what is open goes on. Stop follows.
+// StopListening rejects new connections and requests. Open requests continue until Stop.
 func (s *Server) StopListening() error { return s.Do((*proxy.Proxy).StopListening) }
 
-// Stop takes no more connections and requests, waits up to grace for what is open, answers the rest at once and ends
-// the loop.
+// Stop rejects new connections and requests, waits up to grace for open requests, answers the remaining ones and ends the
+// loop.
 func (s *Server) Stop(grace time.Duration) error {
 	s.stopOnce.Do(func() { s.stopErr = s.stop(grace) })
 	return s.stopErr
@@ -239,21 +231,20 @@
 	s.doIfRunning((*proxy.Proxy).CloseUpstream)
 	s.waitUntil(sendTimeout, (*proxy.Proxy).AllSent)
 	s.postIfRunning(s.reactor.stop)
-	s.cancelBackground()
 	s.peers.close()
 	select {
 	case <-s.loopEnded:
 		s.background.Wait()
-	case <-time.After(loopStopTimeout): // what depends on the loop may hang with it
+	case <-time.After(loopStopTimeout): // background goroutines may hang with the loop
 		return ErrLoopStalled
 	}
 	s.log.Info("stopped")
 	return nil
 }
 
-// waitUntil waits for a condition, for a limited time.
+// waitUntil waits until a condition holds, the timeout expires or the loop ends.
 func (s *Server) waitUntil(timeout time.Duration, condition func(*proxy.Proxy) bool) {
-	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(pollInterval) {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		holds := false
 		if s.Do(func(p *proxy.Proxy) { holds = condition(p) }) != nil || holds {
 			return
--- a/internal/eventloop/server_test.go
+++ b/internal/eventloop/server_test.go
@@ -20,9 +20,9 @@
 	"streamcleat/internal/verification/invariants"
 )
 
-// Whoever asks for the same again, while it is open or after its end, gets the one response.
-func TestSameMinuteFromTwoClients(t *testing.T) {
-	for _, class := range []string{"again", "keyed", "once"} {
+// Duplicates of a request get the response of its one attempt, both while it is open and after it has ended.
+func TestServer_DuplicateRequestsGetOneResponse(t *testing.T) {
+	for _, class := range []string{"idempotent", "keyed", "at-most-once"} {
 		t.Run(class, func(t *testing.T) {
 			f := newFixture(t, 3, "")
 			var clients sync.WaitGroup
@@ -30,7 +30,7 @@
 			for i, delay := range []time.Duration{0, 0, 700 * time.Millisecond} {
 				clients.Go(func() {
 					time.Sleep(delay)
-					results[i] = f.request(class, "minute")
+					results[i] = f.request(class, "duplicate")
 				})
 			}
 			clients.Wait()
@@ -43,18 +43,18 @@
 					replays++
 				}
 			}
-			if n := f.count(invariants.AttemptStarted, "minute"); n != 1 || replays != 2 {
-				t.Errorf("%d attempts, %d replays", n, replays)
+			if n := f.count(invariants.AttemptStarted, "duplicate"); n != 1 || replays != 2 {
+				t.Errorf("%d attempts, %d replays, want 1 and 2", n, replays)
 			}
 		})
 	}
 }
 
-func TestHungWorkerIsAnsweredForInTime(t *testing.T) {
+func TestServer_HungWorkerAnsweredByDeadline(t *testing.T) {
 	f := newFixture(t, 2, `"answer_margin_s":0.1`)
 	f.warmUp()
 	f.inject(fakes.Fault{Kind: "hang"})
-	for class, want := range map[string]int{"again": 503, "keyed": 503, "once": 504} {
+	for class, want := range map[string]int{"idempotent": 503, "keyed": 503, "at-most-once": 504} {
 		result := f.request(class, class)
 		if result.Status != want || result.Latency < 900*time.Millisecond || result.Latency > 1190*time.Millisecond {
 			t.Errorf("%s: status %d after %v", class, result.Status, result.Latency)
@@ -66,51 +66,51 @@
 	f.waitIdle()
 }
 
-func TestResetsByKindOfEvent(t *testing.T) {
+func TestServer_ConnectionResetByIdempotency(t *testing.T) {
 	for _, c := range []struct {
-		fault  fakes.Fault
-		class  string
-		status int
-		runs   int
+		fault      fakes.Fault
+		class      string
+		status     int
+		executions int
 	}{
-		{fakes.Fault{Kind: "cut", Bytes: 40}, "again", 200, 2}, // may have run, and may run again
-		{fakes.Fault{Kind: "cut", Bytes: 40}, "keyed", 200, 1}, // the workers drop the repeat
-		{fakes.Fault{Kind: "cut", Bytes: 40}, "once", 502, 1},
-		{fakes.Fault{Kind: "reset"}, "again", 200, 1},
-		{fakes.Fault{Kind: "reset"}, "once", 502, 0}, // it never ran, but nobody can know
+		{fakes.Fault{Kind: "cut", Bytes: 40}, "idempotent", 200, 2}, // possibly executed, idempotent: retried
+		{fakes.Fault{Kind: "cut", Bytes: 40}, "keyed", 200, 1},      // the workers deduplicate the retry
+		{fakes.Fault{Kind: "cut", Bytes: 40}, "at-most-once", 502, 1},
+		{fakes.Fault{Kind: "reset"}, "idempotent", 200, 1},
+		{fakes.Fault{Kind: "reset"}, "at-most-once", 502, 0}, // never executed, which the front end cannot know
 	} {
 		t.Run(string(c.fault.Kind)+" "+c.class, func(t *testing.T) {
 			f := newFixture(t, 2, "")
 			f.warmUp()
-			f.inject(c.fault) // whoever is warm fails until it is taken back
+			f.inject(c.fault) // in force until it is replaced below
 			done := make(chan schedule.Result)
 			go func() { done <- f.request(c.class, "e") }()
 			for f.count(invariants.AttemptEnded, "e") == 0 {
 				time.Sleep(time.Millisecond)
 			}
-			over := c.fault
-			over.Duration = 1e-9
-			f.inject(over)
+			expired := c.fault
+			expired.Duration = 1e-9
+			f.inject(expired)
 			result := <-done
 			rejected := c.status == 200 && result.Status == 503
 			if result.Status != c.status && !rejected {
 				t.Errorf("status %d, want %d", result.Status, c.status)
 			}
-			if n := f.count(invariants.Executed, "e"); c.class != "again" && n > c.runs {
-				t.Errorf("ran %d times, want %d", n, c.runs)
+			if n := f.count(invariants.Executed, "e"); c.class != "idempotent" && n > c.executions {
+				t.Errorf("executed %d times, want at most %d", n, c.executions)
 			}
 		})
 	}
 }
 
-// A worker that is listed but does not run has proven not to have run anything: every class goes elsewhere.
-func TestRefusedConnectionsProveNothingRan(t *testing.T) {
+// A refused connection proves that the request was not executed, so every event type is retried on another worker.
+func TestServer_RetriesAfterRefusedConnection(t *testing.T) {
 	f := newFixture(t, 2, "")
-	if result := f.request("once", "warm"); result.Status != 200 {
+	if result := f.request("at-most-once", "warm"); result.Status != 200 {
 		t.Fatal(result)
 	}
 	var warm string
-	for _, record := range f.tape.Records() {
+	for _, record := range f.recorder.Records() {
 		if record.Kind == invariants.AttemptStarted {
 			warm = record.Worker
 		}
@@ -120,40 +120,40 @@
 			worker.Crash()
 		}
 	}
-	for _, class := range []string{"again", "keyed", "once"} {
-		// The first goes over the kept connection, whose end the front end has seen; all get to the other worker.
+	for _, class := range []string{"idempotent", "keyed", "at-most-once"} {
+		// Time for the front end to see that its connection to the worker was closed.
 		time.Sleep(20 * time.Millisecond)
 		if result := f.request(class, class); result.Status != 200 || f.count(invariants.Executed, class) != 1 {
-			t.Errorf("%s: status %d, ran %d times", class, result.Status, f.count(invariants.Executed, class))
+			t.Errorf("%s: status %d, executed %d times", class, result.Status, f.count(invariants.Executed, class))
 		}
 	}
 }
 
-func TestHangUpAndRepeat(t *testing.T) {
+func TestServer_RetryAfterClientDisconnect(t *testing.T) {
 	f := newFixture(t, 2, "")
-	f.request("again", "warm")
+	f.request("idempotent", "warm")
 	conn, _ := f.dial()
-	f.send(conn, requestText("once", "e"))
+	f.send(conn, requestText("at-most-once", "e"))
 	for f.count(invariants.Executed, "e") == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	if err := conn.Close(); err != nil {
 		t.Error(err)
 	}
-	if result := f.request("once", "e"); result.Status != 200 || f.count(invariants.Executed, "e") != 1 {
-		t.Errorf("status %d, ran %d times", result.Status, f.count(invariants.Executed, "e"))
+	if result := f.request("at-most-once", "e"); result.Status != 200 || f.count(invariants.Executed, "e") != 1 {
+		t.Errorf("status %d, executed %d times", result.Status, f.count(invariants.Executed, "e"))
 	}
 }
 
-// requestUntil has clients send requests of all classes until ctx ends and counts the responses that were neither
-// success nor rejection.
+// requestUntil has clients send requests of all event types until ctx ends. wait returns the number of responses that
+// were neither success nor rejection.
 func (f *fixture) requestUntil(ctx context.Context, clients int) (wait func() (failed int64)) {
 	var running sync.WaitGroup
 	var failed atomic.Int64
 	for i := range clients {
 		running.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
-				result := f.request([]string{"again", "keyed", "once"}[n%3], fmt.Sprintf("%d-%d", i, n))
+				result := f.request([]string{"idempotent", "keyed", "at-most-once"}[n%3], fmt.Sprintf("%d-%d", i, n))
 				if result.Status != 200 && result.Status != 503 {
 					failed.Add(1)
 				}
@@ -166,7 +166,7 @@
 	}
 }
 
-func TestDrainToldWhileLaunchesAndOrdersAreOut(t *testing.T) {
+func TestServer_DrainDuringAttemptsAndLoads(t *testing.T) {
 	f := newFixture(t, 3, "")
 	ctx, stop := context.WithTimeout(context.Background(), 2500*time.Millisecond)
 	defer stop()
@@ -178,20 +178,20 @@
 		}
 	}
 	time.Sleep(300 * time.Millisecond)
-	if err := f.workers[0].Restart(); err != nil { // a new process under the same name and address
+	if err := f.workers[0].Restart(); err != nil { // a new process with the same name and address
 		t.Fatal(err)
 	}
 	if err := f.list.SetPhase(f.workers[0], "serving"); err != nil {
 		t.Fatal(err)
 	}
 	failed := wait()
-	verdict := invariants.Check(invariants.Rules{DrainGrace: 0.5, ObservationDelay: 0.1}, f.tape.Records())
+	verdict := invariants.Check(invariants.Rules{DrainGrace: 0.5, ObservationDelay: 0.1}, f.recorder.Records())
 	if verdict.SentAfterDrain > 0 || verdict.ConcurrentAttempts > 0 || failed > 0 || verdict.Attempts < 50 {
 		t.Errorf("%d responses were neither success nor rejection; %+v", failed, verdict)
 	}
 }
 
-func TestFaultyListKeepsTheLastInForce(t *testing.T) {
+func TestEndpointList_InvalidKeepsLastValid(t *testing.T) {
 	f := newFixture(t, 2, "")
 	writeList := func(text string) {
 		t.Helper()
@@ -202,17 +202,17 @@
 	}
 	for _, text := range []string{"[", `[{"targets":["x"]}]`} {
 		writeList(text)
-		if result := f.request("again", text); result.Status != 200 {
+		if result := f.request("idempotent", text); result.Status != 200 {
 			t.Errorf("with list %q: status %d", text, result.Status)
 		}
 	}
 	writeList("[]")
-	if result := f.request("again", "none"); result.Status != 503 || result.Latency > 300*time.Millisecond {
-		t.Errorf("all gone: status %d after %v", result.Status, result.Latency)
+	if result := f.request("idempotent", "none"); result.Status != 503 || result.Latency > 300*time.Millisecond {
+		t.Errorf("with an empty list: status %d after %v", result.Status, result.Latency)
 	}
 }
 
-// readStatuses reads the statuses of all responses up to the connection's end.
+// readStatuses reads the statuses of all responses until the connection closes.
 func readStatuses(t *testing.T, in *bufio.Reader) string {
 	t.Helper()
 	var statuses []string
@@ -230,10 +230,10 @@
 	}
 }
 
-func TestMalformedAndSlowSenders(t *testing.T) {
+func TestServer_MalformedAndSlowClients(t *testing.T) {
 	f := newFixture(t, 1, `"arrival_s":0.3,"idle_s":0.4`)
 	conn, in := f.dial()
-	f.send(conn, requestText("again", "a")+"POST / HTTP/1.1\r\nHost: f\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /smuggled HTTP/1.1\r\n\r\n")
+	f.send(conn, requestText("idempotent", "a")+"POST / HTTP/1.1\r\nHost: f\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET /smuggled HTTP/1.1\r\n\r\n")
 	if got := readStatuses(t, in); got != "200 400" {
 		t.Errorf("responses %s", got)
 	}
@@ -244,14 +244,18 @@
 	}
 	_, in = f.dial()
 	if _, err := in.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Errorf("an idle connection: %v", err)
+		t.Errorf("idle connection: %v, want EOF", err)
 	}
 }
 
-func TestClientThatNeverReads(t *testing.T) {
+func TestServer_DisconnectsClientThatNeverReads(t *testing.T) {
 	f := newFixture(t, 1, `"unread_bytes":4096,"pipeline":10000`)
 	conn, _ := f.dial()
-	if err := conn.(*net.TCPConn).SetReadBuffer(2048); err != nil {
+	tcpConn, ok := conn.(*net.TCPConn)
+	if !ok {
+		t.Fatalf("client connection is a %T", conn)
+	}
+	if err := tcpConn.SetReadBuffer(2048); err != nil {
 		t.Fatal(err)
 	}
 	text := strings.Repeat("GET /none HTTP/1.1\r\nHost: f\r\n\r\n", 2000)
@@ -266,25 +270,25 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Error("a client that never reads is kept")
+	t.Error("client that never reads not disconnected")
 }
 
-func TestStopAnswersWhatIsOpen(t *testing.T) {
+func TestStop_AnswersOpenRequests(t *testing.T) {
 	f := newFixture(t, 1, "")
-	f.request("again", "warm")
+	f.request("idempotent", "warm")
 	f.inject(fakes.Fault{Kind: "hang"})
 	results := make(chan schedule.Result, 2)
-	for _, class := range []string{"again", "once"} {
+	for _, class := range []string{"idempotent", "at-most-once"} {
 		go func() { results <- f.request(class, class) }()
 	}
-	for f.count(invariants.AttemptStarted, "again")+f.count(invariants.AttemptStarted, "once") < 2 {
+	for f.count(invariants.AttemptStarted, "idempotent")+f.count(invariants.AttemptStarted, "at-most-once") < 2 {
 		time.Sleep(time.Millisecond)
 	}
 	if err := f.server.Stop(100 * time.Millisecond); err != nil {
 		t.Fatal(err)
 	}
 	for range 2 {
-		if result := <-results; result.Status != map[string]int{"again": 503, "once": 502}[result.ID] {
+		if result := <-results; result.Status != map[string]int{"idempotent": 503, "at-most-once": 502}[result.ID] {
 			t.Errorf("%s: status %d, %v", result.ID, result.Status, result.Err)
 		}
 	}
@@ -293,7 +297,7 @@
 	}
 }
 
-func TestAddressInUse(t *testing.T) {
+func TestStart_AddressInUse(t *testing.T) {
 	f := newFixture(t, 1, "")
 	_, err := eventloop.Start(eventloop.Settings{Listen: f.server.Addr()})
 	if err == nil || !strings.Contains(err.Error(), f.server.Addr()) {
--- /dev/null
+++ b/internal/eventloop/task_queue.go
@@ -0,0 +1,62 @@
+package eventloop
+
+import "sync"
+
+// taskQueue holds functions that other goroutines hand to the event loop. Its methods may be called from any goroutine.
+type taskQueue struct {
+	wakeLoop func() // ends the loop's wait for events
+
+	mu     sync.Mutex
+	tasks  []func()
+	awake  bool // a wake-up is pending, or the loop checks the queue before it waits again
+	closed bool
+}
+
+// post appends f. It returns ErrLoopEnded once the queue is closed.
+func (q *taskQueue) post(f func()) error {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.closed {
+		return ErrLoopEnded
+	}
+	q.tasks = append(q.tasks, f)
+	if !q.awake {
+		q.awake = true
+		q.wakeLoop()
+	}
+	return nil
+}
+
+// prepareWait reports whether tasks are queued. If none are, the next post wakes the loop.
+func (q *taskQueue) prepareWait() (pending bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.awake = len(q.tasks) > 0
+	return q.awake
+}
+
+// endWait suppresses wake-ups until the next prepareWait: the loop checks the queue by itself until then.
+func (q *taskQueue) endWait() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.awake = true
+}
+
+// run runs the tasks that are queued at the call and returns their number. Tasks that they post stay queued.
+func (q *taskQueue) run() int {
+	q.mu.Lock()
+	tasks := q.tasks
+	q.tasks = nil
+	q.mu.Unlock()
+	for _, f := range tasks {
+		f()
+	}
+	return len(tasks)
+}
+
+// close drops queued tasks and rejects further ones.
+func (q *taskQueue) close() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.closed, q.tasks = true, nil
+}
--- /dev/null
+++ b/internal/eventloop/task_queue_test.go
@@ -0,0 +1,44 @@
+package eventloop
+
+import (
+	"errors"
+	"testing"
+)
+
+func TestTaskQueuePost_WakesLoopOncePerWait(t *testing.T) {
+	wakeUps := 0
+	queue := taskQueue{wakeLoop: func() { wakeUps++ }}
+	post := func() {
+		t.Helper()
+		if err := queue.post(func() {}); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if queue.prepareWait() {
+		t.Error("empty queue has pending tasks")
+	}
+	post()
+	post()
+	if wakeUps != 1 {
+		t.Errorf("%d wake-ups by two tasks during one wait, want 1", wakeUps)
+	}
+	queue.endWait()
+	if n := queue.run(); n != 2 {
+		t.Errorf("%d tasks run, want 2", n)
+	}
+	post()
+	if wakeUps != 1 || !queue.prepareWait() {
+		t.Errorf("%d wake-ups, want 1; a task posted during an iteration must be pending", wakeUps)
+	}
+}
+
+func TestTaskQueueClose_DropsAndRejectsTasks(t *testing.T) {
+	queue := taskQueue{wakeLoop: func() {}}
+	if err := queue.post(func() { t.Error("dropped task was run") }); err != nil {
+		t.Fatal(err)
+	}
+	queue.close()
+	if err := queue.post(func() {}); !errors.Is(err, ErrLoopEnded) || queue.run() != 0 {
+		t.Errorf("post after close: %v, want ErrLoopEnded and no task run", err)
+	}
+}
