--- a/internal/syscalls/errors.go
+++ b/internal/syscalls/errors.go
@@ -6,80 +6,79 @@
 	"golang.org/x/sys/unix"
 )
 
-// Class is what an error of a system call means for the program.
+// Class classifies an error of a system call by how the caller has to react.
 type Class uint8
 
-// The classes.
 const (
-	// Broken says that the connection has ended, or that the call can't succeed.
+	// Broken means that the connection has ended or the call cannot succeed.
 	Broken Class = iota
-	// Interrupted says that the call did nothing and is to be made again at once.
+	// Interrupted means that the call had no effect and should be retried at once.
 	Interrupted
-	// WouldBlock says that the call is to be made again once epoll reports the socket.
+	// WouldBlock means that the call should be retried once epoll reports the socket.
 	WouldBlock
-	// Exhausted says that this machine lacks a resource at the moment; the call may succeed a little later. It says
-	// nothing of the other side.
+	// Exhausted means that this machine lacks a resource and the call may succeed a little later. It says nothing about
+	// the peer.
 	Exhausted
-	// PeerClosed says, of accept, that a connection ended before it was accepted; the next one can be accepted at once.
+	// PeerClosed means that a connection ended before it was accepted. The next one can be accepted at once.
 	PeerClosed
 )
 
-// exhausted are the errors by which a call tells that this machine lacks descriptors, memory, ports or a route.
-var exhausted = []error{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ENOSPC, unix.EADDRNOTAVAIL}
+// exhaustedErrors report that this machine lacks descriptors, memory, ports or epoll watches.
+var exhaustedErrors = []error{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.ENOSPC, unix.EADDRNOTAVAIL}
 
-// peerGone are the errors that accept passes on from a connection that it was about to accept (accept(2)).
-var peerGone = []error{
+// pendingConnectionErrors are errors of the connection to be accepted, which accept passes on; see accept(2).
+var pendingConnectionErrors = []error{
 	unix.ECONNABORTED, unix.ECONNRESET, unix.EPROTO, unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET,
 	unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH, unix.ENETDOWN, unix.ETIMEDOUT,
 }
 
-// acceptPauses are the other errors of accept that may pass: EPERM is a firewall's.
-var acceptPauses = []error{unix.EPERM}
+// transientAcceptErrors are the other transient errors of accept. A firewall returns EPERM.
+var transientAcceptErrors = []error{unix.EPERM}
 
-// connectPauses are the errors of connect and socket that may pass: without a free port or a route to the network,
-// connect(2) fails at once and nothing was sent.
-var connectPauses = []error{unix.EAGAIN, unix.ENETUNREACH, unix.ENETDOWN, unix.EPERM, unix.EACCES}
+// transientConnectErrors are the transient errors of connect and socket. Without a free port or a route, connect fails at
+// once and sends nothing; see connect(2).
+var transientConnectErrors = []error{unix.EAGAIN, unix.ENETUNREACH, unix.ENETDOWN, unix.EPERM, unix.EACCES}
 
-func isOneOf(err error, list []error) bool {
-	for _, candidate := range list {
-		if errors.Is(err, candidate) {
+func isAny(err error, targets []error) bool {
+	for _, target := range targets {
+		if errors.Is(err, target) {
 			return true
 		}
 	}
 	return false
 }
 
-// ClassOf sorts an error of read, write, epoll_ctl, or of the making of a socket.
+// ClassOf classifies an error of read, write, epoll_ctl, or of opening a listening socket.
 func ClassOf(err error) Class {
 	switch {
 	case errors.Is(err, unix.EINTR):
 		return Interrupted
 	case errors.Is(err, unix.EAGAIN):
 		return WouldBlock
-	case isOneOf(err, exhausted):
+	case isAny(err, exhaustedErrors):
 		return Exhausted
 	}
 	return Broken
 }
 
-// ClassOfAccept sorts an error of accept. Any error but one of a faulty call may pass.
+// ClassOfAccept classifies an error of accept.
 func ClassOfAccept(err error) Class {
-	if isOneOf(err, peerGone) {
+	if isAny(err, pendingConnectionErrors) {
 		return PeerClosed
 	}
-	if isOneOf(err, acceptPauses) {
+	if isAny(err, transientAcceptErrors) {
 		return Exhausted
 	}
 	return ClassOf(err)
 }
 
-// ClassOfConnect sorts an error of connect, or of the socket that was to connect. WouldBlock says that the connect goes
-// on by itself, as it does after EINTR.
+// ClassOfConnect classifies an error of connect, or of opening the socket for it. WouldBlock means that the connect
+// continues in the background, as it also does after EINTR.
 func ClassOfConnect(err error) Class {
 	switch {
 	case errors.Is(err, unix.EINPROGRESS), errors.Is(err, unix.EINTR), errors.Is(err, unix.EALREADY):
 		return WouldBlock
-	case isOneOf(err, connectPauses):
+	case isAny(err, transientConnectErrors):
 		return Exhausted
 	}
 	return ClassOf(err)
--- a/internal/syscalls/faults/faults.go
+++ b/internal/syscalls/faults/faults.go
@@ -1,5 +1,3 @@
-// Package faults is a double of package syscalls that has calls fail on a schedule. Tests script single faults; soak tests
-// draw them from a seed. The release build has no use of it.
 package faults
 
 import (
@@ -13,10 +11,10 @@
 	"streamcleat/internal/syscalls"
 )
 
-// Call names a system call, or a use of one.
+// Call names a system call that can be made to fail.
 type Call string
 
-// The calls that can be made to fail.
+// System calls that can be made to fail.
 const (
 	Socket   Call = "socket"
 	Accept   Call = "accept"
@@ -27,12 +25,12 @@
 	Wait     Call = "epoll_wait"
 )
 
-// ErrShort has a read or write succeed with a part of its bytes only.
+// ErrShort makes a read or write succeed with one byte only.
 var ErrShort = errors.New("short")
 
-// documented are the errors that the manual pages state for each call and that a correct program can meet. Errors of a
-// connection's end (ECONNRESET, ETIMEDOUT) are not among them: peers make those.
-var documented = map[Call][]error{
+// documentedErrors holds the errors that the manual pages document for each call and that a correct program can get.
+// Errors that a peer causes, such as ECONNRESET and ETIMEDOUT, are left out.
+var documentedErrors = map[Call][]error{
 	Socket: {unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM},
 	Accept: {
 		unix.EINTR, unix.ECONNABORTED, unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EPERM, unix.EPROTO,
@@ -45,13 +43,13 @@
 	Wait:     {unix.EINTR},
 }
 
-// Documented are the errors that a call may be made to fail with.
-func Documented(call Call) []error { return documented[call] }
+// Documented returns the errors that a call can be made to fail with.
+func Documented(call Call) []error { return documentedErrors[call] }
 
-// Kernel passes calls on to the operating system, or has them fail.
+// Kernel passes calls to the operating system or makes them fail. It implements syscalls.Kernel.
 type Kernel struct {
 	syscalls.Linux
-	// Decide returns the error that a call fails with; nil: it is made. Any goroutine may call it.
+	// Decide returns the error that a call fails with, or nil to make the call. It is called from any goroutine.
 	Decide func(call Call) error
 }
 
@@ -119,76 +117,78 @@
 	return k.Linux.EpollWait(epoll, events, milliseconds)
 }
 
-// Script has the next calls of one kind fail with an error, and counts how many did.
+// Script makes the next calls of one kind fail with an error and counts the failures.
 type Script struct {
-	mu    sync.Mutex
-	call  Call
-	err   error
-	left  int
-	count int
+	mu        sync.Mutex
+	call      Call
+	err       error
+	remaining int
+	failures  int
 }
 
-// Fail has the next calls fail.
+// Fail makes the next calls of a kind fail with err, so many times. It replaces what an earlier Fail left.
 func (s *Script) Fail(call Call, err error, times int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.call, s.err, s.left = call, err, times
+	s.call, s.err, s.remaining = call, err, times
 }
 
-// Count is how many calls have failed.
+// Count returns the number of calls that have failed.
 func (s *Script) Count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.count
+	return s.failures
 }
 
-// Decide is for Kernel.Decide.
+// Decide can be used as Kernel.Decide.
 func (s *Script) Decide(call Call) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if call != s.call || s.left == 0 {
+	if call != s.call || s.remaining == 0 {
 		return nil
 	}
-	s.left--
-	s.count++
+	s.remaining--
+	s.failures++
 	return s.err
 }
 
-// Random draws faults from a seed. Now and then a call keeps failing for a while, as it does while a resource lacks.
+// Random draws faults from a seed. Some faults last for a while, as a lack of resources does.
 type Random struct {
-	mu     sync.Mutex
-	random *rand.Rand
-	rate   float64 // of single calls that fail
-	until  map[Call]time.Time
-	lasts  map[Call]error // fails until then
+	mu          sync.Mutex
+	random      *rand.Rand
+	rate        float64            // probability that a call fails outside an outage
+	outageEnd   map[Call]time.Time // a call fails until then
+	outageError map[Call]error
 }
 
 const (
-	outageShare   = 0.02                   // of faults that last for a while
-	longestOutage = 150 * time.Millisecond // of one that does
+	// outageFraction is the fraction of faults that last for a while.
+	outageFraction = 0.02
+	// maxOutage is the maximum duration of such a fault.
+	maxOutage = 150 * time.Millisecond
 )
 
-// NewRandom draws faults from a seed; each call fails with the probability rate.
+// NewRandom returns a Random in which each call fails with probability rate.
 func NewRandom(seed uint64, rate float64) *Random {
-	return &Random{random: rand.New(rand.NewPCG(seed, 0)), rate: rate, until: map[Call]time.Time{}, lasts: map[Call]error{}}
+	return &Random{random: rand.New(rand.NewPCG(seed, 0)), rate: rate, outageEnd: map[Call]time.Time{}, outageError: map[Call]error{}}
 }
 
-// Decide is for Kernel.Decide.
+// Decide can be used as Kernel.Decide.
 func (r *Random) Decide(call Call) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now := time.Now(); now.Before(r.until[call]) {
-		return r.lasts[call]
+	if now := time.Now(); now.Before(r.outageEnd[call]) {
+		return r.outageError[call]
 	}
 	if r.random.Float64() >= r.rate {
 		return nil
 	}
-	errs := documented[call]
+	errs := documentedErrors[call]
 	err := errs[r.random.IntN(len(errs))]
-	// An interrupted call is made again at once, so that an outage of interruptions would be a busy loop of the double's.
-	if !errors.Is(err, unix.EINTR) && !errors.Is(err, unix.EAGAIN) && !errors.Is(err, ErrShort) && r.random.Float64() < outageShare {
-		r.until[call] = time.Now().Add(time.Duration(r.random.Int64N(int64(longestOutage))))
-		r.lasts[call] = err
+	// Callers retry these errors at once, so an outage would become a busy loop.
+	if !errors.Is(err, unix.EINTR) && !errors.Is(err, unix.EAGAIN) && !errors.Is(err, ErrShort) && r.random.Float64() < outageFraction {
+		r.outageEnd[call] = time.Now().Add(time.Duration(r.random.Int64N(int64(maxOutage))))
+		r.outageError[call] = err
 	}
 	return err
 }
--- a/internal/syscalls/kernel.go
+++ b/internal/syscalls/kernel.go
@@ -1,6 +1,3 @@
-// Package syscalls has the system calls on sockets that the program makes by itself, behind one narrow interface, and
-// sorts their errors. It holds no state. The event loop uses sockets through it alone, so that a double (package faults)
-// can have each call fail as its manual page says it may.
 package syscalls
 
 import (
@@ -9,49 +6,49 @@
 	"golang.org/x/sys/unix"
 )
 
-// Kernel makes system calls. All sockets are non-blocking and closed on exec. Errors are unix.Errno values.
+// Kernel makes system calls. All sockets are non-blocking and close-on-exec. Errors are unix.Errno values.
 type Kernel interface {
-	// Socket makes a TCP socket of an address family that sends small writes at once; those accepted on it do too.
+	// Socket opens a TCP socket with TCP_NODELAY, which accepted sockets inherit.
 	Socket(family int) (fd int, err error)
-	// Bind binds a socket to an address at which connections of an earlier process may linger.
+	// Bind binds a socket to an address, with SO_REUSEADDR.
 	Bind(fd int, address unix.Sockaddr) error
 	Listen(fd, backlog int) error
 	Accept(listener int) (fd int, peer unix.Sockaddr, err error)
 	Connect(fd int, address unix.Sockaddr) error
-	// SocketError is the pending error of a socket, which it clears: how a connect ended.
+	// SocketError returns and clears the pending error of a socket, which is the result of a connect.
 	SocketError(fd int) error
 	Read(fd int, buffer []byte) (n int, err error)
 	Write(fd int, data []byte) (n int, err error)
 	ShutdownWrite(fd int) error
-	// LastReceived is how long ago a connection received data last.
+	// LastReceived returns the time since a connection last received data.
 	LastReceived(fd int) (ago time.Duration, err error)
-	// Close closes a descriptor, which is free afterwards whatever it returns.
+	// Close closes a descriptor. The descriptor is free afterwards even if Close fails.
 	Close(fd int) error
 	EpollCreate() (epoll int, err error)
 	EpollControl(epoll, operation, fd int, event *unix.EpollEvent) error
-	// EpollWait waits for events; milliseconds below 0 wait for ever.
+	// EpollWait waits for events. Negative milliseconds wait without limit.
 	EpollWait(epoll int, events []unix.EpollEvent, milliseconds int) (n int, err error)
-	// EventFD makes a descriptor that wakes up an epoll instance when it is written to.
+	// EventFD opens a descriptor that wakes an epoll instance when it is written to.
 	EventFD() (fd int, err error)
-	// Wake writes to a descriptor of EventFD.
+	// Wake writes to a descriptor opened by EventFD.
 	Wake(fd int) error
 }
 
-// Linux makes the system calls of the operating system.
+// Linux is the Kernel of the operating system.
 type Linux struct{}
 
 // Socket implements Kernel.
 func (Linux) Socket(family int) (int, error) {
 	fd, err := unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err == nil {
-		_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // without it small frames only wait longer
+		_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // failure only delays small frames
 	}
 	return fd, err
 }
 
 // Bind implements Kernel.
 func (Linux) Bind(fd int, address unix.Sockaddr) error {
-	// Connections of an earlier process may linger. Without the option the bind fails and tells more.
+	// Connections of an earlier process may be in TIME_WAIT. If the option fails, Bind reports the address in use.
 	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
 	return unix.Bind(fd, address)
 }
@@ -116,7 +113,7 @@
 // EventFD implements Kernel.
 func (Linux) EventFD() (int, error) { return unix.Eventfd(0, unix.EFD_NONBLOCK|unix.EFD_CLOEXEC) }
 
-// Wake implements Kernel. The counter of an eventfd can't overflow in the life of a process.
+// Wake implements Kernel. The counter of an eventfd cannot overflow within the lifetime of a process.
 func (Linux) Wake(fd int) error {
 	one := [8]byte{1}
 	_, err := unix.Write(fd, one[:])
