--- a/internal/http1/doc.go
+++ b/internal/http1/doc.go
@@ -1,4 +1,4 @@
-// Package http1 frames HTTP/1.1 messages (RFC 9112): it finds where each message of a byte stream ends and returns it
-// whole. It owns the bytes of the incomplete message of one direction of one connection. It has no socket and no clock;
-// the sessions of package cloudevents and the connections of package openinference feed it.
+// Package http1 frames HTTP/1.1 messages (RFC 9112): it finds the end of each message in a byte stream and returns the
+// complete message. A Framer owns the bytes of the incomplete message of one direction of a connection. It has no socket
+// and no clock. The sessions of package cloudevents and the connections of package openinference feed it.
 package http1
--- a/internal/http1/framer.go
+++ b/internal/http1/framer.go
@@ -9,66 +9,66 @@
 	"strings"
 )
 
-// state is the part of a message that is read next.
+// state names the part of a message that is read next.
 type state uint8
 
 const (
 	stateHead       state = iota // start line and header fields
-	stateLength                  // a body whose length the head states
-	stateUntilClose              // a body that ends with the connection
-	stateChunkSize               // the line that begins a chunk
+	stateFixedBody               // body with a Content-Length
+	stateUntilClose              // body that ends with the connection
+	stateChunkSize               // chunk size line
 	stateChunkData
-	stateChunkEnd // the line end after a chunk's data
-	stateTrailer  // fields after the last chunk
+	stateChunkEnd // CRLF after the data of a chunk
+	stateTrailer  // trailer fields
 	stateFailed
 )
 
-// progress is what one step of the framer came to.
-type progress uint8
+// stepResult is the result of one step of the framer.
+type stepResult uint8
 
 const (
-	progressNext     progress = iota // bytes were read; the next step may read more
-	progressWait                     // more bytes are needed
-	progressContinue                 // the request waits for 100 Continue
-	progressComplete                 // the message is complete
+	stepAdvanced        stepResult = iota // a part was read; the next step follows
+	stepNeedsInput                        // the buffer lacks bytes of the current part
+	stepExpectsContinue                   // the client waits for 100 Continue
+	stepComplete                          // the message is complete
 )
 
-// maxChunkLine is the longest line that begins a chunk, in bytes: its size and extensions, which are ignored.
+// maxChunkLine is the maximum length of a chunk size line in bytes. Chunk extensions count and are ignored.
 const maxChunkLine = 256
 
-const lineEnd = "\r\n"
+const crlf = "\r\n"
 
-// errConnectionClosed is wrapped by the error of a message that the close of its connection cut off.
+// errConnectionClosed is wrapped by the error for a truncated message.
 var errConnectionClosed = errors.New("connection closed")
 
-// Framer cuts one direction of one connection into messages. It is a state machine: each step reads one part of a
-// message from the buffer.
+// Framer splits the byte stream of one direction of a connection into messages. It is a state machine: each step reads
+// one part of a message from the buffer.
 type Framer struct {
-	limits        Limits
-	response      bool // messages are responses
-	buf           []byte
-	searched      int // bytes of buf without the end of the head
-	state         state
-	left          int      // bytes of the body or chunk that are still to come
-	trailerSize   int      // bytes of the trailer so far
-	message       *Message // whose head was read; nil before
-	continueAsked bool     // the message was returned with Continue
-	failure       *ProtocolError
+	limits           Limits
+	response         bool // frames responses, not requests
+	buf              []byte
+	scanned          int // bytes of buf that were searched for the end of the head
+	state            state
+	remaining        int      // bytes of the body or chunk that are still to be read
+	trailerSize      int      // bytes of the trailer read so far
+	message          *Message // nil until its head is read
+	continueReturned bool     // the message was returned with ExpectContinue
+	protocolErr      *ProtocolError
 }
 
-// NewRequests frames what a client sends.
+// NewRequests returns a Framer for the requests of a client.
 func NewRequests(limits Limits) *Framer { return &Framer{limits: limits} }
 
-// NewResponses frames what a server sends to requests that were neither HEAD nor CONNECT.
+// NewResponses returns a Framer for the responses of a server to requests other than HEAD and CONNECT.
 func NewResponses(limits Limits) *Framer { return &Framer{limits: limits, response: true} }
 
-// Feed takes bytes as they came in; they are copied.
+// Feed appends received bytes, which it copies.
 func (f *Framer) Feed(data []byte) { f.buf = append(f.buf, data...) }
 
-// Idle reports that no message has begun.
+// Idle reports whether no message has started.
 func (f *Framer) Idle() bool { return f.state == stateHead && len(f.buf) == 0 }
 
-// Buffered is how many bytes are held, those of an incomplete body included.
+// Buffered returns the number of buffered bytes, including those of an incomplete body.
 func (f *Framer) Buffered() int {
 	n := len(f.buf)
 	if f.message != nil {
@@ -77,61 +77,62 @@
 	return n
 }
 
-// Next returns the next complete message, or nil where more bytes are needed. A *ProtocolError is final. A request that
-// waits for 100 Continue is returned once with Continue set and no body, and again when it is complete.
+// Next returns the next complete message, or nil if more bytes are needed. A *ProtocolError is final. A request that
+// waits for 100 Continue is returned once with ExpectContinue set and no body, and again when it is complete.
 func (f *Framer) Next() (*Message, error) {
-	if f.failure != nil {
-		return nil, f.failure
+	if f.protocolErr != nil {
+		return nil, f.protocolErr
 	}
 	for {
-		progress, failure := f.step()
-		if failure != nil {
-			f.failure, f.state, f.buf, f.message = failure, stateFailed, nil, nil
-			return nil, failure
+		result, protocolErr := f.step()
+		if protocolErr != nil {
+			f.protocolErr, f.state, f.buf, f.message = protocolErr, stateFailed, nil, nil
+			return nil, protocolErr
 		}
-		switch progress {
-		case progressWait:
+		switch result {
+		case stepAdvanced:
+		case stepNeedsInput:
 			return nil, nil
-		case progressContinue:
-			f.continueAsked = true
+		case stepExpectsContinue:
+			f.continueReturned = true
 			return f.message, nil
-		case progressComplete:
-			return f.takeMessage(), nil
+		case stepComplete:
+			return f.finishMessage(), nil
 		}
 	}
 }
 
-// End reports that the sender closed its side. A response whose body ends with the connection is complete then, and is
-// returned.
+// End is called when the sender has closed its side. It returns the response whose body the close completes, if any,
+// and an error if the close truncates a message.
 func (f *Framer) End() (*Message, error) {
 	switch {
-	case f.failure != nil:
-		return nil, f.failure
+	case f.protocolErr != nil:
+		return nil, f.protocolErr
 	case f.state == stateUntilClose:
-		return f.takeMessage(), nil
+		return f.finishMessage(), nil
 	case f.Idle():
 		return nil, nil
 	}
-	return nil, fmt.Errorf("message cut off after %d bytes: %w", f.Buffered(), errConnectionClosed)
+	return nil, fmt.Errorf("message truncated after %d bytes: %w", f.Buffered(), errConnectionClosed)
 }
 
-// takeMessage returns the message and begins the next one.
-func (f *Framer) takeMessage() *Message {
+// finishMessage returns the message and starts the next one.
+func (f *Framer) finishMessage() *Message {
 	message := f.message
-	f.message, f.state, f.searched, f.continueAsked = nil, stateHead, 0, false
+	f.message, f.state, f.scanned, f.continueReturned = nil, stateHead, 0, false
 	if len(f.buf) == 0 {
 		f.buf = nil
 	}
 	return message
 }
 
-// step reads one part of a message.
-func (f *Framer) step() (progress, *ProtocolError) {
+// step reads one part of a message from the buffer.
+func (f *Framer) step() (stepResult, *ProtocolError) {
 	switch f.state {
 	case stateHead:
 		return f.readHead()
-	case stateLength:
-		return f.readLength()
+	case stateFixedBody:
+		return f.readFixedBody()
 	case stateUntilClose:
 		return f.readUntilClose()
 	case stateChunkSize:
@@ -143,152 +144,152 @@
 	case stateTrailer:
 		return f.readTrailer()
 	default:
-		return progressWait, f.failure
+		return stepNeedsInput, f.protocolErr
 	}
 }
 
-func (f *Framer) readHead() (progress, *ProtocolError) {
-	end, failure := f.findHeadEnd()
-	if failure != nil || end < 0 {
-		return progressWait, failure
+func (f *Framer) readHead() (stepResult, *ProtocolError) {
+	end, protocolErr := f.findHeadEnd()
+	if protocolErr != nil || end < 0 {
+		return stepNeedsInput, protocolErr
 	}
-	if failure := f.parseHead(f.buf[:end]); failure != nil {
-		return progressWait, failure
+	if protocolErr := f.parseHead(f.buf[:end]); protocolErr != nil {
+		return stepNeedsInput, protocolErr
 	}
-	f.buf, f.searched = f.buf[end:], 0
+	f.buf, f.scanned = f.buf[end:], 0
 	switch {
-	case f.message.Status >= 100 && f.message.Status < 200: // interim responses are ignored
+	case f.message.Status >= 100 && f.message.Status < 200: // skip interim responses
 		f.message, f.state = nil, stateHead
-		return progressNext, nil
-	case f.state == stateLength && f.left == 0:
-		f.message.ExpectContinue = false // nothing follows
-		return progressComplete, nil
-	case f.message.ExpectContinue && !f.continueAsked && len(f.buf) == 0:
-		return progressContinue, nil
+		return stepAdvanced, nil
+	case f.state == stateFixedBody && f.remaining == 0:
+		f.message.ExpectContinue = false // there is no body to wait for
+		return stepComplete, nil
+	case f.message.ExpectContinue && !f.continueReturned && len(f.buf) == 0:
+		return stepExpectsContinue, nil
 	}
 	f.message.ExpectContinue = false
-	return progressNext, nil
+	return stepAdvanced, nil
 }
 
-// findHeadEnd returns the length of the head with its empty line; below 0 where it is incomplete.
+// findHeadEnd returns the length of the head including its empty line, or -1 if it is incomplete.
 func (f *Framer) findHeadEnd() (int, *ProtocolError) {
-	if !f.response { // RFC 9112 2.2: an empty line before a request line is ignored
-		for f.searched == 0 && bytes.HasPrefix(f.buf, []byte(lineEnd)) {
-			f.buf = f.buf[len(lineEnd):]
+	if !f.response { // RFC 9112 section 2.2: ignore empty lines before a request line
+		for f.scanned == 0 && bytes.HasPrefix(f.buf, []byte(crlf)) {
+			f.buf = f.buf[len(crlf):]
 		}
 	}
-	const headEnd = lineEnd + lineEnd
-	end := bytes.Index(f.buf[f.searched:], []byte(headEnd))
+	const headEnd = crlf + crlf
+	end := bytes.Index(f.buf[f.scanned:], []byte(headEnd))
 	size := len(f.buf)
 	if end >= 0 {
-		size = f.searched + end + len(headEnd)
+		size = f.scanned + end + len(headEnd)
 	}
 	if size > f.limits.Head {
-		return 0, protocolErrorf(nethttp.StatusRequestHeaderFieldsTooLarge, "head is over %d bytes", f.limits.Head)
+		return 0, newProtocolErrorf(nethttp.StatusRequestHeaderFieldsTooLarge, "head is over %d bytes", f.limits.Head)
 	}
 	if end < 0 {
-		f.searched = max(len(f.buf)-len(headEnd)+1, 0)
+		f.scanned = max(len(f.buf)-len(headEnd)+1, 0)
 		return -1, nil
 	}
 	return size, nil
 }
 
-// moveBody moves up to left bytes from the buffer to the body and returns how many.
-func (f *Framer) moveBody() int {
-	n := min(f.left, len(f.buf))
+// readBody moves up to f.remaining bytes from the buffer to the body and returns their number.
+func (f *Framer) readBody() int {
+	n := min(f.remaining, len(f.buf))
 	f.message.Body = append(f.message.Body, f.buf[:n]...)
-	f.buf, f.left = f.buf[n:], f.left-n
+	f.buf, f.remaining = f.buf[n:], f.remaining-n
 	return n
 }
 
-func (f *Framer) readLength() (progress, *ProtocolError) {
-	if f.moveBody() == 0 {
-		return progressWait, nil
+func (f *Framer) readFixedBody() (stepResult, *ProtocolError) {
+	if f.readBody() == 0 {
+		return stepNeedsInput, nil
 	}
 	f.message.ExpectContinue = false
-	if f.left == 0 {
-		return progressComplete, nil
+	if f.remaining == 0 {
+		return stepComplete, nil
 	}
-	return progressNext, nil
+	return stepAdvanced, nil
 }
 
-// checkBodySize refuses a body that more bytes would make too long.
+// checkBodySize rejects a body that would exceed the limit with so many more bytes.
 func (f *Framer) checkBodySize(more int) *ProtocolError {
 	if len(f.message.Body)+more > f.limits.Body {
-		return protocolErrorf(nethttp.StatusRequestEntityTooLarge, "body is over %d bytes", f.limits.Body)
+		return newProtocolErrorf(nethttp.StatusRequestEntityTooLarge, "body is over %d bytes", f.limits.Body)
 	}
 	return nil
 }
 
-func (f *Framer) readUntilClose() (progress, *ProtocolError) {
-	if failure := f.checkBodySize(len(f.buf)); failure != nil {
-		return progressWait, failure
+func (f *Framer) readUntilClose() (stepResult, *ProtocolError) {
+	if protocolErr := f.checkBodySize(len(f.buf)); protocolErr != nil {
+		return stepNeedsInput, protocolErr
 	}
 	f.message.Body, f.buf = append(f.message.Body, f.buf...), nil
-	return progressWait, nil
+	return stepNeedsInput, nil
 }
 
-func (f *Framer) readChunkSize() (progress, *ProtocolError) {
-	line, ok, failure := f.takeLine(maxChunkLine)
-	if failure != nil || !ok {
-		return progressWait, failure
+func (f *Framer) readChunkSize() (stepResult, *ProtocolError) {
+	line, ok, protocolErr := f.readLine(maxChunkLine)
+	if protocolErr != nil || !ok {
+		return stepNeedsInput, protocolErr
 	}
 	f.message.ExpectContinue = false
 	digits, _, _ := strings.Cut(line, ";")
 	size, err := strconv.ParseUint(strings.TrimRight(digits, " \t"), 16, 31)
 	if err != nil || strings.ContainsAny(digits, "+-_") {
-		return progressWait, badRequestf("chunk size %q is not a hexadecimal number", digits)
+		return stepNeedsInput, badRequestf("chunk size %q is not a hexadecimal number", digits)
 	}
-	if failure := f.checkBodySize(int(size)); failure != nil {
-		return progressWait, failure
+	if protocolErr := f.checkBodySize(int(size)); protocolErr != nil {
+		return stepNeedsInput, protocolErr
 	}
-	f.left, f.state = int(size), stateChunkData
+	f.remaining, f.state = int(size), stateChunkData
 	if size == 0 {
 		f.state, f.trailerSize = stateTrailer, 0
 	}
-	return progressNext, nil
+	return stepAdvanced, nil
 }
 
-func (f *Framer) readChunkData() (progress, *ProtocolError) {
-	f.moveBody()
-	if f.left > 0 {
-		return progressWait, nil
+func (f *Framer) readChunkData() (stepResult, *ProtocolError) {
+	f.readBody()
+	if f.remaining > 0 {
+		return stepNeedsInput, nil
 	}
 	f.state = stateChunkEnd
-	return progressNext, nil
+	return stepAdvanced, nil
 }
 
-func (f *Framer) readChunkEnd() (progress, *ProtocolError) {
-	if len(f.buf) < len(lineEnd) {
-		return progressWait, nil
+func (f *Framer) readChunkEnd() (stepResult, *ProtocolError) {
+	if len(f.buf) < len(crlf) {
+		return stepNeedsInput, nil
 	}
-	if !bytes.HasPrefix(f.buf, []byte(lineEnd)) {
-		return progressWait, badRequestf("chunk is longer than its size")
+	if !bytes.HasPrefix(f.buf, []byte(crlf)) {
+		return stepNeedsInput, badRequestf("chunk is longer than its size")
 	}
-	f.buf, f.state = f.buf[len(lineEnd):], stateChunkSize
-	return progressNext, nil
+	f.buf, f.state = f.buf[len(crlf):], stateChunkSize
+	return stepAdvanced, nil
 }
 
-// readTrailer skips trailer fields: none of them may change what the head said.
-func (f *Framer) readTrailer() (progress, *ProtocolError) {
-	line, ok, failure := f.takeLine(f.limits.Head)
-	if failure != nil || !ok {
-		return progressWait, failure
+// readTrailer skips a trailer field: trailers must not override the header.
+func (f *Framer) readTrailer() (stepResult, *ProtocolError) {
+	line, ok, protocolErr := f.readLine(f.limits.Head)
+	if protocolErr != nil || !ok {
+		return stepNeedsInput, protocolErr
 	}
-	f.trailerSize += len(line) + len(lineEnd)
+	f.trailerSize += len(line) + len(crlf)
 	switch {
 	case f.trailerSize > f.limits.Head:
-		return progressWait, protocolErrorf(nethttp.StatusRequestHeaderFieldsTooLarge, "trailer is over %d bytes", f.limits.Head)
+		return stepNeedsInput, newProtocolErrorf(nethttp.StatusRequestHeaderFieldsTooLarge, "trailer is over %d bytes", f.limits.Head)
 	case line == "":
-		return progressComplete, nil
+		return stepComplete, nil
 	case !strings.Contains(line, ":"):
-		return progressWait, badRequestf("trailer line %.40q has no colon", line)
+		return stepNeedsInput, badRequestf("trailer line %.40q has no colon", line)
 	}
-	return progressNext, nil
+	return stepAdvanced, nil
 }
 
-// takeLine takes a line of a chunked body from the buffer; false where it is incomplete.
-func (f *Framer) takeLine(limit int) (string, bool, *ProtocolError) {
+// readLine removes a line of a chunked body from the buffer and returns it. It returns false if the line is incomplete.
+func (f *Framer) readLine(limit int) (string, bool, *ProtocolError) {
 	end := bytes.IndexByte(f.buf, '\n')
 	switch {
 	case end < 0 && len(f.buf) > limit || end > limit:
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -17,14 +17,14 @@
 	version11 = "HTTP/1.1"
 )
 
-// nonTokenBytes are the visible characters that a field name may not hold (RFC 9110 5.6.2).
+// nonTokenBytes holds the visible characters that are not allowed in a field name (RFC 9110 section 5.6.2).
 const nonTokenBytes = `"(),/:;<=>?@[\]{}`
 
-// parseHead parses a head and determines the length of the body. Whatever two readers could understand differently
-// (request smuggling) is refused.
+// parseHead parses a head and prepares for the body. It rejects whatever another parser could frame differently, since
+// that allows request smuggling.
 func (f *Framer) parseHead(head []byte) *ProtocolError {
-	if failure := checkLines(head); failure != nil {
-		return failure
+	if protocolErr := checkLines(head); protocolErr != nil {
+		return protocolErr
 	}
 	reader := textproto.NewReader(bufio.NewReader(bytes.NewReader(head)))
 	startLine, err := reader.ReadLine()
@@ -35,16 +35,16 @@
 	if err != nil {
 		return badRequestf("header: %v", err)
 	}
-	if failure := checkFieldNames(fields); failure != nil {
-		return failure
+	if protocolErr := checkFieldNames(fields); protocolErr != nil {
+		return protocolErr
 	}
 	message := &Message{Header: nethttp.Header(fields)}
-	version, failure := f.parseStartLine(message, startLine)
-	if failure != nil {
-		return failure
+	version, protocolErr := f.parseStartLine(message, startLine)
+	if protocolErr != nil {
+		return protocolErr
 	}
 	if version != version11 && version != version10 {
-		return protocolErrorf(nethttp.StatusHTTPVersionNotSupported, "version %.20q is neither HTTP/1.1 nor HTTP/1.0", version)
+		return newProtocolErrorf(nethttp.StatusHTTPVersionNotSupported, "version %.20q is neither HTTP/1.1 nor HTTP/1.0", version)
 	}
 	connection := strings.ToLower(strings.Join(fields["Connection"], ","))
 	message.Close = strings.Contains(connection, "close") ||
@@ -52,14 +52,14 @@
 	if hosts := len(fields["Host"]); !f.response && (hosts > 1 || hosts == 0 && version == version11) {
 		return badRequestf("request has %d Host fields, not one", hosts)
 	}
-	if failure := f.beginBody(message, version); failure != nil {
-		return failure
+	if protocolErr := f.startBody(message, version); protocolErr != nil {
+		return protocolErr
 	}
 	message.ExpectContinue = !f.response && version == version11 && strings.EqualFold(fields.Get("Expect"), "100-continue")
 	return nil
 }
 
-// checkLines refuses bytes and line ends that readers understand differently.
+// checkLines rejects bytes and line terminators that parsers treat differently.
 func checkLines(head []byte) *ProtocolError {
 	for i, c := range head {
 		switch {
@@ -67,7 +67,7 @@
 			return badRequestf("head holds a NUL byte")
 		case c == '\n' && (i == 0 || head[i-1] != '\r'):
 			return badRequestf("line of the head ends without a carriage return")
-		case c == '\r' && head[i+1] != '\n': // a head ends with a line feed, so there is a next byte
+		case c == '\r' && head[i+1] != '\n': // the head ends with a line feed, so there is a next byte
 			return badRequestf("carriage return within a line of the head")
 		case (c == ' ' || c == '\t') && i > 0 && head[i-1] == '\n':
 			return badRequestf("folded line in the header")
@@ -87,8 +87,8 @@
 
 func isNotToken(c rune) bool { return c <= ' ' || c >= 0x7f || strings.ContainsRune(nonTokenBytes, c) }
 
-// parseStartLine reads the status of a response, or the method and target of a request, and returns the version.
-func (f *Framer) parseStartLine(message *Message, line string) (version string, failure *ProtocolError) {
+// parseStartLine sets the status of a response, or the method and target of a request, and returns the version.
+func (f *Framer) parseStartLine(message *Message, line string) (version string, protocolErr *ProtocolError) {
 	if f.response {
 		version, rest, _ := strings.Cut(line, " ")
 		text, _, _ := strings.Cut(rest, " ")
@@ -99,60 +99,60 @@
 		message.Status = status
 		return version, nil
 	}
-	words := strings.Split(line, " ")
-	if len(words) != 3 || words[0] == "" || words[1] == "" {
+	parts := strings.Split(line, " ")
+	if len(parts) != 3 || parts[0] == "" || parts[1] == "" {
 		return "", badRequestf("request line %.40q is not of three words", line)
 	}
-	message.Method, message.Target = words[0], words[1]
-	return words[2], nil
+	message.Method, message.Target = parts[0], parts[1]
+	return parts[2], nil
 }
 
-// beginBody sets the message and the state that reads its body (RFC 9112 6.3).
-func (f *Framer) beginBody(message *Message, version string) *ProtocolError {
-	lengths, codings := message.Header["Content-Length"], message.Header["Transfer-Encoding"]
-	f.message, f.state, f.left = message, stateLength, 0
+// startBody sets the message and the state that reads its body (RFC 9112 section 6.3).
+func (f *Framer) startBody(message *Message, version string) *ProtocolError {
+	contentLengths, transferCodings := message.Header["Content-Length"], message.Header["Transfer-Encoding"]
+	f.message, f.state, f.remaining = message, stateFixedBody, 0
 	switch {
-	case f.response && hasNoBody(message.Status):
-	case len(codings) > 0:
+	case f.response && hasNoContent(message.Status):
+	case len(transferCodings) > 0:
 		f.state = stateChunkSize
-		return checkCodings(codings, lengths, version)
-	case len(lengths) > 0:
-		return f.setLength(lengths)
+		return checkTransferCodings(transferCodings, contentLengths, version)
+	case len(contentLengths) > 0:
+		return f.setFixedLength(contentLengths)
 	case f.response:
 		f.state, message.Close = stateUntilClose, true
 	}
 	return nil
 }
 
-func hasNoBody(status int) bool {
+func hasNoContent(status int) bool {
 	return status < 200 || status == nethttp.StatusNoContent || status == nethttp.StatusNotModified
 }
 
-// checkCodings refuses any transfer coding but chunked alone.
-func checkCodings(codings, lengths []string, version string) *ProtocolError {
+// checkTransferCodings rejects any transfer coding other than a single chunked.
+func checkTransferCodings(transferCodings, contentLengths []string, version string) *ProtocolError {
 	switch {
-	case len(lengths) > 0:
+	case len(contentLengths) > 0:
 		return badRequestf("both Transfer-Encoding and Content-Length are given")
 	case version == version10:
 		return badRequestf("Transfer-Encoding in HTTP/1.0")
-	case len(codings) > 1 || !strings.EqualFold(strings.TrimSpace(codings[0]), "chunked"):
-		return protocolErrorf(nethttp.StatusNotImplemented, "Transfer-Encoding %.40q is not chunked alone", strings.Join(codings, ", "))
+	case len(transferCodings) > 1 || !strings.EqualFold(strings.TrimSpace(transferCodings[0]), "chunked"):
+		return newProtocolErrorf(nethttp.StatusNotImplemented, "Transfer-Encoding %.40q is not chunked alone", strings.Join(transferCodings, ", "))
 	}
 	return nil
 }
 
-// setLength takes the length of the body from Content-Length.
-func (f *Framer) setLength(lengths []string) *ProtocolError {
-	if len(lengths) > 1 {
-		return badRequestf("Content-Length is given %d times", len(lengths))
+// setFixedLength sets the length of the body from Content-Length.
+func (f *Framer) setFixedLength(contentLengths []string) *ProtocolError {
+	if len(contentLengths) > 1 {
+		return badRequestf("Content-Length is given %d times", len(contentLengths))
 	}
-	length, err := strconv.ParseUint(lengths[0], 10, 62)
+	length, err := strconv.ParseUint(contentLengths[0], 10, 62)
 	if err != nil {
-		return badRequestf("Content-Length %.40q is not a whole number", lengths[0])
+		return badRequestf("Content-Length %.40q is not a whole number", contentLengths[0])
 	}
 	if length > uint64(f.limits.Body) {
-		return protocolErrorf(nethttp.StatusRequestEntityTooLarge, "body of %d bytes is over %d", length, f.limits.Body)
+		return newProtocolErrorf(nethttp.StatusRequestEntityTooLarge, "body of %d bytes is over %d", length, f.limits.Body)
 	}
-	f.left = int(length)
+	f.remaining = int(length)
 	return nil
 }
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -5,10 +5,10 @@
 	nethttp "net/http"
 )
 
-// Limits bound one message, in bytes.
+// Limits are the maximum sizes of one message in bytes.
 type Limits struct {
-	Head int // start line and header fields with their line ends
-	Body int // content after the transfer coding is taken off
+	Head int // start line and header fields with their line terminators
+	Body int // content after transfer decoding
 }
 
 // Message is one complete request or response.
@@ -17,23 +17,23 @@
 	Status         int    // of a response
 	Header         nethttp.Header
 	Body           []byte
-	Close          bool // the sender closes the connection after it
-	ExpectContinue bool // a request that waits for 100 Continue; Body follows
+	Close          bool // the sender closes the connection after the message
+	ExpectContinue bool // the client waits for 100 Continue before it sends Body
 }
 
-// ProtocolError is why a stream can't be read any further. Status is what a server answers a request with before it
-// closes the connection.
+// ProtocolError reports a violation of the protocol or of Limits, after which the stream cannot be read any further.
 type ProtocolError struct {
-	Status int
+	Status int // of the response that a server sends before it closes the connection
 	Reason string
 }
 
+// Error implements error.
 func (e *ProtocolError) Error() string { return e.Reason }
 
-func protocolErrorf(status int, format string, args ...any) *ProtocolError {
+func newProtocolErrorf(status int, format string, args ...any) *ProtocolError {
 	return &ProtocolError{Status: status, Reason: fmt.Sprintf(format, args...)}
 }
 
 func badRequestf(format string, args ...any) *ProtocolError {
-	return protocolErrorf(nethttp.StatusBadRequest, format, args...)
+	return newProtocolErrorf(nethttp.StatusBadRequest, format, args...)
 }
