--- a/internal/syscalls/faults/faults.go
+++ b/internal/syscalls/faults/faults.go
@@ -79,10 +79,8 @@
 
 // Read implements syscalls.Kernel.
 func (k Kernel) Read(fd int, buffer []byte) (int, error) {
-	switch err := k.Decide(Read); {
-	case errors.Is(err, ErrShort):
-		return k.Linux.Read(fd, buffer[:1])
-	case err != nil:
+	buffer, err := k.decideTransfer(Read, buffer)
+	if err != nil {
 		return -1, err
 	}
 	return k.Linux.Read(fd, buffer)
@@ -90,15 +88,22 @@
 
 // Write implements syscalls.Kernel.
 func (k Kernel) Write(fd int, data []byte) (int, error) {
-	switch err := k.Decide(Write); {
-	case errors.Is(err, ErrShort):
-		return k.Linux.Write(fd, data[:1])
-	case err != nil:
+	data, err := k.decideTransfer(Write, data)
+	if err != nil {
 		return -1, err
 	}
 	return k.Linux.Write(fd, data)
 }
 
+// decideTransfer returns the part of the buffer that a read or write may transfer, or the error that it fails with.
+func (k Kernel) decideTransfer(call Call, buffer []byte) ([]byte, error) {
+	err := k.Decide(call)
+	if errors.Is(err, ErrShort) {
+		return buffer[:1], nil
+	}
+	return buffer, err
+}
+
 // EpollControl implements syscalls.Kernel.
 func (k Kernel) EpollControl(epoll, operation, fd int, event *unix.EpollEvent) error {
 	if operation == unix.EPOLL_CTL_ADD {
