--- a/internal/appliance/api_commands.go
+++ b/internal/appliance/api_commands.go
@@ -8,7 +8,7 @@
 	"streamcleat/control"
 )
 
-// Commands of the console, by their names in the API.
+// Names of the console's commands in the admin API.
 const (
 	commandStop   = "stop"
 	commandDrain  = "drain"
@@ -18,39 +18,29 @@
 	commandHold   = "hold"
 )
 
-// consoleTimeout is how long after its last command a console keeps others from giving commands.
+// consoleTimeout is the time after its last command during which a console excludes all others from giving commands.
 const consoleTimeout = 15 * time.Second
 
-// unnamedConsole is the name of a console that gives none.
+// unnamedConsole stands for a console that sends no name.
 const unnamedConsole = "unnamed"
 
-// Command is what a console asks the appliance to do.
+// Command is a command that a console sends to the appliance.
 type Command struct {
 	Name      string `json:"order"` // drain, return, hold, fire, unload, stop
 	Target    string `json:"target,omitempty"`
 	Immediate bool   `json:"now,omitempty"`     // stop: do not wait for open requests
-	Resume    bool   `json:"release,omitempty"` // hold: let the entry fire again
+	Resume    bool   `json:"release,omitempty"` // hold: resume the entry instead of suspending it
 	Console   string `json:"console"`           // name of the console
 }
 
-// consoleSession is the console that may give commands; the others are told its name.
+// consoleSession identifies the console that may give commands. Its name is reported to the others.
 type consoleSession struct {
 	name        string
 	lastCommand time.Time
 }
 
-// postCommand executes a command.
-func (a *Appliance) postCommand(w http.ResponseWriter, r *http.Request) {
-	var command Command
-	if err := decodeBody(r, maxCommandBytes, "order", &command); err != nil {
-		writeReply(w, nil, err)
-		return
-	}
-	result, err := a.executeCommand(command)
-	writeResult(w, result, err)
-}
-
-// executeCommand executes a command of the only console that may give them now, and returns what was done.
+// executeCommand executes a command and returns a description of the result for the console. It returns an error if
+// another console is active.
 func (a *Appliance) executeCommand(command Command) (string, error) {
 	if command.Console == "" {
 		command.Console = unnamedConsole
@@ -69,13 +59,16 @@
 	case commandUnload:
 		return a.unloadReplicas(command.Target)
 	case commandHold:
-		return a.suspendEntry(command.Target, command.Resume)
+		if command.Resume {
+			return a.resumeEntry(command.Target)
+		}
+		return a.suspendEntry(command.Target)
 	}
 	return a.fireEntry(command.Target)
 }
 
-// admitCommand returns an error when another console gives commands now, or when the state does not allow the command.
-// Otherwise the console becomes the active one.
+// admitCommand makes the sender of a command the active console. It returns an error if another console is active or
+// if the lifecycle state does not allow the command.
 func (a *Appliance) admitCommand(command Command) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -91,6 +84,7 @@
 	return nil
 }
 
+// requestStop starts a graceful shutdown, or one that does not wait for open requests.
 func (a *Appliance) requestStop(command Command) string {
 	if command.Immediate {
 		a.post(ImmediateStopRequested, "console "+command.Console)
@@ -100,7 +94,7 @@
 	return fmt.Sprintf("the box drains for up to %v s and stops", a.config.DrainTime)
 }
 
-// drainWorker makes every server send nothing new to a worker.
+// drainWorker drains a worker on every server: it gets no further attempts.
 func (a *Appliance) drainWorker(worker string) (string, error) {
 	if err := a.setDrained(worker, true); err != nil {
 		return "", err
@@ -113,7 +107,7 @@
 	return fmt.Sprintf("worker %s drains; it was the last one, and every event is deferred now", worker), nil
 }
 
-// returnWorker undoes drainWorker.
+// returnWorker undoes drainWorker. The worker has the state that the endpoint list gives it again.
 func (a *Appliance) returnWorker(worker string) (string, error) {
 	if err := a.setDrained(worker, false); err != nil {
 		return "", err
@@ -121,6 +115,7 @@
 	return fmt.Sprintf("worker %s: is as the list says", worker), nil
 }
 
+// setDrained drains or returns a worker on every server. It returns an error if no server knows the worker.
 func (a *Appliance) setDrained(worker string, drained bool) error {
 	known := false
 	for _, server := range a.runningServers() {
@@ -136,7 +131,7 @@
 	return nil
 }
 
-// unloadReplicas asks the workers that have a function loaded to unload idle replicas.
+// unloadReplicas asks the workers that have a function loaded to unload its idle replicas.
 func (a *Appliance) unloadReplicas(function string) (string, error) {
 	asked := 0
 	for _, server := range a.runningServers() {
--- a/internal/appliance/api_functions.go
+++ b/internal/appliance/api_functions.go
@@ -10,7 +10,7 @@
 
 const millisecondsPerSecond = 1000
 
-// FunctionStatus is a function as the servers know it.
+// FunctionStatus is the status of a function, merged over all servers.
 type FunctionStatus struct {
 	Name          string   `json:"name"`
 	LoadedOn      []string `json:"warm"`
@@ -21,32 +21,27 @@
 	MedianLatency float64  `json:"median_ms"`
 }
 
-// functionStatuses merges what the servers know of the functions, by name.
+// functionStatuses returns the status of every known function, sorted by name.
 func (a *Appliance) functionStatuses() []FunctionStatus {
-	functions := []FunctionStatus{}
-	index := map[string]int{}
+	merged := newStatusIndex[FunctionStatus]()
 	for _, server := range a.runningServers() {
-		// A server that has stopped knows no functions.
-		_ = server.DoDispatcher(func(d *dispatch.Dispatcher) {
+		inspectDispatcher(server, func(d *dispatch.Dispatcher) {
 			_, views := d.RoutingView()
 			for i := range views {
 				view := &views[i]
-				name := string(view.ID)
-				position, known := index[name]
-				if !known {
-					position = len(functions)
-					index[name] = position
-					functions = append(functions, FunctionStatus{Name: name, Concurrency: view.Concurrency, LoadedOn: []string{}})
+				status, added := merged.entry(string(view.ID))
+				if added {
+					*status = FunctionStatus{Name: string(view.ID), Concurrency: view.Concurrency, LoadedOn: []string{}}
 				}
-				functions[position].merge(view)
+				status.merge(view)
 			}
 		})
 	}
-	slices.SortFunc(functions, func(x, y FunctionStatus) int { return strings.Compare(x.Name, y.Name) })
-	return functions
+	slices.SortFunc(merged.statuses, func(x, y FunctionStatus) int { return strings.Compare(x.Name, y.Name) })
+	return merged.statuses
 }
 
-// merge adds what a server knows of the function.
+// merge adds one server's view of the function.
 func (f *FunctionStatus) merge(view *control.FunctionView) {
 	for _, worker := range view.Replicas {
 		if !slices.Contains(f.LoadedOn, string(worker)) {
--- a/internal/appliance/api_registry.go
+++ b/internal/appliance/api_registry.go
@@ -1,24 +1,15 @@
 package appliance
 
-import (
-	"fmt"
-	"net/http"
-)
+import "fmt"
 
-// postChange makes a change of the function registry.
-func (a *Appliance) postChange(w http.ResponseWriter, r *http.Request) {
-	var change Change
-	if err := decodeBody(r, maxChangeBytes, "change", &change); err != nil {
-		writeReply(w, nil, err)
-		return
-	}
+// executeChange makes a change of the function registry and returns a description of it for the console.
+func (a *Appliance) executeChange(change Change) (string, error) {
 	if state := a.state(); state != Serving {
-		writeReply(w, nil, fmt.Errorf("no change of the registry while the box is %s", state))
-		return
+		return "", fmt.Errorf("no change of the registry while the box is %s", state)
 	}
 	result, err := a.functions.applyChange(change)
 	if err == nil {
 		a.log.Info("registry changed", "change", result, "actor", change.Actor)
 	}
-	writeResult(w, result, err)
+	return result, err
 }
--- a/internal/appliance/api_requests.go
+++ b/internal/appliance/api_requests.go
@@ -11,10 +11,10 @@
 	"streamcleat/internal/eventloop"
 )
 
-// defaultRequestLimit is how many requests are listed when the console names no limit.
+// defaultRequestLimit is the maximum number of requests listed if the query sets no limit.
 const defaultRequestLimit = 100
 
-// RequestStatus is a request that is open or ended lately. Times are in seconds.
+// RequestStatus is the status of an open or recently ended request. Times are in seconds.
 type RequestStatus struct {
 	ID       string               `json:"id"`
 	Source   string               `json:"source"`
@@ -26,14 +26,14 @@
 	Cause    string               `json:"cause,omitempty"`
 	Worker   string               `json:"worker,omitempty"`
 	Attempts int                  `json:"launches"`
-	Age      float64              `json:"ago_s"`            // since it came in
+	Age      float64              `json:"ago_s"`            // since its arrival
 	Elapsed  float64              `json:"took_s,omitempty"` // from its start to its end
 	TimeLeft float64              `json:"left_s,omitempty"` // until its client's deadline
 	Steps    []dispatch.TraceStep `json:"steps,omitempty"`
 	FrontEnd string               `json:"front_end"`
 }
 
-// getRequests lists requests, at most as many as the query parameter "most" says.
+// getRequests lists requests. The query parameter "most" limits their number.
 func (a *Appliance) getRequests(r *http.Request) (any, error) {
 	limit := defaultRequestLimit
 	if text := r.URL.Query().Get("most"); text != "" {
@@ -46,12 +46,11 @@
 	return a.requestStatuses(limit), nil
 }
 
-// requestStatuses returns the open requests, then those that ended lately, the youngest first.
+// requestStatuses returns the open requests followed by the recently ended ones, each newest first.
 func (a *Appliance) requestStatuses(limit int) []RequestStatus {
 	requests := []RequestStatus{}
 	for _, server := range a.runningServers() {
-		// A server that has stopped has no requests.
-		_ = server.DoDispatcher(func(d *dispatch.Dispatcher) {
+		inspectDispatcher(server, func(d *dispatch.Dispatcher) {
 			for _, trace := range d.OpenTraces() {
 				requests = append(requests, newRequestStatus(&trace, server.Addr()))
 			}
@@ -64,7 +63,7 @@
 	return requests[:min(len(requests), limit)]
 }
 
-// compareRequests orders open requests before ended ones, and younger ones before older ones.
+// compareRequests orders open requests before ended ones, and newer ones before older ones.
 func compareRequests(x, y RequestStatus) int {
 	if x.Open != y.Open {
 		if x.Open {
@@ -75,13 +74,12 @@
 	return cmp.Compare(x.Age, y.Age)
 }
 
-// explain returns a request with the steps that led to its end. The id may be preceded by its source and "#".
+// explain returns the status of a request with the steps of its trace. The id may have the form "source#id".
 func (a *Appliance) explain(id string) (any, error) {
 	for _, server := range a.runningServers() {
 		var trace dispatch.Trace
 		found := false
-		// A server that has stopped has no requests.
-		_ = server.DoDispatcher(func(d *dispatch.Dispatcher) { trace, found = d.Explain(id) })
+		inspectDispatcher(server, func(d *dispatch.Dispatcher) { trace, found = d.Explain(id) })
 		if found {
 			status := newRequestStatus(&trace, server.Addr())
 			status.Steps = trace.Steps
--- a/internal/appliance/api_schedules.go
+++ b/internal/appliance/api_schedules.go
@@ -9,7 +9,7 @@
 	"streamcleat/internal/schedule"
 )
 
-// ScheduleStatus is the status of an entry of the crontab.
+// ScheduleStatus is the status of a crontab entry.
 type ScheduleStatus struct {
 	Entry      string     `json:"entry"`
 	Spec       string     `json:"spec"`
@@ -19,7 +19,7 @@
 	NextFiring *time.Time `json:"next,omitempty"`
 }
 
-// scheduleStatuses returns the entries in the order of the crontab.
+// scheduleStatuses returns the status of every entry, in crontab order.
 func (a *Appliance) scheduleStatuses() []ScheduleStatus {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -39,8 +39,26 @@
 	return statuses
 }
 
-// suspendEntry makes an entry not fire, or fire again.
-func (a *Appliance) suspendEntry(target string, resume bool) (string, error) {
+// suspendEntry keeps an entry from firing until it is resumed or the process ends.
+func (a *Appliance) suspendEntry(target string) (string, error) {
+	key, err := a.setSuspended(target, true)
+	if err != nil {
+		return "", err
+	}
+	return "entry " + key + " is held", nil
+}
+
+// resumeEntry undoes suspendEntry.
+func (a *Appliance) resumeEntry(target string) (string, error) {
+	key, err := a.setSuspended(target, false)
+	if err != nil {
+		return "", err
+	}
+	return "entry " + key + " fires again", nil
+}
+
+// setSuspended suspends or resumes an entry and returns its key.
+func (a *Appliance) setSuspended(target string, suspended bool) (string, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	entry, err := a.findEntry(target)
@@ -48,14 +66,11 @@
 		return "", err
 	}
 	key := entry.Key()
-	a.suspended[key] = !resume
-	if resume {
-		return "entry " + key + " fires again", nil
-	}
-	return "entry " + key + " is held", nil
+	a.suspended[key] = suspended
+	return key, nil
 }
 
-// fireEntry fires an entry for the present minute.
+// fireEntry fires an entry for the current minute.
 func (a *Appliance) fireEntry(target string) (string, error) {
 	a.mu.Lock()
 	entry, err := a.findEntry(target)
@@ -71,7 +86,8 @@
 	return "fired " + firing.ID, nil
 }
 
-// findEntry returns the entry with a key, else the only one whose key contains the target. The caller holds the lock.
+// findEntry returns the entry whose key equals the target, or else the only one whose key contains it. The caller must
+// hold a.mu.
 func (a *Appliance) findEntry(target string) (*schedule.Entry, error) {
 	var matches []*schedule.Entry
 	for i := range a.entries {
--- a/internal/appliance/api_server.go
+++ b/internal/appliance/api_server.go
@@ -19,7 +19,7 @@
 	maxChangeBytes     int64 = 1 << 20
 )
 
-// statusError is an error with the HTTP status that the console gets.
+// statusError is an error that the admin API reports with an HTTP status of its own.
 type statusError struct {
 	status  int
 	message string
@@ -28,8 +28,8 @@
 // Error implements error.
 func (e statusError) Error() string { return e.message }
 
-// openConsoleSocket serves the console's API. A socket that a killed process left is removed; one that answers means
-// that the appliance runs already.
+// openConsoleSocket serves the admin API on the console's socket. It removes a stale socket left by a killed process,
+// and returns an error if another process is listening on it.
 func (a *Appliance) openConsoleSocket() error {
 	settings := a.config.Console
 	if settings == nil {
@@ -48,7 +48,7 @@
 		return fmt.Errorf("console socket: %w", err)
 	}
 	if err := os.Chmod(path, mode); err != nil {
-		_ = listener.Close() // the error of the mode is the one to report
+		_ = listener.Close() // the chmod error is the one to report
 		return fmt.Errorf("console socket: %w", err)
 	}
 	server := &http.Server{Handler: a.apiHandler(), ReadHeaderTimeout: readHeaderTimeout}
@@ -57,25 +57,24 @@
 	return nil
 }
 
-// removeStaleSocket removes a socket on which nobody listens. It returns an error when a process answers there, or when
-// the file is not a socket.
+// removeStaleSocket removes a socket on which no process listens. It returns an error if a process accepts connections
+// there, or if the file is not a socket.
 func removeStaleSocket(path string) error {
 	if conn, err := net.DialTimeout("unix", path, consoleDialTimeout); err == nil {
-		_ = conn.Close() // it was opened only to learn whether somebody answers
+		_ = conn.Close() // opened only to probe for a listener
 		return fmt.Errorf("console socket %s: another box answers there", path)
 	}
-	info, err := os.Lstat(path)
-	if err != nil {
-		return nil // nothing is there, or Listen reports why the folder can't be used
-	}
-	if info.Mode()&os.ModeSocket == 0 {
-		return fmt.Errorf("console socket %s: something else stands there", path)
+	// Any Lstat error leaves the path to net.Listen: either there is no file, or Listen reports why the path is unusable.
+	if info, err := os.Lstat(path); err == nil {
+		if info.Mode()&os.ModeSocket == 0 {
+			return fmt.Errorf("console socket %s: something else stands there", path)
+		}
+		_ = os.Remove(path) // if this fails, Listen reports the address as in use
 	}
-	_ = os.Remove(path) // Listen reports a socket that is still there
 	return nil
 }
 
-// socketMode returns the permissions that the configuration names in octal.
+// socketMode parses the socket's permissions, which the configuration gives in octal.
 func socketMode(text string) (os.FileMode, error) {
 	if text == "" {
 		return defaultSocketMode, nil
@@ -89,34 +88,50 @@
 
 func (a *Appliance) closeConsoleSocket() {
 	if a.closeConsole != nil {
-		_ = a.closeConsole() // the process ends, and the socket with it
+		_ = a.closeConsole() // the process is about to exit
 	}
 }
 
-// apiHandler returns the routes of the console's API.
+// apiHandler returns the handler of the admin API.
 func (a *Appliance) apiHandler() http.Handler {
 	mux := http.NewServeMux()
-	read := func(path string, read func(r *http.Request) (any, error)) {
-		mux.HandleFunc("GET "+path, func(w http.ResponseWriter, r *http.Request) {
-			v, err := read(r)
-			writeReply(w, v, err)
-		})
-	}
-	read("/v1/status", func(*http.Request) (any, error) { return a.status(), nil })
-	read("/v1/workers", func(*http.Request) (any, error) { return a.workerStatuses(), nil })
-	read("/v1/handlers", func(*http.Request) (any, error) { return a.functionStatuses(), nil })
-	read("/v1/registry", func(*http.Request) (any, error) { return a.functions.views(), nil })
-	read("/v1/trail", func(*http.Request) (any, error) { return a.functions.auditTrail(), nil })
-	read("/v1/timers", func(*http.Request) (any, error) { return a.scheduleStatuses(), nil })
-	read("/v1/events", a.getRequests)
-	read("/v1/explain", func(r *http.Request) (any, error) { return a.explain(r.URL.Query().Get("id")) })
-	mux.HandleFunc("POST /v1/registry", a.postChange)
-	mux.HandleFunc("POST /v1/orders", a.postCommand)
+	mux.HandleFunc("GET /v1/status", getHandler(func(*http.Request) (any, error) { return a.status(), nil }))
+	mux.HandleFunc("GET /v1/workers", getHandler(func(*http.Request) (any, error) { return a.workerStatuses(), nil }))
+	mux.HandleFunc("GET /v1/handlers", getHandler(func(*http.Request) (any, error) { return a.functionStatuses(), nil }))
+	mux.HandleFunc("GET /v1/registry", getHandler(func(*http.Request) (any, error) { return a.functions.views(), nil }))
+	mux.HandleFunc("GET /v1/trail", getHandler(func(*http.Request) (any, error) { return a.functions.auditTrail(), nil }))
+	mux.HandleFunc("GET /v1/timers", getHandler(func(*http.Request) (any, error) { return a.scheduleStatuses(), nil }))
+	mux.HandleFunc("GET /v1/events", getHandler(a.getRequests))
+	mux.HandleFunc("GET /v1/explain", getHandler(func(r *http.Request) (any, error) { return a.explain(r.URL.Query().Get("id")) }))
+	mux.HandleFunc("POST /v1/registry", postHandler("change", maxChangeBytes, a.executeChange))
+	mux.HandleFunc("POST /v1/orders", postHandler("order", maxCommandBytes, a.executeCommand))
 	mux.HandleFunc("GET /metrics", a.getMetrics)
 	return mux
 }
 
-// getMetrics writes the metrics; before the appliance serves there are none.
+// getHandler returns a handler that replies with the value that read returns.
+func getHandler(read func(*http.Request) (any, error)) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		v, err := read(r)
+		writeReply(w, v, err)
+	}
+}
+
+// postHandler returns a handler that decodes a document from the body, executes it, and replies with the description of
+// the result. Errors of the decoder are prefixed with the document's name.
+func postHandler[T any](document string, maxBytes int64, execute func(T) (string, error)) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		var decoded T
+		err := decodeBody(r, maxBytes, document, &decoded)
+		var result string
+		if err == nil {
+			result, err = execute(decoded)
+		}
+		writeReply(w, map[string]string{"said": result}, err)
+	}
+}
+
+// getMetrics writes the metrics. The response is empty until the appliance serves.
 func (a *Appliance) getMetrics(w http.ResponseWriter, r *http.Request) {
 	a.mu.Lock()
 	recorder, state := a.recorder, a.lifecycle.State
@@ -126,8 +141,7 @@
 	}
 }
 
-// decodeBody decodes the JSON document in the body of a request. An unknown field is an error, which names the
-// document.
+// decodeBody decodes the JSON document in the body of a request. Unknown fields are an error.
 func decodeBody(r *http.Request, limit int64, document string, into any) error {
 	decoder := json.NewDecoder(io.LimitReader(r.Body, limit))
 	decoder.DisallowUnknownFields()
@@ -137,7 +151,7 @@
 	return nil
 }
 
-// writeReply writes a value or an error as JSON. An error without a status of its own is a conflict.
+// writeReply writes v, or err if it is not nil, as JSON. The status of an error that is not a statusError is 409 Conflict.
 func writeReply(w http.ResponseWriter, v any, err error) {
 	w.Header().Set("Content-Type", "application/json")
 	if err != nil {
@@ -148,10 +162,5 @@
 		w.WriteHeader(status)
 		v = map[string]string{"error": err.Error()}
 	}
-	_ = json.NewEncoder(w).Encode(v) // fails only when the client has gone
-}
-
-// writeResult writes what a command or change has done, or its error.
-func writeResult(w http.ResponseWriter, result string, err error) {
-	writeReply(w, map[string]string{"said": result}, err)
+	_ = json.NewEncoder(w).Encode(v) // fails only if the client has closed the connection
 }
--- a/internal/appliance/api_status.go
+++ b/internal/appliance/api_status.go
@@ -9,7 +9,7 @@
 	"streamcleat/internal/storage"
 )
 
-// Status is an overview of the appliance. Times are in seconds.
+// Status is the overall status of the appliance. Times are in seconds.
 type Status struct {
 	Name              string             `json:"name"`
 	State             string             `json:"state"`
@@ -22,17 +22,17 @@
 	InFlight          int                `json:"out"`
 	Totals            map[string]uint64  `json:"totals"`
 	Latency           map[string]float64 `json:"latency_ms"`
-	Seconds           []secondCounts     `json:"seconds"` // the last minute, the oldest first
+	Seconds           []secondCounts     `json:"seconds"` // the last minute, oldest first
 	Workers           map[string]int     `json:"workers"` // by state
 	FunctionCount     int                `json:"handlers"`
 	Clients           int                `json:"clients"`
 	Store             *StoreStatus       `json:"store,omitempty"`
-	ActiveConsole     string             `json:"writer,omitempty"` // the one that may give commands
+	ActiveConsole     string             `json:"writer,omitempty"` // the console that may give commands
 	ActiveConsoleIdle float64            `json:"writer_idle_s,omitempty"`
 	Tasks             []TaskStatus       `json:"chores"`
 }
 
-// StoreStatus is an overview of the store.
+// StoreStatus is the status of the durable store.
 type StoreStatus struct {
 	Bytes            uint64 `json:"bytes"`
 	Records          int    `json:"notes"`
@@ -42,10 +42,10 @@
 	RecoveredRecords int    `json:"restored"`
 }
 
-// status returns the overview.
+// status returns the overall status.
 func (a *Appliance) status() Status {
 	a.mu.Lock()
-	s := a.ownStatus()
+	s := a.processStatus()
 	store, state := a.store, a.lifecycle.State
 	a.mu.Unlock()
 	for _, server := range a.runningServers() {
@@ -68,8 +68,8 @@
 	return s
 }
 
-// ownStatus returns the part of the overview that the servers are not asked for. The caller holds the lock.
-func (a *Appliance) ownStatus() Status {
+// processStatus returns the part of the status that does not come from the servers. The caller must hold a.mu.
+func (a *Appliance) processStatus() Status {
 	s := Status{
 		Name:      a.config.Name,
 		State:     a.lifecycle.State.String(),
@@ -95,7 +95,7 @@
 	return s
 }
 
-// addTotals adds the counts of a server since its start.
+// addTotals adds one server's counters to the totals.
 func addTotals(totals map[string]uint64, counts *dispatch.Counts) {
 	totals["taken"] += counts.Accepted
 	totals["joined"] += counts.Deduplicated
--- a/internal/appliance/api_workers.go
+++ b/internal/appliance/api_workers.go
@@ -7,7 +7,7 @@
 	"streamcleat/internal/dispatch"
 )
 
-// States of a worker as the console shows them.
+// States of a worker in the admin API.
 const (
 	workerServing   = "serving"
 	workerWarmingUp = "cold"
@@ -15,7 +15,7 @@
 	workerDraining  = "draining"
 )
 
-// WorkerStatus is a worker as the servers know it.
+// WorkerStatus is the status of a worker, merged over all servers.
 type WorkerStatus struct {
 	Name             string  `json:"name"`
 	State            string  `json:"state"` // serving, cold, set-aside, draining
@@ -30,34 +30,29 @@
 	PendingLoads     int     `json:"loading"`
 }
 
-// workerStatuses merges what the servers know of the workers; each server sees only its own traffic.
+// workerStatuses returns the status of every known worker. Each server sees only its own traffic.
 func (a *Appliance) workerStatuses() []WorkerStatus {
-	workers := []WorkerStatus{}
-	index := map[string]int{}
+	merged := newStatusIndex[WorkerStatus]()
 	for _, server := range a.runningServers() {
 		drained := server.DrainedWorkers()
-		// A server that has stopped knows no workers.
-		_ = server.DoDispatcher(func(d *dispatch.Dispatcher) {
+		inspectDispatcher(server, func(d *dispatch.Dispatcher) {
 			views, _ := d.RoutingView()
 			for i := range views {
 				view := &views[i]
 				name := string(view.ID)
-				position, known := index[name]
-				if !known {
-					position = len(workers)
-					index[name] = position
-					workers = append(workers, WorkerStatus{Name: name, MachineType: string(view.MachineType), Zone: string(view.Zone)})
+				status, added := merged.entry(name)
+				if added {
+					*status = WorkerStatus{Name: name, MachineType: string(view.MachineType), Zone: string(view.Zone)}
 				}
-				worker := &workers[position]
-				worker.merge(view)
-				worker.DrainedByCommand = slices.Contains(drained, name)
+				status.merge(view)
+				status.DrainedByCommand = slices.Contains(drained, name)
 			}
 		})
 	}
-	return workers
+	return merged.statuses
 }
 
-// merge adds what a server knows of the worker.
+// merge adds one server's view of the worker.
 func (w *WorkerStatus) merge(view *control.WorkerView) {
 	switch {
 	case view.State == control.Draining:
--- a/internal/appliance/appliance.go
+++ b/internal/appliance/appliance.go
@@ -14,30 +14,31 @@
 )
 
 const (
-	eventQueueCapacity  = 64                    // lifecycle events that may wait; later ones are dropped
-	drainPollInterval   = 10 * time.Millisecond // between looks at the open requests during a drain
-	backgroundTaskPause = 100 * time.Millisecond
+	eventQueueCapacity     = 64                     // queued lifecycle events; further ones are dropped
+	drainPollInterval      = 10 * time.Millisecond  // between polls of the open requests during a drain
+	backgroundTaskInterval = 100 * time.Millisecond // between slices of background tasks
 )
 
-// Appliance is one running process. It carries out what Lifecycle, TaskScheduler and the schedules' plan decide.
+// Appliance is the runtime of one process. It does the I/O for the decisions of Lifecycle, TaskScheduler and
+// schedule.Plan.
 type Appliance struct {
 	config    *config.Config
 	log       *slog.Logger
 	startedAt time.Time
 	events    chan postedEvent
-	onReady   func(addresses []string) // called when the appliance serves; may be nil
+	onReady   func(addresses []string) // called once the appliance serves; may be nil
 
-	// What follows is set once during the start.
-	store        *storage.Store // nil without a state folder
+	// Set during startup and not changed afterwards.
+	store        *storage.Store // nil if no state folder is configured
 	recovered    *storage.RecoveredState
 	recorder     *telemetry.Recorder
-	closers      []func() error // close the exporters at the end
-	closeConsole func() error   // nil without a console
+	closers      []func() error // close the telemetry exporters
+	closeConsole func() error   // nil if no console is configured
 
 	functions functionRegistry
 
-	mu                 sync.Mutex // guards what follows
-	err                error      // the first failure; Run returns it
+	mu                 sync.Mutex // guards the fields below
+	err                error      // the first failure, returned by Run
 	lifecycle          Lifecycle
 	drainDeadline      time.Time
 	servers            []*eventloop.Server
@@ -47,28 +48,28 @@
 	statistics         requestStatistics
 	activeConsole      consoleSession
 	plan               *schedule.Plan
-	crontab            []byte // text of the crontab in force
+	crontab            []byte // text of the crontab in effect
 	entries            []schedule.Entry
-	suspended          map[string]bool      // by entry: a console has suspended it
-	lastFirings        map[string]time.Time // by entry: the last minute for which it fired
-	schedulesSuspended bool                 // no entry fires
+	suspended          map[string]bool      // entries suspended by a console, by key
+	lastFirings        map[string]time.Time // last minute for which each entry fired, by key
+	schedulesSuspended bool                 // no entry fires, in startup and shutdown
 }
 
-// postedEvent is a lifecycle event with its reason.
+// postedEvent is a queued lifecycle event with its reason.
 type postedEvent struct {
 	event  LifecycleEvent
 	reason string
 }
 
-// Run runs an appliance until it has stopped. The end of ctx asks for an orderly stop, and immediateStop for one that
-// does not wait for open requests. Once the appliance serves, onReady is called with the addresses of its front ends;
-// it may be nil.
+// Run runs an appliance until it has stopped. Canceling ctx starts a graceful shutdown; closing immediateStop after
+// that ends the wait for open requests. Once the appliance serves, onReady, if not nil, is called with the addresses of
+// its front ends.
 func Run(ctx context.Context, cfg *config.Config, log *slog.Logger, immediateStop <-chan struct{}, onReady func([]string)) error {
 	a := newAppliance(cfg, log, onReady)
 	stopped := make(chan struct{})
 	defer close(stopped)
 	go a.watchStopRequests(ctx, immediateStop, stopped)
-	// The console shows the start, and a second process on the same socket ends here.
+	// The socket is opened first: the console can follow the startup, and a second process on the same socket fails here.
 	if err := a.openConsoleSocket(); err != nil {
 		return err
 	}
@@ -93,7 +94,7 @@
 	}
 }
 
-// watchStopRequests turns the end of ctx and immediateStop into lifecycle events.
+// watchStopRequests posts lifecycle events for the end of ctx and for immediateStop.
 func (a *Appliance) watchStopRequests(ctx context.Context, immediateStop, stopped <-chan struct{}) {
 	select {
 	case <-ctx.Done():
@@ -108,7 +109,7 @@
 	}
 }
 
-// handleEvents runs the lifecycle until it exits.
+// handleEvents applies lifecycle events and executes their actions until the Exit action.
 func (a *Appliance) handleEvents() error {
 	for posted := range a.events {
 		a.mu.Lock()
@@ -117,7 +118,7 @@
 		after := a.lifecycle.State
 		a.mu.Unlock()
 		if before != after {
-			a.log.Info("lifecycle transition", "state", after.String(), "previous", before.String(),
+			a.log.Info("lifecycle transition", "state", after, "previous", before,
 				"event", posted.event.String(), "reason", posted.reason)
 		}
 		for _, action := range actions {
@@ -130,7 +131,7 @@
 	return nil
 }
 
-// post hands an event to the lifecycle. It drops the event when the queue is full, as after the end.
+// post queues an event for the lifecycle. It drops the event if the queue is full, which happens after Exit.
 func (a *Appliance) post(event LifecycleEvent, reason string) {
 	select {
 	case a.events <- postedEvent{event, reason}:
@@ -138,7 +139,7 @@
 	}
 }
 
-// fail records the first failure and reports it to the lifecycle.
+// fail records the first error for Run and posts Failed.
 func (a *Appliance) fail(err error) {
 	a.mu.Lock()
 	if a.err == nil {
@@ -154,7 +155,7 @@
 	return a.err
 }
 
-// execute carries out one action. What takes long runs in a goroutine, whose end is reported as a lifecycle event.
+// execute carries out one action. Long-running actions run in a goroutine and post a lifecycle event when they end.
 func (a *Appliance) execute(action Action) {
 	switch action {
 	case Recover:
@@ -166,7 +167,7 @@
 		a.setSchedulesSuspended(true)
 	case StopListening:
 		for _, server := range a.servers {
-			_ = server.StopListening() // fails only for a server whose loop has ended, which does not listen
+			_ = server.StopListening() // fails only if the event loop has ended, and with it the listener
 		}
 	case StartDrainTimer:
 		a.startDrainTimer()
@@ -176,16 +177,18 @@
 		go a.closeStore()
 	case CloseSocket:
 		a.closeConsoleSocket()
+	case Exit: // handleEvents returns
 	}
 }
 
+// setSchedulesSuspended suspends or resumes all schedules.
 func (a *Appliance) setSchedulesSuspended(suspended bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.schedulesSuspended = suspended
 }
 
-// startDrainTimer reports when the drain time is over, or all requests have ended.
+// startDrainTimer posts DrainTimeout after the drain time, and RequestsDrained once no request is open.
 func (a *Appliance) startDrainTimer() {
 	drainTime := seconds(a.config.DrainTime)
 	a.mu.Lock()
@@ -195,7 +198,7 @@
 	go a.awaitDrained()
 }
 
-// awaitDrained reports when no server has an open request.
+// awaitDrained polls the servers and posts RequestsDrained once none has an open request.
 func (a *Appliance) awaitDrained() {
 	for {
 		drained := true
@@ -211,7 +214,7 @@
 	}
 }
 
-// terminateRequests stops the servers, which answer what is open at once.
+// terminateRequests stops the servers. Each responds to its open requests at once.
 func (a *Appliance) terminateRequests() {
 	var stopping sync.WaitGroup
 	for _, server := range a.servers {
@@ -225,7 +228,7 @@
 	a.post(RequestsTerminated, "")
 }
 
-// closeStore closes the exporters and the store.
+// closeStore closes the telemetry exporters and the store.
 func (a *Appliance) closeStore() {
 	for _, closeExporter := range a.closers {
 		if err := closeExporter(); err != nil {
@@ -240,10 +243,10 @@
 	a.post(StoreClosed, "")
 }
 
-// uptime returns the seconds since the start.
+// uptime returns the seconds since the process started. It is the clock of the background tasks.
 func (a *Appliance) uptime() float64 { return time.Since(a.startedAt).Seconds() }
 
-// state returns the state of the lifecycle.
+// state returns the lifecycle state.
 func (a *Appliance) state() State {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -257,5 +260,5 @@
 	return append([]*eventloop.Server(nil), a.servers...)
 }
 
-// seconds converts a number of seconds of the configuration.
+// seconds converts seconds, as the configuration has them, to a Duration.
 func seconds(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
--- a/internal/appliance/background_tasks.go
+++ b/internal/appliance/background_tasks.go
@@ -6,7 +6,7 @@
 	"streamcleat/internal/dispatch"
 )
 
-// Names of the background tasks. The console shows them.
+// Names of the background tasks in the admin API.
 const (
 	taskRollouts   = "rollouts"
 	taskPreload    = "ahead"
@@ -17,11 +17,11 @@
 	taskCompaction = "compaction"
 )
 
-// expiryBatch is how many records one call of Expire examines.
+// expiryBatch is the maximum number of records examined by one call of storage.Store.Expire.
 const expiryBatch = 500
 
-// backgroundTasks returns the tasks that the configuration asks for. Expiry and compaction keep the state folder
-// bounded; the tick stores the service time and the known replicas for a restart.
+// backgroundTasks returns the tasks that the configuration needs. Expiry and compaction bound the size of the state
+// folder. The tick stores the service time and the loaded replicas for recovery after a restart.
 func (a *Appliance) backgroundTasks() []BackgroundTask {
 	tasks := []BackgroundTask{
 		{Name: taskRollouts, Interval: 0.2, Priority: 4, SliceDuration: 0.05, Urgent: true},
@@ -44,9 +44,9 @@
 	return tasks
 }
 
-// runBackgroundTasks gives slices to the tasks and ends each second of the statistics, until stopped is closed.
+// runBackgroundTasks runs slices of the tasks and advances the statistics every second, until stopped is closed.
 func (a *Appliance) runBackgroundTasks(stopped <-chan struct{}) {
-	ticker := time.NewTicker(backgroundTaskPause)
+	ticker := time.NewTicker(backgroundTaskInterval)
 	defer ticker.Stop()
 	secondStart := time.Now()
 	for {
@@ -65,7 +65,7 @@
 	}
 }
 
-// runTaskSlice runs one slice of the task that is next, if the appliance serves and one is due.
+// runTaskSlice runs one slice of the next due task, if any. Tasks run only while the appliance is serving or draining.
 func (a *Appliance) runTaskSlice() {
 	a.mu.Lock()
 	ready := a.tasks != nil && a.lifecycle.State >= Serving && a.lifecycle.State < Terminating
@@ -87,7 +87,7 @@
 	a.mu.Unlock()
 }
 
-// runTask runs one slice of a task within a budget of seconds. It reports whether the round needs another slice.
+// runTask runs one slice of a task within a budget in seconds. It reports whether the round needs another slice.
 func (a *Appliance) runTask(name string, start time.Time, budget float64) (more bool, err error) {
 	deadline := start.Add(seconds(budget))
 	switch name {
@@ -109,7 +109,7 @@
 	return false, nil
 }
 
-// advanceRollouts takes rollouts and the release under way a step on and has their versions loaded.
+// advanceRollouts advances the rollouts and the release in progress by one step and preloads their target versions.
 func (a *Appliance) advanceRollouts(deadline time.Time) error {
 	if err := a.functions.advanceRollouts(a.log); err != nil {
 		return err
@@ -120,7 +120,7 @@
 	return a.preloadRolloutTargets(deadline)
 }
 
-// saveReplicas stores the replicas that the servers know, and with them the service time.
+// saveReplicas stores the loaded replicas known to the servers, and with them the service time.
 func (a *Appliance) saveReplicas() error {
 	var replicas []dispatch.ReplicaSnapshot
 	for _, server := range a.runningServers() {
@@ -129,7 +129,7 @@
 	return a.store.SaveReplicas(replicas)
 }
 
-// expireRecords deletes expired records until none is due or the budget is used up.
+// expireRecords deletes expired records until none is left or the budget in seconds is used up.
 func (a *Appliance) expireRecords(start time.Time, budget float64) (more bool, err error) {
 	for time.Since(start).Seconds() < budget {
 		examined, err := a.store.Expire(expiryBatch)
@@ -141,7 +141,7 @@
 	return more, nil
 }
 
-// utilization returns the share of the configured open requests that are open now.
+// utilization returns the number of open requests as a fraction of the configured maximum.
 func (a *Appliance) utilization() float64 {
 	open := 0
 	for _, server := range a.runningServers() {
--- a/internal/appliance/descriptors.go
+++ b/internal/appliance/descriptors.go
@@ -7,17 +7,18 @@
 )
 
 const (
-	// reservedDescriptors are for the state folder, the registry, the console, metrics, logs and the event loops;
-	// one of reservedDescriptorsDivisor is kept back besides.
+	// reservedDescriptors is the number of descriptors reserved for the state folder, the registry, the console,
+	// metrics, logs and the event loops. A further 1/reservedDescriptorsDivisor of the limit is reserved as slack.
 	reservedDescriptors        = 40
 	reservedDescriptorsDivisor = 16
-	// clientShare is the part of the other descriptors that clients may have; the rest is for connections to workers.
-	clientShare = 2.0 / 3
-	// minClients can be served under any limit.
+	// clientFraction is the fraction of the unreserved descriptors for client connections. The rest is for connections
+	// to workers.
+	clientFraction = 2.0 / 3
+	// minClients is the minimum number of client connections of a front end under any limit.
 	minClients = 8
 )
 
-// descriptorLimit is how many descriptors the process may have. Go has raised it to what the system allows.
+// descriptorLimit returns the limit of open file descriptors. The Go runtime has raised the soft limit to the hard one.
 func descriptorLimit() int {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil || limit.Cur > math.MaxInt32 {
@@ -26,9 +27,10 @@
 	return int(limit.Cur)
 }
 
-// maxClients is how many client connections each of so many front ends may have under a limit of descriptors.
+// maxClients returns the maximum number of client connections of each front end: the configured one, lowered to what
+// the descriptor limit allows.
 func maxClients(configured, descriptors, frontEnds int) int {
 	reserved := reservedDescriptors + descriptors/reservedDescriptorsDivisor
-	possible := int(float64(descriptors-reserved) * clientShare / float64(frontEnds))
+	possible := int(float64(descriptors-reserved) * clientFraction / float64(frontEnds))
 	return min(configured, max(possible, minClients))
 }
--- a/internal/appliance/doc.go
+++ b/internal/appliance/doc.go
@@ -1,13 +1,15 @@
-// Package appliance runs one process of the gateway: it opens the state folder, recovers what an earlier process left,
-// serves, drains and stops in order, fires schedules, runs background tasks and answers the console on a Unix socket.
+// Package appliance runs one process of the gateway: it opens the state folder, recovers the state of the previous
+// process, serves, shuts down gracefully, fires schedules, runs background tasks and serves the admin API on a Unix
+// socket.
 //
-// An Appliance owns the lifecycle, the schedules, the function registry and the statistics; the event loops own all
-// state of requests. Run is called by the serve command. Lifecycle and TaskScheduler decide without I/O or a clock, so
-// the simulation runs them too.
+// An Appliance owns the lifecycle, the schedules, the function registry and the statistics. All state of requests is
+// owned by the event loops. Run is called by the serve command. Lifecycle and TaskScheduler do no I/O and have no
+// clock, so that the simulation can run them as well.
 //
-//   - appliance.go runs the process; lifecycle.go decides its states; startup.go carries out its start.
-//   - schedules.go fires the crontab; preload.go has replicas loaded before they are needed.
-//   - background_tasks.go runs the tasks that task_scheduler.go picks.
-//   - function_registry.go and releases.go change the functions' versions.
-//   - statistics.go counts ended requests; the api files answer the console, one file per resource.
+//   - appliance.go runs the process, lifecycle.go has its state machine, startup.go its startup.
+//   - schedules.go fires the crontab, preload.go loads replicas before they are needed.
+//   - background_tasks.go runs the tasks that task_scheduler.go selects.
+//   - function_registry.go, versions.go and releases.go resolve and change the versions of functions.
+//   - statistics.go counts ended requests.
+//   - api_server.go has the routes of the admin API; the other api files have one resource each.
 package appliance
--- a/internal/appliance/function_registry.go
+++ b/internal/appliance/function_registry.go
@@ -20,43 +20,43 @@
 	"streamcleat/internal/storage"
 )
 
-// maxBindings is how many requests' bindings are remembered for all servers: a retry that comes to another server
-// than the first attempt keeps its version.
+// maxBindings is the capacity of the cache of bindings. The cache is shared by all servers, so that a retry that arrives
+// at another server runs on the version of the first attempt.
 const maxBindings = 1 << 14
 
-// Actors and reasons of the changes that the appliance makes itself. They are stored in the audit trail.
+// Actors and reasons of changes made by the appliance itself, as stored in the audit trail.
 const (
 	actorKeys      = "keys"
 	reasonRollback = "back"
 	reasonRelease  = "release"
 )
 
-// functionRegistry is the appliance's registry of function versions, shared by its servers. An entry of its audit trail
-// is on disk before the change is confirmed.
+// functionRegistry is the registry of function versions, shared by all servers. The audit trail entry of a change is on
+// disk before the change is confirmed.
 type functionRegistry struct {
-	mu            sync.Mutex // guards what follows
+	mu            sync.Mutex // guards the fields below
 	registry      *registry.Registry
-	store         *storage.Store         // nil: changes last as long as the process
-	requestCounts map[string]int         // requests by function since the start
-	pacer         *registry.RolloutPacer // the release under way, or nil; a restart ends it where it is
-	releasedBy    string                 // who started the release
+	store         *storage.Store         // nil: changes are lost at exit
+	requestCounts map[string]int         // requests since the start, by function
+	pacer         *registry.RolloutPacer // the release in progress, or nil; a restart abandons it
+	releasedBy    string                 // actor who started the release
 	keyring       *signing.Ring          // nil: versions need no signature
-	keyringText   []byte                 // text of the keyring that is fully applied
+	keyringText   []byte                 // text of the last keyring that was fully applied
 	bindings      *lru.Cache[dispatch.Identity, dispatch.Binding]
 }
 
-// Change is a change of the registry that a console asks for: an entry, a release or a rollback.
+// Change is a change of the registry requested by a console: an entry, a release or a rollback.
 type Change struct {
 	registry.Entry
 	Release    *Release `json:"release,omitempty"`
-	Signatures [][]byte `json:"signatures,omitempty"` // envelopes that sign what is published
+	Signatures [][]byte `json:"signatures,omitempty"` // signed envelopes for the published version
 	Rollback   *struct {
 		Function string `json:"function"`
 		Alias    string `json:"alias"`
-	} `json:"back,omitempty"` // the alias returns to its previous version
+	} `json:"back,omitempty"` // move the alias back to its previous version
 }
 
-// open builds the registry from the entries of its audit trail.
+// open replays the audit trail into a new registry.
 func (g *functionRegistry) open(store *storage.Store, auditTrail [][]byte) error {
 	g.registry, g.store, g.requestCounts = registry.New(), store, map[string]int{}
 	var err error
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// applyEntry makes a change and stores it. A change that can't be stored is undone.
+// applyEntry applies a change and stores it. A change that can't be stored is undone. The caller must hold g.mu.
 func (g *functionRegistry) applyEntry(entry registry.Entry) error {
 	if err := g.registry.Apply(entry); err != nil {
 		return err
@@ -92,6 +92,7 @@
 	if err == nil {
 		return nil
 	}
+	// Undo the change by replaying the trail without it.
 	previous := registry.New()
 	for _, earlier := range g.registry.AuditTrail[:last] {
 		if replayErr := previous.Apply(earlier); replayErr != nil {
@@ -102,7 +103,7 @@
 	return fmt.Errorf("the change can't be kept and is not made: %w", err)
 }
 
-// applyChange makes the change that a console asks for and returns what was done.
+// applyChange makes a change requested by a console and returns a description of it.
 func (g *functionRegistry) applyChange(change Change) (string, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -132,17 +133,18 @@
 	return describeEntry(entry), nil
 }
 
-// verifySignatures sets the keys that have signed a version. Whatever the console says of them is discarded.
-func (g *functionRegistry) verifySignatures(version *registry.Version, signatures [][]byte) (err error) {
+// verifySignatures sets SignedBy to the keys whose signatures are valid. The value sent by the console is discarded.
+func (g *functionRegistry) verifySignatures(version *registry.Version, signatures [][]byte) error {
 	version.SignedBy = nil
 	if g.keyring == nil {
 		return nil
 	}
+	var err error
 	version.SignedBy, err = g.keyring.Verify(time.Now(), version.Function, version.Name, version.Digest, signatures)
 	return err
 }
 
-// describeEntry returns what a change has done, for the console.
+// describeEntry returns the description of a change that the console shows.
 func describeEntry(entry registry.Entry) string {
 	switch {
 	case entry.Publish != nil:
@@ -157,8 +159,8 @@
 	return "withdrawn: " + entry.Withdraw
 }
 
-// reloadKeys reads the keyring and, if it has changed, withdraws the versions that only revoked keys have signed. An
-// invalid file leaves the last keyring in force.
+// reloadKeys reads the keyring. If it has changed, the versions signed by revoked keys only are withdrawn. An invalid file
+// leaves the last keyring in effect.
 func (g *functionRegistry) reloadKeys(path string, log *slog.Logger) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -173,7 +175,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
-	g.keyring, g.keyringText = keyring, nil // the next call tries again what can't be stored now
+	g.keyring, g.keyringText = keyring, nil // a withdrawal that can't be stored is retried by the next call
 	if err := g.withdrawUnsigned(log); err != nil {
 		return err
 	}
@@ -181,7 +183,7 @@
 	return nil
 }
 
-// withdrawUnsigned withdraws the versions that no key in force has signed.
+// withdrawUnsigned withdraws the versions that are not signed by a trusted key.
 func (g *functionRegistry) withdrawUnsigned(log *slog.Logger) error {
 	for _, function := range g.registry.List() {
 		for _, version := range function.Versions {
@@ -203,19 +205,19 @@
 	return nil
 }
 
-// views returns what the console shows of the registry.
+// views returns the functions with their versions, aliases and rollouts.
 func (g *functionRegistry) views() []registry.View {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return append([]registry.View{}, g.registry.List()...)
 }
 
-// auditTrail returns all changes of the registry, in order.
+// auditTrail returns a copy of the audit trail.
 func (g *functionRegistry) auditTrail() []registry.Entry {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return append([]registry.Entry{}, g.registry.AuditTrail...)
 }
 
-// unixSeconds returns a time as the audit trail has it.
+// unixSeconds converts a time to the representation of the audit trail.
 func unixSeconds(t time.Time) float64 { return float64(t.UnixNano()) / 1e9 }
--- a/internal/appliance/lifecycle.go
+++ b/internal/appliance/lifecycle.go
@@ -2,73 +2,88 @@
 
 import (
 	"fmt"
+	"log/slog"
 	"slices"
 )
 
-// State is the state of the process.
+// State is the lifecycle state of the process.
 type State uint8
 
-// States in the order in which a process goes through them.
+// States, in the order in which a process passes through them.
 const (
 	Starting    State = iota // the state folder is being opened
-	Recovering               // what an earlier process left is being recovered
+	Recovering               // the state of the previous process is being recovered
 	Serving                  // requests are accepted
-	Draining                 // no new connections and requests; open requests may end
-	Terminating              // the drain time is over: what is open is answered at once
-	Persisting               // every client has its response; the store is being closed
+	Draining                 // no new connections and requests; open requests may complete
+	Terminating              // open requests get their final response at once
+	Persisting               // every request has its response; the store is being closed
 	Stopped
 )
 
-var stateNames = [...]string{"starting", "recovering", "serving", "draining", "finishing", "writing", "stopped"}
+// apiStateNames are the names of the states in the admin API, the console and coverage reports. Scripts read them, so
+// that the names of Terminating and Persisting stay.
+var apiStateNames = [...]string{"starting", "recovering", "serving", "draining", "finishing", "writing", "stopped"}
 
-// String returns the name of the state as the console shows it.
-func (s State) String() string { return stateNames[s] }
+// String returns the name of the state in the admin API.
+func (s State) String() string { return apiStateNames[s] }
 
-// LifecycleEvent is something that may change the state.
+// LogValue implements slog.LogValuer. Logs have the names of the constants.
+func (s State) LogValue() slog.Value {
+	switch s {
+	case Terminating:
+		return slog.StringValue("terminating")
+	case Persisting:
+		return slog.StringValue("persisting")
+	default:
+		return slog.StringValue(s.String())
+	}
+}
+
+// LifecycleEvent is an event that may change the state.
 type LifecycleEvent uint8
 
 // Events of the lifecycle.
 const (
 	StoreOpened            LifecycleEvent = iota // the state folder is open
-	StateRecovered                               // scheduled requests are submitted again and the servers listen
+	StateRecovered                               // the servers listen, and open scheduled requests are submitted again
 	StopRequested                                // a signal, or the console's stop command
 	ImmediateStopRequested                       // a second signal, or the console's stop command with "now"
 	RequestsDrained                              // no request is open
-	DrainTimeout                                 // the drain has lasted as long as it may
+	DrainTimeout                                 // the drain time has passed
 	RequestsTerminated                           // every request has its response, and every record is on disk
 	StoreClosed                                  // the store is closed
-	Failed                                       // something failed that serving needs
+	Failed                                       // a component needed for serving failed
 )
 
 var lifecycleEventNames = [...]string{"opened", "recovered", "stop", "stop now", "quiet", "time up", "answered", "written", "broke"}
 
-// String returns the name of the event as the log has it.
+// String returns the name of the event in the log.
 func (e LifecycleEvent) String() string { return lifecycleEventNames[e] }
 
-// Action is something that a change of state asks for.
+// Action is an action required by a state transition.
 type Action uint8
 
 // Actions of the lifecycle.
 const (
-	Recover           Action = iota // recover the state, then listen; StateRecovered follows
-	StartSchedules                  // let schedules fire
-	SuspendSchedules                // let no schedule fire any more
+	Recover           Action = iota // recover the state and listen, then post StateRecovered
+	StartSchedules                  // start to fire schedules
+	SuspendSchedules                // stop firing schedules
 	StopListening                   // accept no connections and no requests
-	StartDrainTimer                 // DrainTimeout follows after the drain time, RequestsDrained when no request is open
-	TerminateRequests               // answer what is open at once; RequestsTerminated follows
-	CloseStore                      // close the store; StoreClosed follows
+	StartDrainTimer                 // post DrainTimeout after the drain time, and RequestsDrained once no request is open
+	TerminateRequests               // respond to open requests at once, then post RequestsTerminated
+	CloseStore                      // close the store, then post StoreClosed
 	CloseSocket                     // close the console's socket
-	Exit                            // end the process
+	Exit                            // return from Run
 )
 
-// Lifecycle is the state machine of the process. Only Handle changes it. Its zero value is a process that starts.
+// Lifecycle is the state machine of the process. Only Handle changes it. The zero value is in state Starting.
 type Lifecycle struct {
 	State       State
-	Reason      string // why the process stops
+	Reason      string // the reason of the shutdown
 	stopPending bool   // a stop was requested during recovery
 }
 
-// transition is one line of the table of transitions.
+// transition is a row of the transition table.
 type transition struct {
 	from    State
 	event   LifecycleEvent
@@ -76,8 +91,8 @@
 	actions []Action
 }
 
-// transitions leave no request without a response: from every state in which requests may be open, the way to Stopped
-// leads through Terminating.
+// transitions is the transition table. No request is left without a response: every path to Stopped from a state with
+// open requests passes through Terminating.
 var transitions = []transition{
 	{Starting, StoreOpened, Recovering, []Action{Recover}},
 	{Starting, StopRequested, Stopped, []Action{CloseSocket, Exit}},
@@ -96,14 +111,14 @@
 	{Persisting, StoreClosed, Stopped, []Action{CloseSocket, Exit}},
 }
 
-// Handle applies an event and returns the actions to carry out, in order. An event that has no transition in the
-// present state changes nothing: a second stop during a drain, a drain timeout after the end.
+// Handle applies an event and returns the actions to execute, in order. An event without a transition from the current
+// state is ignored, for example a second stop during the drain or a drain timeout after it.
 func (l *Lifecycle) Handle(event LifecycleEvent, reason string) []Action {
 	stopRequested := event == StopRequested || event == ImmediateStopRequested
 	if l.Reason == "" && (stopRequested || event == Failed) {
 		l.Reason = reason
 	}
-	// A stop during recovery waits for its end: only then it is known which requests are open.
+	// A stop during recovery is deferred: the open requests are known only when recovery has ended.
 	if l.State == Recovering && stopRequested {
 		l.stopPending = true
 		return nil
@@ -122,24 +137,24 @@
 	return nil
 }
 
-// UnknownCommandError is returned for a console command that does not exist.
+// UnknownCommandError is returned for an unknown console command.
 type UnknownCommandError struct{ Command string }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *UnknownCommandError) Error() string { return fmt.Sprintf("%q is not an order", e.Command) }
 
-// CommandNotAllowedError is returned for a console command that the present state does not allow.
+// CommandNotAllowedError is returned for a console command that is not allowed in the current state.
 type CommandNotAllowedError struct {
 	Command string
 	State   State
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *CommandNotAllowedError) Error() string {
 	return fmt.Sprintf("%s is not possible while the box is %s", e.Command, e.State)
 }
 
-// Allows returns an error when a console command may not be executed in the present state.
+// Allows returns an error if a console command is unknown or not allowed in the current state.
 func (l *Lifecycle) Allows(command string) error {
 	var allowed bool
 	switch command {
--- a/internal/appliance/preload.go
+++ b/internal/appliance/preload.go
@@ -8,16 +8,16 @@
 	"streamcleat/internal/schedule"
 )
 
-// maxPreloads is how many load commands one slice of a background task may cause.
+// maxPreloads is the maximum number of load commands sent by one slice of a background task.
 const maxPreloads = 20
 
-// preloadBudget bounds the load commands of one slice by their number and by time.
+// preloadBudget limits the load commands of one slice by number and by time.
 type preloadBudget struct {
 	deadline time.Time
 	commands int
 }
 
-// spend counts a preload that was asked for and reports whether the budget is used up.
+// spend counts a preload, if a load command was sent for it, and reports whether the budget is exhausted.
 func (b *preloadBudget) spend(commanded bool) (exhausted bool) {
 	if commanded {
 		b.commands++
@@ -25,7 +25,7 @@
 	return b.commands >= maxPreloads || time.Now().After(b.deadline)
 }
 
-// preloadVersion asks every server to have a replica of a version loaded, where its routing allows it.
+// preloadVersion requests a replica of a version on every server. The routing of a server may deny it.
 func (a *Appliance) preloadVersion(reference string) error {
 	for _, server := range a.runningServers() {
 		if _, err := server.Preload("", reference); err != nil {
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// isVersionLoaded reports whether every server knows a replica of a version.
+// isVersionLoaded reports whether every server knows a loaded replica of a version.
 func (a *Appliance) isVersionLoaded(id string) bool {
 	everywhere := true
 	for _, server := range a.runningServers() {
@@ -51,8 +51,8 @@
 	return everywhere
 }
 
-// preloadRolloutTargets has replicas loaded of the versions that rollouts lead to, so that the first request of a new
-// version does not wait for its load. Replicas of the old versions stay until they are idle.
+// preloadRolloutTargets requests replicas of the target versions of rollouts, so that their first requests need not wait
+// for a load. Replicas of the old versions stay loaded until they are idle.
 func (a *Appliance) preloadRolloutTargets(deadline time.Time) error {
 	budget := preloadBudget{deadline: deadline}
 	for _, reference := range a.functions.rolloutTargets() {
@@ -69,7 +69,8 @@
 	return nil
 }
 
-// preloadScheduled has functions loaded whose schedules are due before a loaded replica would be unloaded as idle.
+// preloadScheduled requests replicas of functions that are scheduled soon. It looks ahead half of the time after which an
+// idle replica is unloaded.
 func (a *Appliance) preloadScheduled(deadline time.Time) error {
 	a.mu.Lock()
 	entries, suspended := a.entries, maps.Clone(a.suspended)
--- a/internal/appliance/releases.go
+++ b/internal/appliance/releases.go
@@ -10,15 +10,15 @@
 	"streamcleat/internal/registry"
 )
 
-// Release moves an alias of many functions to the version with the same tag, a few loads at a time.
+// Release moves an alias of many functions to the version with the same tag, with a limit on concurrent loads.
 type Release struct {
 	Alias              string   `json:"alias"`
-	Tag                string   `json:"tag"`       // of the version that the alias moves to
-	Functions          []string `json:"functions"` // empty: all that have the version
-	MaxConcurrentLoads int      `json:"loads"`     // at the same time
+	Tag                string   `json:"tag"`       // tag of the target version
+	Functions          []string `json:"functions"` // empty: all functions that have the version
+	MaxConcurrentLoads int      `json:"loads"`     // loads in progress at the same time
 }
 
-// startRelease plans a release. Only one may be under way.
+// startRelease plans a release. Only one release may be in progress. The caller must hold g.mu.
 func (g *functionRegistry) startRelease(release Release, actor string) (string, error) {
 	if g.pacer != nil {
 		return "", fmt.Errorf("a release by %s is under way", g.releasedBy)
@@ -35,8 +35,8 @@
 		len(migrations), release.Tag, max(release.MaxConcurrentLoads, 1)), nil
 }
 
-// planMigrations returns the functions that a release moves: those that have the version and do not use it already.
-// Functions that the release names must have it.
+// planMigrations returns the migrations of a release: one for each function that has the target version and whose alias
+// does not name it yet. It returns an error if a function named by the release lacks the version.
 func (g *functionRegistry) planMigrations(release Release) ([]registry.Migration, error) {
 	names := release.Functions
 	if len(names) == 0 {
@@ -66,8 +66,8 @@
 	return migrations, nil
 }
 
-// advanceRelease takes the release under way a step on. preload asks every server to load a version; isLoaded reports
-// whether all of them know a replica of it.
+// advanceRelease advances the release in progress by one step. preload requests a replica of a version on every server;
+// isLoaded reports whether every server knows one.
 func (g *functionRegistry) advanceRelease(now float64, log *slog.Logger, preload func(reference string) error,
 	isLoaded func(id string) bool,
 ) error {
@@ -100,7 +100,8 @@
 	return nil
 }
 
-// moveReleased moves an alias of the release. A version that was withdrawn meanwhile does not stop the others.
+// moveReleased moves an alias as part of the release. A failure, as for a version that has been withdrawn meanwhile, is
+// logged and does not stop the release.
 func (g *functionRegistry) moveReleased(move *registry.AliasUpdate, log *slog.Logger) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -110,7 +111,7 @@
 	}
 }
 
-// advanceRollouts takes rollouts a step on, or back.
+// advanceRollouts advances rollouts by one step or rolls them back.
 func (g *functionRegistry) advanceRollouts(log *slog.Logger) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -128,10 +129,11 @@
 	return nil
 }
 
-// rolloutTargets returns references of the versions that rollouts lead to.
-func (g *functionRegistry) rolloutTargets() (references []string) {
+// rolloutTargets returns references to the target versions of all rollouts.
+func (g *functionRegistry) rolloutTargets() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
+	var references []string
 	for _, function := range g.registry.List() {
 		for _, rollout := range function.Rollouts {
 			references = append(references, rollout.Function+"@"+string(rollout.To))
@@ -140,8 +142,8 @@
 	return references
 }
 
-// recordResult counts a response for rollouts. A version is at fault for errors, failed loads and a wrong digest, not
-// for a worker that hangs or a fleet without capacity.
+// recordResult counts a response for the rollouts. Worker errors, failed loads and a wrong digest are attributed to the
+// version; a timeout or a lack of capacity is not, and is not counted.
 func (g *functionRegistry) recordResult(response dispatch.Response) {
 	reference, err := registry.ParseRef(response.Binding.ID)
 	if response.Binding.ID == "" || err != nil {
--- a/internal/appliance/schedules.go
+++ b/internal/appliance/schedules.go
@@ -13,17 +13,17 @@
 	"streamcleat/internal/storage"
 )
 
-// maxSchedulePause bounds the sleep until the next firing: the clock may be set meanwhile, and the appliance stopped.
+// maxSchedulePause limits the sleep until the next firing, as the clock may be set or the appliance stopped meanwhile.
 const maxSchedulePause = time.Second
 
-// planSchedules plans the crontab from the last firings of an earlier process.
+// planSchedules plans the crontab, continuing from the last firings of the previous process.
 func (a *Appliance) planSchedules() error {
 	maps.Copy(a.lastFirings, a.recovered.LastFirings)
 	return a.reloadCrontab()
 }
 
 // reloadCrontab reads the crontab and replaces the plan if it has changed. An invalid crontab leaves the last one in
-// force.
+// effect.
 func (a *Appliance) reloadCrontab() error {
 	path := a.config.Path(a.config.Schedules.Crontab)
 	data, err := os.ReadFile(path)
@@ -42,20 +42,20 @@
 	if a.plan != nil {
 		a.log.Info("the crontab changed", "entries", len(entries), "previous", len(a.entries))
 	}
-	// A new entry is planned from now on; one that stays continues from its last firing.
+	// A new entry is planned from now on, an unchanged one from its last firing.
 	a.crontab, a.entries = data, entries
 	a.plan = schedule.Resume(entries, a.lastFirings, time.Now())
 	return nil
 }
 
-// dueFirings are the firings that are due, and when the next one is.
+// dueFirings holds the firings that are due and the time of the next one.
 type dueFirings struct {
 	firings []schedule.Firing
 	next    time.Time
-	planned bool // there is a next one
+	planned bool // next is valid
 }
 
-// pause returns how long to sleep until the next firing.
+// pause returns the time to sleep until the next firing.
 func (d *dueFirings) pause() time.Duration {
 	if !d.planned {
 		return maxSchedulePause
@@ -63,8 +63,8 @@
 	return min(max(time.Until(d.next), time.Millisecond), maxSchedulePause)
 }
 
-// runSchedules fires what is due until schedules are suspended. A firing is on disk before its request is submitted:
-// a restart neither loses a minute nor fires it twice.
+// runSchedules fires due entries until schedules are suspended. A firing is on disk before its request is submitted, so
+// that a restart neither loses it nor fires it twice.
 func (a *Appliance) runSchedules() {
 	if a.config.Schedules == nil {
 		return
@@ -83,7 +83,7 @@
 	}
 }
 
-// takeDue takes the firings that are due out of the plan, without those of suspended entries. It reports false when
+// takeDue removes the due firings from the plan and returns those whose entries are not suspended. running is false if
 // all schedules are suspended.
 func (a *Appliance) takeDue() (due dueFirings, running bool) {
 	a.mu.Lock()
@@ -102,7 +102,7 @@
 	return due, true
 }
 
-// fireSchedules stores firings and submits their requests.
+// fireSchedules stores firings durably and then submits their requests.
 func (a *Appliance) fireSchedules(firings []schedule.Firing) error {
 	var stored []storage.Firing
 	for _, f := range firings {
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// submitScheduled submits a request of the appliance itself. A rejected one is retried until its deadline.
+// submitScheduled submits a scheduled request. A rejected request is retried until its deadline.
 func (a *Appliance) submitScheduled(request dispatch.Request, deadline time.Time, attempt int) {
 	err := a.serverOf(request.ID).Submit(request, func(response dispatch.Response) {
 		a.onScheduledResponse(request, deadline, attempt, response)
@@ -135,8 +135,8 @@
 	}
 }
 
-// onScheduledResponse retries a rejected request, or stores that it has its answer. One that is rejected by the
-// shutdown stays open for the next process.
+// onScheduledResponse retries a rejected request or records that it is done. A request rejected because of the shutdown
+// stays open in the store, and the next process submits it again.
 func (a *Appliance) onScheduledResponse(request dispatch.Request, deadline time.Time, attempt int, response dispatch.Response) {
 	if response.Kind == dispatch.Rejected {
 		if response.Cause == dispatch.CauseShuttingDown {
@@ -157,12 +157,12 @@
 	}
 }
 
-// serverOf returns the server to which a schedule client of the same crontab would send a firing.
+// serverOf returns the server for a firing. It is the one that external schedule clients with the same crontab select.
 func (a *Appliance) serverOf(firingID string) *eventloop.Server {
 	return a.serverByAddress[schedule.RendezvousOrder(a.addresses, firingID)[0]]
 }
 
-// scheduleSource returns the source of the identities of scheduled requests.
+// scheduleSource returns the CloudEvents source of scheduled requests.
 func (a *Appliance) scheduleSource() string {
 	if a.config.Schedules != nil && a.config.Schedules.Source != "" {
 		return a.config.Schedules.Source
@@ -170,7 +170,7 @@
 	return "/timers/" + a.config.Name
 }
 
-// newScheduledRequest returns the request of a firing: a CloudEvent in binary mode.
+// newScheduledRequest returns the request of a firing as a CloudEvent in binary mode.
 func newScheduledRequest(source string, firing schedule.Firing) dispatch.Request {
 	entry := firing.Entry
 	fields := []dispatch.Field{
--- a/internal/appliance/startup.go
+++ b/internal/appliance/startup.go
@@ -14,10 +14,10 @@
 	"streamcleat/internal/telemetry"
 )
 
-// readHeaderTimeout bounds how long a client of the console or of the metrics may take to send its request head.
+// readHeaderTimeout is the time limit for reading a request head on the console's socket and the metrics address.
 const readHeaderTimeout = 5 * time.Second
 
-// openStore opens the state folder and reports it to the lifecycle.
+// openStore loads the state and posts StoreOpened.
 func (a *Appliance) openStore() {
 	if err := a.loadState(); err != nil {
 		a.fail(err)
@@ -29,7 +29,7 @@
 	a.post(StoreOpened, "")
 }
 
-// loadState recovers the state and, from its audit trail, the function registry.
+// loadState opens the state folder, if one is configured, and rebuilds the function registry from its audit trail.
 func (a *Appliance) loadState() error {
 	if a.config.State != nil {
 		var err error
@@ -53,7 +53,8 @@
 	return a.functions.reloadKeys(a.config.Path(a.config.Registry.Keys), a.log)
 }
 
-// recoverState starts the servers with what was recovered, and submits the appliance's own open requests again.
+// recoverState starts the servers with the recovered state, submits open scheduled requests again and posts
+// StateRecovered.
 func (a *Appliance) recoverState() {
 	if err := a.startServing(); err != nil {
 		a.fail(err)
@@ -69,7 +70,7 @@
 	a.post(StateRecovered, "")
 }
 
-// startServing starts the exporters, the servers and the schedules.
+// startServing starts the telemetry exporters and the servers, and plans the schedules.
 func (a *Appliance) startServing() error {
 	if err := a.startTelemetry(); err != nil {
 		return err
@@ -83,6 +84,7 @@
 	return a.planSchedules()
 }
 
+// startTelemetry creates the recorder and starts the exporters that are configured.
 func (a *Appliance) startTelemetry() error {
 	settings := telemetry.Settings{Gauges: a.gauges, LatencyObjective: a.latencyObjective}
 	if traces := a.config.Traces; traces != nil {
@@ -103,7 +105,7 @@
 	return a.startMetricsServer(a.config.Metrics.Address)
 }
 
-// latencyObjective returns the latency objective of a request class in seconds, or 0 when it has none.
+// latencyObjective returns the latency objective of a request class in seconds, or 0 if it has none.
 func (a *Appliance) latencyObjective(class string) float64 {
 	for _, c := range a.config.RequestClasses {
 		if c.Name == class {
@@ -113,6 +115,7 @@
 	return 0
 }
 
+// startMetricsServer serves the metrics on an address of their own.
 func (a *Appliance) startMetricsServer(address string) error {
 	server := &http.Server{Addr: address, Handler: a.recorder.Handler(), ReadHeaderTimeout: readHeaderTimeout}
 	listener, err := net.Listen("tcp", address)
@@ -131,7 +134,8 @@
 	}
 }
 
-// startServers starts a server on each configured address.
+// startServers starts one server for each configured address. Requests that were interrupted by the end of the previous
+// process and can't be retried are logged.
 func (a *Appliance) startServers() error {
 	if a.config.Workers.File == "" {
 		a.log.Warn("no list of workers is configured (workers.file): every event will be deferred")
@@ -155,14 +159,15 @@
 	return nil
 }
 
-// watchServer has the process end where an event loop does: it must not stay up and serve nobody.
+// watchServer fails the process if the event loop of a server ends with an error. The process must not stay up without
+// serving.
 func (a *Appliance) watchServer(server *eventloop.Server) {
 	if err := server.Wait(); err != nil {
 		a.fail(fmt.Errorf("front end on %s: %w", server.Addr(), err))
 	}
 }
 
-// serverSettings returns the settings of the server with a number.
+// serverSettings returns the settings of the server with the given number, which listens on address.
 func (a *Appliance) serverSettings(number int, address string) eventloop.Settings {
 	cfg := a.config
 	name := cfg.Name
--- a/internal/appliance/statistics.go
+++ b/internal/appliance/statistics.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	statisticsSeconds = 60         // seconds that the console shows
-	maxLatencyMicros  = 60_000_000 // the highest latency that the histogram takes
-	latencyDigits     = 2          // significant digits of a latency
+	statisticsSeconds = 60         // length of the history in seconds
+	maxLatencyMicros  = 60_000_000 // upper bound of the latency histogram
+	latencyDigits     = 2          // significant digits of the latency histogram
 	microsPerSecond   = 1e6
 )
 
-// requestStatistics are the counts of requests that ended lately, for the console.
+// requestStatistics counts ended requests for the console: by second for the last minute, and latencies since the start.
 type requestStatistics struct {
-	current secondCounts // the second that is under way
+	current secondCounts // the current second
 	ring    [statisticsSeconds]secondCounts
-	written int                     // seconds written to the ring since the start
+	written int                     // number of seconds written to the ring since the start
 	latency *hdrhistogram.Histogram // of succeeded requests since the start, in microseconds
 }
 
-// secondCounts are the requests that ended within a second. Late is always 0 and part of the documented JSON.
+// secondCounts counts the requests that ended within one second. Late is always 0; it is part of the documented JSON.
 type secondCounts struct {
 	Succeeded int `json:"Handled"`
 	Rejected  int `json:"Deferred"`
@@ -40,7 +40,7 @@
 	switch response.Kind {
 	case dispatch.Succeeded:
 		s.current.Succeeded++
-		// A latency above the highest one is left out.
+		// The histogram omits latencies above its upper bound.
 		_ = s.latency.RecordValue(max(int64(response.Elapsed*microsPerSecond), 1))
 	case dispatch.Rejected:
 		s.current.Rejected++
@@ -49,14 +49,14 @@
 	}
 }
 
-// endSecond begins the next second.
+// endSecond moves the counts of the current second into the ring and starts the next one.
 func (s *requestStatistics) endSecond() {
 	s.ring[s.written%len(s.ring)] = s.current
 	s.written++
 	s.current = secondCounts{}
 }
 
-// lastSeconds returns the counts of the last minute, the oldest second first.
+// lastSeconds returns the counts of the last minute, oldest second first.
 func (s *requestStatistics) lastSeconds() []secondCounts {
 	var counts []secondCounts
 	n := min(s.written, len(s.ring))
@@ -66,7 +66,7 @@
 	return counts
 }
 
-// latencyQuantiles returns latencies in milliseconds by the name of their quantile.
+// latencyQuantiles returns the latency quantiles in milliseconds, by name ("p50").
 func (s *requestStatistics) latencyQuantiles() map[string]float64 {
 	quantiles := map[string]float64{}
 	for _, q := range []float64{50, 90, 99} {
@@ -75,7 +75,7 @@
 	return quantiles
 }
 
-// onRequestEnd records a request that has ended. It is called on the event loop of its server.
+// onRequestEnd records an ended request. It is called on the event loop of the request's server.
 func (a *Appliance) onRequestEnd(response dispatch.Response, trace *dispatch.Trace) {
 	a.recorder.OnRequestEnd(response, trace)
 	a.functions.recordResult(response)
@@ -84,7 +84,7 @@
 	a.statistics.record(response)
 }
 
-// gauges returns the present values of the metrics.
+// gauges returns the current values of the gauge metrics, by name.
 func (a *Appliance) gauges() map[string]float64 {
 	values := map[string]float64{}
 	for _, server := range a.runningServers() {
--- a/internal/appliance/task_scheduler.go
+++ b/internal/appliance/task_scheduler.go
@@ -2,53 +2,53 @@
 
 import "math"
 
-// BackgroundTask is a kind of work that runs beside the requests. It runs in rounds, and each round in slices within a
-// budget, between which requests have precedence.
+// BackgroundTask is periodic work such as compaction. It runs in rounds. Each round is divided into short slices, so that
+// requests are not delayed by a long round.
 type BackgroundTask struct {
 	Name            string
-	Interval        float64 // seconds from the end of a round to the next; 0: a round runs only on request
-	Priority        int     // a higher one runs first
-	SliceDuration   float64 // seconds that one slice may take
-	MaxTimeFraction float64 // share of the time that it may use over timeShareWindow; 0: any
-	MaxDelay        float64 // seconds of waiting after which a slice runs also under load; 0: it waits
-	Urgent          bool    // it runs also under load
+	Interval        float64 // seconds from the end of a round to the next; 0: rounds run on request only
+	Priority        int     // tasks with a higher priority run first
+	SliceDuration   float64 // budget of one slice in seconds
+	MaxTimeFraction float64 // maximum fraction of time used, over timeFractionWindow; 0: no limit
+	MaxDelay        float64 // seconds after which a due slice runs even under load; 0: never
+	Urgent          bool    // the task runs under load
 }
 
 const (
-	busyThreshold   = 0.7  // utilization above which only urgent and overdue tasks run
-	timeShareWindow = 60.0 // seconds over which the time that a task has used decays
+	busyThreshold      = 0.7  // utilization above which only urgent and overdue tasks run
+	timeFractionWindow = 60.0 // time constant, in seconds, of the decay of a task's used time
 )
 
 // Backoff of failed tasks.
 const (
-	failureBackoff    = 2.0  // factor of the interval for each failure in a row
-	maxFailureBackoff = 16.0 // most times the interval
-	maxBackoffSteps   = 10   // failures that count, so that the power stays finite
-	minFailurePause   = 1.0  // seconds; the interval that backs off when a task has a shorter one or none
+	failureBackoff    = 2.0  // factor for each consecutive failure
+	maxFailureBackoff = 16.0 // maximum factor of the interval
+	maxBackoffSteps   = 10   // maximum exponent; it keeps the power finite
+	minFailurePause   = 1.0  // minimum interval, in seconds, that the factor is applied to
 )
 
-// scheduledTask is a task with its state.
+// scheduledTask is a task with its scheduling state.
 type scheduledTask struct {
 	BackgroundTask
-	due          float64 // when the next round begins
-	dueSince     float64 // since when a slice waits; it begins anew with each slice of a round
+	due          float64 // start time of the next round
+	dueSince     float64 // time since which the next slice has been waiting
 	running      bool
-	recentTime   float64 // seconds of work, decaying over timeShareWindow
-	recentTimeAt float64 // when recentTime was last brought up to date
+	recentTime   float64 // seconds of work, decaying over timeFractionWindow
+	recentTimeAt float64 // time of the last update of recentTime
 	rounds       int
 	slices       int
-	failures     int // in a row
+	failures     int // consecutive
 	lastError    string
 	timeUsed     float64 // seconds of work since the start
-	longestWait  float64 // longest wait of a slice that was due
+	longestWait  float64 // longest wait of a due slice, in seconds
 }
 
-// TaskScheduler decides which background task runs when. It has no clock: each call brings the time in seconds.
+// TaskScheduler decides which background task runs next. It has no clock: the caller passes the time in seconds.
 type TaskScheduler struct {
 	tasks []*scheduledTask
 }
 
-// NewTaskScheduler plans the first round of each task one interval from now.
+// NewTaskScheduler returns a scheduler for tasks. The first round of each is due one interval from now.
 func NewTaskScheduler(now float64, tasks ...BackgroundTask) *TaskScheduler {
 	s := &TaskScheduler{}
 	for _, task := range tasks {
@@ -58,7 +58,7 @@
 	return s
 }
 
-// pause returns the seconds between rounds; infinite for a task that runs only on request.
+// pause returns the interval between rounds in seconds. It is infinite for a task that runs on request only.
 func (t *BackgroundTask) pause() float64 {
 	if t.Interval == 0 {
 		return math.Inf(1)
@@ -66,7 +66,7 @@
 	return t.Interval
 }
 
-// Request makes a task due now. It reports false for an unknown one.
+// Request makes a task due now. It reports whether the task exists.
 func (s *TaskScheduler) Request(now float64, name string) bool {
 	for _, task := range s.tasks {
 		if task.Name != name {
@@ -80,9 +80,9 @@
 	return false
 }
 
-// Next returns the task that runs a slice now, with its budget in seconds, or an empty name. One slice runs at a time.
-// A task that has waited longer than its MaxDelay goes first, the one that is over it by most before others. Else the
-// due task with the highest priority runs, of those that the utilization and their share of time allow.
+// Next returns the task that may run a slice now and the budget in seconds, or an empty name if there is none or a slice
+// is running already. The task that exceeds its MaxDelay by most takes precedence. Otherwise it is the due task with the
+// highest priority among those that the utilization and their time fraction allow.
 func (s *TaskScheduler) Next(now, utilization float64) (name string, budget float64) {
 	for _, task := range s.tasks {
 		if task.running {
@@ -101,8 +101,9 @@
 	return task.Name, task.SliceDuration
 }
 
-// mostOverdue returns the task that is over its MaxDelay by most, or nil.
-func (s *TaskScheduler) mostOverdue(now float64) (most *scheduledTask) {
+// mostOverdue returns the task that exceeds its MaxDelay by most, or nil. It also updates the recent time of due tasks.
+func (s *TaskScheduler) mostOverdue(now float64) *scheduledTask {
+	var most *scheduledTask
 	mostOver := 0.0
 	for _, task := range s.tasks {
 		if task.due > now {
@@ -117,11 +118,11 @@
 	return most
 }
 
-// highestPriority returns the due task with the highest priority, of equal ones the one that has waited longest, or
-// nil.
-func (s *TaskScheduler) highestPriority(now, utilization float64) (best *scheduledTask) {
+// highestPriority returns the due task with the highest priority, or nil. Ties go to the task that has waited longest.
+func (s *TaskScheduler) highestPriority(now, utilization float64) *scheduledTask {
+	var best *scheduledTask
 	for _, task := range s.tasks {
-		if task.due > now || utilization > busyThreshold && !task.Urgent || task.exceedsTimeShare() {
+		if task.due > now || utilization > busyThreshold && !task.Urgent || task.exceedsTimeFraction() {
 			continue
 		}
 		if best == nil || task.Priority > best.Priority || task.Priority == best.Priority && task.dueSince < best.dueSince {
@@ -131,17 +132,18 @@
 	return best
 }
 
-func (t *scheduledTask) exceedsTimeShare() bool {
-	return t.MaxTimeFraction > 0 && t.recentTime > t.MaxTimeFraction*timeShareWindow
+func (t *scheduledTask) exceedsTimeFraction() bool {
+	return t.MaxTimeFraction > 0 && t.recentTime > t.MaxTimeFraction*timeFractionWindow
 }
 
-// decay brings recentTime up to date.
+// decay updates recentTime to now.
 func (t *scheduledTask) decay(now float64) {
-	t.recentTime *= math.Exp(-max(now-t.recentTimeAt, 0) / timeShareWindow)
+	t.recentTime *= math.Exp(-max(now-t.recentTimeAt, 0) / timeFractionWindow)
 	t.recentTimeAt = max(now, t.recentTimeAt)
 }
 
-// Done ends the slice of a task: it took so many seconds, its round needs more slices or not, and it may have failed.
+// Done reports the end of a task's slice. took is the duration of the slice in seconds, more is true if the round needs
+// another slice, and err is the failure of the slice, if any.
 func (s *TaskScheduler) Done(now float64, name string, took float64, more bool, err error) {
 	for _, task := range s.tasks {
 		if task.Name == name && task.running {
@@ -172,7 +174,7 @@
 	}
 }
 
-// failurePause returns the seconds until a failed task runs again.
+// failurePause returns the backoff of a failed task in seconds.
 func (t *scheduledTask) failurePause() float64 {
 	pause := max(t.Interval, minFailurePause)
 	if math.IsInf(pause, 1) {
@@ -181,20 +183,20 @@
 	return min(pause*math.Pow(failureBackoff, float64(min(t.failures, maxBackoffSteps))), pause*maxFailureBackoff)
 }
 
-// TaskStatus is what the console shows of a background task. Times are in seconds.
+// TaskStatus is the status of a background task in the admin API. Times are in seconds.
 type TaskStatus struct {
 	Name        string  `json:"name"`
-	Due         float64 `json:"due_s"` // from now; below 0 it waits
+	Due         float64 `json:"due_s"` // from now; negative if it is overdue
 	Running     bool    `json:"running"`
 	Rounds      int     `json:"rounds"`
 	Slices      int     `json:"slices"`
 	TimeUsed    float64 `json:"used_s"`
 	LongestWait float64 `json:"longest_wait_s"`
-	Failures    int     `json:"failures"` // in a row
+	Failures    int     `json:"failures"` // consecutive
 	LastError   string  `json:"error,omitempty"`
 }
 
-// View returns the status of all tasks in the order in which they were given.
+// View returns the status of all tasks, in the order of NewTaskScheduler's arguments.
 func (s *TaskScheduler) View(now float64) []TaskStatus {
 	var statuses []TaskStatus
 	for _, task := range s.tasks {
--- a/internal/appliance/versions.go
+++ b/internal/appliance/versions.go
@@ -9,7 +9,7 @@
 	"streamcleat/internal/registry"
 )
 
-// isVersionAllowed reports whether the version of a binding may still run.
+// isVersionAllowed reports whether the version of a binding may still run. A withdrawn version may not.
 func (g *functionRegistry) isVersionAllowed(binding dispatch.Binding) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -17,8 +17,8 @@
 	return err == nil && g.registry.IsAllowed(reference.Function, reference.Digest)
 }
 
-// bind returns the version that a request runs on and remembers it for retries. The binding is zero for a function that
-// has no versions: one that the registry does not know, named without a tag or digest.
+// bind resolves the version on which a request runs and caches the binding for retries. The binding is zero for an
+// unversioned function.
 func (g *functionRegistry) bind(request *dispatch.Request) (registry.ResolvedVersion, dispatch.Binding, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -34,8 +34,8 @@
 	return version, binding, nil
 }
 
-// boundReference returns the reference of the version to which an earlier attempt of the request was bound, or what
-// the request itself names.
+// boundReference returns a reference to the version that an earlier attempt of the request was bound to, or else the
+// reference in the request.
 func (g *functionRegistry) boundReference(request *dispatch.Request) string {
 	earlier, ok := g.bindings.Get(request.Identity)
 	if !ok {
@@ -49,7 +49,8 @@
 	return earlier.ID
 }
 
-// isUnversioned reports whether a reference that can't be resolved means a function without versions.
+// isUnversioned reports whether a reference that failed to resolve names an unversioned function: one that is not in the
+// registry, without a tag or digest.
 func (g *functionRegistry) isUnversioned(function string, resolveErr error) bool {
 	reference, err := registry.ParseRef(function)
 	if err != nil {
@@ -59,8 +60,8 @@
 		reference.Tag == registry.Current && reference.Digest == ""
 }
 
-// resolveVersion returns the version of a request and the profile of its function. What the version states of the
-// profile takes precedence over the configuration.
+// resolveVersion returns the version of a request and the profile of its function. The version's own values take
+// precedence over the configuration.
 func (a *Appliance) resolveVersion(request *dispatch.Request) (dispatch.Binding, dispatch.FunctionProfile, error) {
 	version, binding, err := a.functions.bind(request)
 	if err != nil || binding.ID == "" {
