--- a/internal/appliance/api_server.go
+++ b/internal/appliance/api_server.go
@@ -62,12 +62,12 @@
 func removeStaleSocket(path string) error {
 	if conn, err := net.DialTimeout("unix", path, consoleDialTimeout); err == nil {
 		_ = conn.Close() // opened only to probe for a listener
-		return fmt.Errorf("console socket %s: another box answers there", path)
+		return fmt.Errorf("console socket %s: already in use by another process", path)
 	}
 	// Any Lstat error leaves the path to net.Listen: either there is no file, or Listen reports why the path is unusable.
 	if info, err := os.Lstat(path); err == nil {
 		if info.Mode()&os.ModeSocket == 0 {
-			return fmt.Errorf("console socket %s: something else stands there", path)
+			return fmt.Errorf("console socket %s: not a socket", path)
 		}
 		_ = os.Remove(path) // if this fails, Listen reports the address as in use
 	}
@@ -81,7 +81,7 @@
 	}
 	mode, err := strconv.ParseUint(text, 8, 32)
 	if err != nil {
-		return 0, fmt.Errorf("console mode %q: %w", text, err)
+		return 0, fmt.Errorf("console socket mode %q: %w", text, err)
 	}
 	return os.FileMode(mode), nil
 }
--- a/internal/appliance/appliance.go
+++ b/internal/appliance/appliance.go
@@ -194,7 +194,7 @@
 	a.mu.Lock()
 	a.drainDeadline = time.Now().Add(drainTime)
 	a.mu.Unlock()
-	time.AfterFunc(drainTime, func() { a.post(DrainTimeout, "drain time over") })
+	time.AfterFunc(drainTime, func() { a.post(DrainTimeout, "drain time elapsed") })
 	go a.awaitDrained()
 }
 
@@ -220,7 +220,7 @@
 	for _, server := range a.servers {
 		stopping.Go(func() {
 			if err := server.Stop(0); err != nil {
-				a.log.Error("front end did not stop in order", "error", err)
+				a.log.Error("failed to stop front end", "error", err)
 			}
 		})
 	}
@@ -232,12 +232,12 @@
 func (a *Appliance) closeStore() {
 	for _, closeExporter := range a.closers {
 		if err := closeExporter(); err != nil {
-			a.log.Error("closing", "error", err)
+			a.log.Error("failed to close exporter", "error", err)
 		}
 	}
 	if a.store != nil {
 		if err := a.store.Close(); err != nil {
-			a.log.Error("the state was not closed in order", "error", err)
+			a.log.Error("failed to close state store", "error", err)
 		}
 	}
 	a.post(StoreClosed, "")
--- a/internal/appliance/appliance_test.go
+++ b/internal/appliance/appliance_test.go
@@ -29,7 +29,7 @@
 	r.eventually("both are in flight", func() bool { return r.status().InFlight == 2 })
 	r.mustCommand(`{"order":"stop","now":true,"console":"a"}`)
 	r.awaitEnd()
-	if !r.log.contains("a timer's event was not handled") || !r.log.contains("outcome=dead-lettered") {
+	if !r.log.contains("scheduled request did not succeed") || !r.log.contains("outcome=dead-lettered") {
 		t.Error("what may have run and must not run again was not reported")
 	}
 	r.inject(0, fakes.Fault{Kind: "hang", Duration: 1e-9})
@@ -41,7 +41,7 @@
 	r.stop()
 	r.awaitEnd()
 	r.start() // after all that nothing is open
-	if r.log.contains("begun again") {
+	if r.log.contains("scheduled request resubmitted") {
 		t.Error("submitted a second time")
 	}
 	if o := r.sendAgain("warm"); o.Status != 200 || !o.Replayed {
@@ -81,7 +81,7 @@
 	r := newTestAppliance(t, 1, "", nil)
 	r.start()
 	quiet := slog.New(slog.DiscardHandler)
-	if err := Run(context.Background(), r.config(), quiet, nil, nil); err == nil || !strings.Contains(err.Error(), "another box answers") {
+	if err := Run(context.Background(), r.config(), quiet, nil, nil); err == nil || !strings.Contains(err.Error(), "already in use by another process") {
 		t.Error("same console: ", err)
 	}
 	other := r.config()
--- a/internal/appliance/function_registry.go
+++ b/internal/appliance/function_registry.go
@@ -70,7 +70,7 @@
 			err = g.registry.Apply(entry)
 		}
 		if err != nil {
-			return fmt.Errorf("handlers: entry %d of the audit trail: %w", i, err)
+			return fmt.Errorf("function registry: replay audit trail entry %d: %w", i, err)
 		}
 	}
 	return nil
--- a/internal/appliance/lifecycle.go
+++ b/internal/appliance/lifecycle.go
@@ -55,7 +55,10 @@
 	Failed                                       // a component needed for serving failed
 )
 
-var lifecycleEventNames = [...]string{"opened", "recovered", "stop", "stop now", "quiet", "time up", "answered", "written", "broke"}
+var lifecycleEventNames = [...]string{
+	"store-opened", "state-recovered", "stop-requested", "immediate-stop-requested", "requests-drained", "drain-timeout",
+	"requests-terminated", "store-closed", "failed",
+}
 
 // String returns the name of the event in the log.
 func (e LifecycleEvent) String() string { return lifecycleEventNames[e] }
--- a/internal/appliance/releases.go
+++ b/internal/appliance/releases.go
@@ -107,7 +107,7 @@
 	defer g.mu.Unlock()
 	entry := registry.Entry{At: unixSeconds(time.Now()), Actor: g.releasedBy, AliasUpdate: move, Reason: reasonRelease}
 	if err := g.applyEntry(entry); err != nil {
-		log.Error("release: an alias does not move", "function", move.Function, "error", err)
+		log.Error("release: failed to move alias", "function", move.Function, "error", err)
 	}
 }
 
@@ -124,7 +124,7 @@
 			continue
 		}
 		rollout := entry.Rollout
-		log.Info("rollout goes on", "function", rollout.Function, "alias", rollout.Alias, "share", rollout.CanaryFraction, "reason", entry.Reason)
+		log.Info("rollout advanced", "function", rollout.Function, "alias", rollout.Alias, "share", rollout.CanaryFraction, "reason", entry.Reason)
 	}
 	return nil
 }
--- a/internal/appliance/schedules.go
+++ b/internal/appliance/schedules.go
@@ -40,7 +40,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.plan != nil {
-		a.log.Info("the crontab changed", "entries", len(entries), "previous", len(a.entries))
+		a.log.Info("crontab reloaded", "entries", len(entries), "previous", len(a.entries))
 	}
 	// A new entry is planned from now on, an unchanged one from its last firing.
 	a.crontab, a.entries = data, entries
@@ -76,7 +76,7 @@
 		}
 		if len(due.firings) > 0 {
 			if err := a.fireSchedules(due.firings); err != nil {
-				a.log.Error("timers were not noted and do not fire", "firings", len(due.firings), "error", err)
+				a.log.Error("failed to persist firings, schedules not fired", "firings", len(due.firings), "error", err)
 			}
 		}
 		time.Sleep(due.pause())
@@ -93,7 +93,7 @@
 	}
 	for _, firing := range a.plan.Due(time.Now()) {
 		if a.suspended[firing.Entry.Key()] {
-			a.log.Info("not fired: the entry is suspended", "request_id", firing.ID)
+			a.log.Info("firing skipped, entry suspended", "request_id", firing.ID)
 			continue
 		}
 		due.firings = append(due.firings, firing)
@@ -131,7 +131,7 @@
 		a.onScheduledResponse(request, deadline, attempt, response)
 	})
 	if err != nil {
-		a.log.Warn("scheduled request not submitted", "request_id", request.String(), "error", err)
+		a.log.Warn("failed to submit scheduled request", "request_id", request.String(), "error", err)
 	}
 }
 
@@ -149,7 +149,7 @@
 		}
 	}
 	if response.Kind != dispatch.Succeeded {
-		a.log.Error("a timer's event was not handled", "request_id", request.String(), "outcome", response.Kind.String(),
+		a.log.Error("scheduled request did not succeed", "request_id", request.String(), "outcome", response.Kind.String(),
 			"cause", response.Cause.String(), "attempt", attempt)
 	}
 	if a.store != nil {
--- a/internal/appliance/startup.go
+++ b/internal/appliance/startup.go
@@ -38,7 +38,7 @@
 		if err != nil {
 			return err
 		}
-		a.log.Info("state", "records", len(a.recovered.Records), "scheduled_requests", len(a.recovered.ScheduledRequests),
+		a.log.Info("state opened", "records", len(a.recovered.Records), "scheduled_requests", len(a.recovered.ScheduledRequests),
 			"clean_shutdown", a.recovered.CleanShutdown, "created", a.recovered.Created, "quarantine", a.recovered.QuarantinePath)
 		if err := a.store.SaveConfig(a.config.Document()); err != nil {
 			return err
@@ -61,7 +61,7 @@
 		return
 	}
 	for _, scheduled := range a.recovered.ScheduledRequests {
-		a.log.Info("begun again after a restart", "request_id", scheduled.Request.String(), "due", scheduled.Due)
+		a.log.Info("scheduled request resubmitted after restart", "request_id", scheduled.Request.String(), "due", scheduled.Due)
 		a.submitScheduled(scheduled.Request, scheduled.Deadline, 1)
 	}
 	if a.onReady != nil {
@@ -120,7 +120,7 @@
 	server := &http.Server{Addr: address, Handler: a.recorder.Handler(), ReadHeaderTimeout: readHeaderTimeout}
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return fmt.Errorf("metrics: %w", err)
+		return fmt.Errorf("listen for metrics: %w", err)
 	}
 	go a.serveHTTP(server, listener)
 	a.closers = append(a.closers, server.Close)
@@ -130,7 +130,7 @@
 // serveHTTP serves until the server is closed.
 func (a *Appliance) serveHTTP(server *http.Server, listener net.Listener) {
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-		a.log.Error("HTTP server ended", "address", listener.Addr().String(), "error", err)
+		a.log.Error("HTTP server stopped", "address", listener.Addr().String(), "error", err)
 	}
 }
 
@@ -138,7 +138,7 @@
 // process and can't be retried are logged.
 func (a *Appliance) startServers() error {
 	if a.config.Workers.File == "" {
-		a.log.Warn("no list of workers is configured (workers.file): every event will be deferred")
+		a.log.Warn("no endpoint list configured (workers.file), all requests will be rejected")
 	}
 	for i, address := range a.config.Listen {
 		server, err := eventloop.Start(a.serverSettings(i, address))
@@ -153,7 +153,7 @@
 		go a.watchServer(server)
 	}
 	for _, lost := range a.servers[0].Unanswered() {
-		a.log.Error("dead-lettered at the restart: it may have run and must not run again", "request_id", lost.Identity.String(),
+		a.log.Error("request failed at restart: may have executed, not safe to retry", "request_id", lost.Identity.String(),
 			"class", lost.Class, "function", lost.Function)
 	}
 	return nil
