--- a/internal/appliance/appliance_test.go
+++ b/internal/appliance/appliance_test.go
@@ -14,80 +14,80 @@
 	"streamcleat/internal/verification/fakes"
 )
 
-// Scheduled requests that are open at a stop are submitted again at the restart. One that may have run and must not run
-// again is reported instead.
-func TestRestartWithOpenScheduledRequests(t *testing.T) {
+// Scheduled requests that are open at a stop are submitted again after the restart. An at-most-once request that may have
+// run is logged instead.
+func TestRestart_ResubmitsOpenScheduledRequests(t *testing.T) {
 	r := newTestAppliance(t, 1, "MISFIRE=all\n0 0 1 1 * again tally\n0 0 1 1 * once tally\n", nil)
 	r.start()
-	if o := r.sendAgain("warm"); o.Status != 200 {
+	if o := r.sendIdempotent("warm"); o.Status != 200 {
 		t.Fatal(o)
 	}
 	r.inject(0, fakes.Fault{Kind: "hang"})
 	for _, entry := range []string{"again/tally", "once/tally"} {
 		r.mustCommand(`{"order":"fire","target":"` + entry + `","console":"a"}`)
 	}
-	r.eventually("both are in flight", func() bool { return r.status().InFlight == 2 })
+	r.eventually("both requests are in flight", func() bool { return r.status().InFlight == 2 })
 	r.mustCommand(`{"order":"stop","now":true,"console":"a"}`)
 	r.awaitEnd()
 	if !r.log.contains("scheduled request did not succeed") || !r.log.contains("outcome=dead-lettered") {
-		t.Error("what may have run and must not run again was not reported")
+		t.Error("the failure of the at-most-once request was not logged")
 	}
 	r.inject(0, fakes.Fault{Kind: "hang", Duration: 1e-9})
 	r.start()
-	r.eventually("the idempotent one has succeeded", func() bool { return r.status().Totals["handled"] == 1 })
+	r.eventually("the idempotent request has succeeded", func() bool { return r.status().Totals["handled"] == 1 })
 	if r.log.contains("once/tally") {
-		t.Error("what must not run again is submitted again")
+		t.Error("the at-most-once request was submitted again")
 	}
 	r.stop()
 	r.awaitEnd()
-	r.start() // after all that nothing is open
+	r.start() // no request is open now
 	if r.log.contains("scheduled request resubmitted") {
-		t.Error("submitted a second time")
+		t.Error("a completed request was submitted again")
 	}
-	if o := r.sendAgain("warm"); o.Status != 200 || !o.Replayed {
-		t.Errorf("a repeat after two restarts: %+v", o)
+	if o := r.sendIdempotent("warm"); o.Status != 200 || !o.Replayed {
+		t.Errorf("retry after two restarts: %+v", o)
 	}
 }
 
-func TestDrainOfTheLastWorkerAndReturn(t *testing.T) {
+func TestDrainCommand_LastWorkerRejectsUntilReturned(t *testing.T) {
 	r := newTestAppliance(t, 2, "", nil)
 	r.start()
-	if o := r.sendAgain("1"); o.Status != 200 {
+	if o := r.sendIdempotent("1"); o.Status != 200 {
 		t.Fatal(o)
 	}
 	r.mustCommand(`{"order":"drain","target":"wk-0","console":"a"}`)
 	if status, body := r.command(`{"order":"drain","target":"wk-1","console":"a"}`); status != 200 || !strings.Contains(body, "the last one") {
 		t.Error(status, body)
 	}
-	if o := r.sendAgain("2"); o.Status != 503 || o.Latency > 500*time.Millisecond {
-		t.Errorf("with all workers drained: status %d after %v", o.Status, o.Latency)
+	if o := r.sendIdempotent("2"); o.Status != 503 || o.Latency > 500*time.Millisecond {
+		t.Errorf("all workers drained: status %d after %v", o.Status, o.Latency)
 	}
 	if status, body := r.command(`{"order":"drain","target":"wk-9","console":"a"}`); status != 404 || !strings.Contains(body, "wk-9") {
 		t.Error(status, body)
 	}
 	if status, body := r.command(`{"order":"return","target":"wk-1","console":"b"}`); status != 409 || !strings.Contains(body, "console a") {
-		t.Error("two consoles give commands: ", status, body)
+		t.Error("a second console was allowed a command: ", status, body)
 	}
 	r.mustCommand(`{"order":"return","target":"wk-1","console":"a"}`)
-	if o := r.sendAgain("3"); o.Status != 200 {
-		t.Errorf("after the return: %d", o.Status)
+	if o := r.sendIdempotent("3"); o.Status != 200 {
+		t.Errorf("worker returned: status %d", o.Status)
 	}
 	if status, body := r.command(`{"order":"dance","console":"a"}`); status != 409 || !strings.Contains(body, "not an order") {
 		t.Error(status, body)
 	}
 }
 
-func TestTwoAppliancesOnOneFolder(t *testing.T) {
+func TestRun_FailsIfSocketOrStateInUse(t *testing.T) {
 	r := newTestAppliance(t, 1, "", nil)
 	r.start()
-	quiet := slog.New(slog.DiscardHandler)
-	if err := Run(context.Background(), r.config(), quiet, nil, nil); err == nil || !strings.Contains(err.Error(), "already in use by another process") {
-		t.Error("same console: ", err)
+	discard := slog.New(slog.DiscardHandler)
+	if err := Run(context.Background(), r.config(), discard, nil, nil); err == nil || !strings.Contains(err.Error(), "already in use by another process") {
+		t.Error("same console socket: ", err)
 	}
 	other := r.config()
 	other.Console = nil
-	if err := Run(context.Background(), other, quiet, nil, nil); err == nil || !strings.Contains(err.Error(), "in use by another process") {
-		t.Error("same state: ", err)
+	if err := Run(context.Background(), other, discard, nil, nil); err == nil || !strings.Contains(err.Error(), "in use by another process") {
+		t.Error("same state folder: ", err)
 	}
 	info, err := os.Stat(filepath.Join(r.dir, "s"))
 	if err != nil || info.Mode().Perm() != 0o640 {
@@ -95,8 +95,8 @@
 	}
 }
 
-// A stop waits for open requests; a second signal ends the wait.
-func TestStopWithOpenRequest(t *testing.T) {
+// A stop waits for open requests. A second signal ends the wait.
+func TestStop_WithOpenRequest(t *testing.T) {
 	tests := []struct {
 		name         string
 		secondSignal bool
@@ -109,14 +109,14 @@
 		t.Run(test.name, func(t *testing.T) {
 			r := newTestAppliance(t, 1, "", nil)
 			r.start()
-			r.sendAgain("warm")
+			r.sendIdempotent("warm")
 			r.inject(0, fakes.Fault{Kind: "stall", Duration: 0.6})
 			result := make(chan schedule.Result)
-			go func() { result <- r.sendAgain("open") }()
-			r.eventually("it is in flight", func() bool { return r.status().InFlight == 1 })
+			go func() { result <- r.sendIdempotent("open") }()
+			r.eventually("the request is in flight", func() bool { return r.status().InFlight == 1 })
 			r.stop()
 			if test.secondSignal {
-				r.eventually("draining", func() bool { return r.log.contains("state=draining") })
+				r.eventually("the appliance is draining", func() bool { return r.log.contains("state=draining") })
 				close(r.immediateStop)
 			}
 			if o := <-result; o.Status != test.want {
@@ -127,8 +127,8 @@
 	}
 }
 
-// A changed crontab is reloaded while the appliance runs. An invalid one is reported and leaves the last in force.
-func TestCrontabReload(t *testing.T) {
+// A changed crontab is reloaded while the appliance runs. An invalid one is reported and leaves the last one in effect.
+func TestReloadCrontab_InvalidFileKeepsEntries(t *testing.T) {
 	r := newTestAppliance(t, 1, "0 0 1 1 * again tally\n", nil)
 	r.start()
 	entries := func() int {
@@ -137,7 +137,7 @@
 		return len(list)
 	}
 	r.writeFile("crontab", "61 0 1 1 * again tally\n")
-	r.eventually("the error is shown", func() bool {
+	r.eventually("the error is in the status", func() bool {
 		for _, task := range r.status().Tasks {
 			if task.Name == "crontab" && strings.Contains(task.LastError, "crontab:1: schedule") {
 				return true
@@ -146,35 +146,34 @@
 		return false
 	})
 	if n := entries(); n != 1 {
-		t.Errorf("%d entries in force", n)
+		t.Errorf("%d entries in effect, want 1", n)
 	}
 	r.writeFile("crontab", "0 0 1 1 * again tally\n0 0 1 2 * once tally\n")
-	for range 1000 { // a task that failed waits longer
+	for range 1000 { // the backoff of the failed task is longer than eventually waits
 		if entries() == 2 {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Error("the new crontab is not in force")
+	t.Error("the new crontab was not loaded")
 }
 
-// Replicas that were known a moment ago are known after a restart: the first request goes to its replica, without a
-// load command.
-func TestReplicasAreKnownAfterRestart(t *testing.T) {
+// The replicas known before a restart are known after it: the first request needs no load command.
+func TestRestart_KnowsLoadedReplicas(t *testing.T) {
 	r := newTestAppliance(t, 3, "", nil)
 	r.start()
 	for n := range 3 {
-		r.sendAgain(strconv.Itoa(n))
+		r.sendIdempotent(strconv.Itoa(n))
 	}
 	r.eventually("the replicas are stored", func() bool { s := r.status(); return len(s.Tasks) > 0 && s.Tasks[len(s.Tasks)-3].Rounds >= 2 })
 	r.stop()
 	r.awaitEnd()
 	r.start()
-	r.eventually("the list of workers is read", func() bool { return len(r.status().Workers) > 0 })
-	if o := r.sendAgain("first"); o.Status != 200 {
+	r.eventually("the endpoint list is loaded", func() bool { return len(r.status().Workers) > 0 })
+	if o := r.sendIdempotent("first"); o.Status != 200 {
 		t.Fatal(o)
 	}
 	if n := r.status().Totals["orders"]; n != 0 {
-		t.Errorf("%d load commands for a replica that is loaded", n)
+		t.Errorf("%d load commands for a loaded replica", n)
 	}
 }
--- a/internal/appliance/crash_process_test.go
+++ b/internal/appliance/crash_process_test.go
@@ -15,21 +15,22 @@
 	"streamcleat/internal/storage"
 )
 
-// outsideWorld is what a crash can't take back: what workers have run and what clients were told.
-type outsideWorld struct {
+// environment is the state outside the process, which a crash does not affect: the workers' executions and the
+// clients' responses.
+type environment struct {
 	runs       map[dispatch.Identity]int
-	remembered map[dispatch.Identity]bool // requests whose identity the workers remember
+	remembered map[dispatch.Identity]bool // requests in the workers' deduplication cache
 	classes    map[dispatch.Identity]string
 	final      map[dispatch.Identity]dispatch.ResponseKind
-	due        map[dispatch.Identity]bool // firings that came due
+	due        map[dispatch.Identity]bool // firings that were due
 	lost       map[dispatch.Identity]bool // reported as failed at a restart
 	violation  string
-	inFlight   []attemptInFlight // a worker runs them even when the process that sent them is dead
-	plannedTo  time.Time         // up to here a plan was asked for its firings
+	inFlight   []attemptInFlight // executed even if the process that sent them is dead
+	plannedTo  time.Time         // the latest time for which firings were planned
 }
 
-func newOutsideWorld() *outsideWorld {
-	return &outsideWorld{
+func newEnvironment() *environment {
+	return &environment{
 		runs:       map[dispatch.Identity]int{},
 		remembered: map[dispatch.Identity]bool{},
 		classes:    map[dispatch.Identity]string{},
@@ -39,47 +40,48 @@
 	}
 }
 
-// run is what a worker does with an attempt: it deduplicates requests of the class "keyed".
-func (w *outsideWorld) run(id dispatch.Identity) {
-	class := w.classes[id]
-	if class == "keyed" && w.remembered[id] {
+// run executes an attempt at a worker. Workers deduplicate requests of the class "keyed".
+func (e *environment) run(id dispatch.Identity) {
+	class := e.classes[id]
+	if class == "keyed" && e.remembered[id] {
 		return
 	}
-	w.remembered[id] = true
-	w.runs[id]++
-	if w.runs[id] > 1 && class != "again" {
-		w.violation = fmt.Sprintf("%v (%s) ran twice", id, class)
+	e.remembered[id] = true
+	e.runs[id]++
+	if e.runs[id] > 1 && class != "again" {
+		e.violation = fmt.Sprintf("%v (%s) ran twice", id, class)
 	}
 }
 
-// answer is what a client hears.
-func (w *outsideWorld) answer(id dispatch.Identity, kind dispatch.ResponseKind) {
-	if earlier, ok := w.final[id]; ok && earlier == dispatch.Succeeded && kind != dispatch.Succeeded {
-		w.violation = fmt.Sprintf("%v: %s after it was handled", id, kind)
+// respond records the final response to a client.
+func (e *environment) respond(id dispatch.Identity, kind dispatch.ResponseKind) {
+	if earlier, ok := e.final[id]; ok && earlier == dispatch.Succeeded && kind != dispatch.Succeeded {
+		e.violation = fmt.Sprintf("%v: %s after it succeeded", id, kind)
 	}
-	w.final[id] = kind
+	e.final[id] = kind
 }
 
-// machineClock is the machine's clock. The store's own goroutine reads it, too.
+// machineClock is the machine's monotonic clock. It is also read by the store's goroutine.
 type machineClock struct{ milliseconds atomic.Int64 }
 
 func (c *machineClock) now() float64        { return float64(c.milliseconds.Load()) / 1000 }
 func (c *machineClock) add(seconds float64) { c.milliseconds.Add(int64(seconds * 1000)) }
 
-// wallClock returns the time of day at a time of the machine's clock.
+// wallClock converts a time of the machine's clock to the time of day.
 func wallClock(machine float64) time.Time {
 	return time.Unix(1_800_000_000, 0).Add(time.Duration(machine * float64(time.Second)))
 }
 
+// attemptInFlight is an attempt that a process has sent to a worker.
 type attemptInFlight struct {
 	from    *crashProcess
 	attempt dispatch.Attempt
 }
 
-// crashProcess is one process of the appliance, down to the order of its writes: the real dispatcher, plan and store,
-// on a disk that can be cut off at any write. It implements dispatch.Effects.
+// crashProcess models one process of the appliance with the real dispatcher, plan and store, in the same order of
+// writes, on a disk that can fail at any write. It implements dispatch.Effects.
 type crashProcess struct {
-	world        *outsideWorld
+	env          *environment
 	killed       *atomic.Bool
 	clock        *machineClock
 	store        *storage.Store
@@ -88,18 +90,18 @@
 	waiters      map[dispatch.WaiterID]dispatch.Identity
 	lastWaiter   dispatch.WaiterID
 	requests     map[dispatch.Identity]dispatch.Request
-	scheduled    map[dispatch.Identity]bool // requests of the appliance itself
-	retries      []dispatch.Request         // of these, the rejected ones
-	records      []dispatch.Record          // wait for the next commit
+	scheduled    map[dispatch.Identity]bool // scheduled requests
+	retries      []dispatch.Request         // rejected scheduled requests
+	records      []dispatch.Record          // not yet committed
 	afterCommit  []func()
 	loadCommands []dispatch.LoadCommand
 }
 
-// startProcess opens the store and recovers. It returns nil when the process is killed meanwhile.
-func startProcess(t *testing.T, w *outsideWorld, fs vfs.FS, clock *machineClock, killed *atomic.Bool, entries []schedule.Entry, from time.Time) *crashProcess {
+// startProcess opens the store and recovers. It returns nil if the process is killed meanwhile.
+func startProcess(t *testing.T, env *environment, fs vfs.FS, clock *machineClock, killed *atomic.Bool, entries []schedule.Entry, from time.Time) *crashProcess {
 	t.Helper()
 	p := &crashProcess{
-		world:     w,
+		env:       env,
 		killed:    killed,
 		clock:     clock,
 		waiters:   map[dispatch.WaiterID]dispatch.Identity{},
@@ -119,7 +121,7 @@
 	p.store = store
 	p.dispatcher = dispatch.New(crashSettings(), p, p.now())
 	for _, response := range p.dispatcher.Recover(p.now(), recovered.Records) {
-		w.lost[response.Identity] = true
+		env.lost[response.Identity] = true
 	}
 	p.dispatcher.OnEndpointUpdate(p.now(), control.Snapshot, []control.Worker{{ID: "wk-a", Weight: 1}, {ID: "wk-b", Weight: 1}})
 	p.plan = schedule.Resume(entries, recovered.LastFirings, from)
@@ -155,15 +157,15 @@
 	p.release(response.AwaitsRecord, func() { p.deliver(id, response.Kind) })
 }
 
-// deliver tells a client its final response. A rejected request of the appliance itself is retried.
+// deliver hands a response to its client. A rejected scheduled request is queued for a retry.
 func (p *crashProcess) deliver(id dispatch.Identity, kind dispatch.ResponseKind) {
 	if kind == dispatch.Rejected {
-		if p.scheduled[id] { // the time of the firing is not over
+		if p.scheduled[id] { // the deadline of the firing has not passed
 			p.retries = append(p.retries, p.requests[id])
 		}
 		return
 	}
-	p.world.answer(id, kind)
+	p.env.respond(id, kind)
 	if p.scheduled[id] {
 		p.store.ScheduledRequestDone(id)
 	}
@@ -172,11 +174,11 @@
 // SendAttempt implements dispatch.Effects.
 func (p *crashProcess) SendAttempt(attempt dispatch.Attempt) {
 	p.release(attempt.AwaitsRecord, func() {
-		p.world.inFlight = append(p.world.inFlight, attemptInFlight{p, attempt})
+		p.env.inFlight = append(p.env.inFlight, attemptInFlight{p, attempt})
 	})
 }
 
-// release lets an effect out: at the next commit if it awaits one, else at once unless the process is dead.
+// release performs an effect after the next commit if it awaits a record, else at once. A killed process has no effects.
 func (p *crashProcess) release(awaitsRecord bool, effect func()) {
 	if awaitsRecord {
 		p.afterCommit = append(p.afterCommit, effect)
@@ -205,7 +207,7 @@
 // OnRequestEnd implements dispatch.Effects.
 func (p *crashProcess) OnRequestEnd(dispatch.Response, *dispatch.Trace) {}
 
-// settle commits the records and releases the effects that awaited them, as the event loop does.
+// settle commits the records and then performs the effects that awaited them, as the event loop does.
 func (p *crashProcess) settle() {
 	for (len(p.records) > 0 || len(p.loadCommands) > 0) && !p.killed.Load() {
 		records, effects := p.records, p.afterCommit
@@ -243,23 +245,23 @@
 	p.settle()
 }
 
-// runWorkers has the workers run what has reached them. A share of the attempts stays in flight until the next time.
+// runWorkers submits the retries and has the workers execute two thirds of the attempts. The others stay in flight.
 func (p *crashProcess) runWorkers(rng *rand.Rand) {
 	retries := p.retries
 	p.retries = nil
 	for _, request := range retries {
 		p.submit(request)
 	}
-	inFlight := p.world.inFlight
-	p.world.inFlight = nil
+	inFlight := p.env.inFlight
+	p.env.inFlight = nil
 	for _, f := range inFlight {
 		if rng.IntN(3) == 0 {
-			p.world.inFlight = append(p.world.inFlight, f)
+			p.env.inFlight = append(p.env.inFlight, f)
 			continue
 		}
-		p.world.run(f.attempt.Identity)
+		p.env.run(f.attempt.Identity)
 		switch {
-		case f.from != p || p.killed.Load(): // the process that waited for the reply is dead
+		case f.from != p || p.killed.Load(): // the process that awaited the reply is dead
 		case rng.IntN(6) == 0:
 			p.dispatcher.OnAttemptReply(p.now(), f.attempt.ID, dispatch.WorkerReply{Outcome: control.ConnectionLost})
 		default:
@@ -269,13 +271,13 @@
 	}
 }
 
-// runMinute fires what is due, submits the clients' open requests, lets time pass and runs the workers.
+// runMinute advances the clock, fires due entries, submits the clients' open requests and runs the workers.
 func (p *crashProcess) runMinute(rng *rand.Rand, clients []dispatch.Request) {
 	p.clock.add(60)
 	p.fire()
 	for _, request := range clients {
-		if _, done := p.world.final[request.Identity]; !done {
-			p.world.classes[request.Identity] = request.Class
+		if _, done := p.env.final[request.Identity]; !done {
+			p.env.classes[request.Identity] = request.Class
 			p.submit(request)
 		}
 	}
@@ -287,17 +289,17 @@
 	}
 }
 
-// fire stores the firings that are due and submits their requests.
+// fire stores the due firings and submits their requests.
 func (p *crashProcess) fire() {
-	p.world.plannedTo = wallClock(p.clock.now())
+	p.env.plannedTo = wallClock(p.clock.now())
 	if p.killed.Load() {
 		return
 	}
 	var firings []storage.Firing
 	for _, f := range p.plan.Due(wallClock(p.clock.now())) {
 		request := newScheduledRequest("/own", f)
-		p.world.classes[request.Identity] = request.Class
-		p.world.due[request.Identity] = true
+		p.env.classes[request.Identity] = request.Class
+		p.env.due[request.Identity] = true
 		p.scheduled[request.Identity] = true
 		firings = append(firings, storage.Firing{Entry: f.Entry.Key(), Due: f.Due, Deadline: f.Deadline(), Request: request})
 	}
@@ -309,7 +311,7 @@
 	}
 }
 
-// close closes the store. That of a killed process closes as well: its disk still takes writes that nobody reads.
+// close closes the store. This works for a killed process as well: its disk takes writes, which are never read.
 func (p *crashProcess) close(t *testing.T) {
 	t.Helper()
 	if err := p.store.Close(); err != nil {
--- a/internal/appliance/crash_test.go
+++ b/internal/appliance/crash_test.go
@@ -17,18 +17,18 @@
 	"streamcleat/internal/schedule"
 )
 
-var campaignSeeds = flag.Int("campaign", 2, "seeds of the crash campaign, each with every write")
+var campaignSeeds = flag.Int("campaign", 2, "number of seeds of the crash campaign")
 
-// crashRun kills the process at one write, restarts it, and lets everything come to its end.
+// crashRun is one run of a process that is killed at one write and restarted, until all requests have ended.
 type crashRun struct {
-	killAt int64 // number of the write; 0 for none
+	killAt int64 // number of the write; 0: never
 	seed   uint64
 
-	world   *outsideWorld
+	env     *environment
 	rng     *rand.Rand
 	clock   *machineClock
-	disk    *vfs.MemFS // what the first process writes to
-	crashed *vfs.MemFS // what the restart finds
+	disk    *vfs.MemFS // the disk of the first process
+	crashed *vfs.MemFS // the disk after the crash
 	writes  atomic.Int64
 	killed  atomic.Bool
 	entries []schedule.Entry
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	r := &crashRun{
-		killAt: killAt, seed: seed, world: newOutsideWorld(), rng: rand.New(rand.NewPCG(seed, 11)),
+		killAt: killAt, seed: seed, env: newEnvironment(), rng: rand.New(rand.NewPCG(seed, 11)),
 		clock: &machineClock{}, disk: vfs.NewCrashableMem(), entries: entries, from: wallClock(0),
 	}
 	for i := range 12 {
@@ -56,7 +56,7 @@
 	return r
 }
 
-// onOperation takes the disk away at the write at which the process is killed.
+// onOperation clones the disk and kills the process at the write number killAt.
 func (r *crashRun) onOperation(op errorfs.Op) error {
 	if op.Kind.ReadOrWrite() == errorfs.OpIsWrite && r.writes.Add(1) == r.killAt {
 		r.crashed = r.disk.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: int(r.seed%3) * 50, RNG: rand.New(rand.NewPCG(r.seed, 12))})
@@ -67,10 +67,10 @@
 
 func (r *crashRun) start(t *testing.T, fs vfs.FS) {
 	t.Helper()
-	r.process = startProcess(t, r.world, fs, r.clock, &r.killed, r.entries, r.from)
+	r.process = startProcess(t, r.env, fs, r.clock, &r.killed, r.entries, r.from)
 }
 
-// restart starts the process anew if it was killed.
+// restart starts a new process on the crashed disk if the process was killed.
 func (r *crashRun) restart(t *testing.T) {
 	t.Helper()
 	if !r.killed.Load() {
@@ -83,7 +83,7 @@
 	r.start(t, r.crashed)
 }
 
-// finish runs until everything in flight has come to its end.
+// finish runs long enough for all requests in flight to end.
 func (r *crashRun) finish(t *testing.T) {
 	t.Helper()
 	for range 30 {
@@ -98,7 +98,7 @@
 	}
 }
 
-// play runs nine minutes and submits again what has no final answer after them.
+// play runs nine minutes. Then it retries the clients' requests that have no final response.
 func (r *crashRun) play(t *testing.T) {
 	t.Helper()
 	r.start(t, errorfs.Wrap(r.disk, errorfs.InjectorFunc(r.onOperation)))
@@ -108,7 +108,7 @@
 	}
 	r.finish(t)
 	for _, request := range r.clients {
-		if _, done := r.world.final[request.Identity]; !done {
+		if _, done := r.env.final[request.Identity]; !done {
 			r.restart(t)
 			r.process.submit(request)
 			r.finish(t)
@@ -117,38 +117,39 @@
 	r.restart(t)
 }
 
-// check fails the test if a request ran twice that must not, or has no final answer.
+// check fails the test if a request was executed twice against its semantics, or has no final response.
 func (r *crashRun) check(t *testing.T) {
 	t.Helper()
 	where := fmt.Sprintf("killed at write %d, seed %d", r.killAt, r.seed)
-	if r.world.violation != "" {
-		t.Fatalf("%s: %s", where, r.world.violation)
+	if r.env.violation != "" {
+		t.Fatalf("%s: %s", where, r.env.violation)
 	}
 	for _, request := range r.clients {
-		if _, done := r.world.final[request.Identity]; !done {
-			t.Fatalf("%s: %v has no final answer", where, request.Identity)
+		if _, done := r.env.final[request.Identity]; !done {
+			t.Fatalf("%s: %v has no final response", where, request.Identity)
 		}
 	}
-	// No minute may be missing, also one that came due while the process was down.
-	for minute := r.from.Truncate(time.Minute).Add(time.Minute); !minute.After(r.world.plannedTo); minute = minute.Add(time.Minute) {
+	// Every minute must have fired, including those that were due while the process was down.
+	for minute := r.from.Truncate(time.Minute).Add(time.Minute); !minute.After(r.env.plannedTo); minute = minute.Add(time.Minute) {
 		for i := range r.entries {
 			r.checkFiring(t, where, dispatch.Identity{Source: "/own", ID: schedule.FiringID(&r.entries[i], minute)})
 		}
 	}
 }
 
+// checkFiring fails the test if a firing was lost: never stored, or neither executed nor reported as failed.
 func (r *crashRun) checkFiring(t *testing.T, where string, id dispatch.Identity) {
 	t.Helper()
-	w := r.world
-	if _, done := w.final[id]; !w.due[id] && w.runs[id] == 0 && !done {
+	env := r.env
+	if _, done := env.final[id]; !env.due[id] && env.runs[id] == 0 && !done {
 		t.Fatalf("%s: minute %v never fired", where, id)
 	}
-	if w.runs[id] == 0 && w.final[id] != dispatch.Failed {
-		t.Fatalf("%s: minute %v never ran, and nobody was told: final %v", where, id, w.final)
+	if env.runs[id] == 0 && env.final[id] != dispatch.Failed {
+		t.Fatalf("%s: minute %v never ran and was not reported as failed: final %v", where, id, env.final)
 	}
 }
 
-// runCrash plays and checks one run and returns how many writes it made.
+// runCrash plays and checks one run and returns the number of its writes.
 func runCrash(t *testing.T, killAt int64, seed uint64) int64 {
 	t.Helper()
 	r := newCrashRun(t, killAt, seed)
@@ -158,8 +159,8 @@
 	return r.writes.Load()
 }
 
-// TestCrashCampaign kills the process at each write of its run: no effect twice, every client gets its final answer, no
-// minute of a schedule is lost or run twice. -campaign N makes it longer.
+// TestCrashCampaign kills the process at each write of its run. No request may be executed twice against its semantics,
+// every client must get a final response, and no minute of a schedule may be lost. -campaign sets the number of seeds.
 func TestCrashCampaign(t *testing.T) {
 	total, runs := int64(0), 0
 	for seed := range uint64(*campaignSeeds) {
@@ -170,8 +171,8 @@
 		}
 		total += writes
 	}
-	t.Logf("%d writes, killed at each: %d runs", total, runs)
+	t.Logf("%d writes, %d runs killed at one of them", total, runs)
 	if total < 100 {
-		t.Errorf("only %d writes: the run does too little", total)
+		t.Errorf("%d writes, want at least 100", total)
 	}
 }
--- a/internal/appliance/function_registry_test.go
+++ b/internal/appliance/function_registry_test.go
@@ -25,13 +25,13 @@
 	"streamcleat/internal/verification/invariants"
 )
 
-// version returns the name and the digest of the version with a number.
+// version returns the name and the digest of version n.
 func version(n int) (string, digest.Digest) {
 	name := fmt.Sprintf("1.%d", n)
 	return name, digest.FromString(name)
 }
 
-// change makes a change of the registry that must succeed.
+// change makes a change of the registry and fails the test if it is rejected.
 func (r *testAppliance) change(document string) {
 	r.t.Helper()
 	if status, body := r.post("registry", document); status != http.StatusOK {
@@ -39,14 +39,14 @@
 	}
 }
 
-// publish publishes the version with a number.
+// publish publishes version n.
 func (r *testAppliance) publish(n int) {
 	r.t.Helper()
 	name, d := version(n)
 	r.change(fmt.Sprintf(`{"who":"test","publish":{"function":"tally","version":%q,"digest":%q}}`, name, d))
 }
 
-// publishTwo publishes the first two versions and moves the alias "current" to the first.
+// publishTwo publishes versions 0 and 1 and moves the alias "current" to version 0.
 func (r *testAppliance) publishTwo() {
 	r.t.Helper()
 	r.publish(0)
@@ -54,7 +54,7 @@
 	r.alias(0)
 }
 
-// alias moves the alias "current" to the version with a number.
+// alias moves the alias "current" to version n.
 func (r *testAppliance) alias(n int) {
 	r.t.Helper()
 	_, d := version(n)
@@ -62,20 +62,21 @@
 }
 
 // sendRecorded sends a request and records it for the invariants.
-func (r *testAppliance) sendRecorded(tape *invariants.Recorder, class, function, id string) schedule.Result {
-	record := invariants.Record{Kind: invariants.RequestSent, RequestID: "/t#" + id, Class: class, CallID: tape.NextCallID(), Timeout: 1.5}
-	tape.Add(record)
+func (r *testAppliance) sendRecorded(recorder *invariants.Recorder, class, function, id string) schedule.Result {
+	record := invariants.Record{Kind: invariants.RequestSent, RequestID: "/t#" + id, Class: class, CallID: recorder.NextCallID(), Timeout: 1.5}
+	recorder.Add(record)
 	result := r.send(class, function, id)
 	record.Kind, record.Status, record.Digest = invariants.ResponseReceived, result.Status, result.Digest
 	record.Outcome = map[int]string{200: invariants.Succeeded, 503: invariants.Rejected, 502: invariants.Failed, 504: invariants.Failed}[result.Status]
-	tape.Add(record)
+	recorder.Add(record)
 	return result
 }
 
-// Fifty moves of an alias under steady load: every response names the version that ran its request, also a retry's.
-func TestFiftyAliasMovesUnderLoad(t *testing.T) {
-	tape := invariants.NewRecorder()
-	r := newTestAppliance(t, 3, "", tape)
+// An alias moves fifty times under steady load. Every response names the version that executed the request, and a retry
+// gets the version of the first attempt.
+func TestAliasUpdate_UnderLoadKeepsVersionOfRetries(t *testing.T) {
+	recorder := invariants.NewRecorder()
+	r := newTestAppliance(t, 3, "", recorder)
 	r.start()
 	for n := range 4 {
 		r.publish(n)
@@ -84,17 +85,17 @@
 	ctx, stop := context.WithCancel(context.Background())
 	var clients sync.WaitGroup
 	var mu sync.Mutex
-	versions, status := map[string]int{}, map[int]int{}
-	for till := range 6 {
+	versions, statuses := map[string]int{}, map[int]int{}
+	for client := range 6 {
 		clients.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
-				kind, id := []string{"again", "once"}[n%2], fmt.Sprintf("%d-%d", till, n)
-				o := r.sendRecorded(tape, kind, "tally", id)
+				class, id := []string{"again", "once"}[n%2], fmt.Sprintf("%d-%d", client, n)
+				o := r.sendRecorded(recorder, class, "tally", id)
 				mu.Lock()
 				versions[o.Digest]++
-				status[o.Status]++
+				statuses[o.Status]++
 				mu.Unlock()
-				if again := r.sendRecorded(tape, kind, "tally", id); o.Status == 200 && (again.Status != 200 || again.Digest != o.Digest) {
+				if again := r.sendRecorded(recorder, class, "tally", id); o.Status == 200 && (again.Status != 200 || again.Digest != o.Digest) {
 					t.Errorf("%s: first %d of %s, its retry %d of %s", id, o.Status, o.Digest, again.Status, again.Digest)
 				}
 			}
@@ -106,58 +107,58 @@
 	}
 	stop()
 	clients.Wait()
-	v := invariants.Check(invariants.Rules{Semantics: map[string]string{"again": "redeliverable", "once": "at-most-once"}, ObservationDelay: 0.15}, tape.Records())
+	v := invariants.Check(invariants.Rules{Semantics: map[string]string{"again": "redeliverable", "once": "at-most-once"}, ObservationDelay: 0.15}, recorder.Records())
 	if v.RulesBroken > 0 || v.Succeeded < 200 || len(versions) < 4 {
-		t.Errorf("%d versions responded, %v; %+v", len(versions), status, v)
+		t.Errorf("%d versions responded, %v; %+v", len(versions), statuses, v)
 	}
-	t.Logf("%d requests succeeded on %d versions over 50 moves, %v", v.Succeeded, len(versions), status)
+	t.Logf("%d requests succeeded on %d versions over 50 moves, %v", v.Succeeded, len(versions), statuses)
 }
 
-func TestWrongDigestNeverRunsOrResponds(t *testing.T) {
-	tape := invariants.NewRecorder()
-	r := newTestAppliance(t, 1, "", tape)
+func TestWrongDigest_NeverRunsOrResponds(t *testing.T) {
+	recorder := invariants.NewRecorder()
+	r := newTestAppliance(t, 1, "", recorder)
 	r.start()
 	r.publishTwo()
 	_, d0 := version(0)
-	if o := r.sendRecorded(tape, "once", "tally", "fine"); o.Status != 200 || o.Digest != string(d0) {
+	if o := r.sendRecorded(recorder, "once", "tally", "fine"); o.Status != 200 || o.Digest != string(d0) {
 		t.Fatalf("%+v", o)
 	}
-	// The artifact store returns other content: the worker discards it, and the request never runs.
+	// The artifact store returns other content: the worker discards it, and the request is not executed.
 	r.inject(0, fakes.Fault{Kind: "wrong-digest"})
 	r.alias(1)
-	if o := r.sendRecorded(tape, "once", "tally", "thrown-away"); o.Status != 503 {
-		t.Errorf("with a replica that can't be loaded: status %d", o.Status)
+	if o := r.sendRecorded(recorder, "once", "tally", "thrown-away"); o.Status != 503 {
+		t.Errorf("replica can't be loaded: status %d", o.Status)
 	}
-	r.alias(0) // back within a second: what was loaded before still serves
-	if o := r.sendRecorded(tape, "once", "tally", "back"); o.Status != 200 || o.Digest != string(d0) {
+	r.alias(0) // the replica of version 0 is still loaded
+	if o := r.sendRecorded(recorder, "once", "tally", "back"); o.Status != 200 || o.Digest != string(d0) {
 		t.Errorf("%+v", o)
 	}
-	// A worker that runs another version than it was asked for: its response is not forwarded.
+	// The worker executes another version than requested: its response is not forwarded.
 	r.inject(0, fakes.Fault{Kind: "wrong-digest", Duration: 1e-9})
 	r.inject(0, fakes.Fault{Kind: "liar"})
-	if o := r.sendRecorded(tape, "once", "tally", "lied"); o.Status != 502 {
-		t.Errorf("a lying worker: status %d", o.Status)
+	if o := r.sendRecorded(recorder, "once", "tally", "lied"); o.Status != 502 {
+		t.Errorf("worker reports a wrong digest: status %d", o.Status)
 	}
-	if o := r.sendRecorded(tape, "again", "tally:nothing", "unknown"); o.Status != 422 {
-		t.Errorf("an alias that does not exist: status %d", o.Status)
+	if o := r.sendRecorded(recorder, "again", "tally:nothing", "unknown"); o.Status != 422 {
+		t.Errorf("unknown alias: status %d", o.Status)
 	}
-	if o := r.sendRecorded(tape, "again", "tally@"+string(d0), "pinned"); o.Status == 422 {
-		t.Error("a pinned digest is not known")
+	if o := r.sendRecorded(recorder, "again", "tally@"+string(d0), "pinned"); o.Status == 422 {
+		t.Error("a pinned digest is rejected as unknown")
 	}
-	for _, rec := range tape.Records() {
+	for _, rec := range recorder.Records() {
 		if rec.Kind == invariants.Executed && rec.RequestID == "/t#thrown-away" {
-			t.Error("a replica with the wrong digest ran")
+			t.Error("a replica with the wrong digest executed a request")
 		}
 	}
-	if v := invariants.Check(invariants.Rules{Semantics: map[string]string{"again": "redeliverable", "once": "at-most-once"}, ObservationDelay: 0.15}, tape.Records()); v.VersionMismatches > 0 || v.DuplicateExecutions > 0 {
+	if v := invariants.Check(invariants.Rules{Semantics: map[string]string{"again": "redeliverable", "once": "at-most-once"}, ObservationDelay: 0.15}, recorder.Records()); v.VersionMismatches > 0 || v.DuplicateExecutions > 0 {
 		t.Errorf("%v", v.Violations)
 	}
 }
 
-// A rollout continues after a restart, and one whose version fails is rolled back.
-func TestRolloutContinuesAfterRestartAndRollsBack(t *testing.T) {
-	tape := invariants.NewRecorder()
-	r := newTestAppliance(t, 2, "", tape)
+// A rollout continues after a restart, and is rolled back if its version fails.
+func TestRollout_ContinuesAfterRestartAndRollsBack(t *testing.T) {
+	recorder := invariants.NewRecorder()
+	r := newTestAppliance(t, 2, "", recorder)
 	r.start()
 	r.publishTwo()
 	_, d0 := version(0)
@@ -165,30 +166,30 @@
 	r.change(fmt.Sprintf(`{"who":"test","rollout":{"function":"tally","alias":"current","to":%q,"steps":[0.5],"hold_s":100,"least":5,"most_bad":0.2}}`, d1))
 	seen := map[string]int{}
 	for n := range 30 {
-		seen[r.sendRecorded(tape, "again", "tally", fmt.Sprint("a", n)).Digest]++
+		seen[r.sendRecorded(recorder, "again", "tally", fmt.Sprint("a", n)).Digest]++
 	}
 	if seen[string(d0)] == 0 || seen[string(d1)] == 0 {
-		t.Errorf("half of the requests are meant to run on the new version: %v", seen)
+		t.Errorf("want half of the requests on the new version: %v", seen)
 	}
-	first := r.sendRecorded(tape, "once", "tally", "kept")
+	first := r.sendRecorded(recorder, "once", "tally", "kept")
 	r.stop()
 	r.awaitEnd()
 	r.start()
-	if again := r.sendRecorded(tape, "once", "tally", "kept"); again.Status != first.Status || again.Digest != first.Digest {
-		t.Errorf("a retry after the restart: %+v, first %+v", again, first)
+	if again := r.sendRecorded(recorder, "once", "tally", "kept"); again.Status != first.Status || again.Digest != first.Digest {
+		t.Errorf("retry after the restart: %+v, first attempt %+v", again, first)
 	}
 	var list []registry.View
 	r.get("registry", &list)
 	if len(list) != 1 || len(list[0].Rollouts) != 1 || len(list[0].Versions) != 2 {
 		t.Fatalf("%+v", list)
 	}
-	for w := range r.workers { // the new version fails wherever it runs
+	for w := range r.workers { // the new version fails on every worker
 		r.inject(w, fakes.Fault{Kind: "errors-of", Digest: string(d1)})
 	}
 	n := 0
-	r.eventually("the rollout went back", func() bool {
+	r.eventually("the rollout is rolled back", func() bool {
 		n++
-		r.sendRecorded(tape, "again", "tally", fmt.Sprint("b", n))
+		r.sendRecorded(recorder, "again", "tally", fmt.Sprint("b", n))
 		list = nil
 		r.get("registry", &list)
 		return len(list[0].Rollouts) == 0 && list[0].Aliases["current"] == d0
@@ -201,34 +202,34 @@
 }
 
 // A release moves each alias only when a replica of the new version is loaded, and loads no version twice.
-func TestPacedRelease(t *testing.T) {
-	tape := invariants.NewRecorder()
-	r := newTestAppliance(t, 2, "", tape)
+func TestRelease_MovesAliasOnceLoaded(t *testing.T) {
+	recorder := invariants.NewRecorder()
+	r := newTestAppliance(t, 2, "", recorder)
 	r.start()
 	r.publishTwo()
-	if o := r.sendRecorded(tape, "again", "tally", "before"); o.Status != 200 {
+	if o := r.sendRecorded(recorder, "again", "tally", "before"); o.Status != 200 {
 		t.Fatal(o)
 	}
 	r.change(`{"who":"test","release":{"alias":"current","tag":"1.1","loads":2}}`)
 	_, d1 := version(1)
 	var list []registry.View
-	r.eventually("the alias moved", func() bool {
+	r.eventually("the alias is moved", func() bool {
 		list = nil
 		r.get("registry", &list)
 		return list[0].Aliases["current"] == d1
 	})
-	began := time.Now()
-	if o := r.sendRecorded(tape, "again", "tally", "after"); o.Status != 200 || o.Digest != string(d1) {
-		t.Errorf("%+v after %v", o, time.Since(began))
+	start := time.Now()
+	if o := r.sendRecorded(recorder, "again", "tally", "after"); o.Status != 200 || o.Digest != string(d1) {
+		t.Errorf("%+v after %v", o, time.Since(start))
 	}
-	ordered := 0
-	for _, rec := range tape.Records() {
+	loads := 0
+	for _, rec := range recorder.Records() {
 		if rec.Kind == invariants.LoadCommanded {
-			ordered++
+			loads++
 		}
 	}
-	if ordered > 3 {
-		t.Errorf("%d load commands for two versions", ordered)
+	if loads > 3 {
+		t.Errorf("%d load commands for two versions", loads)
 	}
 }
 
@@ -239,9 +240,9 @@
 	private map[string][]byte // by the id of the key
 }
 
-func newSignedRegistry(t *testing.T, tape *invariants.Recorder, keys ...string) *signedRegistry {
+func newSignedRegistry(t *testing.T, recorder *invariants.Recorder, keys ...string) *signedRegistry {
 	t.Helper()
-	s := &signedRegistry{testAppliance: newTestAppliance(t, 1, "", tape), keyring: signing.Ring{Threshold: 1}, private: map[string][]byte{}}
+	s := &signedRegistry{testAppliance: newTestAppliance(t, 1, "", recorder), keyring: signing.Ring{Threshold: 1}, private: map[string][]byte{}}
 	s.extraConfig = `"handlers":{"keys":"keys.json"},`
 	for i, id := range keys {
 		seed := make([]byte, 32)
@@ -266,8 +267,8 @@
 	s.writeFile("keys.json", string(data))
 }
 
-// publishSigned publishes a version that claims to be signed by the first key, with the signature of a key or none. It
-// returns the status of the response.
+// publishSigned publishes version n with the signature of a key, or unsigned if key is empty. The change claims to be
+// signed by the first key. publishSigned returns the HTTP status.
 func (s *signedRegistry) publishSigned(n int, key string) int {
 	s.t.Helper()
 	name, d := version(n)
@@ -287,11 +288,11 @@
 	return status
 }
 
-// With a keyring only signed versions are published. What a revoked key has signed is withdrawn, and what a retired one
-// has signed stays.
-func TestKeysSignVersions(t *testing.T) {
-	tape := invariants.NewRecorder()
-	r := newSignedRegistry(t, tape, "first", "second")
+// With a keyring only signed versions are published. Versions signed by a revoked key are withdrawn, those signed by a
+// retired key stay.
+func TestKeyring_RejectsUnsignedAndWithdrawsRevoked(t *testing.T) {
+	recorder := invariants.NewRecorder()
+	r := newSignedRegistry(t, recorder, "first", "second")
 	r.start()
 	if r.publishSigned(0, "") == 200 {
 		t.Error("published without a signature")
@@ -301,30 +302,30 @@
 	}
 	r.alias(1)
 	r.alias(0)
-	if o := r.sendRecorded(tape, "again", "tally", "signed"); o.Status != 200 {
+	if o := r.sendRecorded(recorder, "again", "tally", "signed"); o.Status != 200 {
 		t.Errorf("%+v", o)
 	}
-	r.keyring.Keys[1].ValidUntil = time.Now().Add(-time.Second) // retired: it signs nothing new
+	r.keyring.Keys[1].ValidUntil = time.Now().Add(-time.Second) // retired: no longer valid for new versions
 	r.keyring.Keys[0].Revoked = true
 	r.writeKeyring()
 	_, d1 := version(1)
-	r.eventually("the alias left the version of the revoked key", func() bool {
+	r.eventually("the version of the revoked key is withdrawn", func() bool {
 		var list []registry.View
 		r.get("registry", &list)
 		return list[0].Aliases["current"] == d1 && list[0].Versions[0].Withdrawn && !list[0].Versions[1].Withdrawn
 	})
-	if o := r.sendRecorded(tape, "again", "tally", "after"); o.Status != 200 || o.Digest != string(d1) {
+	if o := r.sendRecorded(recorder, "again", "tally", "after"); o.Status != 200 || o.Digest != string(d1) {
 		t.Errorf("%+v", o)
 	}
 	if r.publishSigned(2, "second") == 200 {
-		t.Error("a retired key signed something new")
+		t.Error("a version signed by a retired key was published")
 	}
 }
 
-// A retry that comes to the other front end keeps the version of its first attempt.
-func TestRetryAtOtherFrontEndKeepsVersion(t *testing.T) {
-	tape := invariants.NewRecorder()
-	r := newTestAppliance(t, 2, "", tape)
+// A retry at the other front end runs on the version of the first attempt.
+func TestRetry_AtOtherFrontEndKeepsVersion(t *testing.T) {
+	recorder := invariants.NewRecorder()
+	r := newTestAppliance(t, 2, "", recorder)
 	r.listen = `["127.0.0.1:0","localhost:0"]`
 	r.start()
 	r.publish(0)
@@ -332,17 +333,17 @@
 	for n := range 10 {
 		r.alias(0)
 		r.address = r.addresses[0]
-		first := r.sendRecorded(tape, "again", "tally", strconv.Itoa(n))
+		first := r.sendRecorded(recorder, "again", "tally", strconv.Itoa(n))
 		r.alias(1)
 		r.address = r.addresses[1]
-		if again := r.sendRecorded(tape, "again", "tally", strconv.Itoa(n)); first.Status != 200 || again.Status != 200 || again.Digest != first.Digest {
-			t.Fatalf("%d: first %+v, again %+v", n, first, again)
+		if again := r.sendRecorded(recorder, "again", "tally", strconv.Itoa(n)); first.Status != 200 || again.Status != 200 || again.Digest != first.Digest {
+			t.Fatalf("%d: first %+v, retry %+v", n, first, again)
 		}
 	}
 }
 
-// A revocation that can't be stored is tried again.
-func TestRevocationIsRetried(t *testing.T) {
+// A revocation that can't be stored is retried by the next reload.
+func TestReloadKeys_RetriesRevocationNotStored(t *testing.T) {
 	dir := t.TempDir()
 	private, k, err := signing.NewKey("only", make([]byte, 32))
 	if err != nil {
@@ -350,6 +351,7 @@
 	}
 	path := filepath.Join(dir, "keys.json")
 	write := func() {
+		t.Helper()
 		data, _ := json.Marshal(signing.Ring{Threshold: 1, Keys: []signing.Key{k}})
 		if err := os.WriteFile(path, data, 0o644); err != nil {
 			t.Fatal(err)
@@ -383,7 +385,7 @@
 	write()
 	for range 2 {
 		if err := g.reloadKeys(path, log); err == nil {
-			t.Error("the version stays, and there is no error")
+			t.Error("no error, though the withdrawal was not stored")
 		}
 	}
 }
--- a/internal/appliance/harness_test.go
+++ b/internal/appliance/harness_test.go
@@ -22,18 +22,18 @@
 	"streamcleat/internal/verification/invariants"
 )
 
-// clientTimeout is how long the clients of the tests wait for a response.
+// clientTimeout is the deadline of the test clients' requests.
 const clientTimeout = 1500 * time.Millisecond
 
-// testAppliance is an appliance in this process, with fake workers.
+// testAppliance runs an appliance in the test process, with fake workers.
 type testAppliance struct {
 	t             *testing.T
 	dir           string
 	workers       []*fakes.Worker
-	address       string // of the first front end
+	address       string // of the front end that send uses; the first one after start
 	addresses     []string
 	listen        string // JSON list of addresses; empty for one front end
-	extraConfig   string // members of the configuration, each followed by a comma
+	extraConfig   string // further members of the configuration, each followed by a comma
 	console       http.Client
 	stop          context.CancelFunc
 	immediateStop chan struct{}
@@ -41,7 +41,7 @@
 	log           *logBuffer
 }
 
-// logBuffer collects a log that is read while it is written.
+// logBuffer collects log output. It is safe for concurrent use.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -62,9 +62,9 @@
 
 func (b *logBuffer) contains(text string) bool { return strings.Contains(b.String(), text) }
 
-// newTestAppliance prepares the folder and the workers of an appliance. The workers record what they run on the tape,
+// newTestAppliance prepares the folder of an appliance and starts its workers. The workers record executions in recorder,
 // which may be nil.
-func newTestAppliance(t *testing.T, workers int, crontab string, tape *invariants.Recorder) *testAppliance {
+func newTestAppliance(t *testing.T, workers int, crontab string, recorder *invariants.Recorder) *testAppliance {
 	t.Helper()
 	r := &testAppliance{t: t, dir: t.TempDir()}
 	functions := []fakes.Function{{Name: "tally", MemoryMB: 100, Concurrency: 4, FetchTime: 0.02, StartTime: 0.01, MeanWork: 0.03}}
@@ -72,7 +72,7 @@
 		w, err := fakes.NewWorker(fakes.WorkerConfig{
 			Name: fmt.Sprintf("wk-%d", i), Cores: 4, Speed: 1, Memory: 1000, QueueLimit: 50, MaxConcurrentLoads: 4,
 			IdleReplicaLifetime: 20, Functions: functions, Store: fakes.NewStore(8, 32), MeanWork: 0.03, Seed: uint64(i),
-			Recorder: tape,
+			Recorder: recorder,
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -80,7 +80,7 @@
 		t.Cleanup(w.Close)
 		r.workers = append(r.workers, w)
 	}
-	if _, err := fakes.NewEndpointList(filepath.Join(r.dir, "workers.json"), tape, r.workers); err != nil {
+	if _, err := fakes.NewEndpointList(filepath.Join(r.dir, "workers.json"), recorder, r.workers); err != nil {
 		t.Fatal(err)
 	}
 	r.writeFile("crontab", crontab)
@@ -110,7 +110,7 @@
 	return c
 }
 
-// start runs the appliance and waits until it serves.
+// start starts the appliance and waits until it serves.
 func (r *testAppliance) start() {
 	r.t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
@@ -128,7 +128,7 @@
 	case r.addresses = <-ready:
 		r.address = r.addresses[0]
 	case err := <-r.result:
-		r.t.Fatal("the appliance ended: ", err)
+		r.t.Fatal("the appliance ended during startup: ", err)
 	}
 	r.t.Cleanup(stop)
 	for r.status().State != "serving" {
@@ -136,7 +136,7 @@
 	}
 }
 
-// awaitEnd waits until the appliance has ended in order.
+// awaitEnd waits until Run has returned without an error.
 func (r *testAppliance) awaitEnd() {
 	r.t.Helper()
 	select {
@@ -145,7 +145,7 @@
 			r.t.Fatal(err)
 		}
 	case <-time.After(15 * time.Second):
-		r.t.Fatal("the appliance does not end")
+		r.t.Fatal("the appliance has not ended after 15 s")
 	}
 }
 
@@ -155,7 +155,7 @@
 	return s
 }
 
-// get reads a resource of the console's API.
+// get reads a resource of the admin API.
 func (r *testAppliance) get(resource string, into any) {
 	r.t.Helper()
 	response, err := r.console.Get("http://box/v1/" + resource)
@@ -167,7 +167,7 @@
 	}
 }
 
-// post sends a document to the console's API and returns the status and the body of the response.
+// post sends a document to the admin API and returns the status and body of the response.
 func (r *testAppliance) post(resource, document string) (int, string) {
 	r.t.Helper()
 	response, err := r.console.Post("http://box/v1/"+resource, "application/json", strings.NewReader(document))
@@ -181,13 +181,13 @@
 	return response.StatusCode, string(body)
 }
 
-// command gives a command of the console.
+// command sends a console command.
 func (r *testAppliance) command(document string) (int, string) {
 	r.t.Helper()
 	return r.post("orders", document)
 }
 
-// mustCommand gives a command that must succeed.
+// mustCommand sends a console command and fails the test if it is rejected.
 func (r *testAppliance) mustCommand(document string) {
 	r.t.Helper()
 	if status, body := r.command(document); status != http.StatusOK {
@@ -195,7 +195,7 @@
 	}
 }
 
-// inject makes a fault in a worker.
+// inject injects a fault into a worker.
 func (r *testAppliance) inject(worker int, fault fakes.Fault) {
 	r.t.Helper()
 	if err := r.workers[worker].Inject(fault); err != nil {
@@ -203,17 +203,19 @@
 	}
 }
 
-// send sends a request of a class to the first front end.
+// send sends a request to the front end at r.address.
 func (r *testAppliance) send(class, function, id string) schedule.Result {
 	c := &schedule.Client{Source: "/t", FrontEnds: []string{r.address}, HTTP: &http.Client{Transport: &http.Transport{}}, DefaultTimeout: clientTimeout}
 	return c.Fire(context.Background(), schedule.Firing{Entry: &schedule.Entry{Class: class, Function: function}, ID: id})
 }
 
-// sendAgain sends a request that may run again.
-func (r *testAppliance) sendAgain(id string) schedule.Result { return r.send("again", "tally", id) }
+// sendIdempotent sends a request of the idempotent class "again".
+func (r *testAppliance) sendIdempotent(id string) schedule.Result {
+	return r.send("again", "tally", id)
+}
 
-// eventually waits until a condition holds.
-func (r *testAppliance) eventually(what string, holds func() bool) {
+// eventually polls until a condition holds. It fails the test after 5 seconds.
+func (r *testAppliance) eventually(condition string, holds func() bool) {
 	r.t.Helper()
 	for range 500 {
 		if holds() {
@@ -221,5 +223,5 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	r.t.Fatalf("not so after 5 s: %s\n%s", what, r.log)
+	r.t.Fatalf("not so after 5 s: %s\n%s", condition, r.log)
 }
--- a/internal/appliance/lifecycle_test.go
+++ b/internal/appliance/lifecycle_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestOrderedStop(t *testing.T) {
+func TestLifecycle_GracefulShutdown(t *testing.T) {
 	var l Lifecycle
 	var actions []Action
 	for _, event := range []LifecycleEvent{StoreOpened, StateRecovered, StopRequested, StopRequested, RequestsDrained, DrainTimeout, RequestsTerminated, StoreClosed, ImmediateStopRequested} {
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestStopDuringRecoveryWaitsForIt(t *testing.T) {
+func TestLifecycle_StopDuringRecoveryIsDeferred(t *testing.T) {
 	var l Lifecycle
 	l.Handle(StoreOpened, "")
 	if actions := l.Handle(StopRequested, "early"); len(actions) != 0 || l.State != Recovering {
@@ -30,14 +30,14 @@
 	}
 }
 
-// lifecycleRun applies random events and checks that no response is skipped.
+// lifecycleRun applies events and checks that the process does not exit with requests unanswered.
 type lifecycleRun struct {
 	seed      uint64
 	lifecycle Lifecycle
 	executed  map[Action]int
 }
 
-// handle applies an event, unless it is one that only follows an action which was not asked for.
+// handle applies an event, unless it reports the end of an action that has not been requested.
 func (r *lifecycleRun) handle(t *testing.T, event LifecycleEvent) {
 	t.Helper()
 	if event == RequestsTerminated && r.executed[TerminateRequests] == 0 || event == StoreClosed && r.executed[CloseStore] == 0 {
@@ -48,19 +48,19 @@
 		r.executed[action]++
 		responded, closed := r.executed[TerminateRequests] > 0, r.executed[CloseStore] > 0
 		if action == Exit && r.executed[Recover] > 0 && (!responded || !closed) {
-			t.Fatalf("seed %d: exited without the responses", r.seed)
+			t.Fatalf("seed %d: exited before the responses were sent", r.seed)
 		}
 		if action == CloseStore && !responded {
-			t.Fatalf("seed %d: the store was closed before the responses", r.seed)
+			t.Fatalf("seed %d: the store was closed before the responses were sent", r.seed)
 		}
 	}
 	if r.lifecycle.State < before {
-		t.Fatalf("seed %d: went back from %s to %s", r.seed, before, r.lifecycle.State)
+		t.Fatalf("seed %d: transition back from %s to %s", r.seed, before, r.lifecycle.State)
 	}
 }
 
-// Whatever happens in whatever order: no response is skipped, and no action is executed twice.
-func TestNoResponseIsSkipped(t *testing.T) {
+// For random events in random order, no response is skipped and no action is executed twice.
+func TestLifecycle_RandomEventsSkipNoResponse(t *testing.T) {
 	for seed := range uint64(2000) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		r := lifecycleRun{seed: seed, executed: map[Action]int{}}
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestAllows(t *testing.T) {
+func TestLifecycle_Allows(t *testing.T) {
 	l := Lifecycle{State: Draining}
 	if err := l.Allows("stop"); err != nil {
 		t.Error(err)
--- a/internal/appliance/task_scheduler_test.go
+++ b/internal/appliance/task_scheduler_test.go
@@ -7,12 +7,12 @@
 	"testing"
 )
 
-func TestTasksByPriorityTimeShareAndDelay(t *testing.T) {
+func TestTaskScheduler_PriorityTimeFractionAndDelay(t *testing.T) {
 	s := NewTaskScheduler(0, BackgroundTask{Name: "low", Interval: 1, Priority: 1, SliceDuration: 0.1, MaxDelay: 20},
 		BackgroundTask{Name: "high", Interval: 1, Priority: 2, SliceDuration: 0.1, MaxTimeFraction: 0.01, MaxDelay: 60},
 		BackgroundTask{Name: "urgent", Priority: 0, SliceDuration: 0.1, Urgent: true})
 	if name, _ := s.Next(0.5, 0); name != "" {
-		t.Fatal("early", name)
+		t.Fatal("task runs before it is due:", name)
 	}
 	s.Request(1.5, "urgent")
 	for _, want := range []string{"high", "low", "urgent"} {
@@ -25,21 +25,21 @@
 		}
 		s.Done(2, name, 0.5, false, nil)
 	}
-	// high has used half a second of the 0.6 that it may within a minute; one more and it waits.
+	// high has used 0.5 s of its 0.6 s per minute; after another slice of 0.5 s it exceeds its fraction.
 	name, _ := s.Next(4, 0)
 	s.Done(4, name, 0.5, true, nil)
 	if name, _ := s.Next(4.1, 0); name != "low" {
-		t.Fatalf("%s exceeds its share of time", name)
+		t.Fatalf("%s runs, want low: high exceeds its time fraction", name)
 	}
 	s.Done(4.1, "low", 0.1, false, nil)
-	// Under load only what is urgent runs, until the maximum delay is over.
+	// Under load only urgent tasks run, until the maximum delay of another one has passed.
 	for now := 6.0; now < 24; now++ {
 		if name, _ := s.Next(now, 0.9); name != "" {
 			t.Fatalf("%s runs at %v under load", name, now)
 		}
 	}
 	if name, _ := s.Next(26, 0.9); name != "low" {
-		t.Fatalf("%q: starved", name)
+		t.Fatalf("%q runs, want low: its maximum delay has passed", name)
 	}
 	s.Done(26, "low", 0.1, false, errors.New("disk"))
 	if v := s.View(26)[0]; v.Failures != 1 || v.LastError != "disk" || v.Due < 1.9 {
@@ -47,8 +47,8 @@
 	}
 }
 
-// Under any load every task that is due runs within its maximum delay and the slices ahead of it.
-func TestNoTaskStarves(t *testing.T) {
+// Under any load a due task runs within its maximum delay plus the slices ahead of it.
+func TestTaskScheduler_NoTaskStarves(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 4))
 		var list []BackgroundTask
