--- a/internal/appliance/doc.go
+++ b/internal/appliance/doc.go
@@ -9,7 +9,7 @@
 //   - appliance.go runs the process, lifecycle.go has its state machine, startup.go its startup.
 //   - schedules.go fires the crontab, preload.go loads replicas before they are needed.
 //   - background_tasks.go runs the tasks that task_scheduler.go selects.
-//   - function_registry.go, versions.go and releases.go resolve and change the versions of functions.
-//   - statistics.go counts ended requests.
+//   - function_registry.go, keyring.go, versions.go and releases.go change, verify and resolve the versions of functions.
+//   - statistics.go counts ended requests for the console, telemetry.go exports metrics and traces.
 //   - api_server.go has the routes of the admin API; the other api files have one resource each.
 package appliance
--- a/internal/appliance/startup.go
+++ b/internal/appliance/startup.go
@@ -1,22 +1,14 @@
 package appliance
 
 import (
-	"errors"
 	"fmt"
 	"math/rand/v2"
-	"net"
-	"net/http"
-	"time"
 
 	"streamcleat/internal/eventloop"
 	"streamcleat/internal/proxy"
 	"streamcleat/internal/storage"
-	"streamcleat/internal/telemetry"
 )
 
-// readHeaderTimeout is the time limit for reading a request head on the console's socket and the metrics address.
-const readHeaderTimeout = 5 * time.Second
-
 // openStore loads the state and posts StoreOpened.
 func (a *Appliance) openStore() {
 	if err := a.loadState(); err != nil {
@@ -84,56 +76,6 @@
 	return a.planSchedules()
 }
 
-// startTelemetry creates the recorder and starts the exporters that are configured.
-func (a *Appliance) startTelemetry() error {
-	settings := telemetry.Settings{Gauges: a.gauges, LatencyObjective: a.latencyObjective}
-	if traces := a.config.Traces; traces != nil {
-		file, err := telemetry.SpanFile(a.config.Path(traces.File))
-		if err != nil {
-			return err
-		}
-		settings.Spans, settings.SamplingRatio = file, traces.SamplingRatio
-		a.closers = append(a.closers, func() error { return errors.Join(a.recorder.Close(), file.Close()) })
-	}
-	var err error
-	if a.recorder, err = telemetry.New(settings); err != nil {
-		return err
-	}
-	if a.config.Metrics == nil {
-		return nil
-	}
-	return a.startMetricsServer(a.config.Metrics.Address)
-}
-
-// latencyObjective returns the latency objective of a request class in seconds, or 0 if it has none.
-func (a *Appliance) latencyObjective(class string) float64 {
-	for _, c := range a.config.RequestClasses {
-		if c.Name == class {
-			return c.LatencyObjective
-		}
-	}
-	return 0
-}
-
-// startMetricsServer serves the metrics on an address of their own.
-func (a *Appliance) startMetricsServer(address string) error {
-	server := &http.Server{Addr: address, Handler: a.recorder.Handler(), ReadHeaderTimeout: readHeaderTimeout}
-	listener, err := net.Listen("tcp", address)
-	if err != nil {
-		return fmt.Errorf("listen for metrics: %w", err)
-	}
-	go a.serveHTTP(server, listener)
-	a.closers = append(a.closers, server.Close)
-	return nil
-}
-
-// serveHTTP serves until the server is closed.
-func (a *Appliance) serveHTTP(server *http.Server, listener net.Listener) {
-	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-		a.log.Error("HTTP server stopped", "address", listener.Addr().String(), "error", err)
-	}
-}
-
 // startServers starts one server for each configured address. Requests that were interrupted by the end of the previous
 // process and can't be retried are logged.
 func (a *Appliance) startServers() error {
--- a/internal/appliance/statistics.go
+++ b/internal/appliance/statistics.go
@@ -83,31 +83,3 @@
 	defer a.mu.Unlock()
 	a.statistics.record(response)
 }
-
-// gauges returns the current values of the gauge metrics, by name.
-func (a *Appliance) gauges() map[string]float64 {
-	values := map[string]float64{}
-	for _, server := range a.runningServers() {
-		counts, clients, workers, err := server.Counts()
-		if err != nil {
-			continue
-		}
-		values["open_events"] += float64(counts.Open)
-		values["launches_out"] += float64(counts.InFlight)
-		values["answers_kept"] += float64(counts.Cached)
-		values["answers_kept_bytes"] += float64(counts.CachedBytes)
-		values["client_connections"] += float64(clients)
-		values["worker_connections"] += float64(workers)
-		for _, count := range counts.SendsDenied {
-			values["sends_refused"] += float64(count)
-		}
-		loopFaults := server.RecoveredErrors()
-		values["accept_failures"] += float64(loopFaults.AcceptFailures)
-		values["dial_retries"] += float64(loopFaults.DialRetries)
-		values["slow_turns"] += float64(loopFaults.SlowIterations)
-	}
-	if a.store != nil {
-		values["state_bytes"] = float64(a.store.Size())
-	}
-	return values
-}
