--- a/internal/schedule/client.go
+++ b/internal/schedule/client.go
@@ -16,48 +16,49 @@
 	cehttp "github.com/cloudevents/sdk-go/v2/protocol/http"
 )
 
-// Result is how a firing ended for its client. Status is 0 where no answer came.
+// Result is the outcome of a firing at its client.
 type Result struct {
 	Firing
 	FrontEnd   string
-	Status     int
-	Digest     string // of the version that the answer names
+	Status     int    // HTTP status of the last response; 0 if there was none
+	Digest     string // digest of the version named by the response
 	Latency    time.Duration
 	Attempts   int
 	Err        error
-	Replayed   bool // answered from an earlier request of the same firing
+	Replayed   bool // the response was cached from an earlier request of the same firing
 	RetryAfter time.Duration
 }
 
-// Client fires events at front ends over HTTP. Its fields are set before the first firing.
+// Client sends firings to front ends over HTTP. Its fields must not be changed after the first firing.
 type Client struct {
-	Source         string   // CloudEvents source; the same for all clients of one crontab
-	FrontEnds      []string // host:port of the front ends
+	Source         string   // CloudEvents source; must be the same for all clients of one crontab
+	FrontEnds      []string // addresses, host:port
 	HTTP           *http.Client
 	Log            *slog.Logger
-	DefaultTimeout time.Duration   // how long it waits where the entry does not say
-	MaxRetries     int             // after a rejection or a lost answer, with the same identity
-	AtMostOnce     map[string]bool // request classes that are not retried after a lost answer
-	// OnAttempt is called at each attempt with the time that the client still waits; the function that it returns is
-	// called with the status that came back, 0 where none did, and the digest that the answer names. It may be nil.
+	DefaultTimeout time.Duration   // timeout of entries that set none
+	MaxRetries     int             // retries after a rejection or a lost response
+	AtMostOnce     map[string]bool // request classes that are not retried after a lost response
+	// OnAttempt, if not nil, is called before each attempt with the time left until the client's deadline. The function
+	// that it returns is called after the attempt with the status of the response, 0 if there was none, and the digest
+	// that the response names.
 	OnAttempt func(f Firing, frontEnd string, remaining time.Duration) func(status int, digest string, err error)
-	OnResult  func(Result) // called for each firing that Run made; may be nil
+	OnResult  func(Result) // called for each firing of Run; may be nil
 }
 
 const (
-	// minAttemptTime must be left of a client's time for a retry: no answer could come back in less.
+	// minAttemptTime is the minimum time left until the deadline for a retry. No response could arrive in less.
 	minAttemptTime = 100 * time.Millisecond
-	// minRetryPause is the pause before a retry where no Retry-After asks for more.
+	// minRetryPause is the minimum pause before a retry. Retry-After may ask for a longer one.
 	minRetryPause = 20 * time.Millisecond
-	// maxAnswerBytes of an answer's body are read, so that the connection can be used again.
-	maxAnswerBytes = 1 << 20
-	// maxPlanPause bounds the sleep until the next firing: the wall clock may be set meanwhile.
+	// maxResponseBytes is the maximum number of bytes read from a response body so that its connection can be reused.
+	maxResponseBytes = 1 << 20
+	// maxPlanPause limits the sleep until the next firing, as the wall clock may be set meanwhile.
 	maxPlanPause = time.Minute
-	// minPlanPause keeps Run from spinning where the clock has not quite reached a minute.
+	// minPlanPause keeps Run from spinning if it wakes up slightly early.
 	minPlanPause = time.Millisecond
 )
 
-// CloudEvent writes a firing as a CloudEvent.
+// CloudEvent returns the CloudEvent of a firing.
 func CloudEvent(source string, f Firing) cloudevents.Event {
 	e := cloudevents.New()
 	e.SetSource(source)
@@ -69,13 +70,14 @@
 		e.SetExtension("tenant", f.Entry.Tenant)
 	}
 	if len(f.Entry.Data) > 0 {
-		_ = e.SetData("application/json", f.Entry.Data) // bytes are taken as they are; only other types can fail
+		_ = e.SetData("application/json", f.Entry.Data) // fails only for types other than []byte
 	}
 	return e
 }
 
-// Fire sends one firing and waits for its end. A rejection and a lost connection are retried, at the same front end
-// (which deduplicates) or at the next in rendezvous order where that one can't be reached.
+// Fire sends a firing and waits for its final response. Rejections and lost responses are retried with the same identity
+// at the same front end, which deduplicates them. If that front end can't be reached, the next one in rendezvous order is
+// tried.
 func (c *Client) Fire(ctx context.Context, f Firing) Result {
 	timeout := f.Entry.Timeout
 	if timeout == 0 {
@@ -108,18 +110,18 @@
 	}
 }
 
-// mayRetry reports whether an attempt's outcome allows another one, time apart.
+// mayRetry reports whether the outcome of an attempt allows a retry. It does not consider the deadline.
 func (c *Client) mayRetry(result *Result, reached bool) bool {
 	if result.Status != 0 && result.Status != http.StatusServiceUnavailable {
-		return false // a final answer
+		return false // a final response
 	}
 	if result.Status == 0 && reached && c.AtMostOnce[result.Entry.Class] {
-		return false // it may have run
+		return false // it may have been executed
 	}
 	return result.Attempts <= c.MaxRetries
 }
 
-// attempt sends a firing once and reports whether the front end was reached.
+// attempt sends a firing once, stores the outcome in result and reports whether the front end was reached.
 func (c *Client) attempt(ctx context.Context, result *Result, remaining time.Duration) (reached bool) {
 	onEnd := func(int, string, error) {}
 	if c.OnAttempt != nil {
@@ -130,6 +132,7 @@
 	return reached
 }
 
+// send makes the HTTP request of an attempt.
 func (c *Client) send(ctx context.Context, result *Result, remaining time.Duration) (reached bool) {
 	result.Status, result.Err, result.RetryAfter, result.Digest = 0, nil, 0, ""
 	e := CloudEvent(c.Source, result.Firing)
@@ -147,9 +150,9 @@
 		result.Err = err
 		return !errors.Is(err, syscall.ECONNREFUSED)
 	}
-	defer func() { _ = resp.Body.Close() }() // the answer was read, or its connection is given up
-	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxAnswerBytes)); err != nil {
-		result.Err = fmt.Errorf("answer cut off: %w", err)
+	defer func() { _ = resp.Body.Close() }() // the body has been read, or the connection is abandoned
+	if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxResponseBytes)); err != nil {
+		result.Err = fmt.Errorf("read response: %w", err)
 		return true
 	}
 	result.Status = resp.StatusCode
@@ -161,14 +164,14 @@
 	return true
 }
 
-// Run fires what the plan has due until the context ends, then waits for the firings under way. clock is the time of
-// day and until turns a wait of that clock into a real one.
+// Run fires the due entries of a plan until ctx ends, then waits for the firings in flight. clock returns the time of day,
+// and until returns the real time to sleep until that clock shows a given time.
 func (c *Client) Run(ctx context.Context, p *Plan, clock func() time.Time, until func(time.Time) time.Duration) {
-	var underWay sync.WaitGroup
-	defer underWay.Wait()
+	var inFlight sync.WaitGroup
+	defer inFlight.Wait()
 	for {
 		for _, firing := range p.Due(clock()) {
-			underWay.Go(func() { c.fireAndReport(context.WithoutCancel(ctx), firing) })
+			inFlight.Go(func() { c.fireAndReport(context.WithoutCancel(ctx), firing) })
 		}
 		pause := maxPlanPause
 		if next, ok := p.Next(); ok {
@@ -188,7 +191,7 @@
 		c.OnResult(result)
 	}
 	if c.Log != nil {
-		c.Log.Info("fired", "request_id", f.ID, "status", result.Status, "attempts", result.Attempts, "latency", result.Latency,
+		c.Log.Info("schedule fired", "request_id", f.ID, "status", result.Status, "attempts", result.Attempts, "latency", result.Latency,
 			"error", result.Err)
 	}
 }
--- a/internal/schedule/crontab.go
+++ b/internal/schedule/crontab.go
@@ -21,10 +21,10 @@
 	timeoutVariable       = "WAIT"
 )
 
-// Fields that a ParseError may name beside the variables.
+// Values of ParseError.Field other than the names of variables.
 const (
 	scheduleField = "schedule"
-	lineField     = "line" // the line as a whole
+	lineField     = "line" // the whole line
 )
 
 const (
@@ -32,28 +32,31 @@
 	maxLineBytes         = 1 << 20
 )
 
-// ParseError is one fault of a crontab.
+// ParseError is an error in one line of a crontab.
 type ParseError struct {
 	File  string
 	Line  int
-	Field string // a variable's name, "schedule" or "line"
+	Field string // the name of a variable, "schedule" or "line"
 	Err   error
 }
 
-// Error names the file, the line and the fault.
+// Error implements the error interface.
 func (e *ParseError) Error() string { return fmt.Sprintf("%s:%d: %v", e.File, e.Line, e.Err) }
 
-// Unwrap returns the fault.
+// Unwrap returns the error without its position.
 func (e *ParseError) Unwrap() error { return e.Err }
 
-// specParser takes the five fields of POSIX crontab with names, steps and the @ words that stand for five fields.
+// specParser accepts the five fields of a POSIX crontab with names and steps, and descriptors such as @hourly.
 var specParser = cron.NewParser(cron.Minute | cron.Hour | cron.Dom | cron.Month | cron.Dow | cron.Descriptor)
 
-// Parse reads a crontab: lines "minute hour day month weekday TYPE FUNCTION [TENANT] [%DATA]", or an @ word in
-// place of the five fields; # begins a comment line; NAME=VALUE lines bind for the lines after them: CRON_TZ (time
-// zone, UTC at first), MISFIRE (skip, once, all; skip at first), MISFIRE_WITHIN and WAIT (durations). As in POSIX
-// the first unescaped % ends the command and begins its input, further ones are line ends, \% is a plain one. All
-// faults are reported, each as a ParseError.
+// Parse reads a crontab. name is the file name in errors. An entry is a line
+//
+//	minute hour day month weekday TYPE FUNCTION [TENANT] [%DATA]
+//
+// with a descriptor such as @hourly allowed in place of the five fields. Lines that start with # are comments. A
+// NAME=VALUE line sets a variable for the lines after it: CRON_TZ (time zone, default UTC), MISFIRE (skip, once or all,
+// default skip), MISFIRE_WITHIN and WAIT (durations). As in POSIX, the first unescaped % ends the command and starts its
+// data, in which a further % is a line break and \% a literal %. The error joins one ParseError for each invalid line.
 func Parse(r io.Reader, name string) ([]Entry, error) {
 	p := &crontabParser{
 		file:          name,
@@ -71,10 +74,10 @@
 		p.line++
 		p.fail(lineField, err)
 	}
-	return p.entries, errors.Join(p.faults...)
+	return p.entries, errors.Join(p.errs...)
 }
 
-// crontabParser has the variables in force for the next line, and what was read before it.
+// crontabParser holds the current values of the variables and the entries and errors of the lines read so far.
 type crontabParser struct {
 	file          string
 	line          int
@@ -84,12 +87,13 @@
 	timeout       time.Duration
 
 	entries   []Entry
-	lineByKey map[string]int // of the entries
-	faults    []error
+	lineByKey map[string]int // line numbers of the entries
+	errs      []error
 }
 
+// fail records an error in the current line.
 func (p *crontabParser) fail(field string, err error) {
-	p.faults = append(p.faults, &ParseError{File: p.file, Line: p.line, Field: field, Err: err})
+	p.errs = append(p.errs, &ParseError{File: p.file, Line: p.line, Field: field, Err: err})
 }
 
 func (p *crontabParser) parseLine(line string) {
@@ -122,7 +126,7 @@
 	case timeoutVariable:
 		p.timeout, err = parsePositiveDuration(value)
 	default:
-		err = fmt.Errorf("not a setting of this crontab (%s, %s, %s, %s)",
+		err = fmt.Errorf("unknown variable, want one of %s, %s, %s, %s",
 			zoneVariable, misfireVariable, catchUpWindowVariable, timeoutVariable)
 	}
 	return err
@@ -130,49 +134,49 @@
 
 func (p *crontabParser) parseEntry(line string) {
 	command, data, hasData := cutPercent(line)
-	words := strings.Fields(command)
-	specWords := 5
-	if len(words) > 0 && strings.HasPrefix(words[0], "@") {
-		specWords = 1
+	fields := strings.Fields(command)
+	specFields := 5
+	if len(fields) > 0 && strings.HasPrefix(fields[0], "@") {
+		specFields = 1
 	}
-	if len(words) < specWords+2 || len(words) > specWords+3 {
-		p.fail(lineField, fmt.Errorf("%d words, not a schedule of %d and TYPE FUNCTION [TENANT] [%%DATA]", len(words), specWords))
+	if len(fields) < specFields+2 || len(fields) > specFields+3 {
+		p.fail(lineField, fmt.Errorf("%d fields, want a schedule of %d and TYPE FUNCTION [TENANT] [%%DATA]", len(fields), specFields))
 		return
 	}
 	e := Entry{
 		Line:          p.line,
-		Spec:          strings.Join(words[:specWords], " "),
+		Spec:          strings.Join(fields[:specFields], " "),
 		Zone:          p.zone,
-		Class:         words[specWords],
-		Function:      words[specWords+1],
+		Class:         fields[specFields],
+		Function:      fields[specFields+1],
 		Misfire:       p.misfire,
 		CatchUpWindow: p.catchUpWindow,
 		Timeout:       p.timeout,
 	}
-	if len(words) == specWords+3 {
-		e.Tenant = words[specWords+2]
+	if len(fields) == specFields+3 {
+		e.Tenant = fields[specFields+2]
 	}
 	if hasData {
 		e.Data = []byte(data)
 	}
 	var err error
-	if e.schedule, err = parseSpec(words[0], e.Spec, p.zone); err != nil {
+	if e.schedule, err = parseSpec(fields[0], e.Spec, p.zone); err != nil {
 		p.fail(scheduleField, err)
 		return
 	}
 	if first, duplicate := p.lineByKey[e.Key()]; duplicate {
-		p.fail(lineField, fmt.Errorf("the same entry as line %d", first))
+		p.fail(lineField, fmt.Errorf("duplicate of the entry in line %d", first))
 		return
 	}
 	p.lineByKey[e.Key()] = p.line
 	p.entries = append(p.entries, e)
 }
 
-// parseSpec reads a schedule. @every and @reboot are rejected: they depend on when a client started, so that two
-// clients would not agree.
-func parseSpec(firstWord, spec string, zone *time.Location) (cron.Schedule, error) {
-	if w := strings.ToLower(firstWord); strings.HasPrefix(w, "@every") || w == "@reboot" {
-		return nil, fmt.Errorf("schedule %s depends on when a client started; two clients would not agree on it", firstWord)
+// parseSpec parses a schedule. @every and @reboot are rejected: they depend on the start time of the client, so that two
+// clients of one crontab would fire different minutes.
+func parseSpec(firstField, spec string, zone *time.Location) (cron.Schedule, error) {
+	if w := strings.ToLower(firstField); strings.HasPrefix(w, "@every") || w == "@reboot" {
+		return nil, fmt.Errorf("schedule %s depends on the start time of the client, so that two clients would differ", firstField)
 	}
 	schedule, err := specParser.Parse(normalizeSunday(spec))
 	if err != nil {
@@ -184,13 +188,13 @@
 	return schedule, nil
 }
 
-// normalizeSunday writes weekday 7 as 0: POSIX knows 0 only, but crontabs in use have both.
+// normalizeSunday replaces weekday 7 by 0. POSIX allows only 0 for Sunday, but many crontabs use 7.
 func normalizeSunday(spec string) string {
-	words := strings.Fields(spec)
-	if len(words) != 5 {
+	fields := strings.Fields(spec)
+	if len(fields) != 5 {
 		return spec
 	}
-	parts := strings.Split(words[4], ",")
+	parts := strings.Split(fields[4], ",")
 	for i, part := range parts {
 		switch {
 		case part == "7":
@@ -201,19 +205,19 @@
 			}
 		}
 	}
-	words[4] = strings.Join(parts, ",")
-	return strings.Join(words, " ")
+	fields[4] = strings.Join(parts, ",")
+	return strings.Join(fields, " ")
 }
 
 func parsePositiveDuration(value string) (time.Duration, error) {
 	d, err := time.ParseDuration(value)
 	if err == nil && d <= 0 {
-		err = fmt.Errorf("%q is not above 0", value)
+		err = fmt.Errorf("%q is not positive", value)
 	}
 	return d, err
 }
 
-// isVariableName reports whether s is a name as in C: letters, digits and _, no digit in front.
+// isVariableName reports whether s is an identifier of letters, digits and underscores that does not start with a digit.
 func isVariableName(s string) bool {
 	for i, r := range s {
 		isLetter := r == '_' || r >= 'A' && r <= 'Z' || r >= 'a' && r <= 'z'
@@ -225,7 +229,7 @@
 	return s != ""
 }
 
-// cutPercent cuts a line at its first unescaped %; in the data behind it further ones become line ends.
+// cutPercent splits a line at its first unescaped %. In the data after it, further unescaped % become line breaks.
 func cutPercent(line string) (command, data string, found bool) {
 	var b strings.Builder
 	for i := 0; i < len(line); i++ {
--- a/internal/schedule/entry.go
+++ b/internal/schedule/entry.go
@@ -7,22 +7,22 @@
 	"github.com/robfig/cron/v3"
 )
 
-// Entry is one line of a crontab.
+// Entry is an entry of a crontab.
 type Entry struct {
 	Line          int
-	Spec          string // the schedule as it was written
+	Spec          string // the schedule as written in the crontab
 	Zone          *time.Location
 	Class         string // request class
 	Function      string
 	Tenant        string
 	Data          []byte
 	Misfire       MisfirePolicy
-	CatchUpWindow time.Duration // how far back MisfireAll and MisfireOnce catch up
-	Timeout       time.Duration // how long the client waits for an answer; 0: the request class's deadline
+	CatchUpWindow time.Duration // maximum age of the firings that MisfireOnce and MisfireAll catch up on
+	Timeout       time.Duration // deadline of the request after firing; 0: the timeout of the request class
 	schedule      cron.Schedule
 }
 
-// Key names an entry; two clients with the same crontab name it alike.
+// Key identifies an entry. It is the same at all clients with the same crontab.
 func (e *Entry) Key() string {
 	key := strings.ReplaceAll(strings.Join(strings.Fields(e.Spec), "_"), "/", "~") + "/" + e.Class + "/" + e.Function
 	if e.Tenant != "" {
@@ -34,20 +34,21 @@
 	return key
 }
 
-// anyHourBit is the mark by which the cron library knows an hour field that is *.
-const anyHourBit = 1 << 63
+// starBit is set by the cron library in the bit mask of a field that is *.
+const starBit = 1 << 63
 
-// Next returns the entry's next minute after a time; the zero time where it has none.
+// Next returns the first minute after the given time in which the entry is due, or the zero time if there is none.
 func (e *Entry) Next(after time.Time) time.Time {
 	due := e.schedule.Next(after.In(e.Zone))
 	spec, ok := e.schedule.(*cron.SpecSchedule)
-	for ok && spec.Hour&anyHourBit == 0 && !due.IsZero() && isRepeatedWallTime(due) {
+	for ok && spec.Hour&starBit == 0 && !due.IsZero() && isRepeatedWallTime(due) {
 		due = e.schedule.Next(due)
 	}
 	return due
 }
 
-// isRepeatedWallTime reports whether the wall clock showed the same minute a while before, because it was set back since.
+// isRepeatedWallTime reports whether the wall clock showed the same minute before, because daylight saving time ended in
+// between.
 func isRepeatedWallTime(t time.Time) bool {
 	const wallTime = "2006-01-02 15:04"
 	for _, step := range []time.Duration{30 * time.Minute, time.Hour, 2 * time.Hour} {
--- a/internal/schedule/misfire.go
+++ b/internal/schedule/misfire.go
@@ -5,35 +5,36 @@
 	"time"
 )
 
-// MisfirePolicy says what becomes of firings whose time passed while nobody could fire them.
+// MisfirePolicy determines the handling of missed firings, for example those that were due while the process was down.
 type MisfirePolicy uint8
 
 // Misfire policies.
 const (
 	MisfireSkip MisfirePolicy = iota // missed firings are dropped
-	MisfireOnce                      // the newest missed firing is caught up on
-	MisfireAll                       // all missed firings are caught up on, within a bound
+	MisfireOnce                      // only the newest missed firing is made
+	MisfireAll                       // all missed firings are made, up to maxCatchUpFirings
 )
 
-// misfirePolicies are the policies by their names in a crontab.
+// misfirePolicies maps names in a crontab to policies.
 var misfirePolicies = map[string]MisfirePolicy{"skip": MisfireSkip, "once": MisfireOnce, "all": MisfireAll}
 
 func parseMisfirePolicy(name string) (MisfirePolicy, error) {
 	policy, known := misfirePolicies[name]
 	if !known {
-		return MisfireSkip, fmt.Errorf("%q is none of skip, once, all", name)
+		return MisfireSkip, fmt.Errorf("%q is not one of skip, once, all", name)
 	}
 	return policy, nil
 }
 
 const (
-	// misfireThreshold is the delay from which on a firing counts as missed.
+	// misfireThreshold is the delay above which a firing counts as missed.
 	misfireThreshold = time.Minute
-	// maxCatchUpFirings bounds the firings of one entry that one call catches up on, against a window set too wide.
+	// maxCatchUpFirings is the maximum number of missed firings of an entry that one call of Due returns. It protects
+	// against a catch-up window that is set too wide.
 	maxCatchUpFirings = 1000
 )
 
-// catchUp returns the firings to make, of those that were missed in the order they were due.
+// catchUp returns the missed firings to make. missed must be ordered by due time.
 func (p MisfirePolicy) catchUp(missed []Firing) []Firing {
 	switch p {
 	case MisfireSkip:
@@ -45,7 +46,8 @@
 	}
 }
 
-// Deadline is when a firing is given up: a minute after it was due, or the time that its entry catches up on.
+// Deadline returns the time after which a firing is not attempted any more: one minute after it was due, or the end of
+// the entry's catch-up window if that is later.
 func (f Firing) Deadline() time.Time {
 	if f.Entry.Misfire == MisfireSkip {
 		return f.Due.Add(misfireThreshold)
--- a/internal/schedule/plan.go
+++ b/internal/schedule/plan.go
@@ -5,39 +5,41 @@
 	"time"
 )
 
-// Firing is one firing of an entry.
+// Firing is a single firing of an entry.
 type Firing struct {
 	Entry *Entry
 	Due   time.Time
-	ID    string        // its identity: the entry and the minute, in UTC, that it was due
+	ID    string        // see FiringID
 	Delay time.Duration // from Due to the call that returned it
 }
 
-// FiringID returns the identity of a firing: the entry and the minute, in UTC.
+// FiringID returns the identity of a firing. It consists of the entry's key and the due minute in UTC.
 func FiringID(e *Entry, due time.Time) string {
 	return e.Key() + "/" + due.UTC().Format("2006-01-02T15:04Z")
 }
 
-// maxClockStepBack is how far the clock may be set back and be waited out, as cron does; past it the plan begins anew.
+// maxClockStepBack is the largest backward step of the clock that is waited out, as cron does. After a larger one all
+// entries are planned anew.
 const maxClockStepBack = 3 * time.Hour
 
-// Plan knows what is due when. Each firing is returned once, in the order of due times and then of the crontab.
+// Plan holds the next due time of each entry. Each firing is returned once, ordered by due time and then by the position
+// of the entry in the crontab.
 //
-// At a clock change in spring an entry whose minute is left out does not fire that day. In autumn, where an hour
-// comes twice, an entry whose hour field is * fires in both, as they are different minutes in UTC; one with stated
-// hours fires in the first only.
+// When daylight saving time starts, an entry whose minute is skipped does not fire on that day. When it ends, an entry
+// whose hour field is * fires in both occurrences of the repeated hour, as they are different minutes in UTC. An entry
+// with explicit hours fires in the first occurrence only.
 type Plan struct {
 	entries dueHeap
-	now     time.Time // the latest time that Due was called with
+	now     time.Time // the latest time passed to Due
 }
 
-// NewPlan plans from a time on; what was due at it or before is past.
+// NewPlan plans entries that are due after the time from.
 func NewPlan(entries []Entry, from time.Time) *Plan {
 	return Resume(entries, nil, from)
 }
 
-// Resume plans with the last minute that each entry is known to have fired for, by its key; entries that are not
-// named there are planned from the time from on.
+// Resume plans entries with the minutes in which they last fired, by key. Entries without a last firing are planned from
+// the time from on.
 func Resume(entries []Entry, last map[string]time.Time, from time.Time) *Plan {
 	p := &Plan{now: from}
 	for i := range entries {
@@ -50,14 +52,14 @@
 	return p
 }
 
-// add plans an entry; one whose day is in no year is never due.
+// add plans an entry. An entry that is never due, such as one for February 30, is left out.
 func (p *Plan) add(e *Entry, order int, after time.Time) {
 	if due := e.Next(after); !due.IsZero() {
 		heap.Push(&p.entries, &scheduledEntry{entry: e, due: due, order: order})
 	}
 }
 
-// Next returns the next time that something is due; false where nothing ever is.
+// Next returns the earliest due time, and false if no entry is ever due.
 func (p *Plan) Next() (time.Time, bool) {
 	if len(p.entries) == 0 {
 		return time.Time{}, false
@@ -65,8 +67,8 @@
 	return p.entries[0].due, true
 }
 
-// Due returns what is due by now. Missed firings are treated by their entry's policy; those that are caught up on keep
-// the identity of their own minute, so that one that was fired after all is not run again.
+// Due returns the firings that are due by now. Missed firings are returned as the entry's misfire policy says. They keep
+// the identity of their minute, so that a firing that was sent before is deduplicated.
 func (p *Plan) Due(now time.Time) []Firing {
 	if now.Before(p.now.Add(-maxClockStepBack)) {
 		p.replan(now)
@@ -87,7 +89,7 @@
 	return due
 }
 
-// replan begins anew after the clock was set back by more than maxClockStepBack.
+// replan plans all entries anew after the clock was set back by more than maxClockStepBack.
 func (p *Plan) replan(now time.Time) {
 	for _, e := range p.entries {
 		if due := e.entry.Next(now); !due.IsZero() {
@@ -98,8 +100,7 @@
 	p.now = now
 }
 
-// DueWithin returns the firings that are due within a span from now, the first of each function, in the order of the
-// crontab.
+// DueWithin returns the firings that are due within span from now, at most one for each function, in crontab order.
 func DueWithin(entries []Entry, now time.Time, span time.Duration) []Firing {
 	var firings []Firing
 	seen := map[string]bool{}
@@ -115,16 +116,16 @@
 	return firings
 }
 
-// scheduledEntry is an entry with the minute that it is due next.
+// scheduledEntry is an entry with the minute in which it is due next.
 type scheduledEntry struct {
 	entry *Entry
 	due   time.Time
-	order int // in the crontab
+	order int // position in the crontab
 }
 
-// take returns the firings that are to be made now and moves the entry past now.
+// take returns the firings to make now and advances the entry past now.
 func (e *scheduledEntry) take(now time.Time) []Firing {
-	// Going through all minutes of a long gap would take long; nothing before the window is ever caught up on.
+	// Skip firings before the catch-up window: they are never made, and iterating over a long gap would be slow.
 	if oldest := now.Add(-max(e.entry.CatchUpWindow, 2*misfireThreshold)); e.due.Before(oldest) {
 		e.due = e.entry.Next(oldest.Add(-time.Second))
 	}
@@ -141,22 +142,27 @@
 	return append(e.entry.Misfire.catchUp(missed), due...)
 }
 
-// dueHeap is a heap of entries by due time and then by their order in the crontab.
+// dueHeap is a heap of entries, ordered by due time and then by position in the crontab. It implements heap.Interface.
 type dueHeap []*scheduledEntry
 
 // Len returns the number of entries.
-func (h dueHeap) Len() int { return len(h) }
+func (h *dueHeap) Len() int { return len(*h) }
 
 // Less reports whether entry i is due before entry j.
-func (h dueHeap) Less(i, j int) bool {
-	return h[i].due.Before(h[j].due) || h[i].due.Equal(h[j].due) && h[i].order < h[j].order
+func (h *dueHeap) Less(i, j int) bool {
+	a, b := (*h)[i], (*h)[j]
+	return a.due.Before(b.due) || a.due.Equal(b.due) && a.order < b.order
 }
 
 // Swap exchanges two entries.
-func (h dueHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *dueHeap) Swap(i, j int) { (*h)[i], (*h)[j] = (*h)[j], (*h)[i] }
 
-// Push adds a *scheduledEntry at the end.
-func (h *dueHeap) Push(x any) { *h = append(*h, x.(*scheduledEntry)) }
+// Push appends a *scheduledEntry. Values of other types are ignored; Plan.add, the only caller, pushes none.
+func (h *dueHeap) Push(x any) {
+	if entry, ok := x.(*scheduledEntry); ok {
+		*h = append(*h, entry)
+	}
+}
 
 // Pop removes the last entry.
 func (h *dueHeap) Pop() any {
--- a/internal/schedule/retry.go
+++ b/internal/schedule/retry.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// Backoff between the attempts of a firing that was rejected: doubled each time, up to the maximum.
+// Exponential backoff between the attempts of a rejected firing.
 const (
-	retryBackoffInitial    = 250 * time.Millisecond
-	retryBackoffMax        = 5 * time.Second
-	maxRetryBackoffDoubled = 10 // keeps the shift within a Duration; the maximum is reached long before
+	retryBackoffInitial  = 250 * time.Millisecond
+	retryBackoffMax      = 5 * time.Second
+	maxRetryBackoffShift = 10 // avoids an overflow of the shift; retryBackoffMax is reached long before
 )
 
-// NextRetry returns the pause before a rejected firing is sent once more, after so many attempts; it is at least
-// retryAfter, which the rejection named. It returns false where the deadline would pass meanwhile. An attempt that is
-// under way at the deadline goes on.
+// NextRetry returns the pause before the next attempt of a rejected firing. attempts is the number of attempts made, and
+// retryAfter the minimum pause requested by the rejection. It returns false if the deadline would pass during the pause.
+// An attempt in flight at the deadline is not canceled.
 func NextRetry(deadline, now time.Time, attempts int, retryAfter time.Duration) (time.Duration, bool) {
-	backoff := min(retryBackoffInitial<<min(attempts-1, maxRetryBackoffDoubled), retryBackoffMax)
+	backoff := min(retryBackoffInitial<<min(attempts-1, maxRetryBackoffShift), retryBackoffMax)
 	pause := max(backoff, retryAfter)
 	return pause, now.Add(pause).Before(deadline)
 }
--- a/internal/schedule/schedule_test.go
+++ b/internal/schedule/schedule_test.go
@@ -25,7 +25,7 @@
 	return v
 }
 
-// minutes are the minutes, in UTC, of firings.
+// minutes returns the due minutes of firings in UTC, separated by spaces.
 func minutes(firings []Firing) string {
 	var list []string
 	for _, f := range firings {
@@ -34,7 +34,7 @@
 	return strings.Join(list, " ")
 }
 
-func TestCrontab(t *testing.T) {
+func TestParse_Entries(t *testing.T) {
 	list := mustParse(t, "# resets\nCRON_TZ=Asia/Tokyo\n\n0 0 * * mon-fri price-reset shop-1 kitaboshi %{\"at\":\"50\\%\"}%x\n"+
 		"MISFIRE=all\nMISFIRE_WITHIN=2h\nWAIT=3s\n@hourly shop-event tally\nCRON_TZ=UTC\n*/15 8-20 1,15 * 5-7 shop-event count t\n")
 	if len(list) != 3 {
@@ -51,18 +51,18 @@
 	if got := c.Key(); got != "*~15_8-20_1,15_*_5-7/shop-event/count@t" {
 		t.Error(got)
 	}
-	// Day and weekday are both stated: either will do (POSIX). 2026-12-06 is a Sunday, weekday 7.
+	// Day and weekday are both restricted: either may match (POSIX). 2026-12-06 is a Sunday, weekday 7.
 	if next := c.schedule.Next(utc("2026-12-06 00:00:00")); !next.Equal(utc("2026-12-06 08:00:00")) {
 		t.Error(next)
 	}
 }
 
-func TestFaultsNameTheirLines(t *testing.T) {
+func TestParse_ErrorsNameLineAndField(t *testing.T) {
 	_, err := Parse(strings.NewReader("CRON_TZ=Nowhere/Town\n* * * * shop f\n61 * * * * shop f\n@every 5m shop f\n@reboot shop f\n"+
 		"MISFIRE=later\nWAIT=-3s\nMAILTO=x\n* * * * * shop f t more\n* * * * * shop f\n*  * * * * shop f\n"), "tab")
-	faults, ok := err.(interface{ Unwrap() []error })
+	list, ok := err.(interface{ Unwrap() []error })
 	if !ok {
-		t.Fatalf("not a list of faults: %v", err)
+		t.Fatalf("not a list of errors: %v", err)
 	}
 	wanted := []struct {
 		line  int
@@ -70,54 +70,54 @@
 		text  string
 	}{
 		{1, "CRON_TZ", "tab:1: CRON_TZ"},
-		{2, "line", "tab:2: 6 words"},
+		{2, "line", "tab:2: 6 fields"},
 		{3, "schedule", "tab:3: schedule \"61"},
 		{4, "schedule", "tab:4: schedule @every"},
 		{5, "schedule", "tab:5: schedule @reboot"},
 		{6, "MISFIRE", "tab:6: MISFIRE"},
 		{7, "WAIT", "tab:7: WAIT"},
 		{8, "MAILTO", "tab:8: MAILTO"},
-		{9, "line", "tab:9: 9 words"},
-		{11, "line", "tab:11: the same entry as line 10"},
+		{9, "line", "tab:9: 9 fields"},
+		{11, "line", "tab:11: duplicate of the entry in line 10"},
 	}
-	if len(faults.Unwrap()) != len(wanted) {
-		t.Fatalf("%d faults, want %d:\n%v", len(faults.Unwrap()), len(wanted), err)
+	if len(list.Unwrap()) != len(wanted) {
+		t.Fatalf("%d errors, want %d:\n%v", len(list.Unwrap()), len(wanted), err)
 	}
 	for i, want := range wanted {
-		var fault *ParseError
-		if !errors.As(faults.Unwrap()[i], &fault) || fault.File != "tab" || fault.Line != want.line || fault.Field != want.field ||
-			!strings.HasPrefix(fault.Error(), want.text) {
-			t.Errorf("%+v, want %+v", fault, want)
+		var parseError *ParseError
+		if !errors.As(list.Unwrap()[i], &parseError) || parseError.File != "tab" || parseError.Line != want.line || parseError.Field != want.field ||
+			!strings.HasPrefix(parseError.Error(), want.text) {
+			t.Errorf("%+v, want %+v", parseError, want)
 		}
 	}
 }
 
-func TestTwoClientsNameAMinuteAlike(t *testing.T) {
+func TestTwoClients_SameIdentityAndFrontEnd(t *testing.T) {
 	tab := "CRON_TZ=Europe/Berlin\n* * * * * shop f t\n"
 	a, b := NewPlan(mustParse(t, tab), utc("2026-12-01 11:59:58")), NewPlan(mustParse(t, tab), utc("2026-12-01 11:59:01"))
 	fa, fb := a.Due(utc("2026-12-01 12:00:00")), b.Due(utc("2026-12-01 12:00:01"))
 	if len(fa) != 1 || len(fb) != 1 || fa[0].ID != fb[0].ID || !strings.HasSuffix(fa[0].ID, "/2026-12-01T12:00Z") {
 		t.Fatal(fa, fb)
 	}
-	fronts := []string{"a:1", "b:1", "c:1"}
+	frontEnds := []string{"a:1", "b:1", "c:1"}
 	used := map[string]int{}
 	for i := range 300 {
 		id := fmt.Sprint("e/", i)
-		r := RendezvousOrder(fronts, id)
+		r := RendezvousOrder(frontEnds, id)
 		if other := RendezvousOrder([]string{"c:1", "a:1", "b:1"}, id); strings.Join(r, " ") != strings.Join(other, " ") {
-			t.Fatal("the order of the list moves the choice")
+			t.Fatal("the result depends on the order of the list")
 		}
 		used[r[0]]++
 	}
 	for f, n := range used {
 		if n < 60 {
-			t.Errorf("%s gets %d of 300", f, n)
+			t.Errorf("%s gets %d of 300 identities, want at least 60", f, n)
 		}
 	}
 }
 
-func TestClockChanges(t *testing.T) {
-	// Spring: on 2026-03-29 02:00 to 03:00 does not exist in Berlin. Autumn: on 2026-10-25 it comes twice.
+func TestPlan_DaylightSavingChange(t *testing.T) {
+	// In Berlin, 02:00 to 03:00 does not exist on 2026-03-29 and is repeated on 2026-10-25.
 	for _, c := range []struct{ spec, from, to, want string }{
 		{"30 2 * * *", "2026-03-28 12:00:00", "2026-03-30 12:00:00", "2026-03-30T00:30Z"},
 		{"30 2 * * *", "2026-10-24 12:00:00", "2026-10-26 12:00:00", "2026-10-25T00:30Z 2026-10-26T01:30Z"},
@@ -131,7 +131,7 @@
 	}
 }
 
-func TestMisfires(t *testing.T) {
+func TestPlan_MisfirePolicies(t *testing.T) {
 	for _, c := range []struct{ policy, want string }{
 		{"skip", "2026-12-01T12:10Z"},
 		{"once", "2026-12-01T12:08Z 2026-12-01T12:10Z"},
@@ -149,19 +149,19 @@
 	}
 }
 
-func TestCatchUpIsBounded(t *testing.T) {
+func TestPlan_CatchUpIsBounded(t *testing.T) {
 	p := NewPlan(mustParse(t, "MISFIRE=all\nMISFIRE_WITHIN=24h\n* * * * * shop f\n"), utc("2020-01-01 00:00:00"))
 	if got := len(p.Due(utc("2026-12-01 00:00:00"))); got > maxCatchUpFirings+2 {
-		t.Errorf("%d firings made up for after years", got)
+		t.Errorf("%d firings after a gap of years", got)
 	}
 }
 
-func TestClockSetBackAndForward(t *testing.T) {
+func TestPlan_ClockSetBackAndForward(t *testing.T) {
 	p := NewPlan(mustParse(t, "0 * * * * shop f\n"), utc("2026-12-01 11:30:00"))
 	if got := minutes(p.Due(utc("2026-12-01 12:00:01"))); got != "2026-12-01T12:00Z" {
 		t.Fatal(got)
 	}
-	for _, now := range []string{"2026-12-01 11:00:02", "2026-12-01 11:59:59", "2026-12-01 12:00:02"} { // back by an hour
+	for _, now := range []string{"2026-12-01 11:00:02", "2026-12-01 11:59:59", "2026-12-01 12:00:02"} { // set back by an hour
 		if got := minutes(p.Due(utc(now))); got != "" {
 			t.Errorf("at %s fired again: %s", now, got)
 		}
@@ -169,30 +169,30 @@
 	if got := minutes(p.Due(utc("2026-12-01 13:00:00"))); got != "2026-12-01T13:00Z" {
 		t.Error(got)
 	}
-	if got := minutes(p.Due(utc("2026-12-01 15:00:10"))); got != "2026-12-01T15:00Z" { // forward: 14:00 was missed
+	if got := minutes(p.Due(utc("2026-12-01 15:00:10"))); got != "2026-12-01T15:00Z" { // set forward: 14:00 was missed
 		t.Error(got)
 	}
-	p.Due(utc("2026-12-01 05:00:30")) // back by ten hours: planned anew
+	p.Due(utc("2026-12-01 05:00:30")) // set back by ten hours: planned anew
 	if next, _ := p.Next(); !next.Equal(utc("2026-12-01 06:00:00")) {
 		t.Error(next)
 	}
 }
 
-func TestResumeGoesOnFromTheLastMinute(t *testing.T) {
+func TestResume_ContinuesFromLastFiring(t *testing.T) {
 	list := mustParse(t, "MISFIRE=all\n*/10 * * * * shop f\n*/10 * * * * shop g\n")
 	last := map[string]time.Time{list[0].Key(): utc("2026-12-01 11:40:00")}
 	p := Resume(list, last, utc("2026-12-01 12:05:00"))
 	if got := minutes(p.Due(utc("2026-12-01 12:05:00"))); got != "2026-12-01T11:50Z 2026-12-01T12:00Z" {
 		t.Error(got)
 	}
-	last[list[0].Key()] = utc("2027-12-01 00:00:00") // from a clock that was a year ahead
+	last[list[0].Key()] = utc("2027-12-01 00:00:00") // recorded by a clock that was a year ahead
 	p = Resume(list, last, utc("2026-12-01 12:05:00"))
 	if next, _ := p.Next(); !next.Equal(utc("2026-12-01 12:10:00")) {
 		t.Error(next)
 	}
 }
 
-func TestManyEntriesInOneMinute(t *testing.T) {
+func TestPlan_ManyEntriesInOneMinute(t *testing.T) {
 	var tab strings.Builder
 	for i := range 500 {
 		fmt.Fprintf(&tab, "0 0 * * * price-reset shop-%d\n", i)
@@ -203,11 +203,11 @@
 		seen[f.ID] = true
 	}
 	if len(seen) != 500 {
-		t.Fatalf("%d identities", len(seen))
+		t.Fatalf("%d identities, want 500", len(seen))
 	}
 }
 
-// A line without any word before its data is an error that names the line.
+// A line with data but without a schedule is an error that names the line.
 func TestCrontabLineWithoutSchedule(t *testing.T) {
 	for _, line := range []string{"%", "%data", " % x"} {
 		if _, err := Parse(strings.NewReader("# first\n"+line+"\n"), "tab"); err == nil || !strings.Contains(err.Error(), "tab:2") {
