--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,8 +1,3 @@
-// Package config reads the program's configuration: one JSON document, which is validated as a whole against the
-// schema that is part of the binary before any of it takes effect.
-//
-// It owns no state. The commands load a Config, and the appliance, the scenarios and the simulation derive the settings
-// of the other packages from it.
 package config
 
 import (
@@ -20,11 +15,11 @@
 //go:embed default.json
 var defaultDocument []byte
 
-// Config is the document. Times are in seconds.
+// Config is the configuration document. Times are in seconds.
 type Config struct {
 	Name           string            `json:"name"`
 	Listen         []string          `json:"listen"`
-	Peers          *Peers            `json:"peers"` // nil: the front ends of this process are all
+	Peers          *Peers            `json:"peers"` // nil: there are no front ends in other processes
 	Workers        Workers           `json:"workers"`
 	RequestClasses []RequestClass    `json:"event_types"`
 	Functions      []FunctionPattern `json:"functions"`
@@ -32,27 +27,27 @@
 	Rules          Rules             `json:"rules"`
 	Limits         Limits            `json:"limits"`
 	Schedules      *Schedules        `json:"timers"`   // nil: no schedules
-	Registry       *Registry         `json:"handlers"` // nil: versions need no signature
+	Registry       *Registry         `json:"handlers"` // nil: function versions need no signature
 	Log            Log               `json:"log"`
-	State          *State            `json:"state"`   // nil: nothing outlives the process
+	State          *State            `json:"state"`   // nil: no durable state
 	Console        *Console          `json:"console"` // nil: no console
-	Metrics        *Metrics          `json:"metrics"` // nil: metrics only on the console's socket
+	Metrics        *Metrics          `json:"metrics"` // nil: metrics are served on the console's socket only
 	Traces         *Traces           `json:"traces"`  // nil: no traces
 	DrainTime      float64           `json:"stop_within_s"`
 
-	dir      string // folder at which relative paths begin
-	document []byte
+	dir      string // base of relative paths
+	document []byte // text of the document
 }
 
-// Peers are the other front ends.
+// Peers configures gossip between front ends.
 type Peers struct {
-	Listen    []string `json:"listen"` // addresses for gossip, one for each of Config.Listen
-	Others    []string `json:"others"`
-	FrontEnds int      `json:"front_ends"` // in the whole fleet
+	Listen    []string `json:"listen"`     // UDP addresses, one for each entry of Config.Listen
+	Others    []string `json:"others"`     // UDP addresses of front ends in other processes
+	FrontEnds int      `json:"front_ends"` // number of front ends, including those of this process
 	Cluster   string   `json:"cluster"`
 }
 
-// Workers says where the workers are and how they are connected and loaded.
+// Workers configures the endpoint list, the connections to workers and replica loading.
 type Workers struct {
 	File                string  `json:"file"`
 	DialTimeout         float64 `json:"dial_s"`
@@ -64,7 +59,7 @@
 	IdleReplicaLifetime float64 `json:"keep_warm_s"`
 }
 
-// RequestClass is a class of requests, a CloudEvents type.
+// RequestClass configures a class of requests, identified by a CloudEvents type.
 type RequestClass struct {
 	Name                string  `json:"name"`
 	LatencyObjective    float64 `json:"target_time_s"`
@@ -74,7 +69,7 @@
 	DeduplicationWindow float64 `json:"remembered_s"`
 }
 
-// FunctionPattern is the profile of the functions whose names match a pattern.
+// FunctionPattern is the profile of all functions whose names match a pattern.
 type FunctionPattern struct {
 	Pattern     string  `json:"match"`
 	Concurrency int     `json:"lanes"`
@@ -88,7 +83,7 @@
 	Quota float64 `json:"quota"`
 }
 
-// Rules tune the routing decisions.
+// Rules configures the routing decisions.
 type Rules struct {
 	MaxAttempts             int     `json:"launches"`
 	MaxRetryAfter           float64 `json:"max_pause_s"`
@@ -101,7 +96,7 @@
 	LoadCommandsPerRequest  float64 `json:"load_share"`
 }
 
-// Limits bound what clients may use.
+// Limits configures the limits for clients, requests and deduplication.
 type Limits struct {
 	MaxHeadBytes        int     `json:"head_bytes"`
 	MaxBodyBytes        int     `json:"body_bytes"`
@@ -116,49 +111,49 @@
 	MaxCachedBytes      int     `json:"remember_bytes"`
 }
 
-// Schedules says where the schedules are.
+// Schedules configures the appliance's own schedules.
 type Schedules struct {
 	Crontab string `json:"crontab"`
-	Source  string `json:"source"` // of the identities of their requests
+	Source  string `json:"source"` // CloudEvents source of scheduled requests
 }
 
-// Registry says which keys sign function versions.
+// Registry configures the function registry.
 type Registry struct {
-	Keys string `json:"keys"`
+	Keys string `json:"keys"` // path of the keyring that function versions must be signed with
 }
 
-// Log is the form of the log.
+// Log configures the log.
 type Log struct {
 	Level  string `json:"level"`
 	Format string `json:"form"`
 }
 
-// State says where the state folder is.
+// State configures the durable state.
 type State struct {
-	Dir string `json:"dir"`
+	Dir string `json:"dir"` // path of the state folder
 }
 
-// Console is the console's socket.
+// Console configures the Unix socket of the admin API.
 type Console struct {
 	Socket string `json:"socket"`
-	Mode   string `json:"mode"` // permissions in octal
+	Mode   string `json:"mode"` // permissions of the socket, in octal
 }
 
-// Metrics is the address of the metrics.
+// Metrics configures the HTTP server for metrics.
 type Metrics struct {
 	Address string `json:"listen"`
 }
 
-// Traces says where traces go and which share of them.
+// Traces configures the trace exporter.
 type Traces struct {
 	File          string  `json:"file"`
-	SamplingRatio float64 `json:"share"`
+	SamplingRatio float64 `json:"share"` // fraction of requests that are traced
 }
 
-// Document returns the text that the configuration was read from.
+// Document returns the text of the configuration document.
 func (c *Config) Document() []byte { return c.document }
 
-// Path returns a path of the document as seen from the working directory.
+// Path resolves a path of the document. Relative paths are relative to the folder of the document.
 func (c *Config) Path(path string) string {
 	if path == "" || filepath.IsAbs(path) {
 		return path
@@ -166,26 +161,26 @@
 	return filepath.Join(c.dir, path)
 }
 
-// Default returns the configuration that a new machine starts with.
+// Default returns the embedded default configuration.
 func Default() *Config {
 	c, err := Parse(defaultDocument, ".")
 	if err != nil {
-		panic("embedded configuration: " + err.Error())
+		panic("invalid embedded configuration: " + err.Error())
 	}
 	return c
 }
 
-// Load reads a document from a file. Relative paths in it begin at the folder of the file.
+// Load reads a document from a file. Relative paths in it are relative to the folder of the file.
 func Load(file string) (*Config, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
-		return nil, fmt.Errorf("configuration: %w", err)
+		return nil, fmt.Errorf("read configuration: %w", err)
 	}
 	return Parse(data, filepath.Dir(file))
 }
 
-// Parse reads a document whose relative paths begin at dir. Invalid values are returned as ValidationErrors, all at
-// once.
+// Parse reads a document. Relative paths in it are relative to dir. If the document has invalid values, the error is of
+// type ValidationErrors and contains all of them.
 func Parse(data []byte, dir string) (*Config, error) {
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(data))
 	if err != nil {
@@ -197,7 +192,7 @@
 	c := defaults()
 	c.dir, c.document = dir, data
 	if err := json.Unmarshal(data, c); err != nil {
-		return nil, fmt.Errorf("configuration: %w", err)
+		return nil, fmt.Errorf("decode configuration: %w", err)
 	}
 	if invalid := c.check(); len(invalid) > 0 {
 		return nil, invalid
@@ -205,17 +200,17 @@
 	return c, nil
 }
 
-// syntaxError returns the error of a document that is not JSON, with its line where it is known.
+// syntaxError returns the error of a document that is not valid JSON, with the line if the decoder reports its offset.
 func syntaxError(data []byte, err error) error {
 	var syntax *json.SyntaxError
 	if !errors.As(err, &syntax) {
-		return fmt.Errorf("configuration: not JSON: %w", err)
+		return fmt.Errorf("configuration: invalid JSON: %w", err)
 	}
 	line := 1 + bytes.Count(data[:min(int(syntax.Offset), len(data))], []byte("\n"))
 	return fmt.Errorf("configuration: line %d: %w", line, err)
 }
 
-// defaults returns the values of members that a document leaves out.
+// defaults returns the values of members that are missing in a document.
 func defaults() *Config {
 	return &Config{
 		Name:      "streamcleat",
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,7 +8,7 @@
 	"streamcleat/control"
 )
 
-func TestAllInvalidValuesAreNamed(t *testing.T) {
+func TestParse_ReportsAllInvalidValues(t *testing.T) {
 	_, err := Parse([]byte(`{"name":"bad name","listen":[],"event_types":[{"name":"a","target_time_s":"soon","max_age_s":4},
 		{"name":"b","target_time_s":1,"max_age_s":-1,"repeat":"sometimes"},{"name":"c","target_time_s":1,"max_age_s":2,"repeat":"keyed"}],
 		"limits":{"pipeline":0},"colour":1,"log":{"level":"loud"}}`), ".")
@@ -20,12 +20,12 @@
 		`/event_types/1/repeat: "sometimes"`, "remembered_s", "/limits/pipeline: 0", "colour", `/log/level: "loud"`,
 	} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("no word of %s in\n%v", want, err)
+			t.Errorf("%s is missing in\n%v", want, err)
 		}
 	}
 }
 
-func TestChecksBesideSchema(t *testing.T) {
+func TestParse_ReportsWhatSchemaCannotExpress(t *testing.T) {
 	_, err := Parse([]byte(`{"event_types":[{"name":"a","target_time_s":3,"max_age_s":2},{"name":"a","target_time_s":0.01,"max_age_s":0.04}],
 		"functions":[{"match":"[a"}],"tenants":[{"name":"t"},{"name":"t"}],"peers":{"listen":["h:1","h:2"],"front_ends":1}}`), ".")
 	for _, want := range []string{
@@ -33,7 +33,7 @@
 		"/functions/0/match", "/tenants/1/name", "/peers/listen: 2 entries",
 	} {
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("no word of %s in\n%v", want, err)
+			t.Errorf("%s is missing in\n%v", want, err)
 		}
 	}
 	if _, err := Parse([]byte("{\n\"name\":,\n}"), "."); err == nil || !strings.Contains(err.Error(), "line 2") {
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestDeployment(t *testing.T) {
+func TestDeployment_DefaultAndParsed(t *testing.T) {
 	c := Default()
 	d := c.Deployment()
 	if len(d.RequestClasses) != 3 || d.RequestClasses[1].Semantics != control.IdempotentByKey || d.RequestClasses[2].Semantics != control.AtMostOnce ||
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -13,14 +13,15 @@
 )
 
 const (
-	// minRoundInterval is the least time, in seconds, between two looks of the routing decisions at the same thing: a
-	// turn of the event loop.
+	// minRoundInterval is the minimum interval, in seconds, between two rounds of the routing decisions. It is about one
+	// iteration of the event loop.
 	minRoundInterval = 0.004
-	// minResponseBody is the least limit, in bytes, of a worker's response body, also when clients' bodies are smaller.
+	// minResponseBody is the lower bound, in bytes, of the size limit of response bodies. Limits.MaxBodyBytes applies to
+	// responses only if it is larger.
 	minResponseBody = 1 << 20
 )
 
-// deliverySemantics are the values of RequestClass.Semantics.
+// deliverySemantics maps the values of RequestClass.Semantics.
 var deliverySemantics = map[string]control.DeliverySemantics{
 	"":              control.Idempotent,
 	"redeliverable": control.Idempotent,
@@ -28,7 +29,7 @@
 	"at-most-once":  control.AtMostOnce,
 }
 
-// deduplicationScopes are the values of RequestClass.DeduplicationScope.
+// deduplicationScopes maps the values of RequestClass.DeduplicationScope.
 var deduplicationScopes = map[string]control.DeduplicationScope{
 	"":     control.ScopeFleet,
 	"all":  control.ScopeFleet,
@@ -36,11 +37,11 @@
 	"cell": control.ScopeFailureDomain,
 }
 
-// Logger returns the program's log. The schema allows only known levels.
+// Logger returns the program's logger, which writes to w.
 func (c *Config) Logger(w io.Writer) *slog.Logger {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(c.Log.Level)); err != nil {
-		level = slog.LevelInfo
+		level = slog.LevelInfo // not reached: the schema allows only known levels
 	}
 	options := &slog.HandlerOptions{Level: level}
 	if c.Log.Format == "json" {
@@ -86,10 +87,10 @@
 	return d
 }
 
-// Function returns the profile of a function by its name, from the first pattern that matches.
+// Function returns the profile of a function. It is that of the first pattern that matches the name.
 func (c *Config) Function(name string) dispatch.FunctionProfile {
 	for _, function := range c.Functions {
-		if matches, _ := path.Match(function.Pattern, name); matches { // the patterns were validated
+		if matches, _ := path.Match(function.Pattern, name); matches { // Parse has validated the pattern
 			return dispatch.FunctionProfile{Concurrency: max(function.Concurrency, 1), MemoryMB: function.MemoryMB, LoadTime: function.LoadTime}
 		}
 	}
@@ -110,7 +111,7 @@
 	}
 }
 
-// Upstream returns the limits of the connections to workers.
+// Upstream returns the limits of connections to workers. via is the name of the front end in Via header fields.
 func (c *Config) Upstream(via string) openinference.Limits {
 	return openinference.Limits{
 		DialTimeout:  c.Workers.DialTimeout,
@@ -121,7 +122,7 @@
 	}
 }
 
-// Downstream returns the limits of the connections from clients.
+// Downstream returns the limits of connections from clients.
 func (c *Config) Downstream() cloudevents.Limits {
 	return cloudevents.Limits{
 		Message:        http1.Limits{Head: c.Limits.MaxHeadBytes, Body: c.Limits.MaxBodyBytes},
--- a/internal/config/validation.go
+++ b/internal/config/validation.go
@@ -16,20 +16,24 @@
 	"golang.org/x/text/message"
 )
 
-// Schema is the JSON Schema (2020-12) of the configuration.
+// Schema is the JSON Schema (draft 2020-12) of the configuration document.
 //
 //go:embed schema.json
 var Schema []byte
 
 const (
 	schemaURL       = "urn:streamcleat:config"
-	maxExcerptBytes = 60 // of a value in an error
+	maxExcerptBytes = 60 // maximum length of a value in an error message
 )
 
-// ValidationError is one invalid value of a document: a JSON pointer to it (RFC 6901), the value, and what is allowed.
-type ValidationError struct{ Pointer, Value, Want string }
+// ValidationError is an invalid value of a document.
+type ValidationError struct {
+	Pointer string // JSON pointer to the value (RFC 6901)
+	Value   string // the value as JSON, shortened; empty for objects and arrays
+	Want    string // what is allowed
+}
 
-// Error implements error.
+// Error implements the error interface.
 func (e ValidationError) Error() string {
 	if e.Value == "" {
 		return fmt.Sprintf("%s: %s", e.Pointer, e.Want)
@@ -37,10 +41,10 @@
 	return fmt.Sprintf("%s: %s: %s", e.Pointer, e.Value, e.Want)
 }
 
-// ValidationErrors are all invalid values of a document.
+// ValidationErrors lists all invalid values of a document.
 type ValidationErrors []ValidationError
 
-// Error implements error, with one line for each value.
+// Error implements the error interface. The text has one line for each value.
 func (e ValidationErrors) Error() string {
 	lines := make([]string, len(e))
 	for i := range e {
@@ -63,6 +67,7 @@
 	return schemaErrors(invalid, document)
 }
 
+// compileSchema compiles the embedded schema.
 func compileSchema() (*jsonschema.Schema, error) {
 	document, err := jsonschema.UnmarshalJSON(bytes.NewReader(Schema))
 	if err != nil {
@@ -75,7 +80,7 @@
 	return compiler.Compile(schemaURL)
 }
 
-// schemaErrors returns the innermost causes of an error of the schema, by their pointers.
+// schemaErrors returns the leaf causes of a schema validation error, sorted by pointer.
 func schemaErrors(root *jsonschema.ValidationError, document any) ValidationErrors {
 	var invalid ValidationErrors
 	printer := message.NewPrinter(language.English)
@@ -96,6 +101,7 @@
 	return invalid
 }
 
+// jsonPointer returns the JSON pointer of a location.
 func jsonPointer(location []string) string {
 	if len(location) == 0 {
 		return "/"
@@ -108,7 +114,7 @@
 	return pointer.String()
 }
 
-// excerpt returns the value at a location as JSON, shortened; nothing for an object or a list.
+// excerpt returns the value at a location as JSON, shortened. It returns an empty string for an object or array.
 func excerpt(value any, location []string) string {
 	for _, member := range location {
 		switch container := value.(type) {
@@ -134,7 +140,7 @@
 	return string(text)
 }
 
-// check finds what a schema can't express.
+// check returns the invalid values that the schema can't detect.
 func (c *Config) check() ValidationErrors {
 	var invalid ValidationErrors
 	invalid = append(invalid, c.checkRequestClasses()...)
@@ -143,34 +149,36 @@
 	return append(invalid, c.checkTenants()...)
 }
 
-func (c *Config) checkRequestClasses() (invalid ValidationErrors) {
+func (c *Config) checkRequestClasses() ValidationErrors {
+	var invalid ValidationErrors
 	indexByName := map[string]int{}
 	for i, class := range c.RequestClasses {
 		pointer := fmt.Sprintf("/event_types/%d", i)
 		if first, duplicate := indexByName[class.Name]; duplicate {
 			invalid = append(invalid, ValidationError{
 				pointer + "/name", fmt.Sprintf("%q", class.Name),
-				fmt.Sprintf("already stated at /event_types/%d", first),
+				fmt.Sprintf("duplicate of /event_types/%d", first),
 			})
 		}
 		indexByName[class.Name] = i
 		if class.LatencyObjective > class.Timeout {
 			invalid = append(invalid, ValidationError{
 				pointer + "/target_time_s", fmt.Sprint(class.LatencyObjective),
-				fmt.Sprintf("not above max_age_s, %v", class.Timeout),
+				fmt.Sprintf("must not exceed max_age_s, %v", class.Timeout),
 			})
 		}
 		if c.Limits.ResponseMargin >= class.Timeout {
 			invalid = append(invalid, ValidationError{
 				pointer + "/max_age_s", fmt.Sprint(class.Timeout),
-				fmt.Sprintf("above /limits/answer_margin_s, %v", c.Limits.ResponseMargin),
+				fmt.Sprintf("must exceed /limits/answer_margin_s, %v", c.Limits.ResponseMargin),
 			})
 		}
 	}
 	return invalid
 }
 
-func (c *Config) checkFunctions() (invalid ValidationErrors) {
+func (c *Config) checkFunctions() ValidationErrors {
+	var invalid ValidationErrors
 	for i, function := range c.Functions {
 		if _, err := path.Match(function.Pattern, ""); err != nil {
 			invalid = append(invalid, ValidationError{fmt.Sprintf("/functions/%d/match", i), fmt.Sprintf("%q", function.Pattern), err.Error()})
@@ -179,30 +187,32 @@
 	return invalid
 }
 
-func (c *Config) checkPeers() (invalid ValidationErrors) {
+func (c *Config) checkPeers() ValidationErrors {
+	var invalid ValidationErrors
 	if c.Peers == nil {
 		return nil
 	}
 	if len(c.Peers.Listen) != len(c.Listen) {
 		invalid = append(invalid, ValidationError{
 			"/peers/listen", fmt.Sprintf("%d entries", len(c.Peers.Listen)),
-			fmt.Sprintf("one for each entry of /listen, %d", len(c.Listen)),
+			fmt.Sprintf("must have one entry for each of the %d of /listen", len(c.Listen)),
 		})
 	}
 	if named := len(c.Listen) + len(c.Peers.Others); c.Peers.FrontEnds < named {
 		invalid = append(invalid, ValidationError{
 			"/peers/front_ends", strconv.Itoa(c.Peers.FrontEnds),
-			fmt.Sprintf("at least the %d named here", named),
+			fmt.Sprintf("must be at least the number of front ends named here, %d", named),
 		})
 	}
 	return invalid
 }
 
-func (c *Config) checkTenants() (invalid ValidationErrors) {
+func (c *Config) checkTenants() ValidationErrors {
+	var invalid ValidationErrors
 	seen := map[string]bool{}
 	for i, tenant := range c.Tenants {
 		if seen[tenant.Name] {
-			invalid = append(invalid, ValidationError{fmt.Sprintf("/tenants/%d/name", i), fmt.Sprintf("%q", tenant.Name), "stated twice"})
+			invalid = append(invalid, ValidationError{fmt.Sprintf("/tenants/%d/name", i), fmt.Sprintf("%q", tenant.Name), "duplicate name"})
 		}
 		seen[tenant.Name] = true
 	}
