--- a/internal/console/client.go
+++ b/internal/console/client.go
@@ -21,14 +21,14 @@
 	maxResponseBytes int64 = 64 << 20
 )
 
-// Client calls the API of an appliance.
+// Client is a client of an appliance's admin API.
 type Client struct {
 	Socket string
-	Name   string // by which the appliance tells other consoles who gives commands
+	Name   string // identifies this console to the appliance and to other consoles
 	http   http.Client
 }
 
-// NewClient returns a client of the appliance that listens on a socket.
+// NewClient returns a client of the appliance that listens on a Unix socket.
 func NewClient(socket, name string) *Client {
 	dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
 		return (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "unix", socket)
@@ -40,30 +40,30 @@
 	}
 }
 
-// UnreachableError is returned when no appliance answers at the socket.
+// UnreachableError is returned if the request to the appliance fails without a complete response.
 type UnreachableError struct {
 	Socket string
 	Err    error
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *UnreachableError) Error() string {
 	return fmt.Sprintf("no box answers at %s: %v", e.Socket, errors.Unwrap(e.Err))
 }
 
-// Unwrap returns the error of the connection.
+// Unwrap returns the error of the HTTP request.
 func (e *UnreachableError) Unwrap() error { return e.Err }
 
-// RejectedError is an error of the appliance itself.
+// RejectedError is an error response of the appliance.
 type RejectedError struct {
 	Status  int
 	Message string
 }
 
-// Error implements error.
+// Error implements the error interface.
 func (e *RejectedError) Error() string { return e.Message }
 
-// call sends a request and decodes the response.
+// call sends a request and decodes the response into the value into.
 func (c *Client) call(method, path string, body []byte, into any) error {
 	request, err := http.NewRequest(method, "http://box"+path, bytes.NewReader(body))
 	if err != nil {
@@ -74,43 +74,46 @@
 		return &UnreachableError{c.Socket, err}
 	}
 	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
-	_ = response.Body.Close() // the response is read, or its error is the one to report
+	_ = response.Body.Close() // the read error, if any, is the one to report
 	if err != nil {
-		return &UnreachableError{c.Socket, fmt.Errorf("answer cut off: %w", err)}
+		return &UnreachableError{c.Socket, fmt.Errorf("read response: %w", err)}
 	}
 	if response.StatusCode != http.StatusOK {
-		return refusedError(response, data)
+		return rejectedError(response, data)
 	}
 	return json.Unmarshal(data, into)
 }
 
-// refusedError returns the error in a response, or its status when it has none.
-func refusedError(response *http.Response, body []byte) error {
-	var document struct{ Error string }
+// rejectedError returns the error of a response. Its message is the status if the body has none.
+func rejectedError(response *http.Response, body []byte) error {
+	var document struct {
+		Error string `json:"error"`
+	}
 	if json.Unmarshal(body, &document) != nil || document.Error == "" {
 		document.Error = response.Status
 	}
 	return &RejectedError{response.StatusCode, document.Error}
 }
 
-// Get reads a resource: status, workers, handlers, events, timers, registry or trail.
+// Get reads a resource, such as status, workers, handlers, events, timers, registry or trail.
 func (c *Client) Get(resource string, into any) error {
 	return c.call(http.MethodGet, "/v1/"+resource, nil, into)
 }
 
-// Explain reads a request with its steps.
-func (c *Client) Explain(id string) (request appliance.RequestStatus, err error) {
-	err = c.Get("explain?id="+url.QueryEscape(id), &request)
+// Explain reads the status of a request with the steps of its trace.
+func (c *Client) Explain(id string) (appliance.RequestStatus, error) {
+	var request appliance.RequestStatus
+	err := c.Get("explain?id="+url.QueryEscape(id), &request)
 	return request, err
 }
 
-// Execute gives a command and returns what was done.
+// Execute sends a command and returns the description of the result.
 func (c *Client) Execute(command appliance.Command) (string, error) {
 	command.Console = c.Name
 	return c.post("/v1/orders", command)
 }
 
-// Change makes a change of the function registry and returns what was done.
+// Change makes a change of the function registry and returns its description.
 func (c *Client) Change(change appliance.Change) (string, error) {
 	if change.Actor == "" {
 		change.Actor = c.Name
@@ -118,13 +121,15 @@
 	return c.post("/v1/registry", change)
 }
 
-// post sends a document and returns the text of the response.
+// post sends a document as JSON and returns the description of the result.
 func (c *Client) post(path string, document any) (string, error) {
 	body, err := json.Marshal(document)
 	if err != nil {
 		return "", err
 	}
-	var result struct{ Said string }
+	var result struct {
+		Said string `json:"said"`
+	}
 	err = c.call(http.MethodPost, path, body, &result)
 	return result.Said, err
 }
--- a/internal/console/doc.go
+++ b/internal/console/doc.go
@@ -1,5 +1,6 @@
-// Package console shows a running appliance and gives it commands, over its Unix socket: tables as text for the
-// sub-commands of the program, and a terminal console that shows the same and takes keys.
+// Package console shows the status of a running appliance and sends it commands over its Unix socket. It has a client of
+// the admin API, text tables for the program's sub-commands, and a terminal UI with the same tables.
 //
-// It owns nothing but what is on the screen. The sub-commands use Client and the tables; the console command calls Run.
+// The package owns only the state of the terminal UI. The sub-commands use Client and the table functions; the console
+// command calls Run.
 package console
--- a/internal/console/format.go
+++ b/internal/console/format.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// sparkBars are the heights of a sparkline.
+// sparkBars are the bars of a sparkline in ascending height.
 var sparkBars = []rune("▁▂▃▄▅▆▇█")
 
 const (
-	columnGap       = 2      // spaces between the columns of a table
-	oneSecondShown  = 0.9995 // seconds from which a time is not shown in milliseconds
-	secondsShown    = 60     // seconds from which a time is shown in minutes
-	kilobytesShown  = 10 << 10
-	megabytesShown  = 10 << 20
-	bytesInKilobyte = 10 // as a power of two
-	bytesInMegabyte = 20 // as a power of two
+	columnGap     = 2      // spaces between the columns of a table
+	minSeconds    = 0.9995 // durations below it are shown in milliseconds; it would round to 1000 ms
+	minMinutes    = 60     // durations in seconds from which on minutes are shown
+	minKilobytes  = 10 << 10
+	minMegabytes  = 10 << 20
+	kilobyteShift = 10
+	megabyteShift = 20
 )
 
-// Spark draws values as one line of bars, the newest last, as many as fit.
+// Spark returns a sparkline of the last values, at most width of them.
 func Spark(values []float64, width int) string {
 	if len(values) > width {
 		values = values[len(values)-width:]
@@ -41,38 +41,40 @@
 	return line.String()
 }
 
-// Table aligns rows in columns.
+// Table formats rows as aligned columns.
 func Table(rows [][]string) string {
 	var text strings.Builder
 	w := tabwriter.NewWriter(&text, 0, 0, columnGap, ' ', 0)
 	for _, row := range rows {
-		_, _ = fmt.Fprintln(w, strings.Join(row, "\t")) // a strings.Builder never fails to write
+		_, _ = fmt.Fprintln(w, strings.Join(row, "\t")) // a strings.Builder returns no write errors
 	}
 	_ = w.Flush() // likewise
 	return strings.TrimRight(text.String(), "\n")
 }
 
+// formatSeconds formats a duration in seconds.
 func formatSeconds(seconds float64) string {
 	switch {
-	case seconds < oneSecondShown:
+	case seconds < minSeconds:
 		return fmt.Sprintf("%.0f ms", seconds*1000)
-	case seconds < secondsShown:
+	case seconds < minMinutes:
 		return fmt.Sprintf("%.1f s", seconds)
 	}
 	return time.Duration(seconds * float64(time.Second)).Round(time.Second).String()
 }
 
+// formatBytes formats a size in bytes.
 func formatBytes(n uint64) string {
 	switch {
-	case n < kilobytesShown:
+	case n < minKilobytes:
 		return fmt.Sprintf("%d B", n)
-	case n < megabytesShown:
-		return fmt.Sprintf("%d KB", n>>bytesInKilobyte)
+	case n < minMegabytes:
+		return fmt.Sprintf("%d KB", n>>kilobyteShift)
 	}
-	return fmt.Sprintf("%d MB", n>>bytesInMegabyte)
+	return fmt.Sprintf("%d MB", n>>megabyteShift)
 }
 
-// formatMinute returns a time of a schedule, or "-" for none.
+// formatMinute formats a time of a schedule. It returns "-" for nil.
 func formatMinute(t *time.Time) string {
 	if t == nil {
 		return "-"
--- a/internal/console/keys.go
+++ b/internal/console/keys.go
@@ -6,7 +6,7 @@
 	"streamcleat/internal/appliance"
 )
 
-// keyHints name the keys of each screen.
+// keyHints are the hints for the keys of each screen.
 var keyHints = [...]string{
 	overviewScreen:  "",
 	workersScreen:   "up/down choose  d drain  r return",
@@ -15,10 +15,10 @@
 	schedulesScreen: "up/down choose  f fire now  h hold or release",
 }
 
-// commonKeyHints name the keys of all screens.
+// commonKeyHints are the hints for the keys that work on all screens.
 const commonKeyHints = "  tab 1-5 screens  s stop  S stop now  q leave"
 
-// handleKey carries out what a key asks for.
+// handleKey handles a key press.
 func (m *model) handleKey(key string) (tea.Model, tea.Cmd) {
 	if m.unconfirmed != nil {
 		return m, m.handleConfirmation(key)
@@ -42,7 +42,7 @@
 	return m, nil
 }
 
-// handleConfirmation executes the command that awaits confirmation, or drops it.
+// handleConfirmation executes the unconfirmed command if key is y, and drops it otherwise.
 func (m *model) handleConfirmation(key string) tea.Cmd {
 	command := *m.unconfirmed
 	m.unconfirmed, m.notice = nil, "left as it is"
@@ -53,7 +53,7 @@
 	return m.execute(command)
 }
 
-// handleNavigation switches screens or leaves the console.
+// handleNavigation handles the keys that switch screens or quit.
 func (m *model) handleNavigation(key string) (cmd tea.Cmd, handled bool) {
 	switch key {
 	case "q", "ctrl+c":
@@ -68,7 +68,7 @@
 	return nil, false
 }
 
-// moveSelection moves the selected row.
+// moveSelection handles the keys that move the selected row.
 func (m *model) moveSelection(key string) (handled bool) {
 	switch key {
 	case "up", "k":
@@ -85,7 +85,7 @@
 	return true
 }
 
-// handleCommandKey gives the command of a key, or asks for its confirmation.
+// handleCommandKey handles the keys that show a request or send a command. Stopping needs a confirmation.
 func (m *model) handleCommandKey(key string) tea.Cmd {
 	switch key {
 	case "enter":
@@ -104,8 +104,8 @@
 	return nil
 }
 
-// commandForKey returns the command that a key gives for the selected row, or nil. To drain the last worker asks for
-// confirmation.
+// commandForKey returns the command of a key for the selected row, or nil if there is none or it needs a confirmation, as
+// draining the last serving worker does.
 func (m *model) commandForKey(key string) *appliance.Command {
 	target := m.target()
 	if target == "" {
@@ -131,6 +131,7 @@
 	return nil
 }
 
+// servingWorkers returns the number of workers that are not draining.
 func (m *model) servingWorkers() int {
 	serving := 0
 	for i := range m.snapshot.workers {
--- a/internal/console/status_text.go
+++ b/internal/console/status_text.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	sparkMargin   = 20 // columns beside a sparkline
+	sparkMargin   = 20 // columns left of a sparkline
 	minSparkWidth = 10
 )
 
-// StatusText shows the overview of an appliance.
+// StatusText formats the status of an appliance for a terminal with the given width.
 func StatusText(s appliance.Status, width int) string {
 	var ended, notSucceeded []float64
 	for _, second := range s.Seconds {
@@ -47,6 +47,7 @@
 	return Table(rows)
 }
 
+// stateText describes the lifecycle state.
 func stateText(s *appliance.Status) string {
 	text := s.State
 	if s.State == appliance.Draining.String() {
@@ -58,7 +59,7 @@
 	return text
 }
 
-// rateText shows the last value and a sparkline of all.
+// rateText returns the last value and a sparkline of all values.
 func rateText(values []float64, width int) string {
 	last := "0"
 	if len(values) > 0 {
@@ -67,6 +68,7 @@
 	return fmt.Sprintf("%4s %s", last, Spark(values, max(width-sparkMargin, minSparkWidth)))
 }
 
+// workerCounts lists the number of workers in each state.
 func workerCounts(byState map[string]int) string {
 	var counts []string
 	for _, state := range slices.Sorted(maps.Keys(byState)) {
@@ -78,6 +80,7 @@
 	return strings.Join(counts, ", ")
 }
 
+// storeText describes the durable store.
 func storeText(s *appliance.StoreStatus) string {
 	text := fmt.Sprintf("%s, %d notes in %d writes, %d read back", formatBytes(s.Bytes), s.Records, s.Commits, s.RecoveredRecords)
 	if s.Error != "" {
@@ -89,6 +92,7 @@
 	return text
 }
 
+// taskText describes a background task.
 func taskText(t *appliance.TaskStatus) string {
 	if t.LastError != "" {
 		return fmt.Sprintf("failed %d times: %s", t.Failures, t.LastError)
--- a/internal/console/tables.go
+++ b/internal/console/tables.go
@@ -12,7 +12,7 @@
 	"streamcleat/internal/registry"
 )
 
-// WorkerRows returns the table of workers, the heading first.
+// WorkerRows returns the table of workers. The first row is the heading.
 func WorkerRows(workers []appliance.WorkerStatus) [][]string {
 	rows := [][]string{{"WORKER", "STATE", "OUT", "ROOM", "LOAD", "WARM", "COPIES", "LOADING", "KIND"}}
 	for i := range workers {
@@ -36,7 +36,7 @@
 	return rows
 }
 
-// FunctionRows returns the table of functions, the heading first.
+// FunctionRows returns the table of functions. The first row is the heading.
 func FunctionRows(functions []appliance.FunctionStatus) [][]string {
 	rows := [][]string{{"HANDLER", "OUT", "WAITING", "MEDIAN", "LANES", "LOADED ON"}}
 	for i := range functions {
@@ -57,7 +57,7 @@
 	return rows
 }
 
-// RequestRows returns the table of requests, the heading first.
+// RequestRows returns the table of requests. The first row is the heading.
 func RequestRows(requests []appliance.RequestStatus) [][]string {
 	rows := [][]string{{"AGO", "OUTCOME", "CAUSE", "TOOK", "TRIES", "FUNCTION", "WORKER", "EVENT"}}
 	for i := range requests {
@@ -71,7 +71,7 @@
 	return rows
 }
 
-// ScheduleRows returns the table of schedule entries, the heading first.
+// ScheduleRows returns the table of schedule entries. The first row is the heading.
 func ScheduleRows(schedules []appliance.ScheduleStatus, _ time.Time) [][]string {
 	rows := [][]string{{"NEXT", "LAST", "HELD", "ZONE", "ENTRY"}}
 	for i := range schedules {
@@ -85,7 +85,7 @@
 	return rows
 }
 
-// RequestText shows a request with its steps.
+// RequestText formats a request with the steps of its trace.
 func RequestText(r appliance.RequestStatus) string {
 	class := r.Class + ", function " + r.Function
 	if r.Tenant != "" {
@@ -108,7 +108,8 @@
 	return Table(rows) + "\n\n" + Table(steps)
 }
 
-// RegistryRows returns the table of function versions with the aliases and rollouts that name them, the heading first.
+// RegistryRows returns the table of function versions with the aliases and rollouts that name them. The first row is the
+// heading.
 func RegistryRows(functions []registry.View) [][]string {
 	rows := [][]string{{"FUNCTION", "VERSION", "ALIASES", "LANES", "LOAD", "DIGEST"}}
 	for i := range functions {
@@ -128,7 +129,7 @@
 	return rows
 }
 
-// versionNames returns the aliases and rollouts that name a version, and whether it is withdrawn.
+// versionNames returns the aliases and rollouts that name a version, and a mark if it is withdrawn.
 func versionNames(function *registry.View, version *registry.Version) []string {
 	var names []string
 	for alias, digest := range function.Aliases {
@@ -148,7 +149,7 @@
 	return names
 }
 
-// AuditRows returns the table of the registry's audit trail, the heading first.
+// AuditRows returns the table of the registry's audit trail. The first row is the heading.
 func AuditRows(entries []registry.Entry) [][]string {
 	rows := [][]string{{"WHEN", "WHO", "WHAT", "WHY"}}
 	for i := range entries {
@@ -159,6 +160,7 @@
 	return rows
 }
 
+// changeText describes a change of the registry.
 func changeText(e *registry.Entry) string {
 	switch {
 	case e.Publish != nil:
--- a/internal/console/tui.go
+++ b/internal/console/tui.go
@@ -12,12 +12,12 @@
 
 const (
 	refreshInterval = 500 * time.Millisecond
-	// The size of the terminal until it is known.
+	// Terminal size until the first tea.WindowSizeMsg.
 	defaultWidth  = 80
 	defaultHeight = 24
 )
 
-// screen is one of the screens between which the user switches.
+// screen is a screen of the terminal UI.
 type screen int
 
 const (
@@ -26,10 +26,10 @@
 	functionsScreen
 	requestsScreen
 	schedulesScreen
-	screenCount
+	screenCount // number of screens
 )
 
-// snapshot is what was last read from the appliance.
+// snapshot is the result of the last poll of the appliance. Besides the status it has the data of one screen.
 type snapshot struct {
 	status    appliance.Status
 	workers   []appliance.WorkerStatus
@@ -39,7 +39,7 @@
 	err       error
 }
 
-// Messages of the event loop.
+// Messages of the bubbletea program.
 type (
 	snapshotMsg snapshot
 	noticeMsg   struct{ text string }
@@ -47,20 +47,20 @@
 	tickMsg     struct{}
 )
 
-// model is the state of the console. It only reads the state of the appliance.
+// model is the state of the terminal UI. It implements tea.Model.
 type model struct {
 	client        *Client
 	screen        screen
-	selected      int // row of the table
-	firstVisible  int // row of the table
+	selected      int // index of the selected row
+	firstVisible  int // index of the first visible row
 	width, height int
 	snapshot      snapshot
 	notice        string
-	unconfirmed   *appliance.Command // awaits the key that confirms it
-	detail        string             // a request with its steps, in place of the table
+	unconfirmed   *appliance.Command // awaits confirmation
+	detail        string             // text of a request, shown in place of the table
 }
 
-// Run shows the console until the user leaves it or ctx ends. The appliance runs on.
+// Run runs the terminal UI until the user quits or ctx ends. The appliance keeps running.
 func Run(ctx context.Context, c *Client, in io.Reader, out io.Writer) error {
 	m := &model{client: c, width: defaultWidth, height: defaultHeight}
 	p := tea.NewProgram(m, tea.WithContext(ctx), tea.WithInput(in), tea.WithOutput(out))
@@ -71,11 +71,12 @@
 // Init implements tea.Model.
 func (m *model) Init() tea.Cmd { return tea.Batch(m.refresh(), m.tick()) }
 
+// tick schedules the next refresh.
 func (m *model) tick() tea.Cmd {
 	return tea.Tick(refreshInterval, func(time.Time) tea.Msg { return tickMsg{} })
 }
 
-// refresh reads what the present screen shows.
+// refresh reads the status and the data of the current screen.
 func (m *model) refresh() tea.Cmd {
 	current, client := m.screen, m.client
 	return func() tea.Msg {
@@ -92,6 +93,7 @@
 			s.err = client.Get("events?most=200", &s.requests)
 		case schedulesScreen:
 			s.err = client.Get("timers", &s.schedules)
+		case overviewScreen, screenCount: // the status is all that the overview shows
 		}
 		return snapshotMsg(s)
 	}
@@ -106,7 +108,7 @@
 		return m, tea.Batch(m.refresh(), m.tick())
 	case snapshotMsg:
 		if msg.err != nil {
-			m.snapshot.err = msg.err // the last snapshot stays on the screen
+			m.snapshot.err = msg.err // keep showing the last snapshot
 		} else {
 			m.snapshot = snapshot(msg)
 		}
@@ -121,19 +123,19 @@
 	return m, nil
 }
 
-// execute gives a command to the appliance and shows what was done.
+// execute sends a command to the appliance and shows the result as the notice.
 func (m *model) execute(command appliance.Command) tea.Cmd {
 	client := m.client
 	return func() tea.Msg {
 		result, err := client.Execute(command)
 		if err != nil {
-			return noticeMsg{"not done: " + err.Error()}
+			return noticeMsg{"command failed: " + err.Error()}
 		}
 		return noticeMsg{result}
 	}
 }
 
-// explain shows a request with its steps.
+// explain shows the steps of a request as the detail.
 func (m *model) explain(id string) tea.Cmd {
 	client := m.client
 	return func() tea.Msg {
@@ -145,12 +147,13 @@
 	}
 }
 
+// showScreen switches to a screen.
 func (m *model) showScreen(s screen) tea.Cmd {
 	m.screen, m.selected, m.firstVisible = s, 0, 0
 	return m.refresh()
 }
 
-// rows returns the table of the present screen, the heading first.
+// rows returns the table of the current screen. The first row is the heading.
 func (m *model) rows() [][]string {
 	switch m.screen {
 	case workersScreen:
@@ -161,11 +164,12 @@
 		return RequestRows(m.snapshot.requests)
 	case schedulesScreen:
 		return ScheduleRows(m.snapshot.schedules, time.Now())
+	case overviewScreen, screenCount: // no table
 	}
 	return nil
 }
 
-// target returns what the selected row is about, as commands name it, or nothing when there is no row.
+// target returns the command target of the selected row, or an empty string if there is no row.
 func (m *model) target() string {
 	m.clampSelection()
 	switch {
@@ -182,7 +186,7 @@
 	return ""
 }
 
-// clampSelection keeps the selected row in the table, and on the screen.
+// clampSelection moves the selection into the table and scrolls it into view.
 func (m *model) clampSelection() {
 	count := max(len(m.rows())-1, 0)
 	m.selected = max(min(m.selected, count-1), 0)
--- a/internal/console/view.go
+++ b/internal/console/view.go
@@ -8,7 +8,7 @@
 	"charm.land/lipgloss/v2"
 )
 
-// fixedLines are the lines beside the body: the heading, the tabs, the notice and the keys.
+// fixedLines is the number of lines besides the body: heading, tabs, notice and key hints.
 const fixedLines = 4
 
 var (
@@ -36,9 +36,10 @@
 	return view
 }
 
+// bodyHeight returns the number of lines of the body.
 func (m *model) bodyHeight() int { return max(m.height-fixedLines, 1) }
 
-// heading names the appliance and its state, and the console that gives commands if it is another one.
+// heading returns the name and state of the appliance, and the name of the active console if it is another one.
 func (m *model) heading() string {
 	if m.snapshot.err != nil {
 		return "streamcleat  " + m.snapshot.err.Error() + "; trying again"
@@ -51,6 +52,7 @@
 	return heading
 }
 
+// tabs returns the line with the titles of the screens.
 func (m *model) tabs() string {
 	tabs := make([]string, len(screenTitles))
 	for i, title := range screenTitles {
@@ -63,7 +65,7 @@
 	return strings.Join(tabs, " ")
 }
 
-// body returns the lines of the detail, the overview or the table.
+// body returns the lines of the detail, if there is one, or else of the overview or the table.
 func (m *model) body() []string {
 	switch {
 	case m.detail != "":
@@ -74,7 +76,7 @@
 	return m.tableLines()
 }
 
-// tableLines returns the heading of the table and the visible rows.
+// tableLines returns the heading and the visible rows of the table.
 func (m *model) tableLines() []string {
 	lines := strings.Split(Table(m.rows()), "\n")
 	body := []string{headingStyle.Render(truncate(lines[0], m.width))}
@@ -93,7 +95,7 @@
 	return body
 }
 
-// noticeLine returns the last notice, or the question for confirmation.
+// noticeLine returns the prompt for a confirmation, if one is awaited, or else the last notice.
 func (m *model) noticeLine() string {
 	switch {
 	case m.unconfirmed == nil:
@@ -104,6 +106,7 @@
 	return fmt.Sprintf("%s %s? y does it, any other key leaves it", m.unconfirmed.Name, m.unconfirmed.Target)
 }
 
+// keyLine returns the key hints.
 func (m *model) keyLine() string {
 	keys := keyHints[m.screen]
 	if m.detail != "" {
@@ -112,6 +115,7 @@
 	return strings.TrimSpace(keys + commonKeyHints)
 }
 
+// truncateAll truncates lines in place.
 func truncateAll(lines []string, width int) []string {
 	for i := range lines {
 		lines[i] = truncate(lines[i], width)
@@ -119,7 +123,7 @@
 	return lines
 }
 
-// truncate shortens a line to a width in cells.
+// truncate shortens a line to a width in terminal cells. A shortened line ends with ~.
 func truncate(line string, width int) string {
 	if lipgloss.Width(line) <= width {
 		return line
--- a/internal/console/view_test.go
+++ b/internal/console/view_test.go
@@ -13,7 +13,7 @@
 	"streamcleat/internal/dispatch"
 )
 
-var update = flag.Bool("update", false, "write the golden file of the screens")
+var update = flag.Bool("update", false, "update the golden file of the screens")
 
 func testSnapshot() snapshot {
 	last, next := time.Date(2026, 1, 2, 3, 4, 0, 0, time.Local), time.Date(2026, 1, 2, 3, 5, 0, 0, time.Local)
@@ -48,7 +48,7 @@
 	}
 }
 
-// drawScreen draws a screen as it is, after some keys, with a detail, and without a connection.
+// drawScreen draws a screen: initially, after some keys, with a detail, and without a connection.
 func drawScreen(text *strings.Builder, s screen, width, height int) {
 	m := &model{client: &Client{Name: "me"}, width: width, height: height, screen: s, snapshot: testSnapshot()}
 	draw := func() { text.WriteString(m.View().Content + "\n=====\n") }
@@ -64,8 +64,7 @@
 	draw()
 }
 
-// The screens are drawn as the golden file has them.
-func TestScreens(t *testing.T) {
+func TestView_MatchesGoldenScreens(t *testing.T) {
 	var text strings.Builder
 	for s := range screenCount {
 		drawScreen(&text, s, 80, 18)
@@ -82,12 +81,12 @@
 		t.Fatal(err)
 	}
 	if text.String() != string(want) {
-		t.Errorf("drawn:\n%s\nwant:\n%s", text.String(), want)
+		t.Errorf("got:\n%s\nwant:\n%s", text.String(), want)
 	}
 }
 
-// Keys that stop the appliance or drain its last worker ask for confirmation; any key but y drops the command.
-func TestConfirmation(t *testing.T) {
+// Keys that stop the appliance or drain its last worker need a confirmation. Any key but y drops the command.
+func TestHandleKey_ConfirmationOfCommands(t *testing.T) {
 	tests := []struct {
 		name   string
 		screen screen
@@ -105,11 +104,11 @@
 				t.Fatalf("unconfirmed %+v, want %+v", m.unconfirmed, test.want)
 			}
 			if _, cmd := m.handleKey("n"); cmd != nil || m.unconfirmed != nil || m.notice != "left as it is" {
-				t.Errorf("after n: %+v, %q", m.unconfirmed, m.notice)
+				t.Errorf("after n: unconfirmed %+v, notice %q", m.unconfirmed, m.notice)
 			}
 			m.handleKey(test.key)
 			if _, cmd := m.handleKey("y"); cmd == nil || m.unconfirmed != nil {
-				t.Errorf("after y: no command, %+v", m.unconfirmed)
+				t.Errorf("after y: command not executed, unconfirmed %+v", m.unconfirmed)
 			}
 		})
 	}
