--- a/internal/appliance/api_commands.go
+++ b/internal/appliance/api_commands.go
@@ -133,16 +133,16 @@
 
 // unloadReplicas asks the workers that have a function loaded to unload its idle replicas.
 func (a *Appliance) unloadReplicas(function string) (string, error) {
-	asked := 0
+	requested := 0
 	for _, server := range a.runningServers() {
 		n, err := server.UnloadReplicas(function)
 		if err != nil {
 			return "", err
 		}
-		asked += n
+		requested += n
 	}
-	if asked == 0 {
+	if requested == 0 {
 		return "", statusError{http.StatusNotFound, fmt.Sprintf("no copy of %q is known of", function)}
 	}
-	return fmt.Sprintf("%d workers were asked to let idle copies of %s go", asked, function), nil
+	return fmt.Sprintf("%d workers were asked to let idle copies of %s go", requested, function), nil
 }
--- a/internal/appliance/api_server.go
+++ b/internal/appliance/api_server.go
@@ -3,20 +3,14 @@
 import (
 	"encoding/json"
 	"errors"
-	"fmt"
 	"io"
-	"net"
 	"net/http"
-	"os"
-	"strconv"
-	"time"
 )
 
+// Size limits of the documents in request bodies.
 const (
-	consoleDialTimeout       = time.Second
-	defaultSocketMode        = os.FileMode(0o600)
-	maxCommandBytes    int64 = 1 << 16
-	maxChangeBytes     int64 = 1 << 20
+	maxCommandBytes = 1 << 16
+	maxChangeBytes  = 1 << 20
 )
 
 // statusError is an error that the admin API reports with an HTTP status of its own.
@@ -28,70 +22,6 @@
 // Error implements error.
 func (e statusError) Error() string { return e.message }
 
-// openConsoleSocket serves the admin API on the console's socket. It removes a stale socket left by a killed process,
-// and returns an error if another process is listening on it.
-func (a *Appliance) openConsoleSocket() error {
-	settings := a.config.Console
-	if settings == nil {
-		return nil
-	}
-	path := a.config.Path(settings.Socket)
-	if err := removeStaleSocket(path); err != nil {
-		return err
-	}
-	mode, err := socketMode(settings.Mode)
-	if err != nil {
-		return err
-	}
-	listener, err := net.Listen("unix", path)
-	if err != nil {
-		return fmt.Errorf("console socket: %w", err)
-	}
-	if err := os.Chmod(path, mode); err != nil {
-		_ = listener.Close() // the chmod error is the one to report
-		return fmt.Errorf("console socket: %w", err)
-	}
-	server := &http.Server{Handler: a.apiHandler(), ReadHeaderTimeout: readHeaderTimeout}
-	go a.serveHTTP(server, listener)
-	a.closeConsole = server.Close
-	return nil
-}
-
-// removeStaleSocket removes a socket on which no process listens. It returns an error if a process accepts connections
-// there, or if the file is not a socket.
-func removeStaleSocket(path string) error {
-	if conn, err := net.DialTimeout("unix", path, consoleDialTimeout); err == nil {
-		_ = conn.Close() // opened only to probe for a listener
-		return fmt.Errorf("console socket %s: already in use by another process", path)
-	}
-	// Any Lstat error leaves the path to net.Listen: either there is no file, or Listen reports why the path is unusable.
-	if info, err := os.Lstat(path); err == nil {
-		if info.Mode()&os.ModeSocket == 0 {
-			return fmt.Errorf("console socket %s: not a socket", path)
-		}
-		_ = os.Remove(path) // if this fails, Listen reports the address as in use
-	}
-	return nil
-}
-
-// socketMode parses the socket's permissions, which the configuration gives in octal.
-func socketMode(text string) (os.FileMode, error) {
-	if text == "" {
-		return defaultSocketMode, nil
-	}
-	mode, err := strconv.ParseUint(text, 8, 32)
-	if err != nil {
-		return 0, fmt.Errorf("console socket mode %q: %w", text, err)
-	}
-	return os.FileMode(mode), nil
-}
-
-func (a *Appliance) closeConsoleSocket() {
-	if a.closeConsole != nil {
-		_ = a.closeConsole() // the process is about to exit
-	}
-}
-
 // apiHandler returns the handler of the admin API.
 func (a *Appliance) apiHandler() http.Handler {
 	mux := http.NewServeMux()
--- a/internal/appliance/appliance_test.go
+++ b/internal/appliance/appliance_test.go
@@ -17,7 +17,7 @@
 // Scheduled requests that are open at a stop are submitted again after the restart. An at-most-once request that may have
 // run is logged instead.
 func TestRestart_ResubmitsOpenScheduledRequests(t *testing.T) {
-	r := newTestAppliance(t, 1, "MISFIRE=all\n0 0 1 1 * again tally\n0 0 1 1 * once tally\n", nil)
+	r := newTestAppliance(t, 1, "MISFIRE=all\n0 0 1 1 * again tally\n0 0 1 1 * once tally\n")
 	r.start()
 	if o := r.sendIdempotent("warm"); o.Status != 200 {
 		t.Fatal(o)
@@ -50,7 +50,7 @@
 }
 
 func TestDrainCommand_LastWorkerRejectsUntilReturned(t *testing.T) {
-	r := newTestAppliance(t, 2, "", nil)
+	r := newTestAppliance(t, 2, "")
 	r.start()
 	if o := r.sendIdempotent("1"); o.Status != 200 {
 		t.Fatal(o)
@@ -78,7 +78,7 @@
 }
 
 func TestRun_FailsIfSocketOrStateInUse(t *testing.T) {
-	r := newTestAppliance(t, 1, "", nil)
+	r := newTestAppliance(t, 1, "")
 	r.start()
 	discard := slog.New(slog.DiscardHandler)
 	if err := Run(context.Background(), r.config(), discard, nil, nil); err == nil || !strings.Contains(err.Error(), "already in use by another process") {
@@ -107,7 +107,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			r := newTestAppliance(t, 1, "", nil)
+			r := newTestAppliance(t, 1, "")
 			r.start()
 			r.sendIdempotent("warm")
 			r.inject(0, fakes.Fault{Kind: "stall", Duration: 0.6})
@@ -129,7 +129,7 @@
 
 // A changed crontab is reloaded while the appliance runs. An invalid one is reported and leaves the last one in effect.
 func TestReloadCrontab_InvalidFileKeepsEntries(t *testing.T) {
-	r := newTestAppliance(t, 1, "0 0 1 1 * again tally\n", nil)
+	r := newTestAppliance(t, 1, "0 0 1 1 * again tally\n")
 	r.start()
 	entries := func() int {
 		var list []ScheduleStatus
@@ -160,7 +160,7 @@
 
 // The replicas known before a restart are known after it: the first request needs no load command.
 func TestRestart_KnowsLoadedReplicas(t *testing.T) {
-	r := newTestAppliance(t, 3, "", nil)
+	r := newTestAppliance(t, 3, "")
 	r.start()
 	for n := range 3 {
 		r.sendIdempotent(strconv.Itoa(n))
--- a/internal/appliance/doc.go
+++ b/internal/appliance/doc.go
@@ -6,10 +6,11 @@
 // owned by the event loops. Run is called by the serve command. Lifecycle and TaskScheduler do no I/O and have no
 // clock, so that the simulation can run them as well.
 //
-//   - appliance.go runs the process, lifecycle.go has its state machine, startup.go its startup.
+//   - appliance.go runs the process, lifecycle.go has its state machine, startup.go and shutdown.go its actions.
 //   - schedules.go fires the crontab, preload.go loads replicas before they are needed.
 //   - background_tasks.go runs the tasks that task_scheduler.go selects.
 //   - function_registry.go, keyring.go, versions.go and releases.go change, verify and resolve the versions of functions.
 //   - statistics.go counts ended requests for the console, telemetry.go exports metrics and traces.
-//   - api_server.go has the routes of the admin API; the other api files have one resource each.
+//   - console_socket.go opens the console's socket, api_server.go has the routes of the admin API, and the other api
+//     files have one resource each.
 package appliance
--- a/internal/appliance/function_registry.go
+++ b/internal/appliance/function_registry.go
@@ -112,11 +112,11 @@
 		return g.startRelease(*change.Release, entry.Actor)
 	}
 	if change.Rollback != nil {
-		move, err := g.registry.Rollback(change.Rollback.Function, change.Rollback.Alias)
+		update, err := g.registry.Rollback(change.Rollback.Function, change.Rollback.Alias)
 		if err != nil {
 			return "", err
 		}
-		entry.AliasUpdate, entry.Reason = &move, reasonRollback
+		entry.AliasUpdate, entry.Reason = &update, reasonRollback
 	}
 	if entry.Publish != nil {
 		if err := g.verifySignatures(entry.Publish, change.Signatures); err != nil {
--- a/internal/appliance/function_registry_test.go
+++ b/internal/appliance/function_registry_test.go
@@ -62,21 +62,27 @@
 }
 
 // sendRecorded sends a request and records it for the invariants.
-func (r *testAppliance) sendRecorded(recorder *invariants.Recorder, class, function, id string) schedule.Result {
-	record := invariants.Record{Kind: invariants.RequestSent, RequestID: "/t#" + id, Class: class, CallID: recorder.NextCallID(), Timeout: 1.5}
-	recorder.Add(record)
+func (r *testAppliance) sendRecorded(class, function, id string) schedule.Result {
+	r.t.Helper()
+	record := invariants.Record{Kind: invariants.RequestSent, RequestID: "/t#" + id, Class: class, CallID: r.recorder.NextCallID(), Timeout: 1.5}
+	r.recorder.Add(record)
 	result := r.send(class, function, id)
 	record.Kind, record.Status, record.Digest = invariants.ResponseReceived, result.Status, result.Digest
 	record.Outcome = map[int]string{200: invariants.Succeeded, 503: invariants.Rejected, 502: invariants.Failed, 504: invariants.Failed}[result.Status]
-	recorder.Add(record)
+	r.recorder.Add(record)
 	return result
 }
 
+// checkInvariants checks the invariants on everything recorded so far.
+func (r *testAppliance) checkInvariants() invariants.Verdict {
+	rules := invariants.Rules{Semantics: map[string]string{"again": "redeliverable", "once": "at-most-once"}, ObservationDelay: 0.15}
+	return invariants.Check(rules, r.recorder.Records())
+}
+
 // An alias moves fifty times under steady load. Every response names the version that executed the request, and a retry
 // gets the version of the first attempt.
 func TestAliasUpdate_UnderLoadKeepsVersionOfRetries(t *testing.T) {
-	recorder := invariants.NewRecorder()
-	r := newTestAppliance(t, 3, "", recorder)
+	r := newTestAppliance(t, 3, "")
 	r.start()
 	for n := range 4 {
 		r.publish(n)
@@ -90,13 +96,13 @@
 		clients.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
 				class, id := []string{"again", "once"}[n%2], fmt.Sprintf("%d-%d", client, n)
-				o := r.sendRecorded(recorder, class, "tally", id)
+				o := r.sendRecorded(class, "tally", id)
 				mu.Lock()
 				versions[o.Digest]++
 				statuses[o.Status]++
 				mu.Unlock()
-				if again := r.sendRecorded(recorder, class, "tally", id); o.Status == 200 && (again.Status != 200 || again.Digest != o.Digest) {
-					t.Errorf("%s: first %d of %s, its retry %d of %s", id, o.Status, o.Digest, again.Status, again.Digest)
+				if retry := r.sendRecorded(class, "tally", id); o.Status == 200 && (retry.Status != 200 || retry.Digest != o.Digest) {
+					t.Errorf("%s: first %d of %s, its retry %d of %s", id, o.Status, o.Digest, retry.Status, retry.Digest)
 				}
 			}
 		})
@@ -107,7 +113,7 @@
 	}
 	stop()
 	clients.Wait()
-	v := invariants.Check(invariants.Rules{Semantics: map[string]string{"again": "redeliverable", "once": "at-most-once"}, ObservationDelay: 0.15}, recorder.Records())
+	v := r.checkInvariants()
 	if v.RulesBroken > 0 || v.Succeeded < 200 || len(versions) < 4 {
 		t.Errorf("%d versions responded, %v; %+v", len(versions), statuses, v)
 	}
@@ -115,50 +121,48 @@
 }
 
 func TestWrongDigest_NeverRunsOrResponds(t *testing.T) {
-	recorder := invariants.NewRecorder()
-	r := newTestAppliance(t, 1, "", recorder)
+	r := newTestAppliance(t, 1, "")
 	r.start()
 	r.publishTwo()
 	_, d0 := version(0)
-	if o := r.sendRecorded(recorder, "once", "tally", "fine"); o.Status != 200 || o.Digest != string(d0) {
+	if o := r.sendRecorded("once", "tally", "first"); o.Status != 200 || o.Digest != string(d0) {
 		t.Fatalf("%+v", o)
 	}
 	// The artifact store returns other content: the worker discards it, and the request is not executed.
 	r.inject(0, fakes.Fault{Kind: "wrong-digest"})
 	r.alias(1)
-	if o := r.sendRecorded(recorder, "once", "tally", "thrown-away"); o.Status != 503 {
+	if o := r.sendRecorded("once", "tally", "discarded"); o.Status != 503 {
 		t.Errorf("replica can't be loaded: status %d", o.Status)
 	}
 	r.alias(0) // the replica of version 0 is still loaded
-	if o := r.sendRecorded(recorder, "once", "tally", "back"); o.Status != 200 || o.Digest != string(d0) {
+	if o := r.sendRecorded("once", "tally", "moved-back"); o.Status != 200 || o.Digest != string(d0) {
 		t.Errorf("%+v", o)
 	}
 	// The worker executes another version than requested: its response is not forwarded.
 	r.inject(0, fakes.Fault{Kind: "wrong-digest", Duration: 1e-9})
 	r.inject(0, fakes.Fault{Kind: "liar"})
-	if o := r.sendRecorded(recorder, "once", "tally", "lied"); o.Status != 502 {
+	if o := r.sendRecorded("once", "tally", "digest-mismatch"); o.Status != 502 {
 		t.Errorf("worker reports a wrong digest: status %d", o.Status)
 	}
-	if o := r.sendRecorded(recorder, "again", "tally:nothing", "unknown"); o.Status != 422 {
+	if o := r.sendRecorded("again", "tally:nothing", "unknown"); o.Status != 422 {
 		t.Errorf("unknown alias: status %d", o.Status)
 	}
-	if o := r.sendRecorded(recorder, "again", "tally@"+string(d0), "pinned"); o.Status == 422 {
+	if o := r.sendRecorded("again", "tally@"+string(d0), "pinned"); o.Status == 422 {
 		t.Error("a pinned digest is rejected as unknown")
 	}
-	for _, rec := range recorder.Records() {
-		if rec.Kind == invariants.Executed && rec.RequestID == "/t#thrown-away" {
+	for _, rec := range r.recorder.Records() {
+		if rec.Kind == invariants.Executed && rec.RequestID == "/t#discarded" {
 			t.Error("a replica with the wrong digest executed a request")
 		}
 	}
-	if v := invariants.Check(invariants.Rules{Semantics: map[string]string{"again": "redeliverable", "once": "at-most-once"}, ObservationDelay: 0.15}, recorder.Records()); v.VersionMismatches > 0 || v.DuplicateExecutions > 0 {
+	if v := r.checkInvariants(); v.VersionMismatches > 0 || v.DuplicateExecutions > 0 {
 		t.Errorf("%v", v.Violations)
 	}
 }
 
 // A rollout continues after a restart, and is rolled back if its version fails.
 func TestRollout_ContinuesAfterRestartAndRollsBack(t *testing.T) {
-	recorder := invariants.NewRecorder()
-	r := newTestAppliance(t, 2, "", recorder)
+	r := newTestAppliance(t, 2, "")
 	r.start()
 	r.publishTwo()
 	_, d0 := version(0)
@@ -166,17 +170,17 @@
 	r.change(fmt.Sprintf(`{"who":"test","rollout":{"function":"tally","alias":"current","to":%q,"steps":[0.5],"hold_s":100,"least":5,"most_bad":0.2}}`, d1))
 	seen := map[string]int{}
 	for n := range 30 {
-		seen[r.sendRecorded(recorder, "again", "tally", fmt.Sprint("a", n)).Digest]++
+		seen[r.sendRecorded("again", "tally", fmt.Sprint("a", n)).Digest]++
 	}
 	if seen[string(d0)] == 0 || seen[string(d1)] == 0 {
 		t.Errorf("want half of the requests on the new version: %v", seen)
 	}
-	first := r.sendRecorded(recorder, "once", "tally", "kept")
+	first := r.sendRecorded("once", "tally", "kept")
 	r.stop()
 	r.awaitEnd()
 	r.start()
-	if again := r.sendRecorded(recorder, "once", "tally", "kept"); again.Status != first.Status || again.Digest != first.Digest {
-		t.Errorf("retry after the restart: %+v, first attempt %+v", again, first)
+	if retry := r.sendRecorded("once", "tally", "kept"); retry.Status != first.Status || retry.Digest != first.Digest {
+		t.Errorf("retry after the restart: %+v, first attempt %+v", retry, first)
 	}
 	var list []registry.View
 	r.get("registry", &list)
@@ -189,7 +193,7 @@
 	n := 0
 	r.eventually("the rollout is rolled back", func() bool {
 		n++
-		r.sendRecorded(recorder, "again", "tally", fmt.Sprint("b", n))
+		r.sendRecorded("again", "tally", fmt.Sprint("b", n))
 		list = nil
 		r.get("registry", &list)
 		return len(list[0].Rollouts) == 0 && list[0].Aliases["current"] == d0
@@ -203,11 +207,10 @@
 
 // A release moves each alias only when a replica of the new version is loaded, and loads no version twice.
 func TestRelease_MovesAliasOnceLoaded(t *testing.T) {
-	recorder := invariants.NewRecorder()
-	r := newTestAppliance(t, 2, "", recorder)
+	r := newTestAppliance(t, 2, "")
 	r.start()
 	r.publishTwo()
-	if o := r.sendRecorded(recorder, "again", "tally", "before"); o.Status != 200 {
+	if o := r.sendRecorded("again", "tally", "before"); o.Status != 200 {
 		t.Fatal(o)
 	}
 	r.change(`{"who":"test","release":{"alias":"current","tag":"1.1","loads":2}}`)
@@ -219,11 +222,11 @@
 		return list[0].Aliases["current"] == d1
 	})
 	start := time.Now()
-	if o := r.sendRecorded(recorder, "again", "tally", "after"); o.Status != 200 || o.Digest != string(d1) {
+	if o := r.sendRecorded("again", "tally", "after"); o.Status != 200 || o.Digest != string(d1) {
 		t.Errorf("%+v after %v", o, time.Since(start))
 	}
 	loads := 0
-	for _, rec := range recorder.Records() {
+	for _, rec := range r.recorder.Records() {
 		if rec.Kind == invariants.LoadCommanded {
 			loads++
 		}
@@ -240,9 +243,9 @@
 	private map[string][]byte // by the id of the key
 }
 
-func newSignedRegistry(t *testing.T, recorder *invariants.Recorder, keys ...string) *signedRegistry {
+func newSignedRegistry(t *testing.T, keys ...string) *signedRegistry {
 	t.Helper()
-	s := &signedRegistry{testAppliance: newTestAppliance(t, 1, "", recorder), keyring: signing.Ring{Threshold: 1}, private: map[string][]byte{}}
+	s := &signedRegistry{testAppliance: newTestAppliance(t, 1, ""), keyring: signing.Ring{Threshold: 1}, private: map[string][]byte{}}
 	s.extraConfig = `"handlers":{"keys":"keys.json"},`
 	for i, id := range keys {
 		seed := make([]byte, 32)
@@ -291,8 +294,7 @@
 // With a keyring only signed versions are published. Versions signed by a revoked key are withdrawn, those signed by a
 // retired key stay.
 func TestKeyring_RejectsUnsignedAndWithdrawsRevoked(t *testing.T) {
-	recorder := invariants.NewRecorder()
-	r := newSignedRegistry(t, recorder, "first", "second")
+	r := newSignedRegistry(t, "first", "second")
 	r.start()
 	if r.publishSigned(0, "") == 200 {
 		t.Error("published without a signature")
@@ -302,7 +304,7 @@
 	}
 	r.alias(1)
 	r.alias(0)
-	if o := r.sendRecorded(recorder, "again", "tally", "signed"); o.Status != 200 {
+	if o := r.sendRecorded("again", "tally", "signed"); o.Status != 200 {
 		t.Errorf("%+v", o)
 	}
 	r.keyring.Keys[1].ValidUntil = time.Now().Add(-time.Second) // retired: no longer valid for new versions
@@ -314,7 +316,7 @@
 		r.get("registry", &list)
 		return list[0].Aliases["current"] == d1 && list[0].Versions[0].Withdrawn && !list[0].Versions[1].Withdrawn
 	})
-	if o := r.sendRecorded(recorder, "again", "tally", "after"); o.Status != 200 || o.Digest != string(d1) {
+	if o := r.sendRecorded("again", "tally", "after"); o.Status != 200 || o.Digest != string(d1) {
 		t.Errorf("%+v", o)
 	}
 	if r.publishSigned(2, "second") == 200 {
@@ -324,8 +326,7 @@
 
 // A retry at the other front end runs on the version of the first attempt.
 func TestRetry_AtOtherFrontEndKeepsVersion(t *testing.T) {
-	recorder := invariants.NewRecorder()
-	r := newTestAppliance(t, 2, "", recorder)
+	r := newTestAppliance(t, 2, "")
 	r.listen = `["127.0.0.1:0","localhost:0"]`
 	r.start()
 	r.publish(0)
@@ -333,11 +334,11 @@
 	for n := range 10 {
 		r.alias(0)
 		r.address = r.addresses[0]
-		first := r.sendRecorded(recorder, "again", "tally", strconv.Itoa(n))
+		first := r.sendRecorded("again", "tally", strconv.Itoa(n))
 		r.alias(1)
 		r.address = r.addresses[1]
-		if again := r.sendRecorded(recorder, "again", "tally", strconv.Itoa(n)); first.Status != 200 || again.Status != 200 || again.Digest != first.Digest {
-			t.Fatalf("%d: first %+v, retry %+v", n, first, again)
+		if retry := r.sendRecorded("again", "tally", strconv.Itoa(n)); first.Status != 200 || retry.Status != 200 || retry.Digest != first.Digest {
+			t.Fatalf("%d: first %+v, retry %+v", n, first, retry)
 		}
 	}
 }
--- a/internal/appliance/harness_test.go
+++ b/internal/appliance/harness_test.go
@@ -30,7 +30,8 @@
 	t             *testing.T
 	dir           string
 	workers       []*fakes.Worker
-	address       string // of the front end that send uses; the first one after start
+	recorder      *invariants.Recorder // of the workers and of sendRecorded
+	address       string               // of the front end that send uses; the first one after start
 	addresses     []string
 	listen        string // JSON list of addresses; empty for one front end
 	extraConfig   string // further members of the configuration, each followed by a comma
@@ -62,17 +63,16 @@
 
 func (b *logBuffer) contains(text string) bool { return strings.Contains(b.String(), text) }
 
-// newTestAppliance prepares the folder of an appliance and starts its workers. The workers record executions in recorder,
-// which may be nil.
-func newTestAppliance(t *testing.T, workers int, crontab string, recorder *invariants.Recorder) *testAppliance {
+// newTestAppliance prepares the folder of an appliance and starts its workers.
+func newTestAppliance(t *testing.T, workers int, crontab string) *testAppliance {
 	t.Helper()
-	r := &testAppliance{t: t, dir: t.TempDir()}
+	r := &testAppliance{t: t, dir: t.TempDir(), recorder: invariants.NewRecorder()}
 	functions := []fakes.Function{{Name: "tally", MemoryMB: 100, Concurrency: 4, FetchTime: 0.02, StartTime: 0.01, MeanWork: 0.03}}
 	for i := range workers {
 		w, err := fakes.NewWorker(fakes.WorkerConfig{
 			Name: fmt.Sprintf("wk-%d", i), Cores: 4, Speed: 1, Memory: 1000, QueueLimit: 50, MaxConcurrentLoads: 4,
 			IdleReplicaLifetime: 20, Functions: functions, Store: fakes.NewStore(8, 32), MeanWork: 0.03, Seed: uint64(i),
-			Recorder: recorder,
+			Recorder: r.recorder,
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -80,7 +80,7 @@
 		t.Cleanup(w.Close)
 		r.workers = append(r.workers, w)
 	}
-	if _, err := fakes.NewEndpointList(filepath.Join(r.dir, "workers.json"), recorder, r.workers); err != nil {
+	if _, err := fakes.NewEndpointList(filepath.Join(r.dir, "workers.json"), r.recorder, r.workers); err != nil {
 		t.Fatal(err)
 	}
 	r.writeFile("crontab", crontab)
--- a/internal/appliance/releases.go
+++ b/internal/appliance/releases.go
@@ -87,8 +87,8 @@
 		if !isLoaded(migration.Function + "@" + string(migration.To)) {
 			continue
 		}
-		if move, due := pacer.OnLoaded(migration.Function, now); due {
-			g.moveReleased(&move, log)
+		if update, due := pacer.OnLoaded(migration.Function, now); due {
+			g.updateAlias(&update, log)
 		}
 	}
 	if remaining, abandoned := pacer.Remaining(); remaining == 0 {
@@ -100,14 +100,14 @@
 	return nil
 }
 
-// moveReleased moves an alias as part of the release. A failure, as for a version that has been withdrawn meanwhile, is
+// updateAlias moves an alias as part of the release. A failure, as for a version that has been withdrawn meanwhile, is
 // logged and does not stop the release.
-func (g *functionRegistry) moveReleased(move *registry.AliasUpdate, log *slog.Logger) {
+func (g *functionRegistry) updateAlias(update *registry.AliasUpdate, log *slog.Logger) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	entry := registry.Entry{At: unixSeconds(time.Now()), Actor: g.releasedBy, AliasUpdate: move, Reason: reasonRelease}
+	entry := registry.Entry{At: unixSeconds(time.Now()), Actor: g.releasedBy, AliasUpdate: update, Reason: reasonRelease}
 	if err := g.applyEntry(entry); err != nil {
-		log.Error("release: failed to move alias", "function", move.Function, "error", err)
+		log.Error("release: failed to move alias", "function", update.Function, "error", err)
 	}
 }
 
@@ -119,8 +119,8 @@
 		if err := g.applyEntry(entry); err != nil {
 			return err
 		}
-		if move := entry.AliasUpdate; move != nil {
-			log.Info("rollout ended", "function", move.Function, "alias", move.Alias, "digest", move.Digest, "reason", entry.Reason)
+		if update := entry.AliasUpdate; update != nil {
+			log.Info("rollout ended", "function", update.Function, "alias", update.Alias, "digest", update.Digest, "reason", entry.Reason)
 			continue
 		}
 		rollout := entry.Rollout
--- a/internal/appliance/schedules.go
+++ b/internal/appliance/schedules.go
@@ -13,8 +13,8 @@
 	"streamcleat/internal/storage"
 )
 
-// maxSchedulePause limits the sleep until the next firing, as the clock may be set or the appliance stopped meanwhile.
-const maxSchedulePause = time.Second
+// maxScheduleSleep limits the sleep until the next firing, as the clock may be set or the appliance stopped meanwhile.
+const maxScheduleSleep = time.Second
 
 // planSchedules plans the crontab, continuing from the last firings of the previous process.
 func (a *Appliance) planSchedules() error {
@@ -55,12 +55,12 @@
 	planned bool // next is valid
 }
 
-// pause returns the time to sleep until the next firing.
-func (d *dueFirings) pause() time.Duration {
+// sleepTime returns the time to sleep until the next firing.
+func (d *dueFirings) sleepTime() time.Duration {
 	if !d.planned {
-		return maxSchedulePause
+		return maxScheduleSleep
 	}
-	return min(max(time.Until(d.next), time.Millisecond), maxSchedulePause)
+	return min(max(time.Until(d.next), time.Millisecond), maxScheduleSleep)
 }
 
 // runSchedules fires due entries until schedules are suspended. A firing is on disk before its request is submitted, so
@@ -79,7 +79,7 @@
 				a.log.Error("failed to persist firings, schedules not fired", "firings", len(due.firings), "error", err)
 			}
 		}
-		time.Sleep(due.pause())
+		time.Sleep(due.sleepTime())
 	}
 }
 
@@ -142,9 +142,9 @@
 		if response.Cause == dispatch.CauseShuttingDown {
 			return
 		}
-		pause, retry := schedule.NextRetry(deadline, time.Now(), attempt, seconds(response.RetryAfter))
+		wait, retry := schedule.NextRetry(deadline, time.Now(), attempt, seconds(response.RetryAfter))
 		if retry {
-			time.AfterFunc(pause, func() { a.submitScheduled(request, deadline, attempt+1) })
+			time.AfterFunc(wait, func() { a.submitScheduled(request, deadline, attempt+1) })
 			return
 		}
 	}
--- a/internal/appliance/task_scheduler.go
+++ b/internal/appliance/task_scheduler.go
@@ -21,10 +21,10 @@
 
 // Backoff of failed tasks.
 const (
-	failureBackoff    = 2.0  // factor for each consecutive failure
-	maxFailureBackoff = 16.0 // maximum factor of the interval
-	maxBackoffSteps   = 10   // maximum exponent; it keeps the power finite
-	minFailurePause   = 1.0  // minimum interval, in seconds, that the factor is applied to
+	failureBackoffFactor = 2.0  // factor for each consecutive failure
+	maxBackoffFactor     = 16.0 // maximum factor of the interval
+	maxBackoffSteps      = 10   // maximum exponent; it keeps the power finite
+	minBackoffInterval   = 1.0  // minimum interval, in seconds, that the factor is applied to
 )
 
 // scheduledTask is a task with its scheduling state.
@@ -52,14 +52,14 @@
 func NewTaskScheduler(now float64, tasks ...BackgroundTask) *TaskScheduler {
 	s := &TaskScheduler{}
 	for _, task := range tasks {
-		due := now + task.pause()
+		due := now + task.roundInterval()
 		s.tasks = append(s.tasks, &scheduledTask{BackgroundTask: task, due: due, dueSince: due, recentTimeAt: now})
 	}
 	return s
 }
 
-// pause returns the interval between rounds in seconds. It is infinite for a task that runs on request only.
-func (t *BackgroundTask) pause() float64 {
+// roundInterval returns the interval between rounds in seconds. It is infinite for a task that runs on request only.
+func (t *BackgroundTask) roundInterval() float64 {
 	if t.Interval == 0 {
 		return math.Inf(1)
 	}
@@ -162,25 +162,22 @@
 	case err != nil:
 		t.failures++
 		t.lastError = err.Error()
-		t.due = now + t.failurePause()
+		t.due = now + t.backoff()
 		t.dueSince = t.due
 	case more:
 		t.dueSince = now
 	default:
 		t.rounds++
 		t.failures, t.lastError = 0, ""
-		t.due = now + t.pause()
+		t.due = now + t.roundInterval()
 		t.dueSince = t.due
 	}
 }
 
-// failurePause returns the backoff of a failed task in seconds.
-func (t *scheduledTask) failurePause() float64 {
-	pause := max(t.Interval, minFailurePause)
-	if math.IsInf(pause, 1) {
-		pause = minFailurePause
-	}
-	return min(pause*math.Pow(failureBackoff, float64(min(t.failures, maxBackoffSteps))), pause*maxFailureBackoff)
+// backoff returns the backoff of a failed task in seconds.
+func (t *scheduledTask) backoff() float64 {
+	interval := max(t.Interval, minBackoffInterval)
+	return min(interval*math.Pow(failureBackoffFactor, float64(min(t.failures, maxBackoffSteps))), interval*maxBackoffFactor)
 }
 
 // TaskStatus is the status of a background task in the admin API. Times are in seconds.
--- a/internal/schedule/client.go
+++ b/internal/schedule/client.go
@@ -48,14 +48,14 @@
 const (
 	// minAttemptTime is the minimum time left until the deadline for a retry. No response could arrive in less.
 	minAttemptTime = 100 * time.Millisecond
-	// minRetryPause is the minimum pause before a retry. Retry-After may ask for a longer one.
-	minRetryPause = 20 * time.Millisecond
+	// minRetryWait is the minimum wait before a retry. Retry-After may ask for a longer one.
+	minRetryWait = 20 * time.Millisecond
 	// maxResponseBytes is the maximum number of bytes read from a response body so that its connection can be reused.
 	maxResponseBytes = 1 << 20
-	// maxPlanPause limits the sleep until the next firing, as the wall clock may be set meanwhile.
-	maxPlanPause = time.Minute
-	// minPlanPause keeps Run from spinning if it wakes up slightly early.
-	minPlanPause = time.Millisecond
+	// maxPlanSleep limits the sleep until the next firing, as the wall clock may be set meanwhile.
+	maxPlanSleep = time.Minute
+	// minPlanSleep keeps Run from spinning if it wakes up slightly early.
+	minPlanSleep = time.Millisecond
 )
 
 // CloudEvent returns the CloudEvent of a firing.
@@ -102,7 +102,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(max(result.RetryAfter, minRetryPause)):
+		case <-time.After(max(result.RetryAfter, minRetryWait)):
 			if timeout-time.Since(start) < minAttemptTime {
 				return result
 			}
@@ -173,14 +173,14 @@
 		for _, firing := range p.Due(clock()) {
 			inFlight.Go(func() { c.fireAndReport(context.WithoutCancel(ctx), firing) })
 		}
-		pause := maxPlanPause
+		sleep := maxPlanSleep
 		if next, ok := p.Next(); ok {
-			pause = min(max(until(next), minPlanPause), pause)
+			sleep = min(max(until(next), minPlanSleep), sleep)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(pause):
+		case <-time.After(sleep):
 		}
 	}
 }
--- a/internal/schedule/retry.go
+++ b/internal/schedule/retry.go
@@ -9,11 +9,11 @@
 	maxRetryBackoffShift = 10 // avoids an overflow of the shift; retryBackoffMax is reached long before
 )
 
-// NextRetry returns the pause before the next attempt of a rejected firing. attempts is the number of attempts made, and
-// retryAfter the minimum pause requested by the rejection. It returns false if the deadline would pass during the pause.
-// An attempt in flight at the deadline is not canceled.
+// NextRetry returns the time to wait before the next attempt of a rejected firing. attempts is the number of attempts
+// made, and retryAfter the minimum wait that the rejection asks for. NextRetry returns false if the deadline would pass
+// during the wait. An attempt in flight at the deadline is not canceled.
 func NextRetry(deadline, now time.Time, attempts int, retryAfter time.Duration) (time.Duration, bool) {
 	backoff := min(retryBackoffInitial<<min(attempts-1, maxRetryBackoffShift), retryBackoffMax)
-	pause := max(backoff, retryAfter)
-	return pause, now.Add(pause).Before(deadline)
+	wait := max(backoff, retryAfter)
+	return wait, now.Add(wait).Before(deadline)
 }
