--- a/internal/schedule/schedule_test.go
+++ b/internal/schedule/schedule_test.go
@@ -84,10 +84,10 @@
 		t.Fatalf("%d errors, want %d:\n%v", len(list.Unwrap()), len(wanted), err)
 	}
 	for i, want := range wanted {
-		var parseError *ParseError
-		if !errors.As(list.Unwrap()[i], &parseError) || parseError.File != "tab" || parseError.Line != want.line || parseError.Field != want.field ||
-			!strings.HasPrefix(parseError.Error(), want.text) {
-			t.Errorf("%+v, want %+v", parseError, want)
+		var got *ParseError
+		if !errors.As(list.Unwrap()[i], &got) || got.File != "tab" || got.Line != want.line || got.Field != want.field ||
+			!strings.HasPrefix(got.Error(), want.text) {
+			t.Errorf("%+v, want %+v", got, want)
 		}
 	}
 }
