--- a/internal/appliance/preload.go
+++ b/internal/appliance/preload.go
@@ -17,11 +17,8 @@
 	commands int
 }
 
-// spend counts a preload, if a load command was sent for it, and reports whether the budget is exhausted.
-func (b *preloadBudget) spend(commanded bool) (exhausted bool) {
-	if commanded {
-		b.commands++
-	}
+// isExhausted reports whether no further load command may be sent.
+func (b *preloadBudget) isExhausted() bool {
 	return b.commands >= maxPreloads || time.Now().After(b.deadline)
 }
 
@@ -61,7 +58,10 @@
 			if err != nil {
 				return err
 			}
-			if budget.spend(commanded) {
+			if commanded {
+				budget.commands++
+			}
+			if budget.isExhausted() {
 				return nil
 			}
 		}
@@ -85,7 +85,10 @@
 		if err != nil {
 			return err
 		}
-		if budget.spend(commanded) {
+		if commanded {
+			budget.commands++
+		}
+		if budget.isExhausted() {
 			break
 		}
 	}
--- a/internal/appliance/task_scheduler.go
+++ b/internal/appliance/task_scheduler.go
@@ -89,6 +89,11 @@
 			return "", 0
 		}
 	}
+	for _, task := range s.tasks {
+		if task.due <= now {
+			task.decay(now)
+		}
+	}
 	task := s.mostOverdue(now)
 	if task == nil {
 		task = s.highestPriority(now, utilization)
@@ -101,7 +106,7 @@
 	return task.Name, task.SliceDuration
 }
 
-// mostOverdue returns the task that exceeds its MaxDelay by most, or nil. It also updates the recent time of due tasks.
+// mostOverdue returns the due task that exceeds its MaxDelay by most, or nil.
 func (s *TaskScheduler) mostOverdue(now float64) *scheduledTask {
 	var most *scheduledTask
 	mostOver := 0.0
@@ -109,7 +114,6 @@
 		if task.due > now {
 			continue
 		}
-		task.decay(now)
 		over := now - task.dueSince - task.MaxDelay
 		if task.MaxDelay > 0 && over > mostOver {
 			most, mostOver = task, over
--- a/internal/console/keys.go
+++ b/internal/console/keys.go
@@ -85,40 +85,41 @@
 	return true
 }
 
-// handleCommandKey handles the keys that show a request or send a command. Stopping needs a confirmation.
+// handleCommandKey handles the keys that show a request or send a command. Some commands need a confirmation first.
 func (m *model) handleCommandKey(key string) tea.Cmd {
-	switch key {
-	case "enter":
+	m.clampSelection()
+	if key == "enter" {
 		if m.screen == requestsScreen && m.target() != "" {
 			return m.explain(m.target())
 		}
-	case "s":
-		m.unconfirmed = &appliance.Command{Name: "stop"}
-	case "S":
-		m.unconfirmed = &appliance.Command{Name: "stop", Immediate: true}
-	default:
-		if command := m.commandForKey(key); command != nil {
-			return m.execute(*command)
-		}
+		return nil
 	}
-	return nil
+	command := m.commandForKey(key)
+	if command == nil {
+		return nil
+	}
+	if m.needsConfirmation(command) {
+		m.unconfirmed = command
+		return nil
+	}
+	return m.execute(*command)
 }
 
-// commandForKey returns the command of a key for the selected row, or nil if there is none or it needs a confirmation, as
-// draining the last serving worker does.
+// commandForKey returns the command of a key, for the selected row if it has a target, or nil if there is none.
 func (m *model) commandForKey(key string) *appliance.Command {
+	switch key {
+	case "s":
+		return &appliance.Command{Name: "stop"}
+	case "S":
+		return &appliance.Command{Name: "stop", Immediate: true}
+	}
 	target := m.target()
 	if target == "" {
 		return nil
 	}
 	switch {
 	case m.screen == workersScreen && key == "d":
-		command := &appliance.Command{Name: "drain", Target: target}
-		if m.servingWorkers() <= 1 {
-			m.unconfirmed = command
-			return nil
-		}
-		return command
+		return &appliance.Command{Name: "drain", Target: target}
 	case m.screen == workersScreen && key == "r":
 		return &appliance.Command{Name: "return", Target: target}
 	case m.screen == functionsScreen && key == "u":
@@ -131,6 +132,11 @@
 	return nil
 }
 
+// needsConfirmation reports whether a command stops the appliance or drains its last serving worker.
+func (m *model) needsConfirmation(command *appliance.Command) bool {
+	return command.Name == "stop" || command.Name == "drain" && m.servingWorkers() <= 1
+}
+
 // servingWorkers returns the number of workers that are not draining.
 func (m *model) servingWorkers() int {
 	serving := 0
--- a/internal/console/tui.go
+++ b/internal/console/tui.go
@@ -169,9 +169,9 @@
 	return nil
 }
 
-// target returns the command target of the selected row, or an empty string if there is no row.
+// target returns the command target of the selected row, or an empty string if there is no row. The selection must have
+// been clamped.
 func (m *model) target() string {
-	m.clampSelection()
 	switch {
 	case m.screen == workersScreen && m.selected < len(m.snapshot.workers):
 		return m.snapshot.workers[m.selected].Name
