--- a/internal/schedule/misfire.go
+++ b/internal/schedule/misfire.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// Deadline returns the time after which a firing is not attempted any more: one minute after it was due, or the end of
-// the entry's catch-up window if that is later.
+// Deadline returns the time after which a firing is not attempted any more. It is one minute after the firing was due or,
+// with a policy that catches up, the end of the catch-up window if that is later.
 func (f Firing) Deadline() time.Time {
 	if f.Entry.Misfire == MisfireSkip {
 		return f.Due.Add(misfireThreshold)
