--- a/cmd/streamcleat/registry.go
+++ b/cmd/streamcleat/registry.go
@@ -92,7 +92,7 @@
 }
 
 // resolves reports whether a reference resolves to a version, by digest, by the version's name or by alias.
-func resolves(ref registry.Ref, aliases map[string]digest.Digest, version registry.Version) bool {
+func resolves(ref registry.Reference, aliases map[string]digest.Digest, version registry.Version) bool {
 	if version.Digest == ref.Digest {
 		return true
 	}
--- a/cmd/streamcleat/registry_change.go
+++ b/cmd/streamcleat/registry_change.go
@@ -152,7 +152,7 @@
 }
 
 // parseAlias parses FUNCTION:ALIAS.
-func parseAlias(arg string) (registry.Ref, error) {
+func parseAlias(arg string) (registry.Reference, error) {
 	ref, err := registry.ParseRef(arg)
 	if err != nil {
 		return ref, usageError(err)
@@ -197,7 +197,7 @@
 		Args:  cobra.ExactArgs(1),
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&release.Alias, "alias", registry.Current, "alias to switch")
+	flags.StringVar(&release.Alias, "alias", registry.DefaultAlias, "alias to switch")
 	flags.StringSliceVar(&release.Functions, "functions", nil, "functions; all with the version by default")
 	flags.IntVar(&release.MaxConcurrentLoads, "loads", 4, "maximum number of concurrent loads")
 	return changeCommand(cmd, func(_ *console.Client, args []string) (appliance.Change, error) {
--- a/cmd/streamcleat/registry_content.go
+++ b/cmd/streamcleat/registry_content.go
@@ -90,7 +90,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: %d blobs stored, %d bytes of layers fetched\n", text, len(blobs), client.Fetched)
+	fmt.Printf("%s: %d blobs stored, %d bytes of layers fetched\n", text, len(blobs), client.FetchedBytes)
 	return nil
 }
 
--- a/control/golden_adapter_test.go
+++ b/control/golden_adapter_test.go
@@ -150,4 +150,4 @@
 
 func (a *routerAdapter) SetTimer(after float64, timer uint64) { a.frontEnd.setTimer(after, timer) }
 
-func (a *routerAdapter) Subscribe() { a.frontEnd.subscribe() }
+func (a *routerAdapter) RequestEndpoints() { a.frontEnd.subscribe() }
--- a/control/host.go
+++ b/control/host.go
@@ -115,7 +115,7 @@
 	Broadcast(message []byte)
 	// SetTimer schedules a call of Router.OnTimer with the given timer ID.
 	SetTimer(after float64, timer uint64)
-	// Subscribe requests the endpoint list, which arrives with Router.OnEndpointUpdate, or fails with
+	// RequestEndpoints requests the endpoint list, which arrives with Router.OnEndpointUpdate, or fails with
 	// Router.OnEndpointPollFailed.
-	Subscribe()
+	RequestEndpoints()
 }
--- a/control/router.go
+++ b/control/router.go
@@ -20,7 +20,7 @@
 func (r *Router) Start() {
 	r.host.SetTimer(tickSeconds, tickTimer)
 	if r.deployment.PollEndpoints {
-		r.host.Subscribe()
+		r.host.RequestEndpoints()
 	}
 }
 
@@ -101,7 +101,7 @@
 		r.tick()
 		r.endpointRulesDue = true
 	case pollTimer:
-		r.host.Subscribe()
+		r.host.RequestEndpoints()
 	default:
 		req := r.requestsByTimerID[timer]
 		if req != nil && !req.inFlight && now >= req.deadline-timerEarlyRounds*r.deployment.MinRoundInterval {
--- a/control/simulated_front_end_test.go
+++ b/control/simulated_front_end_test.go
@@ -200,5 +200,5 @@
 	f.fleet.after(max(after, 0.001), func() { f.router.OnTimer(f.fleet.now, timer) })
 }
 
-// Subscribe does nothing, as the simulated deployments do not poll.
-func (f *simulatedFrontEnd) Subscribe() {}
+// RequestEndpoints does nothing, as the simulated deployments do not poll.
+func (f *simulatedFrontEnd) RequestEndpoints() {}
--- a/control/view.go
+++ b/control/view.go
@@ -20,7 +20,7 @@
 	Concurrency   int
 	InFlight      int        // requests of this front end in flight
 	Waiters       int        // requests that wait for the pending load
-	Rate          float64    // estimated responses per second across all front ends
+	ResponseRate  float64    // estimated responses per second across all front ends
 	MedianLatency float64    // 0 before the first response
 	Replicas      []WorkerID // workers believed to have a warm replica
 	ReplicaAges   []float64  // time since each of them was last seen warm
@@ -91,7 +91,7 @@
 		Concurrency:   fn.concurrency,
 		InFlight:      fn.inFlight,
 		Waiters:       len(fn.waiters),
-		Rate:          fn.responseRate,
+		ResponseRate:  fn.responseRate,
 		MedianLatency: fn.medianLatency,
 		LoadTime:      fn.loadTime,
 	}
--- a/internal/appliance/api_commands.go
+++ b/internal/appliance/api_commands.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"streamcleat/control"
+	"streamcleat/internal/eventloop"
 )
 
 // Names of the console's commands in the admin API.
@@ -77,7 +78,7 @@
 	if active.name != "" && active.name != command.Console && now.Sub(active.lastCommand) < consoleTimeout {
 		return fmt.Errorf("console %s gives orders now; it gives way %v after its last", active.name, consoleTimeout)
 	}
-	if err := a.lifecycle.Allows(command.Name); err != nil {
+	if err := a.lifecycle.CheckCommand(command.Name); err != nil {
 		return err
 	}
 	*active = consoleSession{name: command.Console, lastCommand: now}
@@ -96,7 +97,7 @@
 
 // drainWorker drains a worker on every server: it gets no further attempts.
 func (a *Appliance) drainWorker(worker string) (string, error) {
-	if err := a.setDrained(worker, true); err != nil {
+	if err := a.onEveryServer(worker, (*eventloop.Server).DrainWorker); err != nil {
 		return "", err
 	}
 	for _, w := range a.workerStatuses() {
@@ -109,17 +110,17 @@
 
 // returnWorker undoes drainWorker. The worker has the state that the endpoint list gives it again.
 func (a *Appliance) returnWorker(worker string) (string, error) {
-	if err := a.setDrained(worker, false); err != nil {
+	if err := a.onEveryServer(worker, (*eventloop.Server).UndrainWorker); err != nil {
 		return "", err
 	}
 	return fmt.Sprintf("worker %s: is as the list says", worker), nil
 }
 
-// setDrained drains or returns a worker on every server. It returns an error if no server knows the worker.
-func (a *Appliance) setDrained(worker string, drained bool) error {
+// onEveryServer calls change for a worker on every server. It returns an error if no server knows the worker.
+func (a *Appliance) onEveryServer(worker string, change func(*eventloop.Server, control.WorkerID) (known bool, err error)) error {
 	known := false
 	for _, server := range a.runningServers() {
-		knownToServer, err := server.DrainWorker(control.WorkerID(worker), drained)
+		knownToServer, err := change(server, control.WorkerID(worker))
 		if err != nil {
 			return err
 		}
--- a/internal/appliance/api_status.go
+++ b/internal/appliance/api_status.go
@@ -90,7 +90,7 @@
 		s.ActiveConsoleIdle = time.Since(a.activeConsole.lastCommand).Seconds()
 	}
 	if a.tasks != nil {
-		s.Tasks = a.tasks.View(a.uptime())
+		s.Tasks = a.tasks.Statuses(a.uptime())
 	}
 	return s
 }
--- a/internal/appliance/crash_process_test.go
+++ b/internal/appliance/crash_process_test.go
@@ -296,7 +296,7 @@
 		return
 	}
 	var firings []storage.Firing
-	for _, f := range p.plan.Due(wallClock(p.clock.now())) {
+	for _, f := range p.plan.TakeDue(wallClock(p.clock.now())) {
 		request := newScheduledRequest("/own", f)
 		p.env.classes[request.Identity] = request.Class
 		p.env.due[request.Identity] = true
--- a/internal/appliance/lifecycle.go
+++ b/internal/appliance/lifecycle.go
@@ -157,8 +157,8 @@
 	return fmt.Sprintf("%s is not possible while the box is %s", e.Command, e.State)
 }
 
-// Allows returns an error if a console command is unknown or not allowed in the current state.
-func (l *Lifecycle) Allows(command string) error {
+// CheckCommand returns an error if a console command is unknown or not allowed in the current state.
+func (l *Lifecycle) CheckCommand(command string) error {
 	var allowed bool
 	switch command {
 	case commandStop:
--- a/internal/appliance/lifecycle_test.go
+++ b/internal/appliance/lifecycle_test.go
@@ -77,15 +77,15 @@
 
 func TestLifecycle_Allows(t *testing.T) {
 	l := Lifecycle{State: Draining}
-	if err := l.Allows("stop"); err != nil {
+	if err := l.CheckCommand("stop"); err != nil {
 		t.Error(err)
 	}
 	var notAllowed *CommandNotAllowedError
-	if err := l.Allows("fire"); !errors.As(err, &notAllowed) || notAllowed.State != Draining {
+	if err := l.CheckCommand("fire"); !errors.As(err, &notAllowed) || notAllowed.State != Draining {
 		t.Error(err)
 	}
 	var unknown *UnknownCommandError
-	if err := l.Allows("dance"); !errors.As(err, &unknown) || unknown.Command != "dance" {
+	if err := l.CheckCommand("dance"); !errors.As(err, &unknown) || unknown.Command != "dance" {
 		t.Error(err)
 	}
 }
--- a/internal/appliance/releases.go
+++ b/internal/appliance/releases.go
@@ -81,7 +81,7 @@
 		if err := preload(migration.Function + "@" + string(migration.To)); err != nil {
 			return err
 		}
-		pacer.OnRequest(migration.Function, now)
+		pacer.OnLoadRequested(migration.Function, now)
 	}
 	for _, migration := range pacer.Loading() {
 		if !isLoaded(migration.Function + "@" + string(migration.To)) {
@@ -92,7 +92,7 @@
 		}
 	}
 	if remaining, abandoned := pacer.Remaining(); remaining == 0 {
-		log.Info("release ended", "actor", g.releasedBy, "pauses", pacer.Pauses, "given_up", fmt.Sprint(abandoned))
+		log.Info("release ended", "actor", g.releasedBy, "pauses", pacer.PauseCount, "given_up", fmt.Sprint(abandoned))
 		g.mu.Lock()
 		g.pacer = nil
 		g.mu.Unlock()
@@ -150,7 +150,7 @@
 		return
 	}
 	atFault := response.Cause == dispatch.CauseWorkerFailed || response.Cause == dispatch.CauseLoadFailed ||
-		response.Cause == dispatch.CauseWrongDigest
+		response.Cause == dispatch.CauseDigestMismatch
 	if response.Kind != dispatch.Succeeded && !atFault {
 		return
 	}
--- a/internal/appliance/schedules.go
+++ b/internal/appliance/schedules.go
@@ -91,7 +91,7 @@
 	if a.schedulesSuspended {
 		return due, false
 	}
-	for _, firing := range a.plan.Due(time.Now()) {
+	for _, firing := range a.plan.TakeDue(time.Now()) {
 		if a.suspended[firing.Entry.Key()] {
 			a.log.Info("firing skipped, entry suspended", "request_id", firing.ID)
 			continue
--- a/internal/appliance/startup.go
+++ b/internal/appliance/startup.go
@@ -94,7 +94,7 @@
 		a.mu.Unlock()
 		go a.watchServer(server)
 	}
-	for _, lost := range a.servers[0].Unanswered() {
+	for _, lost := range a.servers[0].FailedAtRecovery() {
 		a.log.Error("request failed at restart: may have executed, not safe to retry", "request_id", lost.Identity.String(),
 			"class", lost.Class, "function", lost.Function)
 	}
@@ -120,8 +120,8 @@
 	dispatchSettings.ResolveVersion = a.resolveVersion
 	dispatchSettings.VersionAllowed = a.functions.isVersionAllowed
 	settings := eventloop.Settings{
-		Listen:      address,
-		WorkersFile: cfg.Path(cfg.Workers.File),
+		Listen:           address,
+		EndpointListFile: cfg.Path(cfg.Workers.File),
 		Settings: proxy.Settings{
 			Name:             name,
 			Dispatch:         dispatchSettings,
--- a/internal/appliance/task_scheduler.go
+++ b/internal/appliance/task_scheduler.go
@@ -197,8 +197,8 @@
 	LastError   string  `json:"error,omitempty"`
 }
 
-// View returns the status of all tasks, in the order of NewTaskScheduler's arguments.
-func (s *TaskScheduler) View(now float64) []TaskStatus {
+// Statuses returns the status of all tasks, in the order of NewTaskScheduler's arguments.
+func (s *TaskScheduler) Statuses(now float64) []TaskStatus {
 	var statuses []TaskStatus
 	for _, task := range s.tasks {
 		due := task.due - now
--- a/internal/appliance/task_scheduler_test.go
+++ b/internal/appliance/task_scheduler_test.go
@@ -42,7 +42,7 @@
 		t.Fatalf("%q runs, want low: its maximum delay has passed", name)
 	}
 	s.Done(26, "low", 0.1, false, errors.New("disk"))
-	if v := s.View(26)[0]; v.Failures != 1 || v.LastError != "disk" || v.Due < 1.9 {
+	if v := s.Statuses(26)[0]; v.Failures != 1 || v.LastError != "disk" || v.Due < 1.9 {
 		t.Fatalf("%+v", v)
 	}
 }
@@ -65,7 +65,7 @@
 				s.Done(now+0.1, name, 0.1, rng.IntN(3) == 0, nil)
 			}
 		}
-		for i, v := range s.View(600) {
+		for i, v := range s.Statuses(600) {
 			if v.Slices == 0 || v.LongestWait > list[i].MaxDelay+3 {
 				t.Fatalf("seed %d: task %d waited %.1f s, its maximum delay is %.1f; %d slices", seed, i, v.LongestWait, list[i].MaxDelay, v.Slices)
 			}
--- a/internal/appliance/versions.go
+++ b/internal/appliance/versions.go
@@ -57,7 +57,7 @@
 		return true
 	}
 	return errors.Is(resolveErr, registry.ErrUnknown) && !g.registry.Contains(reference.Function) &&
-		reference.Tag == registry.Current && reference.Digest == ""
+		reference.Tag == registry.DefaultAlias && reference.Digest == ""
 }
 
 // resolveVersion returns the version of a request and the profile of its function. The version's own values take
--- a/internal/dispatch/completion.go
+++ b/internal/dispatch/completion.go
@@ -30,7 +30,7 @@
 	switch req.lastOutcome {
 	case control.Failed:
 		if req.digestMismatch {
-			return CauseWrongDigest
+			return CauseDigestMismatch
 		}
 		return CauseWorkerFailed
 	case control.ConnectionLost, control.Cancelled:
--- a/internal/dispatch/recovery.go
+++ b/internal/dispatch/recovery.go
@@ -18,17 +18,17 @@
 // Record is state that must outlive the process. It is passed to [Effects.Store] before the attempt or response that it
 // describes. An attempt or response with AwaitsRecord set must not be sent until the record is durable.
 type Record struct {
-	Kind        RecordKind
-	Response    Response // Identity, Class and Function are always set; the rest for RecordRequestEnded
-	MayHaveRun  bool     // the request was possibly executed
-	FirstRunAgo float64  // seconds since the start of the first attempt that was possibly executed
+	Kind              RecordKind
+	Response          Response // Identity, Class and Function are always set; the rest for RecordRequestEnded
+	PossiblyExecuted  bool     // the request was possibly executed
+	FirstExecutionAge float64  // seconds since the start of the first attempt that was possibly executed
 }
 
 // RecoveredRecord is a Record read back after a restart.
 type RecoveredRecord struct {
 	Record
 	Age      float64 // seconds of the deduplication window that have elapsed since it was stored
-	Reliable bool    // FirstRunAgo, counted back from now, is exact; if false, any time may have passed
+	Reliable bool    // FirstExecutionAge, counted back from now, is exact; if false, any time may have passed
 }
 
 // ReplicaSnapshot describes a replica that a front end believes to be loaded. A process stores its snapshots for the next
@@ -54,10 +54,10 @@
 			Tenant:   req.request.Tenant,
 			Binding:  req.binding,
 		},
-		MayHaveRun: true,
+		PossiblyExecuted: true,
 	}
 	if req.possiblyExecuted {
-		record.FirstRunAgo = d.now - req.firstExecutedAt
+		record.FirstExecutionAge = d.now - req.firstExecutedAt
 	}
 	req.attemptRecorded = true
 	d.effects.Store(record)
@@ -65,9 +65,9 @@
 
 // storeEndRecord stores the final response to a request.
 func (d *Dispatcher) storeEndRecord(req *openRequest, response Response) {
-	record := Record{Kind: RecordRequestEnded, Response: response, MayHaveRun: req.possiblyExecuted}
+	record := Record{Kind: RecordRequestEnded, Response: response, PossiblyExecuted: req.possiblyExecuted}
 	if req.possiblyExecuted {
-		record.FirstRunAgo = d.now - req.firstExecutedAt
+		record.FirstExecutionAge = d.now - req.firstExecutedAt
 	}
 	d.effects.Store(record)
 }
@@ -93,11 +93,11 @@
 			identity:         record.Response.Identity,
 			response:         record.Response,
 			expiresAt:        d.now + window,
-			possiblyExecuted: record.MayHaveRun,
+			possiblyExecuted: record.PossiblyExecuted,
 			firstExecutedAt:  math.Inf(-1),
 		}
 		if record.Reliable {
-			cached.firstExecutedAt = d.now - record.FirstRunAgo
+			cached.firstExecutedAt = d.now - record.FirstExecutionAge
 		}
 		if record.Kind == RecordAttemptStarted {
 			d.recoverAttempt(cached, class)
@@ -131,7 +131,7 @@
 		if cached.expiresAt <= d.now || cached.bodyDropped {
 			continue
 		}
-		record := Record{Kind: RecordRequestEnded, Response: cached.response, MayHaveRun: cached.possiblyExecuted}
+		record := Record{Kind: RecordRequestEnded, Response: cached.response, PossiblyExecuted: cached.possiblyExecuted}
 		if cached.response.Cause == CauseRestarted { // still on disk as the attempt record of an earlier process
 			record.Kind = RecordAttemptStarted
 		}
@@ -140,7 +140,7 @@
 	for _, req := range d.requests {
 		if req.attemptRecorded {
 			response := d.newResponse(req, Rejected, CauseResponded)
-			records[req.request.Identity] = Record{Kind: RecordAttemptStarted, Response: response, MayHaveRun: true}
+			records[req.request.Identity] = Record{Kind: RecordAttemptStarted, Response: response, PossiblyExecuted: true}
 		}
 	}
 	return records
--- a/internal/dispatch/recovery_test.go
+++ b/internal/dispatch/recovery_test.go
@@ -29,10 +29,10 @@
 			h := newHarness(t, nil)
 			failed := h.dispatcher.Recover(h.now, []RecoveredRecord{{
 				Record: Record{
-					Kind:        RecordAttemptStarted,
-					Response:    Response{Identity: Identity{"/t", "e"}, Class: test.class, Function: "f"},
-					MayHaveRun:  true,
-					FirstRunAgo: test.firstRunAgo,
+					Kind:              RecordAttemptStarted,
+					Response:          Response{Identity: Identity{"/t", "e"}, Class: test.class, Function: "f"},
+					PossiblyExecuted:  true,
+					FirstExecutionAge: test.firstRunAgo,
 				},
 				Age:      test.age,
 				Reliable: test.reliable,
@@ -57,7 +57,7 @@
 	h := newHarness(t, nil)
 	end := Response{Kind: Succeeded, Identity: Identity{"/t", "e"}, Class: classAtMostOnce, Function: "f", Body: []byte("done")}
 	failed := h.dispatcher.Recover(h.now, []RecoveredRecord{{
-		Record: Record{Kind: RecordRequestEnded, Response: end, MayHaveRun: true, FirstRunAgo: 1}, Age: 1, Reliable: true,
+		Record: Record{Kind: RecordRequestEnded, Response: end, PossiblyExecuted: true, FirstExecutionAge: 1}, Age: 1, Reliable: true,
 	}})
 	if len(failed) != 0 {
 		t.Fatalf("failed responses: %+v", failed)
--- a/internal/dispatch/response.go
+++ b/internal/dispatch/response.go
@@ -56,7 +56,7 @@
 	CauseRestarted               // possibly executed before the front end restarted
 	CauseNotStored               // a record that must be durable could not be stored
 	CauseNoVersion               // the function reference resolves to no version that is allowed to run
-	CauseWrongDigest             // the worker ran another version than the bound one
+	CauseDigestMismatch          // the worker ran another version than the bound one
 	CauseDuplicate               // a request of the same identity is open, and joining is not allowed
 )
 
@@ -78,7 +78,7 @@
 	CauseRestarted:         "restarted",
 	CauseNotStored:         "not-kept",
 	CauseNoVersion:         "no-version",
-	CauseWrongDigest:       "wrong-digest",
+	CauseDigestMismatch:    "wrong-digest",
 	CauseDuplicate:         "duplicate",
 }
 
--- a/internal/dispatch/routing_host.go
+++ b/internal/dispatch/routing_host.go
@@ -45,5 +45,5 @@
 	h.dispatcher.armTimer(after, routerTimer, mark, nil)
 }
 
-// Subscribe implements [control.Host]. It does nothing: endpoint updates are pushed to the dispatcher.
-func (h routingHost) Subscribe() {}
+// RequestEndpoints implements [control.Host]. It does nothing: endpoint updates are pushed to the dispatcher.
+func (h routingHost) RequestEndpoints() {}
--- a/internal/downstream/cloudevents/session.go
+++ b/internal/downstream/cloudevents/session.go
@@ -58,7 +58,7 @@
 
 // NewSession returns the session of a connection accepted at the time now.
 func NewSession(limits Limits, proxyName string, handler RequestHandler, now float64) *Session {
-	return &Session{limits: limits, framer: http1.NewRequests(limits.Message), handler: handler, proxyName: proxyName, activeAt: now}
+	return &Session{limits: limits, framer: http1.NewRequestFramer(limits.Message), handler: handler, proxyName: proxyName, activeAt: now}
 }
 
 // Feed processes bytes from the client. Wall is the wall-clock time, to which an expirytime is compared.
--- a/internal/eventloop/connection.go
+++ b/internal/eventloop/connection.go
@@ -217,8 +217,8 @@
 	return age.Seconds()
 }
 
-// Name implements proxy.Conn.
-func (c *connection) Name() string { return c.remoteAddr.String() }
+// RemoteAddr implements proxy.Conn.
+func (c *connection) RemoteAddr() string { return c.remoteAddr.String() }
 
 // ReadAhead implements proxy.Conn. It reads from the socket what the event loop has not read yet. The returned slice is
 // valid until the next call on any connection.
--- a/internal/eventloop/fixture_test.go
+++ b/internal/eventloop/fixture_test.go
@@ -53,9 +53,9 @@
 		t.Fatal(err)
 	}
 	f.server, err = eventloop.Start(eventloop.Settings{
-		Listen:      "127.0.0.1:0",
-		WorkersFile: f.path,
-		Kernel:      kernel,
+		Listen:           "127.0.0.1:0",
+		EndpointListFile: f.path,
+		Kernel:           kernel,
 		Settings: proxy.Settings{
 			Name:       "front",
 			Dispatch:   c.Dispatch(1),
--- a/internal/eventloop/reactor.go
+++ b/internal/eventloop/reactor.go
@@ -21,7 +21,7 @@
 	// retryDelay is the delay before a call that failed for lack of a local resource is retried.
 	retryDelay = 10 * time.Millisecond
 	// longestWait is the longest wait for events while the loop serves.
-	longestWait = time.Duration(proxy.SweepEvery * float64(time.Second))
+	longestWait = time.Duration(proxy.SweepInterval * float64(time.Second))
 	// schedulingMargin is the scheduling delay that is normal on a machine which is not overloaded.
 	schedulingMargin = 20 * time.Millisecond
 	// negligibleAge is the input age that is not counted: a third of the slack that the platform allows.
--- a/internal/eventloop/server.go
+++ b/internal/eventloop/server.go
@@ -39,11 +39,11 @@
 // Settings configure one front end and its sockets.
 type Settings struct {
 	proxy.Settings
-	Listen        string   // host:port for clients; port 0 selects a free port
-	PeerListen    string   // host:port for other front ends' datagrams; empty for none
-	Peers         []string // host:port of each other front end, and of this one if Self is set
-	WorkersFile   string   // endpoint list, read again whenever it changes; empty for none
-	PeerBroadcast string   // address that reaches all other front ends; if empty, each of Peers gets a datagram
+	Listen           string   // host:port for clients; port 0 selects a free port
+	PeerListen       string   // host:port for other front ends' datagrams; empty for none
+	Peers            []string // host:port of each other front end, and of this one if Self is set
+	EndpointListFile string   // endpoint list, read again whenever it changes; empty for none
+	PeerBroadcast    string   // address that reaches all other front ends; if empty, each of Peers gets a datagram
 	// Self is this front end's own address among Peers. If it is set, datagrams are accepted from Peers only.
 	Self    string
 	OnStart func(*proxy.Proxy) // called on the event loop before any input is handled; may be nil
@@ -64,7 +64,7 @@
 	counters        counters
 	unanswered      []dispatch.Response // see Unanswered
 	peers           *peerSocket
-	fileWatch       *fileWatch // nil without a WorkersFile
+	fileWatch       *fileWatch // nil without a EndpointListFile
 
 	started    chan error     // receives the result of the start
 	loopEnded  chan struct{}  // closed when the loop has ended
@@ -86,10 +86,10 @@
 		s.peers.close()
 		return nil, fmt.Errorf("front end %s: %w", settings.Name, err)
 	}
-	if settings.WorkersFile != "" {
-		if s.fileWatch, err = watchFile(settings.WorkersFile, s.readEndpointList); err != nil {
+	if settings.EndpointListFile != "" {
+		if s.fileWatch, err = watchFile(settings.EndpointListFile, s.readEndpointList); err != nil {
 			_ = s.Stop(0) // the watch's error is the cause
-			return nil, fmt.Errorf("watch endpoint list %s: %w", settings.WorkersFile, err)
+			return nil, fmt.Errorf("watch endpoint list %s: %w", settings.EndpointListFile, err)
 		}
 	}
 	if s.peers.receives {
@@ -177,7 +177,7 @@
 	s.proxy = proxy.New(s.settings.Settings, loopHost{s})
 	s.reactor.timers.onTick = s.proxy.Tick
 	s.reactor.timers.onSweep = s.sweep
-	s.unanswered = s.proxy.Unanswered()
+	s.unanswered = s.proxy.FailedAtRecovery()
 	if s.settings.OnStart != nil {
 		s.settings.OnStart(s.proxy)
 	}
@@ -197,9 +197,9 @@
 // sortedKeys returns the keys of a map in ascending order.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-// Unanswered returns the failure responses of an earlier process's requests that may have executed and must not be
+// FailedAtRecovery returns the failure responses of an earlier process's requests that may have executed and must not be
 // retried. No client received them.
-func (s *Server) Unanswered() []dispatch.Response { return s.unanswered }
+func (s *Server) FailedAtRecovery() []dispatch.Response { return s.unanswered }
 
 // Addr returns the address that clients connect to.
 func (s *Server) Addr() string { return s.settings.Listen }
--- a/internal/eventloop/server_calls.go
+++ b/internal/eventloop/server_calls.go
@@ -65,9 +65,15 @@
 	return snapshots
 }
 
-// DrainWorker drains a worker, or returns it to the state that the endpoint list gives it; see proxy.Proxy.DrainWorker.
-func (s *Server) DrainWorker(id control.WorkerID, drain bool) (known bool, err error) {
-	err = s.Do(func(p *proxy.Proxy) { known = p.DrainWorker(id, drain) })
+// DrainWorker drains a worker; see proxy.Proxy.DrainWorker.
+func (s *Server) DrainWorker(id control.WorkerID) (known bool, err error) {
+	err = s.Do(func(p *proxy.Proxy) { known = p.DrainWorker(id) })
+	return known, err
+}
+
+// UndrainWorker returns a worker to the state that the endpoint list gives it; see proxy.Proxy.UndrainWorker.
+func (s *Server) UndrainWorker(id control.WorkerID) (known bool, err error) {
+	err = s.Do(func(p *proxy.Proxy) { known = p.UndrainWorker(id) })
 	return known, err
 }
 
@@ -101,12 +107,12 @@
 // readEndpointList applies the content of the endpoint list file. An invalid list leaves the last valid one in force.
 func (s *Server) readEndpointList(data []byte, err error) {
 	if err != nil {
-		s.log.Warn("failed to read endpoint list, keeping the last one", "file", s.settings.WorkersFile, "error", err)
+		s.log.Warn("failed to read endpoint list, keeping the last one", "file", s.settings.EndpointListFile, "error", err)
 		return
 	}
 	s.postIfRunning(func() {
 		if err := s.proxy.ReadEndpointList(data); err != nil {
-			s.log.Error("invalid endpoint list, keeping the last one", "file", s.settings.WorkersFile, "error", err)
+			s.log.Error("invalid endpoint list, keeping the last one", "file", s.settings.EndpointListFile, "error", err)
 		}
 	})
 }
--- a/internal/http1/framer.go
+++ b/internal/http1/framer.go
@@ -56,11 +56,11 @@
 	protocolErr      *ProtocolError
 }
 
-// NewRequests returns a Framer for the requests of a client.
-func NewRequests(limits Limits) *Framer { return &Framer{limits: limits} }
+// NewRequestFramer returns a Framer for the requests of a client.
+func NewRequestFramer(limits Limits) *Framer { return &Framer{limits: limits} }
 
-// NewResponses returns a Framer for the responses of a server to requests other than HEAD and CONNECT.
-func NewResponses(limits Limits) *Framer { return &Framer{limits: limits, response: true} }
+// NewResponseFramer returns a Framer for the responses of a server to requests other than HEAD and CONNECT.
+func NewResponseFramer(limits Limits) *Framer { return &Framer{limits: limits, response: true} }
 
 // Feed appends received bytes, which it copies.
 func (f *Framer) Feed(data []byte) { f.buf = append(f.buf, data...) }
--- a/internal/http1/framer_test.go
+++ b/internal/http1/framer_test.go
@@ -38,7 +38,7 @@
 // with the status and text in want.
 func checkRequests(t *testing.T, feeding, want string, pieces ...string) {
 	t.Helper()
-	got, err := readAll(NewRequests(limits), pieces...)
+	got, err := readAll(NewRequestFramer(limits), pieces...)
 	if err == nil {
 		if s := fmt.Sprint(got); s != want {
 			t.Errorf("%s: got %s, want %s", feeding, s, want)
@@ -107,7 +107,7 @@
 
 func TestFramer_Responses(t *testing.T) {
 	ok := "HTTP/1.1 200 OK\r\n"
-	got, err := readAll(NewResponses(limits), "HTTP/1.1 100 Continue\r\n\r\n"+ok+"Content-Length: 2\r\n\r\nhi"+
+	got, err := readAll(NewResponseFramer(limits), "HTTP/1.1 100 Continue\r\n\r\n"+ok+"Content-Length: 2\r\n\r\nhi"+
 		"HTTP/1.1 204 No\r\nContent-Length: 9\r\n\r\n"+ok+"Transfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n")
 	if want := "[ 200 hi  204   200 a]"; err != nil || fmt.Sprint(got) != want {
 		t.Fatalf("%v %v, want %s", got, err, want)
@@ -115,7 +115,7 @@
 }
 
 func TestFramer_ResponseBodyUntilClose(t *testing.T) {
-	f := NewResponses(limits)
+	f := NewResponseFramer(limits)
 	f.Feed([]byte("HTTP/1.1 200 OK\r\n\r\nuntil"))
 	wantIncomplete(t, f)
 	f.Feed([]byte(" close"))
@@ -126,7 +126,7 @@
 }
 
 func TestFramer_TruncatedResponse(t *testing.T) {
-	f := NewResponses(limits)
+	f := NewResponseFramer(limits)
 	f.Feed([]byte("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhal"))
 	wantIncomplete(t, f)
 	if m, err := f.End(); !errors.Is(err, errConnectionClosed) || m != nil {
@@ -135,7 +135,7 @@
 }
 
 func TestFramer_ExpectContinue(t *testing.T) {
-	f := NewRequests(limits)
+	f := NewRequestFramer(limits)
 	f.Feed([]byte("POST / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n"))
 	if m, err := f.Next(); err != nil || m == nil || !m.ExpectContinue {
 		t.Fatal(m, err)
@@ -151,7 +151,7 @@
 
 // A request without a body is complete after its head, even with Expect: 100-continue.
 func TestFramer_ExpectContinueWithoutBody(t *testing.T) {
-	f := NewRequests(limits)
+	f := NewRequestFramer(limits)
 	f.Feed([]byte("POST / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 0\r\n\r\n"))
 	if m, err := f.Next(); err != nil || m == nil || m.ExpectContinue || !f.Idle() {
 		t.Fatal(m, err)
@@ -164,9 +164,9 @@
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabcGET / HTTP/1.1\r\nHost: b\r\n\r\n"), 7)
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"), 60)
 	f.Fuzz(func(t *testing.T, data []byte, split int) {
-		whole, wholeErr := readAll(NewRequests(limits), string(data))
+		whole, wholeErr := readAll(NewRequestFramer(limits), string(data))
 		split = min(max(split, 0), len(data))
-		parts, partsErr := readAll(NewRequests(limits), string(data[:split]), string(data[split:]))
+		parts, partsErr := readAll(NewRequestFramer(limits), string(data[:split]), string(data[split:]))
 		if fmt.Sprint(whole) != fmt.Sprint(parts) || fmt.Sprint(wholeErr) != fmt.Sprint(partsErr) {
 			t.Fatalf("whole: %q %v\nin parts: %q %v", whole, wholeErr, parts, partsErr)
 		}
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -89,7 +89,7 @@
 func (n *Node) advanceShutdown(shutdown *platform.Shutdown, stoppedAt time.Time) (terminated bool, err error) {
 	err = n.server.Do(func(p *proxy.Proxy) {
 		outstanding := platform.Outstanding{Requests: !p.Idle(), UnreadResponses: p.HasClients()}
-		switch shutdown.Phase(time.Since(stoppedAt).Seconds(), outstanding) {
+		switch shutdown.Advance(time.Since(stoppedAt).Seconds(), outstanding) {
 		case platform.Serving, platform.Draining: // requests are still accepted
 		case platform.GoingAway:
 			p.Drain()
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -39,8 +39,8 @@
 	UnreadResponses bool // a client has not read all of its responses
 }
 
-// Phase advances the shutdown to the given time after the signal, in seconds, and returns its phase. Phases never go back.
-func (s *Shutdown) Phase(elapsed float64, left Outstanding) ShutdownPhase {
+// Advance advances the shutdown to the given time after the signal, in seconds, and returns its phase. Phases never go back.
+func (s *Shutdown) Advance(elapsed float64, left Outstanding) ShutdownPhase {
 	killAt := min(s.MaxRequestTimeout, maxCountedTimeout) + killDelay
 	if s.answeredAt > 0 {
 		if !left.UnreadResponses || elapsed >= max(killAt, s.answeredAt+flushTime) {
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -18,12 +18,12 @@
 	} {
 		s := Shutdown{MaxRequestTimeout: 4} // capped at maxCountedTimeout
 		for _, o := range observations {
-			if got := s.Phase(o.elapsed, o.left); got != o.want {
+			if got := s.Advance(o.elapsed, o.left); got != o.want {
 				t.Errorf("%s: phase %[3]d at %[2]v, want %[4]d", name, o.elapsed, got, o.want)
 			}
 		}
 	}
-	if s := (Shutdown{MaxRequestTimeout: 1.5}); s.Phase(2, open) != Answering {
+	if s := (Shutdown{MaxRequestTimeout: 1.5}); s.Advance(2, open) != Answering {
 		t.Error("phase does not account for the earlier kill of a shorter timeout")
 	}
 }
--- a/internal/proxy/close_reason.go
+++ b/internal/proxy/close_reason.go
@@ -44,7 +44,7 @@
 // logged. The client must have no open request unless it caused the close itself.
 func (p *Proxy) closeClient(client *Client, reason CloseReason) {
 	open := len(client.waiters)
-	name := client.conn.Name()
+	name := client.conn.RemoteAddr()
 	if !p.removeClient(client) {
 		return
 	}
--- a/internal/proxy/downstream.go
+++ b/internal/proxy/downstream.go
@@ -59,11 +59,11 @@
 // Accept adds a client connection. It returns nil if the connection is rejected; the host must close it then.
 func (p *Proxy) Accept(conn Conn) *Client {
 	if p.draining {
-		p.recordClose(conn.Name(), RejectedDraining, 0)
+		p.recordClose(conn.RemoteAddr(), RejectedDraining, 0)
 		return nil
 	}
 	if len(p.clients) >= p.settings.MaxClients && !p.EvictIdleClient() {
-		p.recordClose(conn.Name(), RejectedFull, 0)
+		p.recordClose(conn.RemoteAddr(), RejectedFull, 0)
 		return nil
 	}
 	client := &Client{conn: conn, index: len(p.clients), waiters: map[uint64]dispatch.WaiterID{}}
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -115,7 +115,7 @@
 		return
 	}
 	list := p.endpoints.withDrains()
-	change := upstream.Diff(p.endpoints.active, list)
+	change := upstream.DiffEndpointLists(p.endpoints.active, list)
 	p.endpoints.active = list
 	p.pool.SetEndpoints(list)
 	if len(change) > 0 {
@@ -144,18 +144,28 @@
 	return p.dispatcher.ReplicaSnapshots(p.endpoints.statedStart)
 }
 
-// DrainWorker starts or ends the draining of a worker by an operator. A drain stays in force across updates of the
-// endpoint list. DrainWorker reports whether the list names the worker.
-func (p *Proxy) DrainWorker(id control.WorkerID, drain bool) bool {
-	e := &p.endpoints
-	if e.configured == nil || e.configured.Addresses[id] == "" {
+// lists reports whether the configured endpoint list names the worker.
+func (e *endpointState) lists(id control.WorkerID) bool {
+	return e.configured != nil && e.configured.Addresses[id] != ""
+}
+
+// DrainWorker starts the draining of a worker by an operator, which stays in force across updates of the endpoint list.
+// It reports whether the list names the worker.
+func (p *Proxy) DrainWorker(id control.WorkerID) bool {
+	if !p.endpoints.lists(id) {
 		return false
 	}
-	if drain {
-		e.drained[id] = true
-	} else {
-		delete(e.drained, id)
+	p.endpoints.drained[id] = true
+	p.applyEndpoints()
+	return true
+}
+
+// UndrainWorker ends the draining of a worker by an operator. It reports whether the endpoint list names the worker.
+func (p *Proxy) UndrainWorker(id control.WorkerID) bool {
+	if !p.endpoints.lists(id) {
+		return false
 	}
+	delete(p.endpoints.drained, id)
 	p.applyEndpoints()
 	return true
 }
--- a/internal/proxy/eviction_test.go
+++ b/internal/proxy/eviction_test.go
@@ -21,7 +21,7 @@
 func (c *fakeConn) Unsent() int               { return c.unsent }
 func (c *fakeConn) ReadAhead() ([]byte, bool) { return nil, true }
 func (c *fakeConn) InputAge() float64         { return 0 }
-func (c *fakeConn) Name() string              { return "client" }
+func (c *fakeConn) RemoteAddr() string        { return "client" }
 
 // The connection that has been idle longest is evicted, unless its last response is unsent. If there is no other, the new
 // connection is rejected. Both cases are counted.
--- a/internal/proxy/interfaces.go
+++ b/internal/proxy/interfaces.go
@@ -103,6 +103,6 @@
 	ReadAhead() (data []byte, open bool)
 	// InputAge returns the maximum time, in seconds, for which the bytes that are being passed on may have been buffered.
 	InputAge() float64
-	// Name returns the address of the other side, for logs.
-	Name() string
+	// RemoteAddr returns the address of the other side, for logs.
+	RemoteAddr() string
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -9,8 +9,8 @@
 	"streamcleat/internal/upstream/openinference"
 )
 
-// SweepEvery is the interval, in seconds, at which the host must call Sweep.
-const SweepEvery = 0.1
+// SweepInterval is the interval, in seconds, at which the host must call Sweep.
+const SweepInterval = 0.1
 
 // Settings configures a [Proxy]. Times are in seconds.
 type Settings struct {
@@ -108,9 +108,9 @@
 	return p
 }
 
-// Unanswered returns the responses to requests of an earlier process that were possibly executed and must not be executed
+// FailedAtRecovery returns the responses to requests of an earlier process that were possibly executed and must not be executed
 // again. The responses were not sent to a client.
-func (p *Proxy) Unanswered() []dispatch.Response { return p.unanswered }
+func (p *Proxy) FailedAtRecovery() []dispatch.Response { return p.unanswered }
 
 // Dispatcher returns the front end's dispatcher. A caller that changes its state must call Flush.
 func (p *Proxy) Dispatcher() *dispatch.Dispatcher { return p.dispatcher }
--- a/internal/registry/format_test.go
+++ b/internal/registry/format_test.go
@@ -30,14 +30,14 @@
 			Concurrency: 4, MemoryMB: 256.5, LoadTime: 1.5, Classes: []string{"once", "again"}, SignedBy: []string{"key-1", "key-2"},
 		}},
 		{At: 1_800_000_001, Actor: "ann", Publish: &Version{Function: "team/f", Name: "1.1.0", Digest: newDigest}},
-		{At: 1_800_000_002, Actor: "ann", AliasUpdate: &AliasUpdate{Function: "team/f", Alias: Current, Digest: oldDigest}},
+		{At: 1_800_000_002, Actor: "ann", AliasUpdate: &AliasUpdate{Function: "team/f", Alias: DefaultAlias, Digest: oldDigest}},
 		{At: 1_800_000_003, Actor: "ann", AliasUpdate: &AliasUpdate{Function: "team/f", Alias: "gone", Digest: oldDigest}},
 		{At: 1_800_000_004, Actor: "ann", AliasUpdate: &AliasUpdate{Function: "team/f", Alias: "gone"}},
 		{At: 1_800_000_005, Actor: "bob", Rollout: &Rollout{
-			Function: "team/f", Alias: Current, From: oldDigest, To: newDigest, CanaryFraction: 0.1,
+			Function: "team/f", Alias: DefaultAlias, From: oldDigest, To: newDigest, CanaryFraction: 0.1,
 			Tenants: []string{"north"}, Steps: []float64{0.1, 0.5}, StepDuration: 60, MinResponses: 20, MaxExcessFailureRate: 0.02,
 		}},
-		{At: 1_800_000_006, Actor: "rollout", Reason: "it has held at 0.10", Rollout: &Rollout{Function: "team/f", Alias: Current, From: oldDigest, To: newDigest}},
+		{At: 1_800_000_006, Actor: "rollout", Reason: "it has held at 0.10", Rollout: &Rollout{Function: "team/f", Alias: DefaultAlias, From: oldDigest, To: newDigest}},
 		{At: 1_800_000_007, Actor: "keys", Withdraw: "team/f@" + string(oldDigest), Reason: "none in force vouches for it"},
 	}
 }
@@ -88,7 +88,7 @@
 	}
 	oldVersion, newVersion := *want[0].Publish, *want[1].Publish
 	oldVersion.Withdrawn = true
-	views := []View{{Function: "team/f", Versions: []Version{oldVersion, newVersion}, Aliases: map[string]digest.Digest{Current: newDigest}}}
+	views := []View{{Function: "team/f", Versions: []Version{oldVersion, newVersion}, Aliases: map[string]digest.Digest{DefaultAlias: newDigest}}}
 	if got := r.List(); !reflect.DeepEqual(got, views) {
 		t.Errorf("registry:\n%+v, want\n%+v", got, views)
 	}
--- a/internal/registry/model_test.go
+++ b/internal/registry/model_test.go
@@ -30,7 +30,7 @@
 // withdrawals are skipped to keep them rare.
 func drawChange(t *rapid.T) (e Entry, version, alias string, ok bool) {
 	version = rapid.SampledFrom([]string{"v1", "v2", "v3"}).Draw(t, "version")
-	alias = rapid.SampledFrom([]string{Current, "sale-week"}).Draw(t, "alias")
+	alias = rapid.SampledFrom([]string{DefaultAlias, "sale-week"}).Draw(t, "alias")
 	switch rapid.IntRange(0, 3).Draw(t, "change") {
 	case 0:
 		e.Publish = &Version{Function: "f", Name: version, Digest: digestOf(version)}
@@ -123,7 +123,7 @@
 			resolved, err := r.Resolve(ref, "x", "t", "event")
 			tag := strings.TrimPrefix(strings.TrimPrefix(ref, "f"), ":")
 			if tag == "" {
-				tag = Current
+				tag = DefaultAlias
 			}
 			allowed := model.allowedDigests(tag)
 			if (err == nil) != (len(allowed) > 0) || err == nil && !allowed[resolved.Digest] {
--- a/internal/registry/oci/client.go
+++ b/internal/registry/oci/client.go
@@ -39,7 +39,7 @@
 
 // Client reads versions from a registry. It is not safe for concurrent use.
 type Client struct {
-	Fetched int64 // bytes of layers fetched over the network
+	FetchedBytes int64 // bytes of layers fetched over the network
 
 	host      string
 	plainHTTP bool
@@ -164,7 +164,7 @@
 	if err != nil {
 		return fmt.Errorf("%s: layer %s: %w", function, layer.Digest, err)
 	}
-	c.Fetched += int64(len(data))
+	c.FetchedBytes += int64(len(data))
 	return c.folder.Put(layer.Digest, data)
 }
 
--- a/internal/registry/oci/client_test.go
+++ b/internal/registry/oci/client_test.go
@@ -136,8 +136,8 @@
 			}
 		}
 	}
-	if want := int64(len(testLayer) + len("one") + len("two") + len("{}")); c.Fetched != want {
-		t.Errorf("%d bytes fetched, want %d: each layer once", c.Fetched, want)
+	if want := int64(len(testLayer) + len("one") + len("two") + len("{}")); c.FetchedBytes != want {
+		t.Errorf("%d bytes fetched, want %d: each layer once", c.FetchedBytes, want)
 	}
 	r.Close() // cached content is served without the registry
 	if _, err := c.Pull(context.Background(), "tally", a); err != nil {
--- a/internal/registry/reference.go
+++ b/internal/registry/reference.go
@@ -8,8 +8,8 @@
 	"github.com/opencontainers/go-digest"
 )
 
-// Current is the default alias, used by references without a tag or digest.
-const Current = "current"
+// DefaultAlias is the default alias, used by references without a tag or digest.
+const DefaultAlias = "current"
 
 // Length limits of the names in a reference, in accordance with the OCI distribution specification.
 const (
@@ -17,8 +17,8 @@
 	maxFunctionNameLength = 200
 )
 
-// Ref is a parsed reference: function, function:alias, function:version or function@digest.
-type Ref struct {
+// Reference is a parsed reference: function, function:alias, function:version or function@digest.
+type Reference struct {
 	Function string
 	Tag      string        // alias or version name; Current if the reference has none
 	Digest   digest.Digest // takes precedence over Tag; empty if the reference has none
@@ -26,9 +26,9 @@
 
 // ParseRef parses a reference as specified by the OCI distribution specification. Its errors are of type
 // *ReferenceError.
-func ParseRef(text string) (Ref, error) {
+func ParseRef(text string) (Reference, error) {
 	name, sum, pinned := strings.Cut(text, "@")
-	ref := Ref{Tag: Current}
+	ref := Reference{Tag: DefaultAlias}
 	if pinned {
 		parsed, err := digest.Parse(sum)
 		if err != nil {
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -26,7 +26,7 @@
 	for _, v := range versions {
 		mustApply(t, r, Entry{Publish: &Version{Function: "shop", Name: v, Digest: digestOf(v)}})
 	}
-	mustApply(t, r, Entry{AliasUpdate: &AliasUpdate{"shop", Current, digestOf(versions[0])}})
+	mustApply(t, r, Entry{AliasUpdate: &AliasUpdate{"shop", DefaultAlias, digestOf(versions[0])}})
 	return r
 }
 
@@ -91,13 +91,13 @@
 		{Publish: &Version{Function: "shop", Name: "1.0", Digest: digestOf("other")}},
 		{Publish: &Version{Function: "shop", Name: "2.0", Digest: digestOf("1.0")}},
 		{Publish: &Version{Function: "shop", Name: "2.0", Digest: "sha256:short"}},
-		{Publish: &Version{Function: "shop", Name: Current, Digest: digestOf("c")}},
+		{Publish: &Version{Function: "shop", Name: DefaultAlias, Digest: digestOf("c")}},
 		{AliasUpdate: &AliasUpdate{"shop", "sale", digestOf("9")}},
 		{AliasUpdate: &AliasUpdate{"shop", "1.0", digestOf("1.1")}},
-		{AliasUpdate: &AliasUpdate{"none", Current, digestOf("1.0")}},
-		{Rollout: &Rollout{Function: "shop", Alias: Current, To: digestOf("1.0")}},
+		{AliasUpdate: &AliasUpdate{"none", DefaultAlias, digestOf("1.0")}},
+		{Rollout: &Rollout{Function: "shop", Alias: DefaultAlias, To: digestOf("1.0")}},
 		{Rollout: &Rollout{Function: "shop", Alias: "sale", To: digestOf("1.1")}},
-		{Rollout: &Rollout{Function: "shop", Alias: Current, To: digestOf("1.1"), Steps: []float64{0.5, 0.2}}},
+		{Rollout: &Rollout{Function: "shop", Alias: DefaultAlias, To: digestOf("1.1"), Steps: []float64{0.5, 0.2}}},
 		{Withdraw: "shop:1.0"},
 	} {
 		before := fmt.Sprint(r.List())
@@ -109,11 +109,11 @@
 
 func TestAlias_MoveRollbackAndWithdrawal(t *testing.T) {
 	r := newPublishedRegistry(t, "1.0", "1.1")
-	mustApply(t, r, Entry{AliasUpdate: &AliasUpdate{"shop", Current, digestOf("1.1")}})
+	mustApply(t, r, Entry{AliasUpdate: &AliasUpdate{"shop", DefaultAlias, digestOf("1.1")}})
 	if got := resolvedName(t, r, "shop"); got != "1.1" {
 		t.Error(got)
 	}
-	m, err := r.Rollback("shop", Current)
+	m, err := r.Rollback("shop", DefaultAlias)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,7 +135,7 @@
 	r := newPublishedRegistry(t, "1.0", "1.1")
 	isCanary := map[string]bool{}
 	for _, fraction := range []float64{0.1, 0.5, 0.9, 1} {
-		mustApply(t, r, Entry{Rollout: &Rollout{Function: "shop", Alias: Current, To: digestOf("1.1"), CanaryFraction: fraction, Tenants: []string{"first"}}})
+		mustApply(t, r, Entry{Rollout: &Rollout{Function: "shop", Alias: DefaultAlias, To: digestOf("1.1"), CanaryFraction: fraction, Tenants: []string{"first"}}})
 		canaries := 0
 		for i := range 2000 {
 			id := strconv.Itoa(i)
@@ -159,7 +159,7 @@
 func TestRollout_AdvancesHoldsAndRollsBack(t *testing.T) {
 	start := func() *Registry {
 		r := newPublishedRegistry(t, "1.0", "1.1")
-		mustApply(t, r, Entry{At: 100, Rollout: &Rollout{Function: "shop", Alias: Current, To: digestOf("1.1"), Steps: []float64{0.1, 0.5}, StepDuration: 10, MinResponses: 5, MaxExcessFailureRate: 0.2}})
+		mustApply(t, r, Entry{At: 100, Rollout: &Rollout{Function: "shop", Alias: DefaultAlias, To: digestOf("1.1"), Steps: []float64{0.1, 0.5}, StepDuration: 10, MinResponses: 5, MaxExcessFailureRate: 0.2}})
 		return r
 	}
 	record := func(r *Registry, v string, succeeded, failed int) {
--- a/internal/registry/resolve.go
+++ b/internal/registry/resolve.go
@@ -52,7 +52,7 @@
 
 // resolveTag returns the digest that a tag names for a request, or an empty one if the tag is unknown. A version name
 // takes precedence over an alias, and a rollout of an alias over the version that the alias names.
-func (f *functionRecord) resolveTag(ref Ref, tenant, request string) (d digest.Digest, alias string, canary bool) {
+func (f *functionRecord) resolveTag(ref Reference, tenant, request string) (d digest.Digest, alias string, canary bool) {
 	if v := f.versionByName(ref.Tag); v != nil {
 		return v.Digest, "", false
 	}
--- a/internal/registry/rollout_pacer.go
+++ b/internal/registry/rollout_pacer.go
@@ -48,8 +48,8 @@
 // the function store. Slow or failed loads pause the release; the old versions continue to serve. A RolloutPacer does no
 // I/O, and its caller passes the time in seconds.
 type RolloutPacer struct {
-	Alias  string
-	Pauses int // number of pauses so far
+	Alias      string
+	PauseCount int // number of pauses so far
 
 	maxLoads    int
 	migrations  []*Migration
@@ -76,7 +76,7 @@
 }
 
 // Next returns the migrations whose loads are to be started now, by descending request rate. The caller confirms each
-// started load with OnRequest. A load that takes too long counts as failed and pauses the release; during a pause Next
+// started load with OnLoadRequested. A load that takes too long counts as failed and pauses the release; during a pause Next
 // returns nothing.
 func (p *RolloutPacer) Next(now float64) []Migration {
 	loads := 0
@@ -105,8 +105,8 @@
 	return now-m.loadStartedAt > multiple*max(m.LoadTime, minExpectedLoadTime)
 }
 
-// OnRequest records that the load of a function was requested.
-func (p *RolloutPacer) OnRequest(function string, now float64) {
+// OnLoadRequested records that the load of a function was requested.
+func (p *RolloutPacer) OnLoadRequested(function string, now float64) {
 	if m := p.find(function); m != nil && m.state == migrationPending {
 		m.state = migrationLoading
 		m.loadStartedAt = now
@@ -116,7 +116,7 @@
 
 func (p *RolloutPacer) pause(now float64) {
 	p.pausedUntil = now + pauseDuration
-	p.Pauses++
+	p.PauseCount++
 }
 
 // handleLoadFailure pauses the release and schedules another load attempt, unless the attempts are used up.
--- a/internal/registry/rollout_pacer_test.go
+++ b/internal/registry/rollout_pacer_test.go
@@ -8,20 +8,20 @@
 )
 
 func TestRolloutPacer_PausesOnSlowOrFailedLoads(t *testing.T) {
-	p := NewRolloutPacer(Current, 2, []Migration{{Function: "b", RequestRate: 1}, {Function: "a", RequestRate: 5}, {Function: "c"}})
+	p := NewRolloutPacer(DefaultAlias, 2, []Migration{{Function: "b", RequestRate: 1}, {Function: "a", RequestRate: 5}, {Function: "c"}})
 	next := p.Next(0)
 	if len(next) != 2 || next[0].Function != "a" || next[1].Function != "b" {
 		t.Fatalf("want the two most requested functions first: %+v", next)
 	}
-	p.OnRequest("a", 0)
-	p.OnRequest("b", 0)
-	if m, ok := p.OnLoaded("a", 0.4); !ok || m.Function != "a" || m.Alias != Current {
+	p.OnLoadRequested("a", 0)
+	p.OnLoadRequested("b", 0)
+	if m, ok := p.OnLoaded("a", 0.4); !ok || m.Function != "a" || m.Alias != DefaultAlias {
 		t.Fatal(m, ok)
 	}
 	if n := p.Next(0.5); len(n) != 1 || n[0].Function != "c" {
 		t.Fatalf("%+v", n)
 	}
-	if p.Next(2.1); len(p.Next(2.2)) != 0 || p.Pauses != 1 {
+	if p.Next(2.1); len(p.Next(2.2)) != 0 || p.PauseCount != 1 {
 		t.Fatal("did not pause after a load timed out")
 	}
 	if n := p.Next(5.2); len(n) != 2 || n[0].Function != "b" {
@@ -31,7 +31,7 @@
 		t.Error("second alias update for one function")
 	}
 	for range maxLoadAttempts {
-		p.OnRequest("b", 10)
+		p.OnLoadRequested("b", 10)
 		p.OnLoadFailed("b", 10)
 	}
 	if remaining, abandoned := p.Remaining(); remaining != 1 || fmt.Sprint(abandoned) != "[b]" {
@@ -52,7 +52,7 @@
 				list = append(list, Migration{Function: strconv.Itoa(i), RequestRate: rng.Float64(), LoadTime: rng.Float64()})
 			}
 			maxLoads := 1 + rng.IntN(5)
-			p := NewRolloutPacer(Current, maxLoads, list)
+			p := NewRolloutPacer(DefaultAlias, maxLoads, list)
 			moves := map[string]int{}
 			remaining := simulatedFunctions
 			for now := 0.0; remaining > 0; now += 0.25 {
@@ -79,7 +79,7 @@
 func stepPacer(t *testing.T, p *RolloutPacer, rng *rand.Rand, maxLoads int, now float64, moves map[string]int) {
 	t.Helper()
 	for _, m := range p.Next(now) {
-		p.OnRequest(m.Function, now)
+		p.OnLoadRequested(m.Function, now)
 	}
 	if n := len(p.Loading()); n > maxLoads {
 		t.Fatalf("%d concurrent loads, limit %d", n, maxLoads)
--- a/internal/schedule/client.go
+++ b/internal/schedule/client.go
@@ -170,7 +170,7 @@
 	var inFlight sync.WaitGroup
 	defer inFlight.Wait()
 	for {
-		for _, firing := range p.Due(clock()) {
+		for _, firing := range p.TakeDue(clock()) {
 			inFlight.Go(func() { c.fireAndReport(context.WithoutCancel(ctx), firing) })
 		}
 		sleep := maxPlanSleep
--- a/internal/schedule/plan.go
+++ b/internal/schedule/plan.go
@@ -67,9 +67,9 @@
 	return p.entries[0].due, true
 }
 
-// Due returns the firings that are due by now. Missed firings are returned as the entry's misfire policy says. They keep
+// TakeDue returns the firings that are due by now. Missed firings are returned as the entry's misfire policy says. They keep
 // the identity of their minute, so that a firing that was sent before is deduplicated.
-func (p *Plan) Due(now time.Time) []Firing {
+func (p *Plan) TakeDue(now time.Time) []Firing {
 	if now.Before(p.now.Add(-maxClockStepBack)) {
 		p.replan(now)
 	}
--- a/internal/schedule/schedule_test.go
+++ b/internal/schedule/schedule_test.go
@@ -95,7 +95,7 @@
 func TestTwoClients_SameIdentityAndFrontEnd(t *testing.T) {
 	tab := "CRON_TZ=Europe/Berlin\n* * * * * shop f t\n"
 	a, b := NewPlan(mustParse(t, tab), utc("2026-12-01 11:59:58")), NewPlan(mustParse(t, tab), utc("2026-12-01 11:59:01"))
-	fa, fb := a.Due(utc("2026-12-01 12:00:00")), b.Due(utc("2026-12-01 12:00:01"))
+	fa, fb := a.TakeDue(utc("2026-12-01 12:00:00")), b.TakeDue(utc("2026-12-01 12:00:01"))
 	if len(fa) != 1 || len(fb) != 1 || fa[0].ID != fb[0].ID || !strings.HasSuffix(fa[0].ID, "/2026-12-01T12:00Z") {
 		t.Fatal(fa, fb)
 	}
@@ -125,7 +125,7 @@
 		{"30 * * * *", "2026-03-29 00:00:00", "2026-03-29 02:00:00", "2026-03-29T00:30Z 2026-03-29T01:30Z"},
 	} {
 		p := NewPlan(mustParse(t, "CRON_TZ=Europe/Berlin\nMISFIRE=all\nMISFIRE_WITHIN=72h\n"+c.spec+" shop f\n"), utc(c.from))
-		if got := minutes(p.Due(utc(c.to))); got != c.want {
+		if got := minutes(p.TakeDue(utc(c.to))); got != c.want {
 			t.Errorf("%s from %s: %s, want %s", c.spec, c.from, got, c.want)
 		}
 	}
@@ -139,10 +139,10 @@
 	} {
 		t.Run(c.policy, func(t *testing.T) {
 			p := NewPlan(mustParse(t, "MISFIRE="+c.policy+"\nMISFIRE_WITHIN=5m\n*/2 * * * * shop f\n"), utc("2026-12-01 11:00:00"))
-			if got := minutes(p.Due(utc("2026-12-01 12:10:30"))); got != c.want {
+			if got := minutes(p.TakeDue(utc("2026-12-01 12:10:30"))); got != c.want {
 				t.Errorf("%s, want %s", got, c.want)
 			}
-			if got := minutes(p.Due(utc("2026-12-01 12:10:59"))); got != "" {
+			if got := minutes(p.TakeDue(utc("2026-12-01 12:10:59"))); got != "" {
 				t.Errorf("fired again: %s", got)
 			}
 		})
@@ -151,28 +151,28 @@
 
 func TestPlan_CatchUpIsBounded(t *testing.T) {
 	p := NewPlan(mustParse(t, "MISFIRE=all\nMISFIRE_WITHIN=24h\n* * * * * shop f\n"), utc("2020-01-01 00:00:00"))
-	if got := len(p.Due(utc("2026-12-01 00:00:00"))); got > maxCatchUpFirings+2 {
+	if got := len(p.TakeDue(utc("2026-12-01 00:00:00"))); got > maxCatchUpFirings+2 {
 		t.Errorf("%d firings after a gap of years", got)
 	}
 }
 
 func TestPlan_ClockSetBackAndForward(t *testing.T) {
 	p := NewPlan(mustParse(t, "0 * * * * shop f\n"), utc("2026-12-01 11:30:00"))
-	if got := minutes(p.Due(utc("2026-12-01 12:00:01"))); got != "2026-12-01T12:00Z" {
+	if got := minutes(p.TakeDue(utc("2026-12-01 12:00:01"))); got != "2026-12-01T12:00Z" {
 		t.Fatal(got)
 	}
 	for _, now := range []string{"2026-12-01 11:00:02", "2026-12-01 11:59:59", "2026-12-01 12:00:02"} { // set back by an hour
-		if got := minutes(p.Due(utc(now))); got != "" {
+		if got := minutes(p.TakeDue(utc(now))); got != "" {
 			t.Errorf("at %s fired again: %s", now, got)
 		}
 	}
-	if got := minutes(p.Due(utc("2026-12-01 13:00:00"))); got != "2026-12-01T13:00Z" {
+	if got := minutes(p.TakeDue(utc("2026-12-01 13:00:00"))); got != "2026-12-01T13:00Z" {
 		t.Error(got)
 	}
-	if got := minutes(p.Due(utc("2026-12-01 15:00:10"))); got != "2026-12-01T15:00Z" { // set forward: 14:00 was missed
+	if got := minutes(p.TakeDue(utc("2026-12-01 15:00:10"))); got != "2026-12-01T15:00Z" { // set forward: 14:00 was missed
 		t.Error(got)
 	}
-	p.Due(utc("2026-12-01 05:00:30")) // set back by ten hours: planned anew
+	p.TakeDue(utc("2026-12-01 05:00:30")) // set back by ten hours: planned anew
 	if next, _ := p.Next(); !next.Equal(utc("2026-12-01 06:00:00")) {
 		t.Error(next)
 	}
@@ -182,7 +182,7 @@
 	list := mustParse(t, "MISFIRE=all\n*/10 * * * * shop f\n*/10 * * * * shop g\n")
 	last := map[string]time.Time{list[0].Key(): utc("2026-12-01 11:40:00")}
 	p := Resume(list, last, utc("2026-12-01 12:05:00"))
-	if got := minutes(p.Due(utc("2026-12-01 12:05:00"))); got != "2026-12-01T11:50Z 2026-12-01T12:00Z" {
+	if got := minutes(p.TakeDue(utc("2026-12-01 12:05:00"))); got != "2026-12-01T11:50Z 2026-12-01T12:00Z" {
 		t.Error(got)
 	}
 	last[list[0].Key()] = utc("2027-12-01 00:00:00") // recorded by a clock that was a year ahead
@@ -199,7 +199,7 @@
 	}
 	p := NewPlan(mustParse(t, tab.String()), utc("2026-12-01 23:00:00"))
 	seen := map[string]bool{}
-	for _, f := range p.Due(utc("2026-12-02 00:00:00")) {
+	for _, f := range p.TakeDue(utc("2026-12-02 00:00:00")) {
 		seen[f.ID] = true
 	}
 	if len(seen) != 500 {
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -82,8 +82,8 @@
 		field{fieldTimerMark, strconv.FormatUint(mark, 10)})
 }
 
-// Subscribe implements [control.Host].
-func (i *instance) Subscribe() { i.write(messageSubscribe, field{"Want", "1"}) }
+// RequestEndpoints implements [control.Host].
+func (i *instance) RequestEndpoints() { i.write(messageSubscribe, field{"Want", "1"}) }
 
 // formatMilliseconds formats a time in seconds as milliseconds.
 func formatMilliseconds(seconds float64) string {
--- a/internal/storage/batch.go
+++ b/internal/storage/batch.go
@@ -36,7 +36,7 @@
 	result := make(chan error, 1)
 	s.enqueue(pendingWrite{mutations: mutations, done: func(err error) { result <- err }})
 	if s.options.Synchronous {
-		s.Step()
+		s.CommitPending()
 	}
 	return <-result
 }
@@ -45,14 +45,14 @@
 func (s *Store) commitLoop() {
 	defer close(s.committerDone)
 	for range s.wake {
-		for s.Step() {
+		for s.CommitPending() {
 		}
 	}
 }
 
-// Step commits all queued writes as one batch and calls their callbacks. It reports whether there were any. With
+// CommitPending commits all queued writes as one batch and calls their callbacks. It reports whether there were any. With
 // Options.Synchronous the owner of the store calls it, otherwise only the committer does.
-func (s *Store) Step() bool {
+func (s *Store) CommitPending() bool {
 	s.mu.Lock()
 	writes, err := s.queue, s.writeErr
 	s.queue = nil
@@ -85,7 +85,7 @@
 // commitBatch commits the writes and the current service time as one batch and waits for the sync.
 func (s *Store) commitBatch(writes []pendingWrite) (err error) {
 	if s.libraryFailed.Load() {
-		return ErrLibraryFailed
+		return ErrEngineFailed
 	}
 	defer s.recoverPanic(&err)
 	batch := s.db.NewBatch()
--- a/internal/storage/errors.go
+++ b/internal/storage/errors.go
@@ -20,8 +20,8 @@
 	ErrUnsupportedFormat = errors.New("unsupported store format")
 	// ErrClosed is the error of a write to a closed store.
 	ErrClosed = errors.New("store closed")
-	// ErrLibraryFailed is returned after the database library has panicked on a disk error.
-	ErrLibraryFailed = errors.New("database library failed on a disk error")
+	// ErrEngineFailed is returned after the database library has panicked on a disk error.
+	ErrEngineFailed = errors.New("database library failed on a disk error")
 )
 
 // isCorruption reports whether err means that files of the store are corrupt or missing. Pebble marks only some of these
--- a/internal/storage/fixtures_test.go
+++ b/internal/storage/fixtures_test.go
@@ -42,21 +42,21 @@
 // minimum of fields.
 func fixtureRecords() []dispatch.Record {
 	return []dispatch.Record{
-		{Kind: dispatch.RecordAttemptStarted, MayHaveRun: true, FirstRunAgo: 2.5, Response: dispatch.Response{
+		{Kind: dispatch.RecordAttemptStarted, PossiblyExecuted: true, FirstExecutionAge: 2.5, Response: dispatch.Response{
 			Identity: dispatch.Identity{Source: "/shop", ID: "open-1"}, Class: "price-reset", Function: "f", Tenant: "north",
 		}},
-		{Kind: dispatch.RecordAttemptStarted, MayHaveRun: true, Response: dispatch.Response{
+		{Kind: dispatch.RecordAttemptStarted, PossiblyExecuted: true, Response: dispatch.Response{
 			Identity: dispatch.Identity{Source: "/shop", ID: "open-2"}, Class: "till-entry", Function: "team/f", Binding: fixtureBinding,
 		}},
-		{Kind: dispatch.RecordRequestEnded, MayHaveRun: true, FirstRunAgo: 4, Response: dispatch.Response{
+		{Kind: dispatch.RecordRequestEnded, PossiblyExecuted: true, FirstExecutionAge: 4, Response: dispatch.Response{
 			Identity: dispatch.Identity{Source: "/shop", ID: "ended-1"}, Class: "till-entry", Function: "team/f", Tenant: "south",
-			Kind: dispatch.Failed, Cause: dispatch.CauseWrongDigest, RetryAfter: 0.5, Worker: "w-7", Attempts: 3, Elapsed: 1.25,
+			Kind: dispatch.Failed, Cause: dispatch.CauseDigestMismatch, RetryAfter: 0.5, Worker: "w-7", Attempts: 3, Elapsed: 1.25,
 			Fields: fixtureFields, Body: []byte("an answer\x00\xff"), Binding: fixtureBinding,
 		}},
 		{Kind: dispatch.RecordRequestEnded, Response: dispatch.Response{
 			Identity: dispatch.Identity{Source: "/shop", ID: "ended-2"}, Class: "once", Kind: dispatch.Rejected, Cause: dispatch.CauseNoCapacity,
 		}},
-		{Kind: dispatch.RecordRequestEnded, MayHaveRun: true, FirstRunAgo: math.Inf(1), Response: dispatch.Response{ // the encoding of an unknown time in a restored store
+		{Kind: dispatch.RecordRequestEnded, PossiblyExecuted: true, FirstExecutionAge: math.Inf(1), Response: dispatch.Response{ // the encoding of an unknown time in a restored store
 			Identity: dispatch.Identity{Source: "/shop", ID: "ended-3"}, Class: "once", Function: "f", Fields: []dispatch.Field{}, Body: []byte{}}},
 	}
 }
--- a/internal/storage/format_test.go
+++ b/internal/storage/format_test.go
@@ -93,7 +93,7 @@
 		if len(record.Response.Body) == 0 {
 			record.Response.Body = nil
 		}
-		record.FirstRunAgo += 9                                                  // written at uptime 51
+		record.FirstExecutionAge += 9                                            // written at uptime 51
 		want := dispatch.RecoveredRecord{Record: record, Age: 2, Reliable: true} // the last service time was stored at uptime 53
 		if got := byID[record.Response.Identity.ID]; !reflect.DeepEqual(got, want) {
 			t.Errorf("request %s:\n%+v, want\n%+v", record.Response.Identity.ID, got, want)
--- a/internal/storage/quarantine.go
+++ b/internal/storage/quarantine.go
@@ -85,7 +85,7 @@
 	for _, recovered := range state.Records {
 		record := recovered.Record
 		if !recovered.Reliable {
-			record.FirstRunAgo = math.Inf(1)
+			record.FirstExecutionAge = math.Inf(1)
 		}
 		recordedAt := now
 		recordedAt.ServiceTime -= recovered.Age
--- a/internal/storage/record_codec.go
+++ b/internal/storage/record_codec.go
@@ -43,7 +43,7 @@
 		Record: stored.record(),
 		Age:    max(now.ServiceTime-stored.RecordedAt.ServiceTime, 0),
 	}
-	recovered.FirstRunAgo, recovered.Reliable = stored.FirstRunAt.until(now)
+	recovered.FirstExecutionAge, recovered.Reliable = stored.FirstRunAt.until(now)
 	return recovered, nil
 }
 
@@ -192,8 +192,8 @@
 func newStoredRecord(record dispatch.Record, now Timestamp) storedRecord {
 	response := record.Response
 	firstRunAt := now
-	firstRunAt.Uptime -= record.FirstRunAgo
-	firstRunAt.ServiceTime -= record.FirstRunAgo
+	firstRunAt.Uptime -= record.FirstExecutionAge
+	firstRunAt.ServiceTime -= record.FirstExecutionAge
 	return storedRecord{
 		Kind:         uint8(record.Kind),
 		Source:       response.Identity.Source,
@@ -208,7 +208,7 @@
 		Attempts:     response.Attempts,
 		Fields:       convertSlice(response.Fields, newStoredField),
 		Body:         response.Body,
-		MayHaveRun:   record.MayHaveRun,
+		MayHaveRun:   record.PossiblyExecuted,
 		FirstRunAt:   firstRunAt,
 		RecordedAt:   now,
 		Elapsed:      response.Elapsed,
@@ -216,11 +216,11 @@
 	}
 }
 
-// record returns the record without FirstRunAgo, which depends on the clock.
+// record returns the record without FirstExecutionAge, which depends on the clock.
 func (r *storedRecord) record() dispatch.Record {
 	return dispatch.Record{
-		Kind:       dispatch.RecordKind(r.Kind),
-		MayHaveRun: r.MayHaveRun,
+		Kind:             dispatch.RecordKind(r.Kind),
+		PossiblyExecuted: r.MayHaveRun,
 		Response: dispatch.Response{
 			Identity:   dispatch.Identity{Source: r.Source, ID: r.ID},
 			Class:      r.Class,
--- a/internal/storage/retention.go
+++ b/internal/storage/retention.go
@@ -12,7 +12,7 @@
 // it examined; fewer than limit means that no more are due.
 func (s *Store) Expire(limit int) (examined int, err error) {
 	if s.libraryFailed.Load() {
-		return 0, ErrLibraryFailed
+		return 0, ErrEngineFailed
 	}
 	defer s.recoverPanic(&err)
 	now := s.now()
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -188,9 +188,9 @@
 	return errors.Join(err, s.closeDatabase())
 }
 
-// Drop closes the database in the state that a process crash would leave. Queued writes are discarded without calling
+// Abandon closes the database in the state that a process crash would leave. Queued writes are discarded without calling
 // their callbacks. It is used by simulations.
-func (s *Store) Drop() error {
+func (s *Store) Abandon() error {
 	s.mu.Lock()
 	wasClosed := s.closed
 	s.closed, s.queue = true, nil
@@ -203,10 +203,10 @@
 	return s.closeDatabase()
 }
 
-// closeDatabase closes the database, or returns ErrLibraryFailed if the library must not be called.
+// closeDatabase closes the database, or returns ErrEngineFailed if the library must not be called.
 func (s *Store) closeDatabase() (err error) {
 	if s.libraryFailed.Load() {
-		return ErrLibraryFailed
+		return ErrEngineFailed
 	}
 	defer s.recoverPanic(&err)
 	return s.db.Close()
--- a/internal/upstream/endpoint_list.go
+++ b/internal/upstream/endpoint_list.go
@@ -155,9 +155,9 @@
 	return err == nil
 }
 
-// Diff returns the workers that were added or changed between two lists, and those that were removed, in state
+// DiffEndpointLists returns the workers that were added or changed between two lists, and those that were removed, in state
 // control.Removed. A worker with a new address counts as changed. A nil previous list counts as empty.
-func Diff(previous, next *EndpointList) []control.Worker {
+func DiffEndpointLists(previous, next *EndpointList) []control.Worker {
 	if previous == nil {
 		return next.Workers
 	}
--- a/internal/upstream/endpoint_list_test.go
+++ b/internal/upstream/endpoint_list_test.go
@@ -41,14 +41,14 @@
 	next := parse(`[{"targets":["h:1"]},{"targets":["h:2"],"labels":{"phase":"draining"}},{"targets":["h:3"],"labels":{"started":"7"}},
 		{"targets":["h:6"]},{"targets":["h:7"],"labels":{"instance":"five"}}]`)
 	got := map[control.WorkerID]control.Worker{}
-	for _, worker := range Diff(previous, next) {
+	for _, worker := range DiffEndpointLists(previous, next) {
 		got[worker.ID] = worker
 	}
 	if len(got) != 5 || got["h:2"].State != control.Draining || got["h:3"].StartedAt != 107 || got["h:4"].State != control.Removed ||
 		got["h:6"].Weight != 1 || got["five"].ID != "five" {
 		t.Errorf("%+v", got)
 	}
-	if changed := Diff(next, next); len(changed) != 0 {
+	if changed := DiffEndpointLists(next, next); len(changed) != 0 {
 		t.Errorf("equal lists differ in %+v", changed)
 	}
 }
--- a/internal/upstream/openinference/codec_test.go
+++ b/internal/upstream/openinference/codec_test.go
@@ -12,7 +12,7 @@
 
 func parseResponse(t *testing.T, text string) *http1.Message {
 	t.Helper()
-	framer := http1.NewResponses(http1.Limits{Head: 4096, Body: 4096})
+	framer := http1.NewResponseFramer(http1.Limits{Head: 4096, Body: 4096})
 	framer.Feed([]byte(text))
 	message, err := framer.Next()
 	if message == nil || err != nil {
--- a/internal/upstream/openinference/send.go
+++ b/internal/upstream/openinference/send.go
@@ -41,7 +41,7 @@
 		p.Exchanges.FailUnsent(e)
 		return
 	}
-	c := &connection{exchange: e, framer: http1.NewResponses(p.limits.Message)}
+	c := &connection{exchange: e, framer: http1.NewResponseFramer(p.limits.Message)}
 	e.connection = c
 	p.queueTimeout(c)
 	p.Connections.Dial(now, c, e.Worker, addr)
--- a/internal/verification/scenario/bench_front.go
+++ b/internal/verification/scenario/bench_front.go
@@ -86,7 +86,7 @@
 
 // frontEndSettings are those of a front end before the workers.
 func (b *bench) frontEndSettings() eventloop.Settings {
-	return eventloop.Settings{Listen: anyPort, WorkersFile: b.workers.listPath, Settings: proxy.Settings{
+	return eventloop.Settings{Listen: anyPort, EndpointListFile: b.workers.listPath, Settings: proxy.Settings{
 		Name:       "front",
 		Dispatch:   b.config.Dispatch(1),
 		Upstream:   b.config.Upstream("front"),
--- a/internal/verification/scenario/bench_recovery.go
+++ b/internal/verification/scenario/bench_recovery.go
@@ -62,7 +62,7 @@
 	}
 	var records []dispatch.Record
 	for i := range n {
-		records = append(records, dispatch.Record{Kind: dispatch.RecordRequestEnded, MayHaveRun: true, Response: dispatch.Response{
+		records = append(records, dispatch.Record{Kind: dispatch.RecordRequestEnded, PossiblyExecuted: true, Response: dispatch.Response{
 			Class:    benchStoreClass,
 			Identity: dispatch.Identity{Source: "/till", ID: strconv.Itoa(i)},
 			Body:     []byte(`{"model_name":"tally","outputs":[]}`),
--- a/internal/verification/scenario/rollout.go
+++ b/internal/verification/scenario/rollout.go
@@ -42,7 +42,7 @@
 		return err
 	}
 	for _, m := range list {
-		if err := i.versions.move(registry.AliasUpdate{Function: m.Function, Alias: registry.Current, Digest: m.To}); err != nil {
+		if err := i.versions.move(registry.AliasUpdate{Function: m.Function, Alias: registry.DefaultAlias, Digest: m.To}); err != nil {
 			return err
 		}
 	}
@@ -55,7 +55,7 @@
 	if err != nil {
 		return err
 	}
-	pacer := registry.NewRolloutPacer(registry.Current, rolloutLoads, list)
+	pacer := registry.NewRolloutPacer(registry.DefaultAlias, rolloutLoads, list)
 	for {
 		if err := i.preloadNext(pacer); err != nil {
 			return err
@@ -84,7 +84,7 @@
 				return err
 			}
 		}
-		pacer.OnRequest(m.Function, now)
+		pacer.OnLoadRequested(m.Function, now)
 	}
 	return nil
 }
--- a/internal/verification/scenario/site.go
+++ b/internal/verification/scenario/site.go
@@ -173,7 +173,7 @@
 		decisions.ResolveVersion = r.versions.resolver(number, c.Function)
 		decisions.VersionAllowed = r.versions.isAllowed(number)
 	}
-	settings := eventloop.Settings{Listen: c.Listen[0], WorkersFile: listPath, Settings: proxy.Settings{
+	settings := eventloop.Settings{Listen: c.Listen[0], EndpointListFile: listPath, Settings: proxy.Settings{
 		Name:         name,
 		Cluster:      clusterName,
 		Dispatch:     decisions,
--- a/internal/verification/scenario/versions.go
+++ b/internal/verification/scenario/versions.go
@@ -54,7 +54,7 @@
 			return err
 		}
 	}
-	return r.Apply(registry.Entry{AliasUpdate: &registry.AliasUpdate{Function: f.Name, Alias: registry.Current, Digest: versionDigest(f.Name, oldVersion)}})
+	return r.Apply(registry.Entry{AliasUpdate: &registry.AliasUpdate{Function: f.Name, Alias: registry.DefaultAlias, Digest: versionDigest(f.Name, oldVersion)}})
 }
 
 // resolver returns what a front end resolves the versions of requests by.
--- a/internal/verification/simulation/appliance.go
+++ b/internal/verification/simulation/appliance.go
@@ -309,8 +309,8 @@
 		if a.store == nil { // closed meanwhile, which wrote what waited
 			return
 		}
-		_ = a.withStore(func() error { // Step reports its errors to those who committed
-			a.store.Step()
+		_ = a.withStore(func() error { // CommitPending reports its errors to those who committed
+			a.store.CommitPending()
 			return nil
 		})
 	})
@@ -354,6 +354,6 @@
 	a.store = nil
 	a.disk.restart(losePower)
 	if old != nil {
-		a.site.closing.Go(func() { _ = old.Drop() }) // gives its memory back; its disk is nobody's any more
+		a.site.closing.Go(func() { _ = old.Abandon() }) // gives its memory back; its disk is nobody's any more
 	}
 }
--- a/internal/verification/simulation/client_conn.go
+++ b/internal/verification/simulation/client_conn.go
@@ -41,7 +41,7 @@
 func (c *client) dial(call *clientCall) {
 	conn := &clientConn{
 		client: c, frontEnd: call.frontEnd, calls: []*clientCall{call}, usedAt: c.scheduler.now,
-		responses: http1.NewResponses(messageLimits),
+		responses: http1.NewResponseFramer(messageLimits),
 	}
 	call.conn = conn
 	c.conns = append(c.conns, conn)
--- a/internal/verification/simulation/disk_test.go
+++ b/internal/verification/simulation/disk_test.go
@@ -19,9 +19,9 @@
 
 // commit writes the record of a request and returns the result.
 func commit(store *storage.Store, id string) (err error) {
-	record := dispatch.Record{Response: dispatch.Response{Identity: dispatch.Identity{Source: "/t", ID: id}, Class: "once"}, MayHaveRun: true}
+	record := dispatch.Record{Response: dispatch.Response{Identity: dispatch.Identity{Source: "/t", ID: id}, Class: "once"}, PossiblyExecuted: true}
 	store.Commit([]dispatch.Record{record}, func(e error) { err = e })
-	store.Step()
+	store.CommitPending()
 	return err
 }
 
--- a/internal/verification/simulation/front_end.go
+++ b/internal/verification/simulation/front_end.go
@@ -43,7 +43,7 @@
 	f.timer = nil
 	f.phases, f.started = map[string]string{}, map[string]float64{}
 	f.proxy = proxy.New(f.settings(), (*host)(f))
-	a.after(proxy.SweepEvery, f.name+" sweeps", f.sweep)
+	a.after(proxy.SweepInterval, f.name+" sweeps", f.sweep)
 	if a.site.endpointList != nil {
 		f.readEndpointList()
 	}
@@ -77,7 +77,7 @@
 
 func (f *frontEnd) sweep() {
 	f.proxy.Sweep()
-	f.appliance.after(proxy.SweepEvery, f.name+" sweeps", f.sweep)
+	f.appliance.after(proxy.SweepInterval, f.name+" sweeps", f.sweep)
 }
 
 func (f *frontEnd) resyncEndpointList() {
@@ -148,8 +148,8 @@
 // Unsent returns the number of bytes that the kernel has not taken.
 func (c proxyConn) Unsent() int { return c.end.unsent() }
 
-// Name returns the connection's name.
-func (c proxyConn) Name() string { return c.end.conn.name }
+// RemoteAddr returns the connection's name.
+func (c proxyConn) RemoteAddr() string { return c.end.conn.name }
 
 // ReadAhead has nothing: what arrives is handed over at once.
 func (c proxyConn) ReadAhead() ([]byte, bool) { return nil, true }
@@ -232,8 +232,8 @@
 func (f *frontEnd) recordAttempts(e *endpoint, addr string) (onResponseData func([]byte)) {
 	worker, _, _ := strings.Cut(addr, ":")
 	r := &attemptRecorder{
-		frontEnd: f, worker: worker, requests: http1.NewRequests(messageLimits),
-		responses: http1.NewResponses(messageLimits),
+		frontEnd: f, worker: worker, requests: http1.NewRequestFramer(messageLimits),
+		responses: http1.NewResponseFramer(messageLimits),
 	}
 	e.onWrite = r.onRequestData
 	e.onFinished = r.end
--- a/internal/verification/simulation/liveness_checks.go
+++ b/internal/verification/simulation/liveness_checks.go
@@ -39,7 +39,7 @@
 	}
 	for _, a := range s.appliances {
 		if a.store != nil {
-			_ = a.store.Drop() // gives its memory back; its disk is nobody's any more
+			_ = a.store.Abandon() // gives its memory back; its disk is nobody's any more
 		}
 	}
 }
--- a/internal/verification/simulation/schedules.go
+++ b/internal/verification/simulation/schedules.go
@@ -20,7 +20,7 @@
 	if s.script.Timers == 0 || a.schedulesSuspended || a.scheduler.now > s.script.Seconds+lastRetry {
 		return
 	}
-	if due := a.schedules.Due(a.wallClock()); len(due) > 0 {
+	if due := a.schedules.TakeDue(a.wallClock()); len(due) > 0 {
 		a.fire(due)
 		if !a.running {
 			return
--- a/internal/verification/simulation/state_checks.go
+++ b/internal/verification/simulation/state_checks.go
@@ -43,10 +43,10 @@
 func isEquivalent(written, found dispatch.Record) bool {
 	expired := written.Response.Cause == dispatch.CauseResponseExpired
 	rejected := written.Response.Kind == dispatch.Rejected || expired
-	if written.Kind == dispatch.RecordRequestEnded && rejected && written.MayHaveRun && found.Kind == dispatch.RecordAttemptStarted {
+	if written.Kind == dispatch.RecordRequestEnded && rejected && written.PossiblyExecuted && found.Kind == dispatch.RecordAttemptStarted {
 		return true
 	}
-	if written.Kind != found.Kind || written.MayHaveRun != found.MayHaveRun {
+	if written.Kind != found.Kind || written.PossiblyExecuted != found.PossiblyExecuted {
 		return false
 	}
 	return written.Kind == dispatch.RecordAttemptStarted || written.Response.Kind == found.Response.Kind || expired
@@ -148,13 +148,13 @@
 
 // checkStoredRecord checks that a restart would find a record of a request that must not run again.
 func (s *site) checkStoredRecord(f *frontEnd, id dispatch.Identity, inMemory dispatch.Record, found records) {
-	if inMemory.Response.Class == fakes.ClassIdempotent || !inMemory.MayHaveRun {
+	if inMemory.Response.Class == fakes.ClassIdempotent || !inMemory.PossiblyExecuted {
 		return
 	}
 	x, ok := found[id]
 	if !ok || !isEquivalent(inMemory, x) {
 		s.violation("state", "%s has %s as %v %v %v, may have run %v; a restart would find %v: %v %v %v %v", f.name, id,
-			inMemory.Kind, inMemory.Response.Kind, inMemory.Response.Cause, inMemory.MayHaveRun,
-			ok, x.Kind, x.Response.Kind, x.Response.Cause, x.MayHaveRun)
+			inMemory.Kind, inMemory.Response.Kind, inMemory.Response.Cause, inMemory.PossiblyExecuted,
+			ok, x.Kind, x.Response.Kind, x.Response.Cause, x.PossiblyExecuted)
 	}
 }
--- a/internal/verification/simulation/versions.go
+++ b/internal/verification/simulation/versions.go
@@ -79,7 +79,7 @@
 }
 
 func (a *applianceProcess) moveAlias(function string, to *registry.Version) {
-	a.changeRegistry(registry.Entry{AliasUpdate: &registry.AliasUpdate{Function: function, Alias: registry.Current, Digest: to.Digest}})
+	a.changeRegistry(registry.Entry{AliasUpdate: &registry.AliasUpdate{Function: function, Alias: registry.DefaultAlias, Digest: to.Digest}})
 }
 
 // switchVersion moves the alias of a function to another version, both by their numbers, if the registry has that.
--- a/internal/verification/simulation/worker.go
+++ b/internal/verification/simulation/worker.go
@@ -113,7 +113,7 @@
 
 // accept serves a connection of a front end.
 func (w *worker) accept(e *endpoint) bool {
-	framer := http1.NewRequests(messageLimits)
+	framer := http1.NewRequestFramer(messageLimits)
 	var open []*workerRequest
 	e.onData = func(data []byte) {
 		framer.Feed(data)
