--- a/internal/verification/invariants/check.go
+++ b/internal/verification/invariants/check.go
@@ -5,10 +5,10 @@
 	"sort"
 )
 
-// maxViolationsPerKind limits how many violations of one kind are described; all of them are counted.
+// maxViolationsPerKind is the maximum number of violations of one kind that are described. All of them are counted.
 const maxViolationsPerKind = 3
 
-// Check checks a whole recording. It sorts records by time in place.
+// Check checks a complete recording. It sorts records by time in place.
 func Check(rules Rules, records []Record) Verdict {
 	c := &checker{rules: rules, described: map[string]int{}}
 	sort.SliceStable(records, func(a, b int) bool { return records[a].At < records[b].At })
@@ -22,14 +22,14 @@
 	return c.verdict
 }
 
-// checker carries the rules and what was found so far through the checks.
+// checker holds the rules and the findings of one Check.
 type checker struct {
 	rules     Rules
 	verdict   Verdict
-	described map[string]int // violations by kind
+	described map[string]int // number of violations by kind
 }
 
-// violation adds one to a count of the verdict and describes the first ones of each kind.
+// violation increments a counter of the verdict, and describes the violation if it is among the first of its kind.
 func (c *checker) violation(count *int, kind, format string, args ...any) {
 	*count++
 	c.described[kind]++
@@ -38,14 +38,14 @@
 	}
 }
 
-// frontEndWorker names a worker as one front end sees it. An empty front end stands for all of them.
+// frontEndWorker identifies a worker as seen by one front end, or by all of them if frontEnd is empty.
 type frontEndWorker struct{ frontEnd, worker string }
 
-// timeFor looks up what a front end knows of a worker, or what holds for all front ends.
-func timeFor(times map[frontEndWorker]float64, frontEnd, worker string) (at float64, ok bool) {
-	if at, ok = times[frontEndWorker{frontEnd, worker}]; ok {
+// lookupTime returns the time recorded for a front end and a worker, or else the one that holds for all front ends.
+func lookupTime(times map[frontEndWorker]float64, frontEnd, worker string) (float64, bool) {
+	if at, ok := times[frontEndWorker{frontEnd, worker}]; ok {
 		return at, true
 	}
-	at, ok = times[frontEndWorker{"", worker}]
+	at, ok := times[frontEndWorker{"", worker}]
 	return at, ok
 }
--- a/internal/verification/invariants/check_test.go
+++ b/internal/verification/invariants/check_test.go
@@ -21,23 +21,25 @@
 	return Record{At: at, Kind: ResponseReceived, CallID: call, RequestID: id, Class: class, FrontEnd: "f", Outcome: outcome}
 }
 
-// attemptRecords are the records of one attempt, which executes the request half-way where ran says so.
-func attemptRecords(at, to float64, call uint64, worker, id, class string, ran bool) []Record {
-	list := []Record{
+// executedAttempt returns the records of an attempt that executes its request half-way.
+func executedAttempt(at, to float64, call uint64, worker, id, class string) []Record {
+	return append(failedAttempt(at, to, call, worker, id, class),
+		Record{At: (at + to) / 2, Kind: Executed, CallID: call, Worker: worker, RequestID: id, Class: class})
+}
+
+// failedAttempt returns the records of an attempt that does not execute its request.
+func failedAttempt(at, to float64, call uint64, worker, id, class string) []Record {
+	return []Record{
 		{At: at, Kind: AttemptStarted, CallID: call, Worker: worker, RequestID: id, Class: class, FrontEnd: "f"},
 		{At: to, Kind: AttemptEnded, CallID: call, Worker: worker, RequestID: id, Class: class},
 	}
-	if ran {
-		list = append(list, Record{At: (at + to) / 2, Kind: Executed, CallID: call, Worker: worker, RequestID: id, Class: class})
-	}
-	return list
 }
 
 func loadCommand(at float64) Record {
 	return Record{At: at, Kind: LoadCommanded, Worker: "a", FrontEnd: "f", Replicas: 1}
 }
 
-// validRecording keeps every rule.
+// validRecording returns a recording without violations.
 func validRecording() []Record {
 	list := []Record{
 		request(1, 1, "e1", "again"), response(1.4, 1, "e1", "again", Succeeded), request(2, 2, "e2", "once"),
@@ -48,13 +50,13 @@
 		{At: 6, Kind: WorkerStarted, Worker: "b"},
 		loadCommand(1.1), loadCommand(2.1), loadCommand(3.1),
 	}
-	list = append(list, attemptRecords(1.1, 1.3, 11, "a", "e1", "again", true)...)
-	list = append(list, attemptRecords(2.1, 2.4, 12, "a", "e2", "once", true)...)
-	list = append(list, attemptRecords(3.1, 3.2, 13, "a", "e3", "keyed", true)...)
-	return append(list, attemptRecords(3.3, 3.5, 14, "a", "e3", "keyed", false)...)
+	list = append(list, executedAttempt(1.1, 1.3, 11, "a", "e1", "again")...)
+	list = append(list, executedAttempt(2.1, 2.4, 12, "a", "e2", "once")...)
+	list = append(list, executedAttempt(3.1, 3.2, 13, "a", "e3", "keyed")...)
+	return append(list, failedAttempt(3.3, 3.5, 14, "a", "e3", "keyed")...)
 }
 
-func TestEachViolationIsFound(t *testing.T) {
+func TestCheck_FindsEachViolation(t *testing.T) {
 	if v := Check(rules, validRecording()); v.RulesBroken != 0 || v.Succeeded != 1 || v.Rejected != 1 || v.Failed != 1 || v.Cancelled != 1 {
 		t.Fatalf("a valid recording: %+v", v)
 	}
@@ -63,7 +65,7 @@
 		at := 6.1 + float64(i)*0.01
 		overload = append(overload, request(at-0.05, uint64(100+i), "p"+string(rune('a'+i)), "again"),
 			response(at+0.1, uint64(100+i), "p"+string(rune('a'+i)), "again", Succeeded))
-		overload = append(overload, attemptRecords(at, at+0.05, uint64(200+i), "b", "p"+string(rune('a'+i)), "again", true)...)
+		overload = append(overload, executedAttempt(at, at+0.05, uint64(200+i), "b", "p"+string(rune('a'+i)), "again")...)
 	}
 	for _, c := range []struct {
 		name  string
@@ -72,25 +74,25 @@
 	}{
 		{"no response", []Record{request(7, 50, "x", "again")}, func(v Verdict) int { return v.Unanswered }},
 		{
-			"too late",
+			"response overdue",
 			[]Record{request(7, 50, "x", "again"), response(11.5, 50, "x", "again", Succeeded)},
 			func(v Verdict) int { return v.Unanswered },
 		},
-		{"two responses", []Record{response(1.5, 1, "e1", "again", Rejected)}, func(v Verdict) int { return v.DuplicateResponses }},
-		{"response to nobody", []Record{response(1.5, 99, "e9", "again", Rejected)}, func(v Verdict) int { return v.DuplicateResponses }},
-		{"attempt after the response", attemptRecords(1.6, 1.7, 51, "a", "e1", "again", true), func(v Verdict) int { return v.AttemptsAfterEnd }},
-		{"attempt after the client cancelled", attemptRecords(4.4, 4.5, 51, "a", "e4", "again", true), func(v Verdict) int { return v.AttemptsAfterEnd }},
-		{"two attempts at once", attemptRecords(1.2, 1.35, 51, "b", "e1", "again", true), func(v Verdict) int { return v.ConcurrentAttempts }},
-		{"at-most-once twice", attemptRecords(2.42, 2.45, 51, "b", "e2", "once", false), func(v Verdict) int { return v.DuplicateExecutions }},
-		{"keyed twice", attemptRecords(3.52, 3.55, 51, "b", "e3", "keyed", true), func(v Verdict) int { return v.DuplicateExecutions }},
-		{"keyed past the deduplication window", append(attemptRecords(14, 14.1, 51, "b", "e3", "keyed", false), request(13.9, 52, "e3", "keyed"),
+		{"duplicate response", []Record{response(1.5, 1, "e1", "again", Rejected)}, func(v Verdict) int { return v.DuplicateResponses }},
+		{"response without a request", []Record{response(1.5, 99, "e9", "again", Rejected)}, func(v Verdict) int { return v.DuplicateResponses }},
+		{"attempt after the response", executedAttempt(1.6, 1.7, 51, "a", "e1", "again"), func(v Verdict) int { return v.AttemptsAfterEnd }},
+		{"attempt after the client cancelled", executedAttempt(4.4, 4.5, 51, "a", "e4", "again"), func(v Verdict) int { return v.AttemptsAfterEnd }},
+		{"concurrent attempts", executedAttempt(1.2, 1.35, 51, "b", "e1", "again"), func(v Verdict) int { return v.ConcurrentAttempts }},
+		{"at-most-once attempted twice", failedAttempt(2.42, 2.45, 51, "b", "e2", "once"), func(v Verdict) int { return v.DuplicateExecutions }},
+		{"keyed executed twice", executedAttempt(3.52, 3.55, 51, "b", "e3", "keyed"), func(v Verdict) int { return v.DuplicateExecutions }},
+		{"keyed past the deduplication window", append(failedAttempt(14, 14.1, 51, "b", "e3", "keyed"), request(13.9, 52, "e3", "keyed"),
 			response(14.2, 52, "e3", "keyed", Succeeded)), func(v Verdict) int { return v.DuplicateExecutions }},
 		{
-			"at-most-once rejected after it ran",
+			"at-most-once rejected after execution",
 			[]Record{request(2.6, 52, "e2", "once"), response(2.7, 52, "e2", "once", Rejected)},
 			func(v Verdict) int { return v.WrongRejections },
 		},
-		{"attempt after drain", append(attemptRecords(5.6, 5.7, 51, "a", "x", "again", true), request(5.5, 52, "x", "again"),
+		{"attempt after drain", append(executedAttempt(5.6, 5.7, 51, "a", "x", "again"), request(5.5, 52, "x", "again"),
 			response(5.8, 52, "x", "again", Succeeded)), func(v Verdict) int { return v.SentAfterDrain }},
 		{"load command after drain", []Record{loadCommand(5.6)}, func(v Verdict) int { return v.SentAfterDrain }},
 		{"cold worker overloaded", overload, func(v Verdict) int { return v.WarmUpOverloads }},
@@ -99,18 +101,18 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if v := Check(rules, append(validRecording(), c.more...)); c.count(v) == 0 || v.RulesBroken != 1 || len(v.Violations) == 0 {
-				t.Errorf("not found, or more than it: %+v", v)
+				t.Errorf("not found, or more than that one: %+v", v)
 			}
 		})
 	}
-	withinGrace := append(attemptRecords(5.4, 5.7, 51, "a", "x", "again", true), request(5.3, 52, "x", "again"),
+	withinGrace := append(executedAttempt(5.4, 5.7, 51, "a", "x", "again"), request(5.3, 52, "x", "again"),
 		response(5.8, 52, "x", "again", Succeeded))
 	if v := Check(rules, append(validRecording(), withinGrace...)); v.RulesBroken != 0 {
 		t.Errorf("within the grace: %+v", v)
 	}
 }
 
-func TestRecordsRoundTrip(t *testing.T) {
+func TestRecords_RoundTrip(t *testing.T) {
 	var b bytes.Buffer
 	if err := Write(&b, validRecording()); err != nil {
 		t.Fatal(err)
--- a/internal/verification/invariants/doc.go
+++ b/internal/verification/invariants/doc.go
@@ -1,8 +1,8 @@
-// Package invariants checks the five routing rules, and the promise of function versions, against a recording of what
-// passed on the sockets of clients and workers.
+// Package invariants checks the five routing rules, and the rule of function versions, against a recording of the
+// traffic of clients and workers.
 //
-// Its one job is the check: a recorder collects records from the clients and workers at both ends, and the check reads
-// a whole recording and returns a Verdict. The package owns no other state. It shares no code with the packages that
-// make the decisions (control, dispatch), so that a mistake there can't hide itself here. Its callers are the
-// simulation, the scenarios, the command that verifies a recording, and tests that run whole front ends.
+// A Recorder collects records from clients and workers; Check reads a complete recording and returns a Verdict. The
+// Recorder's records are the only state. The package shares no code with those that make the decisions (control,
+// dispatch), so that a mistake there can't be repeated here. Its callers are the simulation, the scenarios, the soak, the
+// command that verifies a recording, and tests that run whole front ends.
 package invariants
--- a/internal/verification/invariants/executions.go
+++ b/internal/verification/invariants/executions.go
@@ -2,36 +2,36 @@
 
 import "math"
 
-// attempt is one attempt of a request at a worker, from its start to its end.
+// attempt is one attempt of a request at a worker.
 type attempt struct {
 	from, to float64
 	start    Record
 }
 
-// executions are the attempts and the executions of each request, in order of time.
+// executions holds the attempts and executions of each request, ordered by time.
 type executions struct {
-	requests []string // in the order of their first attempts
+	requests []string // ordered by their first attempts
 	attempts map[string][]*attempt
-	runs     map[string][]Record
+	executed map[string][]Record
 }
 
-// checkExecutions checks rule 2: one attempt of a request at a time, no second execution of one that must not run
-// twice, and no rejection of an at-most-once request that ran.
+// checkExecutions checks rule 2: a request has one attempt in flight at a time, a request that is not idempotent is not
+// executed twice, and an at-most-once request that was executed is not rejected.
 func (c *checker) checkExecutions(records []Record) {
-	x := collectExecutions(records)
-	for _, id := range x.requests {
-		c.checkConcurrentAttempts(id, x.attempts[id])
-		c.checkDuplicateExecution(id, x.attempts[id], x.runs[id])
+	byRequest := collectExecutions(records)
+	for _, id := range byRequest.requests {
+		c.checkConcurrentAttempts(id, byRequest.attempts[id])
+		c.checkDuplicateExecution(id, byRequest.attempts[id], byRequest.executed[id])
 	}
 	for _, r := range records {
-		if r.Kind == ResponseReceived && r.Outcome == Rejected && c.rules.Semantics[r.Class] == effectAtMostOnce {
-			c.checkRejection(r, x.runs[r.RequestID])
+		if r.Kind == ResponseReceived && r.Outcome == Rejected && c.rules.Semantics[r.Class] == semanticsAtMostOnce {
+			c.checkRejection(r, byRequest.executed[r.RequestID])
 		}
 	}
 }
 
 func collectExecutions(records []Record) *executions {
-	x := &executions{attempts: map[string][]*attempt{}, runs: map[string][]Record{}}
+	x := &executions{attempts: map[string][]*attempt{}, executed: map[string][]Record{}}
 	byID := map[uint64]*attempt{}
 	for _, r := range records {
 		switch r.Kind {
@@ -47,53 +47,56 @@
 				a.to = r.At
 			}
 		case Executed:
-			x.runs[r.RequestID] = append(x.runs[r.RequestID], r)
+			x.executed[r.RequestID] = append(x.executed[r.RequestID], r)
+		default: // not part of this check
 		}
 	}
 	return x
 }
 
-// checkConcurrentAttempts checks that each attempt starts after the one before it ended.
+// checkConcurrentAttempts checks that each attempt starts after the end of the previous one.
 func (c *checker) checkConcurrentAttempts(id string, attempts []*attempt) {
 	for i := 1; i < len(attempts); i++ {
-		before, next := attempts[i-1], attempts[i]
-		if c.rules.IndependentFrontEnds && next.start.FrontEnd != before.start.FrontEnd {
+		previous, next := attempts[i-1], attempts[i]
+		if c.rules.IndependentFrontEnds && next.start.FrontEnd != previous.start.FrontEnd {
 			continue
 		}
-		if next.from < before.to-c.rules.ObservationDelay {
-			c.violation(&c.verdict.ConcurrentAttempts, "at once", "%s at %s from %.3f to %.3f and at %s from %.3f", id, before.start.Worker,
-				before.from, before.to, next.start.Worker, next.from)
+		if next.from < previous.to-c.rules.ObservationDelay {
+			c.violation(&c.verdict.ConcurrentAttempts, "concurrent attempts", "%s at %s from %.3f to %.3f, and at %s from %.3f", id,
+				previous.start.Worker, previous.from, previous.to, next.start.Worker, next.from)
 		}
 	}
 }
 
-// checkDuplicateExecution checks that a request that must not run twice did not, and was not sent again after its
-// execution while workers could not drop the repeat.
-func (c *checker) checkDuplicateExecution(id string, attempts []*attempt, runs []Record) {
-	if len(runs) == 0 {
+// checkDuplicateExecution checks that a request that is not idempotent was executed once, and that no later attempt
+// could have executed it again.
+func (c *checker) checkDuplicateExecution(id string, attempts []*attempt, executed []Record) {
+	if len(executed) == 0 {
 		return
 	}
 	class := attempts[0].start.Class
-	effect := c.rules.Semantics[class]
-	firstRun, lastAttempt := runs[0].At, attempts[len(attempts)-1].from
-	if len(runs) > 1 && effect != effectIdempotent {
-		c.violation(&c.verdict.DuplicateExecutions, "ran twice", "%s (%s) ran %d times, at %.3f and at %.3f", id, effect, len(runs),
-			firstRun, runs[len(runs)-1].At)
+	semantics := c.rules.Semantics[class]
+	firstExecution, lastAttempt := executed[0].At, attempts[len(attempts)-1].from
+	if len(executed) > 1 && semantics != semanticsIdempotent {
+		c.violation(&c.verdict.DuplicateExecutions, "duplicate execution", "%s (%s) executed %d times, first at %.3f, last at %.3f",
+			id, semantics, len(executed), firstExecution, executed[len(executed)-1].At)
 	}
-	if effect == effectAtMostOnce && lastAttempt > firstRun {
-		c.violation(&c.verdict.DuplicateExecutions, "relaunched", "%s ran at %.3f and was launched again at %.3f", id, firstRun, lastAttempt)
+	if semantics == semanticsAtMostOnce && lastAttempt > firstExecution {
+		c.violation(&c.verdict.DuplicateExecutions, "retry after execution", "%s executed at %.3f and attempted again at %.3f", id,
+			firstExecution, lastAttempt)
 	}
-	if effect == effectIdempotentByKey && lastAttempt > firstRun+c.rules.DeduplicationWindow[class]+c.rules.ObservationDelay {
-		c.violation(&c.verdict.DuplicateExecutions, "past memory", "%s ran at %.3f and was launched again at %.3f", id, firstRun, lastAttempt)
+	if semantics == semanticsIdempotentByKey && lastAttempt > firstExecution+c.rules.DeduplicationWindow[class]+c.rules.ObservationDelay {
+		c.violation(&c.verdict.DuplicateExecutions, "retry past the deduplication window", "%s executed at %.3f and attempted again at %.3f",
+			id, firstExecution, lastAttempt)
 	}
 }
 
-// checkRejection checks that an at-most-once request which was rejected for a retry had not run by then.
-func (c *checker) checkRejection(response Record, runs []Record) {
-	for _, run := range runs {
-		if run.At <= response.At {
-			c.violation(&c.verdict.WrongRejections, "deferred", "%s ran at %.3f and was deferred at %.3f", response.RequestID, run.At,
-				response.At)
+// checkRejection checks that an at-most-once request had not been executed when it was rejected.
+func (c *checker) checkRejection(response Record, executed []Record) {
+	for _, execution := range executed {
+		if execution.At <= response.At {
+			c.violation(&c.verdict.WrongRejections, "rejected after execution", "%s executed at %.3f and rejected at %.3f",
+				response.RequestID, execution.At, response.At)
 			return
 		}
 	}
--- a/internal/verification/invariants/record.go
+++ b/internal/verification/invariants/record.go
@@ -8,64 +8,64 @@
 	"io"
 )
 
-// Kind is what a record says happened.
+// Kind is the kind of a record.
 type Kind string
 
-// Kinds of records, as they stand in files.
+// Kinds of records, as written to files. Older names of them are read as well, see deprecatedKinds.
 const (
-	RequestSent      Kind = "asked"    // a client sent a request; Wait is how long it waits
-	ResponseReceived Kind = "answered" // the client got a response: Outcome
-	ClientCancelled  Kind = "left"     // the client cancelled, or the script stopped its front end
-	ConnectionLost   Kind = "lost"     // the client's connection closed without a response
-	AttemptStarted   Kind = "launched" // an attempt reached a worker
-	Executed         Kind = "ran"      // the request was executed there
-	AttemptEnded     Kind = "ended"    // the worker's response left, or either side closed the connection
-	LoadCommanded    Kind = "ordered"  // a load command reached a worker
-	EndpointUpdated  Kind = "told"     // the endpoint list changed: EndpointState, StartedAt
-	WorkerOverloaded Kind = "down"     // a cold worker failed under too much load
-	WorkerStarted    Kind = "born"     // a worker process started cold
+	RequestSent      Kind = "request-sent"      // a client sent a request, and waits for Timeout
+	ResponseReceived Kind = "response-received" // the client received a response with an Outcome
+	ClientCancelled  Kind = "client-cancelled"  // the client cancelled, or the script stopped its front end
+	ConnectionLost   Kind = "connection-lost"   // the client's connection closed without a response
+	AttemptStarted   Kind = "attempt-started"   // an attempt reached a worker
+	Executed         Kind = "executed"          // the worker executed the request
+	AttemptEnded     Kind = "attempt-ended"     // the worker sent its response, or either side closed the connection
+	LoadCommanded    Kind = "load-commanded"    // a load command reached a worker
+	EndpointUpdated  Kind = "endpoint-updated"  // the endpoint list changed: EndpointState, StartedAt
+	WorkerOverloaded Kind = "worker-overloaded" // a cold worker failed under too much load
+	WorkerStarted    Kind = "worker-started"    // a worker process started cold
 )
 
-// Outcomes as the client saw them, as they stand in files.
+// Outcomes as the client saw them, as written to files.
 const (
 	Succeeded = "handled"
 	Rejected  = "deferred"
 	Failed    = "dead-lettered"
-	Invalid   = "refused" // not accepted as a request: malformed, or not wanted
+	Invalid   = "refused" // not accepted as a request, for example because it is malformed
 )
 
-// Record is one thing that happened.
+// Record is one observation at a client, a front end or a worker.
 type Record struct {
 	At            float64 `json:"at"` // seconds since the recording began
 	Kind          Kind    `json:"kind"`
-	FrontEnd      string  `json:"front,omitempty"` // front end
+	FrontEnd      string  `json:"front,omitempty"`
 	Worker        string  `json:"worker,omitempty"`
-	RequestID     string  `json:"event,omitempty"` // identity of the request
-	Class         string  `json:"type,omitempty"`  // request class
+	RequestID     string  `json:"event,omitempty"`
+	Class         string  `json:"type,omitempty"` // request class
 	Function      string  `json:"function,omitempty"`
 	CallID        uint64  `json:"call,omitempty"` // joins a request with its response, or an attempt with its end
-	Timeout       float64 `json:"wait,omitempty"`
+	Timeout       float64 `json:"wait,omitempty"` // seconds
 	Outcome       string  `json:"outcome,omitempty"`
-	Status        int     `json:"status,omitempty"` // 0 where a connection closed without one
+	Status        int     `json:"status,omitempty"` // 0 if the connection closed without a response
 	EndpointState string  `json:"phase,omitempty"`  // of the worker in the endpoint list
 	StartedAt     float64 `json:"born,omitempty"`   // start of the worker
 	Replicas      int     `json:"copies,omitempty"` // replicas that a load command asks for
-	Digest        string  `json:"digest,omitempty"` // of the version: asked for by an attempt, executed, or named to the client
+	Digest        string  `json:"digest,omitempty"` // of the version that an attempt asks for, that was executed, or that a response names
 }
 
 // Write writes records as JSON lines.
 func Write(w io.Writer, records []Record) error {
 	buffer := bufio.NewWriter(w)
 	enc := json.NewEncoder(buffer)
-	for _, r := range records {
+	for i, r := range records {
 		if err := enc.Encode(r); err != nil {
-			return err
+			return fmt.Errorf("write record %d: %w", i+1, err)
 		}
 	}
 	return buffer.Flush()
 }
 
-// Read reads records from JSON lines. Its errors name the record by its number, from 1.
+// Read reads records from JSON lines. Its errors give the number of the record, from 1.
 func Read(r io.Reader) ([]Record, error) {
 	var records []Record
 	dec := json.NewDecoder(r)
--- a/internal/verification/invariants/recorder.go
+++ b/internal/verification/invariants/recorder.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Recorder collects records from many goroutines in the order they were made. A nil one records nothing.
+// Recorder collects records. It is safe for concurrent use. A nil Recorder records nothing.
 type Recorder struct {
 	mu      sync.Mutex
 	clock   func() float64
@@ -13,43 +13,43 @@
 	calls   uint64
 }
 
-// NewRecorder begins a recording now, on the machine's clock.
+// NewRecorder returns a Recorder whose recording begins now, on the machine's clock.
 func NewRecorder() *Recorder {
-	began := time.Now()
-	return NewRecorderWithClock(func() float64 { return time.Since(began).Seconds() })
+	startedAt := time.Now()
+	return NewRecorderWithClock(func() float64 { return time.Since(startedAt).Seconds() })
 }
 
-// NewRecorderWithClock begins a recording on a clock that returns seconds since the beginning.
+// NewRecorderWithClock returns a Recorder on a clock that returns seconds since the recording began.
 func NewRecorderWithClock(clock func() float64) *Recorder { return &Recorder{clock: clock} }
 
 // Now returns the seconds since the recording began.
-func (t *Recorder) Now() float64 { return t.clock() }
+func (r *Recorder) Now() float64 { return r.clock() }
 
-// Add records r with the present time.
-func (t *Recorder) Add(r Record) {
-	if t == nil {
+// Add sets the time of a record and adds it to the recording.
+func (r *Recorder) Add(record Record) {
+	if r == nil {
 		return
 	}
-	t.mu.Lock()
-	r.At = t.Now()
-	t.records = append(t.records, r)
-	t.mu.Unlock()
+	r.mu.Lock()
+	record.At = r.Now()
+	r.records = append(r.records, record)
+	r.mu.Unlock()
 }
 
-// NextCallID returns a new number for one request or one attempt.
-func (t *Recorder) NextCallID() uint64 {
-	if t == nil {
+// NextCallID returns a new identifier for one request or one attempt.
+func (r *Recorder) NextCallID() uint64 {
+	if r == nil {
 		return 0
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.calls++
-	return t.calls
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.calls++
+	return r.calls
 }
 
-// Records returns a copy of all records so far.
-func (t *Recorder) Records() []Record {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return append([]Record(nil), t.records...)
+// Records returns a copy of the records.
+func (r *Recorder) Records() []Record {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return append([]Record(nil), r.records...)
 }
--- a/internal/verification/invariants/responses.go
+++ b/internal/verification/invariants/responses.go
@@ -1,6 +1,6 @@
 package invariants
 
-// call is one request by one client, with its end.
+// call is one request of one client.
 type call struct {
 	request   Record
 	end       Record
@@ -8,8 +8,8 @@
 	responses int
 }
 
-// checkResponses checks rule 1: each accepted request gets exactly one final response before its client's time is up,
-// and nothing is sent for it after its last waiter had one.
+// checkResponses checks rule 1: each accepted request gets exactly one final response before its client's timeout, and
+// no attempt of it is started after its last client has ended.
 func (c *checker) checkResponses(records []Record) {
 	calls := c.collectCalls(records)
 	byRequest := map[string][]*call{}
@@ -26,7 +26,7 @@
 	}
 }
 
-// collectCalls matches requests with their ends, in the order of the requests.
+// collectCalls matches requests with their ends. The calls are in the order of the requests.
 func (c *checker) collectCalls(records []Record) []*call {
 	byID := map[uint64]*call{}
 	var calls []*call
@@ -39,21 +39,22 @@
 		case ResponseReceived, ClientCancelled, ConnectionLost:
 			x := byID[r.CallID]
 			if x == nil {
-				c.violation(&c.verdict.DuplicateResponses, "answer", "call %d: %s without an ask", r.CallID, r.Kind)
+				c.violation(&c.verdict.DuplicateResponses, "response", "call %d: %s without a request", r.CallID, r.Kind)
 				continue
 			}
 			c.endCall(x, r)
+		default: // not part of this check
 		}
 	}
 	return calls
 }
 
-// endCall notes the end of a call. The first one counts, and a second response is a violation.
+// endCall records the end of a call. Only the first one counts; a second response is a violation.
 func (c *checker) endCall(x *call, end Record) {
 	if end.Kind == ResponseReceived {
 		x.responses++
 		if x.responses > 1 {
-			c.violation(&c.verdict.DuplicateResponses, "twice", "%s at %.3f: a second answer", x.request.RequestID, end.At)
+			c.violation(&c.verdict.DuplicateResponses, "duplicate response", "%s at %.3f: a second response", x.request.RequestID, end.At)
 			return
 		}
 	}
@@ -62,18 +63,18 @@
 	}
 }
 
-// countEnd counts how a call ended.
+// countEnd counts a call by its end.
 func (c *checker) countEnd(x *call) {
 	switch {
 	case !x.ended:
-		c.violation(&c.verdict.Unanswered, "unanswered", "%s asked at %.3f of %s", x.request.RequestID, x.request.At, x.request.FrontEnd)
+		c.violation(&c.verdict.Unanswered, "no response", "%s sent at %.3f to %s", x.request.RequestID, x.request.At, x.request.FrontEnd)
 	case x.end.Kind == ClientCancelled:
 		c.verdict.Cancelled++
 	case x.end.Kind == ConnectionLost:
 		c.verdict.ConnectionsLost++
 	case x.end.At-x.request.At > x.request.Timeout:
-		c.violation(&c.verdict.Unanswered, "late", "%s answered %.3f s after its ask, its client waited %.3f", x.request.RequestID,
-			x.end.At-x.request.At, x.request.Timeout)
+		c.violation(&c.verdict.Unanswered, "response overdue", "%s: response %.3f s after the request, timeout %.3f",
+			x.request.RequestID, x.end.At-x.request.At, x.request.Timeout)
 	default:
 		if accepted := c.countOutcome(x.end.Outcome); !accepted {
 			return
@@ -82,8 +83,8 @@
 	c.verdict.Requests++
 }
 
-// countOutcome counts a response in time, and returns whether the request had been accepted.
-func (c *checker) countOutcome(outcome string) (accepted bool) {
+// countOutcome counts a response in time, and reports whether the request had been accepted.
+func (c *checker) countOutcome(outcome string) bool {
 	switch outcome {
 	case Succeeded:
 		c.verdict.Succeeded++
@@ -99,7 +100,7 @@
 }
 
 // checkAttemptIsAwaited checks that a client waits for the request when an attempt of it reaches a worker. Requests
-// without any recorded client are exempt: workers may be driven without one.
+// without a recorded client are exempt, as tests may send attempts to workers directly.
 func (c *checker) checkAttemptIsAwaited(attempt Record, calls []*call) {
 	if len(calls) == 0 {
 		return
@@ -110,11 +111,11 @@
 			return
 		}
 	}
-	c.violation(&c.verdict.AttemptsAfterEnd, "after end", "%s reached %s at %.3f, when nobody asked for it", attempt.RequestID,
+	c.violation(&c.verdict.AttemptsAfterEnd, "attempt after end", "%s reached %s at %.3f, when no client waited for it", attempt.RequestID,
 		attempt.Worker, attempt.At)
 }
 
-// checkDeadline checks that the time which an attempt states is at most what some client that waits for it has left.
+// checkDeadline checks that the timeout which an attempt states is not longer than the remaining time of its clients.
 func (c *checker) checkDeadline(attempt Record, calls []*call) {
 	if c.rules.DeadlineSlack == 0 || attempt.Timeout == 0 || len(calls) == 0 {
 		return
@@ -124,7 +125,7 @@
 		left = max(left, x.request.At+x.request.Timeout-attempt.At)
 	}
 	if attempt.Timeout > left+c.rules.DeadlineSlack {
-		c.violation(&c.verdict.ExcessDeadlines, "deadline", "%s reached %s at %.3f and states %.3f s, its client has %.3f s left",
+		c.violation(&c.verdict.ExcessDeadlines, "deadline", "%s reached %s at %.3f with a timeout of %.3f s, its client has %.3f s left",
 			attempt.RequestID, attempt.Worker, attempt.At, attempt.Timeout, left)
 	}
 }
--- a/internal/verification/invariants/workers.go
+++ b/internal/verification/invariants/workers.go
@@ -1,58 +1,61 @@
 package invariants
 
-const phaseServing = "serving"
+// stateServing is the endpoint state of a worker that is not draining.
+const stateServing = "serving"
 
-// checkDraining checks rule 3: nothing is sent to a draining worker. The notice counts from the moment it was written,
-// which is before any front end read it, or where the record names a front end from the moment that one read it.
+// checkDraining checks rule 3: nothing is sent to a draining worker. A record without a front end is the time at which
+// the notice was written, a record with one is the time at which that front end received it.
 func (c *checker) checkDraining(records []Record) {
 	notices := map[frontEndWorker]float64{}
 	for _, r := range records {
 		switch r.Kind {
 		case EndpointUpdated:
 			key := frontEndWorker{r.FrontEnd, r.Worker}
-			if r.EndpointState == phaseServing {
+			if r.EndpointState == stateServing {
 				delete(notices, key)
 			} else if _, known := notices[key]; !known {
 				notices[key] = r.At
 			}
 		case AttemptStarted, LoadCommanded:
-			at, draining := timeFor(notices, r.FrontEnd, r.Worker)
+			at, draining := lookupTime(notices, r.FrontEnd, r.Worker)
 			sent := r.Kind == AttemptStarted || r.Replicas > 0
 			if draining && sent && r.At > at+c.rules.DrainGrace {
-				c.violation(&c.verdict.SentAfterDrain, "after drain", "%s reached %s at %.3f, told at %.3f", r.Kind, r.Worker, r.At, at)
+				c.violation(&c.verdict.SentAfterDrain, "sent after drain", "%s at %s at %.3f, drain notice at %.3f", r.Kind, r.Worker, r.At, at)
 			}
+		default: // not part of this check
 		}
 	}
 }
 
-// warmUp is what is known of the workers that are warming up.
-type warmUp struct {
+// warmUpState holds the workers that are warming up.
+type warmUpState struct {
 	started map[frontEndWorker]float64
 	sent    map[string][]Record // attempts within the window, by worker
 }
 
-// checkWarmUp checks rule 4: what reaches a worker within any window after its start stays under the stated multiple
-// of what it can do then.
+// checkWarmUp checks rule 4: the work that reaches a worker within any window after its start stays under
+// OverloadFactor times the capacity that the worker has at that age.
 func (c *checker) checkWarmUp(records []Record) {
 	if c.rules.OverloadFactor == 0 || c.rules.WarmUpTime == 0 {
 		return
 	}
-	state := &warmUp{started: map[frontEndWorker]float64{}, sent: map[string][]Record{}}
+	state := &warmUpState{started: map[frontEndWorker]float64{}, sent: map[string][]Record{}}
 	for _, r := range records {
 		switch r.Kind {
 		case WorkerStarted:
 			state.start(r)
 		case WorkerOverloaded:
-			c.violation(&c.verdict.WarmUpOverloads, "pushed over", "%s fell over at %.3f", r.Worker, r.At)
+			c.violation(&c.verdict.WarmUpOverloads, "worker overloaded", "%s failed at %.3f", r.Worker, r.At)
 		case AttemptStarted:
 			c.checkWarmUpLoad(state, r)
+		default: // not part of this check
 		}
 	}
 }
 
-// start notes the start of a worker. A record that names a front end is the moment that one learned of it; one that
-// names none is the start itself, and what was sent before it no longer counts.
-func (s *warmUp) start(r Record) {
+// start records the start of a worker. If the record names a front end, only that one has learned of the start;
+// otherwise it is the start itself, and the attempts before it no longer count.
+func (s *warmUpState) start(r Record) {
 	if r.FrontEnd != "" {
 		s.started[frontEndWorker{r.FrontEnd, r.Worker}] = r.StartedAt
 		return
@@ -62,8 +65,8 @@
 }
 
 // checkWarmUpLoad checks the work within the window that ends with an attempt.
-func (c *checker) checkWarmUpLoad(state *warmUp, r Record) {
-	started, cold := timeFor(state.started, r.FrontEnd, r.Worker)
+func (c *checker) checkWarmUpLoad(state *warmUpState, r Record) {
+	started, cold := lookupTime(state.started, r.FrontEnd, r.Worker)
 	age := r.At - started
 	if !cold || age >= c.rules.WarmUpTime {
 		return
@@ -74,19 +77,19 @@
 		window = window[1:]
 	}
 	state.sent[r.Worker] = window
-	warmth := c.rules.InitialCapacityFraction + (1-c.rules.InitialCapacityFraction)*age/c.rules.WarmUpTime
-	budget := c.rules.OverloadFactor * warmth * c.rules.Capacity[r.Worker] * c.rules.OverloadWindow
+	capacityFraction := c.rules.InitialCapacityFraction + (1-c.rules.InitialCapacityFraction)*age/c.rules.WarmUpTime
+	budget := c.rules.OverloadFactor * capacityFraction * c.rules.Capacity[r.Worker] * c.rules.OverloadWindow
 	load := 0.0
 	for _, sent := range window {
 		load += c.workOf(sent.Function)
 	}
 	if load > budget+2*c.rules.MeanWork {
-		c.violation(&c.verdict.WarmUpOverloads, "cold", "%s got %.2f s of work within %.1f s until %.3f, %.1f s after its start; "+
-			"%.2f are allowed", r.Worker, load, c.rules.OverloadWindow, r.At, age, budget)
+		c.violation(&c.verdict.WarmUpOverloads, "warm-up", "%s received %.2f s of work within %.1f s until %.3f, %.1f s after its start; "+
+			"limit %.2f s", r.Worker, load, c.rules.OverloadWindow, r.At, age, budget)
 	}
 }
 
-// workOf is the mean work of a request for a function.
+// workOf returns the mean work of a request for a function.
 func (c *checker) workOf(function string) float64 {
 	if work, known := c.rules.FunctionWork[function]; known {
 		return work
