--- a/internal/verification/soak/client.go
+++ b/internal/verification/soak/client.go
@@ -14,101 +14,97 @@
 
 const (
 	requestTimeout = 1500 * time.Millisecond
-	// lateAnswer is how long after its client's time an answer may come without being lost.
-	lateAnswer = 500 * time.Millisecond
-	// closeCrossing is how soon after a request a connection may end that was closed before the request came.
-	closeCrossing   = 50 * time.Millisecond
-	requestInterval = 60 * time.Millisecond // mean of one connection
-	connectionLife  = 3 * time.Second       // mean
-	maxOutstanding  = 8                     // requests of one connection
-	impatientShare  = 0.06                  // of requests that are cancelled, or whose connection is closed
-	longestPatience = 60 * time.Millisecond
+	// responseGrace is the time after requestTimeout in which a response still counts.
+	responseGrace = 500 * time.Millisecond
+	// closeCrossing is the maximum age of a request that may cross the front end's close of its connection.
+	closeCrossing       = 50 * time.Millisecond
+	meanRequestInterval = 60 * time.Millisecond // on one connection
+	meanConnectionLife  = 3 * time.Second
+	maxOpenRequests     = 8    // on one connection
+	cancelFraction      = 0.06 // of requests that are cancelled, or whose connection is closed
+	maxCancelDelay      = 60 * time.Millisecond
 )
 
-// classes are the request classes of the site, by delivery semantics.
-var classes = []string{"free", "guarded", "single"}
-
-// clientConn is one connection of a usual client.
+// clientConn is one connection of a well-behaved client.
 type clientConn struct {
 	site     *site
 	frontEnd *frontEnd
-	process  string // that it is connected to
+	process  string // name of the process that it is connected to
 	conn     net.Conn
 	openedAt time.Time
 
 	mu         sync.Mutex
 	lastStream uint32
 	open       map[uint32]*clientRequest
-	received   bool // anything
 	goAway     bool
-	closed     bool // by this side
-	ended      chan struct{}
+	closed     bool          // by this side, or its end is recorded
+	ended      chan struct{} // closed when the reader returns
 }
 
 // clientRequest is one open request.
 type clientRequest struct {
 	id     uint64
-	call   uint64
+	callID uint64
 	class  string
 	sentAt time.Time
 }
 
-// runClient sends requests to a front end until the site ends, on one connection after another.
+// runClient sends requests to a front end until the load ends, on one connection after another.
 func (s *site) runClient(f *frontEnd, random *rand.Rand) {
-	for !s.over() {
-		if !f.mayConnect() {
+	for !s.loadEnded() {
+		if !f.acceptsConnections() {
 			time.Sleep(20 * time.Millisecond)
 			continue
 		}
-		process := f.currentProcess()
+		process := f.processName()
 		conn, err := net.DialTimeout("tcp", f.listen, time.Second)
 		if err != nil {
-			time.Sleep(20 * time.Millisecond) // a connection that is refused took no request
+			time.Sleep(20 * time.Millisecond) // no request is lost with a refused connection
 			continue
 		}
 		c := &clientConn{
 			site: s, frontEnd: f, process: process, conn: conn, openedAt: time.Now(), open: map[uint32]*clientRequest{},
 			ended: make(chan struct{}),
 		}
-		go c.read()
+		go c.readFrames()
 		c.sendRequests(random)
 		c.finish()
 	}
 }
 
-// sendRequests sends requests until the connection has had its time, or must not be used any more.
+// sendRequests sends requests until the connection's life is over, or it takes no further requests.
 func (c *clientConn) sendRequests(random *rand.Rand) {
-	life := time.Duration(random.ExpFloat64() * float64(connectionLife))
-	for time.Since(c.openedAt) < life && !c.site.over() {
-		pause := time.Duration(random.ExpFloat64() * float64(requestInterval))
+	life := time.Duration(random.ExpFloat64() * float64(meanConnectionLife))
+	for time.Since(c.openedAt) < life && !c.site.loadEnded() {
+		interval := time.Duration(random.ExpFloat64() * float64(meanRequestInterval))
 		select {
 		case <-c.ended:
 			return
-		case <-time.After(min(pause, time.Second)):
+		case <-time.After(min(interval, time.Second)):
 		}
-		if !c.frontEnd.maySend() || !c.mayOpen() {
+		if !c.frontEnd.acceptsRequests() || !c.acceptsRequest() {
 			return
 		}
 		request := c.newRequest(random)
 		c.send(request, random)
-		if random.Float64() < impatientShare {
-			c.loseInterest(request, random)
+		if random.Float64() < cancelFraction {
+			c.cancelLater(request, random)
 		}
 	}
 }
 
-// mayOpen tells whether another request may be sent on the connection.
-func (c *clientConn) mayOpen() bool {
+// acceptsRequest reports whether another request may be sent on the connection.
+func (c *clientConn) acceptsRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.goAway && !c.closed && len(c.open) < maxOutstanding
+	return !c.goAway && !c.closed && len(c.open) < maxOpenRequests
 }
 
 func (c *clientConn) newRequest(random *rand.Rand) *clientRequest {
-	return &clientRequest{id: random.Uint64()>>1 + 1, call: c.site.recorder.NextCallID(), class: classes[random.IntN(len(classes))]}
+	return &clientRequest{id: random.Uint64()>>1 + 1, callID: c.site.recorder.NextCallID(), class: classes[random.IntN(len(classes))]}
 }
 
-// send sends a request, and checks later that it was answered.
+// send sends a request and records it.
 func (c *clientConn) send(request *clientRequest, random *rand.Rand) {
 	function := fmt.Sprintf("%016x", 0xf0+random.IntN(functionCount))
 	fields := []clientField{
@@ -120,7 +116,7 @@
 		{"ms", "20"},
 		{"more", "lanes:4;load_ms:60;memory_mb:64"},
 	}
-	if request.class == "guarded" {
+	if request.class == classIdempotentByKey {
 		fields = append(fields, clientField{"opkey", requestName(request.id)})
 	}
 	c.mu.Lock()
@@ -133,61 +129,61 @@
 	c.open[stream] = request
 	request.sentAt = time.Now()
 	c.site.recorder.Add(invariants.Record{
-		Kind: invariants.RequestSent, CallID: request.call, RequestID: requestName(request.id),
-		Class: request.class, Function: function, FrontEnd: c.process, Timeout: (requestTimeout + lateAnswer).Seconds(),
+		Kind: invariants.RequestSent, CallID: request.callID, RequestID: requestName(request.id),
+		Class: request.class, Function: function, FrontEnd: c.process, Timeout: (requestTimeout + responseGrace).Seconds(),
 	})
-	_, _ = c.conn.Write(encodeClientFrame(frameRequest, stream, append(encodeFields(fields), "body"...))) // the reader sees the end
+	_, _ = c.conn.Write(encodeClientFrame(frameRequest, stream, append(encodeFields(fields), "body"...))) // the reader sees the end of the connection
 	c.mu.Unlock()
 }
 
-// loseInterest cancels a request after a short time, or closes the connection.
-func (c *clientConn) loseInterest(request *clientRequest, random *rand.Rand) {
-	patience := time.Duration(random.Int64N(int64(longestPatience)))
-	closes := random.IntN(4) == 0
-	time.AfterFunc(patience, func() {
-		if closes {
-			c.leave()
+// cancelLater cancels a request after a short time, or closes its connection.
+func (c *clientConn) cancelLater(request *clientRequest, random *rand.Rand) {
+	delay := time.Duration(random.Int64N(int64(maxCancelDelay)))
+	closeConnection := random.IntN(4) == 0
+	time.AfterFunc(delay, func() {
+		if closeConnection {
+			c.abandon()
 			return
 		}
 		c.cancel(request)
 	})
 }
 
-// cancel withdraws a request that is still open.
+// cancel cancels a request that is still open.
 func (c *clientConn) cancel(request *clientRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for stream, open := range c.open {
 		if open == request {
 			delete(c.open, stream)
-			_, _ = c.conn.Write(encodeClientFrame(frameCancel, stream, nil)) // the reader sees the end
-			c.recordLeft(request)
+			_, _ = c.conn.Write(encodeClientFrame(frameCancel, stream, nil)) // the reader sees the end of the connection
+			c.recordCancelled(request)
 		}
 	}
 }
 
-// leave closes the connection; nobody waits for what is open on it.
-func (c *clientConn) leave() {
+// abandon closes the connection, which cancels the requests that are open on it.
+func (c *clientConn) abandon() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
-	_ = c.conn.Close() // the reader sees the end
+	_ = c.conn.Close() // the reader sees the end of the connection
 	for _, request := range c.open {
-		c.recordLeft(request)
+		c.recordCancelled(request)
 	}
 	clear(c.open)
 }
 
-func (c *clientConn) recordLeft(request *clientRequest) {
+func (c *clientConn) recordCancelled(request *clientRequest) {
 	c.site.recorder.Add(invariants.Record{
-		Kind: invariants.ClientCancelled, CallID: request.call, RequestID: requestName(request.id),
+		Kind: invariants.ClientCancelled, CallID: request.callID, RequestID: requestName(request.id),
 		Class: request.class, FrontEnd: c.process,
 	})
 }
 
-// finish waits for what is open and closes the connection.
+// finish waits for the responses to the open requests and closes the connection.
 func (c *clientConn) finish() {
-	deadline := time.Now().Add(requestTimeout + lateAnswer)
+	deadline := time.Now().Add(requestTimeout + responseGrace)
 	for time.Now().Before(deadline) {
 		c.mu.Lock()
 		open := len(c.open)
@@ -200,12 +196,12 @@
 	c.mu.Lock()
 	c.closed = true
 	c.mu.Unlock()
-	_ = c.conn.Close() // nothing is expected any more
+	_ = c.conn.Close() // no response is expected any more
 	<-c.ended
 }
 
-// read takes responses until the connection ends.
-func (c *clientConn) read() {
+// readFrames reads frames until the connection ends.
+func (c *clientConn) readFrames() {
 	defer close(c.ended)
 	in := bufio.NewReader(c.conn)
 	for {
@@ -215,7 +211,6 @@
 			return
 		}
 		c.mu.Lock()
-		c.received = true
 		if frame.kind == frameGoAway {
 			c.goAway = true
 		}
@@ -232,38 +227,38 @@
 func (c *clientConn) onResponse(frame clientFrame) {
 	request := c.open[frame.stream]
 	if request == nil {
-		return // it crossed a cancel, or is a second one: the checker sees it by the first
+		return // it crossed a cancel
 	}
 	delete(c.open, frame.stream)
 	if frame.code == codeSucceeded && string(frame.body()) != string(responseBody(request.id)) {
 		c.site.violate("body", "%s of %s got %q", requestName(request.id), c.process, frame.body())
 	}
 	c.site.recorder.Add(invariants.Record{
-		Kind: invariants.ResponseReceived, CallID: request.call, RequestID: requestName(request.id),
+		Kind: invariants.ResponseReceived, CallID: request.callID, RequestID: requestName(request.id),
 		Class: request.class, FrontEnd: c.process, Outcome: outcomes[frame.code],
 	})
 }
 
-// onEnd records what is lost with the connection. A process that was killed loses what it had; any other may close a
-// connection only where no request is open, and a request may cross that.
+// onEnd records the requests that are lost with the connection. A killed process loses its open requests. Any other may
+// close a connection only while no request is open, but a request may cross the close.
 func (c *clientConn) onEnd(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return
 	}
-	killed := c.frontEnd.running().killed.Load() || c.frontEnd.currentProcess() != c.process
+	killed := c.frontEnd.currentProcess().killed.Load() || c.frontEnd.processName() != c.process
 	for _, request := range c.open {
 		crossed := time.Since(request.sentAt) < closeCrossing
 		c.site.recorder.Add(invariants.Record{
-			Kind: invariants.ConnectionLost, CallID: request.call, RequestID: requestName(request.id),
+			Kind: invariants.ConnectionLost, CallID: request.callID, RequestID: requestName(request.id),
 			Class: request.class, FrontEnd: c.process,
 		})
 		if !killed && !crossed {
-			c.site.violate("lost", "%s of %s: connection ended by %v, %v after the request", requestName(request.id), c.process, err,
+			c.site.violate("lost", "%s of %s: connection ended with %v, %v after the request", requestName(request.id), c.process, err,
 				time.Since(request.sentAt))
 		}
 	}
 	clear(c.open)
-	c.closed = true // a request that was recorded after this would have nobody to see its end
+	c.closed = true // a later request would be recorded without an end
 }
--- a/internal/verification/soak/frames.go
+++ b/internal/verification/soak/frames.go
@@ -8,11 +8,11 @@
 	"strings"
 )
 
-// Frames between front ends and workers, as the platform's page has them.
+// Frames between front ends and workers, as the platform specifies them.
 const (
-	frontEndMark     = 192
-	workerMark       = 193
-	workerHeadSize   = 16
+	frontEndMark     = 192 // first byte of a front end's frame
+	workerMark       = 193 // first byte of a worker's frame
+	workerHeaderSize = 16
 	workerBodyOffset = 4
 	workerIDOffset   = 8
 	checksumSize     = 4
@@ -23,7 +23,7 @@
 	commandUnload  = 54
 
 	replySucceeded = 64
-	replyMissing   = 66
+	replyNotLoaded = 66
 	replyRejected  = 67
 	replyFailed    = 68
 )
@@ -36,28 +36,28 @@
 	body    []byte
 }
 
-// readWorkerFrame reads the next frame of a front end. An error other than the connection's end says what was wrong
-// with it.
-func readWorkerFrame(in io.Reader) (frame workerFrame, err error) {
-	var head [workerHeadSize]byte
-	if _, err := io.ReadFull(in, head[:]); err != nil {
+// readWorkerFrame reads the next frame that a front end sent to a worker.
+func readWorkerFrame(in io.Reader) (workerFrame, error) {
+	var frame workerFrame
+	var header [workerHeaderSize]byte
+	if _, err := io.ReadFull(in, header[:]); err != nil {
 		return frame, err
 	}
-	if head[0] != frontEndMark {
-		return frame, fmt.Errorf("mark %d", head[0])
+	if header[0] != frontEndMark {
+		return frame, fmt.Errorf("unknown frame mark %d", header[0])
 	}
-	fieldsSize := int(binary.BigEndian.Uint16(head[2:]))
-	bodySize := int(binary.BigEndian.Uint32(head[workerBodyOffset:]))
+	fieldsSize := int(binary.BigEndian.Uint16(header[2:]))
+	bodySize := int(binary.BigEndian.Uint32(header[workerBodyOffset:]))
 	payload := make([]byte, fieldsSize+bodySize+checksumSize)
 	if _, err := io.ReadFull(in, payload); err != nil {
 		return frame, err
 	}
 	content := payload[:fieldsSize+bodySize]
 	if crc32.ChecksumIEEE(content) != binary.BigEndian.Uint32(payload[len(content):]) {
-		return frame, fmt.Errorf("checksum of command %d", head[1])
+		return frame, fmt.Errorf("wrong checksum of command %d", header[1])
 	}
 	frame = workerFrame{
-		command: head[1], id: binary.BigEndian.Uint64(head[workerIDOffset:]), fields: map[string]string{},
+		command: header[1], id: binary.BigEndian.Uint64(header[workerIDOffset:]), fields: map[string]string{},
 		body: content[fieldsSize:],
 	}
 	for field := range strings.SplitSeq(string(content[:fieldsSize]), ",") {
@@ -67,13 +67,13 @@
 	return frame, nil
 }
 
-// encodeReply is a worker's reply.
+// encodeReply encodes a worker's reply.
 func encodeReply(code byte, id uint64, fields string, body []byte) []byte {
 	b := binary.BigEndian.AppendUint16([]byte{workerMark, code}, uint16(len(fields)))
 	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
 	b = binary.BigEndian.AppendUint64(b, id)
 	b = append(append(b, fields...), body...)
-	return binary.BigEndian.AppendUint32(b, crc32.ChecksumIEEE(b[workerHeadSize:]))
+	return binary.BigEndian.AppendUint32(b, crc32.ChecksumIEEE(b[workerHeaderSize:]))
 }
 
 // Frames between clients and front ends.
@@ -90,15 +90,15 @@
 	codeFailed    = 13
 
 	clientLengthSize = 4
-	clientHeadSize   = 5 // type and stream
+	clientHeaderSize = 5 // type and stream
 )
 
-// clientField is one named text of a client's frame.
+// clientField is one field of a client's frame.
 type clientField struct{ name, value string }
 
-// encodeClientFrame is a frame of a client.
+// encodeClientFrame encodes a client's frame.
 func encodeClientFrame(kind byte, stream uint32, payload []byte) []byte {
-	b := binary.BigEndian.AppendUint32(nil, uint32(clientHeadSize+len(payload)))
+	b := binary.BigEndian.AppendUint32(nil, uint32(clientHeaderSize+len(payload)))
 	b = binary.BigEndian.AppendUint32(append(b, kind), stream)
 	return append(b, payload...)
 }
@@ -120,8 +120,9 @@
 	payload []byte
 }
 
-// readClientFrame reads the next frame of a front end.
-func readClientFrame(in io.Reader) (frame clientFrame, err error) {
+// readClientFrame reads the next frame that a front end sent to a client.
+func readClientFrame(in io.Reader) (clientFrame, error) {
+	var frame clientFrame
 	var length [clientLengthSize]byte
 	if _, err := io.ReadFull(in, length[:]); err != nil {
 		return frame, err
@@ -130,10 +131,10 @@
 	if _, err := io.ReadFull(in, data); err != nil {
 		return frame, err
 	}
-	if len(data) < clientHeadSize {
+	if len(data) < clientHeaderSize {
 		return frame, fmt.Errorf("frame of %d bytes", len(data))
 	}
-	frame = clientFrame{kind: data[0], stream: binary.BigEndian.Uint32(data[1:]), payload: data[clientHeadSize:]}
+	frame = clientFrame{kind: data[0], stream: binary.BigEndian.Uint32(data[1:]), payload: data[clientHeaderSize:]}
 	if frame.kind == frameResponse || frame.kind == frameReadiness {
 		if len(frame.payload) < 2 {
 			return frame, fmt.Errorf("response of %d bytes", len(frame.payload))
@@ -143,7 +144,7 @@
 	return frame, nil
 }
 
-// body is what follows the fields of a response.
+// body returns the part of a response after its fields.
 func (f *clientFrame) body() []byte {
 	rest := f.payload
 	count := int(rest[0])
--- a/internal/verification/soak/front_end.go
+++ b/internal/verification/soak/front_end.go
@@ -3,9 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
-	"errors"
 	"fmt"
-	"math/rand/v2"
 	"net"
 	"os"
 	"os/exec"
@@ -17,60 +15,61 @@
 )
 
 const (
-	// killDelay is how long after SIGTERM the platform kills: the longest deadline and 0.7 s more.
+	// killDelay is the time from SIGTERM to SIGKILL on the platform: the longest timeout and 0.7 s.
 	killDelay = requestTimeout + 700*time.Millisecond
-	// newConnectionWindow is how long after SIGTERM clients still connect, requestWindow how long they still send.
-	newConnectionWindow = 300 * time.Millisecond
-	requestWindow       = 500 * time.Millisecond
-	// readyTimeout is how long a front end may take until it is ready.
+	// connectWindow is the time after SIGTERM in which clients still connect.
+	connectWindow = 300 * time.Millisecond
+	// requestWindow is the time after SIGTERM in which clients still send requests.
+	requestWindow = 500 * time.Millisecond
+	// readyTimeout is the maximum time from a start to readiness.
 	readyTimeout = 10 * time.Second
-	// maxKeptLog bounds what is kept of each process's log.
-	maxKeptLog = 64 << 10
+	// maxRetainedLog is the number of bytes that are retained of each process's log.
+	maxRetainedLog = 64 << 10
 )
 
-// frontEnd is one front end, over all of its processes.
+// frontEnd is a front end. It runs as one process after another.
 type frontEnd struct {
 	site         *site
 	number       int
 	name         string
 	listen, peer string
-	path         string      // of its document
-	claimed      atomic.Bool // by a trouble that stops or restarts it
+	documentPath string
+	claimed      atomic.Bool // by a fault that is under way
 
-	mu        sync.Mutex
-	process   *process
-	count     int // of processes so far
-	journal   net.Listener
-	termAt    time.Time // of the process in service; zero: it is not told to stop
-	accepting bool      // clients may connect
+	mu           sync.Mutex
+	process      *process
+	processes    int // started so far
+	discovery    net.Listener
+	terminatedAt time.Time // SIGTERM of the current process; zero if there was none
+	accepting    bool      // the process is ready and has not ended
 }
 
-// process is one run of a front end.
+// process is one process of a front end.
 type process struct {
-	cmd      *exec.Cmd
-	log      *logReader
-	done     chan struct{}
-	err      error // valid after done
-	killed   atomic.Bool
-	readyFor time.Duration // it took until it was ready
+	cmd         *exec.Cmd
+	log         *logReader
+	done        chan struct{} // closed at its end
+	err         error         // of its end; valid once done is closed
+	killed      atomic.Bool
+	timeToReady time.Duration
 }
 
-// logReader takes what a process logs, and can stop reading for a while.
+// logReader reads the log of a process. It can be suspended.
 type logReader struct {
-	stalled atomic.Bool
-	mu      sync.Mutex
-	kept    bytes.Buffer
+	suspended atomic.Bool
+	mu        sync.Mutex
+	retained  bytes.Buffer
 }
 
 // Write implements io.Writer.
 func (r *logReader) Write(data []byte) (int, error) {
-	for r.stalled.Load() {
+	for r.suspended.Load() {
 		time.Sleep(10 * time.Millisecond)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.kept.Len() < maxKeptLog {
-		r.kept.Write(data)
+	if r.retained.Len() < maxRetainedLog {
+		r.retained.Write(data)
 	}
 	return len(data), nil
 }
@@ -78,57 +77,58 @@
 func (r *logReader) String() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.kept.String()
+	return r.retained.String()
 }
 
-// frontEndName is the name of a front end by its number.
+// frontEndName returns the name of a front end.
 func frontEndName(number int) string { return fmt.Sprintf("n%d", number) }
 
-// currentProcess names the process in service: requests of one must not be expected of the next.
-func (f *frontEnd) currentProcess() string {
+// processName returns the name of the current process. Records name processes, as the next process of a front end does
+// not continue the requests of the previous one.
+func (f *frontEnd) processName() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return fmt.Sprintf("%s/%d", f.name, f.count)
+	return fmt.Sprintf("%s/%d", f.name, f.processes)
 }
 
-// moveDiscovery listens for watches at another address; the old one takes no new connection.
+// moveDiscovery serves discovery watches at another address. The old address accepts no further connections, while the
+// watches on it continue.
 func (f *frontEnd) moveDiscovery() error {
 	listener, err := net.Listen("tcp", anyPort)
 	if err != nil {
 		return err
 	}
 	f.mu.Lock()
-	old := f.journal
-	f.journal = listener
+	old := f.discovery
+	f.discovery = listener
 	f.mu.Unlock()
 	if old != nil {
-		_ = old.Close() // the watches on it go on until they end
+		_ = old.Close() // it is not used again
 	}
 	go f.site.discovery.serve(listener, f.number)
 	return nil
 }
 
-// writeDocument writes the document that the front end is told by.
+// writeDocument replaces the front end's document.
 func (f *frontEnd) writeDocument() error {
 	f.mu.Lock()
-	journal := f.journal.Addr().String()
+	address := f.discovery.Addr().String()
 	f.mu.Unlock()
-	document := f.site.document(f, journal)
-	data, err := json.Marshal(document)
+	data, err := json.Marshal(f.site.document(f, address))
 	if err != nil {
 		return err
 	}
-	temporary := f.path + ".new"
+	temporary := f.documentPath + ".new"
 	if err := os.WriteFile(temporary, data, 0o600); err != nil {
 		return err
 	}
-	return os.Rename(temporary, f.path)
+	return os.Rename(temporary, f.documentPath)
 }
 
 // start starts a process and waits until it is ready.
 func (f *frontEnd) start() error {
 	f.mu.Lock()
-	f.count++
+	f.processes++
 	f.mu.Unlock()
 	if err := f.writeDocument(); err != nil {
 		return err
@@ -136,7 +136,7 @@
 	p := &process{log: &logReader{}, done: make(chan struct{})}
 	limit := fmt.Sprintf("ulimit -n %d; exec \"$0\" node --log info", descriptorLimit)
 	p.cmd = exec.Command("sh", "-c", limit, f.site.settings.Program)
-	p.cmd.Env = append(os.Environ(), "RELAY_CONFIG="+f.path, f.site.faultVariable(f.number, f.count))
+	p.cmd.Env = append(os.Environ(), "RELAY_CONFIG="+f.documentPath, f.site.faultVariable(f.number, f.processes))
 	p.cmd.Stderr = p.log
 	if err := p.cmd.Start(); err != nil {
 		return err
@@ -146,22 +146,22 @@
 		close(p.done)
 	}()
 	f.mu.Lock()
-	f.process, f.termAt = p, time.Time{}
+	f.process, f.terminatedAt = p, time.Time{}
 	f.mu.Unlock()
 	return f.awaitReady(p)
 }
 
-// awaitReady asks the front end whether it is ready until it is; then clients may come.
+// awaitReady polls the front end until it is ready. Clients connect from then on.
 func (f *frontEnd) awaitReady(p *process) error {
-	began := time.Now()
-	for time.Since(began) < readyTimeout {
+	startedAt := time.Now()
+	for time.Since(startedAt) < readyTimeout {
 		select {
 		case <-p.done:
-			return fmt.Errorf("%s ended at its start: %w\n%s", f.name, p.err, p.log)
+			return fmt.Errorf("%s ended during startup: %w\n%s", f.name, p.err, p.log)
 		default:
 		}
 		if f.isReady() {
-			p.readyFor = time.Since(began)
+			p.timeToReady = time.Since(startedAt)
 			f.mu.Lock()
 			f.accepting = true
 			f.mu.Unlock()
@@ -177,7 +177,7 @@
 	if err != nil {
 		return false
 	}
-	defer func() { _ = conn.Close() }() // it was only asked
+	defer func() { _ = conn.Close() }() // the response was read
 	_ = conn.SetDeadline(time.Now().Add(time.Second))
 	if _, err := conn.Write(encodeClientFrame(frameReadinessQuery, 0, []byte{0})); err != nil {
 		return false
@@ -186,45 +186,53 @@
 	return err == nil && frame.kind == frameReadiness && frame.code == codeSucceeded
 }
 
-// mayConnect tells whether clients may open connections now, and maySend whether they may send on open ones.
-func (f *frontEnd) mayConnect() bool { return f.within(newConnectionWindow) }
-func (f *frontEnd) maySend() bool    { return f.within(requestWindow) }
+// acceptsConnections reports whether clients may open connections now.
+func (f *frontEnd) acceptsConnections() bool { return f.acceptsWithin(connectWindow) }
+
+// acceptsRequests reports whether clients may send requests on open connections now.
+func (f *frontEnd) acceptsRequests() bool { return f.acceptsWithin(requestWindow) }
 
-func (f *frontEnd) within(window time.Duration) bool {
+// acceptsWithin reports whether the process is ready, and at most window has passed since its SIGTERM.
+func (f *frontEnd) acceptsWithin(window time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.accepting && (f.termAt.IsZero() || time.Since(f.termAt) < window)
+	return f.accepting && (f.terminatedAt.IsZero() || time.Since(f.terminatedAt) < window)
 }
 
-// running is the process in service.
-func (f *frontEnd) running() *process {
+// currentProcess returns the newest process, nil before the first start.
+func (f *frontEnd) currentProcess() *process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.process
 }
 
-// terminate tells the process to stop, and waits for its end as the platform does.
+// signal sends a signal to the current process.
+func (f *frontEnd) signal(sig os.Signal) {
+	_ = f.currentProcess().cmd.Process.Signal(sig) // it may have ended
+}
+
+// terminate sends SIGTERM and waits for the end of the process. Like the platform, it kills a process that is overdue.
 func (f *frontEnd) terminate() {
-	p := f.running()
+	p := f.currentProcess()
 	f.mu.Lock()
-	f.termAt = time.Now()
+	f.terminatedAt = time.Now()
 	f.mu.Unlock()
-	_ = p.cmd.Process.Signal(syscall.SIGTERM) // its end shows below
+	_ = p.cmd.Process.Signal(syscall.SIGTERM) // its end is awaited below
 	select {
 	case <-p.done:
 		if p.err != nil {
-			f.site.violate("exit", "%s ended by %v\n%s", f.currentProcess(), p.err, p.log)
+			f.site.violate("exit", "%s exited with %v\n%s", f.processName(), p.err, p.log)
 		}
 	case <-time.After(killDelay):
-		f.site.violate("exit", "%s does not end within %v of SIGTERM\n%s", f.currentProcess(), killDelay, p.log)
+		f.site.violate("exit", "%s still running %v after SIGTERM\n%s", f.processName(), killDelay, p.log)
 		f.kill()
 	}
 	f.stopAccepting()
 }
 
-// kill ends the process at once.
+// kill sends SIGKILL and waits for the end of the process.
 func (f *frontEnd) kill() {
-	p := f.running()
+	p := f.currentProcess()
 	f.stopAccepting()
 	p.killed.Store(true)
 	_ = p.cmd.Process.Kill() // it may have ended
@@ -237,68 +245,26 @@
 	f.accepting = false
 }
 
-// checkAlive notes a process that ended by itself.
+// checkAlive records a violation if the process ended without a signal of the harness.
 func (f *frontEnd) checkAlive() {
-	p := f.running()
+	p := f.currentProcess()
 	select {
 	case <-p.done:
 		f.mu.Lock()
-		told := !f.termAt.IsZero()
+		terminated := !f.terminatedAt.IsZero()
 		f.mu.Unlock()
-		if !told && !p.killed.Load() {
-			f.site.violate("crash", "%s ended by itself: %v\n%s", f.currentProcess(), p.err, p.log)
+		if !terminated && !p.killed.Load() {
+			f.site.violate("crash", "%s exited unexpectedly: %v\n%s", f.processName(), p.err, p.log)
 		}
 	default:
 	}
 }
 
-// Ports of front ends lie under those that the system gives to connections, or one of these may have the port of a front
-// end that restarts.
-const (
-	firstPort = 12_000
-	portCount = 20_000
-)
-
-// lastPort counts from a random port on, so that none is given twice.
-var lastPort atomic.Uint32
-
-func init() { lastPort.Store(rand.Uint32N(portCount)) }
-
-// nextAddress is an address that was not given before.
-func nextAddress() string { return fmt.Sprintf("127.0.0.1:%d", firstPort+lastPort.Add(1)%portCount) }
-
-// listen listens at an address, or at any that is free where it is "".
-func listen(address string) (listener net.Listener, err error) {
-	if address != "" {
-		return net.Listen("tcp", address)
-	}
-	for range 100 {
-		if listener, err = net.Listen("tcp", nextAddress()); err == nil {
-			return listener, nil
-		}
-	}
-	return nil, err
-}
-
-// reservePort finds a port that nobody listens at, for TCP and UDP.
-func reservePort() (address string, err error) {
-	for range 100 {
-		address = nextAddress()
-		listener, listenErr := net.Listen("tcp", address)
-		if err = listenErr; err != nil {
-			continue
-		}
-		packets, listenErr := net.ListenPacket("udp", address)
-		if err = errors.Join(listenErr, listener.Close()); err == nil {
-			return address, packets.Close()
-		}
-	}
-	return "", err
-}
-
-// newFrontEnd reserves the addresses of a front end.
-func (s *site) newFrontEnd(number int) (f *frontEnd, err error) {
-	f = &frontEnd{site: s, number: number, name: frontEndName(number), path: filepath.Join(s.folder, frontEndName(number)+".json")}
+// newFrontEnd reserves the addresses of a front end, and serves discovery to it.
+func (s *site) newFrontEnd(number int) (*frontEnd, error) {
+	name := frontEndName(number)
+	f := &frontEnd{site: s, number: number, name: name, documentPath: filepath.Join(s.folder, name+".json")}
+	var err error
 	if f.listen, err = reservePort(); err != nil {
 		return nil, err
 	}
--- /dev/null
+++ b/internal/verification/soak/result.go
@@ -0,0 +1,36 @@
+package soak
+
+import (
+	"fmt"
+	"strings"
+
+	"streamcleat/internal/verification/invariants"
+)
+
+// Result is the result of one run.
+type Result struct {
+	Seed          uint64             `json:"seed"`
+	Verdict       invariants.Verdict `json:"verdict"`
+	Violations    []string           `json:"violations,omitempty"` // found by the soak itself; the first ones
+	ViolationsAll int                `json:"violations_all"`       // number of all of them
+	Restarts      int                `json:"restarts"`             // of front ends
+	SlowestReady  float64            `json:"slowest_ready_s"`      // longest time from a start to readiness
+	Faults        []string           `json:"troubles"`
+	Lateness      float64            `json:"harness_late_s"` // maximum delay of the harness itself
+}
+
+// Broken reports whether there was any violation.
+func (r *Result) Broken() bool { return r.Verdict.RulesBroken > 0 || r.ViolationsAll > 0 }
+
+// String describes the result in a few lines.
+func (r *Result) String() string {
+	var b strings.Builder
+	v := &r.Verdict
+	fmt.Fprintf(&b, "seed %d: %d requests, %d succeeded, %d rejected, %d failed, %d cancelled, %d lost with killed processes, %d attempts, "+
+		"%d restarts, slowest ready %.2f s, harness late %.3f s\n", r.Seed, v.Requests, v.Succeeded, v.Rejected, v.Failed, v.Cancelled,
+		v.ConnectionsLost, v.Attempts, r.Restarts, r.SlowestReady, r.Lateness)
+	for _, text := range append(append([]string(nil), v.Violations...), r.Violations...) {
+		fmt.Fprintf(&b, "  BROKEN %s\n", text)
+	}
+	return b.String()
+}
--- a/internal/verification/soak/site.go
+++ b/internal/verification/soak/site.go
@@ -5,8 +5,6 @@
 	"fmt"
 	"math/rand/v2"
 	"os"
-	"strconv"
-	"strings"
 	"sync"
 	"time"
 
@@ -14,101 +12,78 @@
 )
 
 const (
-	// anyPort is a free port on loopback.
-	anyPort = "127.0.0.1:0"
-	// functionCount is how many functions requests name.
-	functionCount = 12
-	// connectionsPerFrontEnd is how many usual client connections each front end has at a time.
+	// connectionsPerFrontEnd is the number of concurrent connections of well-behaved clients to each front end.
 	connectionsPerFrontEnd = 3
-	descriptorLimit        = 128
-	memoryMB               = 64
-	deduplicationWindow    = 30 * time.Second
-	warmUpTime             = 6 * time.Second
-	overloadWindow         = 1500 * time.Millisecond
-	drainGrace             = 500 * time.Millisecond
-	maxViolations          = 20 // that are described
+	// maxViolations is the maximum number of violations that are described. All of them are counted.
+	maxViolations = 20
 )
 
-// Settings of one run.
+// Settings are the settings of one run.
 type Settings struct {
 	Program   string // path of the program under test
 	Seed      uint64
 	FrontEnds int
 	Workers   int
 	Duration  time.Duration // of the load
-	// FaultRate is the probability with which each system call of a front end fails; it has an effect on a program that
-	// is built with the tag faults only.
+	// FaultRate is the probability with which each system call of a front end fails. It has no effect unless the program
+	// is built with the tag faults.
 	FaultRate float64
-	Log       func(format string, args ...any) // takes what happens; nil: nobody does
+	Log       func(format string, args ...any) // receives each fault as it begins; may be nil
 }
 
-// Result is what a run showed.
-type Result struct {
-	Seed          uint64             `json:"seed"`
-	Verdict       invariants.Verdict `json:"verdict"`
-	Violations    []string           `json:"violations,omitempty"` // of the soak's own checks
-	ViolationsAll int                `json:"violations_all"`
-	Restarts      int                `json:"restarts"`
-	SlowestReady  float64            `json:"slowest_ready_s"`
-	Faults        []string           `json:"troubles"`
-	Lateness      float64            `json:"harness_late_s"` // the longest time that the harness itself was held up
-}
-
-// Broken tells whether anything was broken.
-func (r *Result) Broken() bool { return r.Verdict.RulesBroken > 0 || r.ViolationsAll > 0 }
-
-// site is one run.
+// site is the state of one run.
 type site struct {
 	settings  Settings
 	folder    string
 	recorder  *invariants.Recorder
 	discovery *discovery
 	frontEnds []*frontEnd
-	ended     chan struct{} // closed with the end of the load
+	ended     chan struct{} // closed when the load ends
 
-	mu         sync.Mutex
-	workers    []*worker // that are listed as active
-	lastWorker int
-	keys       map[string]bool // of keyed requests that ran
-	result     Result
-	records    []invariants.Record
+	mu           sync.Mutex
+	workers      []*worker // active in the endpoint list
+	workerCount  int       // started so far
+	executedKeys map[string]bool
+	result       Result
 }
 
-// Run plays one seed. An error tells that the run could not be made; what broke stands in the result.
+// Run runs one seed. It returns an error if the run could not be made; violations are part of the result.
 func Run(ctx context.Context, settings Settings) (*Result, []invariants.Record, error) {
 	if settings.Log == nil {
 		settings.Log = func(string, ...any) {}
 	}
 	folder, err := os.MkdirTemp("", "soak")
 	if err != nil {
-		return nil, nil, err
+		return nil, nil, fmt.Errorf("create the folder of the site: %w", err)
 	}
 	defer func() { _ = os.RemoveAll(folder) }() // it is the system's temporary folder
-	s := &site{settings: settings, folder: folder, recorder: invariants.NewRecorder(), ended: make(chan struct{}), keys: map[string]bool{}}
-	s.result.Seed = settings.Seed
+	s := &site{
+		settings: settings, folder: folder, recorder: invariants.NewRecorder(), ended: make(chan struct{}),
+		executedKeys: map[string]bool{}, result: Result{Seed: settings.Seed},
+	}
 	s.discovery = newDiscovery(s)
 	stopWatching := s.watchLateness()
 	defer stopWatching()
-	err = s.play(ctx)
+	err = s.run(ctx)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, w := range s.workers {
 		w.crash()
 	}
-	s.records = s.recorder.Records()
-	s.result.Verdict = invariants.Check(s.rules(), s.records)
-	return &s.result, s.records, err
+	records := s.recorder.Records()
+	s.result.Verdict = invariants.Check(s.rules(), records)
+	return &s.result, records, err
 }
 
-// play starts everything, plays the load with its troubles, and stops everything.
-func (s *site) play(ctx context.Context) error {
+// run starts everything, runs the load with its faults, and stops everything.
+func (s *site) run(ctx context.Context) error {
 	for range s.settings.Workers {
-		if err := s.addWorker(nil, true); err != nil {
+		if err := s.addWarmWorker(); err != nil {
 			return err
 		}
 	}
 	if err := s.startFrontEnds(); err != nil {
-		s.killAll()
+		s.killFrontEndsAfterFailedStart()
 		return err
 	}
 	var clients sync.WaitGroup
@@ -118,14 +93,14 @@
 			clients.Go(func() { s.runClient(f, random) })
 		}
 	}
-	s.runTroubles(ctx)
+	s.injectFaults(ctx)
 	close(s.ended)
 	clients.Wait()
 	s.stopFrontEnds()
 	return ctx.Err()
 }
 
-// startFrontEnds starts all front ends side by side.
+// startFrontEnds starts all front ends concurrently.
 func (s *site) startFrontEnds() error {
 	for number := range s.settings.FrontEnds {
 		f, err := s.newFrontEnd(number)
@@ -147,7 +122,7 @@
 	return first
 }
 
-// stopFrontEnds stops all front ends in order, side by side.
+// stopFrontEnds stops all front ends gracefully and concurrently.
 func (s *site) stopFrontEnds() {
 	var stopping sync.WaitGroup
 	for _, f := range s.frontEnds {
@@ -157,17 +132,16 @@
 	stopping.Wait()
 }
 
-// killAll ends what a start that failed has left.
-func (s *site) killAll() {
+func (s *site) killFrontEndsAfterFailedStart() {
 	for _, f := range s.frontEnds {
-		if f.running() != nil {
+		if f.currentProcess() != nil {
 			f.kill()
 		}
 	}
 }
 
-// over tells that the load has ended.
-func (s *site) over() bool {
+// loadEnded reports whether the load has ended.
+func (s *site) loadEnded() bool {
 	select {
 	case <-s.ended:
 		return true
@@ -176,38 +150,53 @@
 	}
 }
 
-// processName is the present process of a front end.
+// processName returns the name of a front end's current process.
 func (s *site) processName(frontEnd string) string {
 	for _, f := range s.frontEnds {
 		if f.name == frontEnd {
-			return f.currentProcess()
+			return f.processName()
 		}
 	}
 	return frontEnd + "/1"
 }
 
-// addWorker starts a worker and lists it; one of the start has been running for long.
-func (s *site) addWorker(addresses []string, ofTheStart bool) error {
+// addWorker starts a cold worker and adds it to the endpoint list. It listens at the given addresses, or at free ones if
+// there are none.
+func (s *site) addWorker(addresses []string) error {
+	w, err := s.startNextWorker(addresses)
+	if err != nil {
+		return err
+	}
+	s.discovery.add(w, stateActive, w.startedAt.UnixMilli())
+	return nil
+}
+
+// addWarmWorker starts a worker and adds it to the endpoint list as one that started long ago.
+func (s *site) addWarmWorker() error {
+	w, err := s.startNextWorker(nil)
+	if err != nil {
+		return err
+	}
+	s.discovery.add(w, stateActive, 0)
+	return nil
+}
+
+func (s *site) startNextWorker(addresses []string) (*worker, error) {
 	s.mu.Lock()
-	s.lastWorker++
-	name := fmt.Sprintf("w%d", s.lastWorker)
+	s.workerCount++
+	name := fmt.Sprintf("w%d", s.workerCount)
 	s.mu.Unlock()
 	w, err := s.startWorker(name, addresses)
 	if err != nil {
-		return err
-	}
-	bornMs := w.startedAt.UnixMilli()
-	if ofTheStart {
-		bornMs = 0
+		return nil, err
 	}
 	s.mu.Lock()
 	s.workers = append(s.workers, w)
 	s.mu.Unlock()
-	s.discovery.add(w, stateActive, bornMs)
-	return nil
+	return w, nil
 }
 
-// violate notes something that must not happen and that the checker of invariants does not see.
+// violate records a violation that the checker of invariants does not see.
 func (s *site) violate(kind, format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -217,8 +206,7 @@
 	}
 }
 
-// watchLateness measures for how long the harness itself is held up: on a machine that is too busy what it records is
-// late.
+// watchLateness measures how late the harness itself is woken: on an overloaded machine its records are late.
 func (s *site) watchLateness() (stop func()) {
 	const interval = 5 * time.Millisecond
 	done := make(chan struct{})
@@ -239,82 +227,3 @@
 	}()
 	return func() { close(done) }
 }
-
-// rules are those that the records are checked against.
-func (s *site) rules() invariants.Rules {
-	rules := invariants.Rules{
-		Semantics:               map[string]string{"free": "redeliverable", "guarded": "keyed", "single": "at-most-once"},
-		DeduplicationWindow:     map[string]float64{"guarded": deduplicationWindow.Seconds()},
-		MeanWork:                meanWork.Seconds(),
-		Capacity:                map[string]float64{},
-		DrainGrace:              (drainGrace + 50*time.Millisecond).Seconds(),
-		InitialCapacityFraction: coldShare,
-		WarmUpTime:              warmUpTime.Seconds(),
-		OverloadFactor:          overloadFactor,
-		OverloadWindow:          overloadWindow.Seconds(),
-		ObservationDelay:        0.1,
-		DeadlineSlack:           0.15 - lateAnswer.Seconds(), // records state the client's time with lateAnswer
-		IndependentFrontEnds:    true,
-	}
-	for number := range s.lastWorker {
-		rules.Capacity[fmt.Sprintf("w%d", number+1)] = workerLanes
-	}
-	return rules
-}
-
-const (
-	coldShare      = 0.3
-	overloadFactor = 2.5
-)
-
-// document is what a front end is told at its start and at a reload.
-func (s *site) document(f *frontEnd, journal string) map[string]any {
-	var peers []string
-	for _, other := range s.frontEnds {
-		peers = append(peers, other.peer)
-	}
-	class := func(name, semantics string) map[string]any {
-		return map[string]any{
-			"Name": name, "AimMs": 300, "GiveUpMs": requestTimeout.Milliseconds(), "Idempotency": semantics, "Group": "all",
-			"MemorySpanMs": deduplicationWindow.Milliseconds(),
-		}
-	}
-	settings := map[string]any{
-		"Balancers": s.settings.FrontEnds, "Me": f.number, "RoundMs": 4, "Discovery": "automatic",
-		"Caps": map[string]any{
-			"Peers": true, "RetryAfter": true, "MaxRetryAfterMs": 500, "MostTries": 4, "MaxStreams": 32, "MaxOpen": 500,
-			"DialTimeoutMs": 250, "IdleCloseMs": 5000,
-		},
-		"Classes":  []any{class("free", "free"), class("guarded", "guarded"), class("single", "single_shot")},
-		"Accounts": []any{map[string]any{"Name": "acme", "QuotaPerS": 1000}},
-		"Domain":   map[string]any{"MayOrder": true, "OrderTimeoutMs": 1000, "StaysLoadedMs": 8000, "WhenAbsent": "miss"},
-		"Rules": map[string]any{
-			"ColdFrom": coldShare, "FallMs": overloadWindow.Milliseconds(), "FallMultiple": overloadFactor,
-			"WarmWithinMs": warmUpTime.Milliseconds(),
-		},
-	}
-	return map[string]any{
-		"name": f.name, "listen": f.listen, "seed": strconv.FormatUint(s.settings.Seed+uint64(f.number), 16),
-		"limits":      map[string]any{"cores": 1, "memory_mb": memoryMB, "sockets": descriptorLimit},
-		"peer_listen": f.peer, "peers": peers, "journal": journal, "known": s.discovery.known(f.number), "settings": settings,
-	}
-}
-
-// faultVariable is the environment variable by which a program that is built with the tag faults has its system calls
-// fail.
-func (s *site) faultVariable(number, process int) string {
-	return fmt.Sprintf("STREAMCLEAT_FAULTS=%d:%g", s.settings.Seed*1000+uint64(number*10+process), s.settings.FaultRate)
-}
-
-// String describes a result in a few lines.
-func (r *Result) String() string {
-	var b strings.Builder
-	v := &r.Verdict
-	fmt.Fprintf(&b, "seed %d: %d requests, %d succeeded, %d rejected, %d failed, %d cancelled, %d lost with killed processes, %d attempts, "+
-		"%d restarts, slowest ready %.2f s, harness late %.3f s\n", r.Seed, v.Requests, v.Succeeded, v.Rejected, v.Failed, v.Cancelled,
-		v.ConnectionsLost, v.Attempts, r.Restarts, r.SlowestReady, r.Lateness)
-	for _, text := range append(append([]string(nil), v.Violations...), r.Violations...) {
-		fmt.Fprintf(&b, "  BROKEN %s\n", text)
-	}
-	return b.String()
-}
--- a/internal/verification/soak/worker.go
+++ b/internal/verification/soak/worker.go
@@ -14,37 +14,36 @@
 )
 
 const (
-	workerLanes  = 4 // requests that a worker runs at a time
-	meanWork     = 20 * time.Millisecond
-	loadTime     = 60 * time.Millisecond
-	maxQueued    = 40 // requests that wait at a worker; more are rejected
-	secondReply  = 4 * time.Millisecond
-	silentWorker = 50 * time.Millisecond // interval at which a worker that hangs looks whether it still does
+	workerLanes         = 4 // requests that a worker executes concurrently
+	meanWork            = 20 * time.Millisecond
+	loadTime            = 60 * time.Millisecond
+	maxQueued           = 40 // requests that wait at a worker; further ones are rejected
+	duplicateReplyDelay = 4 * time.Millisecond
+	hangPollInterval    = 50 * time.Millisecond
 )
 
-// workerFault is a way in which a worker misbehaves.
+// workerFault is a fault of a worker.
 type workerFault int32
 
-// The faults.
 const (
-	healthy workerFault = iota
-	hangs               // it reads and does not reply
-	resets              // it resets connections at a request, before or after it ran
-	spoils              // its replies can't be read
-	repeats             // each reply comes twice, some milliseconds apart
-	rejects             // it is full
-	faultCount
+	workerHealthy    workerFault = iota
+	hang                         // reads requests and sends no reply
+	resetConnections             // resets connections, before or after executing a request
+	corruptReplies               // sends replies with a wrong checksum
+	duplicateReplies             // sends each reply twice, some milliseconds apart
+	rejectRequests               // replies that it is full
+	workerFaultCount
 )
 
-// worker is a fake worker process. Each front end reaches it at an address of its own, so that it knows who sends.
+// worker is a fake worker process. It has an address for each front end, which identifies the sender of a frame.
 type worker struct {
 	site      *site
 	name      string
 	addresses []string // by front end
 	startedAt time.Time
 	fault     atomic.Int32
-	lanes     chan struct{}
-	waiting   atomic.Int32
+	lanes     chan struct{} // a semaphore
+	queued    atomic.Int32
 
 	mu        sync.Mutex
 	listeners []net.Listener
@@ -53,7 +52,7 @@
 	closed    bool
 }
 
-// startWorker starts a process; addresses are those of a process that is gone, or nil for new ones.
+// startWorker starts a worker at the addresses of one that has ended, or at new ones if addresses is nil.
 func (s *site) startWorker(name string, addresses []string) (*worker, error) {
 	w := &worker{
 		site: s, name: name, startedAt: time.Now(), lanes: make(chan struct{}, workerLanes), conns: map[net.Conn]bool{},
@@ -76,7 +75,7 @@
 	return w, nil
 }
 
-// crash ends the process: its connections are reset and its addresses refuse further ones.
+// crash ends the worker: its connections are reset, and its addresses refuse further ones.
 func (w *worker) crash() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -89,7 +88,7 @@
 	}
 }
 
-// reset closes a connection so that the other side sees a reset.
+// reset closes a connection with a TCP reset.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0) // it may be closed already
@@ -119,7 +118,7 @@
 	frontEnd string
 
 	mu   sync.Mutex
-	open map[uint64]uint64 // calls of the recorder by request
+	open map[uint64]uint64 // call IDs of the recorder by request
 }
 
 func (w *worker) serve(conn net.Conn, frontEnd string) {
@@ -132,31 +131,31 @@
 		}
 		c.onFrame(frame)
 	}
-	_ = conn.Close() // the other side has left
+	_ = conn.Close() // the front end closed it, or sent a malformed frame
 	w.mu.Lock()
 	delete(w.conns, conn)
 	w.mu.Unlock()
 	c.endAll()
 }
 
-// endAll records the end of what was open on a connection that is gone.
+// endAll records the end of the attempts that were open on a closed connection.
 func (c *workerConn) endAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for id, call := range c.open {
-		c.worker.site.recorder.Add(invariants.Record{Kind: invariants.AttemptEnded, CallID: call, RequestID: requestName(id)})
+	for id, callID := range c.open {
+		c.worker.site.recorder.Add(invariants.Record{Kind: invariants.AttemptEnded, CallID: callID, RequestID: requestName(id)})
 	}
 	clear(c.open)
 }
 
-// end records the end of an attempt, once, and tells whether it was open.
+// end records the end of an attempt, and reports whether it was open.
 func (c *workerConn) end(id uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	call, open := c.open[id]
+	callID, open := c.open[id]
 	if open {
 		delete(c.open, id)
-		c.worker.site.recorder.Add(invariants.Record{Kind: invariants.AttemptEnded, CallID: call, RequestID: requestName(id)})
+		c.worker.site.recorder.Add(invariants.Record{Kind: invariants.AttemptEnded, CallID: callID, RequestID: requestName(id)})
 	}
 	return open
 }
@@ -174,7 +173,7 @@
 		delete(c.worker.loaded, requestName(frame.id))
 		c.worker.mu.Unlock()
 	default:
-		c.worker.site.violate("frame", "%s sent command %d to %s", c.frontEnd, frame.command, c.worker.name)
+		c.worker.site.violate("frame", "%s sent unknown command %d to %s", c.frontEnd, frame.command, c.worker.name)
 	}
 }
 
@@ -184,28 +183,28 @@
 	if err != nil {
 		w.site.violate("frame", "budget %q: %v", frame.fields["budget"], err)
 	}
-	call := w.site.recorder.NextCallID()
+	callID := w.site.recorder.NextCallID()
 	c.mu.Lock()
-	c.open[frame.id] = call
+	c.open[frame.id] = callID
 	c.mu.Unlock()
 	w.site.recorder.Add(invariants.Record{
-		Kind: invariants.AttemptStarted, CallID: call, RequestID: requestName(frame.id), Worker: w.name,
+		Kind: invariants.AttemptStarted, CallID: callID, RequestID: requestName(frame.id), Worker: w.name,
 		FrontEnd: w.site.processName(c.frontEnd), Class: frame.fields["queue"], Function: frame.fields["path"], Timeout: budget / 1000,
 	})
-	go c.run(frame, workerFault(w.fault.Load()))
+	go c.execute(frame, workerFault(w.fault.Load()))
 }
 
-// run executes a request, as the worker's fault lets it.
-func (c *workerConn) run(frame workerFrame, fault workerFault) {
+// execute executes a request and replies, subject to the worker's fault.
+func (c *workerConn) execute(frame workerFrame, fault workerFault) {
 	w := c.worker
-	if fault == hangs {
-		for w.fault.Load() == int32(hangs) {
-			time.Sleep(silentWorker)
+	if fault == hang {
+		for w.fault.Load() == int32(hang) {
+			time.Sleep(hangPollInterval)
 		}
-		c.end(frame.id) // it replies to nothing that came meanwhile
+		c.end(frame.id) // requests that arrived during the hang get no reply
 		return
 	}
-	if fault == resets && rand.IntN(2) == 0 {
+	if fault == resetConnections && rand.IntN(2) == 0 {
 		reset(c.conn)
 		return
 	}
@@ -214,43 +213,43 @@
 	w.mu.Unlock()
 	switch {
 	case !loaded:
-		c.reply(replyMissing, frame, nil, fault)
+		c.reply(replyNotLoaded, frame, nil, fault)
 		return
-	case fault == rejects || w.waiting.Add(1) > maxQueued:
+	case fault == rejectRequests || w.queued.Add(1) > maxQueued:
 		c.reply(replyRejected, frame, nil, fault)
 		return
 	}
 	w.lanes <- struct{}{}
-	w.waiting.Add(-1)
+	w.queued.Add(-1)
 	time.Sleep(time.Duration(rand.ExpFloat64() * float64(meanWork)))
 	<-w.lanes
-	if !w.site.execute(frame, w.name) {
-		c.reply(replySucceeded, frame, responseBody(frame.id), fault) // a repeat that the workers know
+	if !w.site.recordExecution(frame, w.name) {
+		c.reply(replySucceeded, frame, responseBody(frame.id), fault) // a duplicate
 		return
 	}
-	if fault == resets {
+	if fault == resetConnections {
 		reset(c.conn)
 		return
 	}
 	c.reply(replySucceeded, frame, responseBody(frame.id), fault)
 }
 
-// reply ends an attempt and sends a reply.
+// reply ends an attempt and sends its reply, subject to the worker's fault.
 func (c *workerConn) reply(code byte, frame workerFrame, body []byte, fault workerFault) {
 	if !c.end(frame.id) {
-		return // nobody waits
+		return // cancelled
 	}
 	detail := "detail=hit"
-	if code == replyMissing {
+	if code == replyNotLoaded {
 		detail = ""
 	}
 	data := encodeReply(code, frame.id, detail, body)
-	if fault == spoils {
+	if fault == corruptReplies {
 		data[len(data)-1]++
 	}
-	_, _ = c.conn.Write(data) // the front end may have left
-	if fault == repeats {
-		time.Sleep(secondReply)
+	_, _ = c.conn.Write(data) // the front end may have closed
+	if fault == duplicateReplies {
+		time.Sleep(duplicateReplyDelay)
 		_, _ = c.conn.Write(data)
 	}
 }
@@ -259,13 +258,13 @@
 func (c *workerConn) load(frame workerFrame) {
 	w := c.worker
 	function := frame.fields["path"]
-	replicas, _ := strconv.Atoi(frame.fields["slots_up"]) // 0 only asks
+	replicas, _ := strconv.Atoi(frame.fields["slots_up"]) // 0 only queries
 	w.site.recorder.Add(invariants.Record{
 		Kind: invariants.LoadCommanded, FrontEnd: w.site.processName(c.frontEnd), Worker: w.name,
 		Function: function, Replicas: replicas,
 	})
-	for w.fault.Load() == int32(hangs) {
-		time.Sleep(silentWorker)
+	for w.fault.Load() == int32(hang) {
+		time.Sleep(hangPollInterval)
 	}
 	w.mu.Lock()
 	loaded := w.loaded[function]
@@ -276,18 +275,19 @@
 		w.loaded[function] = true
 		w.mu.Unlock()
 	}
-	_, _ = c.conn.Write(encodeReply(replySucceeded, frame.id, "slots_up=1", nil)) // the front end may have left
+	_, _ = c.conn.Write(encodeReply(replySucceeded, frame.id, "slots_up=1", nil)) // the front end may have closed
 }
 
-// execute records that a request ran, and tells whether it did: a keyed one that the workers remember does not.
-func (s *site) execute(frame workerFrame, worker string) bool {
+// recordExecution records the execution of a request, and reports whether it is executed: the workers drop a duplicate
+// of a request with an idempotency key.
+func (s *site) recordExecution(frame workerFrame, worker string) bool {
 	name := requestName(frame.id)
 	if key := frame.fields["uniq"]; key != "" {
 		s.mu.Lock()
-		known := s.keys[key]
-		s.keys[key] = true
+		duplicate := s.executedKeys[key]
+		s.executedKeys[key] = true
 		s.mu.Unlock()
-		if known {
+		if duplicate {
 			return false
 		}
 	}
@@ -298,8 +298,8 @@
 	return true
 }
 
-// requestName is a request's id as it stands in records.
+// requestName returns a request's ID in the form that records have.
 func requestName(id uint64) string { return fmt.Sprintf("%016x", id) }
 
-// responseBody is what a worker makes of a request.
+// responseBody returns the body of the successful response to a request.
 func responseBody(id uint64) []byte { return []byte("done " + requestName(id)) }
