--- a/internal/verification/fakes/catalogue.go
+++ b/internal/verification/fakes/catalogue.go
@@ -9,17 +9,17 @@
 // catalogueStream separates the random numbers of Catalogue from others of the same seed.
 const catalogueStream = 0xca7a
 
-// Function is what workers know of one function. Times are seconds.
+// Function describes a function to the workers. Times are seconds.
 type Function struct {
 	Name        string
-	MemoryMB    float64 // MB of one replica
-	Concurrency int     // requests that a replica runs concurrently
-	FetchTime   float64 // of a fetch from a store without other fetches
+	MemoryMB    float64 // of one replica
+	Concurrency int     // requests that a replica executes concurrently
+	FetchTime   float64 // of a fetch from an idle store
 	StartTime   float64 // from the fetched image to a ready replica
-	MeanWork    float64 // mean work of a request on a core of speed 1
+	MeanWork    float64 // of a request on a core of speed 1
 }
 
-// Catalogue draws n functions from a seed, with the figures of a small site. work is the mean work of a request.
+// Catalogue draws n functions from a seed, with the sizes of a small site. work is the mean work of a request.
 func Catalogue(n int, work float64, seed uint64) []Function {
 	rng := rand.New(rand.NewPCG(seed, catalogueStream))
 	list := make([]Function, n)
--- a/internal/verification/fakes/deduplicator.go
+++ b/internal/verification/fakes/deduplicator.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// Deduplicator is what a group of workers remembers of keyed requests, so that a repeat has no second effect.
+// Deduplicator records the requests with an idempotency key that a group of workers has executed, so that a duplicate
+// has no second effect.
 type Deduplicator struct {
 	mu     sync.Mutex
 	window time.Duration
 	seen   map[string]time.Time
 }
 
-// NewDeduplicator returns a memory that remembers each request for a window in seconds.
+// NewDeduplicator returns a Deduplicator that records each request for a window in seconds.
 func NewDeduplicator(window float64) *Deduplicator {
 	return &Deduplicator{window: seconds(window), seen: map[string]time.Time{}}
 }
 
-// IsFirst returns whether a request is new to the group, and remembers it.
-func (m *Deduplicator) IsFirst(id string) bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
+// IsFirst records a request, and reports whether it was new to the group.
+func (d *Deduplicator) IsFirst(id string) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	now := time.Now()
-	if at, known := m.seen[id]; known && now.Sub(at) < m.window {
+	if at, known := d.seen[id]; known && now.Sub(at) < d.window {
 		return false
 	}
-	m.seen[id] = now
+	d.seen[id] = now
 	return true
 }
--- a/internal/verification/fakes/endpoint_list.go
+++ b/internal/verification/fakes/endpoint_list.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"slices"
 	"sync"
 	"time"
 
@@ -11,18 +12,18 @@
 	"streamcleat/internal/verification/invariants"
 )
 
-// Phases of a worker in the endpoint list.
+// Endpoint states of a worker.
 const (
 	phaseServing = "serving"
-	phaseGone    = "gone" // has no entry
+	phaseGone    = "gone" // removed from the list
 )
 
-// EndpointList is the endpoint list as a file in the form of Prometheus file service discovery.
+// EndpointList writes the endpoint list to a file in the format of Prometheus file service discovery.
 type EndpointList struct {
-	mu      sync.Mutex
-	path    string
-	tape    *invariants.Recorder
-	entries []listEntry
+	mu       sync.Mutex
+	path     string
+	recorder *invariants.Recorder
+	entries  []listEntry
 }
 
 type listEntry struct {
@@ -30,7 +31,7 @@
 	phase  string
 }
 
-// TargetGroup is one entry of the file. Its fields stand in the order of their keys.
+// TargetGroup is one entry of the file. Its fields are sorted by their keys.
 type TargetGroup struct {
 	Labels  *TargetLabels `json:"labels,omitempty"`
 	Targets []string      `json:"targets"`
@@ -46,17 +47,17 @@
 	Zone     string `json:"zone,omitempty"`
 }
 
-// NewEndpointList writes the list for the first time, with all workers serving.
-func NewEndpointList(path string, tape *invariants.Recorder, workers []*Worker) (*EndpointList, error) {
-	l := &EndpointList{path: path, tape: tape}
+// NewEndpointList writes a list with all workers serving.
+func NewEndpointList(path string, recorder *invariants.Recorder, workers []*Worker) (*EndpointList, error) {
+	l := &EndpointList{path: path, recorder: recorder}
 	for _, w := range workers {
 		l.entries = append(l.entries, listEntry{w, phaseServing})
 	}
 	return l, l.write()
 }
 
-// SetPhase changes or adds a worker's entry; phase "gone" removes it. The change is recorded before the file is written, so
-// no front end learns of it earlier than the recording says.
+// SetPhase changes or adds a worker's entry; the state "gone" removes it. It records the change before it writes the
+// file, so that no front end receives it earlier than the recording says.
 func (l *EndpointList) SetPhase(w *Worker, phase string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -65,17 +66,11 @@
 	if cold {
 		started = unixSeconds(startedAt)
 	}
-	kept := l.entries[:0]
-	for _, entry := range l.entries {
-		if entry.worker != w {
-			kept = append(kept, entry)
-		}
-	}
-	l.entries = kept
+	l.entries = slices.DeleteFunc(l.entries, func(entry listEntry) bool { return entry.worker == w })
 	if phase != phaseGone {
 		l.entries = append(l.entries, listEntry{w, phase})
 	}
-	l.tape.Add(invariants.Record{Kind: invariants.EndpointUpdated, Worker: w.Name(), EndpointState: phase, StartedAt: started})
+	l.recorder.Add(invariants.Record{Kind: invariants.EndpointUpdated, Worker: w.Name(), EndpointState: phase, StartedAt: started})
 	return l.write()
 }
 
@@ -92,12 +87,12 @@
 }
 
 func (e listEntry) targetGroup() TargetGroup {
-	spec := e.worker.spec
+	config := e.worker.config
 	labels := &TargetLabels{
-		Instance: spec.Name,
-		Kind:     spec.MachineType,
+		Instance: config.Name,
+		Kind:     config.MachineType,
 		Phase:    e.phase,
-		Size:     fmt.Sprintf("%g", float64(spec.Cores)*spec.Speed),
+		Size:     fmt.Sprintf("%g", float64(config.Cores)*config.Speed),
 		Zone:     "room-1",
 	}
 	if startedAt, cold := e.worker.StartedAt(); cold {
--- a/internal/verification/fakes/faults.go
+++ b/internal/verification/fakes/faults.go
@@ -5,43 +5,50 @@
 	"time"
 )
 
-// FaultKind names what goes wrong with a worker. The names stand in scripts and on the wire.
+// FaultKind is a kind of fault of a worker. Its values are part of the request that injects a fault.
 type FaultKind string
 
-// Kinds of faults.
+// Kinds of fault. Inject accepts older names of them as well, see deprecatedFaultKinds.
 const (
-	FaultHang              FaultKind = "hang"         // accepts requests and answers none, also not after the fault ended
-	FaultLoseResponses     FaultKind = "lose"         // runs requests and loses the responses
-	FaultErrors            FaultKind = "errors"       // answers 500
-	FaultVersionErrors     FaultKind = "errors-of"    // answers 500 for one version
-	FaultSlow              FaultKind = "slow"         // takes a multiple of the time
-	FaultSuspend           FaultKind = "stall"        // stands still, and goes on when the fault ends
-	FaultReset             FaultKind = "reset"        // resets the connection
-	FaultTruncateResponses FaultKind = "cut"          // closes the connection within the response
-	FaultStaleReports      FaultKind = "late-reports" // repeats an old load report
-	FaultWrongDigest       FaultKind = "wrong-digest" // fetches an image of another digest, which is thrown away
-	FaultMisreportDigest   FaultKind = "liar"         // names another version than the one that ran
+	FaultHang              FaultKind = "hang"             // accepts requests and never responds, even after the fault ended
+	FaultLoseResponses     FaultKind = "lose"             // executes requests and loses the responses
+	FaultErrors            FaultKind = "errors"           // responds 500
+	FaultVersionErrors     FaultKind = "errors-of"        // responds 500 for one version
+	FaultSlow              FaultKind = "slow"             // takes a multiple of the time
+	FaultSuspend           FaultKind = "suspend"          // does nothing until the fault ends
+	FaultReset             FaultKind = "reset"            // resets the connection
+	FaultTruncateResponses FaultKind = "truncate"         // closes the connection within the response
+	FaultStaleReports      FaultKind = "late-reports"     // repeats an old load report
+	FaultWrongDigest       FaultKind = "wrong-digest"     // fetches an image of another digest, and discards it
+	FaultMisreportDigest   FaultKind = "misreport-digest" // names another version than the one that executed the request
 )
 
+// deprecatedFaultKinds maps the names of earlier builds to the present ones. Inject accepts them.
+var deprecatedFaultKinds = map[FaultKind]FaultKind{
+	"stall": FaultSuspend,
+	"cut":   FaultTruncateResponses,
+	"liar":  FaultMisreportDigest,
+}
+
 var faultKinds = map[FaultKind]bool{
 	FaultHang: true, FaultLoseResponses: true, FaultErrors: true, FaultVersionErrors: true, FaultSlow: true, FaultSuspend: true,
 	FaultReset: true, FaultTruncateResponses: true, FaultStaleReports: true, FaultWrongDigest: true, FaultMisreportDigest: true,
 }
 
-// untilLifted is longer than any process runs: the duration of a fault that states none.
-const untilLifted = 1000 * time.Hour
+// maxFaultDuration is the duration of a fault that states none. It exceeds the life of any process.
+const maxFaultDuration = 1000 * time.Hour
 
-// Fault is what goes wrong with a worker, for a time or until another fault of its kind takes its place.
+// Fault is a fault of a worker. It lasts for its duration, or until another fault of its kind replaces it.
 type Fault struct {
 	Kind     FaultKind `json:"kind"`
 	Duration float64   `json:"for"`    // seconds; 0: until replaced
-	Fraction float64   `json:"part"`   // share of the requests that it meets; 0: all
-	Slowdown float64   `json:"times"`  // slowdown factor
-	Bytes    int       `json:"bytes"`  // of the response that are sent before a cut
-	Digest   string    `json:"digest"` // version that fails
+	Fraction float64   `json:"part"`   // of the requests that it affects; 0: all
+	Slowdown float64   `json:"times"`  // factor
+	Bytes    int       `json:"bytes"`  // sent of a truncated response
+	Digest   string    `json:"digest"` // of the version that fails
 }
 
-// UnknownFaultError is the error of Inject for a kind of fault that does not exist.
+// UnknownFaultError is the error of Inject for an unknown kind of fault.
 type UnknownFaultError struct{ Kind FaultKind }
 
 func (e *UnknownFaultError) Error() string {
@@ -53,14 +60,17 @@
 	until time.Time
 }
 
-// Inject makes something go wrong. A fault takes the place of an earlier one of its kind.
+// Inject begins a fault. It replaces an earlier one of its kind.
 func (w *Worker) Inject(f Fault) error {
+	if kind, deprecated := deprecatedFaultKinds[f.Kind]; deprecated {
+		f.Kind = kind
+	}
 	if !faultKinds[f.Kind] {
 		return &UnknownFaultError{f.Kind}
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	until := time.Now().Add(untilLifted)
+	until := time.Now().Add(maxFaultDuration)
 	if f.Duration > 0 {
 		until = time.Now().Add(seconds(f.Duration))
 	}
@@ -68,8 +78,9 @@
 	return nil
 }
 
-// active returns whether a fault meets the request at hand. The caller holds the lock.
-func (w *Worker) active(kind FaultKind) (activeFault, bool) {
+// drawFault returns a fault, and whether it affects the request at hand: of a fault with a fraction, that is drawn at
+// random. The caller holds the lock.
+func (w *Worker) drawFault(kind FaultKind) (activeFault, bool) {
 	f, known := w.faults[kind]
 	if !known || time.Now().After(f.until) {
 		return f, false
--- a/internal/verification/fakes/handlers.go
+++ b/internal/verification/fakes/handlers.go
@@ -15,7 +15,7 @@
 	loadPollInterval = 2 * time.Millisecond
 )
 
-// routes are the worker's endpoints: the Open Inference Protocol, and one for faults.
+// routes returns the worker's endpoints: the Open Inference Protocol, and one that injects faults.
 func (w *Worker) routes() *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v2/models/{f}/infer", w.infer)
@@ -29,7 +29,7 @@
 	return mux
 }
 
-// reply sends a response with the worker's load report. timing, which may be empty, is how the request started.
+// reply sends a response with the worker's load report. timing may be empty, or one of the Start constants.
 func (w *Worker) reply(rw http.ResponseWriter, status int, timing string, message any) {
 	h := rw.Header()
 	h.Set("Content-Type", "application/json")
@@ -41,70 +41,70 @@
 		h.Set("Retry-After", "1")
 	}
 	rw.WriteHeader(status)
-	_ = json.NewEncoder(rw).Encode(message) // the client may be gone
+	_ = json.NewEncoder(rw).Encode(message) // the client may have closed
 }
 
-// loadReport is the present load, or an old report under FaultStaleReports.
+// loadReport returns a report of the current load, or an old one under FaultStaleReports.
 func (w *Worker) loadReport() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if _, stale := w.active(FaultStaleReports); !stale || w.report == "" {
+	if _, stale := w.drawFault(FaultStaleReports); !stale || w.report == "" {
 		w.report = fmt.Sprintf("TEXT cpu_utilization=%.2f, named_metrics.running=%d, named_metrics.waiting=%d",
-			float64(w.running)/float64(w.spec.Cores), w.running, len(w.queue))
+			float64(w.running)/float64(w.config.Cores), w.running, len(w.queue))
 	}
 	return w.report
 }
 
 func handleHealth(rw http.ResponseWriter, _ *http.Request) {
-	_, _ = rw.Write([]byte("{}")) // the client may be gone
+	_, _ = rw.Write([]byte("{}")) // the client may have closed
 }
 
-// handleLoad serves a load command: it answers when the replicas are ready, or when it is clear that they won't be.
+// handleLoad serves a load command. It responds when the replicas are ready, or none is loading.
 func (w *Worker) handleLoad(rw http.ResponseWriter, r *http.Request) {
 	var command LoadRequest
 	command.Parameters.Copies = 1
-	_ = json.NewDecoder(io.LimitReader(r.Body, maxCommandBody)).Decode(&command) // without a body one replica is meant
+	_ = json.NewDecoder(io.LimitReader(r.Body, maxCommandBody)).Decode(&command) // without a body it asks for one replica
 	want, function := command.Parameters.Copies, r.PathValue("f")
-	w.spec.Recorder.Add(invariants.Record{
-		Kind: invariants.LoadCommanded, Worker: w.spec.Name, FrontEnd: frontEndOf(r), Function: function,
+	w.config.Recorder.Add(invariants.Record{
+		Kind: invariants.LoadCommanded, Worker: w.config.Name, FrontEnd: frontEndOf(r), Function: function,
 		Replicas: want,
 	})
 	w.mu.Lock()
-	s, _ := w.replicasOf(function, command.Parameters.Digest)
+	s := w.replicas.Lookup(function, command.Parameters.Digest)
 	if s == nil {
 		w.mu.Unlock()
 		w.reply(rw, http.StatusNotFound, "", ErrorMessage{"no such function"})
 		return
 	}
 	stop := w.stop
-	if _, hangs := w.active(FaultHang); hangs {
+	if _, hangs := w.drawFault(FaultHang); hangs {
 		w.mu.Unlock()
 		awaitEither(r.Context().Done(), stop)
 		abort()
 	}
-	for s.ready+s.loading < want {
+	for s.Ready+s.Loading < want {
 		if !w.startLoad(s) {
 			w.mu.Unlock()
 			w.reply(rw, http.StatusServiceUnavailable, "", ErrorMessage{"no room"})
 			return
 		}
 	}
-	s.idleSince = time.Now()
+	s.IdleSince = w.now()
 	w.mu.Unlock()
 	ready := w.awaitReplicas(r, s, want, stop)
 	if ready == 0 {
 		w.reply(rw, http.StatusInternalServerError, "", ErrorMessage{"the load failed"})
 		return
 	}
-	w.nameVersion(rw, s.digest)
+	w.nameVersion(rw, s.Digest)
 	w.reply(rw, http.StatusOK, "", LoadResponse{LoadParameters{ready}})
 }
 
-// awaitReplicas waits until so many replicas are ready or none is loading, and returns how many are ready.
-func (w *Worker) awaitReplicas(r *http.Request, s *replicaSet, want int, stop <-chan struct{}) int {
+// awaitReplicas waits until the wanted replicas are ready or none is loading, and returns the number of ready ones.
+func (w *Worker) awaitReplicas(r *http.Request, s *ReplicaSet, want int, stop <-chan struct{}) int {
 	for {
 		w.mu.Lock()
-		ready, loading := s.ready, s.loading
+		ready, loading := s.Ready, s.Loading
 		w.mu.Unlock()
 		if ready >= want || loading == 0 {
 			return ready
@@ -119,12 +119,12 @@
 	}
 }
 
-// handleUnload lets go of the idle replicas of all versions of a function.
+// handleUnload evicts the idle replicas of all versions of a function.
 func (w *Worker) handleUnload(rw http.ResponseWriter, r *http.Request) {
 	w.mu.Lock()
-	for _, s := range w.replicas {
-		if s.function.Name == r.PathValue("f") && s.busy == 0 {
-			s.ready = 0
+	for _, s := range w.replicas.All() {
+		if s.Function.Name == r.PathValue("f") && s.Busy == 0 {
+			s.Ready = 0
 		}
 	}
 	w.mu.Unlock()
@@ -133,8 +133,8 @@
 
 func (w *Worker) handleReady(rw http.ResponseWriter, r *http.Request) {
 	w.mu.Lock()
-	s := w.byName[r.PathValue("f")]
-	ready := s != nil && s.ready > 0
+	s := w.replicas.Lookup(r.PathValue("f"), "")
+	ready := s != nil && s.Ready > 0
 	w.mu.Unlock()
 	status := http.StatusOK
 	if !ready {
@@ -146,12 +146,12 @@
 func (w *Worker) handleIndex(rw http.ResponseWriter, _ *http.Request) {
 	list := []indexEntry{}
 	w.mu.Lock()
-	for _, s := range w.replicas {
+	for _, s := range w.replicas.All() {
 		switch {
-		case s.ready > 0:
-			list = append(list, indexEntry{s.function.Name, modelReady})
-		case s.loading > 0:
-			list = append(list, indexEntry{s.function.Name, modelLoading})
+		case s.Ready > 0:
+			list = append(list, indexEntry{s.Function.Name, modelReady})
+		case s.Loading > 0:
+			list = append(list, indexEntry{s.Function.Name, modelLoading})
 		}
 	}
 	w.mu.Unlock()
--- a/internal/verification/fakes/infer.go
+++ b/internal/verification/fakes/infer.go
@@ -13,28 +13,29 @@
 const (
 	maxRequestBody = 1 << 20
 
-	// cutResponse is what FaultTruncateResponses sends the beginning of: its body is shorter than it says.
-	cutResponse = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 400\r\n\r\n{\"a\":1}"
-	// maxCutBytes leaves the response incomplete within its head.
-	maxCutBytes = 70
+	// truncatedResponse is the response of which FaultTruncateResponses sends the beginning. Its body is shorter than its
+	// Content-Length.
+	truncatedResponse = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 400\r\n\r\n{\"a\":1}"
+	// maxTruncatedBytes is the maximum length of that beginning. It ends within the header.
+	maxTruncatedBytes = 70
 )
 
-// inference is one attempt of a request at a worker, from its arrival to its end.
+// inference is one attempt of a request at a worker.
 type inference struct {
 	w        *Worker
 	rw       http.ResponseWriter
 	r        *http.Request
 	function string
-	digest   string // of the version that the front end wants
+	digest   string // of the version that the front end asks for
 	body     []byte
 	record   invariants.Record
-	status   int // of the response; 0: none
+	status   int // of the response; 0 if there was none
 }
 
-// infer serves one attempt.
+// infer serves an attempt.
 func (w *Worker) infer(rw http.ResponseWriter, r *http.Request) {
 	c, err := w.newInference(rw, r)
-	defer func() { c.note(invariants.AttemptEnded, c.status) }()
+	defer func() { c.recordEvent(invariants.AttemptEnded, c.status) }()
 	if err != nil {
 		abort()
 	}
@@ -44,8 +45,8 @@
 	}
 	first := c.isFirst()
 	if first {
-		c.record.Digest = q.replicas.digest
-		c.note(invariants.Executed, 0)
+		c.record.Digest = q.replicas.Digest
+		c.recordEvent(invariants.Executed, 0)
 	}
 	c.execute(q, stop)
 	c.respond(q, stop, first)
@@ -60,67 +61,67 @@
 		digest:   strings.Trim(r.Header.Get("If-Match"), `"`),
 	}
 	c.record = invariants.Record{
-		Worker:    w.spec.Name,
-		RequestID: unescaped(r.Header.Get("Ce-Source")) + "#" + unescaped(r.Header.Get("Ce-Id")),
-		Class:     unescaped(r.Header.Get("Ce-Type")),
+		Worker:    w.config.Name,
+		RequestID: unescape(r.Header.Get("Ce-Source")) + "#" + unescape(r.Header.Get("Ce-Id")),
+		Class:     unescape(r.Header.Get("Ce-Type")),
 		Function:  c.function,
 		FrontEnd:  frontEndOf(r),
-		CallID:    w.spec.Recorder.NextCallID(),
+		CallID:    w.config.Recorder.NextCallID(),
 		Digest:    c.digest,
 	}
-	c.note(invariants.AttemptStarted, 0)
+	c.recordEvent(invariants.AttemptStarted, 0)
 	return c, err
 }
 
-func (c *inference) note(kind invariants.Kind, status int) {
+func (c *inference) recordEvent(kind invariants.Kind, status int) {
 	c.record.Kind, c.record.Status = kind, status
-	c.w.spec.Recorder.Add(c.record)
+	c.w.config.Recorder.Add(c.record)
 }
 
-// fail answers with an error.
+// fail responds with an error.
 func (c *inference) fail(status int, timing, text string) {
 	c.status = status
 	c.w.reply(c.rw, status, timing, ErrorMessage{text})
 }
 
-// admit puts the request in the worker's queue, unless a fault meets it or it is rejected: then it is answered and the
-// result is nil. stop is closed when the process ends that took the request.
+// admit puts the request in the worker's queue. If a fault affects it or it is rejected, admit responds and returns nil.
+// stop is closed when the worker's present process ends.
 func (c *inference) admit() (q *queuedRequest, stop <-chan struct{}) {
 	w := c.w
 	w.mu.Lock()
-	if w.overloaded() {
+	if !w.countArrival() {
 		w.mu.Unlock()
 		abort()
 	}
-	c.waitOutSilence()
-	if _, reset := w.active(FaultReset); reset {
+	c.awaitFaultEnd()
+	if _, reset := w.drawFault(FaultReset); reset {
 		w.mu.Unlock()
-		hijackAndReset(c.rw)
+		resetConnection(c.rw)
 		return nil, nil
 	}
-	versionFault, failsVersion := w.active(FaultVersionErrors)
+	versionFault, failsVersion := w.drawFault(FaultVersionErrors)
 	failsVersion = failsVersion && versionFault.Digest == c.digest
-	if _, failsAll := w.active(FaultErrors); failsAll || failsVersion {
+	if _, failsAll := w.drawFault(FaultErrors); failsAll || failsVersion {
 		w.mu.Unlock()
 		c.fail(http.StatusInternalServerError, "", "the function failed")
 		return nil, nil
 	}
-	q, refusal := w.enqueue(c.function, c.digest)
+	q, rejection := w.enqueue(c.function, c.digest)
 	stop = w.stop
 	w.mu.Unlock()
 	if q == nil {
-		c.fail(refusal, "", http.StatusText(refusal))
+		c.fail(rejection, "", http.StatusText(rejection))
 	}
 	return q, stop
 }
 
-// waitOutSilence waits until no fault keeps the worker silent. A hanging one never answers the requests that it took,
-// also not when it is well again. The caller holds the lock, which is given up while it waits.
-func (c *inference) waitOutSilence() {
+// awaitFaultEnd waits until the worker neither hangs nor is suspended. After a hang it aborts, as a hanging worker never
+// responds to the requests that it accepted. The caller holds the lock; awaitFaultEnd releases it while it waits.
+func (c *inference) awaitFaultEnd() {
 	w, cancelled := c.w, c.r.Context().Done()
 	for _, kind := range []FaultKind{FaultHang, FaultSuspend} {
-		fault, silent := w.active(kind)
-		if !silent {
+		fault, affected := w.drawFault(kind)
+		if !affected {
 			continue
 		}
 		stop := w.stop
@@ -140,7 +141,7 @@
 	}
 }
 
-// awaitStart waits for a replica and a core, and answers where the load failed.
+// awaitStart waits for a replica and a core. If the load failed it responds and returns false.
 func (c *inference) awaitStart(q *queuedRequest, stop <-chan struct{}) bool {
 	select {
 	case signal := <-q.start:
@@ -157,18 +158,18 @@
 	return true
 }
 
-// isFirst returns whether the request has its effect: it is not a repeat that the workers drop.
+// isFirst reports whether the request is executed, and not a duplicate that the workers drop.
 func (c *inference) isFirst() bool {
-	spec := &c.w.spec
-	return !spec.IdempotentByKeyClasses[c.record.Class] || spec.Deduplicator == nil || spec.Deduplicator.IsFirst(c.record.RequestID)
+	config := &c.w.config
+	return !config.IdempotentByKeyClasses[c.record.Class] || config.Deduplicator == nil || config.Deduplicator.IsFirst(c.record.RequestID)
 }
 
-// execute takes the time of the work, and gives the replica back. It does not return where the process ends meanwhile.
+// execute takes the time of the work, and releases the replica. It aborts if the process ends meanwhile.
 func (c *inference) execute(q *queuedRequest, stop <-chan struct{}) {
 	w := c.w
 	w.mu.Lock()
-	duration := q.replicas.function.MeanWork / w.spec.Speed / w.warmth() * (0.7 + 0.6*w.rng.Float64())
-	if f, slow := w.active(FaultSlow); slow {
+	duration := q.replicas.Function.MeanWork / w.config.Speed / w.capacityFraction() * (0.7 + 0.6*w.rng.Float64())
+	if f, slow := w.drawFault(FaultSlow); slow {
 		duration *= max(f.Slowdown, 1)
 	}
 	w.mu.Unlock()
@@ -182,28 +183,28 @@
 	w.mu.Unlock()
 }
 
-// respond sends the response, or what a fault leaves of it.
+// respond sends the response, subject to the worker's faults.
 func (c *inference) respond(q *queuedRequest, stop <-chan struct{}, first bool) {
 	w := c.w
 	w.mu.Lock()
-	_, loses := w.active(FaultLoseResponses)
-	cut, cuts := w.active(FaultTruncateResponses)
+	_, lost := w.drawFault(FaultLoseResponses)
+	truncation, truncated := w.drawFault(FaultTruncateResponses)
 	w.mu.Unlock()
 	switch {
-	case loses: // it ran, and nobody learns of it
+	case lost:
 		awaitEither(c.r.Context().Done(), stop)
 		abort()
-	case cuts:
-		hijackAndCut(c.rw, []byte(cutResponse)[:min(cut.Bytes, maxCutBytes)])
+	case truncated:
+		truncateResponse(c.rw, []byte(truncatedResponse)[:min(truncation.Bytes, maxTruncatedBytes)])
 	default:
 		c.status = http.StatusOK
-		w.nameVersion(c.rw, q.replicas.digest)
+		w.nameVersion(c.rw, q.replicas.Digest)
 		w.reply(c.rw, http.StatusOK, q.startKind, c.response(q, first))
 	}
 }
 
 func (c *inference) response(q *queuedRequest, first bool) InferResponse {
-	m := InferResponse{ID: unescaped(c.r.Header.Get("Ce-Id")), ModelName: q.replicas.function.Name, Outputs: []struct{}{}}
+	m := InferResponse{ID: unescape(c.r.Header.Get("Ce-Id")), ModelName: q.replicas.Function.Name, Outputs: []struct{}{}}
 	switch {
 	case len(c.body) > 0:
 		m.Parameters = &InferParameters{Bytes: len(c.body)}
@@ -213,26 +214,27 @@
 	return m
 }
 
-// nameVersion names the version that ran or is ready. FaultMisreportDigest names another.
+// nameVersion sets the header that names the version which was executed or is ready. FaultMisreportDigest sets another.
 func (w *Worker) nameVersion(rw http.ResponseWriter, digest string) {
 	if digest == "" {
 		return
 	}
 	w.mu.Lock()
-	if _, wrong := w.active(FaultMisreportDigest); wrong {
+	if _, wrong := w.drawFault(FaultMisreportDigest); wrong {
 		digest = digest[:len(digest)-4] + "0000"
 	}
 	w.mu.Unlock()
 	rw.Header().Set("Docker-Content-Digest", digest)
 }
 
-// frontEndOf is the name of the front end that sent a request.
+// frontEndOf returns the name of the front end that sent a request.
 func frontEndOf(r *http.Request) string {
 	_, name, _ := strings.Cut(r.Header.Get("Via"), " ")
 	return name
 }
 
-func unescaped(value string) string {
+// unescape returns a header's value without percent-encoding, or as it is if that is malformed.
+func unescape(value string) string {
 	if s, err := url.PathUnescape(value); err == nil {
 		return s
 	}
@@ -245,30 +247,3 @@
 	case <-b:
 	}
 }
-
-// abort breaks the connection; a handler that just returned would have answered 200.
-func abort() { panic(http.ErrAbortHandler) }
-
-// hijackAndReset resets the connection of a request.
-func hijackAndReset(rw http.ResponseWriter) {
-	conn, _, err := rw.(http.Hijacker).Hijack()
-	if err != nil {
-		return
-	}
-	resetOnClose(conn)
-	_ = conn.Close() // the connection is to be broken
-}
-
-// hijackAndCut sends the beginning of a response and closes the connection; without a beginning it resets it.
-func hijackAndCut(rw http.ResponseWriter, beginning []byte) {
-	if len(beginning) == 0 {
-		hijackAndReset(rw)
-		return
-	}
-	conn, _, err := rw.(http.Hijacker).Hijack()
-	if err != nil {
-		return
-	}
-	_, _ = conn.Write(beginning) // the client may be gone
-	_ = conn.Close()             // the connection is to be broken
-}
--- a/internal/verification/fakes/main_test.go
+++ b/internal/verification/fakes/main_test.go
@@ -6,7 +6,7 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain fails where a goroutine that a test started outlives all tests.
+// TestMain fails if a goroutine that a test started outlives all tests.
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m)
 }
--- a/internal/verification/fakes/messages.go
+++ b/internal/verification/fakes/messages.go
@@ -1,6 +1,6 @@
 package fakes
 
-// Messages of the Open Inference Protocol, as workers send and take them. Fields stand in the order of their keys.
+// Messages of the Open Inference Protocol. Fields are in the order of their keys on the wire.
 
 // EmptyMessage is a response without content.
 type EmptyMessage struct{}
@@ -10,7 +10,7 @@
 	Error string `json:"error"`
 }
 
-// InferResponse is the response to a request that ran.
+// InferResponse is the response to a request that was executed.
 type InferResponse struct {
 	ID         string           `json:"id"`
 	ModelName  string           `json:"model_name"`
@@ -18,10 +18,10 @@
 	Parameters *InferParameters `json:"parameters,omitempty"`
 }
 
-// InferParameters are what a worker reports of a request that ran.
+// InferParameters are the parameters of an InferResponse.
 type InferParameters struct {
 	Bytes  int  `json:"bytes,omitempty"`  // of the request's body
-	Repeat bool `json:"repeat,omitempty"` // the request had run before and was not run again
+	Repeat bool `json:"repeat,omitempty"` // the request was a duplicate and was not executed again
 }
 
 // LoadRequest is a load command.
@@ -37,16 +37,16 @@
 	Parameters LoadParameters `json:"parameters"`
 }
 
-// LoadParameters are how many replicas are ready.
+// LoadParameters are the parameters of a LoadResponse.
 type LoadParameters struct {
-	Copies int `json:"copies"`
+	Copies int `json:"copies"` // ready replicas
 }
 
-// How a request found its function, as the header Server-Timing names it.
+// Values of the header Server-Timing: how a request found its function.
 const (
 	StartWarm       = "warm"
-	StartJoined     = "joined"      // waited for a load that another began
-	StartLoad       = "load"        // began the load
+	StartJoined     = "joined"      // waited for a load that another request started
+	StartLoad       = "load"        // started the load
 	StartLoadFailed = "load-failed" // the load failed
 )
 
--- a/internal/verification/fakes/queue.go
+++ b/internal/verification/fakes/queue.go
@@ -3,38 +3,37 @@
 import (
 	"net/http"
 	"slices"
-	"time"
 )
 
-// startSignal ends the wait of a queued request.
+// startSignal ends the wait of a request in the queue.
 type startSignal int
 
 const (
-	startRunning startSignal = iota // a replica and a core are its own
+	startRunning startSignal = iota // it holds a replica and a core
 	startFailed                     // the load that it waited for failed
 )
 
-// queuedRequest is a request that waits for a replica and a core, or runs.
+// queuedRequest is a request that waits for a replica and a core, or is in progress.
 type queuedRequest struct {
-	replicas  *replicaSet
+	replicas  *ReplicaSet
 	startKind string
 	start     chan startSignal
 }
 
-// enqueue puts a request in the queue, or returns the status that rejects it. The caller holds the lock.
+// enqueue puts a request in the queue, or returns the status with which it is rejected. The caller holds the lock.
 func (w *Worker) enqueue(name, digest string) (*queuedRequest, int) {
-	s, other := w.replicasOf(name, digest)
+	s := w.replicas.Lookup(name, digest)
 	if s == nil {
 		return nil, http.StatusNotFound
 	}
-	if s.ready+s.loading == 0 && other != nil && !w.spec.LoadsOnRequest {
-		return nil, http.StatusPreconditionFailed // another version is ready, which must not run this
+	if digest != "" && s.Ready+s.Loading == 0 && !w.config.LoadsOnRequest && w.replicas.HasOtherVersion(s) {
+		return nil, http.StatusPreconditionFailed // only another version is ready, which must not execute it
 	}
 	q := &queuedRequest{replicas: s, startKind: StartWarm, start: make(chan startSignal, 1)}
-	if s.ready == 0 {
+	if s.Ready == 0 {
 		q.startKind = StartJoined
-		if s.loading == 0 {
-			if !w.spec.LoadsOnRequest {
+		if s.Loading == 0 {
+			if !w.config.LoadsOnRequest {
 				return nil, http.StatusNotFound
 			}
 			q.startKind = StartLoad
@@ -43,7 +42,7 @@
 			}
 		}
 	}
-	if len(w.queue) >= w.spec.QueueLimit {
+	if len(w.queue) >= w.config.QueueLimit {
 		return nil, http.StatusServiceUnavailable
 	}
 	w.queue = append(w.queue, q)
@@ -51,32 +50,32 @@
 	return q, 0
 }
 
-// dispatchQueue starts the requests that find a free replica and a core, in the order of their arrival, and loads one
-// more replica where all are busy. The caller holds the lock.
+// dispatchQueue starts requests in the order of their arrival, if a replica and a core are free, and loads one more
+// replica if all of a set are busy. The caller holds the lock.
 func (w *Worker) dispatchQueue() {
-	kept := w.queue[:0]
+	waiting := w.queue[:0]
 	for _, q := range w.queue {
 		s := q.replicas
-		coreFree, replicaFree := w.running < w.spec.Cores, s.busy < s.capacity()
+		coreFree, replicaFree := w.running < w.config.Cores, s.Busy < s.Capacity()
 		switch {
-		case s.ready == 0 && s.loading == 0:
+		case s.Ready == 0 && s.Loading == 0:
 			q.start <- startFailed
 		case coreFree && replicaFree:
-			s.busy++
+			s.Busy++
 			w.running++
 			q.start <- startRunning
 		default:
-			if coreFree && !replicaFree && s.ready > 0 && s.loading == 0 {
+			if coreFree && !replicaFree && s.Ready > 0 && s.Loading == 0 {
 				w.startLoad(s)
 			}
-			kept = append(kept, q)
+			waiting = append(waiting, q)
 		}
 	}
-	clear(w.queue[len(kept):])
-	w.queue = kept
+	clear(w.queue[len(waiting):])
+	w.queue = waiting
 }
 
-// cancel takes a request out of the queue. One that was started in the same moment gives its core back.
+// cancel removes a request from the queue. If it was started at the same moment, cancel releases its replica and core.
 func (w *Worker) cancel(q *queuedRequest) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -91,17 +90,17 @@
 	}
 }
 
-// finish gives the replica and the core of a request back. The caller holds the lock.
+// finish releases the replica and the core of a request. The caller holds the lock.
 func (w *Worker) finish(q *queuedRequest) {
 	s := q.replicas
-	s.busy--
+	s.Busy--
 	w.running--
-	if s.outdated > 0 && s.busy <= (s.ready-1)*s.function.Concurrency {
-		s.outdated--
-		s.ready--
+	if s.Outdated > 0 && s.Busy <= (s.Ready-1)*s.Function.Concurrency {
+		s.Outdated--
+		s.Ready--
 	}
-	if s.busy == 0 {
-		s.idleSince = time.Now()
+	if s.Busy == 0 {
+		s.IdleSince = w.now()
 	}
 	w.dispatchQueue()
 }
--- a/internal/verification/fakes/registry.go
+++ b/internal/verification/fakes/registry.go
@@ -13,11 +13,11 @@
 	ocispec "github.com/opencontainers/image-spec/specs-go/v1"
 )
 
-// Registry is an OCI registry, for reading: manifests by tag and digest, blobs, referrers, and authentication by a
-// basic challenge or by bearer tokens. It fails on command.
+// Registry is a read-only OCI registry: it serves manifests by tag and digest, blobs and referrers, with basic
+// authentication or bearer tokens. FailNext makes it fail.
 type Registry struct {
 	server *httptest.Server
-	user   string // empty: no authentication
+	user   string // empty for no authentication
 	secret string
 
 	mu        sync.Mutex
@@ -25,17 +25,17 @@
 	blobs     map[digest.Digest][]byte
 	referrers map[digest.Digest][]ocispec.Descriptor // by subject
 
-	truncated  int // next responses whose content is cut off
-	corrupted  int // next responses whose content is something else
-	failing    int // next requests that are answered with failStatus
+	truncated  int // number of next responses with truncated content
+	corrupted  int // number of next responses with corrupted content
+	failing    int // number of next requests that get failStatus
 	failStatus int
 
-	tokenUses     int // requests that a bearer token is good for; 0: basic authentication
-	tokenUsesLeft int // of the newest token
+	tokenUses     int // requests that a bearer token is valid for; 0 for basic authentication
+	tokenUsesLeft int // of the latest token
 	tokensIssued  int
 }
 
-// NewRegistry starts a registry. Where user is not empty it asks for it and the secret.
+// NewRegistry starts a registry. It requires user and secret unless user is empty.
 func NewRegistry(user, secret string) *Registry {
 	r := &Registry{
 		tags: map[string]digest.Digest{}, blobs: map[digest.Digest][]byte{},
@@ -45,27 +45,27 @@
 	return r
 }
 
-// URL returns where it listens.
+// URL returns its base URL.
 func (r *Registry) URL() string { return r.server.URL }
 
-// Close ends it.
+// Close shuts it down.
 func (r *Registry) Close() { r.server.Close() }
 
-// RequireTokens makes the registry hand out bearer tokens, each of which expires after so many requests.
+// RequireTokens makes the registry issue bearer tokens, each of which is valid for a number of requests.
 func (r *Registry) RequireTokens(uses int) {
 	r.mu.Lock()
 	r.tokenUses = uses
 	r.mu.Unlock()
 }
 
-// TokensIssued returns how many tokens were handed out.
+// TokensIssued returns the number of tokens issued so far.
 func (r *Registry) TokensIssued() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.tokensIssued
 }
 
-// Push adds a version with its layers and makes tags name it.
+// Push adds a version with its layers, and points tags at it.
 func (r *Registry) Push(repository string, annotations map[string]string, layers [][]byte, tags ...string) digest.Digest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -109,8 +109,8 @@
 	r.mu.Unlock()
 }
 
-// FailNext makes the next responses fail: so many with truncated content, so many with corrupted content, and so many
-// requests answered with a status.
+// FailNext makes the next responses fail. truncated and corrupted are numbers of responses with such content; failing is
+// the number of requests that get status.
 func (r *Registry) FailNext(truncated, corrupted, failing, status int) {
 	r.mu.Lock()
 	r.truncated, r.corrupted, r.failing, r.failStatus = truncated, corrupted, failing, status
@@ -127,7 +127,7 @@
 	m.SchemaVersion = 2
 	data, err := json.Marshal(m)
 	if err != nil {
-		panic(err) // a manifest always has a JSON form
+		panic(err) // a manifest can always be encoded
 	}
 	return r.addBlob(m.MediaType, data)
 }
@@ -160,20 +160,20 @@
 	r.serveContent(w, req, d)
 }
 
-// authorize checks who asks, by the Docker token scheme or by a basic challenge, and answers where the request goes no
-// further.
+// authorize authenticates a request, by the Docker token scheme or by basic authentication. If it returns false it has
+// responded.
 func (r *Registry) authorize(w http.ResponseWriter, req *http.Request) bool {
 	user, secret, _ := req.BasicAuth()
-	known := user == r.user && secret == r.secret
+	valid := user == r.user && secret == r.secret
 	switch {
-	case r.user == "" || r.tokenUses == 0 && known:
+	case r.user == "" || r.tokenUses == 0 && valid:
 		return true
 	case r.tokenUses == 0:
 		w.Header().Set("WWW-Authenticate", `Basic realm="registry"`)
-	case req.URL.Path == "/token" && known:
+	case req.URL.Path == "/token" && valid:
 		r.tokensIssued++
 		r.tokenUsesLeft = r.tokenUses
-		_, _ = fmt.Fprintf(w, `{"token":"t%d"}`, r.tokensIssued) // the client may be gone
+		_, _ = fmt.Fprintf(w, `{"token":"t%d"}`, r.tokensIssued) // the client may have closed
 		return false
 	case req.Header.Get("Authorization") == fmt.Sprintf("Bearer t%d", r.tokensIssued) && r.tokenUsesLeft > 0:
 		r.tokenUsesLeft--
@@ -186,7 +186,7 @@
 	return false
 }
 
-// resolve returns the digest that a path names, and the media type of what it names.
+// resolve returns the digest that a path names, and the media type of its content.
 func (r *Registry) resolve(path string) (d digest.Digest, mediaType string) {
 	if repository, ref, ok := strings.Cut(path, "/manifests/"); ok {
 		if d = r.tags[repository+":"+ref]; d == "" {
@@ -204,7 +204,7 @@
 	w.Header().Set("Content-Type", ocispec.MediaTypeImageIndex)
 	index := ocispec.Index{MediaType: ocispec.MediaTypeImageIndex, Manifests: append([]ocispec.Descriptor{}, r.referrers[subject]...)}
 	index.SchemaVersion = 2
-	_ = json.NewEncoder(w).Encode(index) // the client may be gone
+	_ = json.NewEncoder(w).Encode(index) // the client may have closed
 }
 
 func (r *Registry) serveContent(w http.ResponseWriter, req *http.Request, d digest.Digest) {
@@ -227,7 +227,7 @@
 		r.corrupted--
 		content = []byte(strings.Repeat("x", len(data)))
 	}
-	_, _ = w.Write(content) // the client may be gone
+	_, _ = w.Write(content) // the client may have closed
 	if truncate {
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/verification/fakes/site_config.go
+++ b/internal/verification/fakes/site_config.go
@@ -2,33 +2,32 @@
 
 import "encoding/json"
 
-// Request classes of a fake site, by what they promise about running a request more than once.
+// Request classes of a fake site, by their delivery semantics.
 const (
 	ClassIdempotent      = "shop-event"
 	ClassIdempotentByKey = "till-entry"
 	ClassAtMostOnce      = "price-reset"
 )
 
-// RequestClasses returns all of them, in the order in which clients draw from them.
+// RequestClasses returns all request classes, in the order in which clients draw from them.
 func RequestClasses() []string {
 	return []string{ClassIdempotent, ClassIdempotentByKey, ClassAtMostOnce}
 }
 
-// MachineType returns the machine type of a worker by its number, and its speed: every third one is slower.
-func MachineType(number int) (kind string, speed float64) {
+// MachineType returns the machine type and the speed of a worker by its number. Every third worker is slower.
+func MachineType(number int) (string, float64) {
 	if number%3 == 2 {
 		return "eco", 0.7
 	}
 	return "std", 1
 }
 
-// ClassSemantics returns what each request class promises, as invariants.Rules has it.
+// ClassSemantics returns the delivery semantics of the request classes, in the terms of invariants.Rules.
 func ClassSemantics() map[string]string {
 	return map[string]string{ClassIdempotent: "redeliverable", ClassIdempotentByKey: "keyed", ClassAtMostOnce: "at-most-once"}
 }
 
-// SiteConfig is the configuration document of the front ends of a fake site, in the program's own keys. Times are
-// seconds.
+// SiteConfig is the configuration document of the front ends of a fake site, with the program's keys. Times are seconds.
 type SiteConfig struct {
 	Name      string           `json:"name,omitempty"`
 	Listen    []string         `json:"listen,omitempty"`
@@ -56,7 +55,7 @@
 	LoadTime    float64 `json:"load_s"`
 }
 
-// WorkersConfig is how a SiteConfig reaches workers. What is 0 has the program's default.
+// WorkersConfig is the configuration of connections to workers in a SiteConfig. Zero fields have the program's default.
 type WorkersConfig struct {
 	IdleReplicaLifetime float64 `json:"keep_warm_s"`
 	LoadsOnRequest      bool    `json:"load_on_event"`
@@ -65,7 +64,7 @@
 	LoadTimeout         float64 `json:"order_limit_s,omitempty"`
 }
 
-// RulesConfig is the limits of the routing rules in a SiteConfig.
+// RulesConfig has the limits of the routing rules in a SiteConfig.
 type RulesConfig struct {
 	InitialCapacityFraction float64 `json:"cold_share"`
 	WarmUpTime              float64 `json:"warm_within_s"`
@@ -77,15 +76,15 @@
 	LoadsPerRequest         float64 `json:"load_share"`
 }
 
-// LimitsConfig is the limits of clients in a SiteConfig. What is 0 has the program's default.
+// LimitsConfig has the limits of clients in a SiteConfig. Zero fields have the program's default.
 type LimitsConfig struct {
 	ResponseMargin    float64 `json:"answer_margin_s"`
 	IdleTimeout       float64 `json:"idle_s,omitempty"`
 	ResponseRetention float64 `json:"remember_s,omitempty"`
 }
 
-// ClassConfigs returns the request classes with one latency objective and timeout, and the time for which workers drop
-// repeats of keyed requests.
+// ClassConfigs returns the request classes, all with the same latency objective and timeout. deduplicationWindow is the
+// time for which workers drop duplicates of requests with an idempotency key.
 func ClassConfigs(latencyObjective, timeout, deduplicationWindow float64) []ClassConfig {
 	return []ClassConfig{
 		{Name: ClassIdempotent, LatencyObjective: latencyObjective, Timeout: timeout},
@@ -97,7 +96,7 @@
 	}
 }
 
-// FunctionConfigs returns the figures of functions as the front ends are configured with them.
+// FunctionConfigs returns the front ends' configuration of functions.
 func FunctionConfigs(functions []Function) []FunctionConfig {
 	var list []FunctionConfig
 	for _, f := range functions {
--- a/internal/verification/fakes/store.go
+++ b/internal/verification/fakes/store.go
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// ErrFetchRejected is the error of a fetch that the store did not finish: it was overloaded, out of service, or the
-// worker stopped meanwhile.
-var ErrFetchRejected = errors.New("the store turned the fetch away")
+// ErrFetchRejected is returned for a fetch that the store did not complete because it was overloaded or out of service,
+// or the worker stopped.
+var ErrFetchRejected = errors.New("fetch rejected by the store")
 
-// Store is the function store that all workers share. It slows down when more fetch at once than it can serve, and
-// rejects fetches past a limit.
+// Store is the function store that all workers share. It slows down when there are more concurrent fetches than it serves
+// at full speed, and rejects fetches past a limit.
 type Store struct {
-	FullSpeedFetches int // concurrent fetches without slowing down
-	MaxFetches       int // concurrent fetches; further ones are rejected
-	Fetches          int // accepted so far
+	FullSpeedFetches int // concurrent fetches without slowdown
+	MaxFetches       int // maximum number of concurrent fetches; further ones are rejected
+	Fetches          int // number accepted so far
 
-	mu       sync.Mutex
-	slowdown float64 // factor, by a fault
-	outUntil time.Time
-	inFlight int
+	mu          sync.Mutex
+	slowdown    float64 // factor
+	rejectUntil time.Time
+	inFlight    int
 }
 
-// NewStore returns a store that serves pace fetches at full speed and at most of them at once.
-func NewStore(pace, most int) *Store {
-	return &Store{FullSpeedFetches: pace, MaxFetches: most, slowdown: 1}
+// NewStore returns a store that serves fullSpeed concurrent fetches at full speed, and at most limit of them.
+func NewStore(fullSpeed, limit int) *Store {
+	return &Store{FullSpeedFetches: fullSpeed, MaxFetches: limit, slowdown: 1}
 }
 
-// Fetch takes as long as the store needs now for a fetch that takes base seconds on an idle one.
+// Fetch waits for a fetch that takes base seconds on an idle store, or until stop is closed.
 func (s *Store) Fetch(base float64, stop <-chan struct{}) error {
 	duration, err := s.admit(base)
 	if err != nil {
@@ -47,7 +47,7 @@
 func (s *Store) admit(base float64) (time.Duration, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if time.Now().Before(s.outUntil) || s.inFlight >= s.MaxFetches {
+	if time.Now().Before(s.rejectUntil) || s.inFlight >= s.MaxFetches {
 		return 0, ErrFetchRejected
 	}
 	s.inFlight++
@@ -61,16 +61,16 @@
 	s.mu.Unlock()
 }
 
-// SetSlowdown makes fetches take a multiple of their time; 1 is the usual speed.
+// SetSlowdown sets the factor by which fetches take longer; 1 is the normal speed.
 func (s *Store) SetSlowdown(factor float64) {
 	s.mu.Lock()
 	s.slowdown = factor
 	s.mu.Unlock()
 }
 
-// RejectFor makes the store reject all fetches for a time in seconds.
+// RejectFor rejects all fetches for a duration in seconds.
 func (s *Store) RejectFor(duration float64) {
 	s.mu.Lock()
-	s.outUntil = time.Now().Add(seconds(duration))
+	s.rejectUntil = time.Now().Add(seconds(duration))
 	s.mu.Unlock()
 }
--- a/internal/verification/fakes/worker.go
+++ b/internal/verification/fakes/worker.go
@@ -18,137 +18,138 @@
 
 	workerStream = 0x30e4 // separates the workers' random numbers from others of the same seed
 
-	// A port may be held for moments after a crash.
+	// listenAttempts and listenRetryInterval bridge the moments for which a port may stay in use after a crash.
 	listenAttempts      = 50
 	listenRetryInterval = 20 * time.Millisecond
-
-	// overloadAllowance is the number of requests that a cold worker takes beside its limit.
-	overloadAllowance = 2
 )
 
-// WorkerConfig is what a worker is. Times are seconds.
+// WorkerConfig is the configuration of a worker. Times are seconds.
 type WorkerConfig struct {
 	Name                    string
-	Addr                    string // host:port; port 0 takes a free one, which it keeps over restarts
-	MachineType             string // machine type
+	Addr                    string // host:port; port 0 takes a free one, which a restart keeps
+	MachineType             string
 	Cores                   int
 	Speed                   float64
 	Memory                  float64 // MB for replicas
-	QueueLimit              int     // requests that wait
-	MaxConcurrentLoads      int     // concurrent loads
-	IdleReplicaLifetime     float64 // an idle replica is let go after this
-	InitialCapacityFraction float64 // share of its capacity that it has at its start
+	QueueLimit              int     // maximum number of requests that wait
+	MaxConcurrentLoads      int
+	IdleReplicaLifetime     float64 // time after which an idle replica is evicted
+	InitialCapacityFraction float64 // fraction of its capacity that it has at its start
 	WarmUpTime              float64 // from its start to its full capacity
 	OverloadFactor          float64 // multiple of its capacity at which it fails while cold; 0: never
-	OverloadWindow          float64 // over which that is measured
-	LoadsOnRequest          bool    // a request for a function that is not loaded loads it; otherwise it is answered 404
-	MeanWork                float64
+	OverloadWindow          float64 // over which its load is measured
+	LoadsOnRequest          bool    // a request for a function that is not loaded loads it; otherwise the response is 404
+	MeanWork                float64 // of a request
 	Functions               []Function
 	Store                   *Store
-	Deduplicator            *Deduplicator   // drops repeats of keyed requests
-	IdempotentByKeyClasses  map[string]bool // request classes whose repeats are dropped
+	Deduplicator            *Deduplicator   // drops duplicates of requests with an idempotency key
+	IdempotentByKeyClasses  map[string]bool // request classes whose duplicates are dropped
 	Recorder                *invariants.Recorder
 	Seed                    uint64
 }
 
-// Worker is one fake worker. Its process may end and start anew; its name and address stay.
+// Worker is one fake worker. Its process may end and restart; its name and address stay.
 type Worker struct {
-	spec WorkerConfig
-	addr string // where it is reached, also after a restart
+	config    WorkerConfig
+	addr      string // kept over restarts
+	createdAt time.Time
 
 	mu          sync.Mutex
 	rng         *rand.Rand
-	replicas    []*replicaSet
-	byName      map[string]*replicaSet // by function, or function@digest
+	replicas    *ReplicaTable
 	queue       []*queuedRequest
 	running     int
-	loads       int // that are under way
+	loads       int // in progress
 	faults      map[FaultKind]activeFault
 	startedAt   time.Time
-	cold        bool        // started within the recording
-	arrivals    []time.Time // of requests while it is cold, within the window
+	cold        bool        // it started within the recording, and warms up
+	arrivals    []time.Time // of requests at a cold worker, within OverloadWindow
 	down        bool
 	incarnation int
 	stop        chan struct{} // closed when the process ends
 	server      *http.Server
 	conns       map[net.Conn]bool
-	report      string // the newest load report
+	report      string // the latest load report
 }
 
-// NewWorker starts a worker that has run for long: it is warm, and has no replicas.
-func NewWorker(spec WorkerConfig) (*Worker, error) {
-	addr := spec.Addr
+// NewWorker starts a worker that is warm, as one that has run for a long time, but has no replicas.
+func NewWorker(config WorkerConfig) (*Worker, error) {
+	addr := config.Addr
 	if addr == "" {
 		addr = anyPort
 	}
 	listener, err := listen(addr)
 	if err != nil {
-		return nil, fmt.Errorf("worker %s: %w", spec.Name, err)
+		return nil, fmt.Errorf("worker %s: %w", config.Name, err)
+	}
+	w := &Worker{
+		config: config, addr: listener.Addr().String(), createdAt: time.Now(),
+		rng: rand.New(rand.NewPCG(config.Seed, workerStream)),
 	}
-	w := &Worker{spec: spec, addr: listener.Addr().String(), rng: rand.New(rand.NewPCG(spec.Seed, workerStream))}
-	w.start(listener, false)
+	w.start(listener)
 	return w, nil
 }
 
-// Addr returns where it is reached, also while it is down.
+// Addr returns its address, also while it is down.
 func (w *Worker) Addr() string { return w.addr }
 
 // Name returns its name in the endpoint list.
-func (w *Worker) Name() string { return w.spec.Name }
+func (w *Worker) Name() string { return w.config.Name }
 
-// StartedAt returns when its process started. cold is whether it did so within the recording.
+// StartedAt returns when its process started, and whether it started cold, within the recording.
 func (w *Worker) StartedAt() (at time.Time, cold bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.startedAt, w.cold
 }
 
-// Crash kills the process: connections break, replicas and images are gone.
+// Crash kills the process: connections break, replicas and images are lost.
 func (w *Worker) Crash() {
 	w.mu.Lock()
 	w.crash()
 	w.mu.Unlock()
 }
 
-// Restart starts the process anew at the same address, cold.
+// Restart restarts the process at the same address, cold.
 func (w *Worker) Restart() error {
 	w.Crash()
 	listener, err := listen(w.addr)
 	if err != nil {
 		return err
 	}
-	w.start(listener, true)
+	w.start(listener)
 	return nil
 }
 
-// Close ends the worker.
+// Close stops the worker.
 func (w *Worker) Close() { w.Crash() }
 
-// start starts the process on a listener.
-func (w *Worker) start(listener net.Listener, cold bool) {
+// now returns the seconds since the worker was created.
+func (w *Worker) now() float64 { return time.Since(w.createdAt).Seconds() }
+
+// start starts a process on a listener. The first one counts as warm, later ones are cold.
+func (w *Worker) start(listener net.Listener) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.byName, w.replicas = map[string]*replicaSet{}, nil
-	for i := range w.spec.Functions {
-		s := &replicaSet{function: &w.spec.Functions[i]}
-		w.byName[s.function.Name] = s
-		w.replicas = append(w.replicas, s)
-	}
+	w.replicas = NewReplicaTable(w.config.Functions)
 	w.queue, w.running, w.loads, w.arrivals, w.down = nil, 0, 0, nil, false
 	w.faults, w.conns = map[FaultKind]activeFault{}, map[net.Conn]bool{}
-	w.startedAt, w.cold, w.stop = time.Now(), cold, make(chan struct{})
+	w.startedAt, w.cold, w.stop = time.Now(), w.incarnation > 0, make(chan struct{})
 	w.incarnation++
 	w.server = &http.Server{Handler: w.routes(), ErrorLog: log.New(io.Discard, "", 0), ConnState: w.onConnState}
 	server := w.server
 	go func() { _ = server.Serve(listener) }() // it returns when the server is closed
 	go w.evictIdle(w.stop)
-	if cold {
-		w.spec.Recorder.Add(invariants.Record{Kind: invariants.WorkerStarted, Worker: w.spec.Name})
+	if w.cold {
+		w.config.Recorder.Add(invariants.Record{Kind: invariants.WorkerStarted, Worker: w.config.Name})
 	}
 }
 
-func listen(addr string) (listener net.Listener, err error) {
+// listen listens at an address, and retries while it is in use.
+func listen(addr string) (net.Listener, error) {
+	var err error
 	for range listenAttempts {
+		var listener net.Listener
 		if listener, err = net.Listen("tcp", addr); err == nil {
 			return listener, nil
 		}
@@ -168,7 +169,7 @@
 		resetOnClose(conn)
 	}
 	server := w.server
-	go func() { _ = server.Close() }() // the process is gone, whatever its sockets say
+	go func() { _ = server.Close() }() // the process counts as ended, whatever the result
 }
 
 func (w *Worker) onConnState(conn net.Conn, state http.ConnState) {
@@ -179,41 +180,6 @@
 		w.conns[conn] = true
 	case http.StateClosed, http.StateHijacked:
 		delete(w.conns, conn)
+	default:
 	}
 }
-
-// resetOnClose makes the close of a connection reset it.
-func resetOnClose(conn net.Conn) {
-	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // fails only on a connection that is closed already
-	}
-}
-
-// warmth is the share of its capacity that the worker has now. The caller holds the lock.
-func (w *Worker) warmth() float64 {
-	age := time.Since(w.startedAt).Seconds()
-	if !w.cold || age >= w.spec.WarmUpTime {
-		return 1
-	}
-	return w.spec.InitialCapacityFraction + (1-w.spec.InitialCapacityFraction)*age/w.spec.WarmUpTime
-}
-
-// overloaded counts a request that reaches a cold worker, and crashes the worker where that is too much. The caller
-// holds the lock.
-func (w *Worker) overloaded() bool {
-	if w.warmth() >= 1 || w.spec.OverloadFactor == 0 {
-		return false
-	}
-	now := time.Now()
-	w.arrivals = append(w.arrivals, now)
-	for now.Sub(w.arrivals[0]) > seconds(w.spec.OverloadWindow) {
-		w.arrivals = w.arrivals[1:]
-	}
-	capacity := float64(w.spec.Cores) * w.spec.Speed * w.warmth() * w.spec.OverloadWindow
-	if float64(len(w.arrivals)-overloadAllowance)*w.spec.MeanWork <= w.spec.OverloadFactor*capacity {
-		return false
-	}
-	w.spec.Recorder.Add(invariants.Record{Kind: invariants.WorkerOverloaded, Worker: w.spec.Name})
-	w.crash()
-	return true
-}
--- a/internal/verification/fakes/worker_test.go
+++ b/internal/verification/fakes/worker_test.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return 0, "", ""
 	}
-	defer func() { _ = resp.Body.Close() }() // it was read to its end
+	defer func() { _ = resp.Body.Close() }() // it was read completely
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return 0, "", ""
@@ -49,7 +49,7 @@
 	return resp.StatusCode, resp.Header.Get("Server-Timing"), strings.TrimSuffix(string(data), "\n")
 }
 
-func TestWorkerMessages(t *testing.T) {
+func TestWorker_Messages(t *testing.T) {
 	w := startWorker(t, nil)
 	const infer, load = "/v2/models/tally/infer", "/v2/repository/models/tally/load"
 	for _, c := range []struct {
@@ -83,18 +83,18 @@
 	}
 }
 
-// What a client sees of each fault, and whether the request had its effect.
-func TestFaults(t *testing.T) {
+// Each fault has its effect on the response, and on whether the request is executed.
+func TestInject_EachFault(t *testing.T) {
 	for _, c := range []struct {
-		fault  Fault
-		status int
-		ran    int
+		fault    Fault
+		status   int
+		executed int
 	}{
 		{Fault{Kind: "errors"}, 500, 0},
 		{Fault{Kind: "errors-of", Digest: "another"}, 200, 1},
 		{Fault{Kind: "reset"}, 0, 0},
-		{Fault{Kind: "cut", Bytes: 40}, 0, 1},
-		{Fault{Kind: "stall", Duration: 0.01}, 200, 1},
+		{Fault{Kind: "truncate", Bytes: 40}, 0, 1},
+		{Fault{Kind: "suspend", Duration: 0.01}, 200, 1},
 		{Fault{Kind: "hang", Duration: 600}, 0, 0},
 		{Fault{Kind: "lose", Duration: 600}, 0, 1},
 		{Fault{Kind: "slow", Slowdown: 2}, 200, 1},
@@ -109,17 +109,17 @@
 			if err := w.Inject(c.fault); err != nil {
 				t.Fatal(err)
 			}
-			if c.fault.Duration > 1 { // it answers nothing: the process ends meanwhile
+			if c.fault.Duration > 1 { // it does not respond: the process ends meanwhile
 				go func() {
-					for countRecords(recorder, invariants.AttemptStarted)+countRecords(recorder, invariants.Executed) < 1+c.ran {
+					for countRecords(recorder, invariants.AttemptStarted)+countRecords(recorder, invariants.Executed) < 1+c.executed {
 						time.Sleep(time.Millisecond)
 					}
 					w.Crash()
 				}()
 			}
 			status, _, _ := post(t, w, "/v2/models/tally/infer", "a", "")
-			if ran := countRecords(recorder, invariants.Executed); status != c.status || ran != c.ran {
-				t.Errorf("status %d, ran %d times", status, ran)
+			if executed := countRecords(recorder, invariants.Executed); status != c.status || executed != c.executed {
+				t.Errorf("status %d, executed %d times", status, executed)
 			}
 		})
 	}
@@ -134,7 +134,7 @@
 	return n
 }
 
-func TestEndpointListFormat(t *testing.T) {
+func TestEndpointList_Format(t *testing.T) {
 	w := startWorker(t, nil)
 	path := filepath.Join(t.TempDir(), "workers.json")
 	list, err := NewEndpointList(path, nil, []*Worker{w})
