--- a/internal/verification/simulation/worker.go
+++ b/internal/verification/simulation/worker.go
@@ -34,8 +34,8 @@
 	rng         *rand.Rand
 	cores       int
 	speed       float64
-	replicas    []*replicaSet
-	byName      map[string]*replicaSet // by function, or function@digest
+	replicas    *fakes.ReplicaTable
+	onLoaded    map[*fakes.ReplicaSet][]func() // load commands that wait
 	queue       []*workerRequest
 	active      int // requests that run
 	loads       int // that are under way
@@ -64,13 +64,9 @@
 func (w *worker) start(cold bool) {
 	w.incarnation++
 	w.running, w.powered, w.paused = true, true, false
-	w.replicas, w.byName, w.queue, w.active, w.loads = nil, map[string]*replicaSet{}, nil, 0, 0
+	w.replicas, w.onLoaded = fakes.NewReplicaTable(w.site.functions), map[*fakes.ReplicaSet][]func(){}
+	w.queue, w.active, w.loads = nil, 0, 0
 	clear(w.faultUntil)
-	for i := range w.site.functions {
-		r := &replicaSet{function: &w.site.functions[i]}
-		w.replicas = append(w.replicas, r)
-		w.byName[r.function.Name] = r
-	}
 	w.startedCold, w.startedUnix = 0, 0
 	if cold {
 		w.startedCold = w.scheduler.now
--- a/internal/verification/simulation/worker_http.go
+++ b/internal/verification/simulation/worker_http.go
@@ -52,10 +52,10 @@
 	case isRepository && path[4] == "load":
 		var command fakes.LoadRequest
 		_ = json.Unmarshal(m.Body, &command) // without a body one replica is meant
-		w.serveLoad(respond, w.replicasOf(path[3], command.Parameters.Digest), max(command.Parameters.Copies, 1))
+		w.serveLoad(respond, w.replicas.Lookup(path[3], command.Parameters.Digest), max(command.Parameters.Copies, 1))
 	case isRepository && path[4] == "unload":
-		if r := w.byName[path[3]]; r != nil && r.busy == 0 {
-			r.ready = 0
+		if r := w.replicas.Lookup(path[3], ""); r != nil && r.Busy == 0 {
+			r.Ready = 0
 		}
 		respond.send(http.StatusOK, "", fakes.EmptyMessage{})
 	default:
@@ -75,11 +75,11 @@
 }
 
 // digestHeader names the version whose replicas ran or are ready.
-func digestHeader(r *replicaSet) string {
-	if r.digest == "" {
+func digestHeader(r *fakes.ReplicaSet) string {
+	if r.Digest == "" {
 		return ""
 	}
-	return "Docker-Content-Digest: " + r.digest + "\r\n"
+	return "Docker-Content-Digest: " + r.Digest + "\r\n"
 }
 
 // serveInfer puts a request in the queue, unless a fault meets it or it is rejected.
@@ -99,13 +99,13 @@
 	case w.faultHits(FaultReject):
 		respond.fail(http.StatusServiceUnavailable, "full")
 	default:
-		w.enqueue(r, w.replicasOf(function, strings.Trim(m.Header.Get("If-Match"), `"`)))
+		w.enqueue(r, w.replicas.Lookup(function, strings.Trim(m.Header.Get("If-Match"), `"`)))
 	}
 	return r
 }
 
 // serveLoad serves a load command: it answers once the replicas are ready, or once none is loading.
-func (w *worker) serveLoad(respond responder, r *replicaSet, replicas int) {
+func (w *worker) serveLoad(respond responder, r *fakes.ReplicaSet, replicas int) {
 	switch {
 	case r == nil:
 		respond.fail(http.StatusNotFound, "no such function")
@@ -113,22 +113,22 @@
 	case w.hasFault(FaultHang):
 		return
 	}
-	for r.ready+r.loading < replicas {
+	for r.Ready+r.Loading < replicas {
 		if !w.startLoad(r) {
 			respond.fail(http.StatusServiceUnavailable, "no room")
 			return
 		}
 	}
-	r.idleSince = w.scheduler.now
+	r.IdleSince = w.scheduler.now
 	var check func()
 	check = func() {
 		switch {
-		case r.ready >= replicas || r.loading == 0 && r.ready > 0:
-			respond.send(http.StatusOK, digestHeader(r), fakes.LoadResponse{Parameters: fakes.LoadParameters{Copies: r.ready}})
-		case r.loading == 0:
+		case r.Ready >= replicas || r.Loading == 0 && r.Ready > 0:
+			respond.send(http.StatusOK, digestHeader(r), fakes.LoadResponse{Parameters: fakes.LoadParameters{Copies: r.Ready}})
+		case r.Loading == 0:
 			respond.fail(http.StatusInternalServerError, "the load failed")
 		default:
-			r.onLoaded = append(r.onLoaded, check)
+			w.onLoaded[r] = append(w.onLoaded[r], check)
 		}
 	}
 	check()
