--- a/internal/verification/scenario/bench_front.go
+++ b/internal/verification/scenario/bench_front.go
@@ -12,15 +12,16 @@
 )
 
 const (
-	// benchTurns are how often each side is measured, by turns: the better of each counts, for the machine's speed drifts.
-	benchTurns = 3
+	// benchRuns is the number of measurements of each side, in turn. The best of each counts, as the machine's speed
+	// drifts.
+	benchRuns = 3
 
 	benchFrontConfig = `{"event_types":[{"name":"shop-event","target_time_s":1.5,"max_age_s":4}],
 		"functions":[{"match":"*","lanes":64}]}`
 	benchFrontClass = "shop-event"
 )
 
-// FrontEndRow compares the way through a front end with the direct one, front end over direct.
+// FrontEndRow compares requests through a front end with direct ones. Ratios are front end over direct.
 type FrontEndRow struct {
 	Connections int         `json:"connections"`
 	Direct      Measurement `json:"direct"`
@@ -30,7 +31,7 @@
 	P99Ratio    float64     `json:"p99_ratio"`
 }
 
-// BenchFrontEnd measures workers that answer at once, directly and through a front end, with numbers of connections.
+// BenchFrontEnd measures workers that respond at once, directly and through a front end, for each number of connections.
 func BenchFrontEnd(ctx context.Context, connections []int, requests int) ([]FrontEndRow, error) {
 	b, err := newBench(benchFrontConfig)
 	if err != nil {
@@ -41,7 +42,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = frontEnd.Stop(time.Second) }() // no request is open any more
+	defer func() { _ = frontEnd.Stop(time.Second) }() // no request is open
 	var rows []FrontEndRow
 	for _, n := range connections {
 		row, err := b.measureBothWays(ctx, frontEnd.Addr(), n, requests)
@@ -53,22 +54,22 @@
 	return rows, nil
 }
 
-// bench is what a benchmark of a front end runs on.
+// bench is the environment of a benchmark of a front end.
 type bench struct {
-	dir     string // for temporary files
+	folder  string // for temporary files
 	config  *config.Config
 	workers *idleServers
 }
 
-// newBench starts the workers of a benchmark, whose front ends have a configuration.
+// newBench starts the workers of a benchmark. configuration is that of its front ends.
 func newBench(configuration string) (*bench, error) {
-	dir, err := os.MkdirTemp("", "bench")
+	folder, err := os.MkdirTemp("", "bench")
 	if err != nil {
 		return nil, err
 	}
-	b := &bench{dir: dir}
-	if b.config, err = config.Parse([]byte(configuration), dir); err == nil {
-		b.workers, err = startIdleServers(dir)
+	b := &bench{folder: folder}
+	if b.config, err = config.Parse([]byte(configuration), folder); err == nil {
+		b.workers, err = startIdleServers(folder)
 	}
 	if err != nil {
 		b.close()
@@ -81,10 +82,10 @@
 	if b.workers != nil {
 		b.workers.close()
 	}
-	_ = os.RemoveAll(b.dir) // temporary files
+	_ = os.RemoveAll(b.folder) // temporary files
 }
 
-// frontEndSettings are those of a front end before the workers.
+// frontEndSettings returns the settings of a front end for the workers.
 func (b *bench) frontEndSettings() eventloop.Settings {
 	return eventloop.Settings{Listen: anyPort, EndpointListFile: b.workers.listPath, Settings: proxy.Settings{
 		Name:       "front",
@@ -97,7 +98,7 @@
 
 func frontEndURL(addr string) string { return "http://" + addr + "/events" }
 
-// measureBothWays measures one number of connections.
+// measureBothWays measures direct requests and those through a front end.
 func (b *bench) measureBothWays(ctx context.Context, frontEnd string, connections, requests int) (FrontEndRow, error) {
 	row := FrontEndRow{Connections: connections}
 	ways := []struct {
@@ -109,11 +110,11 @@
 		}},
 		{&row.FrontEnd, func(int) string { return frontEndURL(frontEnd) }},
 	}
-	for turn := range benchTurns {
+	for repetition := range benchRuns {
 		for _, way := range ways {
 			g := &generator{
 				url: way.url, class: benchFrontClass, inFlight: connections, requests: requests,
-				runName: fmt.Sprintf("%d-%d", connections, turn),
+				runName: fmt.Sprintf("%d-%d", connections, repetition),
 			}
 			side, err := g.measure(ctx)
 			if err != nil {
--- a/internal/verification/scenario/bench_recovery.go
+++ b/internal/verification/scenario/bench_recovery.go
@@ -16,10 +16,10 @@
 const (
 	recoveryBatch      = 1000 // records of one commit
 	microsPerSecond    = 1e6
-	unlimitedRetention = 1e6 // seconds: longer than a measurement takes
+	unlimitedRetention = 1e6 // seconds, longer than any measurement
 )
 
-// RecoveryRow is how long a restart takes with a number of stored requests.
+// RecoveryRow is the measurement of a restart with a number of stored requests.
 type RecoveryRow struct {
 	Requests    int     `json:"events"`
 	Bytes       uint64  `json:"bytes"`
@@ -47,7 +47,7 @@
 			return nil, err
 		}
 		if row.Requests != n {
-			return nil, fmt.Errorf("%d of %d events came back", row.Requests, n)
+			return nil, fmt.Errorf("%d of %d requests recovered", row.Requests, n)
 		}
 		rows = append(rows, row)
 	}
@@ -80,23 +80,23 @@
 	return store.Close()
 }
 
-// measureRecovery opens a store and hands what it recovers to a dispatcher.
+// measureRecovery opens a store and recovers its records in a dispatcher.
 func measureRecovery(path string, options storage.Options) (RecoveryRow, error) {
-	began := time.Now()
+	startedAt := time.Now()
 	store, recovered, err := storage.OpenStore(path, options)
 	if err != nil {
 		return RecoveryRow{}, err
 	}
-	row := RecoveryRow{Requests: len(recovered.Records), Bytes: store.Size(), OpenTime: time.Since(began).Seconds()}
-	began = time.Now()
+	row := RecoveryRow{Requests: len(recovered.Records), Bytes: store.Size(), OpenTime: time.Since(startedAt).Seconds()}
+	startedAt = time.Now()
 	dispatcher := dispatch.New(config.Default().Dispatch(1), noEffects{}, 0)
 	dispatcher.Recover(0, recovered.Records)
-	row.RestoreTime = time.Since(began).Seconds()
+	row.RestoreTime = time.Since(startedAt).Seconds()
 	row.PerRequest = (row.OpenTime + row.RestoreTime) / float64(max(row.Requests, 1)) * microsPerSecond
 	return row, store.Close()
 }
 
-// noEffects are effects of a dispatcher that nothing comes of.
+// noEffects discards the effects of a dispatcher.
 type noEffects struct{}
 
 // Respond implements dispatch.Effects.
--- a/internal/verification/scenario/bench_store.go
+++ b/internal/verification/scenario/bench_store.go
@@ -22,23 +22,23 @@
 	bytesPerMegabyte    = 1 << 20
 )
 
-// StoreRow compares the ways of storing the records of requests that must not run twice.
+// StoreRow is the measurement of one way to store the records of at-most-once requests.
 type StoreRow struct {
 	Mode              string  `json:"way"`
 	Connections       int     `json:"connections"`
 	Rate              float64 `json:"rate"`
 	P50               float64 `json:"p50_ms"`
-	RateRatio         float64 `json:"rate_ratio"` // to no store
+	RateRatio         float64 `json:"rate_ratio"` // to requests without a store
 	SyncsPerRequest   float64 `json:"syncs_an_event"`
 	RecordsPerRequest float64 `json:"notes_an_event"`
 	HeapMegabytes     float64 `json:"heap_mb"`
 }
 
-// storeMode is one way of storing records.
+// storeMode is one way to store records.
 type storeMode struct {
 	name     string
 	stores   bool
-	noSync   bool // nobody waits for the disk
+	noSync   bool // does not wait for the disk
 	unpooled bool // each record is committed by itself
 }
 
@@ -49,7 +49,7 @@
 	{name: "no waiting for the disk", stores: true, noSync: true},
 }
 
-// unpooledStore commits each record by itself, and waits for the disk each time: what group commit is compared with.
+// unpooledStore commits each record by itself and waits for the disk each time, for comparison with group commit.
 type unpooledStore struct{ store *storage.Store }
 
 // Commit implements proxy.RecordStore.
@@ -72,8 +72,8 @@
 	return <-done
 }
 
-// BenchStore measures at-most-once requests through a front end: without a store, with each record synced by itself,
-// with group commit, and with records for which nobody waits for the disk.
+// BenchStore measures at-most-once requests through a front end: without a store, with a sync for each record, with group
+// commit, and without waiting for the disk.
 func BenchStore(ctx context.Context, connections []int, requests int) ([]StoreRow, error) {
 	b, err := newBench(benchStoreConfig)
 	if err != nil {
@@ -85,7 +85,7 @@
 		withoutStore := 0.0
 		for i, mode := range storeModes {
 			settings := b.frontEndSettings()
-			path := filepath.Join(b.dir, fmt.Sprintf("state-%d-%d", n, i))
+			path := filepath.Join(b.folder, fmt.Sprintf("state-%d-%d", n, i))
 			row, err := mode.measure(ctx, settings, path, n, requests, strconv.Itoa(i))
 			if err != nil {
 				return nil, err
@@ -100,7 +100,7 @@
 	return rows, nil
 }
 
-// measure measures one way of storing records, with a store at a path.
+// measure measures one way to store records, with a store at a path.
 func (m storeMode) measure(ctx context.Context, settings eventloop.Settings, path string, connections, requests int, runName string) (row StoreRow, err error) {
 	row = StoreRow{Mode: m.name, Connections: connections}
 	var store *storage.Store
@@ -118,7 +118,7 @@
 	if err != nil {
 		return row, err
 	}
-	defer func() { _ = frontEnd.Stop(time.Second) }() // no request is open any more
+	defer func() { _ = frontEnd.Stop(time.Second) }() // no request is open
 	g := &generator{
 		url: func(int) string { return frontEndURL(frontEnd.Addr()) }, class: benchStoreClass, inFlight: connections,
 		requests: requests, runName: runName,
--- a/internal/verification/scenario/doc.go
+++ b/internal/verification/scenario/doc.go
@@ -1,7 +1,7 @@
-// Package scenario plays scripted faults against real front ends on loopback, with fake workers, a fake function store
-// and real clients, and lets the checker of invariants judge what passed on the sockets. It also holds the benchmarks
-// that run front ends in the same way.
+// Package scenario runs real front ends on loopback with fake workers, a fake function store and real clients, injects
+// the faults of a script, and checks the invariants on the recorded traffic. It also has the benchmarks that run front
+// ends in the same way.
 //
-// Its one job is to play a script and report the result. A Run owns everything that it starts, and ends it before it
-// returns. Callers are the commands that play scenarios and measure.
+// A Run owns everything that it starts, and stops it before it returns. Its callers are the commands that run scenarios
+// and benchmarks.
 package scenario
--- a/internal/verification/scenario/inject.go
+++ b/internal/verification/scenario/inject.go
@@ -9,95 +9,33 @@
 	"streamcleat/internal/verification/fakes"
 )
 
-// FaultKind names a kind of fault in scripts.
-type FaultKind string
-
-// Kinds of fault. Share is of the workers where nothing else is said.
-const (
-	FaultHang               FaultKind = "hang"            // workers accept requests and answer none
-	FaultLoseResponses      FaultKind = "lose"            // workers run requests and lose the responses
-	FaultErrors             FaultKind = "errors"          // workers answer 500
-	FaultSlow               FaultKind = "slow"            // workers take Times as long
-	FaultSuspend            FaultKind = "stall"           // workers stand still and go on
-	FaultReset              FaultKind = "reset"           // workers reset connections
-	FaultTruncateResponses  FaultKind = "cut"             // workers close connections after Bytes of the response
-	FaultStaleReports       FaultKind = "late-reports"    // workers repeat old load reports
-	FaultRepeatedSuspension FaultKind = "pauses"          // workers stand still again and again
-	FaultNoisyNeighbour     FaultKind = "neighbour"       // workers are slow again and again
-	FaultCrash              FaultKind = "crash"           // worker processes end, and come back later
-	FaultReplace            FaultKind = "replace"         // new processes under the same names and addresses
-	FaultDeploy             FaultKind = "deploy"          // all workers are replaced in waves of Share, drained first
-	FaultPreempt            FaultKind = "preempt"         // the same, and each ends before the endpoint list says so
-	FaultEvict              FaultKind = "flush"           // replicas and images of a Share of the functions are gone
-	FaultStoreSlow          FaultKind = "store-slow"      // fetches take Times as long
-	FaultStoreStop          FaultKind = "store-stop"      // the function store rejects fetches
-	FaultReleaseAtOnce      FaultKind = "release-at-once" // a Share of the functions moves to another version
-	FaultReleasePaced       FaultKind = "release-paced"   // the same, a few at a time, loaded first
-	FaultBurst              FaultKind = "burst"           // clients send Times as many requests
-	FaultHotKey             FaultKind = "hot-key"         // a Share of the requests is for few functions that nobody asked for
-	FaultCancel             FaultKind = "hang-up"         // a Share of the clients cancel
-	FaultIgnoreRetryAfter   FaultKind = "retry-abuse"     // clients come back at once
-	FaultEmptyList          FaultKind = "all-gone"        // the endpoint list is empty
-	FaultMidnight           FaultKind = "midnight"        // Times further schedules fire
-)
-
 const (
-	restartNotice  = 0.2 // seconds from a restart until the endpoint list names the worker again
-	preemptNotice  = 0.3 // seconds from the end of a preempted worker until the endpoint list says so
-	deployedLinger = 1   // seconds for which a worker runs on that was replaced
+	restartNoticeDelay = 0.2 // seconds from a restart until the endpoint list has it
+	preemptNoticeDelay = 0.3 // seconds from the end of a preempted worker until the endpoint list has it
+	terminationDelay   = 1   // seconds for which a replaced worker runs on
 )
 
-// injections make a fault happen and, where it lasts, end it again before they return.
-var injections = map[FaultKind]func(*injection) error{
-	FaultHang:               (*injection).misbehave,
-	FaultLoseResponses:      (*injection).misbehave,
-	FaultErrors:             (*injection).misbehave,
-	FaultSlow:               (*injection).misbehave,
-	FaultSuspend:            (*injection).misbehave,
-	FaultReset:              (*injection).misbehave,
-	FaultTruncateResponses:  (*injection).misbehave,
-	FaultStaleReports:       (*injection).misbehave,
-	FaultRepeatedSuspension: func(i *injection) error { return i.repeat(fakes.FaultSuspend) },
-	FaultNoisyNeighbour:     func(i *injection) error { return i.repeat(fakes.FaultSlow) },
-	FaultCrash:              (*injection).crash,
-	FaultReplace:            (*injection).replace,
-	FaultDeploy:             func(i *injection) error { return i.inWaves(i.deploy) },
-	FaultPreempt:            func(i *injection) error { return i.inWaves(i.preempt) },
-	FaultEvict:              (*injection).evict,
-	FaultStoreSlow:          (*injection).slowStore,
-	FaultStoreStop:          (*injection).stopStore,
-	FaultReleaseAtOnce:      (*injection).releaseAtOnce,
-	FaultReleasePaced:       (*injection).releasePaced,
-	FaultBurst:              (*injection).burst,
-	FaultHotKey:             (*injection).heatKeys,
-	FaultCancel:             (*injection).cancelMany,
-	FaultIgnoreRetryAfter:   (*injection).ignoreRetryAfter,
-	FaultEmptyList:          (*injection).emptyList,
-	FaultMidnight:           func(*injection) error { return nil }, // the clients' schedules know of it
-}
-
 // injection is one fault that is being injected.
 type injection struct {
 	*run
-	ctx   context.Context
 	fault Fault
 	rng   *rand.Rand
 }
 
-// inject makes one fault happen and, where it lasts, ends it again before it returns.
+// inject injects a fault, and returns when it is over.
 func (r *run) inject(ctx context.Context, f Fault, rng *rand.Rand) error {
-	r.log.Info("fault injected", "kind", f.Kind, "share", f.Fraction, "duration", f.Duration)
-	return injections[f.Kind](&injection{run: r, ctx: ctx, fault: f, rng: rng})
+	r.log.Info("fault injected", "kind", f.Kind, "fraction", f.Fraction, "duration", f.Duration)
+	return injections[f.Kind](&injection{run: r, fault: f, rng: rng}, ctx)
 }
 
-// hold waits for the fault's duration, or until the scenario's time is over.
-func (i *injection) hold() { sleep(i.ctx, i.fault.Duration) }
+// awaitEnd waits for the fault's duration, or the end of the scenario.
+func (i *injection) awaitEnd(ctx context.Context) { sleep(ctx, i.fault.Duration) }
 
-// someWorkers draws a share of the workers in service, one at least.
-func (i *injection) someWorkers(share float64) []*fakes.Worker {
+// drawWorkers draws a fraction of the workers in service, but at least one.
+func (i *injection) drawWorkers(fraction float64) []*fakes.Worker {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	n := max(int(math.Round(share*float64(len(i.workers)))), 1)
+	n := max(int(math.Round(fraction*float64(len(i.workers)))), 1)
 	var list []*fakes.Worker
 	for _, index := range i.rng.Perm(len(i.workers))[:min(n, len(i.workers))] {
 		list = append(list, i.workers[index])
@@ -105,14 +43,14 @@
 	return list
 }
 
-// affected draws the workers that the fault concerns.
-func (i *injection) affected() []*fakes.Worker { return i.someWorkers(i.fault.Fraction) }
+// affected draws the workers that the fault affects.
+func (i *injection) affected() []*fakes.Worker { return i.drawWorkers(i.fault.Fraction) }
 
-// allWorkers returns the workers in service in a drawn order.
-func (i *injection) allWorkers() []*fakes.Worker { return i.someWorkers(1) }
+// allWorkers returns the workers in service, in random order.
+func (i *injection) allWorkers() []*fakes.Worker { return i.drawWorkers(1) }
 
-// eachWorker does something with all workers of a list at once, and returns the first error in their order.
-func eachWorker(list []*fakes.Worker, do func(*fakes.Worker) error) error {
+// forEachWorker calls do for all workers of a list concurrently, and returns the first error in their order.
+func forEachWorker(list []*fakes.Worker, do func(*fakes.Worker) error) error {
 	var running sync.WaitGroup
 	errs := make([]error, len(list))
 	for i, w := range list {
@@ -127,8 +65,8 @@
 	return nil
 }
 
-// misbehave makes workers treat requests as the kind of fault has it.
-func (i *injection) misbehave() error {
+// injectAtWorkers injects the fault into workers, which end it by themselves.
+func (i *injection) injectAtWorkers(context.Context) error {
 	f := i.fault
 	for _, w := range i.affected() {
 		fault := fakes.Fault{Kind: fakes.FaultKind(f.Kind), Duration: f.Duration, Fraction: f.HitFraction, Slowdown: f.Times, Bytes: f.Bytes}
@@ -139,38 +77,38 @@
 	return nil
 }
 
-// repeat makes workers misbehave again and again until the scenario's time is over.
-func (i *injection) repeat(kind fakes.FaultKind) error {
+// repeat injects a fault into workers repeatedly until the scenario ends.
+func (i *injection) repeat(ctx context.Context, kind fakes.FaultKind) error {
 	f := i.fault
 	list := i.affected()
-	for i.ctx.Err() == nil {
+	for ctx.Err() == nil {
 		for _, w := range list {
 			if err := w.Inject(fakes.Fault{Kind: kind, Duration: f.Duration, Slowdown: f.Times}); err != nil {
 				return err
 			}
 		}
-		if !sleep(i.ctx, max(f.Every, f.Duration)) {
+		if !sleep(ctx, max(f.Every, f.Duration)) {
 			break
 		}
 	}
 	return nil
 }
 
-// crash ends worker processes and starts them again later. The endpoint list learns of neither at once.
-func (i *injection) crash() error {
-	return eachWorker(i.affected(), func(w *fakes.Worker) error {
+// crash ends worker processes and restarts them later. The endpoint list does not have the end, and has the restart late.
+func (i *injection) crash(context.Context) error {
+	return forEachWorker(i.affected(), func(w *fakes.Worker) error {
 		w.Crash()
 		pause(i.fault.Duration)
 		if err := w.Restart(); err != nil {
 			return err
 		}
-		pause(restartNotice)
+		pause(restartNoticeDelay)
 		return i.list.SetPhase(w, phaseServing)
 	})
 }
 
-func (i *injection) replace() error {
-	return eachWorker(i.affected(), func(w *fakes.Worker) error {
+func (i *injection) replace(context.Context) error {
+	return forEachWorker(i.affected(), func(w *fakes.Worker) error {
 		if err := w.Restart(); err != nil {
 			return err
 		}
@@ -178,22 +116,22 @@
 	})
 }
 
-// inWaves does something with all workers, a share at a time.
-func (i *injection) inWaves(do func(*fakes.Worker) error) error {
+// inWaves calls do for all workers, a fraction of them at a time.
+func (i *injection) inWaves(ctx context.Context, do func(*fakes.Worker) error) error {
 	workers := i.allWorkers()
 	wave := max(int(math.Round(i.fault.Fraction*float64(len(workers)))), 1)
-	for len(workers) > 0 && i.ctx.Err() == nil {
+	for len(workers) > 0 && ctx.Err() == nil {
 		n := min(wave, len(workers))
-		if err := eachWorker(workers[:n], do); err != nil {
+		if err := forEachWorker(workers[:n], do); err != nil {
 			return err
 		}
 		workers = workers[n:]
-		sleep(i.ctx, i.fault.Every)
+		sleep(ctx, i.fault.Every)
 	}
 	return nil
 }
 
-// deploy drains a worker and puts a cold one of another name in its place.
+// deploy drains a worker and replaces it with a cold one of another name.
 func (i *injection) deploy(w *fakes.Worker) error {
 	if err := i.drain(w); err != nil {
 		return err
@@ -202,19 +140,19 @@
 		return err
 	}
 	go func() {
-		pause(deployedLinger)
+		pause(terminationDelay)
 		w.Crash()
 	}()
 	return nil
 }
 
-// preempt is deploy of a worker whose process ends before the endpoint list says so.
+// preempt is like deploy, but the worker ends before it is removed from the endpoint list.
 func (i *injection) preempt(w *fakes.Worker) error {
 	if err := i.drain(w); err != nil {
 		return err
 	}
 	w.Crash()
-	pause(preemptNotice)
+	pause(preemptNoticeDelay)
 	return i.substitute(w)
 }
 
@@ -226,26 +164,26 @@
 	return nil
 }
 
-// substitute takes a worker out of the endpoint list and puts a cold one in its place.
+// substitute removes a worker from the endpoint list and adds a cold one.
 func (i *injection) substitute(w *fakes.Worker) error {
 	if err := i.list.SetPhase(w, phaseGone); err != nil {
 		return err
 	}
-	fresh, err := i.startWorker(true)
+	replacement, err := i.startColdWorker()
 	if err != nil {
 		return err
 	}
 	i.mu.Lock()
 	for index, other := range i.workers {
 		if other == w {
-			i.workers[index] = fresh
+			i.workers[index] = replacement
 		}
 	}
 	i.mu.Unlock()
-	return i.list.SetPhase(fresh, phaseServing)
+	return i.list.SetPhase(replacement, phaseServing)
 }
 
-func (i *injection) evict() error {
+func (i *injection) evict(context.Context) error {
 	names := map[string]bool{}
 	for _, index := range i.rng.Perm(len(i.functions))[:int(i.fault.Fraction*float64(len(i.functions)))] {
 		names[i.functions[index].Name] = true
@@ -256,47 +194,48 @@
 	return nil
 }
 
-func (i *injection) slowStore() error {
+func (i *injection) slowStore(ctx context.Context) error {
 	i.store.SetSlowdown(i.fault.Times)
-	i.hold()
+	i.awaitEnd(ctx)
 	i.store.SetSlowdown(1)
 	return nil
 }
 
-func (i *injection) stopStore() error {
+func (i *injection) stopStore(context.Context) error {
 	i.store.RejectFor(i.fault.Duration)
 	return nil
 }
 
-func (i *injection) burst() error {
-	i.ratePercent.Store(int64(usualRatePercent * i.fault.Times))
-	i.hold()
-	i.ratePercent.Store(usualRatePercent)
+func (i *injection) burst(ctx context.Context) error {
+	i.ratePercent.Store(int64(normalRatePercent * i.fault.Times))
+	i.awaitEnd(ctx)
+	i.ratePercent.Store(normalRatePercent)
 	return nil
 }
 
-func (i *injection) heatKeys() error {
-	i.hotShare.Store(int64(thousandths * i.fault.Fraction))
-	i.hold()
-	i.hotShare.Store(0)
+// shiftTraffic sends a fraction of the requests to functions that were unused before.
+func (i *injection) shiftTraffic(ctx context.Context) error {
+	i.hotThousandths.Store(int64(thousand * i.fault.Fraction))
+	i.awaitEnd(ctx)
+	i.hotThousandths.Store(0)
 	return nil
 }
 
-func (i *injection) cancelMany() error {
-	i.cancelShare.Store(int64(thousandths * i.fault.Fraction))
-	i.hold()
-	i.cancelShare.Store(0)
+func (i *injection) cancelMany(ctx context.Context) error {
+	i.cancelThousandths.Store(int64(thousand * i.fault.Fraction))
+	i.awaitEnd(ctx)
+	i.cancelThousandths.Store(0)
 	return nil
 }
 
-func (i *injection) ignoreRetryAfter() error {
+func (i *injection) ignoreRetryAfter(ctx context.Context) error {
 	i.run.ignoreRetryAfter.Store(true)
-	i.hold()
+	i.awaitEnd(ctx)
 	i.run.ignoreRetryAfter.Store(false)
 	return nil
 }
 
-func (i *injection) emptyList() error {
+func (i *injection) emptyList(context.Context) error {
 	list := i.allWorkers()
 	for _, w := range list {
 		if err := i.list.SetPhase(w, phaseGone); err != nil {
--- a/internal/verification/scenario/load_generator.go
+++ b/internal/verification/scenario/load_generator.go
@@ -27,14 +27,14 @@
 	minWarmUpRequests = 50
 )
 
-// Measurement is one side of a comparison: requests a second, and latencies in ms.
+// Measurement is one side of a comparison: requests per second, and latencies in milliseconds.
 type Measurement struct {
 	Rate float64 `json:"rate"`
 	P50  float64 `json:"p50_ms"`
 	P99  float64 `json:"p99_ms"`
 }
 
-// idleServers are workers that answer at once, and the file that lists them.
+// idleServers are workers that respond at once, and the endpoint list that has them.
 type idleServers struct {
 	addrs    []string
 	listPath string
@@ -49,7 +49,7 @@
 			s.close()
 			return nil, err
 		}
-		server := &http.Server{Handler: http.HandlerFunc(answerAtOnce)}
+		server := &http.Server{Handler: http.HandlerFunc(respondAtOnce)}
 		go func() { _ = server.Serve(listener) }() // it returns when the server is closed
 		s.servers = append(s.servers, server)
 		s.addrs = append(s.addrs, listener.Addr().String())
@@ -67,34 +67,34 @@
 
 func (s *idleServers) close() {
 	for _, server := range s.servers {
-		_ = server.Close() // nothing waits for them any more
+		_ = server.Close() // no request is open
 	}
 }
 
-func answerAtOnce(w http.ResponseWriter, r *http.Request) {
-	_, _ = io.Copy(io.Discard, r.Body) // the client may be gone
+func respondAtOnce(w http.ResponseWriter, r *http.Request) {
+	_, _ = io.Copy(io.Discard, r.Body) // the client may have closed
 	w.Header().Set("Server-Timing", "warm")
-	_, _ = io.WriteString(w, `{"model_name":"tally","outputs":[]}`) // the client may be gone
+	_, _ = io.WriteString(w, `{"model_name":"tally","outputs":[]}`) // the client may have closed
 }
 
-// generator keeps a number of requests in flight. A rejected one is sent again until it succeeds; only succeeded ones
-// count, and their time runs from the first try.
+// generator keeps a number of requests in flight. It retries rejected ones until they succeed, and measures latencies
+// from the first attempt.
 type generator struct {
 	url      func(number int) string
 	class    string
 	inFlight int
 	requests int
-	runName  string // separates the identities of requests from those of other measurements
+	runName  string // separates the identities of requests of different measurements
 
 	client *http.Client
-	warmUp int // first requests that do not count
+	warmUp int // number of first requests that do not count
 
 	mu        sync.Mutex
 	latencies *hdrhistogram.Histogram // microseconds
 	firstErr  error
 }
 
-// measure sends the requests.
+// measure sends the requests and returns the measurement.
 func (g *generator) measure(ctx context.Context) (Measurement, error) {
 	g.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: g.inFlight}}
 	defer g.client.CloseIdleConnections()
@@ -102,7 +102,7 @@
 	g.warmUp = max(g.inFlight, minWarmUpRequests)
 	var running sync.WaitGroup
 	numbers := make(chan int)
-	began := time.Now()
+	startedAt := time.Now()
 	for range g.inFlight {
 		running.Go(func() {
 			for number := range numbers {
@@ -112,13 +112,13 @@
 	}
 	for number := range g.warmUp + g.requests {
 		if number == g.warmUp {
-			began = time.Now()
+			startedAt = time.Now()
 		}
 		numbers <- number
 	}
 	close(numbers)
 	running.Wait()
-	elapsed := time.Since(began).Seconds()
+	elapsed := time.Since(startedAt).Seconds()
 	return Measurement{
 		Rate: float64(g.requests) / elapsed,
 		P50:  float64(g.latencies.ValueAtQuantile(50)) / microsPerMilli,
@@ -127,9 +127,9 @@
 }
 
 func (g *generator) sendUntilSucceeded(ctx context.Context, number int) {
-	began := time.Now()
+	startedAt := time.Now()
 	status, err := http.StatusServiceUnavailable, error(nil)
-	for try := 0; status == http.StatusServiceUnavailable && err == nil && try < maxBenchRetries; try++ {
+	for attempt := 0; status == http.StatusServiceUnavailable && err == nil && attempt < maxBenchRetries; attempt++ {
 		status, err = g.send(ctx, number)
 	}
 	if err == nil && status != http.StatusOK {
@@ -141,7 +141,7 @@
 		g.firstErr = err
 	}
 	if number >= g.warmUp {
-		_ = g.latencies.RecordValue(max(time.Since(began).Microseconds(), 1)) // no request waits for longer than it holds
+		_ = g.latencies.RecordValue(max(time.Since(startedAt).Microseconds(), 1)) // no latency exceeds its maximum
 	}
 }
 
@@ -160,7 +160,7 @@
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = resp.Body.Close() }() // it was read to its end
+	defer func() { _ = resp.Body.Close() }() // it was read completely
 	_, err = io.Copy(io.Discard, resp.Body)
 	return resp.StatusCode, err
 }
--- a/internal/verification/scenario/rollout.go
+++ b/internal/verification/scenario/rollout.go
@@ -1,6 +1,7 @@
 package scenario
 
 import (
+	"context"
 	"errors"
 	"fmt"
 
@@ -12,13 +13,13 @@
 
 const (
 	rolloutLoads    = 4    // concurrent loads of a paced release
-	rolloutInterval = 0.02 // seconds between looks at its progress
+	rolloutInterval = 0.02 // seconds between checks of its progress
 )
 
-// ErrNoVersions is the error of a release in a scenario whose functions have no versions.
-var ErrNoVersions = errors.New("the script says nothing of versions")
+// ErrNoVersions is returned for a release in a scenario whose functions have no versions.
+var ErrNoVersions = errors.New("script has no versions")
 
-// migrations draws a share of the functions to be moved to their new version.
+// migrations draws a fraction of the functions, and returns their migrations to the new version.
 func (i *injection) migrations() ([]registry.Migration, error) {
 	if i.versions == nil {
 		return nil, ErrNoVersions
@@ -26,7 +27,7 @@
 	count := i.script.Functions
 	var list []registry.Migration
 	for _, index := range i.rng.Perm(count)[:int(i.fault.Fraction*float64(count))] {
-		f := i.functions[index] // the catalogue's order is that of popularity
+		f := i.functions[index] // the catalogue is ordered by popularity
 		list = append(list, registry.Migration{
 			Function: f.Name, To: versionDigest(f.Name, newVersion), RequestRate: -float64(index),
 			LoadTime: f.FetchTime + f.StartTime,
@@ -35,22 +36,22 @@
 	return list, nil
 }
 
-// releaseAtOnce moves a share of the functions to their new version.
-func (i *injection) releaseAtOnce() error {
+// releaseAtOnce migrates a fraction of the functions.
+func (i *injection) releaseAtOnce(context.Context) error {
 	list, err := i.migrations()
 	if err != nil {
 		return err
 	}
 	for _, m := range list {
-		if err := i.versions.move(registry.AliasUpdate{Function: m.Function, Alias: registry.DefaultAlias, Digest: m.To}); err != nil {
+		if err := i.versions.updateAlias(registry.AliasUpdate{Function: m.Function, Alias: registry.DefaultAlias, Digest: m.To}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// releasePaced moves a share of the functions to their new version a few at a time, each once it is loaded.
-func (i *injection) releasePaced() error {
+// releasePaced migrates a fraction of the functions a few at a time, each once its new version is loaded.
+func (i *injection) releasePaced(ctx context.Context) error {
 	list, err := i.migrations()
 	if err != nil {
 		return err
@@ -60,14 +61,14 @@
 		if err := i.preloadNext(pacer); err != nil {
 			return err
 		}
-		if err := i.moveLoaded(pacer); err != nil {
+		if err := i.migrateLoaded(pacer); err != nil {
 			return err
 		}
-		left, abandoned := pacer.Remaining()
+		remaining, abandoned := pacer.Remaining()
 		if len(abandoned) > 0 {
 			i.log.Info("migrations abandoned", "functions", fmt.Sprint(abandoned))
 		}
-		if left == 0 || !sleep(i.ctx, rolloutInterval) {
+		if remaining == 0 || !sleep(ctx, rolloutInterval) {
 			return nil
 		}
 	}
@@ -75,7 +76,7 @@
 
 func functionVersion(m registry.Migration) string { return m.Function + "@" + string(m.To) }
 
-// preloadNext has the next versions loaded by every front end.
+// preloadNext has every front end load the next versions.
 func (i *injection) preloadNext(pacer *registry.RolloutPacer) error {
 	now := i.recorder.Now()
 	for _, m := range pacer.Next(now) {
@@ -89,14 +90,14 @@
 	return nil
 }
 
-// moveLoaded moves the functions whose new version is loaded.
-func (i *injection) moveLoaded(pacer *registry.RolloutPacer) error {
+// migrateLoaded migrates the functions whose new version is loaded.
+func (i *injection) migrateLoaded(pacer *registry.RolloutPacer) error {
 	for _, m := range pacer.Loading() {
 		if !i.isLoaded(functionVersion(m)) {
 			continue
 		}
-		if move, due := pacer.OnLoaded(m.Function, i.recorder.Now()); due {
-			if err := i.versions.move(move); err != nil {
+		if update, due := pacer.OnLoaded(m.Function, i.recorder.Now()); due {
+			if err := i.versions.updateAlias(update); err != nil {
 				return err
 			}
 		}
@@ -104,7 +105,7 @@
 	return nil
 }
 
-// isLoaded returns whether every front end believes that a replica of a version is ready.
+// isLoaded reports whether every front end believes that a replica of a version is ready.
 func (r *run) isLoaded(version string) bool {
 	all := true
 	for _, f := range r.frontEnds {
@@ -117,8 +118,10 @@
 	return all
 }
 
-func knowsReplica(f *eventloop.Server, version string) (known bool, err error) {
-	err = f.DoDispatcher(func(d *dispatch.Dispatcher) {
+// knowsReplica reports whether a front end believes that a replica of a version is ready.
+func knowsReplica(f *eventloop.Server, version string) (bool, error) {
+	known := false
+	err := f.DoDispatcher(func(d *dispatch.Dispatcher) {
 		_, functions := d.RoutingView()
 		for _, x := range functions {
 			known = known || x.ID == control.FunctionID(version) && len(x.Replicas) > 0
--- a/internal/verification/scenario/run.go
+++ b/internal/verification/scenario/run.go
@@ -22,61 +22,62 @@
 	Script string `json:"script"`
 	Seed   uint64 `json:"seed"`
 	invariants.Verdict
-	WorstInTime  float64            `json:"worst_2s"` // InTime within the worst two seconds
-	InTime       float64            `json:"in_time"`  // share of firings that succeeded within the latency objective, with their retries
+	WorstInTime  float64            `json:"worst_2s"` // InTime of the worst two seconds
+	InTime       float64            `json:"in_time"`  // fraction of the firings that succeeded within the latency objective, including retries
 	Firings      int                `json:"firings"`
-	Deduplicated uint64             `json:"joined"` // calls answered by a request that another call began
+	Deduplicated uint64             `json:"joined"` // calls that got the response of another call's request
 	Fetches      int                `json:"store_fetches"`
 	Latency      map[string]float64 `json:"latency_ms"` // of firings that succeeded
-	Causes       map[string]int     `json:"causes"`     // why requests did not succeed
+	Causes       map[string]int     `json:"causes"`     // of responses that are not successes
 	Seconds      float64            `json:"seconds"`
-	Failures     []string           `json:"failures,omitempty"` // of the scenario itself
+	Failures     []string           `json:"failures,omitempty"` // of the scenario itself, not of a rule
 }
 
-// OK returns whether all rules held and the scenario ran as its script says.
+// OK reports whether all rules held and the scenario ran as scripted.
 func (r *Report) OK() bool { return r.RulesBroken == 0 && len(r.Failures) == 0 }
 
-// Figures of every scenario. Times are seconds.
+// Parameters of every scenario. Times are seconds.
 const (
-	latencyObjective    = 0.8
-	requestTimeout      = 2.5
-	deduplicationWindow = 30.0
-	responseMargin      = 0.2 // the clients share the machine with all the rest
-	drainGrace          = 0.5
-	recordingGrace      = 0.1
-	warmUpTime          = 4.0
-	coldShare           = 0.29
-	overloadFactor      = 2.5
-	overloadWindow      = 1.5
-	idleReplicaLifetime = 4.0
-
-	stopTimeout = time.Second // of a front end, for requests that are open
-
-	// Report.Worst is of slots of two seconds with so many firings at least.
+	latencyObjective        = 0.8
+	requestTimeout          = 2.5
+	deduplicationWindow     = 30.0
+	responseMargin          = 0.2 // generous, as the clients share the machine with the front ends
+	drainGrace              = 0.5
+	observationDelay        = 0.1
+	warmUpTime              = 4.0
+	initialCapacityFraction = 0.29
+	overloadFactor          = 2.5
+	overloadWindow          = 1.5
+	idleReplicaLifetime     = 4.0
+
+	stopTimeout = time.Second // of a front end with open requests
+
+	// slotSeconds is the length of the slots of Report.WorstInTime. Slots with fewer than minSlotFirings don't count.
 	slotSeconds    = 2
 	minSlotFirings = 20
 
-	// Latencies are recorded in microseconds, up to a minute.
-	maxLatency        = 60_000_000
+	maxLatency        = 60_000_000 // microseconds
 	latencyDigits     = 3
 	microsPerMilli    = 1000
-	usualRatePercent  = 100
-	thousandths       = 1000
-	faultStreamOffset = 77     // separates the random numbers of the faults from each other
-	trafficStream     = 0x57ea // and those of the clients
-	scheduleStream    = 0x71e5 // and of the schedules
-	hotFunctions      = 3      // functions that nobody asks for until they turn hot
+	normalRatePercent = 100
+	thousand          = 1000
+	hotFunctions      = 3 // functions that are unused until FaultHotKey
+
+	// Streams of random numbers of the same seed.
+	faultStream    = 77 // and the following ones, one for each fault
+	trafficStream  = 0x57ea
+	scheduleStream = 0x71e5
 )
 
 // slot counts the firings of two seconds.
 type slot struct{ firings, inTime int }
 
-// run is one scenario that is being played.
+// run is the state of one scenario.
 type run struct {
 	script *Script
 	seed   uint64
 	log    *slog.Logger
-	dir    string
+	folder string
 
 	recorder  *invariants.Recorder
 	rules     invariants.Rules
@@ -84,13 +85,13 @@
 	store     *fakes.Store
 	executed  *fakes.Deduplicator
 	list      *fakes.EndpointList
-	versions  *versions // nil where functions have none
+	versions  *versions // nil if functions have none
 	frontEnds []*eventloop.Server
 	addrs     []string // of the front ends
 
 	mu         sync.Mutex
 	workers    []*fakes.Worker // in service
-	started    []*fakes.Worker // all that were ever started
+	started    []*fakes.Worker // including those that ended
 	nextWorker int
 	failures   []string
 	causes     map[string]int
@@ -99,63 +100,64 @@
 	inTime     int
 	slots      map[int]slot
 
-	ratePercent      atomic.Int64 // of the usual rate
-	hotShare         atomic.Int64 // of requests for hot functions, in thousandths
-	cancelShare      atomic.Int64 // of requests whose client cancels, in thousandths
-	ignoreRetryAfter atomic.Bool  // clients come back at once
+	ratePercent       atomic.Int64 // of the script's rate
+	hotThousandths    atomic.Int64 // fraction of the requests for hot functions
+	cancelThousandths atomic.Int64 // fraction of the requests that are cancelled
+	ignoreRetryAfter  atomic.Bool  // clients retry at once
 }
 
-// Run plays a script. Everything it starts is ended when it returns. log may be nil.
+// Run runs a script. It stops everything that it started before it returns. log may be nil.
 func Run(ctx context.Context, s *Script, seed uint64, log *slog.Logger) (*Report, []invariants.Record, error) {
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
 	}
-	dir, err := os.MkdirTemp("", "scenario")
+	folder, err := os.MkdirTemp("", "scenario")
 	if err != nil {
 		return nil, nil, err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // temporary files
+	defer func() { _ = os.RemoveAll(folder) }() // temporary files
 	r := &run{
-		script: s, seed: seed, log: log, dir: dir, recorder: invariants.NewRecorder(),
+		script: s, seed: seed, log: log, folder: folder, recorder: invariants.NewRecorder(),
 		store: fakes.NewStore(s.Workers, s.Workers*4), executed: fakes.NewDeduplicator(deduplicationWindow), causes: map[string]int{},
 		slots: map[int]slot{}, latency: hdrhistogram.New(1, maxLatency, latencyDigits),
 	}
-	r.ratePercent.Store(usualRatePercent)
+	r.ratePercent.Store(normalRatePercent)
 	defer r.close()
 	if err := r.start(); err != nil {
 		return nil, nil, err
 	}
-	began := time.Now()
-	r.play(ctx)
-	report := &Report{Script: s.Name, Seed: seed, Seconds: time.Since(began).Seconds()}
+	startedAt := time.Now()
+	r.runLoad(ctx)
+	report := &Report{Script: s.Name, Seed: seed, Seconds: time.Since(startedAt).Seconds()}
 	report.Deduplicated = r.stopFrontEnds()
 	records := r.recorder.Records()
 	report.Verdict = invariants.Check(r.rules, records)
-	r.fill(report)
+	r.addMeasurements(report)
 	return report, records, nil
 }
 
-// stopFrontEnds stops the front ends, and returns how many calls joined the request of another.
-func (r *run) stopFrontEnds() (joined uint64) {
+// stopFrontEnds stops the front ends, and returns the number of calls that were deduplicated.
+func (r *run) stopFrontEnds() uint64 {
+	deduplicated := uint64(0)
 	for _, f := range r.frontEnds {
 		counts, _, _, err := f.Counts()
 		if err != nil {
-			r.fail("front end ended by itself: %v", err)
+			r.fail("front end stopped unexpectedly: %v", err)
 		}
-		joined += counts.Deduplicated + counts.Replayed
+		deduplicated += counts.Deduplicated + counts.Replayed
 		if counts.Open > 0 || counts.InFlight > 0 {
-			r.fail("front end holds %d events and %d launches after the day", counts.Open, counts.InFlight)
+			r.fail("front end has %d open requests and %d attempts in flight at the end", counts.Open, counts.InFlight)
 		}
 	}
 	for _, f := range r.frontEnds {
-		_ = f.Stop(stopTimeout) // what it still held is reported above
+		_ = f.Stop(stopTimeout) // its open requests are reported above
 	}
 	r.frontEnds = nil
-	return joined
+	return deduplicated
 }
 
-// fill adds what was measured to a report.
-func (r *run) fill(report *Report) {
+// addMeasurements adds the measurements of the run to a report.
+func (r *run) addMeasurements(report *Report) {
 	report.Firings = r.firings
 	if r.firings > 0 {
 		report.InTime = float64(r.inTime) / float64(r.firings)
@@ -174,25 +176,25 @@
 	report.Latency["max"] = float64(r.latency.Max()) / microsPerMilli
 }
 
-// fail notes a failure of the scenario itself.
+// fail records a failure of the scenario itself.
 func (r *run) fail(format string, args ...any) {
 	r.mu.Lock()
 	r.failures = append(r.failures, fmt.Sprintf(format, args...))
 	r.mu.Unlock()
 }
 
-// close ends what still runs.
+// close stops everything that is still running.
 func (r *run) close() {
 	for _, f := range r.frontEnds {
-		_ = f.Stop(0) // the scenario has failed already
+		_ = f.Stop(0) // the scenario has already failed
 	}
 	for _, w := range r.started {
 		w.Close()
 	}
 }
 
-// play runs the clients and the faults until the time is over and every client has its response.
-func (r *run) play(ctx context.Context) {
+// runLoad runs the clients and injects the faults for the script's time, and waits for the last responses.
+func (r *run) runLoad(ctx context.Context) {
 	s := r.script
 	ctx, cancel := context.WithTimeout(ctx, toDuration(s.Seconds))
 	defer cancel()
@@ -202,13 +204,13 @@
 		running.Go(func() { r.runSchedules(ctx, i) })
 	}
 	for i, f := range s.Faults {
-		rng := rand.New(rand.NewPCG(r.seed, uint64(i)+faultStreamOffset))
+		rng := rand.New(rand.NewPCG(r.seed, uint64(i)+faultStream))
 		running.Go(func() {
 			if !sleep(ctx, f.At) {
 				return
 			}
 			if err := r.inject(ctx, f, rng); err != nil {
-				r.fail("trouble %d, %s: %v", i, f.Kind, err)
+				r.fail("fault %d, %s: %v", i, f.Kind, err)
 			}
 		})
 	}
@@ -217,7 +219,7 @@
 
 func toDuration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
-// sleep waits, and returns false where the context ended first.
+// sleep waits, and returns false if the context ends first.
 func sleep(ctx context.Context, seconds float64) bool {
 	select {
 	case <-ctx.Done():
@@ -227,5 +229,5 @@
 	}
 }
 
-// pause waits, also when the scenario's time is over: what was begun is finished.
+// pause waits, even past the end of the scenario, to complete a fault.
 func pause(seconds float64) { time.Sleep(toDuration(seconds)) }
--- a/internal/verification/scenario/scenario_test.go
+++ b/internal/verification/scenario/scenario_test.go
@@ -6,9 +6,8 @@
 	"testing"
 )
 
-// Every script that comes with the program keeps all rules. They run side by side, so their figures of service mean
-// little here; the rules have to hold all the more.
-func TestEveryScriptKeepsTheRules(t *testing.T) {
+// Built-in scripts run concurrently here, so their latencies mean little; the rules must hold even so.
+func TestRun_BuiltinScriptsKeepRules(t *testing.T) {
 	for i, name := range Scripts() {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -24,20 +23,20 @@
 				t.Errorf("%d rules broken: %v %v", r.RulesBroken, r.Violations, r.Failures)
 			}
 			if r.Succeeded == 0 || r.Attempts < r.Succeeded/3 {
-				t.Errorf("nothing much happened: %+v", r)
+				t.Errorf("too few requests: %+v", r)
 			}
 			if name == "quiet" && r.InTime < 0.9 {
-				t.Errorf("a quiet day: only %.2f in time", r.InTime)
+				t.Errorf("only %.2f in time without faults", r.InTime)
 			}
 		})
 	}
 }
 
-func TestFaultyScriptsNameTheField(t *testing.T) {
+func TestParseScript_InvalidFieldIsNamed(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"seconds":0}`:                          "script t: seconds: 0 is not above 0 and at most 3600",
-		`{"troubles":[{"at":1,"kind":"rain"}]}`:  "script t: troubles[0].kind: rain is not a known kind of trouble",
-		`{"troubles":[{"at":99,"kind":"hang"}]}`: "script t: troubles[0]: at must lie within the day, part and hit between 0 and 1",
+		`{"troubles":[{"at":1,"kind":"rain"}]}`:  "script t: troubles[0].kind: rain is not a known kind of fault",
+		`{"troubles":[{"at":99,"kind":"hang"}]}`: "script t: troubles[0]: at must be within the scenario, part and hit between 0 and 1",
 		`{"mix":{"x":1}}`:                        "script t: mix: x is not one of shop-event, till-entry, price-reset",
 		`{"minute":0}`:                           "script t: minute and work must be above 0, cores at least 1, clients 0 to 16",
 		`{"colour":1}`:                           "colour",
@@ -53,3 +52,20 @@
 		t.Error(err)
 	}
 }
+
+// Scripts of earlier builds are read, and run the present kinds of fault.
+func TestParseScript_DeprecatedKinds(t *testing.T) {
+	s, err := ParseScript([]byte(`{"troubles":[{"at":1,"kind":"stall"},{"at":1,"kind":"cut"},{"at":1,"kind":"retry-abuse"}]}`), "t")
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := []FaultKind{FaultSuspend, FaultTruncateResponses, FaultIgnoreRetryAfter}
+	if len(s.Faults) != len(want) || len(deprecatedFaultKinds) != len(want) {
+		t.Fatalf("%d faults, %d deprecated kinds, %d are tested", len(s.Faults), len(deprecatedFaultKinds), len(want))
+	}
+	for i, kind := range want {
+		if s.Faults[i].Kind != kind {
+			t.Errorf("fault %d: kind %q, want %q", i, s.Faults[i].Kind, kind)
+		}
+	}
+}
--- a/internal/verification/scenario/schedules.go
+++ b/internal/verification/scenario/schedules.go
@@ -14,34 +14,35 @@
 
 const (
 	scheduleSource  = "/timers/drill"
-	preloadInterval = 0.1 // seconds between looks at schedules that are due soon
+	preloadInterval = 0.1 // seconds between checks for schedules that are due soon
 	secondsPerMin   = 60
-	afterTheEnd     = 10 // seconds from the end to midnight where the script has none
+	noMidnightDelay = 10 // seconds from the end of the scenario to midnight if the script has none
 )
 
-// firstDay is the day of the schedules' clock whose beginning is the script's midnight.
+// firstDay begins at the script's midnight on the schedules' clock.
 var firstDay = time.Date(2026, 12, 24, 0, 0, 0, 0, time.UTC)
 
-// scheduleClock is the clock of one client's schedules: it runs faster than time does, and midnight comes when the script
-// says.
+// scheduleClock is the clock of one client's schedules. It runs faster than real time, and reaches midnight when the
+// script says.
 type scheduleClock struct {
-	began    time.Time
-	lag      float64 // seconds behind the other clients
-	midnight float64 // seconds from the beginning
-	minute   float64 // seconds that a minute takes
+	startedAt time.Time
+	lag       float64 // seconds behind the other clients
+	midnight  float64 // seconds from startedAt
+	minute    float64 // seconds of real time
 }
 
 func (c scheduleClock) now() time.Time {
-	minutes := (time.Since(c.began).Seconds() - c.lag - c.midnight) / c.minute
+	minutes := (time.Since(c.startedAt).Seconds() - c.lag - c.midnight) / c.minute
 	return firstDay.Add(time.Duration(minutes * float64(time.Minute)))
 }
 
-// until returns how long it takes until a time on the clock.
+// until returns the real time until a time on the clock.
 func (c scheduleClock) until(t time.Time) time.Duration {
 	return time.Duration(float64(t.Sub(c.now())) / secondsPerMin * c.minute)
 }
 
-// runSchedules is one client with schedules. All of them have the same crontab, so each of them fires every minute.
+// runSchedules runs one client with schedules. All clients have the same crontab, so that each minute fires at all of
+// them.
 func (r *run) runSchedules(ctx context.Context, number int) {
 	rng := rand.New(rand.NewPCG(r.seed, scheduleStream))
 	crontab, midnight := r.drawCrontab(rng)
@@ -50,9 +51,9 @@
 		r.fail("crontab: %v", err)
 		return
 	}
-	// One client runs ahead of the other by anything up to a second.
+	// Clocks of clients differ by up to a second.
 	lags := []float64{0, rng.Float64(), 0, 1}
-	clock := scheduleClock{began: time.Now(), lag: lags[number%len(lags)], midnight: midnight, minute: r.script.Minute}
+	clock := scheduleClock{startedAt: time.Now(), lag: lags[number%len(lags)], midnight: midnight, minute: r.script.Minute}
 	if r.script.PreloadAhead > 0 && number == 0 {
 		go r.preload(ctx, entries, clock)
 	}
@@ -62,8 +63,8 @@
 	client.Run(ctx, plan, clock.now, clock.until)
 }
 
-// drawCrontab draws a crontab whose entries fire each minute, and at midnight where the script has one. The result also
-// says when that is, in seconds from the beginning.
+// drawCrontab draws a crontab whose entries fire each minute, and at midnight if the script has one. It also returns the
+// time of midnight, in seconds from the start.
 func (r *run) drawCrontab(rng *rand.Rand) (crontab string, midnight float64) {
 	s := r.script
 	var text strings.Builder
@@ -73,7 +74,7 @@
 		fmt.Fprintf(&text, "* * * * * %s %s kitaboshi-wear %%{\"entry\":%d}\n", classes[rng.IntN(len(classes))],
 			r.functions[i%s.Functions].Name, i)
 	}
-	midnight = s.Seconds + afterTheEnd
+	midnight = s.Seconds + noMidnightDelay
 	for _, f := range s.Faults {
 		if f.Kind != FaultMidnight {
 			continue
@@ -87,7 +88,7 @@
 	return text.String(), midnight
 }
 
-// preload has functions loaded whose schedules are due soon, as the appliance does.
+// preload loads functions whose schedules are due soon, like the appliance.
 func (r *run) preload(ctx context.Context, entries []schedule.Entry, clock scheduleClock) {
 	ahead := time.Duration(r.script.PreloadAhead / r.script.Minute * float64(time.Minute))
 	for sleep(ctx, preloadInterval) {
@@ -101,7 +102,7 @@
 	}
 }
 
-// withoutDuplicates drops lines that stand twice, as entries of a crontab may not.
+// withoutDuplicates removes duplicate entries, which a crontab must not have.
 func withoutDuplicates(crontab string) string {
 	seen := map[string]bool{}
 	var out strings.Builder
--- a/internal/verification/scenario/script.go
+++ b/internal/verification/scenario/script.go
@@ -13,43 +13,43 @@
 	"streamcleat/internal/verification/fakes"
 )
 
-// Script is one scenario. Times are seconds; shares are of 1.
+// Script is one scenario. Times are seconds; fractions are between 0 and 1.
 type Script struct {
 	Name          string             `json:"name"`
 	About         string             `json:"about"`
 	Seconds       float64            `json:"seconds"`
-	Rate          float64            `json:"rate"` // requests a second beside the schedules
+	Rate          float64            `json:"rate"` // requests per second, without those of schedules
 	FrontEnds     int                `json:"front_ends"`
 	Workers       int                `json:"workers"`
 	Cores         int                `json:"cores"` // of each worker
 	Functions     int                `json:"functions"`
-	Work          float64            `json:"work"` // mean work of a request
-	Mix           map[string]float64 `json:"mix"`  // share of each request class
+	Work          float64            `json:"work"` // mean work of a request on a core of speed 1
+	Mix           map[string]float64 `json:"mix"`  // fraction of each request class
 	Timers        int                `json:"timers"`
-	Minute        float64            `json:"minute"` // that a minute of the schedules' clock takes
+	Minute        float64            `json:"minute"` // duration of a minute on the schedules' clock
 	Clients       int                `json:"clients"`
 	ColdStart     bool               `json:"cold"`          // all workers start with the scenario
 	LoadOnRequest bool               `json:"load_on_event"` // a request for a function that is not loaded loads it
 	LoadLimit     [3]float64         `json:"ration"`        // window, load commands without a request, load commands for each request
 	Retries       int                `json:"repeats"`
 	Versions      bool               `json:"versions"` // functions have versions
-	PreloadAhead  float64            `json:"ahead"`    // before a schedule is due that its function is loaded; 0: never
+	PreloadAhead  float64            `json:"ahead"`    // time before a schedule is due at which its function is preloaded; 0: never
 	Faults        []Fault            `json:"troubles"`
 }
 
-// Fault is one thing that goes wrong.
+// Fault is one fault of a script.
 type Fault struct {
 	At          float64   `json:"at"`
 	Kind        FaultKind `json:"kind"`
-	Fraction    float64   `json:"part"` // of the workers, functions, requests or clients
+	Fraction    float64   `json:"part"` // of the workers, functions or requests, depending on the kind
 	Duration    float64   `json:"for"`
-	Times       float64   `json:"times"` // factor or count: as the kind has it
-	Every       float64   `json:"every"` // between the turns of what comes again
-	Bytes       int       `json:"bytes"`
-	HitFraction float64   `json:"hit"` // share of the requests that it meets; 0: all
+	Times       float64   `json:"times"` // factor or count, depending on the kind
+	Every       float64   `json:"every"` // interval of a repeated fault
+	Bytes       int       `json:"bytes"` // sent of a truncated response
+	HitFraction float64   `json:"hit"`   // fraction of the requests that it affects; 0: all
 }
 
-// Bounds of scripts.
+// Limits of scripts.
 const (
 	maxSeconds   = 3600
 	maxRate      = 5000
@@ -68,11 +68,11 @@
 //go:embed scripts/*.json
 var scriptFiles embed.FS
 
-// Scripts returns the names of the scripts that come with the program.
+// Scripts returns the names of the built-in scripts.
 func Scripts() []string {
 	entries, err := fs.ReadDir(scriptFiles, scriptDirectory)
 	if err != nil {
-		panic(err) // the scripts are part of the binary
+		panic(err) // the scripts are embedded
 	}
 	var names []string
 	for _, e := range entries {
@@ -82,11 +82,11 @@
 	return names
 }
 
-// Builtin returns a script that comes with the program.
+// Builtin returns a built-in script.
 func Builtin(name string) (*Script, error) {
 	data, err := scriptFiles.ReadFile(scriptDirectory + "/" + name + scriptSuffix)
 	if err != nil {
-		return nil, fmt.Errorf("script %q is none of %s", name, strings.Join(Scripts(), ", "))
+		return nil, fmt.Errorf("unknown script %q, want one of %s", name, strings.Join(Scripts(), ", "))
 	}
 	return ParseScript(data, name)
 }
@@ -100,7 +100,8 @@
 	}
 }
 
-// ParseScript reads a script; what it leaves out has the sizes of a small site. from names it in errors.
+// ParseScript decodes and checks a script. Fields that it lacks have the values of defaultScript. from names the script
+// in errors.
 func ParseScript(data []byte, from string) (*Script, error) {
 	s := defaultScript()
 	d := json.NewDecoder(bytes.NewReader(data))
@@ -117,10 +118,10 @@
 	return s, nil
 }
 
-// errSizes is the error of sizes that have one text in common.
+// errSizes is returned for several fields that share a message.
 var errSizes = errors.New("minute and work must be above 0, cores at least 1, clients 0 to 16")
 
-// FieldError is the error of a field of a script whose value is not allowed.
+// FieldError is the error for an invalid value of a field of a script.
 type FieldError struct {
 	Field string
 	Value any
@@ -161,12 +162,12 @@
 
 func (f Fault) check(field string, seconds float64) error {
 	if injections[f.Kind] == nil {
-		return &FieldError{field + ".kind", f.Kind, "a known kind of trouble"}
+		return &FieldError{field + ".kind", f.Kind, "a known kind of fault"}
 	}
-	if f.At < 0 || f.At > seconds || f.Duration < 0 || !isShare(f.Fraction) || !isShare(f.HitFraction) {
-		return fmt.Errorf("%s: at must lie within the day, part and hit between 0 and 1", field)
+	if f.At < 0 || f.At > seconds || f.Duration < 0 || !isFraction(f.Fraction) || !isFraction(f.HitFraction) {
+		return fmt.Errorf("%s: at must be within the scenario, part and hit between 0 and 1", field)
 	}
 	return nil
 }
 
-func isShare(v float64) bool { return v >= 0 && v <= 1 }
+func isFraction(v float64) bool { return v >= 0 && v <= 1 }
--- a/internal/verification/scenario/site.go
+++ b/internal/verification/scenario/site.go
@@ -13,7 +13,7 @@
 	"streamcleat/internal/verification/invariants"
 )
 
-// Figures of every worker.
+// Limits of every worker.
 const (
 	workerMemoryMB     = 8000
 	workerQueueLimit   = 64
@@ -25,9 +25,9 @@
 	phaseDraining = "draining"
 	phaseGone     = "gone"
 
-	anyPort      = "127.0.0.1:0"
-	clusterName  = "drill"
-	seedDistance = 1000003 // between the seeds of two scenarios' front ends
+	anyPort     = "127.0.0.1:0"
+	clusterName = "drill"
+	seedStride  = 1000003 // separates the seeds of the front ends of two scenarios
 )
 
 // start starts workers and front ends.
@@ -40,23 +40,27 @@
 		MeanWork:                r.meanWork(),
 		Capacity:                map[string]float64{},
 		DrainGrace:              drainGrace,
-		InitialCapacityFraction: coldShare,
+		InitialCapacityFraction: initialCapacityFraction,
 		WarmUpTime:              warmUpTime,
 		OverloadFactor:          overloadFactor,
 		OverloadWindow:          overloadWindow,
 		LoadWindow:              s.LoadLimit[0],
 		LoadBurst:               s.LoadLimit[1],
 		LoadsPerRequest:         s.LoadLimit[2],
-		ObservationDelay:        recordingGrace,
+		ObservationDelay:        observationDelay,
+	}
+	startWorker := r.startWorker
+	if s.ColdStart {
+		startWorker = r.startColdWorker
 	}
 	for range s.Workers {
-		w, err := r.startWorker(s.ColdStart)
+		w, err := startWorker()
 		if err != nil {
 			return err
 		}
 		r.workers = append(r.workers, w)
 	}
-	path := filepath.Join(r.dir, "workers.json")
+	path := filepath.Join(r.folder, "workers.json")
 	var err error
 	if r.list, err = fakes.NewEndpointList(path, r.recorder, r.workers); err != nil {
 		return err
@@ -72,8 +76,17 @@
 	return mean
 }
 
-// startWorker starts one more worker. A cold one starts within the recording.
-func (r *run) startWorker(cold bool) (*fakes.Worker, error) {
+// startColdWorker starts a worker that warms up.
+func (r *run) startColdWorker() (*fakes.Worker, error) {
+	w, err := r.startWorker()
+	if err != nil {
+		return nil, err
+	}
+	return w, w.Restart()
+}
+
+// startWorker starts a warm worker.
+func (r *run) startWorker() (*fakes.Worker, error) {
 	r.mu.Lock()
 	number := r.nextWorker
 	r.nextWorker++
@@ -89,7 +102,7 @@
 		QueueLimit:              workerQueueLimit,
 		MaxConcurrentLoads:      maxConcurrentLoads,
 		IdleReplicaLifetime:     idleReplicaLifetime + 0.5,
-		InitialCapacityFraction: coldShare,
+		InitialCapacityFraction: initialCapacityFraction,
 		WarmUpTime:              warmUpTime,
 		OverloadFactor:          overloadFactor,
 		OverloadWindow:          overloadWindow,
@@ -109,13 +122,10 @@
 	defer r.mu.Unlock()
 	r.rules.Capacity[name] = float64(r.script.Cores) * speed
 	r.started = append(r.started, w)
-	if cold {
-		return w, w.Restart()
-	}
 	return w, nil
 }
 
-// startFrontEnds starts front ends that read the endpoint list at a path, and gossip.
+// startFrontEnds starts front ends that watch the endpoint list at a path, and gossip with each other.
 func (r *run) startFrontEnds(listPath string) error {
 	s := r.script
 	peers, err := freeUDPAddrs(s.FrontEnds)
@@ -142,7 +152,7 @@
 	return nil
 }
 
-// configure makes the configuration of the front ends.
+// configure returns the configuration of the front ends.
 func (r *run) configure() (*config.Config, error) {
 	s := r.script
 	document := fakes.SiteConfig{
@@ -152,7 +162,7 @@
 		Functions: fakes.FunctionConfigs(r.functions),
 		Workers:   fakes.WorkersConfig{IdleReplicaLifetime: idleReplicaLifetime, LoadsOnRequest: s.LoadOnRequest},
 		Rules: fakes.RulesConfig{
-			InitialCapacityFraction: coldShare, WarmUpTime: warmUpTime, OverloadFactor: overloadFactor,
+			InitialCapacityFraction: initialCapacityFraction, WarmUpTime: warmUpTime, OverloadFactor: overloadFactor,
 			OverloadWindow: overloadWindow, MaxRetryAfter: 0.5,
 			LoadWindow: s.LoadLimit[0], LoadBurst: s.LoadLimit[1], LoadsPerRequest: s.LoadLimit[2],
 		},
@@ -162,12 +172,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return config.Parse(data, r.dir)
+	return config.Parse(data, r.folder)
 }
 
 func (r *run) frontEndSettings(c *config.Config, number int, listPath string, peers []string) eventloop.Settings {
 	s, name := r.script, frontEndName(number)
-	decisions := c.Dispatch(r.seed*seedDistance + uint64(number))
+	decisions := c.Dispatch(r.seed*seedStride + uint64(number))
 	decisions.Deployment.FrontEnds, decisions.Deployment.GossipAllowed = s.FrontEnds, s.FrontEnds > 1
 	if r.versions != nil {
 		decisions.ResolveVersion = r.versions.resolver(number, c.Function)
@@ -194,7 +204,7 @@
 	return settings
 }
 
-// countCause counts why a request did not succeed.
+// countCause counts the cause of a response that is not a success.
 func (r *run) countCause(response dispatch.Response, _ *dispatch.Trace) {
 	if response.Kind == dispatch.Succeeded {
 		return
@@ -206,7 +216,7 @@
 
 func frontEndName(number int) string { return fmt.Sprintf("front-%d", number) }
 
-// freeUDPAddrs finds loopback addresses that nobody uses at the moment.
+// freeUDPAddrs returns loopback addresses that are free at the moment.
 func freeUDPAddrs(n int) ([]string, error) {
 	var list []string
 	var conns []*net.UDPConn
--- a/internal/verification/scenario/traffic.go
+++ b/internal/verification/scenario/traffic.go
@@ -18,7 +18,7 @@
 const (
 	trafficSource  = "/tills"
 	maxCancelDelay = 60 * time.Millisecond
-	retrySuffix    = "+" // of the identity of a request that comes back at once
+	retrySuffix    = "+" // makes the identity of a request that ignores Retry-After another one
 )
 
 var tenants = []string{"kitaboshi-wear", "minato-shoes"}
@@ -40,7 +40,7 @@
 	}
 }
 
-// recordEnd records how a call ended.
+// recordEnd records the end of a call.
 func (r *run) recordEnd(record invariants.Record, status int, digest string, err error) {
 	record.Status = status
 	if status == http.StatusOK {
@@ -50,7 +50,7 @@
 	case status == 0 && errors.Is(err, context.Canceled):
 		record.Kind = invariants.ClientCancelled
 	case status == 0 && errors.Is(err, context.DeadlineExceeded):
-		return // nobody answered in time: the checker finds no response
+		return // the checker reports the missing response
 	case status == 0:
 		record.Kind, record.Outcome = invariants.ResponseReceived, invariants.Invalid
 		r.fail("%s: %v", record.RequestID, err)
@@ -60,7 +60,7 @@
 	r.recorder.Add(record)
 }
 
-// frontEndAt is the name of the front end at an address.
+// frontEndAt returns the name of the front end at an address.
 func (r *run) frontEndAt(addr string) string {
 	if i := slices.Index(r.addrs, addr); i >= 0 {
 		return frontEndName(i)
@@ -80,7 +80,7 @@
 	return invariants.Invalid
 }
 
-// countResult counts the result of a firing.
+// countResult counts the result of a request or firing.
 func (r *run) countResult(result schedule.Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -96,15 +96,14 @@
 	}
 	r.slots[number] = s
 	if succeeded {
-		_ = r.latency.RecordValue(max(result.Latency.Microseconds(), 1)) // no request waits for longer than it holds
+		_ = r.latency.RecordValue(max(result.Latency.Microseconds(), 1)) // the timeout is below its maximum
 	}
 	if outcomeOf(result.Status) == invariants.Invalid && result.Status != 0 {
 		r.failures = append(r.failures, fmt.Sprintf("%s: status %d", result.ID, result.Status))
 	}
 }
 
-// traffic draws the requests of clients at random times, of classes by the script's mix, for functions of uneven
-// popularity.
+// traffic draws the requests of clients: classes by the script's mix, functions by a Zipf distribution.
 type traffic struct {
 	run        *run
 	rng        *rand.Rand
@@ -123,14 +122,20 @@
 	var sending sync.WaitGroup
 	defer sending.Wait()
 	for number := 0; s.Rate > 0; number++ {
-		rate := s.Rate * float64(r.ratePercent.Load()) / usualRatePercent
+		rate := s.Rate * float64(r.ratePercent.Load()) / normalRatePercent
 		if !sleep(ctx, rng.ExpFloat64()/rate) {
 			return
 		}
 		firing := t.draw(number)
-		cancels := rng.Int64N(thousandths) < r.cancelShare.Load()
-		cancelAfter := time.Duration(rng.Int64N(int64(maxCancelDelay)))
-		sending.Go(func() { t.send(firing, cancels, cancelAfter) })
+		cancelled := rng.Int64N(thousand) < r.cancelThousandths.Load()
+		cancelDelay := time.Duration(rng.Int64N(int64(maxCancelDelay)))
+		sending.Go(func() {
+			if cancelled {
+				t.sendAndCancel(firing, cancelDelay)
+			} else {
+				r.countResult(t.send(context.Background(), firing))
+			}
+		})
 	}
 	<-ctx.Done()
 }
@@ -140,7 +145,7 @@
 	r := t.run
 	class := t.drawClass()
 	function := r.functions[t.popularity.Uint64()].Name
-	if t.rng.Int64N(thousandths) < r.hotShare.Load() {
+	if t.rng.Int64N(thousand) < r.hotThousandths.Load() {
 		function = r.functions[r.script.Functions+t.rng.IntN(hotFunctions)].Name
 	}
 	entry := &schedule.Entry{Class: class, Function: function, Tenant: tenants[t.rng.IntN(len(tenants))], Data: []byte(`{"count":1}`)}
@@ -150,30 +155,30 @@
 func (t *traffic) drawClass() (class string) {
 	draw := t.rng.Float64()
 	for _, class = range fakes.RequestClasses() {
-		share := t.run.script.Mix[class]
-		if draw < share {
+		fraction := t.run.script.Mix[class]
+		if draw < fraction {
 			break
 		}
-		draw -= share
+		draw -= fraction
 	}
 	return class
 }
 
-// send sends a request and waits for its result. Clients that ignore Retry-After come back at once, each time as another
-// request.
-func (t *traffic) send(firing schedule.Firing, cancels bool, cancelAfter time.Duration) {
-	r := t.run
+// sendAndCancel sends a request and cancels it after a delay. Its result does not count.
+func (t *traffic) sendAndCancel(firing schedule.Firing, delay time.Duration) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	if cancels {
-		time.AfterFunc(cancelAfter, cancel)
-	}
+	time.AfterFunc(delay, cancel)
+	t.send(ctx, firing)
+}
+
+// send sends a request and returns its result. While clients ignore Retry-After, it sends a rejected one again at once,
+// as a request of another identity.
+func (t *traffic) send(ctx context.Context, firing schedule.Firing) schedule.Result {
 	result := t.client.Fire(ctx, firing)
-	for r.ignoreRetryAfter.Load() && result.Status == http.StatusServiceUnavailable && result.Latency.Seconds() < requestTimeout {
+	for t.run.ignoreRetryAfter.Load() && result.Status == http.StatusServiceUnavailable && result.Latency.Seconds() < requestTimeout {
 		firing.ID += retrySuffix
 		result = t.client.Fire(ctx, firing)
 	}
-	if !cancels {
-		r.countResult(result)
-	}
+	return result
 }
--- a/internal/verification/scenario/versions.go
+++ b/internal/verification/scenario/versions.go
@@ -11,15 +11,15 @@
 	"streamcleat/internal/verification/fakes"
 )
 
-// Versions that every function has.
+// Names of the versions of every function.
 const (
 	oldVersion = "1"
 	newVersion = "2"
 
-	moveSpread = 2 * time.Millisecond // from one front end's learning of a move to the next one's
+	aliasUpdateDelay = 2 * time.Millisecond // between the updates of two front ends
 )
 
-// versions gives each front end a registry of its own, as appliances have: a move reaches one after the other.
+// versions holds a registry for each front end, as appliances have. Updates of aliases reach one after the other.
 type versions struct {
 	mu         sync.Mutex
 	registries []*registry.Registry
@@ -43,7 +43,7 @@
 	return digest.FromString(function + ":" + version)
 }
 
-// publish publishes both versions of a function, of which the old one is current.
+// publish publishes both versions of a function. The alias "current" points to the old one.
 func publish(r *registry.Registry, f fakes.Function) error {
 	for _, name := range []string{oldVersion, newVersion} {
 		version := &registry.Version{
@@ -57,7 +57,7 @@
 	return r.Apply(registry.Entry{AliasUpdate: &registry.AliasUpdate{Function: f.Name, Alias: registry.DefaultAlias, Digest: versionDigest(f.Name, oldVersion)}})
 }
 
-// resolver returns what a front end resolves the versions of requests by.
+// resolver returns the function by which a front end resolves the versions of requests.
 func (v *versions) resolver(frontEnd int, profile func(string) dispatch.FunctionProfile) func(*dispatch.Request) (dispatch.Binding, dispatch.FunctionProfile, error) {
 	return func(request *dispatch.Request) (dispatch.Binding, dispatch.FunctionProfile, error) {
 		v.mu.Lock()
@@ -72,7 +72,7 @@
 	}
 }
 
-// isAllowed returns what a front end asks whether a version may still run.
+// isAllowed returns the function by which a front end checks that a version is not revoked.
 func (v *versions) isAllowed(frontEnd int) func(dispatch.Binding) bool {
 	return func(b dispatch.Binding) bool {
 		v.mu.Lock()
@@ -81,16 +81,16 @@
 	}
 }
 
-// move moves an alias at the front ends, one after the other.
-func (v *versions) move(m registry.AliasUpdate) error {
+// updateAlias updates an alias at the front ends, one after the other.
+func (v *versions) updateAlias(update registry.AliasUpdate) error {
 	for i := range v.registries {
 		v.mu.Lock()
-		err := v.registries[i].Apply(registry.Entry{AliasUpdate: &m})
+		err := v.registries[i].Apply(registry.Entry{AliasUpdate: &update})
 		v.mu.Unlock()
 		if err != nil {
 			return err
 		}
-		time.Sleep(moveSpread)
+		time.Sleep(aliasUpdateDelay)
 	}
 	return nil
 }
