--- a/internal/verification/goldentest/client.go
+++ b/internal/verification/goldentest/client.go
@@ -8,7 +8,7 @@
 	"streamcleat/internal/dispatch"
 )
 
-// Session is the client side of a protocol.
+// Session is the front end's side of a client connection, for any protocol.
 type Session interface {
 	Feed(now float64, wall time.Time, data []byte)
 	Respond(now float64, slot uint64, r dispatch.Response)
@@ -21,18 +21,18 @@
 	Output() []byte
 }
 
-// FakeClient plays one client connection.
+// FakeClient is the client of one connection.
 type FakeClient struct {
 	Session   Session
-	Encode    func(verb string, words []string) []byte // what a client sends; nil for a verb of no such kind
-	Show      func(data []byte) []string               // what is sent, piece by piece
-	NotReady  bool                                     // what readiness queries are answered
-	heldBack  []byte                                   // goes with the next bytes
+	Encode    func(verb string, words []string) []byte // encodes a message of the client; nil for an unknown verb
+	Show      func(data []byte) []string               // formats messages for the transcript
+	NotReady  bool                                     // the response to readiness queries
+	heldBack  []byte                                   // sent with the next message
 	pieceSize int                                      // bytes that are fed at a time; 0: all
-	done      bool                                     // as the session last said
-	automatic *dispatch.Response                       // to each request within Submit; nil: none
+	done      bool                                     // as last reported by the session
+	automatic *dispatch.Response                       // to each request, within Submit; may be nil
 	now       float64
-	lines     []string // of the transcript, since the script's line
+	lines     []string // of the transcript, for the current line of the script
 }
 
 // Wall is the time of day at time 0 of every script.
@@ -50,14 +50,14 @@
 	}
 }
 
-// Cancel records that nobody waits for a request any more.
+// Cancel records that a request is cancelled.
 func (c *FakeClient) Cancel(slot uint64) { c.logf("request %d cancelled", slot) }
 
 func (c *FakeClient) logf(format string, args ...any) {
 	c.lines = append(c.lines, fmt.Sprintf(format, args...))
 }
 
-// Act carries out one line of the script.
+// Act executes one line of the script.
 func (c *FakeClient) Act(now float64, verb string, words []string) []string {
 	c.lines, c.now = nil, now
 	switch verb {
@@ -83,7 +83,7 @@
 	case "rest":
 		c.send(now, nil)
 	default:
-		c.encode(now, verb, words)
+		c.sendMessage(now, verb, words)
 	}
 	for _, text := range c.Show(c.Session.Output()) {
 		c.logf("> client %s", text)
@@ -95,11 +95,11 @@
 	return c.lines
 }
 
-// encode sends what a client says: "+verb" holds it back to go with the next, "first=N verb" only its
-// first N bytes, or with N below 0 all but the last -N; the verb "rest" sends what is left.
-func (c *FakeClient) encode(now float64, verb string, words []string) {
+// sendMessage sends a message of the client. "+verb" holds it back and sends it with the next one. "first=N verb" sends
+// only its first N bytes, or all but the last -N if N is negative; the verb "rest" sends the others.
+func (c *FakeClient) sendMessage(now float64, verb string, words []string) {
 	name, hold := strings.CutPrefix(verb, "+")
-	if text, part := strings.CutPrefix(verb, "first="); part {
+	if text, partial := strings.CutPrefix(verb, "first="); partial {
 		data := c.Encode(words[0], words[1:])
 		n := int(Number(text))
 		if n < 0 {
@@ -111,7 +111,7 @@
 	}
 	data := c.Encode(name, words)
 	if data == nil {
-		panic("no such verb: " + verb)
+		panic("unknown verb: " + verb)
 	}
 	if hold {
 		c.heldBack = append(c.heldBack, data...)
@@ -129,15 +129,3 @@
 	wall := Wall.Add(time.Duration(now * float64(time.Second)))
 	inPieces(data, c.pieceSize, func(piece []byte) { c.Session.Feed(now, wall, piece) })
 }
-
-// inPieces feeds data in pieces of that size, or whole where size is 0.
-func inPieces(data []byte, size int, feed func(piece []byte)) {
-	if size == 0 {
-		size = len(data)
-	}
-	for len(data) > 0 {
-		n := min(size, len(data))
-		feed(data[:n])
-		data = data[n:]
-	}
-}
--- a/internal/verification/goldentest/script.go
+++ b/internal/verification/goldentest/script.go
@@ -1,10 +1,3 @@
-// Package goldentest plays scripted sessions against protocol code and compares the transcript with a golden file. It
-// is for tests only. Scripts and transcripts use the terms of the field (request, attempt, load, cancel, drain); only
-// the adapters of this package name Go identifiers, so that a rename touches them and no golden file.
-//
-// A script is testdata/NAME.script. "== title" begins a new session; "# ..." is a comment; any other line is a time in
-// seconds, a verb and its words. A word, or a part of one, may be a quoted Go string. The transcript repeats each line
-// and has under it, indented, all that the code under test did.
 package goldentest
 
 import (
@@ -15,15 +8,16 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// Actor carries out one line of a script and tells what came of it.
+// Actor executes one line of a script and returns its effects as lines of the transcript.
 type Actor interface {
 	Act(now float64, verb string, words []string) []string
 }
 
-// Play runs testdata/NAME.script, each session with an actor of its own, and compares with testdata/NAME.golden.
-func Play(t *testing.T, name string, begin func(t *testing.T) Actor) {
+// Play runs testdata/NAME.script and compares the transcript with testdata/NAME.golden. newActor returns the actor of a
+// session.
+func Play(t *testing.T, name string, newActor func(t *testing.T) Actor) {
 	t.Helper()
 	script, err := os.ReadFile("testdata/" + name + ".script")
 	if err != nil {
@@ -36,7 +30,7 @@
 		case line == "" || line[0] == '#':
 			continue
 		case strings.HasPrefix(line, "== "):
-			actor = begin(t)
+			actor = newActor(t)
 			out.WriteString("\n" + line + "\n")
 			continue
 		}
@@ -49,14 +43,14 @@
 			t.Fatalf("%s.script:%d: %v", name, number+1, err)
 		}
 		out.WriteString(line + "\n")
-		for _, what := range actor.Act(now, words[1], words[2:]) {
-			out.WriteString("    " + words[0] + " " + what + "\n")
+		for _, effect := range actor.Act(now, words[1], words[2:]) {
+			out.WriteString("    " + words[0] + " " + effect + "\n")
 		}
 	}
 	Compare(t, "testdata/"+name+".golden", out.String())
 }
 
-// Compare holds got against a golden file, or writes the file where the flag -update is given.
+// Compare compares got with a golden file, or writes the file if the flag -update is set.
 func Compare(t *testing.T, file, got string) {
 	t.Helper()
 	if *update {
@@ -89,8 +83,9 @@
 	return "(no line)"
 }
 
-// splitWords cuts a line at spaces outside quoted parts and takes the quotes off.
-func splitWords(line string) (words []string, err error) {
+// splitWords splits a line at spaces outside of quoted parts, and unquotes these.
+func splitWords(line string) ([]string, error) {
+	var words []string
 	word, open := "", false
 	for line != "" {
 		switch c := line[0]; c {
@@ -119,7 +114,7 @@
 	return words, nil
 }
 
-// Options are the words name=value of a line; a word without "=" stands for an empty value.
+// Options returns the words name=value of a line by name. A word without "=" has an empty value.
 func Options(words []string) map[string]string {
 	list := map[string]string{}
 	for _, word := range words {
@@ -129,7 +124,7 @@
 	return list
 }
 
-// Number reads a number of a script; a script that has none there is at fault.
+// Number parses a number of a script. It panics if there is none.
 func Number(text string) float64 {
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil {
@@ -137,3 +132,15 @@
 	}
 	return v
 }
+
+// inPieces calls feed with pieces of data of the given size, or with all data if size is 0.
+func inPieces(data []byte, size int, feed func(piece []byte)) {
+	if size == 0 {
+		size = len(data)
+	}
+	for len(data) > 0 {
+		n := min(size, len(data))
+		feed(data[:n])
+		data = data[n:]
+	}
+}
--- a/internal/verification/goldentest/show.go
+++ b/internal/verification/goldentest/show.go
@@ -10,12 +10,13 @@
 	"streamcleat/internal/dispatch"
 )
 
-// maxShown is the longest frame or line in bytes that is shown whole.
+// maxShown is the maximum size of a frame or line that is shown completely.
 const maxShown = 400
 
-// Frames shows bytes as frames, each in hex and with its readable text. size is the length of the first frame; what is
-// left over where it is 0 or beyond the end is shown as one piece.
-func Frames(data []byte, size func([]byte) int) (list []string) {
+// Frames formats data as frames, each in hex and as text. size returns the length of the first frame of its argument. If
+// it is 0 or exceeds the data, the rest is one piece.
+func Frames(data []byte, size func([]byte) int) []string {
+	var list []string
 	for len(data) > 0 {
 		n := size(data)
 		if n <= 0 || n > len(data) {
@@ -27,7 +28,7 @@
 	return list
 }
 
-// showFrame is one frame in hex; of a very long one its beginning, length and hash.
+// showFrame formats a frame in hex and as text, or as its beginning, length and hash if it is long.
 func showFrame(b []byte) string {
 	if len(b) > maxShown {
 		return fmt.Sprintf("%x... %d bytes sha256=%x", b[:64], len(b), sha256.Sum256(b))
@@ -35,7 +36,7 @@
 	return fmt.Sprintf("%x %s", b, readableText(b))
 }
 
-// readableText is the text in a frame, with dots for other bytes.
+// readableText returns the printable characters of a frame, with dots for other bytes.
 func readableText(b []byte) string {
 	text := bytes.Clone(b)
 	for i, c := range text {
@@ -46,8 +47,9 @@
 	return string(text)
 }
 
-// Lines shows text as quoted lines with their line ends.
-func Lines(data []byte) (list []string) {
+// Lines formats text as quoted lines with their line ends.
+func Lines(data []byte) []string {
+	var list []string
 	for line := range strings.SplitAfterSeq(string(data), "\n") {
 		if len(line) > maxShown {
 			line = fmt.Sprintf("%s... %d bytes sha256=%x", line[:64], len(line), sha256.Sum256([]byte(line)))
@@ -59,7 +61,7 @@
 	return list
 }
 
-// Hex reads bytes from hex digits of a script.
+// Hex decodes hex digits of a script. It panics if they are malformed.
 func Hex(text string) []byte {
 	b, err := hex.DecodeString(text)
 	if err != nil {
--- a/internal/verification/goldentest/words.go
+++ b/internal/verification/goldentest/words.go
@@ -8,7 +8,7 @@
 	"streamcleat/internal/dispatch"
 )
 
-// outcomeWords and startWords are the words of transcripts for what other packages report.
+// outcomeWords has the words of transcripts for the outcome of an attempt.
 var outcomeWords = map[control.Outcome]string{
 	control.Succeeded:      "served",
 	control.Failed:         "error",
@@ -21,6 +21,7 @@
 	control.ReplicaMissing: "not-loaded",
 }
 
+// startWords has the words of transcripts for the kind of a start.
 var startWords = map[control.StartType]string{
 	control.StartUnknown:    "unknown",
 	control.WarmStart:       "warm",
@@ -35,21 +36,23 @@
 			return start
 		}
 	}
-	panic("no such word: " + word)
+	panic("unknown kind of start: " + word)
 }
 
+// responseKinds has the kinds of response by their words in scripts.
 var responseKinds = map[string]dispatch.ResponseKind{
 	"served":   dispatch.Succeeded,
 	"deferred": dispatch.Rejected,
 	"failed":   dispatch.Failed,
 }
 
-// parseResponse reads "served|deferred|failed [cause=...] [pause=...] ...". Causes have the words that clients are sent.
+// parseResponse parses "served|deferred|failed [cause=...] [pause=...] ...". Causes have the words that are sent to
+// clients.
 func parseResponse(words []string) dispatch.Response {
 	options := Options(words[1:])
 	kind, ok := responseKinds[words[0]]
 	if !ok {
-		panic(words[0])
+		panic("unknown kind of response: " + words[0])
 	}
 	r := dispatch.Response{
 		Kind: kind, Worker: options["worker"], Replayed: options["repeat"] != "",
@@ -83,15 +86,15 @@
 			return c
 		}
 	}
-	panic("no such cause: " + word)
+	panic("unknown cause: " + word)
 }
 
-// usualFunction is the function of an attempt or load command that names none.
-const usualFunction = "7f3a9c21e0b4d655"
+// defaultFunction is the function of an attempt or load command that names none.
+const defaultFunction = "7f3a9c21e0b4d655"
 
 func parseAttempt(id uint64, worker string, options map[string]string) dispatch.Attempt {
 	a := dispatch.Attempt{
-		ID: id, Worker: control.WorkerID(worker), Function: usualFunction, Class: "call", Timeout: 1.5,
+		ID: id, Worker: control.WorkerID(worker), Function: defaultFunction, Class: "call", Timeout: 1.5,
 		Identity: dispatch.Identity{ID: fmt.Sprintf("%016x", id)}, Body: []byte(options["body"]), Binding: parseBinding(options),
 	}
 	for name, field := range map[string]*string{"function": &a.Function, "type": &a.Class, "id": &a.Identity.ID} {
@@ -110,7 +113,7 @@
 
 func parseLoadCommand(id uint64, worker string, options map[string]string) dispatch.LoadCommand {
 	command := dispatch.LoadCommand{
-		ID: id, Worker: control.WorkerID(worker), Function: usualFunction,
+		ID: id, Worker: control.WorkerID(worker), Function: defaultFunction,
 		Replicas: int(Number(options["copies"])), Binding: parseBinding(options),
 	}
 	if v, ok := options["function"]; ok {
--- a/internal/verification/goldentest/workers.go
+++ b/internal/verification/goldentest/workers.go
@@ -10,7 +10,7 @@
 	"streamcleat/internal/upstream"
 )
 
-// Pool is the worker side of a protocol.
+// Pool is the front end's side of the connections to workers, for any protocol.
 type Pool interface {
 	SetEndpoints(list *upstream.EndpointList)
 	SendAttempt(now float64, a dispatch.Attempt)
@@ -27,17 +27,17 @@
 	Check() error
 }
 
-// FakeWorkers plays all workers and the sockets to them. It is the transport of its pool and takes its results.
+// FakeWorkers is all workers and the sockets to them. It implements the transport of its pool, and receives its results.
 type FakeWorkers struct {
 	Pool      Pool
-	Encode    func(verb string, words []string) []byte // what a worker sends; nil for a verb of no such kind
-	Show      func(data []byte) []string               // what is sent, piece by piece
-	unsent    map[upstream.ConnID]int                  // as the script states it
-	heldBack  []byte                                   // goes with the next bytes
+	Encode    func(verb string, words []string) []byte // encodes a message of a worker; nil for an unknown verb
+	Show      func(data []byte) []string               // formats messages for the transcript
+	unsent    map[upstream.ConnID]int                  // bytes in the buffers of connections
+	heldBack  []byte                                   // sent with the next message
 	pieceSize int                                      // bytes that are fed at a time; 0: all
-	lines     []string                                 // of the transcript, since the script's line
-	now       float64                                  // of the script's line
-	deadlines map[uint64]float64                       // of attempts
+	lines     []string                                 // of the transcript, for the current line of the script
+	now       float64
+	deadlines map[uint64]float64 // of attempts
 }
 
 func (w *FakeWorkers) logf(format string, args ...any) {
@@ -49,7 +49,7 @@
 	w.logf("dial connection %d to %q", c, addr)
 }
 
-// Write records what is sent to a worker.
+// Write records data that is sent to a worker.
 func (w *FakeWorkers) Write(c upstream.ConnID, data []byte) {
 	for _, text := range w.Show(data) {
 		w.logf("> worker on %d %s", c, text)
@@ -59,10 +59,10 @@
 // Close records that the pool closes a connection.
 func (w *FakeWorkers) Close(c upstream.ConnID) { w.logf("close connection %d", c) }
 
-// Unsent is what the script states of a connection's buffer.
+// Unsent returns the unsent bytes of a connection, as set by the script.
 func (w *FakeWorkers) Unsent(c upstream.ConnID) int { return w.unsent[c] }
 
-// AuthorizeAttempt permits everything, with the time that is left of what the script states.
+// AuthorizeAttempt permits every attempt, with the remaining time until its deadline.
 func (w *FakeWorkers) AuthorizeAttempt(id uint64) dispatch.SendPermit {
 	return dispatch.PermitSend(w.deadlines[id] - w.now)
 }
@@ -70,7 +70,7 @@
 // AuthorizeLoad implements upstream.ExchangeHandler.
 func (*FakeWorkers) AuthorizeLoad() dispatch.SendPermit { return dispatch.PermitSend(0) }
 
-// sendAttempt hands an attempt to the pool and notes its deadline.
+// sendAttempt records the deadline of an attempt and passes it to the pool.
 func (w *FakeWorkers) sendAttempt(now float64, attempt dispatch.Attempt) {
 	if w.deadlines == nil {
 		w.deadlines = map[uint64]float64{}
@@ -91,10 +91,10 @@
 	w.logf("load %d ended: %s copies=%d", id, outcomeWords[outcome], replicas)
 }
 
-// Act carries out one line of the script.
+// Act executes one line of the script.
 func (w *FakeWorkers) Act(now float64, verb string, words []string) []string {
 	w.lines, w.now = nil, now
-	w.act(now, verb, words)
+	w.execute(now, verb, words)
 	w.Pool.Flush()
 	if err := w.Pool.Check(); err != nil {
 		w.logf("state contradicts itself: %v", err)
@@ -102,7 +102,7 @@
 	return w.lines
 }
 
-func (w *FakeWorkers) act(now float64, verb string, words []string) {
+func (w *FakeWorkers) execute(now float64, verb string, words []string) {
 	number := func() uint64 { return uint64(Number(words[0])) }
 	switch verb {
 	case "workers":
@@ -132,16 +132,17 @@
 	case "connections?":
 		w.logf("connections: %d", w.Pool.Len())
 	default:
-		w.receive(now, verb, words)
+		w.sendMessage(now, verb, words)
 	}
 }
 
-// receive takes "verb connection ...", what a worker sends; "+verb" holds it back to go with the next.
-func (w *FakeWorkers) receive(now float64, verb string, words []string) {
+// sendMessage sends a message of a worker to the pool: "verb connection ...". "+verb" holds it back and sends it with the
+// next one.
+func (w *FakeWorkers) sendMessage(now float64, verb string, words []string) {
 	name, hold := strings.CutPrefix(verb, "+")
 	data := w.Encode(name, words[1:])
 	if data == nil {
-		panic("no such verb: " + verb)
+		panic("unknown verb: " + verb)
 	}
 	w.heldBack = append(w.heldBack, data...)
 	if hold {
@@ -155,7 +156,7 @@
 	inPieces(data, w.pieceSize, func(piece []byte) { w.Pool.OnData(now, c, piece) })
 }
 
-// setEndpoints reads the list of workers in the form of its file.
+// setEndpoints parses an endpoint list in the format of its file, and passes it to the pool.
 func (w *FakeWorkers) setEndpoints(text string) {
 	list, err := upstream.ParseEndpointList([]byte(text), 100)
 	if err != nil {
@@ -171,5 +172,5 @@
 	w.Pool.SetEndpoints(list)
 }
 
-// NewFakeWorkers makes workers without a pool, which the caller sets.
+// NewFakeWorkers returns FakeWorkers without a Pool, which the caller sets.
 func NewFakeWorkers() *FakeWorkers { return &FakeWorkers{unsent: map[upstream.ConnID]int{}} }
