--- a/internal/verification/simulation/coverage.go
+++ b/internal/verification/simulation/coverage.go
@@ -1,14 +1,16 @@
 package simulation
 
-// States of front ends that coverage distinguishes, beside those of the appliance's life cycle.
+import "streamcleat/internal/appliance"
+
+// States of front ends that coverage distinguishes, in addition to those of the appliance's lifecycle.
 const (
 	stateIdle         = "idle"
-	stateRequestOpen  = "event open"
-	stateAttempt      = "launch out"
-	stateLoad         = "load out"
-	stateAwaitsDisk   = "waits for disk"
+	stateRequestOpen  = "request open"
+	stateAttempt      = "attempt in flight"
+	stateLoad         = "load pending"
+	stateAwaitsDisk   = "awaiting disk"
 	stateWriting      = "writing"
-	statePaused       = "stalled"
+	stateSuspended    = "suspended"
 	stateDown         = "down"
 	coverageSeparator = " " // between a kind of fault and a state
 )
@@ -17,16 +19,17 @@
 func faultStates() []string {
 	return []string{
 		stateIdle, stateRequestOpen, stateAttempt, stateLoad, stateAwaitsDisk, stateWriting,
-		"starting", "recovering", "draining", "finishing", statePaused, stateDown,
+		appliance.Starting.String(), appliance.Recovering.String(), appliance.Draining.String(), appliance.Terminating.String(),
+		stateSuspended, stateDown,
 	}
 }
 
-// coverageKey is the key of a kind of fault that met a state, as reports have it.
+// coverageKey returns the key under which reports count a kind of fault that met a state.
 func coverageKey(kind FaultKind, state string) string {
 	return string(kind) + coverageSeparator + state
 }
 
-// countCoverage counts in which states the fault finds the front ends that it may concern.
+// countCoverage counts the states of the front ends that the fault may affect.
 func (i *injection) countCoverage(kind *faultKind) {
 	for _, a := range i.appliances {
 		if kind.hitsOneAppliance && a != i.appliance {
@@ -38,13 +41,14 @@
 	}
 }
 
-// coverageStates returns the states that an appliance and its front ends are in.
-func (a *applianceProcess) coverageStates() (states []string) {
+// coverageStates returns the states of an appliance and its front ends.
+func (a *applianceProcess) coverageStates() []string {
+	var states []string
 	if !a.running {
 		return []string{stateDown}
 	}
 	if a.paused {
-		states = append(states, statePaused)
+		states = append(states, stateSuspended)
 	}
 	if !a.isServing() {
 		states = append(states, a.lifecycle.State.String())
@@ -56,7 +60,8 @@
 	return states
 }
 
-func (f *frontEnd) coverageStates() (states []string) {
+func (f *frontEnd) coverageStates() []string {
+	var states []string
 	counts := f.proxy.Dispatcher().Counts()
 	if counts.Open == 0 {
 		states = append(states, stateIdle)
--- /dev/null
+++ b/internal/verification/simulation/deprecated.go
@@ -0,0 +1,32 @@
+package simulation
+
+// deprecatedFaultKinds maps the names of earlier scripts to the present ones.
+var deprecatedFaultKinds = map[FaultKind]FaultKind{
+	"cut-worker":      FaultPartitionWorker,
+	"cut-to-worker":   FaultPartitionToWorker,
+	"cut-from-worker": FaultPartitionFromWorker,
+	"cut-client":      FaultPartitionClient,
+	"cut-peers":       FaultPartitionPeers,
+	"half-picture":    FaultPartialView,
+	"power":           FaultPowerLoss,
+	"worker-power":    FaultPowerLossWorker,
+	"stall":           FaultSuspend,
+	"stall-worker":    FaultSuspendWorker,
+	"turn-away":       FaultReject,
+	"reset-answers":   FaultResetResponses,
+	"cut-answers":     FaultTruncateResponses,
+	"storm":           FaultTrafficSpike,
+	"abuse":           FaultIgnoreRetryAfter,
+	"stampede":        FaultReconnect,
+	"lying-disk":      FaultIgnoredSync,
+	"forgetful":       FaultDropIdempotencyKeys,
+}
+
+// UnmarshalText implements encoding.TextUnmarshaler. It accepts deprecated names.
+func (k *FaultKind) UnmarshalText(text []byte) error {
+	*k = FaultKind(text)
+	if kind, deprecated := deprecatedFaultKinds[*k]; deprecated {
+		*k = kind
+	}
+	return nil
+}
--- a/internal/verification/simulation/disk_test.go
+++ b/internal/verification/simulation/disk_test.go
@@ -17,16 +17,17 @@
 	return store, recovered
 }
 
-// commit writes the record of a request and returns the result.
-func commit(store *storage.Store, id string) (err error) {
-	record := dispatch.Record{Response: dispatch.Response{Identity: dispatch.Identity{Source: "/t", ID: id}, Class: "once"}, PossiblyExecuted: true}
+// commit writes the record of a request.
+func commit(store *storage.Store, id string) error {
+	var err error
+	record := dispatch.Record{Response: dispatch.Response{Identity: dispatch.Identity{Source: "/t", ID: id}, Class: "once"}, MayHaveRun: true}
 	store.Commit([]dispatch.Record{record}, func(e error) { err = e })
 	store.CommitPending()
 	return err
 }
 
-func TestTornRecordIsNotFoundAndTheRestIs(t *testing.T) {
-	for name, powerLost := range map[string]bool{"process": false, "power": true} {
+func TestDisk_TornRecordIsLost(t *testing.T) {
+	for name, powerLost := range map[string]bool{"process ends": false, "power loss": true} {
 		t.Run(name, func(t *testing.T) {
 			d := newDisk()
 			store, _ := openStore(t, d)
@@ -35,7 +36,7 @@
 			}
 			d.tearAfter = 20
 			if err := commit(store, "two"); err == nil {
-				t.Fatal("a torn write passed")
+				t.Fatal("a torn write succeeded")
 			}
 			d.restart(powerLost)
 			_ = store.Close() // its machine has stopped
--- a/internal/verification/simulation/inject.go
+++ b/internal/verification/simulation/inject.go
@@ -2,11 +2,11 @@
 
 // Times of faults, in seconds.
 const (
-	clientOutageMargin = 0.3 // after the end of a partition or a pause, until clients can rely on the appliance again
-	leaveDelay         = 0.5 // from a worker's leaving the endpoint list to its end
+	clientOutageMargin = 0.3 // from the end of a partition or suspension until clients are promised responses again
+	leaveDelay         = 0.5 // from a worker's removal from the endpoint list to its end
 )
 
-// injection is one fault that is being injected, with what it may concern.
+// injection is one fault with the appliance, worker and client that it names.
 type injection struct {
 	*site
 	fault      Fault
@@ -15,7 +15,7 @@
 	clientName string
 }
 
-// inject makes a fault happen now.
+// inject begins a fault.
 func (s *site) inject(f Fault) {
 	i := &injection{site: s, fault: f, appliance: s.appliances[f.Appliance], worker: s.workers[f.Worker], clientName: clientName(f.Client)}
 	kind := faultKindByName(f.Kind)
@@ -23,18 +23,16 @@
 	kind.inject(i)
 }
 
-// undoLater ends the fault after its duration. The name stands in the trace.
+// undoLater ends the fault after its duration. name is part of the trace.
 func (i *injection) undoLater(name string, undo func()) {
 	i.scheduler.after(i.fault.Duration, name, undo)
 }
 
-// outageEnd is when clients can rely on an appliance again that the fault keeps from serving them.
+// outageEnd returns the time from which clients are promised responses again by an appliance that the fault affects.
 func (i *injection) outageEnd() float64 {
 	return i.scheduler.now + i.fault.Duration + clientOutageMargin
 }
 
-// Faults of disks and of the appliances' processes.
-
 func (i *injection) slowDisk() {
 	d := i.appliance.disk
 	d.syncDelay = i.fault.Size
@@ -83,7 +81,7 @@
 
 func (i *injection) stopAppliance() { i.site.stopAppliance(i.appliance, i.fault.Size) }
 
-func (i *injection) pauseAppliance() {
+func (i *injection) suspendAppliance() {
 	a := i.appliance
 	if a.running && !a.paused {
 		i.addOutage(a.number, everyone, i.outageEnd())
@@ -99,18 +97,16 @@
 	i.undoLater("list as usual", func() { a.ignoreList = false })
 }
 
-// Faults of releases.
-
-// canRelease returns whether the appliance can change its registry now.
+// canRelease reports whether the appliance can change its registry now.
 func (i *injection) canRelease() bool {
 	a := i.appliance
 	return i.script.Versions && a.running && !a.paused && a.isServing()
 }
 
-// functionNumber draws a function from the fault's other numbers.
+// functionNumber derives a function from the fault's other numbers.
 func (i *injection) functionNumber() int { return i.fault.Worker*7 + i.fault.Client }
 
-func (i *injection) moveAlias() {
+func (i *injection) updateAlias() {
 	if i.canRelease() {
 		i.appliance.switchVersion(i.functionNumber(), int(i.fault.Size))
 	}
@@ -127,7 +123,7 @@
 	}
 }
 
-func (i *injection) moveAliasBack() {
+func (i *injection) revertAlias() {
 	if !i.canRelease() {
 		return
 	}
@@ -136,8 +132,6 @@
 	a.after(i.fault.Size, "takes the alias back", func() { a.switchVersion(function, 0) })
 }
 
-// Faults of the clients' behaviour.
-
 func (i *injection) raiseTraffic() {
 	i.rateFactor = i.fault.Size
 	i.undoLater("usual rate", func() { i.rateFactor = 0 })
--- a/internal/verification/simulation/inject_network.go
+++ b/internal/verification/simulation/inject_network.go
@@ -1,7 +1,7 @@
 package simulation
 
-// cut cuts one direction between two processes, until the fault ends.
-func (i *injection) cut(from, to string) {
+// partition cuts one direction between two processes until the fault ends.
+func (i *injection) partition(from, to string) {
 	l, n := link{from, to}, i.network
 	n.partitions[l]++
 	i.undoLater("heals "+from+" "+to, func() {
@@ -11,17 +11,17 @@
 	})
 }
 
-// cutBoth cuts both directions between two processes.
-func (i *injection) cutBoth(a, b string) {
-	i.cut(a, b)
-	i.cut(b, a)
+// partitionBoth cuts both directions between two processes.
+func (i *injection) partitionBoth(a, b string) {
+	i.partition(a, b)
+	i.partition(b, a)
 }
 
 func (i *injection) delayWorker() { i.delay(i.worker.name) }
 
 func (i *injection) delayClient() { i.delay(i.clientName) }
 
-// delay adds latency between the appliance and another process, until the fault ends.
+// delay adds latency between the appliance and another process until the fault ends.
 func (i *injection) delay(other string) {
 	n := i.network
 	links := []link{{i.appliance.name, other}, {other, i.appliance.name}}
@@ -35,34 +35,34 @@
 	})
 }
 
-func (i *injection) cutWorker() { i.cutBoth(i.appliance.name, i.worker.name) }
+func (i *injection) partitionWorker() { i.partitionBoth(i.appliance.name, i.worker.name) }
 
-func (i *injection) cutToWorker() { i.cut(i.appliance.name, i.worker.name) }
+func (i *injection) partitionToWorker() { i.partition(i.appliance.name, i.worker.name) }
 
-func (i *injection) cutFromWorker() { i.cut(i.worker.name, i.appliance.name) }
+func (i *injection) partitionFromWorker() { i.partition(i.worker.name, i.appliance.name) }
 
-func (i *injection) cutClient() {
-	i.cutBoth(i.appliance.name, i.clientName)
+func (i *injection) partitionClient() {
+	i.partitionBoth(i.appliance.name, i.clientName)
 	i.addOutage(i.fault.Appliance, i.fault.Client, i.outageEnd())
 }
 
-func (i *injection) cutPeers() {
+func (i *injection) partitionPeers() {
 	for _, other := range i.appliances {
 		if other != i.appliance {
-			i.cutBoth(i.appliance.name, other.name)
+			i.partitionBoth(i.appliance.name, other.name)
 		}
 	}
 }
 
-// cutPartialView cuts each worker from one appliance, in turn.
-func (i *injection) cutPartialView() {
+// partitionPartialView cuts each worker off from one of the appliances, in turn.
+func (i *injection) partitionPartialView() {
 	for n, w := range i.workers {
 		a := i.appliances[(i.fault.Appliance+n)%len(i.appliances)]
-		i.cutBoth(a.name, w.name)
+		i.partitionBoth(a.name, w.name)
 	}
 }
 
-func (i *injection) loseDatagrams() {
+func (i *injection) disturbDatagrams() {
 	n := i.network
 	n.loss, n.duplication = i.fault.Size, i.fault.Size/2
 	i.undoLater("no loss", func() { n.loss, n.duplication = 0, 0 })
@@ -72,7 +72,7 @@
 
 func (i *injection) resetClient() { i.breakConnections(i.clientName) }
 
-// breakConnections breaks the appliance's connections with a process after some bytes, by turns in each direction.
+// breakConnections resets the appliance's connections with a process after some bytes, alternately in each direction.
 func (i *injection) breakConnections(other string) {
 	for n, e := range i.network.between(i.appliance.name, other) {
 		if n%2 == 0 {
@@ -93,7 +93,7 @@
 	}
 }
 
-// slowClient makes a client read slowly. Connections that it opens meanwhile stay slow.
+// slowClient makes a client read slowly. Connections that it opens during the fault stay slow.
 func (i *injection) slowClient() {
 	if i.fault.Client >= len(i.clients) {
 		return
--- a/internal/verification/simulation/inject_worker.go
+++ b/internal/verification/simulation/inject_worker.go
@@ -4,7 +4,7 @@
 
 func (i *injection) powerOffWorker() { i.stopWorker(true) }
 
-// stopWorker ends a worker's process, and starts it anew after a time.
+// stopWorker ends a worker's process, and restarts it later.
 func (i *injection) stopWorker(losePower bool) {
 	w := i.worker
 	w.stop(losePower)
@@ -16,10 +16,10 @@
 	i.site.restartWorker(i.worker)
 }
 
-func (i *injection) pauseWorker() { i.worker.pause(i.fault.Duration) }
+func (i *injection) suspendWorker() { i.worker.pause(i.fault.Duration) }
 
-// misbehave makes a worker treat requests as the kind of fault has it.
-func (i *injection) misbehave() {
+// injectAtWorker begins a fault that the worker applies to requests.
+func (i *injection) injectAtWorker() {
 	until := i.worker.faultUntil
 	until[i.fault.Kind] = max(until[i.fault.Kind], i.scheduler.now+i.fault.Duration)
 }
@@ -48,7 +48,7 @@
 	i.writeEndpointList()
 }
 
-// endDrainLater lets the worker serve again after the fault, under the same name and address.
+// endDrainLater returns the worker to service after the fault, under the same name and address.
 func (i *injection) endDrainLater() {
 	w := i.worker
 	i.scheduler.after(max(i.fault.Duration, i.fault.Size+0.01), w.name+" serves again", func() {
@@ -60,7 +60,7 @@
 	})
 }
 
-// removeWorker takes a worker out of the endpoint list, unless it is the last one, and ends it.
+// removeWorker removes a worker from the endpoint list, unless it is the last one, and ends it.
 func (i *injection) removeWorker() {
 	w := i.worker
 	if !w.listed || i.listedWorkers() <= 1 {
@@ -102,4 +102,4 @@
 	}
 }
 
-func (i *injection) forgetKeys() { clear(i.executedKeys) }
+func (i *injection) dropIdempotencyKeys() { clear(i.executedKeys) }
--- a/internal/verification/simulation/profiles.go
+++ b/internal/verification/simulation/profiles.go
@@ -6,41 +6,41 @@
 	"slices"
 )
 
-// profile is a size of world and the groups of faults that its seeds draw from.
+// profile determines the size of the site, and the groups of faults that its seeds draw from.
 type profile struct {
 	about     string
 	groups    []faultGroup
 	shape     func(s *Script, rng *rand.Rand)
-	maxFaults int     // that a seed draws
-	always    []Fault // that every seed has beside those
+	maxFaults int     // maximum number that a seed draws
+	always    []Fault // additional faults of every seed
 }
 
-// survivable are the groups of faults through which the program promises to keep every rule.
+// survivable are the groups of faults under which the program must keep every rule.
 var survivable = []faultGroup{groupNetwork, groupDisk, groupProcess, groupWorker, groupStore, groupRelease, groupLoad}
 
 var profiles = map[string]profile{
 	"day": {
-		about:  "small sites, every kind of fault that is promised to be survived",
+		about:  "small sites, every kind of fault that the rules cover",
 		groups: survivable, shape: shapeSmall, maxFaults: 12,
 	},
 	"network": {
-		about:  "small sites, the network alone",
+		about:  "small sites, network faults only",
 		groups: []faultGroup{groupNetwork}, shape: shapeSmall, maxFaults: 14,
 	},
 	"disk": {
-		about:  "small sites, disks and processes",
+		about:  "small sites, faults of disks and processes",
 		groups: []faultGroup{groupDisk, groupProcess}, shape: shapeSmall, maxFaults: 10,
 	},
 	"workers": {
-		about:  "small sites, workers and their store",
+		about:  "small sites, faults of workers and their store",
 		groups: []faultGroup{groupWorker, groupStore}, shape: shapeSmall, maxFaults: 14,
 	},
 	"overload": {
-		about:  "small sites, asked for more than they can do",
+		about:  "small sites, more requests than they can serve",
 		groups: []faultGroup{groupLoad, groupStore}, shape: shapeOverload, maxFaults: 8,
 	},
 	"rollout": {
-		about:  "workers restarted one after the other while clients stay",
+		about:  "workers restarted one after the other under load",
 		groups: []faultGroup{groupLoad}, shape: shapeRollout, maxFaults: 3,
 		always: []Fault{
 			{At: 1, Kind: FaultDrainThenCrash, Worker: 0, Duration: 2},
@@ -50,7 +50,7 @@
 		},
 	},
 	"all-gone": {
-		about:  "the whole fleet starts anew at once",
+		about:  "all workers restart at once",
 		groups: []faultGroup{groupLoad}, shape: shapeThreeWorkers, maxFaults: 2,
 		always: []Fault{
 			{At: 2, Kind: FaultCrashWorker, Worker: 0, Size: 0.5},
@@ -72,39 +72,39 @@
 		groups: survivable, shape: shapeGrown, maxFaults: 12,
 	},
 	"stateless": {
-		about:  "small sites without a state folder, whose clients repeat only what is harmless",
+		about:  "small sites without durable state",
 		groups: []faultGroup{groupNetwork, groupWorker, groupStore, groupLoad}, shape: shapeStateless, maxFaults: 12,
 	},
 	"beyond": {
-		about:  "beside all that, disks that lie and workers that forget: what breaks is told",
+		about:  "also faults that the rules do not cover: ignored syncs, lost worker state",
 		groups: append(slices.Clone(survivable), groupBeyond), shape: shapeSmall, maxFaults: 14,
 	},
 }
 
-// Profiles returns the names of all profiles, with what they are about.
-func Profiles() (names, abouts []string) {
+// Profiles returns the names and descriptions of all profiles.
+func Profiles() (names, descriptions []string) {
 	names = slices.Sorted(maps.Keys(profiles))
 	for _, name := range names {
-		abouts = append(abouts, profiles[name].about)
+		descriptions = append(descriptions, profiles[name].about)
 	}
-	return names, abouts
+	return names, descriptions
 }
 
-func oneOf(rng *rand.Rand, choices ...int) int { return choices[rng.IntN(len(choices))] }
+func choose(rng *rand.Rand, choices ...int) int { return choices[rng.IntN(len(choices))] }
 
 func shapeSmall(s *Script, rng *rand.Rand) {
 	s.Seconds = 6 + 6*rng.Float64()
-	s.Appliances = oneOf(rng, 1, 2, 2, 3)
-	s.FrontEndsPerAppliance = oneOf(rng, 1, 1, 2)
+	s.Appliances = choose(rng, 1, 2, 2, 3)
+	s.FrontEndsPerAppliance = choose(rng, 1, 1, 2)
 	s.Workers = 2 + rng.IntN(4)
-	s.Cores = oneOf(rng, 1, 2, 2)
+	s.Cores = choose(rng, 1, 2, 2)
 	s.Functions = 2 + rng.IntN(8)
 	s.Clients = 2 + rng.IntN(3)
 	s.Work = 0.02 + 0.06*rng.Float64()
 	s.Rate = (0.15 + 0.5*rng.Float64()) * float64(s.Workers*s.Cores) / s.Work
 	s.Rate = min(s.Rate, 50)
-	s.Timers = oneOf(rng, 0, 2, 6)
-	s.DeduplicationWindow = float64(oneOf(rng, 4, 8, 30))
+	s.Timers = choose(rng, 0, 2, 6)
+	s.DeduplicationWindow = float64(choose(rng, 4, 8, 30))
 	s.Versions = rng.IntN(3) == 0
 	s.LoadOnRequest = rng.IntN(2) == 0
 	s.LimitLoads = rng.IntN(3) == 0
--- a/internal/verification/simulation/report.go
+++ b/internal/verification/simulation/report.go
@@ -9,30 +9,30 @@
 )
 
 const (
-	maxViolations = 50        // after which a script is not played on
-	maxEvents     = 4_000_000 // of one script, against a world that goes round in circles
+	maxViolations = 50        // of one run, which ends then
+	maxEvents     = 4_000_000 // of one run, to detect a livelock
 )
 
-// Report is the result of playing one script.
+// Report is the result of one script.
 type Report struct {
 	Seed    uint64 `json:"seed"`
 	Profile string `json:"profile"`
 	invariants.Verdict
-	Findings        []string       `json:"broke,omitempty"` // the first violations of each rule and invariant
+	Findings        []string       `json:"broke,omitempty"` // the first violations of each kind
 	Digest          string         `json:"digest"`          // of the trace
 	SimulatedEvents int            `json:"steps"`
 	VirtualSeconds  float64        `json:"virtual_s"`
 	RealSeconds     float64        `json:"real_s"`
 	Restarts        int            `json:"restarts"`
-	FaultCoverage   map[string]int `json:"met,omitempty"` // how often a kind of fault met a state of a front end
+	FaultCoverage   map[string]int `json:"met,omitempty"` // number of injections by kind of fault and state of the front end
 }
 
-// OK returns whether nothing broke.
+// OK reports whether there was no violation.
 func (r *Report) OK() bool { return len(r.Findings) == 0 }
 
-// Play plays a script. onTrace, which may be nil, gets the trace in words.
+// Play runs a script. onTrace receives the names of the trace, and may be nil.
 func Play(script *Script, onTrace func(string)) (*Report, []invariants.Record, error) {
-	began := time.Now()
+	startedAt := time.Now()
 	s, err := newSite(script)
 	if err != nil {
 		return nil, nil, err
@@ -46,28 +46,28 @@
 	verdict := invariants.Check(s.rules, records)
 	s.checkRepeats()
 	s.closing.Wait()
-	broke := slices.Concat(verdict.Violations, s.violations)
+	findings := slices.Concat(verdict.Violations, s.violations)
 	verdict.Violations = nil
 	return &Report{
 		Seed:            script.Seed,
 		Profile:         script.Profile,
 		Verdict:         verdict,
-		Findings:        broke,
+		Findings:        findings,
 		Digest:          s.scheduler.digest(),
 		SimulatedEvents: s.scheduler.executed,
 		VirtualSeconds:  s.scheduler.now,
-		RealSeconds:     time.Since(began).Seconds(),
+		RealSeconds:     time.Since(startedAt).Seconds(),
 		Restarts:        s.restarts,
 		FaultCoverage:   s.coverage,
 	}, records, nil
 }
 
-// run runs events until a time, or until too much broke.
+// run runs events until a time, or until there are too many violations.
 func (s *site) run(until float64) {
 	for s.scheduler.runNext(until) && len(s.violations) < maxViolations {
 		s.checkTouched()
 		if s.scheduler.executed > maxEvents {
-			s.violation("liveness", "%d steps, the last %q", s.scheduler.executed, s.scheduler.lastName)
+			s.violation("liveness", "no end after %d steps, the last is %q", s.scheduler.executed, s.scheduler.lastName)
 			return
 		}
 	}
--- a/internal/verification/simulation/script.go
+++ b/internal/verification/simulation/script.go
@@ -9,7 +9,7 @@
 	"slices"
 )
 
-// Fault is one thing that goes wrong. Numbers of appliances, workers and clients count from 0.
+// Fault is one fault of a script. Appliances, workers and clients are numbered from 0.
 type Fault struct {
 	At        float64   `json:"at"`
 	Kind      FaultKind `json:"kind"`
@@ -17,17 +17,17 @@
 	Worker    int       `json:"worker,omitempty"`
 	Client    int       `json:"client,omitempty"`
 	Duration  float64   `json:"for,omitempty"`
-	Size      float64   `json:"size,omitempty"` // seconds of a clock step, a factor, a share: as the kind has it
+	Size      float64   `json:"size,omitempty"` // seconds, a factor or a fraction, depending on the kind
 	Bytes     int       `json:"bytes,omitempty"`
 }
 
-// String describes the fault in the form that errors of scripts have.
+// String describes the fault in errors of scripts.
 func (f Fault) String() string {
 	return fmt.Sprintf("{At:%v Kind:%s Box:%d Worker:%d Client:%d For:%v Size:%v Bytes:%d}", f.At, string(f.Kind), f.Appliance, f.Worker,
 		f.Client, f.Duration, f.Size, f.Bytes)
 }
 
-// Script is a whole world with what goes wrong in it. Times are seconds.
+// Script describes a site and its faults. Times are seconds.
 type Script struct {
 	Seed                  uint64  `json:"seed"`
 	Profile               string  `json:"profile"`
@@ -38,19 +38,19 @@
 	Cores                 int     `json:"cores"` // of each worker
 	Functions             int     `json:"functions"`
 	Clients               int     `json:"clients"`
-	Rate                  float64 `json:"rate"`                    // requests a second
+	Rate                  float64 `json:"rate"`                    // requests per second
 	Work                  float64 `json:"work"`                    // mean work of a request
 	Timers                int     `json:"timers"`                  // schedules
 	LoadOnRequest         bool    `json:"load_on_event,omitempty"` // a request for a function that is not loaded loads it
-	Stateless             bool    `json:"stateless,omitempty"`     // appliances have no state on disk
+	Stateless             bool    `json:"stateless,omitempty"`     // appliances have no durable state
 	ColdStart             bool    `json:"cold,omitempty"`          // workers start cold
 	LimitLoads            bool    `json:"ration,omitempty"`        // load commands are limited
 	Versions              bool    `json:"versions,omitempty"`      // functions have versions, and aliases that move
-	DeduplicationWindow   float64 `json:"remember"`                // for which workers drop repeats of keyed requests
+	DeduplicationWindow   float64 `json:"remember"`                // of the workers, for keyed requests
 	Faults                []Fault `json:"faults"`
 }
 
-// Bounds of scripts that are read from a file.
+// Limits of scripts that are read from a file.
 const (
 	maxSeconds             = 3600
 	maxAppliances          = 200
@@ -62,7 +62,7 @@
 	maxDeduplicationWindow = 1000
 )
 
-// ReadScript reads a script from JSON and checks it.
+// ReadScript decodes and checks a script.
 func ReadScript(data []byte) (*Script, error) {
 	s := &Script{}
 	d := json.NewDecoder(bytes.NewReader(data))
@@ -73,17 +73,17 @@
 	return s, s.Check()
 }
 
-// Check returns what is wrong with a script that was read from a file.
+// Check returns an error if the script is invalid.
 func (s *Script) Check() error {
 	if !s.hasValidSizes() {
-		return fmt.Errorf("script of seed %d: its sizes and times make no world", s.Seed)
+		return fmt.Errorf("script of seed %d: sizes or times out of range", s.Seed)
 	}
 	for i, f := range s.Faults {
 		switch {
 		case faultKindByName(f.Kind) == nil:
 			return fmt.Errorf("faults[%d]: kind %q is not known", i, f.Kind)
 		case !s.hasTargetOf(f):
-			return fmt.Errorf("faults[%d]: %v names what is not there", i, f)
+			return fmt.Errorf("faults[%d]: %v is out of range", i, f)
 		}
 	}
 	return nil
@@ -117,21 +117,20 @@
 
 func isIndex(i, length int) bool { return i >= 0 && i < length }
 
-// Generate draws the script of a seed. Each seed leaves some kinds of fault out altogether, so that those that are left
-// meet each other more often.
+// Generate draws the script of a seed. Each seed leaves out some kinds of fault, so that the others coincide more often.
 func Generate(profileName string, seed uint64) (*Script, error) {
 	p, ok := profiles[profileName]
 	if !ok {
 		names, _ := Profiles()
-		return nil, fmt.Errorf("profile %q is none of %v", profileName, names)
+		return nil, fmt.Errorf("unknown profile %q, want one of %v", profileName, names)
 	}
 	rng := newRand(seed, "script")
 	s := &Script{Seed: seed, Profile: profileName}
 	p.shape(s, rng)
 	var drawn []faultKind
-	share := 0.15 + 0.5*rng.Float64()
+	fraction := 0.15 + 0.5*rng.Float64()
 	for _, k := range faultKinds {
-		if slices.Contains(p.groups, k.group) && rng.Float64() < share {
+		if slices.Contains(p.groups, k.group) && rng.Float64() < fraction {
 			drawn = append(drawn, k)
 		}
 	}
@@ -145,7 +144,7 @@
 	return s, nil
 }
 
-// draw draws a fault of a kind within its bounds.
+// draw draws a fault of the kind within its bounds.
 func (k faultKind) draw(s *Script, rng *rand.Rand) Fault {
 	f := Fault{Kind: k.name, At: drawBetween(rng, bounds{0.3, s.Seconds})}
 	f.Appliance, f.Worker, f.Client = rng.IntN(s.Appliances), rng.IntN(s.Workers), rng.IntN(s.Clients)
--- a/internal/verification/simulation/sim_test.go
+++ b/internal/verification/simulation/sim_test.go
@@ -10,10 +10,10 @@
 	"testing"
 )
 
-var seeds = flag.Uint64("seeds", 200, "seeds of the profile day; a tenth of them of each other small one")
+var seeds = flag.Uint64("seeds", 200, "seeds of the profile day; of each other small one a tenth of that")
 
-// Nothing breaks in any seed, and the same seed goes the same way however many run beside it.
-func TestSeeds(t *testing.T) {
+// No seed has a violation, and a seed has the same trace alone and beside others.
+func TestSweep_EachProfileKeepsRules(t *testing.T) {
 	digests := map[uint64]string{}
 	names, _ := Profiles()
 	for _, name := range names {
@@ -23,7 +23,7 @@
 			n = *seeds
 		case "grown":
 			n = 1
-		case "beyond": // is there to break
+		case "beyond": // has faults that the rules do not cover
 			continue
 		}
 		sum := NewSummary(name)
@@ -40,15 +40,15 @@
 			t.Fatal(err)
 		}
 		if name == "day" && n >= 200 {
-			if never := sum.Missed(); len(never) > 2 { // those of the group beyond
-				t.Errorf("faults that met nothing: %v", never)
+			if missed := sum.Missed(); len(missed) > 2 { // those of the group beyond
+				t.Errorf("faults that were not injected: %v", missed)
 			}
 		}
-		t.Logf("%s: %d seeds, %d events, %.0f virtual seconds", name, sum.Seeds, sum.Requests, sum.VirtualSeconds)
+		t.Logf("%s: %d seeds, %d requests, %.0f virtual seconds", name, sum.Seeds, sum.Requests, sum.VirtualSeconds)
 	}
 	err := Sweep(context.Background(), "day", 0, min(*seeds, 8), 1, func(r *Report) {
 		if r.Digest != digests[r.Seed] {
-			t.Errorf("seed %d went another way alone", r.Seed)
+			t.Errorf("seed %d has another trace alone", r.Seed)
 		}
 	})
 	if err != nil {
@@ -56,8 +56,8 @@
 	}
 }
 
-// Scripts that once broke something.
-func TestFound(t *testing.T) {
+// Scripts that once had a violation.
+func TestPlay_StoredScriptsKeepRules(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.json")
 	if err != nil || len(files) == 0 {
 		t.Fatal(files, err)
@@ -78,15 +78,15 @@
 	}
 }
 
-// A disk that lies breaks what it must, the report says so, and a small script is left that still does.
-func TestBeyondBreaksAndShrinks(t *testing.T) {
+// A disk that ignores syncs causes a violation, and the script shrinks to a small one that still has it.
+func TestShrink_KeepsViolation(t *testing.T) {
 	s, err := Generate("day", 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Appliances, s.FrontEndsPerAppliance, s.Rate = 1, 1, 30
-	s.Faults = append([]Fault{{At: 0.5, Kind: "lying-disk", Duration: 6}}, s.Faults...)
-	s.Faults = append(s.Faults, Fault{At: 4, Kind: "power", Size: 0.5})
+	s.Faults = append([]Fault{{At: 0.5, Kind: FaultIgnoredSync, Duration: 6}}, s.Faults...)
+	s.Faults = append(s.Faults, Fault{At: 4, Kind: FaultPowerLoss, Size: 0.5})
 	for i := range s.Faults {
 		s.Faults[i].Appliance = 0
 	}
@@ -98,7 +98,7 @@
 	for _, f := range small.Faults {
 		kinds[f.Kind] = true
 	}
-	if len(small.Faults) > 3 || !kinds["lying-disk"] || r.OK() {
+	if len(small.Faults) > 3 || !kinds[FaultIgnoredSync] || r.OK() {
 		t.Errorf("%d of %d faults are left after %d runs: %+v", len(small.Faults), len(s.Faults), runs, small.Faults)
 	}
 	data, _ := json.Marshal(small)
@@ -109,11 +109,11 @@
 		Seed: 1, Profile: "day", Seconds: 2, Appliances: 1, FrontEndsPerAppliance: 1, Workers: 2, Cores: 1, Functions: 2, Clients: 1,
 		Rate: 5, Work: 0.02, DeduplicationWindow: 30,
 	}); !errors.Is(err, ErrNoViolation) {
-		t.Error("a script that breaks nothing: ", err)
+		t.Error("script without a violation: ", err)
 	}
 }
 
-func TestExploreSmallWorld(t *testing.T) {
+func TestExplore_KeepsRules(t *testing.T) {
 	x := Explore(5, 1<<20)
 	if len(x.Violations) > 0 || !x.Complete || x.Merged == 0 {
 		t.Errorf("%+v", x)
--- a/internal/verification/simulation/summary.go
+++ b/internal/verification/simulation/summary.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// Summary adds up the reports of many seeds.
+// Summary is the sum of the reports of many seeds.
 type Summary struct {
 	Profile         string
 	Seeds           int
 	Broken          int
-	First           uint64 // the first seed that broke something
+	First           uint64 // first seed with a violation
 	Requests        int
 	Succeeded       int
 	Attempts        int
@@ -20,12 +20,12 @@
 	Restarts        int
 	VirtualSeconds  float64
 	FaultCoverage   map[string]int // as in Report
-	began           time.Time
+	startedAt       time.Time
 }
 
-// NewSummary begins a summary now.
+// NewSummary returns an empty summary. Its rates count from now.
 func NewSummary(profile string) *Summary {
-	return &Summary{Profile: profile, FaultCoverage: map[string]int{}, began: time.Now()}
+	return &Summary{Profile: profile, FaultCoverage: map[string]int{}, startedAt: time.Now()}
 }
 
 // Add adds a report.
@@ -48,46 +48,46 @@
 	}
 }
 
-// Missed returns the kinds of fault that met no state of any front end.
+// Missed returns the kinds of fault that were never injected.
 func (s *Summary) Missed() []string {
 	var missed []string
 	for _, k := range faultKinds {
-		if !s.hasMet(k.name) {
+		if !s.wasInjected(k.name) {
 			missed = append(missed, string(k.name))
 		}
 	}
 	return missed
 }
 
-func (s *Summary) hasMet(kind FaultKind) bool {
+func (s *Summary) wasInjected(kind FaultKind) bool {
 	return slices.ContainsFunc(faultStates(), func(state string) bool { return s.FaultCoverage[coverageKey(kind, state)] > 0 })
 }
 
-// String returns the summary with a table of which faults met which states.
+// String returns the summary, with a table of the states in which faults were injected.
 func (s *Summary) String() string {
 	var b strings.Builder
-	elapsed := time.Since(s.began).Seconds()
-	fmt.Fprintf(&b, "%d seeds of %s, %d broke something; %d events, %d handled, %d launches, %d restarts of boxes\n", s.Seeds, s.Profile, s.Broken,
+	elapsed := time.Since(s.startedAt).Seconds()
+	fmt.Fprintf(&b, "%d seeds of %s, %d with violations; %d requests, %d succeeded, %d attempts, %d appliance restarts\n", s.Seeds, s.Profile, s.Broken,
 		s.Requests, s.Succeeded, s.Attempts, s.Restarts)
-	fmt.Fprintf(&b, "%.0f virtual seconds in %.1f: %.0f for one; %.0f steps and %.0f events a second\n\n", s.VirtualSeconds, elapsed, s.VirtualSeconds/elapsed,
+	fmt.Fprintf(&b, "%.0f virtual seconds in %.1f: speed-up %.0f; %.0f steps and %.0f requests per second\n\n", s.VirtualSeconds, elapsed, s.VirtualSeconds/elapsed,
 		float64(s.SimulatedEvents)/elapsed, float64(s.Requests)/elapsed)
 	s.writeCoverage(&b)
 	return b.String()
 }
 
-// writeCoverage writes a line for each kind of fault that met a state, with a column for each state.
+// writeCoverage writes a line for each kind of fault that was injected, with a column for each state.
 func (s *Summary) writeCoverage(b *strings.Builder) {
 	states := faultStates()
 	width := 0
 	var kinds []string
 	for _, k := range faultKinds {
-		if s.hasMet(k.name) {
+		if s.wasInjected(k.name) {
 			kinds = append(kinds, string(k.name))
 			width = max(width, len(k.name))
 		}
 	}
 	slices.Sort(kinds)
-	fmt.Fprintf(b, "%-*s", width, "fault met")
+	fmt.Fprintf(b, "%-*s", width, "fault in state")
 	for _, state := range states {
 		fmt.Fprintf(b, "  %s", state)
 	}
--- a/internal/verification/simulation/sweep.go
+++ b/internal/verification/simulation/sweep.go
@@ -6,10 +6,10 @@
 	"sync"
 )
 
-// runAhead is how many seeds for each player may be begun before the slowest is reported.
-const runAhead = 4
+// maxRunAhead is the number of seeds per worker goroutine that may start before the report of the slowest one.
+const maxRunAhead = 4
 
-// sweepJob is one seed to play.
+// sweepJob is one seed to run.
 type sweepJob struct {
 	seed   uint64
 	result chan sweepResult
@@ -20,7 +20,8 @@
 	err    error
 }
 
-// Sweep plays count seeds of a profile from one on, several at a time, and reports them in the order of seeds.
+// Sweep runs count seeds of a profile, beginning with from, and calls onReport in the order of the seeds. parallel is the
+// number of seeds that run concurrently.
 func Sweep(ctx context.Context, profile string, from, count uint64, parallel int, onReport func(*Report)) error {
 	if _, err := Generate(profile, from); err != nil {
 		return err
@@ -29,7 +30,7 @@
 	defer running.Wait()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	jobs, order := make(chan sweepJob), make(chan sweepJob, runAhead*parallel)
+	jobs, order := make(chan sweepJob), make(chan sweepJob, maxRunAhead*parallel)
 	running.Go(func() { feedSeeds(ctx, from, count, order, jobs) })
 	for range parallel {
 		running.Go(func() {
