--- a/internal/verification/simulation/appliance.go
+++ b/internal/verification/simulation/appliance.go
@@ -16,17 +16,17 @@
 // Times of every appliance, in seconds.
 const (
 	syncTime          = 0.001 // of a sync of the disk
-	bootTime          = 0.05  // from the start of a process to its first look at the state
+	bootTime          = 0.05  // from the start of a process until it opens the state
 	recoveryTime      = 0.01  // from the opened state to the start of the front ends
-	drainTimeout      = 1.0   // for requests that are open when it is asked to stop
-	pollInterval      = 0.01  // between looks whether something has ended
+	drainTimeout      = 1.0   // for open requests at a graceful stop
+	pollInterval      = 0.01  // between checks whether something has ended
 	closeTime         = 0.02  // of the store
 	minRestartDelay   = 0.1   // from the end of a process to the next one
-	tornRestartDelay  = 0.3   // from a torn write, which takes the machine with it
+	tornRestartDelay  = 0.3   // from a torn write, which stops the machine
 	powerReturn       = 0.2   // from a loss of power to its return
 	taskInterval      = 0.1   // between slices of background tasks
-	taskSlice         = 0.005 // that a background task is said to have taken
-	expiryBatch       = 50    // records that one slice of the expiry deletes
+	taskSlice         = 0.005 // reported duration of a slice
+	expiryBatch       = 50    // records that one slice of the expiry task deletes
 	firstUptime       = 1e6   // of the machines' monotonic clocks
 	uptimeDifference  = 1000  // between two machines
 	stateDirectory    = "state"
@@ -40,8 +40,8 @@
 	taskCompaction = "compaction"
 )
 
-// applianceProcess is one process of the program on its machine: the life cycle, the store and the schedules of an
-// appliance and its front ends, put together as the real appliance does, on the virtual clock.
+// applianceProcess is one process of the program on its machine: lifecycle, store, schedules and front ends of an
+// appliance, wired like appliance.Appliance, but on the virtual clock.
 type applianceProcess struct {
 	process
 	site   *site
@@ -49,22 +49,22 @@
 	boots  int
 
 	disk       *disk
-	store      *storage.Store // nil while it is closed, and always where the script has no state
+	store      *storage.Store // nil while it is closed, and always if the script is stateless
 	syncing    bool
 	lifecycle  appliance.Lifecycle
 	recovered  *storage.RecoveredState
 	frontEnds  []*frontEnd
 	tasks      *appliance.TaskScheduler
 	registry   *registry.Registry
-	restartIn  float64 // seconds from an ordered stop to the next start
-	ignoreList bool    // the watcher of the endpoint list misses changes
+	restartIn  float64 // seconds from a graceful stop to the next start
+	ignoreList bool    // it misses changes of the endpoint list
 
 	schedules          *schedule.Plan
 	lastFirings        map[string]time.Time
 	schedulesSuspended bool
-	scheduled          map[dispatch.Identity]uint64 // its own requests that are open: their call numbers
+	scheduled          map[dispatch.Identity]uint64 // call IDs of its open scheduled requests
 
-	// What the checks know of the state.
+	// State of the checks of the stored records.
 	acknowledged   map[dispatch.Identity]dispatch.Record // reported to the program as on disk
 	acknowledgedAt map[dispatch.Identity]float64
 	unacknowledged map[dispatch.Identity][]dispatch.Record // submitted, and not yet reported as on disk
@@ -96,7 +96,7 @@
 func (a *applianceProcess) start() {
 	a.lifecycle = appliance.Lifecycle{}
 	a.incarnation++
-	a.running, a.powered, a.paused, a.syncing, a.schedulesSuspended = true, true, false, false, true
+	a.running, a.powered, a.suspended, a.syncing, a.schedulesSuspended = true, true, false, false, true
 	a.boots++
 	a.schedules = nil
 	a.after(bootTime, "opens the state", a.openState)
@@ -110,14 +110,14 @@
 
 func (a *applianceProcess) isServing() bool { return a.lifecycle.State == appliance.Serving }
 
-// handle hands an event to the life cycle and does what follows from it.
+// handle passes an event to the lifecycle and executes its actions.
 func (a *applianceProcess) handle(e appliance.LifecycleEvent, cause string) {
 	for _, action := range a.lifecycle.Handle(e, cause) {
-		a.perform(action)
+		a.execute(action)
 	}
 }
 
-// openState opens the state, as the real appliance does first of all.
+// openState opens the state and checks what was recovered.
 func (a *applianceProcess) openState() {
 	if a.site.script.Stateless {
 		a.recovered = &storage.RecoveredState{Created: true, LastFirings: map[string]time.Time{}}
@@ -126,7 +126,7 @@
 		store, recovered, err := storage.OpenStore(stateDirectory, a.storeOptions(a.disk))
 		if err != nil {
 			if !a.disk.full {
-				a.site.violation("state", "%s can't open its state: %v", a.name, err)
+				a.site.violation("state", "%s: failed to open the state: %v", a.name, err)
 			}
 			a.handle(appliance.Failed, "state")
 			return
@@ -144,13 +144,13 @@
 	return storage.Options{FS: d.view(), Retention: responseRetention, Synchronous: true, Clock: a.timestamp}
 }
 
-// timestamp is the machine's clock for the store: only a loss of power is a new boot of the machine.
+// timestamp returns the machine's clock for the store. Only a power loss reboots the machine.
 func (a *applianceProcess) timestamp() storage.Timestamp {
 	return storage.Timestamp{BootID: fmt.Sprintf("%s/%d", a.name, a.site.reboots[a.number]), Uptime: a.scheduler.now}
 }
 
-// perform does one action of the life cycle.
-func (a *applianceProcess) perform(action appliance.Action) {
+// execute executes an action of the lifecycle.
+func (a *applianceProcess) execute(action appliance.Action) {
 	switch action {
 	case appliance.Recover:
 		a.after(recoveryTime, "recovers", a.recover)
@@ -171,13 +171,14 @@
 		a.eachFrontEnd(func(f *frontEnd) { f.proxy.CloseUpstream() })
 		a.closeStore()
 		a.after(closeTime, "written", func() { a.handle(appliance.StoreClosed, "") })
+	case appliance.CloseSocket: // the simulation has no console
 	case appliance.Exit:
-		a.exit(false)
+		a.exit(processExit)
 		a.scheduler.after(max(a.restartIn, minRestartDelay), a.name+" starts", a.startIfDown)
 	}
 }
 
-// eachFrontEnd calls do for the front ends that run.
+// eachFrontEnd calls do for the running front ends.
 func (a *applianceProcess) eachFrontEnd(do func(*frontEnd)) {
 	for _, f := range a.frontEnds {
 		if f.proxy != nil {
@@ -191,7 +192,7 @@
 		return
 	}
 	if err := a.store.Close(); err != nil && !a.disk.full && a.store.Err() == nil {
-		a.site.violation("state", "%s did not close its state: %v", a.name, err)
+		a.site.violation("state", "%s: failed to close the state: %v", a.name, err)
 	}
 	a.store = nil
 }
@@ -218,7 +219,7 @@
 	a.handle(appliance.RequestsTerminated, "")
 }
 
-// recover starts the front ends with what was recovered.
+// recover starts the front ends and the schedules with the recovered state.
 func (a *applianceProcess) recover() {
 	for _, f := range a.frontEnds {
 		f.start()
@@ -241,7 +242,7 @@
 	a.handle(appliance.StateRecovered, "")
 }
 
-// runTask gives a slice to the background task that is due, as the real appliance does.
+// runTask runs a slice of the background task that is due.
 func (a *applianceProcess) runTask() {
 	if a.store == nil || a.lifecycle.State >= appliance.Terminating {
 		return
@@ -259,7 +260,7 @@
 	a.after(taskInterval, "chores", a.runTask)
 }
 
-// runTaskSlice runs one slice of a background task. more is whether the task has more to do.
+// runTaskSlice runs one slice of a background task, and reports whether the task has more to do.
 func (a *applianceProcess) runTaskSlice(name string) (more bool, err error) {
 	switch name {
 	case taskTick:
@@ -277,22 +278,22 @@
 	return false, nil
 }
 
-// withStore does something with the store. Where the machine stops within a write nothing follows.
+// withStore calls do, which uses the store, and crashes the machine if a write was torn.
 func (a *applianceProcess) withStore(do func() error) error {
 	before := a.disk.tornWrites
 	err := do()
 	if a.disk.tornWrites > before {
-		a.crash(true, tornRestartDelay)
+		a.crash(powerLoss, tornRestartDelay)
 	}
 	return err
 }
 
-// Commit implements proxy.RecordStore: the store's batch is written when the disk's turn has come.
+// Commit implements proxy.RecordStore. The store writes its batch at the next sync of the disk.
 func (a *applianceProcess) Commit(records []dispatch.Record, done func(error)) {
-	a.recordsSubmitted(records)
+	a.addUnacknowledged(records)
 	a.store.Commit(records, func(err error) {
 		if err == nil {
-			a.recordsAcknowledged(records)
+			a.acknowledge(records)
 		}
 		done(err)
 	})
@@ -306,39 +307,39 @@
 	a.syncing = true
 	a.after(syncTime+a.disk.syncDelay, "syncs", func() {
 		a.syncing = false
-		if a.store == nil { // closed meanwhile, which wrote what waited
+		if a.store == nil { // it was closed, which wrote the batch
 			return
 		}
-		_ = a.withStore(func() error { // CommitPending reports its errors to those who committed
-			a.store.CommitPending()
+		_ = a.withStore(func() error { // Step reports errors to the callers of Commit
+			a.store.Step()
 			return nil
 		})
 	})
 }
 
-// crash ends the process without any order, with its machine where that loses its power.
-func (a *applianceProcess) crash(losePower bool, restartIn float64) {
+// crash ends the process at once, or its machine by a power loss.
+func (a *applianceProcess) crash(kind exitKind, restartIn float64) {
 	if !a.running {
 		return
 	}
-	a.exit(losePower)
+	a.exit(kind)
 	a.scheduler.after(restartIn, a.name+" starts", a.startIfDown)
 }
 
-// exit ends the process and leaves what stays of it: connections that break, and the disk.
-func (a *applianceProcess) exit(losePower bool) {
+// exit ends the process, breaks its connections, and prepares the disk for the next one.
+func (a *applianceProcess) exit(kind exitKind) {
 	a.site.beginOutage(a)
 	ends := a.site.network.endpointsOf(a.name)
 	a.terminate()
 	for _, e := range ends {
-		e.conn.harmed = true
-		if losePower { // packets find the machine off, or up again and without the connection
-			e.drop()
+		e.conn.faulty = true
+		if kind == powerLoss { // the machine is off, or up again without the connection
+			e.dropSilently()
 		} else {
-			e.vanish()
+			e.resetByKernel()
 		}
 	}
-	if losePower {
+	if kind == powerLoss {
 		a.powered = false
 		a.site.reboots[a.number]++
 		a.scheduler.after(powerReturn, a.name+" has power", func() { a.powered = true })
@@ -348,12 +349,12 @@
 		f.proxy = nil
 	}
 	for _, call := range sortedCalls(a.scheduled) {
-		a.site.addUnknownEnd(invariants.Record{Kind: invariants.ConnectionLost, CallID: call})
+		a.site.addUnknownOutcome(invariants.Record{Kind: invariants.ConnectionLost, CallID: call})
 	}
 	old := a.store
 	a.store = nil
-	a.disk.restart(losePower)
+	a.disk.restart(kind)
 	if old != nil {
-		a.site.closing.Go(func() { _ = old.Abandon() }) // gives its memory back; its disk is nobody's any more
+		a.site.closing.Go(func() { _ = old.Abandon() }) // releases its memory; its disk is not used any more
 	}
 }
--- a/internal/verification/simulation/client.go
+++ b/internal/verification/simulation/client.go
@@ -13,61 +13,69 @@
 )
 
 const (
-	clientSource      = "/tills" // of all requests of clients
-	maxCalls          = 6        // of one request
-	retryWindow       = 3        // multiple of the timeout for which a request is retried
-	maxPipelined      = 3        // calls on one connection
-	usualCancelShare  = 0.02     // of requests whose client cancels
-	minClientTimeout  = 0.4      // seconds that a client says it waits
-	brokenRetryDelay  = 0.02     // seconds from a broken connection to a retry, at least
-	brokenRetrySpread = 0.3      // seconds over which such retries are spread
-	closedRetryDelay  = 0.05     // seconds from a connection that a client closed to a retry
-	eagerRetryDelay   = 0.01     // seconds from a rejection to a retry by clients that ignore Retry-After
-	reconnectDelay    = 0.01     // seconds until clients that dropped all connections retry
-	maxStartDelay     = 0.2      // seconds over which the clients' first requests are spread
-	maxDuplicateDelay = 0.1      // seconds from a request to its duplicate
+	clientSource         = "/tills" // of all requests of clients
+	maxCalls             = 6        // of one request
+	retryWindow          = 3        // time in which a request is retried, as a multiple of the timeout
+	maxPipelined         = 3        // calls on one connection
+	normalCancelFraction = 0.02     // of requests that are cancelled
+	minClientTimeout     = 0.4      // seconds
+	minLostRetryDelay    = 0.02     // seconds from a lost connection to a retry
+	lostRetrySpread      = 0.3      // seconds over which such retries are spread
+	closedRetryDelay     = 0.05     // seconds from a client's close of its connection to a retry
+	eagerRetryDelay      = 0.01     // seconds from a rejection to a retry by clients that ignore Retry-After
+	reconnectDelay       = 0.01     // seconds from FaultReconnect to a retry
+	maxStartDelay        = 0.2      // seconds over which the clients' first requests are spread
+	maxDuplicateDelay    = 0.1      // seconds from a request to its duplicate
 )
 
-// request is what a client wants done, over all its calls.
+// retryTarget is the front end of a retry.
+type retryTarget int
+
+const (
+	sameFrontEnd retryTarget = iota
+	anyFrontEnd
+)
+
+// request is one request of a client, with the state of its retries.
 type request struct {
 	id, class, function string
 	number              int // among the client's
 	calls               int
 	frontEnd            int
 	firstSent           float64
-	retryUntil          float64 // no call begins later
-	timeout             float64 // that the client states; 0: none, and it waits as long as the class may take
-	duplicated          bool    // sent by two programs, neither of which knows where the other sent it
-	cancelAfter         float64 // seconds from each call until the client cancels it; 0: it waits
-	rechecks            int     // repeats after the response, to see that it is the same
+	retryUntil          float64 // time of the last retry
+	timeout             float64 // stated by the client; 0: none, the class's timeout applies
+	duplicated          bool    // sent by two independent programs
+	cancelAfter         float64 // seconds from each call to its cancellation; 0: not cancelled
+	repeats             int     // calls to make after the response, which must get the same one
 }
 
-// mayMove returns whether a retry may go to another front end. What must not run twice stays with its front end, which
-// knows it.
-func (r *request) mayMove() bool {
+// mayChangeFrontEnd reports whether a retry may go to another front end. At-most-once requests stay with the one that
+// knows them.
+func (r *request) mayChangeFrontEnd() bool {
 	if r.class == fakes.ClassAtMostOnce {
 		return false
 	}
 	return !r.duplicated || r.class != fakes.ClassIdempotentByKey
 }
 
-// clientCall is one call of a request, with its response.
+// clientCall is one call of a request.
 type clientCall struct {
-	request    *request
-	number     uint64
-	frontEnd   *frontEnd
-	processTag string // of the front end's process that it was sent to
-	sentAt     float64
-	ended      bool
-	timeout    *event
-	conn       *clientConn
+	request     *request
+	number      uint64
+	frontEnd    *frontEnd
+	processName string // the front end's process at the time of sending
+	sentAt      float64
+	ended       bool
+	timeout     *event
+	conn        *clientConn
 }
 
-// record returns the record of something that happened to the call.
+// record returns a record of the call.
 func (c *clientCall) record(kind invariants.Kind) invariants.Record {
 	return invariants.Record{
 		Kind: kind, CallID: c.number, RequestID: clientSource + "#" + c.request.id, Class: c.request.class,
-		FrontEnd: c.processTag,
+		FrontEnd: c.processName,
 	}
 }
 
@@ -77,18 +85,18 @@
 	c.timeout.cancel()
 }
 
-// client is a program that sends requests at random times, retries what was rejected or lost as the request's class
-// allows, and now and then repeats a request whose response it knows.
+// client sends requests at random times, retries rejected and lost ones as their class allows, and sometimes repeats a
+// request after its response.
 type client struct {
 	process
 	site      *site
 	rng       *rand.Rand
 	functions *rand.Zipf // popularity of functions
-	rate      float64    // requests a second
+	rate      float64    // requests per second
 	conns     []*clientConn
-	requests  int     // so far
-	readRate  float64 // bytes a second that it reads; 0: all
-	finishing bool    // it begins no further requests
+	requests  int     // number so far
+	readRate  float64 // bytes per second; 0: unlimited
+	finishing bool    // it sends no further requests
 }
 
 func clientName(number int) string { return fmt.Sprintf("till-%d", number) }
@@ -104,25 +112,25 @@
 	return c
 }
 
-// classShares are the shares of the request classes, in the order of the draw.
-var classShares = []struct {
-	class string
-	share float64
+// classFractions has the fractions of the request classes, in the order of the draw.
+var classFractions = []struct {
+	class    string
+	fraction float64
 }{{fakes.ClassIdempotent, 0.5}, {fakes.ClassIdempotentByKey, 0.3}, {fakes.ClassAtMostOnce, 0.2}}
 
 func (c *client) drawClass() (class string) {
 	draw := c.rng.Float64()
-	for _, s := range classShares {
+	for _, s := range classFractions {
 		class = s.class
-		if draw < s.share {
+		if draw < s.fraction {
 			break
 		}
-		draw -= s.share
+		draw -= s.fraction
 	}
 	return class
 }
 
-// sendNext sends a new request and schedules the one after it.
+// sendNext sends a new request and schedules the next one.
 func (c *client) sendNext() {
 	if c.finishing {
 		return
@@ -131,10 +139,10 @@
 	c.after(c.rng.ExpFloat64()/rate, "next", c.sendNext)
 	r := c.drawRequest()
 	c.send(r)
-	if r.duplicated { // another program of the same machine sends the same request
+	if r.duplicated { // by another program on the same machine
 		duplicate := *r
 		duplicate.timeout = 0
-		duplicate.cancelAfter, duplicate.rechecks = 0, 0
+		duplicate.cancelAfter, duplicate.repeats = 0, 0
 		c.after(c.rng.Float64()*maxDuplicateDelay, "twin", func() { c.send(&duplicate) })
 	}
 }
@@ -151,11 +159,11 @@
 		firstSent:  now,
 		retryUntil: now + retryWindow*requestTimeout,
 	}
-	if c.rng.Float64() < max(c.site.cancelShare, usualCancelShare) {
+	if c.rng.Float64() < max(c.site.cancelFraction, normalCancelFraction) {
 		r.cancelAfter = 0.01 + c.rng.Float64()*requestTimeout
 	}
 	if c.rng.IntN(6) == 0 {
-		r.rechecks = 1 + c.rng.IntN(2)
+		r.repeats = 1 + c.rng.IntN(2)
 	}
 	r.duplicated = c.rng.IntN(12) == 0
 	if c.rng.IntN(8) == 0 {
@@ -171,12 +179,12 @@
 	if r.timeout > 0 {
 		timeout = r.timeout
 	}
-	call := &clientCall{request: r, number: c.site.recorder.NextCallID(), frontEnd: f, processTag: f.processTag(), sentAt: c.scheduler.now}
+	call := &clientCall{request: r, number: c.site.recorder.NextCallID(), frontEnd: f, processName: f.processName(), sentAt: c.scheduler.now}
 	conn := c.reusableConn(f, r)
 	record := call.record(invariants.RequestSent)
 	record.Function, record.Timeout = r.function, timeout
 	c.site.recorder.Add(record)
-	c.site.callSent(call)
+	c.site.beginOperation(call)
 	call.timeout = c.after(timeout, "gives up "+r.id, func() { c.onTimeout(call) })
 	if r.cancelAfter > 0 {
 		c.after(r.cancelAfter, "leaves "+r.id, func() { c.cancel(call) })
@@ -188,7 +196,7 @@
 	}
 }
 
-// outcomes are the outcomes of statuses.
+// outcomes has the outcome by status.
 var outcomes = map[int]string{
 	http.StatusOK:                 invariants.Succeeded,
 	http.StatusServiceUnavailable: invariants.Rejected,
@@ -212,88 +220,89 @@
 	record := call.record(invariants.ResponseReceived)
 	record.Status, record.Outcome, record.Digest = m.Status, outcome, m.Header.Get("Docker-Content-Digest")
 	c.site.recorder.Add(record)
-	c.site.callAnswered(call, outcome)
+	c.site.endOperation(call, outcome)
 	switch {
 	case outcome == invariants.Rejected:
 		c.onRejected(r, m)
-	case r.rechecks > 0 && outcome != invariants.Invalid:
-		r.rechecks--
-		c.retry(r, closedRetryDelay+c.rng.Float64(), false)
+	case r.repeats > 0 && outcome != invariants.Invalid:
+		r.repeats--
+		c.retry(r, closedRetryDelay+c.rng.Float64(), sameFrontEnd)
 	}
 }
 
-// onRejected retries a request after the time that the response states, or at once by clients that ignore it.
+// onRejected retries a request after the Retry-After of the response, or at once if clients ignore that.
 func (c *client) onRejected(r *request, m *http1.Message) {
 	retryAfter, err := strconv.ParseFloat(m.Header.Get("Retry-After"), 64)
 	if err != nil {
-		c.site.violation("client", "%s: deferred without a time to come back", r.id)
+		c.site.violation("client", "%s: rejected without Retry-After", r.id)
 	}
 	if c.site.ignoreRetryAfter {
-		c.retry(r, eagerRetryDelay, true)
+		c.retry(r, eagerRetryDelay, anyFrontEnd)
 	} else if m.Status == http.StatusServiceUnavailable {
-		c.retry(r, retryAfter+c.rng.Float64()*0.2, true)
+		c.retry(r, retryAfter+c.rng.Float64()*0.2, anyFrontEnd)
 	}
 }
 
-// retry sends a request once more after a delay, to another front end where that is allowed and drawn.
-func (c *client) retry(r *request, delay float64, move bool) {
+// retry schedules a retry of a request, unless its retries are used up. A retry to anyFrontEnd may change the
+// front end if the request's class allows it.
+func (c *client) retry(r *request, delay float64, target retryTarget) {
 	at := c.scheduler.now + delay
-	if at > r.retryUntil || r.calls >= maxCalls || c.finishing && at > c.site.script.Seconds+lastRetry {
+	if at > r.retryUntil || r.calls >= maxCalls || c.finishing && at > c.site.script.Seconds+retryPeriod {
 		return
 	}
 	frontEnds := len(c.site.frontEnds)
-	if move && r.mayMove() && frontEnds > 1 && c.rng.IntN(3) == 0 {
-		// Front ends share nothing: one that never heard of the request can't know when workers forget it.
+	if target == anyFrontEnd && r.mayChangeFrontEnd() && frontEnds > 1 && c.rng.IntN(3) == 0 {
+		// Front ends share nothing: another one can't know when the deduplication window of the workers ends.
 		if r.class == fakes.ClassIdempotentByKey {
-			forgotten := r.firstSent + c.site.script.DeduplicationWindow - requestTimeout
-			if at >= forgotten {
+			windowEnd := r.firstSent + c.site.script.DeduplicationWindow - requestTimeout
+			if at >= windowEnd {
 				return
 			}
-			r.retryUntil = min(r.retryUntil, forgotten)
+			r.retryUntil = min(r.retryUntil, windowEnd)
 		}
 		r.frontEnd = (r.frontEnd + 1) % frontEnds
 	}
 	c.after(delay, "asks again for "+r.id, func() { c.send(r) })
 }
 
-// onTimeout ends a call whose time is up.
+// onTimeout ends a call whose timeout has passed.
 func (c *client) onTimeout(call *clientCall) {
 	if call.ended {
 		return
 	}
 	call.ended = true
-	c.site.callUnanswered(call)
+	c.site.endTimedOutCall(call)
 	if call.conn.closed {
 		return
 	}
-	call.conn.closeByClient(closedRetryDelay, true)
-	c.retry(call.request, closedRetryDelay, true)
+	call.conn.closeByClient(closedRetryDelay, anyFrontEnd)
+	c.retry(call.request, closedRetryDelay, anyFrontEnd)
 }
 
-// cancel ends a call whose client hangs up.
+// cancel cancels a call.
 func (c *client) cancel(call *clientCall) {
 	if call.ended {
 		return
 	}
 	call.end()
-	c.site.callCancelled(call)
+	c.site.endCancelledCall(call)
 	if !call.conn.closed {
-		call.conn.closeByClient(closedRetryDelay, true)
+		call.conn.closeByClient(closedRetryDelay, anyFrontEnd)
 	}
 }
 
-// reconnect drops all connections; the calls that waited on them are retried.
+// reconnect closes all connections. Their calls are retried.
 func (c *client) reconnect() {
 	for _, conn := range slices.Clone(c.conns) {
-		conn.closeByClient(reconnectDelay, false)
+		conn.closeByClient(reconnectDelay, sameFrontEnd)
 	}
 }
 
-// closeIdle closes the connections that no call waits on.
+// closeIdle closes the connections without calls in flight.
 func (c *client) closeIdle() {
 	for _, conn := range slices.Clone(c.conns) {
 		if len(conn.calls) == 0 && conn.end != nil {
-			conn.closeByClient(0, false)
+			conn.closeByClient(0, sameFrontEnd)
 		}
 	}
 }
--- a/internal/verification/simulation/client_conn.go
+++ b/internal/verification/simulation/client_conn.go
@@ -13,14 +13,13 @@
 	client    *client
 	end       *endpoint // nil while it is being dialed
 	frontEnd  *frontEnd
-	calls     []*clientCall // that wait, in the order they were sent
+	calls     []*clientCall // in flight, in the order of sending
 	responses *http1.Framer
 	closed    bool
-	usedAt    float64 // when the newest call was sent
+	usedAt    float64 // time of the latest call
 }
 
-// reusableConn returns an open connection that a call of a request may use, if there is one. Calls are pipelined now and
-// then.
+// reusableConn returns an open connection for a call of a request, or nil. Some calls are pipelined.
 func (c *client) reusableConn(f *frontEnd, r *request) *clientConn {
 	mayShare := r.class != fakes.ClassAtMostOnce && r.timeout == 0
 	for _, conn := range c.conns {
@@ -59,7 +58,7 @@
 	}
 	c.end = e
 	e.readRate = c.client.readRate
-	e.conn.harmed = e.conn.harmed || c.client.readRate > 0
+	e.conn.faulty = e.conn.faulty || c.client.readRate > 0
 	e.onData = c.onData
 	e.onClosed = func() {
 		e.close()
@@ -70,7 +69,7 @@
 	}
 }
 
-// send sends a call on the connection, or once that is open.
+// send sends a call on the connection, once that is open.
 func (c *clientConn) send(call *clientCall) {
 	call.conn, c.usedAt = c, c.client.scheduler.now
 	c.calls = append(c.calls, call)
@@ -82,7 +81,7 @@
 func (c *clientConn) write(call *clientCall) {
 	r := call.request
 	body, prefer := fmt.Sprintf(`{"count":%d}`, r.number), ""
-	if r.timeout > 0 { // what is left of it when it is sent
+	if r.timeout > 0 { // the remaining time at the time of sending
 		prefer = fmt.Sprintf("Prefer: wait=%.3f\r\n", max(call.sentAt+r.timeout-c.client.scheduler.now, 0))
 	}
 	c.end.write(fmt.Appendf(nil, "POST /events HTTP/1.1\r\nHost: f\r\nce-specversion: 1.0\r\nce-source: %s\r\nce-id: %s\r\nce-type: %s\r\n"+
@@ -97,14 +96,14 @@
 		m, err := c.responses.Next()
 		switch {
 		case err != nil:
-			s.violation("client", "%s can't read an answer of %s: %v", c.client.name, c.frontEnd.name, err)
+			s.violation("client", "%s received a malformed response from %s: %v", c.client.name, c.frontEnd.name, err)
 			c.end.close()
 			c.onClosed()
 			return
 		case m == nil:
 			return
 		case len(c.calls) == 0:
-			s.violation("client", "%s got an answer that it did not ask for, status %d", c.client.name, m.Status)
+			s.violation("client", "%s received a response without a request, status %d", c.client.name, m.Status)
 			return
 		}
 		call := c.calls[0]
@@ -118,14 +117,13 @@
 	}
 }
 
-// closeByClient closes the connection by the client's own doing. The calls that wait on it are cancelled, and retried
-// after a delay.
-func (c *clientConn) closeByClient(retryDelay float64, move bool) {
+// closeByClient closes the connection at the client's side. Its calls are cancelled, and retried after a delay.
+func (c *clientConn) closeByClient(retryDelay float64, target retryTarget) {
 	for _, call := range c.calls {
 		if !call.ended {
 			call.end()
-			c.client.site.callCancelled(call)
-			c.client.retry(call.request, retryDelay, move)
+			c.client.site.endCancelledCall(call)
+			c.client.retry(call.request, retryDelay, target)
 		}
 	}
 	if c.end != nil {
@@ -134,7 +132,7 @@
 	c.onClosed()
 }
 
-// onClosed ends the connection. Calls that still wait on it are broken, and retried.
+// onClosed removes the connection. Its calls are lost, and retried.
 func (c *clientConn) onClosed() {
 	if c.closed {
 		return
@@ -149,8 +147,8 @@
 			continue
 		}
 		call.end()
-		client.site.callBroken(call)
-		client.retry(call.request, brokenRetryDelay+client.rng.Float64()*brokenRetrySpread, true)
+		client.site.endLostCall(call)
+		client.retry(call.request, minLostRetryDelay+client.rng.Float64()*lostRetrySpread, anyFrontEnd)
 	}
 	c.calls = nil
 }
--- a/internal/verification/simulation/connection.go
+++ b/internal/verification/simulation/connection.go
@@ -2,49 +2,49 @@
 
 import "slices"
 
-// unlimited is the number of bytes to a break of a connection that no fault breaks.
+// unlimited is the value of bytesUntilReset without a fault.
 const unlimited = -1
 
-// connection is one stream of bytes in each direction.
+// connection is a connection between two processes.
 type connection struct {
 	network    *network
 	name       string
 	ends       [2]*endpoint
-	blackholed bool // all its packets are lost, and neither side learns of that
-	harmed     bool // a fault concerns it
+	blackholed bool // all its packets are lost silently
+	faulty     bool // a fault has affected it
 }
 
-// segment is a part of a stream that travels together; nil data closes the direction.
+// segment is a part of a stream. Nil data closes the direction.
 type segment struct {
 	data []byte
 	due  float64
 }
 
-// endpoint is one side of a connection. Its process learns of what happens through the callbacks.
+// endpoint is one side of a connection. It notifies its process by callbacks.
 type endpoint struct {
 	conn        *connection
 	side        int
 	process     *process
-	incarnation int // of the process that has it
+	incarnation int // of the process that opened it
 
 	onData     func([]byte)
-	onClosed   func()       // the other side closed or broke it
-	onFinished func()       // this side is over, whoever closed it
-	onWrite    func([]byte) // sees what this side sends
+	onClosed   func()       // the other side closed or reset it
+	onFinished func()       // this side is closed, by either process
+	onWrite    func([]byte) // observes the data that this side sends
 
-	queue        []segment // towards the other side
-	queuedBytes  int
-	delivery     *event  // of the head of the queue
-	blockedSince float64 // when the head of the queue first failed to get through; 0: not yet
-	readRate     float64 // bytes a second that this side reads; 0: all
-	breakAfter   int     // bytes that this side may still get before the connection breaks
-	canSend      bool
-	finished     bool // it is closed, by this side or by the other, and this side knows
+	queue           []segment // towards the other side
+	queuedBytes     int
+	delivery        *event  // of the head of the queue
+	blockedSince    float64 // time since which the link has been partitioned; 0: it is not
+	readRate        float64 // bytes per second that this side reads; 0: unlimited
+	bytesUntilReset int     // bytes that this side still receives before the connection is reset
+	canSend         bool
+	finished        bool // closed by this side, or by the other one with this side's knowledge
 }
 
 func (e *endpoint) peer() *endpoint { return e.conn.ends[1-e.side] }
 
-// write sends bytes. Now and then a segment is cut short.
+// write sends data in segments of random size.
 func (e *endpoint) write(data []byte) {
 	if !e.canSend || e.finished || len(data) == 0 {
 		return
@@ -82,7 +82,7 @@
 	}
 }
 
-// retryDelivery tries the head of the queue again after a delay.
+// retryDelivery retries the delivery of the head of the queue after a delay.
 func (e *endpoint) retryDelivery(delay float64) {
 	e.queue[0].due = e.conn.network.scheduler.now + delay
 	e.scheduleDelivery()
@@ -90,19 +90,19 @@
 
 func (e *endpoint) clearQueue() { e.queue, e.queuedBytes = nil, 0 }
 
-// deliver brings the head of the queue to the other side, if it gets through.
+// deliver delivers the head of the queue to the other side, unless a fault prevents that.
 func (e *endpoint) deliver() {
 	e.delivery = nil
 	peer, n := e.peer(), e.conn.network
 	switch {
 	case e.conn.blackholed || len(e.queue) == 0:
 		e.clearQueue()
-	case n.isCut(e.process.name, peer.process.name) || !peer.process.powered:
-		e.waitForLink()
-	case peer.process.incarnation != peer.incarnation: // nobody there knows the connection any more
+	case n.isPartitioned(e.process.name, peer.process.name) || !peer.process.powered:
+		e.retryWhilePartitioned()
+	case peer.process.incarnation != peer.incarnation: // the other process has ended
 		e.reset()
-	case peer.process.paused: // the kernel keeps it
-		e.retryDelivery(pausedRetry)
+	case peer.process.suspended: // its kernel buffers the data
+		e.retryDelivery(suspendedRetryDelay)
 	default:
 		e.blockedSince = 0
 		if open := e.receive(e.dequeue()); open {
@@ -111,20 +111,20 @@
 	}
 }
 
-// waitForLink tries again later, until the kernel gives the connection up.
-func (e *endpoint) waitForLink() {
+// retryWhilePartitioned retries later, or resets the connection after connectionTimeout.
+func (e *endpoint) retryWhilePartitioned() {
 	now := e.conn.network.scheduler.now
 	if e.blockedSince == 0 {
 		e.blockedSince = now
 	}
-	if now-e.blockedSince > giveUpAfter {
+	if now-e.blockedSince > connectionTimeout {
 		e.conn.reset()
 		return
 	}
-	e.retryDelivery(redialDelay)
+	e.retryDelivery(partitionRetryDelay)
 }
 
-// dequeue takes the head of the queue. A slow reader delays the next segment.
+// dequeue removes the head of the queue. A slow reader delays the next segment.
 func (e *endpoint) dequeue() []byte {
 	data, now := e.queue[0].data, e.conn.network.scheduler.now
 	e.queue = e.queue[1:]
@@ -138,70 +138,69 @@
 	return data
 }
 
-// receive hands a segment to the other side. The result is false where that breaks the connection.
-func (e *endpoint) receive(data []byte) (open bool) {
+// receive passes a segment to the other side. It returns false if that resets the connection.
+func (e *endpoint) receive(data []byte) bool {
 	peer := e.peer()
 	e.conn.network.scheduler.trace(e.conn.name, data)
 	switch {
-	case data == nil: // whoever learns of it closes too
+	case data == nil: // the other side closes as well
 		if peer.canSend {
 			peer.send(nil)
 			peer.canSend = false
 		}
-		peer.onPeerGone()
-	case peer.breakAfter >= 0 && len(data) >= peer.breakAfter:
-		data = data[:peer.breakAfter]
-		peer.breakAfter = unlimited
+		peer.onPeerClosed()
+	case peer.bytesUntilReset >= 0 && len(data) >= peer.bytesUntilReset:
+		data = data[:peer.bytesUntilReset]
+		peer.bytesUntilReset = unlimited
 		if len(data) > 0 {
-			peer.handOver(data)
+			peer.passData(data)
 		}
 		e.conn.reset()
 		return false
 	default:
-		if peer.breakAfter >= 0 {
-			peer.breakAfter -= len(data)
+		if peer.bytesUntilReset >= 0 {
+			peer.bytesUntilReset -= len(data)
 		}
-		peer.handOver(data)
+		peer.passData(data)
 	}
 	return true
 }
 
-func (e *endpoint) handOver(data []byte) {
+func (e *endpoint) passData(data []byte) {
 	if e.onData != nil && !e.finished {
 		e.onData(data)
 	}
 }
 
-// onPeerGone informs this side that the other closed or broke the connection.
-func (e *endpoint) onPeerGone() {
+// onPeerClosed notifies this side that the other one closed or reset the connection.
+func (e *endpoint) onPeerClosed() {
 	if e.finished {
 		return
 	}
 	e.finish()
 	if e.onClosed != nil && e.process.incarnation == e.incarnation {
-		e.process.guard(e.onClosed)()
+		e.process.whileRunning(e.onClosed)()
 	}
 }
 
-// reset breaks the connection: this side learns of it now.
+// reset resets this side of the connection.
 func (e *endpoint) reset() {
 	e.clearQueue()
-	e.onPeerGone()
+	e.onPeerClosed()
 }
 
-// reset breaks the connection: both sides learn of it when the news reaches them, and what is written from now on is
-// lost.
+// reset resets the connection. Both sides are notified after the network's delay. Data written from now on is lost.
 func (c *connection) reset() {
 	c.blackholed = true
 	for _, e := range c.ends {
 		e.clearQueue()
 	}
 	for _, e := range c.ends {
-		c.network.scheduler.after(c.network.delay(e.peer().process.name, e.process.name), c.name+" breaks", e.onPeerGone)
+		c.network.scheduler.after(c.network.delay(e.peer().process.name, e.process.name), c.name+" breaks", e.onPeerClosed)
 	}
 }
 
-// close ends this side; what was written still goes out before the other side learns of it.
+// close closes this side. Written data is delivered before the other side is notified.
 func (e *endpoint) close() {
 	if e.finished && !e.canSend {
 		return
@@ -212,7 +211,7 @@
 	e.finish()
 }
 
-// finish is the end of this side's use of the connection.
+// finish ends this side's use of the connection.
 func (e *endpoint) finish() {
 	e.canSend, e.finished = false, true
 	if e.onFinished != nil {
@@ -222,7 +221,7 @@
 	e.conn.removeIfFinished()
 }
 
-// closeWrite closes this side's sending; it still reads.
+// closeWrite closes the direction towards the other side. This side still receives.
 func (e *endpoint) closeWrite() {
 	if e.canSend {
 		e.send(nil)
@@ -230,8 +229,8 @@
 	}
 }
 
-// vanish is what a kernel does for a process that ended: it answers the other side's packets by a reset.
-func (e *endpoint) vanish() {
+// resetByKernel resets the connection of a process that ended, as its kernel does.
+func (e *endpoint) resetByKernel() {
 	if e.finished {
 		return
 	}
@@ -239,36 +238,36 @@
 	peer := e.peer()
 	if !e.conn.blackholed && !peer.finished {
 		n := e.conn.network
-		n.scheduler.after(n.delay(e.process.name, peer.process.name), e.conn.name+" breaks", e.tellPeerGone)
+		n.scheduler.after(n.delay(e.process.name, peer.process.name), e.conn.name+" breaks", e.notifyPeer)
 	}
 	e.finish()
 }
 
-// tellPeerGone brings the news of a reset to the other side once it gets through.
-func (e *endpoint) tellPeerGone() {
+// notifyPeer notifies the other side of a reset, once no partition prevents that.
+func (e *endpoint) notifyPeer() {
 	n, peer := e.conn.network, e.peer()
-	if n.isCut(e.process.name, peer.process.name) {
-		n.scheduler.after(redialDelay, e.conn.name+" breaks", e.tellPeerGone)
+	if n.isPartitioned(e.process.name, peer.process.name) {
+		n.scheduler.after(partitionRetryDelay, e.conn.name+" breaks", e.notifyPeer)
 		return
 	}
-	peer.onPeerGone()
+	peer.onPeerClosed()
 }
 
-// drop ends this side without any news to the other, as a machine that loses its power does.
-func (e *endpoint) drop() {
+// dropSilently ends this side without a notification of the other, like a machine that loses power.
+func (e *endpoint) dropSilently() {
 	e.clearQueue()
 	e.finish()
 }
 
-// breakSoon breaks the connection once this side has got so many more bytes.
-func (e *endpoint) breakSoon(bytes int) {
-	e.conn.harmed = true
-	e.breakAfter = bytes
+// resetAfterBytes resets the connection after this side has received a number of further bytes.
+func (e *endpoint) resetAfterBytes(bytes int) {
+	e.conn.faulty = true
+	e.bytesUntilReset = bytes
 }
 
-// blackhole loses all further packets of a connection; neither side learns of that.
+// blackhole drops all further packets of the connection silently.
 func (c *connection) blackhole() {
-	c.harmed = true
+	c.faulty = true
 	c.blackholed = true
 }
 
@@ -281,5 +280,5 @@
 	}
 }
 
-// unsent is the number of bytes that the sender's kernel has not taken.
+// unsent returns the number of bytes that do not fit into the kernel's send buffer.
 func (e *endpoint) unsent() int { return max(e.queuedBytes-e.conn.network.buffer, 0) }
--- a/internal/verification/simulation/coverage.go
+++ b/internal/verification/simulation/coverage.go
@@ -47,7 +47,7 @@
 	if !a.running {
 		return []string{stateDown}
 	}
-	if a.paused {
+	if a.suspended {
 		states = append(states, stateSuspended)
 	}
 	if !a.isServing() {
--- a/internal/verification/simulation/disk.go
+++ b/internal/verification/simulation/disk.go
@@ -9,72 +9,73 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 )
 
-// noTear is the number of bytes to a torn write of a disk that no fault tears.
-const noTear = -1
+// noTornWrite is the value of tearAfter without a fault.
+const noTornWrite = -1
 
-// errMachineStopped is the error of a write to the disk of a machine that stopped within an earlier one.
-var errMachineStopped = errors.New("the machine has stopped")
+// errDiskStopped is returned for writes after a torn one, which stops the machine.
+var errDiskStopped = errors.New("machine stopped")
 
-// disk is the disk of one machine: in memory, with what was synced kept apart from what was not. The storage library
-// calls it from goroutines of its own, so fields that those read are behind the lock.
+// disk is the disk of one machine, in memory. It distinguishes synced data from written data. Goroutines of the storage
+// library use it, so a lock guards the fields that they read.
 type disk struct {
-	syncDelay float64 // seconds that a sync takes beside the usual; only the simulation's goroutine reads it
+	syncDelay float64 // additional seconds of a sync; only used by the simulation's goroutine
 
 	mu         sync.Mutex
 	fs         *vfs.MemFS
 	full       bool
-	tearAfter  int  // bytes of the next log record that still get onto the disk, after which nothing does
-	stopped    bool // nothing gets onto the disk any more
-	ignoreSync bool // it reports success of syncs that it did not do
+	tearAfter  int  // bytes of the next log record that are written before the machine stops
+	stopped    bool // all writes fail
+	ignoreSync bool // syncs succeed without effect
 	tornWrites int
 }
 
-func newDisk() *disk { return &disk{fs: vfs.NewCrashableMem(), tearAfter: noTear} }
+func newDisk() *disk { return &disk{fs: vfs.NewCrashableMem(), tearAfter: noTornWrite} }
 
-// restart leaves what the next process finds: all that was written, or after a loss of power what was synced.
-func (d *disk) restart(powerLost bool) {
+// restart prepares the disk for the next process: it keeps the written data, or after a power loss the synced data.
+func (d *disk) restart(after exitKind) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.tearAfter, d.stopped = noTear, false
+	d.tearAfter, d.stopped = noTornWrite, false
 	crash := vfs.CrashCloneCfg{}
-	if !powerLost {
+	if after != powerLoss {
 		crash.UnsyncedDataPercent, crash.RNG = 100, newRand(0, "all of it")
 	}
 	d.fs = d.fs.CrashClone(crash)
 }
 
-// snapshot is a disk with what a restart of the process would find on this one.
+// snapshot returns a copy of the disk as the next process would find it.
 func (d *disk) snapshot() *disk {
-	copied := &disk{fs: d.fs, tearAfter: noTear}
-	copied.restart(false)
+	copied := &disk{fs: d.fs, tearAfter: noTornWrite}
+	copied.restart(processExit)
 	return copied
 }
 
-// view returns the disk for one process. What an earlier process still does changes nothing for a later one.
+// view returns the file system for one process. Late writes of an earlier process don't affect it.
 func (d *disk) view() vfs.FS { return &diskView{d.fs, d} }
 
-// writeError is the error of a write now, if any.
+// writeError returns the error that a write has now, if any.
 func (d *disk) writeError() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
 	case d.stopped:
-		return errMachineStopped
+		return errDiskStopped
 	case d.full:
 		return syscall.ENOSPC
 	}
 	return nil
 }
 
-// takeTear returns the fault for the write of a log record at hand, which stops the machine.
-func (d *disk) takeTear() (bytes int, torn bool) {
+// takeTornWrite reports whether the present write of a log record is torn, and after how many bytes. If so, it stops the
+// machine.
+func (d *disk) takeTornWrite() (bytes int, torn bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	bytes = d.tearAfter
-	if bytes == noTear {
+	if bytes == noTornWrite {
 		return 0, false
 	}
-	d.tearAfter, d.stopped = noTear, true
+	d.tearAfter, d.stopped = noTornWrite, true
 	d.tornWrites++
 	return bytes, true
 }
@@ -85,7 +86,7 @@
 	return d.ignoreSync
 }
 
-// diskView is a file system that fails as its disk does.
+// diskView is a file system with the faults of its disk.
 type diskView struct {
 	vfs.FS
 	disk *disk
@@ -119,7 +120,7 @@
 	return &diskFile{f, v.disk, strings.HasSuffix(name, ".log")}
 }
 
-// diskFile is a file that fails as its disk does.
+// diskFile is a file with the faults of its disk.
 type diskFile struct {
 	vfs.File
 	disk  *disk
@@ -132,9 +133,9 @@
 		return 0, err
 	}
 	if f.isLog {
-		if bytes, torn := f.disk.takeTear(); torn {
+		if bytes, torn := f.disk.takeTornWrite(); torn {
 			n, err := f.File.Write(p[:min(bytes, len(p))])
-			return n, errors.Join(err, errMachineStopped)
+			return n, errors.Join(err, errDiskStopped)
 		}
 	}
 	return f.File.Write(p)
--- a/internal/verification/simulation/disk_test.go
+++ b/internal/verification/simulation/disk_test.go
@@ -7,12 +7,12 @@
 	"streamcleat/internal/storage"
 )
 
-func openStore(t testing.TB, d *disk) (*storage.Store, *storage.RecoveredState) {
-	t.Helper()
+func openStore(tb testing.TB, d *disk) (*storage.Store, *storage.RecoveredState) {
+	tb.Helper()
 	clock := func() storage.Timestamp { return storage.Timestamp{BootID: "a", Uptime: 1} }
 	store, recovered, err := storage.OpenStore("state", storage.Options{FS: d.view(), Retention: 600, Synchronous: true, Clock: clock})
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return store, recovered
 }
@@ -27,7 +27,7 @@
 }
 
 func TestDisk_TornRecordIsLost(t *testing.T) {
-	for name, powerLost := range map[string]bool{"process ends": false, "power loss": true} {
+	for name, exit := range map[string]exitKind{"process ends": processExit, "power loss": powerLoss} {
 		t.Run(name, func(t *testing.T) {
 			d := newDisk()
 			store, _ := openStore(t, d)
@@ -38,7 +38,7 @@
 			if err := commit(store, "two"); err == nil {
 				t.Fatal("a torn write succeeded")
 			}
-			d.restart(powerLost)
+			d.restart(exit)
 			_ = store.Close() // its machine has stopped
 			again, recovered := openStore(t, d)
 			if len(recovered.Records) != 1 || recovered.Records[0].Response.Identity.ID != "one" || recovered.QuarantinePath != "" {
--- a/internal/verification/simulation/explore.go
+++ b/internal/verification/simulation/explore.go
@@ -5,29 +5,28 @@
 	"strings"
 )
 
-// The explorer is a second, smaller world: two front ends (dispatchers with their decisions), two workers and five calls
-// of three requests, in which everything may happen in every order, to a stated depth. It checks rules 1 to 3.
+// The explorer runs a smaller model: two front ends (dispatchers with their routing decisions), two workers and five
+// calls of three requests. It tries every order of actions to a given depth, and checks rules 1 to 3.
 //
-// A dispatcher is a function of what came in and when. Two ways that give each front end the same inputs lead to the same
-// world, so a world is known by the histories of its front ends, and ways that only order what happens at different front
-// ends in another way are gone once.
+// A dispatcher is a deterministic function of its inputs and their times. Paths with the same inputs for each front end
+// lead to the same state, so a state is identified by the histories of its front ends, and is visited once.
 
-// maxExploredViolations is how many violations an exploration describes.
+// maxExploredViolations is the maximum number of violations that an exploration describes.
 const maxExploredViolations = 10
 
 // Explored is the result of an exploration.
 type Explored struct {
 	Depth      int      `json:"depth"`
-	States     int      `json:"states"` // worlds that differ
-	Merged     int      `json:"merged"` // ways that led to a world that was known
-	Ways       int      `json:"ways"`   // run to their end, with nothing more coming from outside
-	Complete   bool     `json:"whole"`  // false: the limit of states ended it
+	States     int      `json:"states"` // distinct states
+	Merged     int      `json:"merged"` // paths that led to a known state
+	Ways       int      `json:"ways"`   // paths of full depth, which were run to their end
+	Complete   bool     `json:"whole"`  // false if the limit of states ended the exploration
 	Violations []string `json:"broke,omitempty"`
 }
 
-// Explore goes every way of depth actions, as far as it leads to maxStates worlds, and lets each end by itself.
+// Explore follows every path of depth actions, up to maxStates states, and runs each to its end.
 func Explore(depth, maxStates int) *Explored {
-	e := &exploration{result: &Explored{Depth: depth, Complete: true}, maxStates: maxStates, seen: map[worldKey]int{}}
+	e := &exploration{result: &Explored{Depth: depth, Complete: true}, maxStates: maxStates, seen: map[modelKey]int{}}
 	e.visit(depth)
 	return e.result
 }
@@ -36,59 +35,59 @@
 type exploration struct {
 	result    *Explored
 	maxStates int
-	seen      map[worldKey]int // worlds, with how many actions were left when they were gone through
-	path      []action         // to the world at hand
+	seen      map[modelKey]int // remaining depth at the latest visit, by state
+	path      []action         // to the present state
 }
 
-// replay makes the world at the end of the path.
-func (e *exploration) replay() *smallWorld {
-	w := newSmallWorld()
+// replay returns the model at the end of the path.
+func (e *exploration) replay() *model {
+	w := newModel()
 	for _, a := range e.path {
-		w.perform(a)
+		w.execute(a)
 	}
 	return w
 }
 
-// visit goes every way of so many actions from the world at the end of the path.
-func (e *exploration) visit(left int) {
+// visit follows every path of a number of actions from the end of the present path.
+func (e *exploration) visit(remaining int) {
 	w := e.replay()
-	if e.hasViolation(w, "") || e.isKnown(w, left) {
+	if e.recordViolation(w, "") || e.markVisited(w, remaining) {
 		return
 	}
 	if e.result.States >= e.maxStates {
 		e.result.Complete = false
 		return
 	}
-	if left == 0 {
+	if remaining == 0 {
 		e.result.Ways++
 		w.runToEnd()
-		e.hasViolation(w, "and nothing more")
+		e.recordViolation(w, "no further action")
 		return
 	}
 	for _, a := range w.actions() {
 		e.path = append(e.path, a)
-		e.visit(left - 1)
+		e.visit(remaining - 1)
 		e.path = e.path[:len(e.path)-1]
 	}
 }
 
-// isKnown returns whether a world was gone through with as many actions left, and notes that it is now.
-func (e *exploration) isKnown(w *smallWorld, left int) bool {
+// markVisited marks a state as visited, and reports whether it was already visited with at least the same remaining depth.
+func (e *exploration) markVisited(w *model, remaining int) bool {
 	key := w.key()
 	before, known := e.seen[key]
-	if known && before >= left {
+	if known && before >= remaining {
 		e.result.Merged++
 		return true
 	}
 	if !known {
 		e.result.States++
 	}
-	e.seen[key] = left
+	e.seen[key] = remaining
 	return false
 }
 
-// hasViolation returns whether a world broke a rule, and describes the way to it.
-func (e *exploration) hasViolation(w *smallWorld, last string) bool {
+// recordViolation records the violation of a state and the path to it, and reports whether there is one.
+func (e *exploration) recordViolation(w *model, last string) bool {
 	if len(w.violations) == 0 {
 		return false
 	}
@@ -102,29 +101,30 @@
 	return true
 }
 
-// actionKind is one kind of thing that may happen in the small world.
+// actionKind is a kind of action in the model.
 type actionKind string
 
-// Kinds of actions. Their names stand in the result.
+// Kinds of actions, as they are named in the path of a violation.
 const (
-	actionSend     actionKind = "ask"   // a client sends a call
-	actionCancel   actionKind = "hang"  // a client cancels its call
-	actionTransmit actionKind = "leave" // an attempt leaves the front end
-	actionEnd      actionKind = "end"   // an attempt ends
-	actionEndLoad  actionKind = "load"  // a load command ends
-	actionDrain    actionKind = "drain" // a front end learns that a worker drains
-	actionPassTime actionKind = "time"  // time goes on to the next timer
+	actionSend     actionKind = "send"     // a client sends a call
+	actionCancel   actionKind = "cancel"   // a client cancels its call
+	actionTransmit actionKind = "transmit" // an attempt is transmitted
+	actionEnd      actionKind = "end"      // an attempt ends
+	actionEndLoad  actionKind = "load"     // a load command ends
+	actionDrain    actionKind = "drain"    // a front end receives the drain notice of a worker
+	actionPassTime actionKind = "time"     // the clock advances to the next timer
 )
 
 // String describes the action.
 func (a action) String() string {
 	switch a.kind {
 	case actionSend, actionCancel:
-		return fmt.Sprintf("%s %d (%s at front %d)", a.kind, a.index, smallCalls[a.index].id, smallCalls[a.index].frontEnd)
+		return fmt.Sprintf("%s %d (%s at front %d)", a.kind, a.index, modelCalls[a.index].id, modelCalls[a.index].frontEnd)
 	case actionEnd, actionEndLoad:
 		return fmt.Sprintf("%s %d at front %d: %d", a.kind, a.index, a.frontEnd, a.outcome)
 	case actionPassTime:
 		return "time passes"
+	case actionTransmit, actionDrain:
 	}
 	return fmt.Sprintf("%s %d at front %d", a.kind, a.index, a.frontEnd)
 }
--- a/internal/verification/simulation/explore_front_end.go
+++ b/internal/verification/simulation/explore_front_end.go
@@ -7,36 +7,36 @@
 	"streamcleat/internal/dispatch"
 )
 
-// smallAttempt is an attempt that is under way.
-type smallAttempt struct {
+// modelAttempt is an attempt in progress.
+type modelAttempt struct {
 	dispatch.Attempt
 	transmitted bool
 }
 
-// smallFrontEnd is one front end with what is under way, and a plain model of the rules.
-type smallFrontEnd struct {
-	world        *smallWorld
-	number       int
-	dispatcher   *dispatch.Dispatcher
-	attempts     []smallAttempt
-	loadCommands []dispatch.LoadCommand
-	drained      [len(smallWorkers)]bool
-	mayHaveRun   map[string]float64 // requests that may have run here, since when
-	history      []byte
+// modelFrontEnd is a front end with its attempts and load commands, and the state that checks of the rules need.
+type modelFrontEnd struct {
+	model            *model
+	number           int
+	dispatcher       *dispatch.Dispatcher
+	attempts         []modelAttempt
+	loadCommands     []dispatch.LoadCommand
+	drained          [len(modelWorkers)]bool
+	possiblyExecuted map[string]float64 // time since which requests may have been executed
+	history          []byte
 }
 
-func newSmallFrontEnd(w *smallWorld, number int) *smallFrontEnd {
-	f := &smallFrontEnd{world: w, number: number, mayHaveRun: map[string]float64{}}
+func newModelFrontEnd(w *model, number int) *modelFrontEnd {
+	f := &modelFrontEnd{model: w, number: number, possiblyExecuted: map[string]float64{}}
 	deployment := &control.Deployment{
 		FrontEnds: 2, NoLoadOnMiss: number == 0, LoadCommandsAllowed: true, MaxAttempts: 3, MaxRetryAfter: 0.5,
 		IdleReplicaLifetime: 8, MinRoundInterval: 0.004, InitialCapacityFraction: 0.3, WarmUpTime: 10, OverloadFactor: 2.5, OverloadWindow: 1.5,
 		RequestClasses: []control.RequestClass{
-			{Name: smallIdempotent, LatencyObjective: 0.8, Timeout: smallTimeout},
+			{Name: modelIdempotent, LatencyObjective: 0.8, Timeout: modelTimeout},
 			{
-				Name: smallKeyed, LatencyObjective: 0.8, Timeout: smallTimeout, Semantics: control.IdempotentByKey,
-				DeduplicationWindow: smallDeduplicationWindow,
+				Name: modelIdempotentByKey, LatencyObjective: 0.8, Timeout: modelTimeout, Semantics: control.IdempotentByKey,
+				DeduplicationWindow: modelDeduplicationWindow,
 			},
-			{Name: smallOnce, LatencyObjective: 0.8, Timeout: smallTimeout, Semantics: control.AtMostOnce},
+			{Name: modelAtMostOnce, LatencyObjective: 0.8, Timeout: modelTimeout, Semantics: control.AtMostOnce},
 		},
 	}
 	profile := func(string) dispatch.FunctionProfile { return dispatch.FunctionProfile{Concurrency: 1} }
@@ -44,12 +44,12 @@
 		Deployment: deployment, Functions: profile, ResponseMargin: 0.1, LoadTimeout: 1,
 		MaxOpen: 10, DeduplicationWindow: 60, MaxCachedBytes: 1 << 16, Seed: uint64(7 + number),
 	}, f, w.now)
-	f.dispatcher.OnEndpointUpdate(w.now, control.Snapshot, smallWorkers[:])
+	f.dispatcher.OnEndpointUpdate(w.now, control.Snapshot, modelWorkers[:])
 	return f
 }
 
-// actions returns all that may happen at the front end now.
-func (f *smallFrontEnd) actions() (list []action) {
+// actions returns the actions that are possible at the front end now.
+func (f *modelFrontEnd) actions() (list []action) {
 	for i, a := range f.attempts {
 		if !a.transmitted {
 			list = append(list, f.action(actionTransmit, i, 0), f.action(actionEnd, i, control.Unreachable))
@@ -70,13 +70,13 @@
 	return list
 }
 
-func (f *smallFrontEnd) action(kind actionKind, index int, outcome control.Outcome) action {
+func (f *modelFrontEnd) action(kind actionKind, index int, outcome control.Outcome) action {
 	return action{kind: kind, frontEnd: f.number, index: index, outcome: outcome}
 }
 
-// receive takes a call.
-func (f *smallFrontEnd) receive(index int) {
-	w, c := f.world, smallCalls[index]
+// receive submits a call.
+func (f *modelFrontEnd) receive(index int) {
+	w, c := f.model, modelCalls[index]
 	w.calls[index].sent, w.calls[index].sentAt = true, w.now
 	f.dispatcher.Submit(w.now, dispatch.WaiterID(index), dispatch.Request{
 		Identity: dispatch.Identity{Source: "/t", ID: c.id},
@@ -84,48 +84,48 @@
 	})
 }
 
-func (f *smallFrontEnd) endAttempt(index int, outcome control.Outcome) {
+func (f *modelFrontEnd) endAttempt(index int, outcome control.Outcome) {
 	a, _ := f.takeAttempt(f.attempts[index].ID)
 	if outcome < control.Rejected {
-		f.noteMayHaveRun(a)
+		f.markPossiblyExecuted(a)
 	}
-	f.dispatcher.OnAttemptReply(f.world.now, a.ID, dispatch.WorkerReply{Outcome: outcome, Start: control.WarmStart})
+	f.dispatcher.OnAttemptReply(f.model.now, a.ID, dispatch.WorkerReply{Outcome: outcome, Start: control.WarmStart})
 }
 
-func (f *smallFrontEnd) endLoad(index int, outcome control.Outcome) {
+func (f *modelFrontEnd) endLoad(index int, outcome control.Outcome) {
 	command := f.loadCommands[index]
 	f.loadCommands = slices.Concat(f.loadCommands[:index], f.loadCommands[index+1:])
 	replicas := 0
 	if outcome == control.Succeeded {
 		replicas = 1
 	}
-	f.dispatcher.OnLoadReply(f.world.now, command.ID, outcome, replicas)
+	f.dispatcher.OnLoadReply(f.model.now, command.ID, outcome, replicas)
 }
 
-func (f *smallFrontEnd) drain(index int) {
+func (f *modelFrontEnd) drain(index int) {
 	f.drained[index] = true
-	worker := smallWorkers[index]
+	worker := modelWorkers[index]
 	worker.State = control.Draining
-	f.dispatcher.OnEndpointUpdate(f.world.now, control.Delta, []control.Worker{worker})
+	f.dispatcher.OnEndpointUpdate(f.model.now, control.Delta, []control.Worker{worker})
 }
 
-// isOpen returns whether a client still waits for a request here.
-func (f *smallFrontEnd) isOpen(id string) bool {
-	for i, c := range smallCalls {
-		if c.frontEnd == f.number && c.id == id && f.world.calls[i].isWaiting() {
+// isOpen reports whether a client waits for a request.
+func (f *modelFrontEnd) isOpen(id string) bool {
+	for i, c := range modelCalls {
+		if c.frontEnd == f.number && c.id == id && f.model.calls[i].isWaiting() {
 			return true
 		}
 	}
 	return false
 }
 
-func (f *smallFrontEnd) isTransmitted(id string) bool {
-	return slices.ContainsFunc(f.attempts, func(a smallAttempt) bool { return a.Identity.ID == id && a.transmitted })
+func (f *modelFrontEnd) isTransmitted(id string) bool {
+	return slices.ContainsFunc(f.attempts, func(a modelAttempt) bool { return a.Identity.ID == id && a.transmitted })
 }
 
-// isDrained returns whether a worker drains as the front end knows.
-func (f *smallFrontEnd) isDrained(id control.WorkerID) bool {
-	for i, worker := range smallWorkers {
+// isDrained reports whether the front end received the drain notice of a worker.
+func (f *modelFrontEnd) isDrained(id control.WorkerID) bool {
+	for i, worker := range modelWorkers {
 		if worker.ID == id && f.drained[i] {
 			return true
 		}
@@ -133,86 +133,86 @@
 	return false
 }
 
-func (f *smallFrontEnd) takeAttempt(id uint64) (smallAttempt, bool) {
-	i := slices.IndexFunc(f.attempts, func(a smallAttempt) bool { return a.ID == id })
+func (f *modelFrontEnd) takeAttempt(id uint64) (modelAttempt, bool) {
+	i := slices.IndexFunc(f.attempts, func(a modelAttempt) bool { return a.ID == id })
 	if i < 0 {
-		return smallAttempt{}, false
+		return modelAttempt{}, false
 	}
 	a := f.attempts[i]
 	f.attempts = slices.Concat(f.attempts[:i], f.attempts[i+1:])
 	return a, true
 }
 
-func (f *smallFrontEnd) noteMayHaveRun(a smallAttempt) {
-	if _, noted := f.mayHaveRun[a.Identity.ID]; !noted {
-		f.mayHaveRun[a.Identity.ID] = f.world.now
+func (f *modelFrontEnd) markPossiblyExecuted(a modelAttempt) {
+	if _, noted := f.possiblyExecuted[a.Identity.ID]; !noted {
+		f.possiblyExecuted[a.Identity.ID] = f.model.now
 	}
 }
 
 // Respond implements dispatch.Effects.
-func (f *smallFrontEnd) Respond(to dispatch.WaiterID, response dispatch.Response) {
-	w, i := f.world, int(to)
+func (f *modelFrontEnd) Respond(to dispatch.WaiterID, response dispatch.Response) {
+	w, i := f.model, int(to)
 	c := &w.calls[i]
 	c.responses++
-	id := smallCalls[i].id
-	_, ran := f.mayHaveRun[id]
+	id := modelCalls[i].id
+	_, ran := f.possiblyExecuted[id]
 	switch {
 	case c.responses > 1:
-		w.violation("rule 1: ask %d has %d answers", i, c.responses)
+		w.violation("rule 1: call %d has %d responses", i, c.responses)
 	case c.cancelled:
-		w.violation("rule 1: ask %d is answered after it hung up", i)
-	case response.Kind == dispatch.Rejected && smallCalls[i].class == smallOnce && (ran || f.isTransmitted(id)):
-		w.violation("rule 2: ask %d is deferred, and %s may have run", i, id)
+		w.violation("rule 1: call %d got a response after it was cancelled", i)
+	case response.Kind == dispatch.Rejected && modelCalls[i].class == modelAtMostOnce && (ran || f.isTransmitted(id)):
+		w.violation("rule 2: call %d is rejected, and %s may have been executed", i, id)
 	}
 }
 
 // SendAttempt implements dispatch.Effects.
-func (f *smallFrontEnd) SendAttempt(a dispatch.Attempt) {
-	id, w := a.Identity.ID, f.world
+func (f *modelFrontEnd) SendAttempt(a dispatch.Attempt) {
+	id, w := a.Identity.ID, f.model
 	for _, other := range f.attempts {
 		if other.Identity.ID == id {
-			w.violation("rule 2: %s is launched while a launch of it is out", id)
+			w.violation("rule 2: attempt of %s while another one is in flight", id)
 		}
 	}
-	class := classOfSmallRequest(id)
-	since, ran := f.mayHaveRun[id]
+	class := classOfModelRequest(id)
+	since, ran := f.possiblyExecuted[id]
 	switch {
-	case class == smallOnce && ran:
-		w.violation("rule 2: %s is launched and may have run", id)
-	case class == smallKeyed && ran && w.now >= since+smallDeduplicationWindow:
-		w.violation("rule 2: %s is launched when workers may have forgotten it", id)
+	case class == modelAtMostOnce && ran:
+		w.violation("rule 2: attempt of %s, which may have been executed", id)
+	case class == modelIdempotentByKey && ran && w.now >= since+modelDeduplicationWindow:
+		w.violation("rule 2: attempt of %s past the deduplication window", id)
 	case !f.isOpen(id):
-		w.violation("rule 1: %s is launched and nobody asks for it", id)
+		w.violation("rule 1: attempt of %s without a waiting client", id)
 	}
 	if f.isDrained(a.Worker) {
-		w.violation("rule 3: %s is launched at %s, which drains", id, a.Worker)
+		w.violation("rule 3: attempt of %s at draining worker %s", id, a.Worker)
 	}
-	f.attempts = append(f.attempts, smallAttempt{Attempt: a})
+	f.attempts = append(f.attempts, modelAttempt{Attempt: a})
 }
 
-func classOfSmallRequest(id string) string {
-	i := slices.IndexFunc(smallCalls[:], func(c smallCall) bool { return c.id == id })
-	return smallCalls[i].class
+func classOfModelRequest(id string) string {
+	i := slices.IndexFunc(modelCalls[:], func(c modelCall) bool { return c.id == id })
+	return modelCalls[i].class
 }
 
 // SendLoad implements dispatch.Effects.
-func (f *smallFrontEnd) SendLoad(command dispatch.LoadCommand) {
+func (f *modelFrontEnd) SendLoad(command dispatch.LoadCommand) {
 	if command.Replicas > 0 && f.isDrained(command.Worker) {
-		f.world.violation("rule 3: a load is ordered of %s, which drains", command.Worker)
+		f.model.violation("rule 3: load command to draining worker %s", command.Worker)
 	}
 	f.loadCommands = append(f.loadCommands, command)
 }
 
 // Abandon implements dispatch.Effects.
-func (f *smallFrontEnd) Abandon(id uint64) {
+func (f *modelFrontEnd) Abandon(id uint64) {
 	if a, ok := f.takeAttempt(id); ok && a.transmitted {
-		f.noteMayHaveRun(a)
+		f.markPossiblyExecuted(a)
 	}
 	f.loadCommands = slices.DeleteFunc(f.loadCommands, func(c dispatch.LoadCommand) bool { return c.ID == id })
 }
 
 // CancelUnsent implements dispatch.Effects.
-func (f *smallFrontEnd) CancelUnsent(id uint64) bool {
+func (f *modelFrontEnd) CancelUnsent(id uint64) bool {
 	for _, a := range f.attempts {
 		if a.ID == id && !a.transmitted {
 			f.takeAttempt(id)
@@ -222,11 +222,11 @@
 	return false
 }
 
-// Broadcast implements dispatch.Effects: front ends of the small world do not gossip.
-func (f *smallFrontEnd) Broadcast([]byte) {}
+// Broadcast implements dispatch.Effects. Front ends of the model do not gossip.
+func (f *modelFrontEnd) Broadcast([]byte) {}
 
-// Store implements dispatch.Effects: the small world has no disk.
-func (f *smallFrontEnd) Store(dispatch.Record) {}
+// Store implements dispatch.Effects. The model has no disk.
+func (f *modelFrontEnd) Store(dispatch.Record) {}
 
 // OnRequestEnd implements dispatch.Effects.
-func (f *smallFrontEnd) OnRequestEnd(dispatch.Response, *dispatch.Trace) {}
+func (f *modelFrontEnd) OnRequestEnd(dispatch.Response, *dispatch.Trace) {}
--- a/internal/verification/simulation/explore_world.go
+++ b/internal/verification/simulation/explore_model.go
@@ -8,49 +8,49 @@
 	"streamcleat/internal/dispatch"
 )
 
-// Times of the small world, in seconds.
+// Times of the model, in seconds.
 const (
-	smallTimeout             = 2.0
-	smallDeduplicationWindow = 3.0
-	smallStart               = 1000
+	modelTimeout             = 2.0
+	modelDeduplicationWindow = 3.0
+	modelStart               = 1000
 	minTimeStep              = 0.001
 )
 
-// Request classes of the small world.
+// Request classes of the model.
 const (
-	smallOnce       = "once"
-	smallKeyed      = "keyed"
-	smallIdempotent = "again"
+	modelAtMostOnce      = "once"
+	modelIdempotentByKey = "keyed"
+	modelIdempotent      = "again"
 )
 
-// smallCall is one call of the small world: of which request, at which front end.
-type smallCall struct {
+// modelCall is one call of a request at a front end.
+type modelCall struct {
 	frontEnd  int
 	id, class string
 	timeout   float64
 }
 
-var smallCalls = [...]smallCall{
-	{0, "a", smallOnce, smallTimeout},
-	{0, "a", smallOnce, smallTimeout},
-	{0, "b", smallKeyed, smallTimeout},
-	{1, "b", smallKeyed, 1},
-	{1, "c", smallIdempotent, smallTimeout},
+var modelCalls = [...]modelCall{
+	{0, "a", modelAtMostOnce, modelTimeout},
+	{0, "a", modelAtMostOnce, modelTimeout},
+	{0, "b", modelIdempotentByKey, modelTimeout},
+	{1, "b", modelIdempotentByKey, 1},
+	{1, "c", modelIdempotent, modelTimeout},
 }
 
-var smallWorkers = [...]control.Worker{{ID: "wk-0", Weight: 1}, {ID: "wk-1", Weight: 1}}
+var modelWorkers = [...]control.Worker{{ID: "wk-0", Weight: 1}, {ID: "wk-1", Weight: 1}}
 
-// attemptOutcomes are the outcomes of an attempt that left its front end.
+// attemptOutcomes are the possible outcomes of a transmitted attempt.
 var attemptOutcomes = []control.Outcome{control.Succeeded, control.Failed, control.ConnectionLost, control.Rejected, control.ReplicaMissing}
 
-// action is one thing that may happen.
+// action is one action.
 type action struct {
 	kind            actionKind
-	frontEnd, index int // which call, attempt, load command or worker
+	frontEnd, index int // index of the call, attempt, load command or worker
 	outcome         control.Outcome
 }
 
-// callState is what happened to a call of the small world.
+// callState is the state of a call.
 type callState struct {
 	sent      bool
 	sentAt    float64
@@ -60,33 +60,33 @@
 
 func (c *callState) isWaiting() bool { return c.sent && c.responses == 0 && !c.cancelled }
 
-// smallWorld is one state of the small world.
-type smallWorld struct {
+// model is the state of the model.
+type model struct {
 	now        float64
-	frontEnds  [2]*smallFrontEnd
-	calls      [len(smallCalls)]callState
+	frontEnds  [2]*modelFrontEnd
+	calls      [len(modelCalls)]callState
 	violations []string
 }
 
-func (w *smallWorld) violation(format string, args ...any) {
+func (w *model) violation(format string, args ...any) {
 	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
-func newSmallWorld() *smallWorld {
-	w := &smallWorld{now: smallStart}
+func newModel() *model {
+	w := &model{now: modelStart}
 	for i := range w.frontEnds {
-		w.frontEnds[i] = newSmallFrontEnd(w, i)
+		w.frontEnds[i] = newModelFrontEnd(w, i)
 	}
 	return w
 }
 
-// actions returns all that may happen now.
-func (w *smallWorld) actions() (list []action) {
+// actions returns the actions that are possible now.
+func (w *model) actions() (list []action) {
 	for i := range w.calls {
 		switch {
 		case w.calls[i].isWaiting():
 			list = append(list, action{kind: actionCancel, index: i})
-		case !w.calls[i].sent && w.isNextOfItsKind(i):
+		case !w.calls[i].sent && w.isNextOfEqualCalls(i):
 			list = append(list, action{kind: actionSend, index: i})
 		}
 	}
@@ -96,23 +96,25 @@
 	return append(list, action{kind: actionPassTime})
 }
 
-// isNextOfItsKind returns whether the call before one that is like it was sent: such calls come in one order.
-func (w *smallWorld) isNextOfItsKind(i int) bool {
-	return i == 0 || smallCalls[i] != smallCalls[i-1] || w.calls[i-1].sent
+// isNextOfEqualCalls reports whether the previous call was sent, if it is equal to call i. Equal calls are sent in one order
+// only.
+func (w *model) isNextOfEqualCalls(i int) bool {
+	return i == 0 || modelCalls[i] != modelCalls[i-1] || w.calls[i-1].sent
 }
 
-// perform does an action, and adds it to the history of the front end that it reaches.
-func (w *smallWorld) perform(a action) {
+// execute executes an action, and adds it to the history of its front end.
+func (w *model) execute(a action) {
 	if a.kind == actionPassTime {
 		w.passTime()
 		return
 	}
 	f := w.frontEnds[a.frontEnd]
 	if a.kind == actionSend || a.kind == actionCancel {
-		f = w.frontEnds[smallCalls[a.index].frontEnd]
+		f = w.frontEnds[modelCalls[a.index].frontEnd]
 	}
 	f.history = fmt.Appendf(f.history, "%s %d %d %.6f;", a.kind, a.index, a.outcome, w.now)
 	switch a.kind {
+	case actionPassTime: // handled above
 	case actionSend:
 		f.receive(a.index)
 	case actionCancel:
@@ -130,8 +132,8 @@
 	w.check()
 }
 
-// passTime lets time go on to the next timer.
-func (w *smallWorld) passTime() {
+// passTime advances the clock to the next timer.
+func (w *model) passTime() {
 	next := min(w.frontEnds[0].dispatcher.NextTimer(), w.frontEnds[1].dispatcher.NextTimer())
 	w.now = max(next, w.now+minTimeStep)
 	for _, f := range w.frontEnds {
@@ -143,23 +145,23 @@
 	w.check()
 }
 
-// runToEnd lets time pass with nothing more coming from outside, and checks that every call has its response.
-func (w *smallWorld) runToEnd() {
-	for end := w.now + 2*smallTimeout; w.now < end && len(w.violations) == 0; {
+// runToEnd advances the clock without further actions, and checks that every call gets its response.
+func (w *model) runToEnd() {
+	for end := w.now + 2*modelTimeout; w.now < end && len(w.violations) == 0; {
 		w.passTime()
 	}
 	for i, c := range w.calls {
 		if c.sent && !c.cancelled && c.responses != 1 {
-			w.violation("rule 1: ask %d has %d answers in the end", i, c.responses)
+			w.violation("rule 1: call %d has %d responses at the end", i, c.responses)
 		}
 	}
 }
 
-func (w *smallWorld) check() {
+func (w *model) check() {
 	for i := range w.calls {
 		c := &w.calls[i]
-		if timeout := smallCalls[i].timeout; c.isWaiting() && w.now > c.sentAt+timeout {
-			w.violation("rule 1: ask %d has no answer %.3f s after its time", i, w.now-c.sentAt-timeout)
+		if timeout := modelCalls[i].timeout; c.isWaiting() && w.now > c.sentAt+timeout {
+			w.violation("rule 1: call %d has no response %.3f s after its timeout", i, w.now-c.sentAt-timeout)
 		}
 	}
 	for _, f := range w.frontEnds {
@@ -169,10 +171,10 @@
 	}
 }
 
-// worldKey names a world.
-type worldKey [sha256.Size]byte
+// modelKey identifies a state.
+type modelKey [sha256.Size]byte
 
-// key names the world by the inputs of each front end and their times.
-func (w *smallWorld) key() worldKey {
+// key returns the hash of the inputs of each front end and their times.
+func (w *model) key() modelKey {
 	return sha256.Sum256(fmt.Appendf(nil, "%s|%s|%.6f", w.frontEnds[0].history, w.frontEnds[1].history, w.now))
 }
--- a/internal/verification/simulation/front_end.go
+++ b/internal/verification/simulation/front_end.go
@@ -18,30 +18,30 @@
 
 const (
 	clusterName        = "sim"
-	listResyncInterval = 2 // seconds between looks at the endpoint list without a change
+	listResyncInterval = 2 // seconds between reads of the endpoint list without a change notification
 )
 
-// frontEnd is one front end of an appliance. It outlives the process: clients know it by its address.
+// frontEnd is one front end of an appliance. It outlives the process, and keeps its address.
 type frontEnd struct {
-	appliance *applianceProcess
-	name      string
-	addr      string
-	number    int          // among all
-	proxy     *proxy.Proxy // nil while the process is down
-	timer     *event
-	phases    map[string]string  // of workers, as it read them
-	started   map[string]float64 // cold starts of workers, as it learned of them
-	touched   bool               // something happened in it during this event
+	appliance    *applianceProcess
+	name         string
+	addr         string
+	number       int          // among all front ends
+	proxy        *proxy.Proxy // nil while the process is down
+	timer        *event
+	workerStates map[string]string  // as read from the endpoint list, by worker
+	coldStarts   map[string]float64 // as read from the endpoint list, by worker
+	touched      bool               // it had activity in this event
 }
 
-// processTag names one process of a front end: a new one shares nothing with the last but the state on disk.
-func (f *frontEnd) processTag() string { return fmt.Sprintf("%s/%d", f.name, f.appliance.boots) }
+// processName returns the name of the present process. Processes of a front end share only the state on disk.
+func (f *frontEnd) processName() string { return fmt.Sprintf("%s/%d", f.name, f.appliance.boots) }
 
-// start starts the front end with what its appliance recovered.
+// start starts the front end with the state that its appliance recovered.
 func (f *frontEnd) start() {
 	a := f.appliance
 	f.timer = nil
-	f.phases, f.started = map[string]string{}, map[string]float64{}
+	f.workerStates, f.coldStarts = map[string]string{}, map[string]float64{}
 	f.proxy = proxy.New(f.settings(), (*host)(f))
 	a.after(proxy.SweepInterval, f.name+" sweeps", f.sweep)
 	if a.site.endpointList != nil {
@@ -85,29 +85,29 @@
 	f.appliance.after(listResyncInterval, f.name+" looks at the list", f.resyncEndpointList)
 }
 
-// readEndpointList reads the endpoint list as it now is, and records what is new in it.
+// readEndpointList reads the endpoint list, and records its changes.
 func (f *frontEnd) readEndpointList() {
 	s := f.appliance.site
 	if err := f.proxy.ReadEndpointList(s.endpointList); err != nil {
 		s.violation("list", "%s: %v", f.name, err)
 	}
 	for _, w := range s.workers {
-		phase := w.phase
+		phase := w.state
 		if !w.listed {
-			phase = phaseGone
+			phase = stateRemoved
 		}
-		if w.startedCold > 0 && f.started[w.name] != w.startedCold {
-			f.started[w.name] = w.startedCold
-			s.recorder.Add(invariants.Record{Kind: invariants.WorkerStarted, Worker: w.name, FrontEnd: f.processTag(), StartedAt: w.startedCold})
+		if w.coldSince > 0 && f.coldStarts[w.name] != w.coldSince {
+			f.coldStarts[w.name] = w.coldSince
+			s.recorder.Add(invariants.Record{Kind: invariants.WorkerStarted, Worker: w.name, FrontEnd: f.processName(), StartedAt: w.coldSince})
 		}
-		if f.phases[w.name] != phase {
-			f.phases[w.name] = phase
-			s.recorder.Add(invariants.Record{Kind: invariants.EndpointUpdated, Worker: w.name, EndpointState: phase, FrontEnd: f.processTag()})
+		if f.workerStates[w.name] != phase {
+			f.workerStates[w.name] = phase
+			s.recorder.Add(invariants.Record{Kind: invariants.EndpointUpdated, Worker: w.name, EndpointState: phase, FrontEnd: f.processName()})
 		}
 	}
 }
 
-// accept takes a connection of a client, while the appliance serves or recovers.
+// accept accepts a client's connection, unless the appliance is starting or stopping.
 func (f *frontEnd) accept(e *endpoint) bool {
 	state := f.appliance.lifecycle.State
 	if f.proxy == nil || state < appliance.Serving && state != appliance.Recovering {
@@ -125,7 +125,7 @@
 	return true
 }
 
-// touch notes that something happens in the front end during this event.
+// touch marks the front end as active in this event, so that it is checked.
 func (f *frontEnd) touch() {
 	if !f.touched {
 		f.touched = true
@@ -133,56 +133,56 @@
 	}
 }
 
-// proxyConn is a connection as the proxy has it.
+// proxyConn implements proxy.Conn on an endpoint.
 type proxyConn struct{ end *endpoint }
 
-// Write sends bytes.
+// Write implements proxy.Conn.
 func (c proxyConn) Write(data []byte) { c.end.write(data) }
 
-// Close closes the connection once what was written is sent.
+// Close implements proxy.Conn. Written data is sent first.
 func (c proxyConn) Close() { c.end.close() }
 
-// CloseWrite closes the direction towards the peer.
+// CloseWrite implements proxy.Conn.
 func (c proxyConn) CloseWrite() { c.end.closeWrite() }
 
-// Unsent returns the number of bytes that the kernel has not taken.
+// Unsent implements proxy.Conn.
 func (c proxyConn) Unsent() int { return c.end.unsent() }
 
-// RemoteAddr returns the connection's name.
-func (c proxyConn) RemoteAddr() string { return c.end.conn.name }
+// Name implements proxy.Conn.
+func (c proxyConn) Name() string { return c.end.conn.name }
 
-// ReadAhead has nothing: what arrives is handed over at once.
+// ReadAhead implements proxy.Conn. There is none, as data is passed on when it arrives.
 func (c proxyConn) ReadAhead() ([]byte, bool) { return nil, true }
 
-// InputAge implements proxy.Conn. Bytes are handed over as they come.
+// InputAge implements proxy.Conn. Data is passed on when it arrives.
 func (c proxyConn) InputAge() float64 { return 0 }
 
-// host is the clock, timers and network that a front end's proxy runs on.
+// host implements the clock, timers and network of a front end's proxy.
 type host frontEnd
 
-// Now returns the machine's monotonic clock in seconds.
+// Now implements proxy.Host.
 func (h *host) Now() float64 {
 	(*frontEnd)(h).touch()
 	return h.appliance.monotonic()
 }
 
-// Wall returns the machine's time of day.
+// Wall implements proxy.Host.
 func (h *host) Wall() time.Time { return h.appliance.wallClock() }
 
-// SetTimer replaces the timer of the proxy's Tick.
+// SetTimer implements proxy.Host.
 func (h *host) SetTimer(at float64) {
 	f := (*frontEnd)(h)
 	f.timer.cancel()
 	f.timer = f.appliance.after(at-f.appliance.monotonic(), f.name+" wakes", func() { f.proxy.Tick() })
 }
 
-// After calls do after a delay in seconds.
+// After implements proxy.Host.
 func (h *host) After(seconds float64, do func()) { h.appliance.after(seconds, h.name+" after", do) }
 
-// Post calls do once the present event is done.
+// Post implements proxy.Host.
 func (h *host) Post(do func()) { h.appliance.after(0, h.name+" posted", do) }
 
-// Dial connects to a worker, and reports the result and what happens on the connection to the proxy.
+// Dial implements proxy.Host.
 func (h *host) Dial(id upstream.ConnID, addr string) {
 	f := (*frontEnd)(h)
 	s := f.appliance.site
@@ -204,7 +204,7 @@
 	})
 }
 
-// Broadcast sends a datagram to every other front end.
+// Broadcast implements proxy.Host.
 func (h *host) Broadcast(data []byte) {
 	s := h.appliance.site
 	for _, other := range s.frontEnds {
@@ -219,16 +219,16 @@
 	}
 }
 
-// attemptRecorder records the attempts on one connection to a worker, as the front end's side of the socket sees them.
+// attemptRecorder records the attempts on one connection to a worker, at the front end's side.
 type attemptRecorder struct {
 	frontEnd  *frontEnd
 	worker    string
 	requests  *http1.Framer
 	responses *http1.Framer
-	open      invariants.Record // the attempt that is under way; without a request: none
+	open      invariants.Record // the attempt in flight; without a RequestID there is none
 }
 
-// recordAttempts records the attempts on a connection. The result is to be called with what arrives on it.
+// recordAttempts records the attempts on a connection. The caller passes received data to the result.
 func (f *frontEnd) recordAttempts(e *endpoint, addr string) (onResponseData func([]byte)) {
 	worker, _, _ := strings.Cut(addr, ":")
 	r := &attemptRecorder{
@@ -245,7 +245,7 @@
 	for {
 		m, err := r.requests.Next()
 		if err != nil {
-			r.frontEnd.appliance.site.violation("wire", "%s sent %s what is no request: %v", r.frontEnd.name, r.worker, err)
+			r.frontEnd.appliance.site.violation("wire", "%s sent %s a malformed request: %v", r.frontEnd.name, r.worker, err)
 			return
 		}
 		if m == nil {
@@ -264,7 +264,7 @@
 			Worker:    r.worker,
 			Function:  strings.Split(m.Target, "/")[3],
 			Digest:    strings.Trim(m.Header.Get("If-Match"), `"`),
-			FrontEnd:  f.processTag(),
+			FrontEnd:  f.processName(),
 			CallID:    s.recorder.NextCallID(),
 			RequestID: m.Header.Get("Ce-Source") + "#" + m.Header.Get("Ce-Id"),
 			Class:     m.Header.Get("Ce-Type"),
@@ -272,7 +272,7 @@
 		s.recorder.Add(r.open)
 		s.newestAttempt[f.name+" "+r.open.RequestID] = r.open.CallID
 	case strings.HasSuffix(m.Target, "/load"):
-		s.recorder.Add(invariants.Record{Kind: invariants.LoadCommanded, Worker: r.worker, FrontEnd: f.processTag(), Replicas: 1})
+		s.recorder.Add(invariants.Record{Kind: invariants.LoadCommanded, Worker: r.worker, FrontEnd: f.processName(), Replicas: 1})
 	}
 }
 
@@ -283,7 +283,7 @@
 	}
 }
 
-// end records the end of the attempt that is under way, if any.
+// end records the end of the attempt in flight, if there is one.
 func (r *attemptRecorder) end() {
 	if r.open.RequestID == "" {
 		return
@@ -293,7 +293,7 @@
 	r.open = invariants.Record{}
 }
 
-// sortedCalls returns the call numbers of requests in order, so that two runs of a script do the same.
+// sortedCalls returns the call IDs of requests in ascending order, for a deterministic trace.
 func sortedCalls(calls map[dispatch.Identity]uint64) []uint64 {
 	list := slices.Collect(maps.Values(calls))
 	slices.Sort(list)
--- a/internal/verification/simulation/golden_test.go
+++ b/internal/verification/simulation/golden_test.go
@@ -14,8 +14,8 @@
 	"streamcleat/internal/verification/invariants"
 )
 
-// anchors are the runs that are pinned, the longest first.
-var anchors = []struct {
+// pinnedRuns are the runs in the golden files, the longest first.
+var pinnedRuns = []struct {
 	profile string
 	seed    uint64
 }{
@@ -33,26 +33,26 @@
 	{"beyond", 3},
 }
 
-// Whole runs go as they did. There are two golden files, with a line for each seed:
+// Complete runs are unchanged. There are two golden files, with a line for each run:
 //
-//   - outcome.golden has the counts of the report, and a digest of the records: times, numbers, statuses and
-//     outcomes, with each name and word replaced by the order in which it first came. A rename can't change it; a
-//     change of behaviour does.
-//   - trace.golden has the report's own digest. That is made of the words by which steps are named in the code and of
-//     the bytes on the simulated network, so it also changes where such a step is renamed. Only then, and only while
-//     outcome.golden holds, may it be written anew.
+//   - outcome.golden has the counts of the report, and a digest of the records: times, numbers, statuses and outcomes,
+//     with each name replaced by the order of its first occurrence. A rename does not change it; a change of behaviour
+//     does.
+//   - trace.golden has the report's digest of the trace: the names of steps in the code, and the bytes on the simulated
+//     network. It also changes when a step is renamed. Only then, and only while outcome.golden is unchanged, may it be
+//     rewritten.
 func TestGoldenRuns(t *testing.T) {
-	outcome, trace := make([]string, len(anchors)), make([]string, len(anchors))
+	outcome, trace := make([]string, len(pinnedRuns)), make([]string, len(pinnedRuns))
 	next := make(chan int)
 	var running sync.WaitGroup
 	for range 4 {
 		running.Go(func() {
 			for i := range next {
-				outcome[i], trace[i] = pinned(t, anchors[i].profile, anchors[i].seed)
+				outcome[i], trace[i] = runPinned(t, pinnedRuns[i].profile, pinnedRuns[i].seed)
 			}
 		})
 	}
-	for i := range anchors {
+	for i := range pinnedRuns {
 		next <- i
 	}
 	close(next)
@@ -61,8 +61,9 @@
 	goldentest.Compare(t, "testdata/trace.golden", strings.Join(trace, "\n")+"\n")
 }
 
-// pinned plays one seed and describes it for both files.
-func pinned(t *testing.T, profile string, seed uint64) (outcome, trace string) {
+// runPinned runs a seed and returns its lines for both files.
+func runPinned(t *testing.T, profile string, seed uint64) (outcome, trace string) {
+	t.Helper()
 	script, err := Generate(profile, seed)
 	if err != nil {
 		t.Error(err)
@@ -74,24 +75,24 @@
 		return
 	}
 	name := fmt.Sprintf("%s %d", profile, seed)
-	return name + " " + counts(r) + " records=" + wordless(records), name + " digest=" + r.Digest
+	return name + " " + counts(r) + " records=" + digestWithoutNames(records), name + " digest=" + r.Digest
 }
 
-// counts are the report's figures but for real time.
+// counts returns the figures of a report, except for real time.
 func counts(r *Report) string {
-	met := 0
+	injected := 0
 	for _, n := range r.FaultCoverage {
-		met += n
+		injected += n
 	}
 	return fmt.Sprintf("steps=%d virtual=%v restarts=%d faults_met=%d violations=%d requests=%d served=%d deferred=%d failed=%d refused=%d left=%d "+
 		"lost=%d attempts=%d loads=%d unanswered=%d answered_twice=%d sent_after_end=%d at_once=%d ran_twice=%d bad_deferrals=%d after_drain=%d "+
-		"cold_pushed=%d load_floods=%d wrong_versions=%d rules_broken=%d", r.SimulatedEvents, r.VirtualSeconds, r.Restarts, met, len(r.Findings), r.Requests, r.Succeeded,
+		"cold_pushed=%d load_floods=%d wrong_versions=%d rules_broken=%d", r.SimulatedEvents, r.VirtualSeconds, r.Restarts, injected, len(r.Findings), r.Requests, r.Succeeded,
 		r.Rejected, r.Failed, r.Invalid, r.Cancelled, r.ConnectionsLost, r.Attempts, r.LoadCommands, r.Unanswered, r.DuplicateResponses, r.AttemptsAfterEnd, r.ConcurrentAttempts, r.DuplicateExecutions,
 		r.WrongRejections, r.SentAfterDrain, r.WarmUpOverloads, r.ExcessLoadCommands, r.VersionMismatches, r.RulesBroken)
 }
 
-// wordless is a digest of the records that doesn't depend on any name or word in them.
-func wordless(records []invariants.Record) string {
+// digestWithoutNames returns a digest of records that is independent of the names in them.
+func digestWithoutNames(records []invariants.Record) string {
 	h := sha256.New()
 	var seen [8]map[string]int
 	for i := range seen {
@@ -104,16 +105,16 @@
 				n = len(seen[i])
 				seen[i][word] = n
 			}
-			put(h, uint64(n))
+			writeUint64(h, uint64(n))
 		}
 		for _, v := range []float64{r.At, r.Timeout, r.StartedAt} {
-			put(h, math.Float64bits(v))
+			writeUint64(h, math.Float64bits(v))
 		}
-		put(h, r.CallID)
-		put(h, uint64(r.Status))
-		put(h, uint64(r.Replicas))
+		writeUint64(h, r.CallID)
+		writeUint64(h, uint64(r.Status))
+		writeUint64(h, uint64(r.Replicas))
 	}
 	return fmt.Sprintf("%d:%x", len(records), h.Sum(nil))
 }
 
-func put(h hash.Hash, v uint64) { h.Write(binary.LittleEndian.AppendUint64(nil, v)) }
+func writeUint64(h hash.Hash, v uint64) { h.Write(binary.LittleEndian.AppendUint64(nil, v)) }
--- a/internal/verification/simulation/inject.go
+++ b/internal/verification/simulation/inject.go
@@ -65,27 +65,27 @@
 	}
 }
 
-func (i *injection) killAppliance() { i.crashAppliance(false) }
+func (i *injection) killAppliance() { i.crashAppliance(processExit) }
 
-func (i *injection) powerOffAppliance() { i.crashAppliance(true) }
+func (i *injection) powerOffAppliance() { i.crashAppliance(powerLoss) }
 
-func (i *injection) crashAppliance(losePower bool) {
+func (i *injection) crashAppliance(kind exitKind) {
 	a := i.appliance
 	if !a.running {
 		return
 	}
 	i.beginOutage(a)
 	i.restarts++
-	a.crash(losePower, i.fault.Size)
+	a.crash(kind, i.fault.Size)
 }
 
 func (i *injection) stopAppliance() { i.site.stopAppliance(i.appliance, i.fault.Size) }
 
 func (i *injection) suspendAppliance() {
 	a := i.appliance
-	if a.running && !a.paused {
+	if a.running && !a.suspended {
 		i.addOutage(a.number, everyone, i.outageEnd())
-		a.pause(i.fault.Duration)
+		a.suspend(i.fault.Duration)
 	}
 }
 
@@ -100,7 +100,7 @@
 // canRelease reports whether the appliance can change its registry now.
 func (i *injection) canRelease() bool {
 	a := i.appliance
-	return i.script.Versions && a.running && !a.paused && a.isServing()
+	return i.script.Versions && a.running && !a.suspended && a.isServing()
 }
 
 // functionNumber derives a function from the fault's other numbers.
@@ -138,8 +138,8 @@
 }
 
 func (i *injection) cancelMany() {
-	i.cancelShare = i.fault.Size
-	i.undoLater("clients wait", func() { i.cancelShare = 0 })
+	i.cancelFraction = i.fault.Size
+	i.undoLater("clients wait", func() { i.cancelFraction = 0 })
 }
 
 func (i *injection) ignoreRetryAfter() {
--- a/internal/verification/simulation/inject_network.go
+++ b/internal/verification/simulation/inject_network.go
@@ -2,7 +2,7 @@
 
 // partition cuts one direction between two processes until the fault ends.
 func (i *injection) partition(from, to string) {
-	l, n := link{from, to}, i.network
+	l, n := linkDirection{from, to}, i.network
 	n.partitions[l]++
 	i.undoLater("heals "+from+" "+to, func() {
 		if n.partitions[l] > 0 {
@@ -24,7 +24,7 @@
 // delay adds latency between the appliance and another process until the fault ends.
 func (i *injection) delay(other string) {
 	n := i.network
-	links := []link{{i.appliance.name, other}, {other, i.appliance.name}}
+	links := []linkDirection{{i.appliance.name, other}, {other, i.appliance.name}}
 	for _, l := range links {
 		n.extraDelay[l] = i.fault.Size
 	}
@@ -76,9 +76,9 @@
 func (i *injection) breakConnections(other string) {
 	for n, e := range i.network.between(i.appliance.name, other) {
 		if n%2 == 0 {
-			e.breakSoon(i.fault.Bytes)
+			e.resetAfterBytes(i.fault.Bytes)
 		} else {
-			e.peer().breakSoon(i.fault.Bytes)
+			e.peer().resetAfterBytes(i.fault.Bytes)
 		}
 	}
 }
@@ -103,7 +103,7 @@
 	for _, conn := range c.conns {
 		if conn.end != nil {
 			conn.end.readRate = c.readRate
-			conn.end.conn.harmed = true
+			conn.end.conn.faulty = true
 		}
 	}
 	i.addOutage(everyone, i.fault.Client, i.scheduler.now+i.fault.Duration+requestTimeout)
--- a/internal/verification/simulation/inject_worker.go
+++ b/internal/verification/simulation/inject_worker.go
@@ -1,22 +1,22 @@
 package simulation
 
-func (i *injection) crashWorker() { i.stopWorker(false) }
+func (i *injection) crashWorker() { i.stopWorker(processExit) }
 
-func (i *injection) powerOffWorker() { i.stopWorker(true) }
+func (i *injection) powerOffWorker() { i.stopWorker(powerLoss) }
 
 // stopWorker ends a worker's process, and restarts it later.
-func (i *injection) stopWorker(losePower bool) {
+func (i *injection) stopWorker(kind exitKind) {
 	w := i.worker
-	w.stop(losePower)
+	w.stop(kind)
 	i.scheduler.after(i.fault.Size, w.name+" starts", func() { i.site.restartWorker(w) })
 }
 
 func (i *injection) restartWorker() {
-	i.worker.stop(false)
+	i.worker.stop(processExit)
 	i.site.restartWorker(i.worker)
 }
 
-func (i *injection) suspendWorker() { i.worker.pause(i.fault.Duration) }
+func (i *injection) suspendWorker() { i.worker.suspend(i.fault.Duration) }
 
 // injectAtWorker begins a fault that the worker applies to requests.
 func (i *injection) injectAtWorker() {
@@ -32,19 +32,19 @@
 func (i *injection) drainThenCrash() {
 	w := i.worker
 	i.announceDrain()
-	i.scheduler.after(i.fault.Size, w.name+" ends", func() { w.stop(false) })
+	i.scheduler.after(i.fault.Size, w.name+" ends", func() { w.stop(processExit) })
 	i.endDrainLater()
 }
 
 func (i *injection) crashThenDrain() {
 	w := i.worker
-	w.stop(false)
+	w.stop(processExit)
 	i.scheduler.after(i.fault.Size, w.name+" drains", i.announceDrain)
 	i.endDrainLater()
 }
 
 func (i *injection) announceDrain() {
-	i.worker.phase = phaseDraining
+	i.worker.state = stateDraining
 	i.writeEndpointList()
 }
 
@@ -52,9 +52,9 @@
 func (i *injection) endDrainLater() {
 	w := i.worker
 	i.scheduler.after(max(i.fault.Duration, i.fault.Size+0.01), w.name+" serves again", func() {
-		w.phase = phaseServing
+		w.state = stateServing
 		if !w.running && w.listed {
-			w.start(true)
+			w.startCold()
 		}
 		i.writeEndpointList()
 	})
@@ -68,7 +68,7 @@
 	}
 	w.listed = false
 	i.writeEndpointList()
-	i.scheduler.after(leaveDelay, w.name+" ends", func() { w.stop(false) })
+	i.scheduler.after(leaveDelay, w.name+" ends", func() { w.stop(processExit) })
 }
 
 func (s *site) listedWorkers() int {
@@ -83,7 +83,7 @@
 
 func (i *injection) addWorker() {
 	if len(i.workers) < maxWorkers {
-		i.workers = append(i.workers, i.newWorker(len(i.workers), true))
+		i.workers = append(i.workers, i.newColdWorker(len(i.workers)))
 		i.writeEndpointList()
 	}
 }
@@ -92,7 +92,7 @@
 	i.store.slowdown, i.store.slowUntil = i.fault.Size, i.scheduler.now+i.fault.Duration
 }
 
-func (i *injection) stopStore() { i.store.outUntil = i.scheduler.now + i.fault.Duration }
+func (i *injection) stopStore() { i.store.rejectUntil = i.scheduler.now + i.fault.Duration }
 
 func (i *injection) evictAll() {
 	for _, w := range i.workers {
--- a/internal/verification/simulation/liveness_checks.go
+++ b/internal/verification/simulation/liveness_checks.go
@@ -2,13 +2,13 @@
 
 import "streamcleat/internal/appliance"
 
-// checkTouched checks every front end in which something happened in this event.
+// checkTouched checks every front end with activity in this event.
 func (s *site) checkTouched() {
 	const thoroughEvery = 32 // checks
 	for _, f := range s.touched {
 		f.touched = false
 		a := f.appliance
-		if f.proxy == nil || a.paused {
+		if f.proxy == nil || a.suspended {
 			continue
 		}
 		s.touchChecks++
@@ -22,14 +22,14 @@
 	s.touched = s.touched[:0]
 }
 
-// checkEnd checks that nothing is left when all is over.
+// checkEnd checks that all appliances serve, and nothing is left open, at the end of the run.
 func (s *site) checkEnd() {
-	for _, r := range s.unknownEnds {
+	for _, r := range s.unknownOutcomes {
 		s.recorder.Add(r)
 	}
 	for _, a := range s.appliances {
 		if !a.running || a.lifecycle.State != appliance.Serving {
-			s.violation("liveness", "%s does not serve at the end: %s", a.name, a.lifecycle.State)
+			s.violation("liveness", "%s is not serving at the end: %s", a.name, a.lifecycle.State)
 			continue
 		}
 		for _, f := range a.frontEnds {
@@ -39,7 +39,7 @@
 	}
 	for _, a := range s.appliances {
 		if a.store != nil {
-			_ = a.store.Abandon() // gives its memory back; its disk is nobody's any more
+			_ = a.store.Abandon() // releases its memory; its disk is not used any more
 		}
 	}
 }
@@ -48,14 +48,14 @@
 	counts := f.proxy.Dispatcher().Counts()
 	clients, upstreams := f.proxy.Connections()
 	if counts.Open > 0 || counts.InFlight > 0 || counts.PendingLoads > 0 || f.proxy.Dispatcher().Waiters() > 0 {
-		s.violation("liveness", "%s holds %d events, %d launches, %d load orders at the end", f.name, counts.Open, counts.InFlight,
+		s.violation("liveness", "%s has %d open requests, %d attempts in flight and %d pending loads at the end", f.name, counts.Open, counts.InFlight,
 			counts.PendingLoads)
 	}
 	if clients > 0 || upstreams > 0 {
-		s.violation("leak", "%s holds %d connections of clients and %d to workers at the end, of %s", f.name, clients, upstreams,
+		s.violation("leak", "%s has %d client connections and %d worker connections at the end: %s", f.name, clients, upstreams,
 			s.network.describe(f.appliance.name))
 	}
 	if !f.proxy.RecordsStored() {
-		s.violation("liveness", "%s waits for its disk at the end", f.name)
+		s.violation("liveness", "%s has records that are not stored at the end", f.name)
 	}
 }
--- a/internal/verification/simulation/mutants/main.go
+++ b/internal/verification/simulation/mutants/main.go
@@ -1,6 +1,5 @@
-// Command mutants proves that the simulation sees faults of the program: it plants deliberate ones, one at a time, and
-// counts the seeds until each is caught. The tree is not touched: the build takes the changed file in place of the one
-// that stands there.
+// Command mutants tests the simulation by mutation: it plants faults in the program, one at a time, and counts the seeds
+// until the simulation detects each. The source tree is not changed; builds use an overlay.
 package main
 
 import (
@@ -33,30 +32,30 @@
 //go:embed mutants.json
 var mutantList []byte
 
-// edit is a text of a file, where it stands exactly once, and what takes its place.
+// edit replaces a text that occurs exactly once in a file.
 type edit struct {
 	File string `json:"file"`
 	Old  string `json:"old"`
 	New  string `json:"new"`
 }
 
-// mutant is one deliberate fault. What is guarded twice has both guards taken out.
+// mutant is one planted fault. It removes both guards of a rule that has two.
 type mutant struct {
 	Name string `json:"name"`
 	edit
 	Also    *edit  `json:"also,omitempty"`
-	Profile string `json:"profile,omitempty"` // the default one where it is empty
+	Profile string `json:"profile,omitempty"` // empty for the default one
 	About   string `json:"about"`
 }
 
 // overlay is the file of go build -overlay.
 type overlay struct {
-	Replace map[string]string
+	Replace map[string]string `json:"Replace"`
 }
 
 func main() {
-	seeds := flag.Uint64("seeds", 600, "seeds that a fault may survive")
-	only := flag.String("only", "", "names that hold this text alone")
+	seeds := flag.Uint64("seeds", 600, "number of seeds for each fault")
+	only := flag.String("only", "", "run only the faults whose names contain this text")
 	flag.Parse()
 	survived, err := run(*seeds, *only)
 	if err != nil {
@@ -69,7 +68,8 @@
 	}
 }
 
-// run tries the mutants whose names hold a text, and prints a table of what caught them.
+// run tries the mutants whose names contain a text, and prints a table of their results. It returns the number of mutants
+// that survived.
 func run(seeds uint64, only string) (survived int, err error) {
 	var mutants []mutant
 	if err := json.Unmarshal(mutantList, &mutants); err != nil {
@@ -100,7 +100,8 @@
 	return survived, nil
 }
 
-// try builds a mutant and returns how many seeds it took to catch it and what caught it; by is empty where it survives.
+// try builds a mutant and runs the simulation. It returns the number of seeds until the mutant was caught, and the kind of
+// the violation, which is empty if the mutant survives.
 func (m mutant) try(dir string, seeds uint64) (caught, by string, err error) {
 	binary, err := m.build(dir)
 	if err != nil {
@@ -140,7 +141,7 @@
 	binary = filepath.Join(dir, m.Name)
 	out, err := exec.Command("go", "build", "-overlay", path, "-o", binary, program).CombinedOutput()
 	if err != nil {
-		return "", fmt.Errorf("it does not build: %w\n%s", err, out)
+		return "", fmt.Errorf("build failed: %w\n%s", err, out)
 	}
 	return binary, nil
 }
@@ -160,13 +161,13 @@
 		return err
 	}
 	if n := bytes.Count(text, []byte(e.Old)); n != 1 {
-		return fmt.Errorf("its text stands in %s %d times, not once", e.File, n)
+		return fmt.Errorf("text occurs %[2]d times in %[1]s, want 1", e.File, n)
 	}
 	changed.Replace[file] = path
 	return os.WriteFile(path, bytes.Replace(text, []byte(e.Old), []byte(e.New), 1), 0o644)
 }
 
-// explore goes every order of the small world, in which dispatchers stand without what guards them from outside.
+// explore explores the small model, in which dispatchers run without the guards around them.
 func explore(binary string) (by string, err error) {
 	out, err := exec.Command(binary, "sim", "explore", "--depth", exploreDepth).Output()
 	var exit *exec.ExitError
@@ -184,7 +185,7 @@
 	return "every order: " + by, nil
 }
 
-// simulate plays seeds until one breaks something, and returns how many that took. A program that panics is caught too.
+// simulate runs seeds until one has a violation, and returns their number. A panic counts as a violation.
 func (m mutant) simulate(binary string, seeds uint64) (n int, by string, err error) {
 	profile := m.Profile
 	if profile == "" {
@@ -219,7 +220,7 @@
 	}
 }
 
-// readReports reads reports until one in which something broke, and returns their number and what broke.
+// readReports reads reports until one has a violation, and returns their number and the kind of the violation.
 func readReports(out io.Reader) (n int, by string, err error) {
 	dec := json.NewDecoder(out)
 	for {
--- a/internal/verification/simulation/mutants/mutants_test.go
+++ b/internal/verification/simulation/mutants/mutants_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Each planted fault edits a text that occurs exactly once in its file.
-func TestEveryMutantApplies(t *testing.T) {
+// The text that each mutant replaces occurs exactly once in its file.
+func TestApply_EveryMutant(t *testing.T) {
 	t.Chdir(filepath.Join("..", "..", "..", ".."))
 	var mutants []mutant
 	if err := json.Unmarshal(mutantList, &mutants); err != nil {
--- a/internal/verification/simulation/network.go
+++ b/internal/verification/simulation/network.go
@@ -7,53 +7,53 @@
 )
 
 const (
-	minLatency    = 0.0002   // seconds, one way
-	maxLatency    = 0.004    // seconds, one way
-	redialDelay   = 0.1      // seconds between attempts to get through a partition
-	giveUpAfter   = 12.0     // seconds after which a kernel breaks a connection that does not get through
-	pausedRetry   = 0.005    // seconds between looks whether a paused process reads again
-	segmentBytes  = 1448     // that travel together at most
-	defaultBuffer = 64 << 10 // bytes that a kernel takes off a sender
-	overtakeDelay = 0.1      // seconds by which a datagram may be overtaken
+	minLatency          = 0.0002   // seconds, one way
+	maxLatency          = 0.004    // seconds, one way
+	partitionRetryDelay = 0.1      // seconds between retries of packets and dials during a partition
+	connectionTimeout   = 12.0     // seconds of a partition after which the kernel resets a connection
+	suspendedRetryDelay = 0.005    // seconds between checks whether a suspended process continues
+	segmentBytes        = 1448     // maximum size of a segment
+	defaultBuffer       = 64 << 10 // bytes of a kernel's send buffer
+	maxReorderDelay     = 0.1      // seconds of additional delay of a datagram
 )
 
 var (
-	errRefused = errors.New("connection refused")
-	errNoRoute = errors.New("no answer")
+	errRefused  = errors.New("connection refused")
+	errTimedOut = errors.New("connection timed out")
 )
 
-// link is one direction between two processes.
-type link struct{ from, to string }
+// linkDirection is one direction between two processes.
+type linkDirection struct{ from, to string }
 
-// network carries bytes between processes. A connection keeps the order of its bytes; datagrams may be lost, duplicated
-// and reordered. What a partition holds back is sent again until the partition heals or the connection is given up.
+// network transports data between processes. Connections keep the order of their data; datagrams may be lost, duplicated
+// and reordered. Data of a connection is retransmitted during a partition, until the connection times out.
 type network struct {
 	scheduler   *scheduler
 	rng         *rand.Rand
-	extraDelay  map[link]float64 // seconds
-	partitions  map[link]int     // several faults may cut the same link
-	loss        float64          // share of datagrams
-	duplication float64          // share of datagrams
-	buffer      int              // bytes that a kernel takes off a sender that its peer has not read
+	extraDelay  map[linkDirection]float64 // seconds
+	partitions  map[linkDirection]int     // number of faults that cut the link
+	loss        float64                   // fraction of datagrams
+	duplication float64                   // fraction of datagrams
+	buffer      int                       // size of the kernels' send buffers
 	listeners   map[string]*listener
-	conns       []*connection // open ones, in the order they were made
+	conns       []*connection // open ones, in the order of their opening
 	dialed      int
 }
 
-// listener is an address that a process listens on.
+// listener listens at an address.
 type listener struct {
 	process *process
-	accept  func(*endpoint) bool // sets the endpoint's callbacks; false: closed at once
+	accept  func(*endpoint) bool // sets the endpoint's callbacks, or rejects the connection
 }
 
 func newNetwork(scheduler *scheduler, rng *rand.Rand) *network {
 	return &network{
-		scheduler: scheduler, rng: rng, extraDelay: map[link]float64{}, partitions: map[link]int{},
+		scheduler: scheduler, rng: rng, extraDelay: map[linkDirection]float64{}, partitions: map[linkDirection]int{},
 		listeners: map[string]*listener{}, buffer: defaultBuffer,
 	}
 }
 
-// heal ends all faults of the network.
+// heal ends all network faults.
 func (n *network) heal() {
 	clear(n.partitions)
 	clear(n.extraDelay)
@@ -61,27 +61,29 @@
 }
 
 func (n *network) delay(from, to string) float64 {
-	return minLatency + (maxLatency-minLatency)*n.rng.Float64()*n.rng.Float64() + n.extraDelay[link{from, to}]
+	return minLatency + (maxLatency-minLatency)*n.rng.Float64()*n.rng.Float64() + n.extraDelay[linkDirection{from, to}]
 }
 
-func (n *network) isCut(from, to string) bool { return n.partitions[link{from, to}] > 0 }
+func (n *network) isPartitioned(from, to string) bool {
+	return n.partitions[linkDirection{from, to}] > 0
+}
 
-// dial is one attempt of a process to connect to an address.
+// dial is the state of one dial.
 type dial struct {
 	network     *network
 	process     *process
 	incarnation int
 	addr        string
 	listener    *listener
-	began       float64
+	startedAt   float64
 	timeout     float64
 	done        func(*endpoint, error) // called in the process
 }
 
-// dial connects a process to an address.
+// dial connects a process to an address, and calls done in the process with the result.
 func (n *network) dial(p *process, addr string, timeout float64, done func(*endpoint, error)) {
 	d := &dial{
-		network: n, process: p, incarnation: p.incarnation, addr: addr, listener: n.listeners[addr], began: n.scheduler.now,
+		network: n, process: p, incarnation: p.incarnation, addr: addr, listener: n.listeners[addr], startedAt: n.scheduler.now,
 		timeout: timeout, done: done,
 	}
 	if d.listener == nil {
@@ -95,17 +97,17 @@
 	d.process.after(delay, "dialed "+d.addr, func() { d.done(nil, err) })
 }
 
-// try connects, or tries again later where nothing gets through.
+// try connects, or retries later during a partition.
 func (d *dial) try() {
 	n, from, to := d.network, d.process, d.listener.process
 	switch {
 	case from.incarnation != d.incarnation:
-	case n.isCut(from.name, to.name) || n.isCut(to.name, from.name) || !to.powered:
-		if n.scheduler.now-d.began+redialDelay > d.timeout {
-			d.fail(0, errNoRoute)
+	case n.isPartitioned(from.name, to.name) || n.isPartitioned(to.name, from.name) || !to.powered:
+		if n.scheduler.now-d.startedAt+partitionRetryDelay > d.timeout {
+			d.fail(0, errTimedOut)
 			return
 		}
-		n.scheduler.after(redialDelay, from.name+" dials again", d.try)
+		n.scheduler.after(partitionRetryDelay, from.name+" dials again", d.try)
 	case !to.running || n.listeners[d.addr] != d.listener:
 		d.fail(n.delay(to.name, from.name), errRefused)
 	default:
@@ -118,25 +120,25 @@
 	n.dialed++
 	c := &connection{network: n, name: fmt.Sprintf("%s>%s#%d", from.name, d.addr, n.dialed)}
 	for i, p := range []*process{from, to} {
-		c.ends[i] = &endpoint{conn: c, side: i, process: p, incarnation: p.incarnation, canSend: true, breakAfter: unlimited}
+		c.ends[i] = &endpoint{conn: c, side: i, process: p, incarnation: p.incarnation, canSend: true, bytesUntilReset: unlimited}
 	}
 	n.conns = append(n.conns, c)
-	// The kernel takes the connection for a process that is paused.
-	n.scheduler.after(0, c.name+" accepted", to.guard(func() {
+	// The kernel accepts the connection for a process that is suspended.
+	n.scheduler.after(0, c.name+" accepted", to.whileRunning(func() {
 		if !d.listener.accept(c.ends[1]) {
 			c.ends[1].close()
 		}
 	}))
 	n.scheduler.after(n.delay(to.name, from.name), c.name+" up", func() {
 		if from.incarnation != d.incarnation || !from.running {
-			c.ends[0].vanish()
+			c.ends[0].resetByKernel()
 			return
 		}
-		from.guard(func() { d.done(c.ends[0], nil) })()
+		from.whileRunning(func() { d.done(c.ends[0], nil) })()
 	})
 }
 
-// endpointsOf returns the endpoints of a process, of its open connections.
+// endpointsOf returns the endpoints of a process's open connections.
 func (n *network) endpointsOf(name string) (list []*endpoint) {
 	for _, c := range n.conns {
 		for _, e := range c.ends {
@@ -148,7 +150,7 @@
 	return list
 }
 
-// between returns the open connections of two processes, as their endpoints at the first.
+// between returns the endpoints at the first process of its open connections with the second.
 func (n *network) between(a, b string) (list []*endpoint) {
 	for _, e := range n.endpointsOf(a) {
 		if e.peer().process.name == b && !e.finished {
@@ -158,16 +160,16 @@
 	return list
 }
 
-// describe lists the open connections of a process for a report.
+// describe describes the open connections of a process.
 func (n *network) describe(name string) (list []string) {
 	for _, e := range n.endpointsOf(name) {
-		list = append(list, fmt.Sprintf("%s (over %v and %v, %d bytes wait, dead %v)", e.conn.name, e.finished, e.peer().finished,
+		list = append(list, fmt.Sprintf("%s (finished %v, peer finished %v, %d bytes queued, blackholed %v)", e.conn.name, e.finished, e.peer().finished,
 			e.queuedBytes, e.conn.blackholed))
 	}
 	return list
 }
 
-// sendDatagram sends one datagram; it may be lost, duplicated or late.
+// sendDatagram sends a datagram, which may be lost, duplicated or delayed.
 func (n *network) sendDatagram(from, to *process, data []byte, onReceived func([]byte)) {
 	copies := 1
 	if n.rng.Float64() < n.loss {
@@ -178,12 +180,12 @@
 	for range copies {
 		delay := n.delay(from.name, to.name)
 		if n.duplication > 0 {
-			delay += n.rng.Float64() * overtakeDelay
+			delay += n.rng.Float64() * maxReorderDelay
 		}
 		n.scheduler.after(delay, from.name+" tells "+to.name, func() {
-			if !n.isCut(from.name, to.name) && to.running {
+			if !n.isPartitioned(from.name, to.name) && to.running {
 				n.scheduler.trace(to.name+" hears", data)
-				to.guard(func() { onReceived(data) })()
+				to.whileRunning(func() { onReceived(data) })()
 			}
 		})
 	}
--- a/internal/verification/simulation/outages.go
+++ b/internal/verification/simulation/outages.go
@@ -7,18 +7,18 @@
 )
 
 const (
-	everyone        = -1   // an appliance or client of an outage that concerns all of them
-	outageAftermath = 0.05 // seconds from an appliance's return until clients can rely on it
-	cancelDelay     = 0.15 // seconds until a front end must know that a client cancelled
+	everyone     = -1   // in place of a number: all appliances or clients
+	outageMargin = 0.05 // seconds from an appliance's return until clients are promised responses
+	cancelDelay  = 0.15 // seconds until a front end must have processed a cancellation
 )
 
-// outage is a time in which some clients can't be promised a response by some appliances.
+// outage is a period in which some clients are not promised responses by some appliances.
 type outage struct {
 	appliance, client int // or everyone
 	from, to          float64
 }
 
-// beginOutage notes that an appliance serves nobody from now on, until endOutage.
+// beginOutage begins an outage of an appliance for all clients. endOutage ends it.
 func (s *site) beginOutage(a *applianceProcess) {
 	if s.openOutages[a.number] == nil {
 		s.openOutages[a.number] = &outage{a.number, everyone, s.scheduler.now, never}
@@ -27,21 +27,21 @@
 
 func (s *site) endOutage(a *applianceProcess) {
 	if o := s.openOutages[a.number]; o != nil {
-		o.to = s.scheduler.now + outageAftermath
+		o.to = s.scheduler.now + outageMargin
 		s.outages = append(s.outages, *o)
 		delete(s.openOutages, a.number)
 	}
 }
 
-// addOutage notes that some clients can't be promised a response from now until a time.
+// addOutage adds an outage that lasts from now until a time.
 func (s *site) addOutage(applianceNumber, clientNumber int, until float64) {
 	s.outages = append(s.outages, outage{applianceNumber, clientNumber, s.scheduler.now, until})
 }
 
-// isExcused returns whether the client of a call could not be promised a response: an outage or a fault of its
-// connection concerned it since it was sent.
-func (s *site) isExcused(c *clientCall) bool {
-	if c.conn != nil && c.conn.end != nil && c.conn.end.conn.harmed {
+// isExempt reports whether the client of a call is not promised a response: there was an outage or a fault of its
+// connection since it was sent.
+func (s *site) isExempt(c *clientCall) bool {
+	if c.conn != nil && c.conn.end != nil && c.conn.end.conn.faulty {
 		return true
 	}
 	number := c.frontEnd.appliance.number
@@ -49,17 +49,16 @@
 		return true
 	}
 	for _, o := range slices.Backward(s.outages) {
-
-		meanwhile := o.to >= c.sentAt && o.from <= s.scheduler.now
-		concernsAppliance := o.appliance < 0 || o.appliance == number
-		if meanwhile && concernsAppliance && (o.client < 0 || s.clients[o.client] == c.conn.client) {
+		overlaps := o.to >= c.sentAt && o.from <= s.scheduler.now
+		affectsAppliance := o.appliance < 0 || o.appliance == number
+		if overlaps && affectsAppliance && (o.client < 0 || s.clients[o.client] == c.conn.client) {
 			return true
 		}
 	}
 	return false
 }
 
-// hadOutage returns whether an appliance had an outage for all clients since a time.
+// hadOutage reports whether an appliance had an outage for all clients since a time.
 func (s *site) hadOutage(a *applianceProcess, since float64) bool {
 	for _, o := range s.outages {
 		if o.to >= since && o.from <= s.scheduler.now && o.appliance == a.number && o.client < 0 {
@@ -69,8 +68,8 @@
 	return s.openOutages[a.number] != nil
 }
 
-// callSent begins the operation of a call.
-func (s *site) callSent(c *clientCall) {
+// beginOperation begins the operation of a call.
+func (s *site) beginOperation(c *clientCall) {
 	op := &operation{
 		request: c.request.id, frontEnd: c.frontEnd.name, boot: c.frontEnd.appliance.boots, call: s.scheduler.now,
 		response: noResponse,
@@ -79,9 +78,9 @@
 	s.operations = append(s.operations, op)
 }
 
-// callAnswered ends the operation of a call. Its outcome counts as unknown where the process that answered may be
-// another than the one that was asked.
-func (s *site) callAnswered(c *clientCall, outcome string) {
+// endOperation ends the operation of a call. Its outcome counts as unknown if the appliance restarted meanwhile, as
+// another process may have responded.
+func (s *site) endOperation(c *clientCall, outcome string) {
 	op := s.openOperation[c]
 	op.response, op.outcome = s.scheduler.now, outcome
 	if op.boot != c.frontEnd.appliance.boots {
@@ -90,29 +89,29 @@
 	delete(s.openOperation, c)
 }
 
-// callUnanswered ends a call whose time is up. Without an excuse the checker of invariants finds that it has no
+// endTimedOutCall ends a call whose timeout has passed. Unless it is exempt, the checker of invariants reports the missing
 // response.
-func (s *site) callUnanswered(c *clientCall) {
-	if s.isExcused(c) {
-		s.callEndUnknown(c)
+func (s *site) endTimedOutCall(c *clientCall) {
+	if s.isExempt(c) {
+		s.endCallWithUnknownOutcome(c)
 		return
 	}
 	delete(s.openOperation, c)
 }
 
-// callBroken ends a call whose connection closed without a response.
-func (s *site) callBroken(c *clientCall) {
-	if !s.isExcused(c) {
-		s.violation("rule 1", "%s: %s closed the connection without an answer", c.request.id, c.frontEnd.name)
+// endLostCall ends a call whose connection closed without a response.
+func (s *site) endLostCall(c *clientCall) {
+	if !s.isExempt(c) {
+		s.violation("rule 1", "%s: %s closed the connection without a response", c.request.id, c.frontEnd.name)
 	}
-	s.callEndUnknown(c)
+	s.endCallWithUnknownOutcome(c)
 }
 
-// callCancelled ends a call that its client cancelled; its front end learns of that a moment later.
-func (s *site) callCancelled(c *clientCall) {
+// endCancelledCall ends a call that its client cancelled. Its front end notices that a moment later.
+func (s *site) endCancelledCall(c *clientCall) {
 	s.scheduler.after(cancelDelay, "known to have left "+c.request.id, func() {
-		if s.isExcused(c) {
-			s.callEndUnknown(c)
+		if s.isExempt(c) {
+			s.endCallWithUnknownOutcome(c)
 			return
 		}
 		delete(s.openOperation, c)
@@ -120,11 +119,13 @@
 	})
 }
 
-// callEndUnknown notes that nobody will know how a call ended: what its front end does about it is free.
-func (s *site) callEndUnknown(c *clientCall) {
+// endCallWithUnknownOutcome ends a call whose outcome is unknown, so that its front end may still make attempts.
+func (s *site) endCallWithUnknownOutcome(c *clientCall) {
 	delete(s.openOperation, c)
-	s.addUnknownEnd(c.record(invariants.ConnectionLost))
+	s.addUnknownOutcome(c.record(invariants.ConnectionLost))
 }
 
-// addUnknownEnd keeps the end of a call to be recorded when all is over.
-func (s *site) addUnknownEnd(r invariants.Record) { s.unknownEnds = append(s.unknownEnds, r) }
+// addUnknownOutcome adds the end of a call that is recorded at the end of the run.
+func (s *site) addUnknownOutcome(r invariants.Record) {
+	s.unknownOutcomes = append(s.unknownOutcomes, r)
+}
--- a/internal/verification/simulation/process.go
+++ b/internal/verification/simulation/process.go
@@ -2,31 +2,39 @@
 
 import "time"
 
-// epoch is the time of day at the beginning: five seconds before a minute.
+// epoch is the time of day at the start, five seconds before a full minute.
 var epoch = time.Date(2026, 12, 23, 23, 59, 55, 0, time.UTC)
 
-// process is one process on one machine. It may be paused, ended and started anew. What it does runs through guard or
-// after, so that nothing happens in a process that is paused or gone.
+// exitKind is the extent of the end of a process.
+type exitKind int
+
+const (
+	processExit exitKind = iota // the machine keeps running
+	powerLoss                   // the machine loses power as well
+)
+
+// process is one process on one machine. It can be suspended, terminated and restarted. Its code is called through
+// whileRunning or after, so that nothing is executed in a process that is suspended or has ended.
 type process struct {
 	scheduler   *scheduler
 	name        string
 	incarnation int
 	running     bool
 	powered     bool // its machine has power
-	paused      bool // what comes waits
+	suspended   bool // calls are queued in the backlog
 	backlog     []func()
 	clockSkew   float64 // of the machine's time of day
 	uptimeBase  float64 // of the machine's monotonic clock
 }
 
-// guard returns a function that runs run in the process that now runs: later while that one is paused, and never once it
-// is gone.
-func (p *process) guard(run func()) func() {
+// whileRunning returns a function that calls run in the present process: at its resumption if it is suspended, and never
+// once it has ended.
+func (p *process) whileRunning(run func()) func() {
 	incarnation := p.incarnation
 	return func() {
 		switch {
 		case p.incarnation != incarnation || !p.running:
-		case p.paused:
+		case p.suspended:
 			p.backlog = append(p.backlog, func() {
 				if p.incarnation == incarnation && p.running {
 					run()
@@ -40,15 +48,15 @@
 
 // after schedules an event in the process.
 func (p *process) after(delay float64, name string, run func()) *event {
-	return p.scheduler.after(delay, p.name+" "+name, p.guard(run))
+	return p.scheduler.after(delay, p.name+" "+name, p.whileRunning(run))
 }
 
-// pause stops the process for a duration in seconds.
-func (p *process) pause(duration float64) {
-	if p.paused || !p.running {
+// suspend suspends the process for a duration in seconds.
+func (p *process) suspend(duration float64) {
+	if p.suspended || !p.running {
 		return
 	}
-	p.paused = true
+	p.suspended = true
 	incarnation := p.incarnation
 	p.scheduler.after(duration, p.name+" goes on", func() {
 		if p.incarnation == incarnation {
@@ -57,10 +65,10 @@
 	})
 }
 
-// resume runs what waited while the process was paused.
+// resume continues a suspended process and runs its backlog.
 func (p *process) resume() {
-	p.paused = false
-	for len(p.backlog) > 0 && !p.paused {
+	p.suspended = false
+	for len(p.backlog) > 0 && !p.suspended {
 		run := p.backlog[0]
 		p.backlog = p.backlog[1:]
 		run()
@@ -70,13 +78,13 @@
 // terminate ends the process.
 func (p *process) terminate() {
 	p.incarnation++
-	p.running, p.paused, p.backlog = false, false, nil
+	p.running, p.suspended, p.backlog = false, false, nil
 }
 
-// wallClock is the time of day as the machine has it.
+// wallClock returns the machine's time of day.
 func (p *process) wallClock() time.Time {
 	return epoch.Add(time.Duration((p.scheduler.now + p.clockSkew) * float64(time.Second)))
 }
 
-// monotonic is the machine's monotonic clock in seconds.
+// monotonic returns the machine's monotonic clock in seconds.
 func (p *process) monotonic() float64 { return p.uptimeBase + p.scheduler.now }
--- a/internal/verification/simulation/report.go
+++ b/internal/verification/simulation/report.go
@@ -44,7 +44,7 @@
 	s.checkEnd()
 	records := s.recorder.Records()
 	verdict := invariants.Check(s.rules, records)
-	s.checkRepeats()
+	s.checkRetries()
 	s.closing.Wait()
 	findings := slices.Concat(verdict.Violations, s.violations)
 	verdict.Violations = nil
--- a/internal/verification/simulation/scheduler.go
+++ b/internal/verification/simulation/scheduler.go
@@ -10,64 +10,70 @@
 	"math/rand/v2"
 )
 
-// never is a time that does not come.
+// never is later than any time.
 var never = math.Inf(1)
 
-// event is one thing that happens at a time. Events of the same time happen in the order in which they were scheduled.
+// event is a call at a time. Events of the same time run in the order in which they were scheduled.
 type event struct {
 	at       float64
 	sequence uint64
-	name     string // in the trace
-	run      func() // nil: cancelled
+	name     string // part of the trace
+	run      func() // nil if cancelled
 }
 
-// cancel makes an event that is still to come do nothing. A nil one is allowed.
+// cancel cancels a pending event. It may be called on nil.
 func (e *event) cancel() {
 	if e != nil {
 		e.run = nil
 	}
 }
 
-// eventQueue is a heap of events, the next first.
-type eventQueue []*event
+// eventQueue is a heap of events, ordered by time.
+type eventQueue struct{ events []*event }
 
 // Len implements heap.Interface.
-func (q eventQueue) Len() int { return len(q) }
+func (q *eventQueue) Len() int { return len(q.events) }
 
 // Less implements heap.Interface.
-func (q eventQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
+func (q *eventQueue) Less(i, j int) bool {
+	a, b := q.events[i], q.events[j]
+	return a.at < b.at || a.at == b.at && a.sequence < b.sequence
 }
 
 // Swap implements heap.Interface.
-func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Swap(i, j int) { q.events[i], q.events[j] = q.events[j], q.events[i] }
 
 // Push implements heap.Interface.
-func (q *eventQueue) Push(x any) { *q = append(*q, x.(*event)) }
+func (q *eventQueue) Push(x any) {
+	if e, ok := x.(*event); ok {
+		q.events = append(q.events, e)
+	}
+}
 
 // Pop implements heap.Interface.
 func (q *eventQueue) Pop() any {
-	last := (*q)[len(*q)-1]
-	(*q)[len(*q)-1] = nil
-	*q = (*q)[:len(*q)-1]
+	n := len(q.events) - 1
+	last := q.events[n]
+	q.events[n] = nil
+	q.events = q.events[:n]
 	return last
 }
 
-// scheduler is the virtual clock and the events to come. It hashes all that happens into a trace.
+// scheduler is the virtual clock and the queue of events. It hashes the trace of all events and received data.
 type scheduler struct {
-	now      float64 // seconds since the beginning
+	now      float64 // seconds since the start
 	sequence uint64
 	queue    eventQueue
-	executed int    // events so far
-	lastName string // of the newest event
+	executed int    // number of events so far
+	lastName string // of the latest event
 	hash     hash.Hash
 	buffer   []byte
-	onTrace  func(string) // gets the trace in words; may be nil
+	onTrace  func(string) // receives the names of the trace; may be nil
 }
 
 func newScheduler() *scheduler { return &scheduler{hash: sha256.New()} }
 
-// after schedules an event after a delay in seconds. Its name stands in the trace.
+// after schedules an event after a delay in seconds. Its name is part of the trace.
 func (s *scheduler) after(delay float64, name string, run func()) *event {
 	s.sequence++
 	e := &event{at: s.now + max(delay, 0), sequence: s.sequence, name: name, run: run}
@@ -75,10 +81,11 @@
 	return e
 }
 
-// runNext runs the next event and returns whether there was one before a time; if not, the clock goes on to that time.
+// runNext runs the next event before a time. If there is none, it advances the clock to that time and returns false.
 func (s *scheduler) runNext(until float64) bool {
-	for len(s.queue) > 0 && s.queue[0].at <= until {
-		e := heap.Pop(&s.queue).(*event)
+	for s.queue.Len() > 0 && s.queue.events[0].at <= until {
+		e := s.queue.events[0]
+		heap.Pop(&s.queue)
 		s.now = max(s.now, e.at)
 		if e.run == nil {
 			continue
@@ -93,7 +100,7 @@
 	return false
 }
 
-// trace adds something that happens now to the trace.
+// trace adds a name and data to the trace, with the present time.
 func (s *scheduler) trace(name string, data []byte) {
 	s.buffer = binary.LittleEndian.AppendUint64(s.buffer[:0], math.Float64bits(s.now))
 	s.buffer = append(s.buffer, name...)
@@ -105,10 +112,10 @@
 	}
 }
 
-// digest returns the hash of the trace: two runs with the same one did the same.
+// digest returns the hash of the trace. Runs with the same digest are identical.
 func (s *scheduler) digest() string { return hex.EncodeToString(s.hash.Sum(nil)) }
 
-// newRand returns a stream of random numbers of a seed. Streams of other names are independent.
+// newRand returns the named stream of random numbers of a seed. Streams are independent of each other.
 func newRand(seed uint64, stream string) *rand.Rand {
 	h := sha256.Sum256([]byte(stream))
 	return rand.New(rand.NewPCG(seed, binary.LittleEndian.Uint64(h[:8])))
--- a/internal/verification/simulation/schedules.go
+++ b/internal/verification/simulation/schedules.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	maxScheduleWait = 1.0   // seconds between looks at the schedules
+	maxScheduleWait = 1.0   // seconds between checks of the schedules
 	minScheduleWait = 0.001 // seconds
 )
 
-// fireSchedules fires what is due, as the real appliance does: on disk first.
+// fireSchedules fires the due schedules. Like the real appliance, it writes firings to disk first.
 func (a *applianceProcess) fireSchedules() {
 	s := a.site
-	if s.script.Timers == 0 || a.schedulesSuspended || a.scheduler.now > s.script.Seconds+lastRetry {
+	if s.script.Timers == 0 || a.schedulesSuspended || a.scheduler.now > s.script.Seconds+retryPeriod {
 		return
 	}
 	if due := a.schedules.TakeDue(a.wallClock()); len(due) > 0 {
@@ -37,7 +37,7 @@
 func (a *applianceProcess) fire(due []schedule.Firing) {
 	var firings []storage.Firing
 	for _, f := range due {
-		firings = append(firings, storage.Firing{Entry: f.Entry.Key(), Due: f.Due, Deadline: f.Deadline(), Request: a.requestOf(f)})
+		firings = append(firings, storage.Firing{Entry: f.Entry.Key(), Due: f.Due, Deadline: f.Deadline(), Request: a.requestFor(f)})
 	}
 	if a.store != nil {
 		err := a.withStore(func() error { return a.store.RecordFirings(firings) })
@@ -50,15 +50,15 @@
 		identity := f.Request.Identity
 		minute := identity.String()
 		if a.site.firedMinutes[minute] {
-			a.site.violation("timers", "%s fires %s a second time", a.name, minute)
+			a.site.violation("schedules", "%s fired %s twice", a.name, minute)
 		}
 		a.site.firedMinutes[minute] = a.store != nil
 		a.submitScheduled(f.Request, f.Deadline, 1)
 	}
 }
 
-// requestOf returns the request of a firing.
-func (a *applianceProcess) requestOf(f schedule.Firing) dispatch.Request {
+// requestFor returns the request of a firing.
+func (a *applianceProcess) requestFor(f schedule.Firing) dispatch.Request {
 	entry, source := f.Entry, "/timers/"+a.name
 	return dispatch.Request{
 		Identity: dispatch.Identity{Source: source, ID: f.ID},
@@ -75,24 +75,24 @@
 	}
 }
 
-// scheduledCall is one try of a scheduled request.
+// scheduledCall is one attempt at a scheduled request.
 type scheduledCall struct {
-	request  dispatch.Request
-	deadline time.Time
-	tries    int // with this one
-	number   uint64
-	began    float64
+	request   dispatch.Request
+	deadline  time.Time
+	attempts  int // including this one
+	number    uint64
+	startedAt float64
 }
 
 // submitScheduled submits a request of the appliance itself. A rejected one is retried until its deadline.
-func (a *applianceProcess) submitScheduled(request dispatch.Request, deadline time.Time, tries int) {
+func (a *applianceProcess) submitScheduled(request dispatch.Request, deadline time.Time, attempts int) {
 	f := a.frontEnds[0]
-	c := scheduledCall{request: request, deadline: deadline, tries: tries, number: a.site.recorder.NextCallID(), began: a.scheduler.now}
+	c := scheduledCall{request: request, deadline: deadline, attempts: attempts, number: a.site.recorder.NextCallID(), startedAt: a.scheduler.now}
 	identity := request.Identity
 	a.scheduled[identity] = c.number
 	a.site.recorder.Add(invariants.Record{
 		Kind: invariants.RequestSent, RequestID: identity.String(), Class: request.Class,
-		Function: request.Function, FrontEnd: f.processTag(), CallID: c.number, Timeout: requestTimeout,
+		Function: request.Function, FrontEnd: f.processName(), CallID: c.number, Timeout: requestTimeout,
 	})
 	f.proxy.Submit(request, func(response dispatch.Response) { a.onScheduledResponse(c, response) })
 }
@@ -100,12 +100,12 @@
 func (a *applianceProcess) onScheduledResponse(c scheduledCall, response dispatch.Response) {
 	id := c.request.Identity
 	delete(a.scheduled, id)
-	if a.scheduler.now-c.began > requestTimeout && a.site.hadOutage(a, c.began) { // it was paused
-		a.site.addUnknownEnd(invariants.Record{Kind: invariants.ConnectionLost, CallID: c.number})
+	if a.scheduler.now-c.startedAt > requestTimeout && a.site.hadOutage(a, c.startedAt) { // it was suspended
+		a.site.addUnknownOutcome(invariants.Record{Kind: invariants.ConnectionLost, CallID: c.number})
 	} else {
 		a.site.recorder.Add(invariants.Record{
 			Kind: invariants.ResponseReceived, RequestID: id.String(), Class: c.request.Class,
-			FrontEnd: a.frontEnds[0].processTag(), CallID: c.number, Outcome: response.Kind.String(), Digest: response.Binding.Digest,
+			FrontEnd: a.frontEnds[0].processName(), CallID: c.number, Outcome: response.Kind.String(), Digest: response.Binding.Digest,
 		})
 	}
 	if response.Kind == dispatch.Rejected && (response.Cause == dispatch.CauseShuttingDown || a.retryScheduled(c, response)) {
@@ -117,17 +117,17 @@
 	}
 }
 
-// retryScheduled schedules a retry of a rejected request, and returns whether there is time for one.
+// retryScheduled schedules a retry of a rejected request. It returns false if there is no time for one.
 func (a *applianceProcess) retryScheduled(c scheduledCall, response dispatch.Response) bool {
 	retryAfter := time.Duration(response.RetryAfter * float64(time.Second))
 	identity := c.request.Identity
-	wait, ok := schedule.NextRetry(c.deadline, a.wallClock(), c.tries, retryAfter)
-	if !ok || a.scheduler.now+wait.Seconds() >= a.site.script.Seconds+lastRetry {
+	wait, ok := schedule.NextRetry(c.deadline, a.wallClock(), c.attempts, retryAfter)
+	if !ok || a.scheduler.now+wait.Seconds() >= a.site.script.Seconds+retryPeriod {
 		return false
 	}
 	a.after(wait.Seconds(), "again "+identity.ID, func() {
 		if a.isServing() {
-			a.submitScheduled(c.request, c.deadline, c.tries+1)
+			a.submitScheduled(c.request, c.deadline, c.attempts+1)
 		}
 	})
 	return true
--- a/internal/verification/simulation/site.go
+++ b/internal/verification/simulation/site.go
@@ -13,35 +13,35 @@
 	"streamcleat/internal/verification/invariants"
 )
 
-// Figures of every site. Times are seconds.
+// Parameters of every site. Times are seconds.
 const (
-	latencyObjective    = 0.8
-	requestTimeout      = 2.0
-	responseMargin      = 0.2
-	responseRetention   = 120.0
-	clientIdleTimeout   = 5.0
-	warmUpTime          = 4.0
-	coldShare           = 0.29
-	overloadFactor      = 2.5
-	overloadWindow      = 1.5
-	idleReplicaLifetime = 4.0
-	drainGrace          = 0.01
-	recordingGrace      = 0.001
-	recoveryPeriod      = 9.0 // without faults, after the last one
-	lastRetry           = 3.0 // of the recovery period: nobody begins anything after it
-	firstRequest        = 0.3 // from the beginning to the start of the clients
-	hangUpBefore        = 1.0 // the end: clients close their connections
-	storePace           = 4   // concurrent fetches without slowing down
+	latencyObjective        = 0.8
+	requestTimeout          = 2.0
+	responseMargin          = 0.2
+	responseRetention       = 120.0
+	clientIdleTimeout       = 5.0
+	warmUpTime              = 4.0
+	initialCapacityFraction = 0.29
+	overloadFactor          = 2.5
+	overloadWindow          = 1.5
+	idleReplicaLifetime     = 4.0
+	drainGrace              = 0.01
+	observationDelay        = 0.001
+	recoveryPeriod          = 9.0 // without faults, at the end
+	retryPeriod             = 3.0 // of the recovery period; no request is sent after it
+	firstRequest            = 0.3 // start of the clients
+	clientCloseLead         = 1.0 // from the clients' close of their connections to the end
+	fullSpeedFetches        = 4   // concurrent fetches without slowdown
 
-	// Limit of load commands where the script has one.
+	// Limit of load commands, if the script has one.
 	loadWindow      = 2
 	loadBurst       = 4
 	loadsPerRequest = 0.2
 
-	maxViolationsPerKind = 3 // that are described
+	maxViolationsPerKind = 3 // that are described; all of them are counted
 )
 
-// site is one simulated world: appliances, workers, clients and what lies between them.
+// site is one simulated deployment: appliances, workers, clients and the network between them.
 type site struct {
 	scheduler *scheduler
 	script    *Script
@@ -58,32 +58,32 @@
 
 	endpointList     []byte
 	machineTypes     map[string]string  // by worker
-	executedKeys     map[string]float64 // keyed requests that the workers remember, and when they ran
-	rateFactor       float64            // of the clients' requests; 0: the usual
-	cancelShare      float64            // of requests whose client cancels, where it is above the usual
-	ignoreRetryAfter bool               // clients come back at once
+	executedKeys     map[string]float64 // execution time of keyed requests that workers deduplicate
+	rateFactor       float64            // of the clients' requests; 0: the script's rate
+	cancelFraction   float64            // of requests that are cancelled, if above normalCancelFraction
+	ignoreRetryAfter bool               // clients retry at once
 
-	// What the checks know.
-	recorder      *invariants.Recorder
-	rules         invariants.Rules
-	reboots       map[int]int     // by appliance
-	firedMinutes  map[string]bool // that appliances fired their schedules for; true: and it is on disk
-	outages       []outage
-	openOutages   map[int]*outage // by appliance
-	operations    []*operation
-	openOperation map[*clientCall]*operation
-	unknownEnds   []invariants.Record // of calls whose end nobody will know
-	touched       []*frontEnd         // in this event
-	touchChecks   int
-	violations    []string
-	described     map[string]int    // violations by kind
-	coverage      map[string]int    // by kind of fault and state
-	newestAttempt map[string]uint64 // by front end and request
-	restarts      int
-	closing       sync.WaitGroup // stores that give their memory back
+	// State of the checks.
+	recorder        *invariants.Recorder
+	rules           invariants.Rules
+	reboots         map[int]int     // by appliance
+	firedMinutes    map[string]bool // minutes for which appliances fired their schedules; true if stored on disk
+	outages         []outage
+	openOutages     map[int]*outage // by appliance
+	operations      []*operation
+	openOperation   map[*clientCall]*operation
+	unknownOutcomes []invariants.Record // ends of calls whose outcome is unknown
+	touched         []*frontEnd         // front ends with activity in this event
+	touchChecks     int
+	violations      []string
+	described       map[string]int    // violations by kind
+	coverage        map[string]int    // by kind of fault and state
+	newestAttempt   map[string]uint64 // by front end and request
+	restarts        int
+	closing         sync.WaitGroup // stores that release their memory
 }
 
-// violation notes that something broke, and describes the first violations of each kind.
+// violation records a violation, and describes the first ones of each kind.
 func (s *site) violation(kind, format string, args ...any) {
 	s.described[kind]++
 	if s.described[kind] <= maxViolationsPerKind {
@@ -97,7 +97,7 @@
 		scheduler:     scheduler,
 		script:        script,
 		network:       newNetwork(scheduler, newRand(script.Seed, "network")),
-		store:         &functionStore{scheduler: scheduler, pace: storePace, slowdown: 1},
+		store:         &functionStore{scheduler: scheduler, fullSpeed: fullSpeedFetches, slowdown: 1},
 		functions:     fakes.Catalogue(script.Functions, script.Work, script.Seed),
 		machineTypes:  map[string]string{},
 		executedKeys:  map[string]float64{},
@@ -121,11 +121,15 @@
 	return s, nil
 }
 
-// populate creates and starts what the script names, and schedules its faults.
+// populate starts the workers, appliances and clients, and schedules the faults.
 func (s *site) populate() {
 	script := s.script
+	newWorker := s.newWarmWorker
+	if script.ColdStart {
+		newWorker = s.newColdWorker
+	}
 	for i := range script.Workers {
-		s.workers = append(s.workers, s.newWorker(i, script.ColdStart))
+		s.workers = append(s.workers, newWorker(i))
 	}
 	s.writeEndpointList()
 	for i := range script.Appliances {
@@ -153,13 +157,13 @@
 		FunctionWork:            map[string]float64{},
 		Capacity:                map[string]float64{},
 		DrainGrace:              drainGrace,
-		InitialCapacityFraction: coldShare,
+		InitialCapacityFraction: initialCapacityFraction,
 		WarmUpTime:              warmUpTime,
 		OverloadFactor:          overloadFactor,
 		OverloadWindow:          overloadWindow,
 		SubmissionDelay:         requestTimeout,
 		IndependentFrontEnds:    true,
-		ObservationDelay:        recordingGrace,
+		ObservationDelay:        observationDelay,
 	}
 	for _, f := range s.functions {
 		rules.MeanWork += f.MeanWork / float64(len(s.functions))
@@ -171,7 +175,7 @@
 	return rules
 }
 
-// configure makes the configuration of the front ends.
+// configure sets the configuration of the front ends.
 func (s *site) configure() error {
 	document := fakes.SiteConfig{
 		Classes:   fakes.ClassConfigs(latencyObjective, requestTimeout, s.script.DeduplicationWindow),
@@ -181,7 +185,7 @@
 			DialTimeout: 1, IdleTimeout: 3, LoadTimeout: 4,
 		},
 		Rules: fakes.RulesConfig{
-			InitialCapacityFraction: coldShare, WarmUpTime: warmUpTime, OverloadFactor: overloadFactor,
+			InitialCapacityFraction: initialCapacityFraction, WarmUpTime: warmUpTime, OverloadFactor: overloadFactor,
 			OverloadWindow: overloadWindow, MaxRetryAfter: 0.5,
 			LoadWindow: s.rules.LoadWindow, LoadBurst: s.rules.LoadBurst, LoadsPerRequest: s.rules.LoadsPerRequest,
 		},
@@ -195,8 +199,8 @@
 	return err
 }
 
-// parseCrontab makes the schedules of the appliances: every one fires each minute.
-func (s *site) parseCrontab() (err error) {
+// parseCrontab sets the schedules of the appliances. Each of them fires every minute.
+func (s *site) parseCrontab() error {
 	if s.script.Timers == 0 {
 		return nil
 	}
@@ -206,18 +210,19 @@
 	for i := range s.script.Timers {
 		fmt.Fprintf(&text, "* * * * * %s %s tenant-%d\n", classes[i%len(classes)], s.functions[i%len(s.functions)].Name, i)
 	}
-	s.crontab, err = schedule.Parse(strings.NewReader(text.String()), "sim")
+	crontab, err := schedule.Parse(strings.NewReader(text.String()), "sim")
+	s.crontab = crontab
 	return err
 }
 
-// writeEndpointList writes the list of workers; front ends learn of it a moment later.
+// writeEndpointList writes the endpoint list. Front ends read it a moment later.
 func (s *site) writeEndpointList() {
 	groups := []fakes.TargetGroup{}
 	for _, w := range s.workers {
 		if !w.listed {
 			continue
 		}
-		labels := &fakes.TargetLabels{Instance: w.name, Kind: s.machineTypes[w.name], Phase: w.phase}
+		labels := &fakes.TargetLabels{Instance: w.name, Kind: s.machineTypes[w.name], Phase: w.state}
 		if w.startedUnix > 0 {
 			labels.Started = fmt.Sprintf("%.3f", w.startedUnix)
 		}
@@ -225,7 +230,7 @@
 	}
 	data, err := json.Marshal(groups)
 	if err != nil {
-		panic(err) // the list always has a JSON form
+		panic(err) // the list can always be encoded
 	}
 	s.endpointList = data
 	for _, a := range s.appliances {
@@ -238,9 +243,9 @@
 	}
 }
 
-// isFirstExecution returns whether a request that runs has its effect, and remembers it: workers drop repeats of keyed
-// requests for a time.
-func (s *site) isFirstExecution(r *workerRequest) bool {
+// recordExecution records the execution of a request, and reports whether it is executed: workers drop duplicates of
+// keyed requests within the deduplication window.
+func (s *site) recordExecution(r *workerRequest) bool {
 	if r.class != fakes.ClassIdempotentByKey {
 		return true
 	}
@@ -252,42 +257,42 @@
 	return true
 }
 
-// restartWorker starts a worker that is down anew, cold, and writes the endpoint list.
+// restartWorker restarts a worker that is down, cold, and writes the endpoint list.
 func (s *site) restartWorker(w *worker) {
 	if w.running || !w.listed {
 		return
 	}
-	w.start(true)
+	w.startCold()
 	s.writeEndpointList()
 }
 
-// stopAppliance asks an appliance to stop in order. It starts again after a delay in seconds.
+// stopAppliance begins a graceful stop of an appliance. It restarts after a delay in seconds.
 func (s *site) stopAppliance(a *applianceProcess, restartIn float64) {
 	a.restartIn = restartIn
-	if a.running && !a.paused {
+	if a.running && !a.suspended {
 		s.beginOutage(a)
 		s.restarts++
 		a.handle(appliance.StopRequested, "script")
 	}
 }
 
-// restartAfterDiskFailure restarts an appliance whose state can't be written, as an operator who sees that.
+// restartAfterDiskFailure restarts an appliance that can't write its state, as its operator would.
 func (s *site) restartAfterDiskFailure(a *applianceProcess) { s.stopAppliance(a, minRestartDelay) }
 
-// endFaults ends every fault: from here on all is well, and everything that was begun must end.
+// endFaults ends every fault. From now on the site must recover, and every request must end.
 func (s *site) endFaults() {
 	s.network.heal()
-	s.rateFactor, s.cancelShare, s.ignoreRetryAfter = 0, 0, false
-	s.store.slowUntil, s.store.outUntil = 0, 0
+	s.rateFactor, s.cancelFraction, s.ignoreRetryAfter = 0, 0, false
+	s.store.slowUntil, s.store.rejectUntil = 0, 0
 	for _, w := range s.workers {
 		clear(w.faultUntil)
-		if w.paused {
+		if w.suspended {
 			w.resume()
 		}
 		if w.listed && !w.running {
-			w.start(true)
+			w.startCold()
 		}
-		w.phase = phaseServing
+		w.state = stateServing
 	}
 	s.writeEndpointList()
 	for _, c := range s.clients {
@@ -301,7 +306,7 @@
 	for _, a := range s.appliances {
 		a.endFaults()
 	}
-	s.scheduler.after(recoveryPeriod-hangUpBefore, "clients hang up", func() {
+	s.scheduler.after(recoveryPeriod-clientCloseLead, "clients hang up", func() {
 		for _, c := range s.clients {
 			c.closeIdle()
 		}
@@ -313,7 +318,7 @@
 	a.disk.syncDelay, a.disk.ignoreSync = 0, false
 	wasFull := a.disk.full
 	a.disk.full = false
-	if a.paused {
+	if a.suspended {
 		a.resume()
 	}
 	if wasFull || a.store != nil && a.store.Err() != nil {
--- a/internal/verification/simulation/state_checks.go
+++ b/internal/verification/simulation/state_checks.go
@@ -10,22 +10,22 @@
 	"streamcleat/internal/verification/fakes"
 )
 
-// expiryMargin is the time before its expiry in seconds from which a record may be missing.
+// expiryMargin is the number of seconds before its expiry from which a record may be missing.
 const expiryMargin = 5
 
-// records are the records of requests by their identity.
+// records maps requests to their records.
 type records map[dispatch.Identity]dispatch.Record
 
-// recordsSubmitted notes what a front end asked to be stored.
-func (a *applianceProcess) recordsSubmitted(list []dispatch.Record) {
+// addUnacknowledged adds records that a front end submitted to the store.
+func (a *applianceProcess) addUnacknowledged(list []dispatch.Record) {
 	for _, r := range list {
 		id := r.Response.Identity
 		a.unacknowledged[id] = append(a.unacknowledged[id], r)
 	}
 }
 
-// recordsAcknowledged notes that they were reported to the front end as on disk.
-func (a *applianceProcess) recordsAcknowledged(list []dispatch.Record) {
+// acknowledge marks records as reported to the front end as stored.
+func (a *applianceProcess) acknowledge(list []dispatch.Record) {
 	for _, r := range list {
 		id := r.Response.Identity
 		a.acknowledged[id], a.acknowledgedAt[id] = r, a.scheduler.now
@@ -37,9 +37,9 @@
 	}
 }
 
-// isEquivalent returns whether a restart makes the same of two records, of which the first was written. A rejection that
-// a repeat found expired is one still on disk, and is found expired again. A retry that came to nothing leaves the record
-// of the attempt, which says as much.
+// isEquivalent reports whether a restart treats the found record like the written one. A rejection that expired in memory
+// is still on disk, and expires again after a restart. A rejected retry may leave the record of an earlier attempt, which
+// has the same effect.
 func isEquivalent(written, found dispatch.Record) bool {
 	expired := written.Response.Cause == dispatch.CauseResponseExpired
 	rejected := written.Response.Kind == dispatch.Rejected || expired
@@ -52,7 +52,7 @@
 	return written.Kind == dispatch.RecordAttemptStarted || written.Response.Kind == found.Response.Kind || expired
 }
 
-// sortedIdentities returns the keys of a map in a fixed order, so that two runs of a script report the same.
+// sortedIdentities returns the keys of a map in a fixed order, for deterministic reports.
 func sortedIdentities[V any](m map[dispatch.Identity]V) []dispatch.Identity {
 	return slices.SortedFunc(maps.Keys(m), func(a, b dispatch.Identity) int { return cmp.Compare(a.String(), b.String()) })
 }
@@ -65,12 +65,11 @@
 	return found
 }
 
-// checkRecoveredRecords compares what a restart recovered with what was reported to the process before it as on disk:
-// nothing of that may be missing or older.
+// checkRecoveredRecords checks that a restart recovered every acknowledged record, or a later one of the same request.
 func (s *site) checkRecoveredRecords(a *applianceProcess, recovered *storage.RecoveredState) {
 	found := recoveredRecords(recovered)
 	if recovered.QuarantinePath != "" || recovered.UnreadableRecords > 0 {
-		s.violation("state", "%s found its state corrupt: %s, %d unread", a.name, recovered.QuarantinePath, recovered.UnreadableRecords)
+		s.violation("state", "%s: state is corrupt: quarantine %q, %d unreadable records", a.name, recovered.QuarantinePath, recovered.UnreadableRecords)
 	}
 	for _, id := range sortedIdentities(a.acknowledged) {
 		if s.scheduler.now-a.acknowledgedAt[id] > responseRetention-expiryMargin {
@@ -78,8 +77,8 @@
 		}
 		written := a.acknowledged[id]
 		x, ok := found[id]
-		if !ok || !a.mayHaveFound(id, written, x) {
-			s.violation("state", "%s was told that %s is kept as %v %v and found %v (%v %v)", a.name, id, written.Kind,
+		if !ok || !a.isAcceptable(id, written, x) {
+			s.violation("state", "%s: record of %s was acknowledged as %v %v, recovered %v (%v %v)", a.name, id, written.Kind,
 				written.Response.Kind, ok, x.Kind, x.Response.Kind)
 		}
 	}
@@ -90,20 +89,20 @@
 	}
 }
 
-// mayHaveFound returns whether a record on disk is the acknowledged one, or a later one that was not yet acknowledged.
-func (a *applianceProcess) mayHaveFound(id dispatch.Identity, written, found dispatch.Record) bool {
+// isAcceptable reports whether a record on disk is the acknowledged one, or a later one that is not yet acknowledged.
+func (a *applianceProcess) isAcceptable(id dispatch.Identity, written, found dispatch.Record) bool {
 	if isEquivalent(written, found) {
 		return true
 	}
 	return slices.ContainsFunc(a.unacknowledged[id], func(r dispatch.Record) bool { return isEquivalent(r, found) })
 }
 
-// checkRecoveredSchedules compares what a restart recovered of the appliance's own requests with what the process before
-// it had: a minute that it fired for is known, and a request that was open goes on.
+// checkRecoveredSchedules checks that a restart recovered the last firing of every schedule, and the open scheduled
+// requests.
 func (s *site) checkRecoveredSchedules(a *applianceProcess, recovered *storage.RecoveredState) {
 	for _, key := range slices.Sorted(maps.Keys(a.lastFirings)) {
 		if at, ok := recovered.LastFirings[key]; !ok || at.Before(a.lastFirings[key]) {
-			s.violation("timers", "%s fired %s for %v and found %v", a.name, key, a.lastFirings[key], at)
+			s.violation("schedules", "%s: %s fired for %v, recovered %v", a.name, key, a.lastFirings[key], at)
 		}
 	}
 	open := map[dispatch.Identity]bool{}
@@ -112,20 +111,20 @@
 	}
 	for _, id := range sortedIdentities(a.scheduled) {
 		if !open[id] {
-			s.violation("timers", "%s lost its own event %s", a.name, id)
+			s.violation("schedules", "%s lost scheduled request %s", a.name, id)
 		}
 	}
 }
 
-// checkStoredRecords reads the state of a running appliance back, as a restart would, and compares it with what the front
-// ends have in memory.
+// checkStoredRecords recovers the state of a running appliance from a copy of its disk, and compares it with the records
+// that the front ends have in memory.
 func (s *site) checkStoredRecords(a *applianceProcess) {
 	if a.store == nil || a.store.Err() != nil {
 		return
 	}
 	store, recovered, err := storage.OpenStore(stateDirectory, a.storeOptions(a.disk.snapshot()))
 	if err != nil {
-		s.violation("state", "%s: the state can't be read back: %v", a.name, err)
+		s.violation("state", "%s: failed to recover a copy of the state: %v", a.name, err)
 		return
 	}
 	defer func() { _ = store.Close() }() // only read
@@ -146,14 +145,14 @@
 	}
 }
 
-// checkStoredRecord checks that a restart would find a record of a request that must not run again.
+// checkStoredRecord checks that a restart would recover the record of a request that must not be executed again.
 func (s *site) checkStoredRecord(f *frontEnd, id dispatch.Identity, inMemory dispatch.Record, found records) {
 	if inMemory.Response.Class == fakes.ClassIdempotent || !inMemory.PossiblyExecuted {
 		return
 	}
 	x, ok := found[id]
 	if !ok || !isEquivalent(inMemory, x) {
-		s.violation("state", "%s has %s as %v %v %v, may have run %v; a restart would find %v: %v %v %v %v", f.name, id,
+		s.violation("state", "%s: record of %s is %v %v %v, may have run %v; stored %v: %v %v %v %v", f.name, id,
 			inMemory.Kind, inMemory.Response.Kind, inMemory.Response.Cause, inMemory.PossiblyExecuted,
 			ok, x.Kind, x.Response.Kind, x.Response.Cause, x.PossiblyExecuted)
 	}
--- a/internal/verification/simulation/versions.go
+++ b/internal/verification/simulation/versions.go
@@ -20,7 +20,7 @@
 	return &registry.Version{Function: function, Name: name, Digest: digest.FromString(function + ":" + name)}
 }
 
-// openRegistry restores the registry of functions from the audit trail, and fills it where there is none.
+// openRegistry restores the registry of functions from the audit trail, and publishes what it lacks.
 func (a *applianceProcess) openRegistry(auditTrail [][]byte) {
 	a.registry = registry.New()
 	if !a.site.script.Versions {
@@ -33,11 +33,11 @@
 			err = a.registry.Apply(entry)
 		}
 		if err != nil {
-			a.site.violation("trail", "%s: entry %d: %v", a.name, i, err)
+			a.site.violation("audit", "%s: entry %d: %v", a.name, i, err)
 		}
 	}
 	if n := len(a.registry.AuditTrail); n < a.auditEntries {
-		a.site.violation("trail", "%s was told that %d entries are kept and found %d", a.name, a.auditEntries, n)
+		a.site.violation("audit", "%s: %d entries were acknowledged, %d recovered", a.name, a.auditEntries, n)
 	}
 	for _, f := range a.site.functions {
 		a.publishVersions(f.Name)
@@ -57,7 +57,7 @@
 	}
 }
 
-// changeRegistry makes a change of the registry, which is in force once it is on disk.
+// changeRegistry applies a change to the registry after it is on disk.
 func (a *applianceProcess) changeRegistry(entry registry.Entry) {
 	entry.At, entry.Actor = a.scheduler.now, registryActor
 	if !a.running {
@@ -73,7 +73,7 @@
 		}
 	}
 	if err := a.registry.Apply(entry); err != nil {
-		a.site.violation("trail", "%s: %v", a.name, err)
+		a.site.violation("audit", "%s: %v", a.name, err)
 	}
 	a.auditEntries = len(a.registry.AuditTrail)
 }
@@ -82,7 +82,7 @@
 	a.changeRegistry(registry.Entry{AliasUpdate: &registry.AliasUpdate{Function: function, Alias: registry.DefaultAlias, Digest: to.Digest}})
 }
 
-// switchVersion moves the alias of a function to another version, both by their numbers, if the registry has that.
+// switchVersion moves the alias of a function to a version, both given by number, if the registry has that version.
 func (a *applianceProcess) switchVersion(function, version int) {
 	name := a.site.functions[function%len(a.site.functions)].Name
 	v := newVersion(name, version%versionsPerFunction)
@@ -91,7 +91,7 @@
 	}
 }
 
-// resolveVersion returns the version that a request runs on.
+// resolveVersion returns the version that executes a request.
 func (a *applianceProcess) resolveVersion(request *dispatch.Request) (dispatch.Binding, dispatch.FunctionProfile, error) {
 	profile := a.site.config.Function(request.Function)
 	identity := request.Identity
--- a/internal/verification/simulation/worker.go
+++ b/internal/verification/simulation/worker.go
@@ -9,25 +9,25 @@
 	"streamcleat/internal/verification/fakes"
 )
 
-// Figures of every worker.
+// Parameters of every worker.
 const (
 	workerMemoryMB     = 3000
 	workerQueueLimit   = 64
 	maxConcurrentLoads = 4
-	slowFactor         = 6.0 // of a worker with the fault "slow"
-	evictionInterval   = 0.1 // seconds between looks for idle replicas
-	firstEviction      = 0.5 // seconds from the start to the first look
+	slowFactor         = 6.0 // factor of FaultSlow
+	evictionInterval   = 0.1 // seconds between checks for idle replicas
+	firstEviction      = 0.5 // seconds from the start to the first check
 )
 
-// Phases of a worker in the endpoint list.
+// Endpoint states of a worker.
 const (
-	phaseServing  = "serving"
-	phaseDraining = "draining"
-	phaseGone     = "gone"
+	stateServing  = "serving"
+	stateDraining = "draining"
+	stateRemoved  = "gone"
 )
 
-// worker is a fake worker as a state machine on the virtual clock: it speaks the Open Inference Protocol over the
-// simulated network, loads replicas from a shared store, and fails on command.
+// worker is a fake worker on the virtual clock. It speaks the Open Inference Protocol over the simulated network, and
+// loads replicas from a shared store.
 type worker struct {
 	process
 	site        *site
@@ -35,79 +35,95 @@
 	cores       int
 	speed       float64
 	replicas    *fakes.ReplicaTable
-	onLoaded    map[*fakes.ReplicaSet][]func() // load commands that wait
+	onLoaded    map[*fakes.ReplicaSet][]func() // callbacks of pending load commands
 	queue       []*workerRequest
-	active      int // requests that run
-	loads       int // that are under way
+	active      int // requests in progress
+	loads       int // in progress
 	faultUntil  map[FaultKind]float64
-	startedCold float64 // 0: long ago, and warm
-	startedUnix float64 // as the endpoint list states it; 0: not stated
+	coldSince   float64 // time of the start; 0 if it is warm
+	startedUnix float64 // start in the endpoint list; 0: not stated
 	listed      bool
-	phase       string
+	state       string
 }
 
-func (s *site) newWorker(number int, cold bool) *worker {
+// newWarmWorker returns a running worker that counts as started long ago, but has no replicas.
+func (s *site) newWarmWorker(number int) *worker {
+	w := s.newWorker(number)
+	w.start()
+	return w
+}
+
+// newColdWorker returns a running worker that warms up.
+func (s *site) newColdWorker(number int) *worker {
+	w := s.newWorker(number)
+	w.startCold()
+	return w
+}
+
+func (s *site) newWorker(number int) *worker {
 	kind, speed := fakes.MachineType(number)
 	name := fmt.Sprintf("wk-%d", number)
 	w := &worker{
 		process: process{scheduler: s.scheduler, name: name, powered: true}, site: s, rng: newRand(s.script.Seed, name),
-		cores: s.script.Cores, speed: speed, faultUntil: map[FaultKind]float64{}, listed: true, phase: phaseServing,
+		cores: s.script.Cores, speed: speed, faultUntil: map[FaultKind]float64{}, listed: true, state: stateServing,
 	}
 	s.machineTypes[name] = kind
 	s.rules.Capacity[name] = float64(w.cores) * speed
 	s.network.listeners[name+":80"] = &listener{&w.process, w.accept}
-	w.start(cold)
 	return w
 }
 
-// start starts the process. A warm one ran for long, though it has no replicas.
-func (w *worker) start(cold bool) {
+// startCold starts a process that warms up.
+func (w *worker) startCold() {
+	w.start()
+	w.coldSince = w.scheduler.now
+	w.startedUnix = float64(w.wallClock().UnixNano()) / 1e9
+}
+
+// start starts a warm process.
+func (w *worker) start() {
 	w.incarnation++
-	w.running, w.powered, w.paused = true, true, false
+	w.running, w.powered, w.suspended = true, true, false
 	w.replicas, w.onLoaded = fakes.NewReplicaTable(w.site.functions), map[*fakes.ReplicaSet][]func(){}
 	w.queue, w.active, w.loads = nil, 0, 0
 	clear(w.faultUntil)
-	w.startedCold, w.startedUnix = 0, 0
-	if cold {
-		w.startedCold = w.scheduler.now
-		w.startedUnix = float64(w.wallClock().UnixNano()) / 1e9
-	}
+	w.coldSince, w.startedUnix = 0, 0
 	w.after(firstEviction, "lapses", w.evictIdle)
 }
 
-// stop ends the process. Its machine answers for it unless that loses its power.
-func (w *worker) stop(losePower bool) {
+// stop ends the process. Its kernel resets its connections, unless the machine loses power.
+func (w *worker) stop(kind exitKind) {
 	if !w.running {
 		return
 	}
 	ends := w.site.network.endpointsOf(w.name)
 	w.terminate()
 	for _, e := range ends {
-		if losePower {
-			e.drop()
+		if kind == powerLoss {
+			e.dropSilently()
 		} else {
-			e.vanish()
+			e.resetByKernel()
 		}
 	}
-	w.powered = !losePower
+	w.powered = kind != powerLoss
 }
 
-// hasFault returns whether a fault is active.
+// hasFault reports whether a fault is active.
 func (w *worker) hasFault(kind FaultKind) bool { return w.faultUntil[kind] > w.scheduler.now }
 
-// faultHits returns whether a fault meets the request at hand: it meets two of three.
-func (w *worker) faultHits(kind FaultKind) bool { return w.hasFault(kind) && w.rng.IntN(3) > 0 }
+// drawFault draws whether a fault affects the request at hand. An active fault affects two of three.
+func (w *worker) drawFault(kind FaultKind) bool { return w.hasFault(kind) && w.rng.IntN(3) > 0 }
 
-// warmth is the share of its capacity that the worker has now.
-func (w *worker) warmth() float64 {
-	age := w.scheduler.now - w.startedCold
-	if w.startedCold == 0 || age >= warmUpTime {
+// capacityFraction returns the fraction of its capacity that the worker has now.
+func (w *worker) capacityFraction() float64 {
+	age := w.scheduler.now - w.coldSince
+	if w.coldSince == 0 || age >= warmUpTime {
 		return 1
 	}
-	return coldShare + (1-coldShare)*age/warmUpTime
+	return initialCapacityFraction + (1-initialCapacityFraction)*age/warmUpTime
 }
 
-// accept serves a connection of a front end.
+// accept accepts a connection of a front end.
 func (w *worker) accept(e *endpoint) bool {
 	framer := http1.NewRequestFramer(messageLimits)
 	var open []*workerRequest
--- a/internal/verification/simulation/worker_http.go
+++ b/internal/verification/simulation/worker_http.go
@@ -11,7 +11,7 @@
 	"streamcleat/internal/verification/fakes"
 )
 
-// messageLimits are those of both ends of a connection to a worker, and of clients.
+// messageLimits are the limits of HTTP messages, for workers, front ends and clients.
 var messageLimits = http1.Limits{Head: 1 << 16, Body: 1 << 20}
 
 // responder sends the response to one request of a front end.
@@ -20,17 +20,17 @@
 	end    *endpoint
 }
 
-// send sends a response. header holds further header fields, each with its line end.
+// send sends a response. header has additional header fields, each with its line end.
 func (r responder) send(status int, header string, body any) {
 	w := r.worker
 	text, err := json.Marshal(body)
 	if err != nil {
-		panic(err) // every message has a JSON form
+		panic(err) // messages can always be encoded
 	}
 	report := fmt.Sprintf("TEXT named_metrics.running=%d, named_metrics.waiting=%d", w.active, len(w.queue))
 	out := fmt.Appendf(nil, "HTTP/1.1 %d x\r\nContent-Length: %d\r\nContent-Type: application/json\r\nEndpoint-Load-Metrics: %s\r\n%s\r\n%s",
 		status, len(text), report, header, text)
-	if w.faultHits(FaultTruncateResponses) && status == http.StatusOK {
+	if w.drawFault(FaultTruncateResponses) && status == http.StatusOK {
 		r.end.write(out[:w.rng.IntN(len(out))])
 		r.end.close()
 		return
@@ -40,8 +40,8 @@
 
 func (r responder) fail(status int, text string) { r.send(status, "", fakes.ErrorMessage{Error: text}) }
 
-// serve serves one request. A request to run a function is returned, so that a closed connection takes it out of the
-// queue.
+// serve serves one request. It returns an inference request, so that it can be removed from the queue when its connection
+// closes.
 func (w *worker) serve(e *endpoint, m *http1.Message) *workerRequest {
 	path := splitPath(m.Target)
 	respond := responder{w, e}
@@ -51,7 +51,7 @@
 		return w.serveInfer(respond, m, path[2])
 	case isRepository && path[4] == "load":
 		var command fakes.LoadRequest
-		_ = json.Unmarshal(m.Body, &command) // without a body one replica is meant
+		_ = json.Unmarshal(m.Body, &command) // without a body it asks for one replica
 		w.serveLoad(respond, w.replicas.Lookup(path[3], command.Parameters.Digest), max(command.Parameters.Copies, 1))
 	case isRepository && path[4] == "unload":
 		if r := w.replicas.Lookup(path[3], ""); r != nil && r.Busy == 0 {
@@ -74,7 +74,7 @@
 	return path
 }
 
-// digestHeader names the version whose replicas ran or are ready.
+// digestHeader returns the header that names the version of the replicas, if it has one.
 func digestHeader(r *fakes.ReplicaSet) string {
 	if r.Digest == "" {
 		return ""
@@ -82,7 +82,7 @@
 	return "Docker-Content-Digest: " + r.Digest + "\r\n"
 }
 
-// serveInfer puts a request in the queue, unless a fault meets it or it is rejected.
+// serveInfer puts a request in the queue, unless a fault affects it or it is rejected.
 func (w *worker) serveInfer(respond responder, m *http1.Message, function string) *workerRequest {
 	id := m.Header.Get("Ce-Source") + "#" + m.Header.Get("Ce-Id")
 	_, frontEnd, _ := strings.Cut(m.Header.Get("Via"), " ")
@@ -91,12 +91,12 @@
 		attempt: w.site.newestAttempt[frontEnd+" "+id],
 	}
 	switch {
-	case w.faultHits(FaultHang):
-	case w.faultHits(FaultResetResponses):
-		respond.end.vanish()
-	case w.faultHits(FaultErrors):
+	case w.drawFault(FaultHang):
+	case w.drawFault(FaultResetResponses):
+		respond.end.resetByKernel()
+	case w.drawFault(FaultErrors):
 		respond.fail(http.StatusInternalServerError, "the function failed")
-	case w.faultHits(FaultReject):
+	case w.drawFault(FaultReject):
 		respond.fail(http.StatusServiceUnavailable, "full")
 	default:
 		w.enqueue(r, w.replicas.Lookup(function, strings.Trim(m.Header.Get("If-Match"), `"`)))
@@ -104,7 +104,7 @@
 	return r
 }
 
-// serveLoad serves a load command: it answers once the replicas are ready, or once none is loading.
+// serveLoad serves a load command. It responds when the replicas are ready, or none is loading.
 func (w *worker) serveLoad(respond responder, r *fakes.ReplicaSet, replicas int) {
 	switch {
 	case r == nil:
--- a/internal/verification/simulation/worker_replicas.go
+++ b/internal/verification/simulation/worker_replicas.go
@@ -15,7 +15,7 @@
 	respond   responder
 	startKind string
 	cancelled bool   // the front end closed the connection
-	attempt   uint64 // number of the newest attempt of the request by that front end
+	attempt   uint64 // call ID of the latest attempt of the request by its front end
 }
 
 // enqueue puts a request in the queue, or rejects it.
@@ -36,7 +36,7 @@
 	w.dispatchQueue()
 }
 
-// awaitLoad lets a request wait for a load that is under way or that it begins, or rejects it.
+// awaitLoad lets a request wait for a load in progress, or starts one. It returns false if it rejects the request.
 func (w *worker) awaitLoad(r *workerRequest) bool {
 	r.startKind = fakes.StartJoined
 	if r.replicas.Loading > 0 {
@@ -54,10 +54,10 @@
 	return true
 }
 
-// dispatchQueue starts the requests that find a free replica and a core, in the order of their arrival, and loads one
-// more replica where all are busy.
+// dispatchQueue starts requests in the order of their arrival, if a replica and a core are free, and loads one more
+// replica if all of a set are busy.
 func (w *worker) dispatchQueue() {
-	var kept []*workerRequest
+	var waiting []*workerRequest
 	queue := w.queue
 	w.queue = nil
 	for _, r := range queue {
@@ -72,32 +72,32 @@
 			if coreFree && !replicaFree && replicas.Ready > 0 && replicas.Loading == 0 {
 				w.startLoad(replicas)
 			}
-			kept = append(kept, r)
+			waiting = append(waiting, r)
 		}
 	}
-	w.queue = append(kept, w.queue...)
+	w.queue = append(waiting, w.queue...)
 }
 
-// run runs a request on a replica and a core.
+// run executes a request on a replica and a core.
 func (w *worker) run(r *workerRequest) {
 	replicas := r.replicas
 	replicas.Busy++
 	w.active++
-	first := w.site.isFirstExecution(r)
+	first := w.site.recordExecution(r)
 	if first {
 		w.site.recorder.Add(invariants.Record{
 			Kind: invariants.Executed, Worker: w.name, RequestID: r.id, Class: r.class,
 			Function: replicas.Function.Name, Digest: replicas.Digest, CallID: r.attempt,
 		})
 	}
-	duration := replicas.Function.MeanWork / w.speed / w.warmth() * (0.7 + 0.6*w.rng.Float64())
+	duration := replicas.Function.MeanWork / w.speed / w.capacityFraction() * (0.7 + 0.6*w.rng.Float64())
 	if w.hasFault(FaultSlow) {
 		duration *= slowFactor
 	}
 	w.after(duration, "ends "+r.id, func() { w.finish(r, first) })
 }
 
-// finish gives the replica and the core of a request back and responds.
+// finish releases the replica and the core of a request, and responds.
 func (w *worker) finish(r *workerRequest, first bool) {
 	replicas := r.replicas
 	replicas.Busy--
@@ -105,7 +105,7 @@
 	if replicas.Busy == 0 {
 		replicas.IdleSince = w.scheduler.now
 	}
-	if !r.cancelled && !w.faultHits(FaultLoseResponses) {
+	if !r.cancelled && !w.drawFault(FaultLoseResponses) {
 		response := fakes.InferResponse{ID: r.id, ModelName: replicas.Function.Name, Outputs: []struct{}{}}
 		if !first {
 			response.Parameters = &fakes.InferParameters{Repeat: true}
@@ -115,7 +115,7 @@
 	w.dispatchQueue()
 }
 
-// startLoad loads one more replica, and returns false where there is no room for it.
+// startLoad loads one more replica. It returns false if there is no capacity for it.
 func (w *worker) startLoad(r *fakes.ReplicaSet) bool {
 	if w.loads >= maxConcurrentLoads || !w.replicas.MakeRoom(r, workerMemoryMB) {
 		return false
@@ -155,13 +155,13 @@
 	w.dispatchQueue()
 }
 
-// evictIdle lets go of replicas that were idle for the time that workers keep them.
+// evictIdle evicts replicas whose idle lifetime has passed.
 func (w *worker) evictIdle() {
 	w.replicas.EvictIdle(w.scheduler.now, idleReplicaLifetime+0.5)
 	w.after(evictionInterval, "lapses", w.evictIdle)
 }
 
-// evictAll lets go of every image and every idle replica, as a release of all functions does.
+// evictAll evicts every image and every idle replica, like a release of all functions.
 func (w *worker) evictAll() {
 	for _, r := range w.replicas.All() {
 		r.HasImage = false
@@ -171,23 +171,23 @@
 	}
 }
 
-// functionStore is the store of functions that all workers share.
+// functionStore is the function store that all workers share.
 type functionStore struct {
-	scheduler *scheduler
-	pace      int // concurrent fetches without slowing down
-	inFlight  int
-	slowdown  float64 // factor while it is slow
-	slowUntil float64
-	outUntil  float64 // it rejects fetches until then
+	scheduler   *scheduler
+	fullSpeed   int // concurrent fetches without slowdown
+	inFlight    int
+	slowdown    float64 // factor until slowUntil
+	slowUntil   float64
+	rejectUntil float64 // it rejects fetches until this time
 }
 
-// fetch returns how long a fetch takes that takes base seconds on an idle store, and whether it succeeds.
+// fetch starts a fetch that takes base seconds on an idle store. It returns its duration, and whether it succeeds.
 func (s *functionStore) fetch(base float64) (duration float64, ok bool) {
 	s.inFlight++
-	if s.scheduler.now < s.outUntil {
+	if s.scheduler.now < s.rejectUntil {
 		return 0.01, false
 	}
-	duration = base * max(float64(s.inFlight)/float64(s.pace), 1)
+	duration = base * max(float64(s.inFlight)/float64(s.fullSpeed), 1)
 	if s.scheduler.now < s.slowUntil {
 		duration *= s.slowdown
 	}
