--- a/internal/verification/fakes/endpoint_list.go
+++ b/internal/verification/fakes/endpoint_list.go
@@ -14,8 +14,8 @@
 
 // Endpoint states of a worker.
 const (
-	phaseServing = "serving"
-	phaseGone    = "gone" // removed from the list
+	stateServing = "serving"
+	stateRemoved = "gone" // removed from the list
 )
 
 // EndpointList writes the endpoint list to a file in the format of Prometheus file service discovery.
@@ -28,7 +28,7 @@
 
 type listEntry struct {
 	worker *Worker
-	phase  string
+	state  string
 }
 
 // TargetGroup is one entry of the file. Its fields are sorted by their keys.
@@ -51,7 +51,7 @@
 func NewEndpointList(path string, recorder *invariants.Recorder, workers []*Worker) (*EndpointList, error) {
 	l := &EndpointList{path: path, recorder: recorder}
 	for _, w := range workers {
-		l.entries = append(l.entries, listEntry{w, phaseServing})
+		l.entries = append(l.entries, listEntry{w, stateServing})
 	}
 	return l, l.write()
 }
@@ -67,7 +67,7 @@
 		started = unixSeconds(startedAt)
 	}
 	l.entries = slices.DeleteFunc(l.entries, func(entry listEntry) bool { return entry.worker == w })
-	if phase != phaseGone {
+	if phase != stateRemoved {
 		l.entries = append(l.entries, listEntry{w, phase})
 	}
 	l.recorder.Add(invariants.Record{Kind: invariants.EndpointUpdated, Worker: w.Name(), EndpointState: phase, StartedAt: started})
@@ -91,7 +91,7 @@
 	labels := &TargetLabels{
 		Instance: config.Name,
 		Kind:     config.MachineType,
-		Phase:    e.phase,
+		Phase:    e.state,
 		Size:     fmt.Sprintf("%g", float64(config.Cores)*config.Speed),
 		Zone:     "room-1",
 	}
--- a/internal/verification/fakes/infer.go
+++ b/internal/verification/fakes/infer.go
@@ -43,7 +43,7 @@
 	if q == nil || !c.awaitStart(q, stop) {
 		return
 	}
-	first := c.isFirst()
+	first := c.recordFirstExecution()
 	if first {
 		c.record.Digest = q.replicas.Digest
 		c.recordEvent(invariants.Executed, 0)
@@ -158,8 +158,8 @@
 	return true
 }
 
-// isFirst reports whether the request is executed, and not a duplicate that the workers drop.
-func (c *inference) isFirst() bool {
+// recordFirstExecution records that the request is executed, and returns false if it is a duplicate that the workers drop.
+func (c *inference) recordFirstExecution() bool {
 	config := &c.w.config
 	return !config.IdempotentByKeyClasses[c.record.Class] || config.Deduplicator == nil || config.Deduplicator.IsFirst(c.record.RequestID)
 }
--- a/internal/verification/invariants/rules.go
+++ b/internal/verification/invariants/rules.go
@@ -59,7 +59,7 @@
 	Attempts        int `json:"launches"`
 	LoadCommands    int `json:"orders"`
 
-	Unanswered          int `json:"unanswered"`                 // rule 1: no response at all, or too late
+	Unanswered          int `json:"unanswered"`                 // rule 1: no response, or an overdue one
 	DuplicateResponses  int `json:"answers_twice"`              // rule 1: more than one response
 	AttemptsAfterEnd    int `json:"sent_after_end"`             // rule 1: an attempt after the last client ended
 	ExcessDeadlines     int `json:"excess_deadlines,omitempty"` // rule 1: the timeout of an attempt exceeds its client's
--- a/internal/verification/scenario/inject.go
+++ b/internal/verification/scenario/inject.go
@@ -94,16 +94,17 @@
 	return nil
 }
 
-// crash ends worker processes and restarts them later. The endpoint list does not have the end, and has the restart late.
+// crash ends worker processes and restarts them later. The endpoint list does not show the end, and
+// shows the restart after a delay.
 func (i *injection) crash(context.Context) error {
 	return forEachWorker(i.affected(), func(w *fakes.Worker) error {
 		w.Crash()
-		pause(i.fault.Duration)
+		sleepAlways(i.fault.Duration)
 		if err := w.Restart(); err != nil {
 			return err
 		}
-		pause(restartNoticeDelay)
-		return i.list.SetPhase(w, phaseServing)
+		sleepAlways(restartNoticeDelay)
+		return i.list.SetPhase(w, stateServing)
 	})
 }
 
@@ -112,7 +113,7 @@
 		if err := w.Restart(); err != nil {
 			return err
 		}
-		return i.list.SetPhase(w, phaseServing)
+		return i.list.SetPhase(w, stateServing)
 	})
 }
 
@@ -140,7 +141,7 @@
 		return err
 	}
 	go func() {
-		pause(terminationDelay)
+		sleepAlways(terminationDelay)
 		w.Crash()
 	}()
 	return nil
@@ -152,21 +153,21 @@
 		return err
 	}
 	w.Crash()
-	pause(preemptNoticeDelay)
+	sleepAlways(preemptNoticeDelay)
 	return i.substitute(w)
 }
 
 func (i *injection) drain(w *fakes.Worker) error {
-	if err := i.list.SetPhase(w, phaseDraining); err != nil {
+	if err := i.list.SetPhase(w, stateDraining); err != nil {
 		return err
 	}
-	pause(i.fault.Duration)
+	sleepAlways(i.fault.Duration)
 	return nil
 }
 
 // substitute removes a worker from the endpoint list and adds a cold one.
 func (i *injection) substitute(w *fakes.Worker) error {
-	if err := i.list.SetPhase(w, phaseGone); err != nil {
+	if err := i.list.SetPhase(w, stateRemoved); err != nil {
 		return err
 	}
 	replacement, err := i.startColdWorker()
@@ -180,7 +181,7 @@
 		}
 	}
 	i.mu.Unlock()
-	return i.list.SetPhase(replacement, phaseServing)
+	return i.list.SetPhase(replacement, stateServing)
 }
 
 func (i *injection) evict(context.Context) error {
@@ -238,13 +239,13 @@
 func (i *injection) emptyList(context.Context) error {
 	list := i.allWorkers()
 	for _, w := range list {
-		if err := i.list.SetPhase(w, phaseGone); err != nil {
+		if err := i.list.SetPhase(w, stateRemoved); err != nil {
 			return err
 		}
 	}
-	pause(i.fault.Duration)
+	sleepAlways(i.fault.Duration)
 	for _, w := range list {
-		if err := i.list.SetPhase(w, phaseServing); err != nil {
+		if err := i.list.SetPhase(w, stateServing); err != nil {
 			return err
 		}
 	}
--- a/internal/verification/scenario/run.go
+++ b/internal/verification/scenario/run.go
@@ -229,5 +229,5 @@
 	}
 }
 
-// pause waits, even past the end of the scenario, to complete a fault.
-func pause(seconds float64) { time.Sleep(toDuration(seconds)) }
+// sleepAlways waits, even past the end of the scenario, to complete a fault.
+func sleepAlways(seconds float64) { time.Sleep(toDuration(seconds)) }
--- a/internal/verification/scenario/site.go
+++ b/internal/verification/scenario/site.go
@@ -21,9 +21,9 @@
 )
 
 const (
-	phaseServing  = "serving"
-	phaseDraining = "draining"
-	phaseGone     = "gone"
+	stateServing  = "serving"
+	stateDraining = "draining"
+	stateRemoved  = "gone"
 
 	anyPort     = "127.0.0.1:0"
 	clusterName = "drill"
--- a/internal/verification/simulation/explore.go
+++ b/internal/verification/simulation/explore.go
@@ -91,12 +91,12 @@
 	if len(w.violations) == 0 {
 		return false
 	}
-	var words []string
+	var path []string
 	for _, a := range e.path {
-		words = append(words, a.String())
+		path = append(path, a.String())
 	}
 	if len(e.result.Violations) < maxExploredViolations {
-		e.result.Violations = append(e.result.Violations, w.violations[0]+", after "+strings.Join(append(words, last), ", "))
+		e.result.Violations = append(e.result.Violations, w.violations[0]+", after "+strings.Join(append(path, last), ", "))
 	}
 	return true
 }
--- a/internal/verification/simulation/explore_front_end.go
+++ b/internal/verification/simulation/explore_front_end.go
@@ -155,13 +155,13 @@
 	c := &w.calls[i]
 	c.responses++
 	id := modelCalls[i].id
-	_, ran := f.possiblyExecuted[id]
+	_, executed := f.possiblyExecuted[id]
 	switch {
 	case c.responses > 1:
 		w.violation("rule 1: call %d has %d responses", i, c.responses)
 	case c.cancelled:
 		w.violation("rule 1: call %d got a response after it was cancelled", i)
-	case response.Kind == dispatch.Rejected && modelCalls[i].class == modelAtMostOnce && (ran || f.isTransmitted(id)):
+	case response.Kind == dispatch.Rejected && modelCalls[i].class == modelAtMostOnce && (executed || f.isTransmitted(id)):
 		w.violation("rule 2: call %d is rejected, and %s may have been executed", i, id)
 	}
 }
@@ -175,11 +175,11 @@
 		}
 	}
 	class := classOfModelRequest(id)
-	since, ran := f.possiblyExecuted[id]
+	since, executed := f.possiblyExecuted[id]
 	switch {
-	case class == modelAtMostOnce && ran:
+	case class == modelAtMostOnce && executed:
 		w.violation("rule 2: attempt of %s, which may have been executed", id)
-	case class == modelIdempotentByKey && ran && w.now >= since+modelDeduplicationWindow:
+	case class == modelIdempotentByKey && executed && w.now >= since+modelDeduplicationWindow:
 		w.violation("rule 2: attempt of %s past the deduplication window", id)
 	case !f.isOpen(id):
 		w.violation("rule 1: attempt of %s without a waiting client", id)
--- a/internal/verification/simulation/golden_test.go
+++ b/internal/verification/simulation/golden_test.go
@@ -41,7 +41,7 @@
 //   - trace.golden has the report's digest of the trace: the names of steps in the code, and the bytes on the simulated
 //     network. It also changes when a step is renamed. Only then, and only while outcome.golden is unchanged, may it be
 //     rewritten.
-func TestGoldenRuns(t *testing.T) {
+func TestPlay_MatchesGoldenFiles(t *testing.T) {
 	outcome, trace := make([]string, len(pinnedRuns)), make([]string, len(pinnedRuns))
 	next := make(chan int)
 	var running sync.WaitGroup
--- a/internal/verification/simulation/versions.go
+++ b/internal/verification/simulation/versions.go
@@ -53,7 +53,7 @@
 		}
 	}
 	if _, err := a.registry.Find(function); err != nil {
-		a.moveAlias(function, newVersion(function, 0))
+		a.updateAlias(function, newVersion(function, 0))
 	}
 }
 
@@ -78,7 +78,7 @@
 	a.auditEntries = len(a.registry.AuditTrail)
 }
 
-func (a *applianceProcess) moveAlias(function string, to *registry.Version) {
+func (a *applianceProcess) updateAlias(function string, to *registry.Version) {
 	a.changeRegistry(registry.Entry{AliasUpdate: &registry.AliasUpdate{Function: function, Alias: registry.DefaultAlias, Digest: to.Digest}})
 }
 
@@ -87,7 +87,7 @@
 	name := a.site.functions[function%len(a.site.functions)].Name
 	v := newVersion(name, version%versionsPerFunction)
 	if _, err := a.registry.Find(name + ":" + v.Name); err == nil {
-		a.moveAlias(name, v)
+		a.updateAlias(name, v)
 	}
 }
 
--- a/internal/verification/soak/faults.go
+++ b/internal/verification/soak/faults.go
@@ -18,7 +18,7 @@
 var faults = []fault{
 	{"restart", (*site).restartFrontEnds},
 	{"kill", (*site).killFrontEnds},
-	{"move-discovery", (*site).moveDiscovery},
+	{"move-discovery", (*site).migrateDiscovery},
 	{"faulty-document", (*site).truncateDocuments},
 	{"pause", (*site).suspendFrontEnds},
 	{"log-reader-stalls", (*site).suspendLogReaders},
--- a/internal/verification/soak/faults_front_end.go
+++ b/internal/verification/soak/faults_front_end.go
@@ -71,12 +71,12 @@
 
 // reload moves the front end to another discovery address.
 func (f *frontEnd) reload() {
-	if f.moveDiscovery() == nil && f.writeDocument() == nil {
+	if f.migrateDiscovery() == nil && f.writeDocument() == nil {
 		f.signal(syscall.SIGHUP)
 	}
 }
 
-func (s *site) moveDiscovery(random *rand.Rand) {
+func (s *site) migrateDiscovery(random *rand.Rand) {
 	forEachClaimed(s.claim(random, 8), func(f *frontEnd) {
 		f.reload()
 		time.Sleep(100 * time.Millisecond)
--- a/internal/verification/soak/front_end.go
+++ b/internal/verification/soak/front_end.go
@@ -91,9 +91,9 @@
 	return fmt.Sprintf("%s/%d", f.name, f.processes)
 }
 
-// moveDiscovery serves discovery watches at another address. The old address accepts no further connections, while the
+// migrateDiscovery serves discovery watches at another address. The old address accepts no further connections, while the
 // watches on it continue.
-func (f *frontEnd) moveDiscovery() error {
+func (f *frontEnd) migrateDiscovery() error {
 	listener, err := net.Listen("tcp", anyPort)
 	if err != nil {
 		return err
@@ -271,5 +271,5 @@
 	if f.peer, err = reservePort(); err != nil {
 		return nil, err
 	}
-	return f, f.moveDiscovery()
+	return f, f.migrateDiscovery()
 }
