--- a/internal/verification/simulation/appliance.go
+++ b/internal/verification/simulation/appliance.go
@@ -311,7 +311,7 @@
 			return
 		}
 		_ = a.withStore(func() error { // Step reports errors to the callers of Commit
-			a.store.Step()
+			a.store.CommitPending()
 			return nil
 		})
 	})
--- a/internal/verification/simulation/disk_test.go
+++ b/internal/verification/simulation/disk_test.go
@@ -20,7 +20,7 @@
 // commit writes the record of a request.
 func commit(store *storage.Store, id string) error {
 	var err error
-	record := dispatch.Record{Response: dispatch.Response{Identity: dispatch.Identity{Source: "/t", ID: id}, Class: "once"}, MayHaveRun: true}
+	record := dispatch.Record{Response: dispatch.Response{Identity: dispatch.Identity{Source: "/t", ID: id}, Class: "once"}, PossiblyExecuted: true}
 	store.Commit([]dispatch.Record{record}, func(e error) { err = e })
 	store.CommitPending()
 	return err
--- a/internal/verification/simulation/front_end.go
+++ b/internal/verification/simulation/front_end.go
@@ -149,7 +149,7 @@
 func (c proxyConn) Unsent() int { return c.end.unsent() }
 
 // Name implements proxy.Conn.
-func (c proxyConn) Name() string { return c.end.conn.name }
+func (c proxyConn) RemoteAddr() string { return c.end.conn.name }
 
 // ReadAhead implements proxy.Conn. There is none, as data is passed on when it arrives.
 func (c proxyConn) ReadAhead() ([]byte, bool) { return nil, true }
