--- a/cmd/streamcleat/fake.go
+++ b/cmd/streamcleat/fake.go
@@ -38,7 +38,7 @@
 		Use:   "worker",
 		Short: "Run fake workers and write the endpoint list that names them",
 		Long: "Runs fake workers that speak the Open Inference Protocol. POST /standin/fault at a worker injects a fault, as in\n" +
-			`{"kind":"hang","for":3}; the other kinds are lose, errors, slow, stall, reset, cut and late-reports.`,
+			`{"kind":"hang","for":3}; the other kinds are lose, errors, slow, suspend, reset, truncate and late-reports.`,
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return runFakeWorkers(cmd.Context(), o)
--- a/internal/verification/simulation/front_end.go
+++ b/internal/verification/simulation/front_end.go
@@ -148,7 +148,7 @@
 // Unsent implements proxy.Conn.
 func (c proxyConn) Unsent() int { return c.end.unsent() }
 
-// Name implements proxy.Conn.
+// RemoteAddr implements proxy.Conn.
 func (c proxyConn) RemoteAddr() string { return c.end.conn.name }
 
 // ReadAhead implements proxy.Conn. There is none, as data is passed on when it arrives.
