--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -3,6 +3,8 @@
 import (
 	"fmt"
 	"testing"
+
+	"streamcleat/internal/units"
 )
 
 // TestShedLoad_LateResponses checks that late responses lead to the rejection of a fraction of the requests, retries
@@ -50,7 +52,7 @@
 					latency = 2
 				}
 				req := &request{function: &function{concurrency: 1, targetReplicas: 1}, class: &d.RequestClasses[0]}
-				r.updateFromWarmResponse(req, AttemptResult{Outcome: Succeeded, Latency: latency})
+				r.updateFromWarmResponse(req, AttemptResult{Outcome: Succeeded, Latency: units.Seconds(latency)})
 				lowest = min(lowest, r.admissionProbability)
 			}
 			if lowest < 1 != sheds {
--- a/control/concurrency_limit.go
+++ b/control/concurrency_limit.go
@@ -1,5 +1,7 @@
 package control
 
+import "streamcleat/internal/units"
+
 // Concurrency limit: own requests in flight on each worker, by additive increase and multiplicative decrease.
 
 const (
@@ -22,7 +24,7 @@
 	lateResponse
 )
 
-func classifyLatency(class *RequestClass, latency float64) responseTiming {
+func classifyLatency(class *RequestClass, latency units.Seconds) responseTiming {
 	switch {
 	case latency > lateLatencyFraction*class.LatencyObjective:
 		return lateResponse
@@ -72,5 +74,5 @@
 	if req.awaitsLoad {
 		return age > 0
 	}
-	return age > stalledLatencyRatio*req.function.medianLatency*max(w.relativeLatency, 1)
+	return age > stalledLatencyRatio*req.function.medianLatency*units.Seconds(max(w.relativeLatency, 1))
 }
--- a/control/concurrency_limit_test.go
+++ b/control/concurrency_limit_test.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 	"testing"
+
+	"streamcleat/internal/units"
 )
 
 // TestConcurrencyLimit_LateResponsesOfSingleRequests checks that late responses to single requests do not reduce the
@@ -12,7 +14,7 @@
 	w := r.workers[0]
 	for i := range 50 {
 		r.now += 0.1
-		r.updateConcurrencyLimit(&request{worker: w, attemptStartedAt: r.now + float64(i)}, lateResponse)
+		r.updateConcurrencyLimit(&request{worker: w, attemptStartedAt: r.now + units.Seconds(i)}, lateResponse)
 	}
 	if w.concurrencyLimit < 2 {
 		t.Errorf("concurrency limit %g", w.concurrencyLimit)
@@ -51,7 +53,7 @@
 			r := newSimulatedFleet(1, basicDeployment(), 2).frontEnds[0].router
 			fn, w := r.functionOf(Request{Function: "f"}), r.workers[0]
 			fn.medianLatency, r.loadSlowdown = 0.1, c.loadSlowdown
-			w.lastResponseAt, w.concurrencyLimit = r.now-c.sinceResponse, 2
+			w.lastResponseAt, w.concurrencyLimit = r.now-units.Seconds(c.sinceResponse), 2
 			for range 3 {
 				w.inFlight = append(w.inFlight, &request{function: fn, worker: w, inFlight: true, attemptStartedAt: r.now - 0.7})
 			}
--- a/control/deployment.go
+++ b/control/deployment.go
@@ -1,5 +1,7 @@
 package control
 
+import "streamcleat/internal/units"
+
 type (
 	// RequestID identifies a request. It is unique among the open requests of a front end.
 	RequestID string
@@ -38,11 +40,11 @@
 // RequestClass holds the terms that the deployment states for a class of requests.
 type RequestClass struct {
 	Name                string
-	LatencyObjective    float64
-	Timeout             float64
+	LatencyObjective    units.Seconds
+	Timeout             units.Seconds
 	Semantics           DeliverySemantics
 	DeduplicationScope  DeduplicationScope
-	DeduplicationWindow float64 // retention of an idempotency key
+	DeduplicationWindow units.Seconds // retention of an idempotency key
 }
 
 // Tenant is a customer with its agreed request rate across all front ends.
@@ -61,14 +63,14 @@
 	LoadCommandsAllowed     bool
 	GossipAllowed           bool // front ends may broadcast messages to each other
 	MaxAttempts             int
-	MaxRetryAfter           float64 // maximum retry time of a rejection; 0 if clients are given none
-	IdleReplicaLifetime     float64 // minimum time that workers keep an idle replica
-	LoadCommandWindow       float64 // window of the load command quota; 0 for no quota
-	LoadCommandAllowance    float64 // load commands allowed in each window
-	LoadCommandsPerRequest  float64 // load commands allowed in addition for each request in the window
-	MinRoundInterval        float64 // minimum time between two rounds of input
-	InitialCapacityFraction float64 // fraction of its capacity that a worker has when it starts
-	WarmUpTime              float64 // time from a worker's start until it has full capacity
-	OverloadFactor          float64 // multiple of its capacity that a warming worker tolerates
-	OverloadWindow          float64 // window over which OverloadFactor applies
+	MaxRetryAfter           units.Seconds // maximum retry time of a rejection; 0 if clients are given none
+	IdleReplicaLifetime     units.Seconds // minimum time that workers keep an idle replica
+	LoadCommandWindow       units.Seconds // window of the load command quota; 0 for no quota
+	LoadCommandAllowance    float64       // load commands allowed in each window
+	LoadCommandsPerRequest  float64       // load commands allowed in addition for each request in the window
+	MinRoundInterval        units.Seconds // minimum time between two rounds of input
+	InitialCapacityFraction float64       // fraction of its capacity that a worker has when it starts
+	WarmUpTime              units.Seconds // time from a worker's start until it has full capacity
+	OverloadFactor          float64       // multiple of its capacity that a warming worker tolerates
+	OverloadWindow          units.Seconds // window over which OverloadFactor applies
 }
--- a/control/function.go
+++ b/control/function.go
@@ -1,16 +1,20 @@
 package control
 
-import "slices"
+import (
+	"slices"
+
+	"streamcleat/internal/units"
+)
 
 // function holds the router's view of one function and its replicas.
 type function struct {
 	id             FunctionID
 	hash           uint64
-	concurrency    int     // requests that one replica serves concurrently
-	inFlight       int     // attempts of this front end
-	loadTime       float64 // expected duration of a replica load; 0 if unknown
-	medianLatency  float64 // running estimate; 0 before the first sample
-	lastRequestAt  float64
+	concurrency    int           // requests that one replica serves concurrently
+	inFlight       int           // attempts of this front end
+	loadTime       units.Seconds // expected duration of a replica load; 0 if unknown
+	medianLatency  units.Seconds // running estimate; 0 before the first sample
+	lastRequestAt  units.Seconds
 	replicas       []replica
 	responseRate   float64 // estimated responses per second across all front ends
 	targetReplicas float64 // number of replicas, in rendezvous order, that share the requests
@@ -18,10 +22,10 @@
 	rankedWorkers []*worker // serving workers in rendezvous order
 	rankedVersion int       // endpointVersion for which rankedWorkers was computed
 
-	pendingLoadOn     *worker    // worker with an unanswered load command
-	loadCommandedAt   float64    // time of the newest load command
-	loadCooldownUntil float64    // no further replica is loaded before, while one is in use
-	waiters           []*request // requests that wait for the pending load
+	pendingLoadOn     *worker       // worker with an unanswered load command
+	loadCommandedAt   units.Seconds // time of the newest load command
+	loadCooldownUntil units.Seconds // no further replica is loaded before, while one is in use
+	waiters           []*request    // requests that wait for the pending load
 }
 
 // replica holds the router's view of one function on one worker.
@@ -29,10 +33,10 @@
 	worker        *worker
 	inFlight      int // attempts of this front end
 	warm          bool
-	lastSeenAt    float64
-	recentLatency float64 // moving average; 0 before the first sample
-	lastLatencyAt float64 // time of the newest sample
-	slowSince     float64 // 0 while not slow
+	lastSeenAt    units.Seconds
+	recentLatency units.Seconds // moving average; 0 before the first sample
+	lastLatencyAt units.Seconds // time of the newest sample
+	slowSince     units.Seconds // 0 while not slow
 }
 
 // replicaOn returns the replica on w, or nil. The pointer is invalidated when a replica is added or removed.
@@ -54,7 +58,7 @@
 }
 
 // markWarm records that the replica was loaded at seenAt.
-func (rep *replica) markWarm(seenAt float64) {
+func (rep *replica) markWarm(seenAt units.Seconds) {
 	rep.warm = true
 	rep.lastSeenAt = seenAt
 }
@@ -84,7 +88,7 @@
 
 // removeIdleFunctions removes the functions that have had no request for idleTime and have neither an attempt nor a
 // load in progress.
-func (r *Router) removeIdleFunctions(idleTime float64) {
+func (r *Router) removeIdleFunctions(idleTime units.Seconds) {
 	r.functions = slices.DeleteFunc(r.functions, func(fn *function) bool {
 		idle := fn.pendingLoadOn == nil && fn.inFlight == 0 && r.now-fn.lastRequestAt > idleTime
 		if idle {
--- a/control/golden_adapter_test.go
+++ b/control/golden_adapter_test.go
@@ -1,5 +1,7 @@
 package control
 
+import "streamcleat/internal/units"
+
 // The adapter connects the golden fleet to the package. Renames in the package change only this file, neither the
 // fleet nor the golden files.
 
@@ -31,7 +33,7 @@
 	frontEnd *goldenFrontEnd
 }
 
-func newRouterAdapter(s *scenario, seed uint64, now float64, frontEnd *goldenFrontEnd) *routerAdapter {
+func newRouterAdapter(s *scenario, seed uint64, now units.Seconds, frontEnd *goldenFrontEnd) *routerAdapter {
 	a := &routerAdapter{frontEnd: frontEnd}
 	a.router = New(deploymentOf(s), seed, a, now)
 	return a
@@ -52,7 +54,7 @@
 		LoadCommandsPerRequest:  s.loadCommandsPerRequest,
 		MinRoundInterval:        0.004,
 		InitialCapacityFraction: 0.2,
-		WarmUpTime:              s.warmUpTime,
+		WarmUpTime:              units.Seconds(s.warmUpTime),
 		OverloadFactor:          2.5,
 		OverloadWindow:          1.5,
 	}
@@ -79,7 +81,7 @@
 		workers = append(workers, Worker{
 			ID: WorkerID(endpoint.id), Zone: ZoneID(endpoint.zone), MachineType: MachineType(endpoint.machineType),
 			FailureDomain: endpoint.failureDomain, State: endpointStateOf[endpoint.state], Weight: endpoint.weight,
-			StartedAt: endpoint.startedAt,
+			StartedAt: units.Seconds(endpoint.startedAt),
 		})
 	}
 	return workers
@@ -87,56 +89,56 @@
 
 func (a *routerAdapter) start() { a.router.Start() }
 
-func (a *routerAdapter) endpointSnapshot(now float64, list []goldenEndpoint) {
+func (a *routerAdapter) endpointSnapshot(now units.Seconds, list []goldenEndpoint) {
 	a.router.OnEndpointUpdate(now, Snapshot, workersOf(list))
 }
 
-func (a *routerAdapter) endpointDelta(now float64, changed []goldenEndpoint) {
+func (a *routerAdapter) endpointDelta(now units.Seconds, changed []goldenEndpoint) {
 	a.router.OnEndpointUpdate(now, Delta, workersOf(changed))
 }
 
-func (a *routerAdapter) endpointPollFailed(now float64) { a.router.OnEndpointPollFailed(now) }
+func (a *routerAdapter) endpointPollFailed(now units.Seconds) { a.router.OnEndpointPollFailed(now) }
 
-func (a *routerAdapter) request(now float64, req simulatedRequest) {
+func (a *routerAdapter) request(now units.Seconds, req simulatedRequest) {
 	a.router.OnRequest(now, requestOf(req))
 }
 
-func (a *routerAdapter) clientCancelled(now float64, id string) {
+func (a *routerAdapter) clientCancelled(now units.Seconds, id string) {
 	a.router.OnCancel(now, RequestID(id))
 }
 
-func (a *routerAdapter) timer(now float64, timer uint64)    { a.router.OnTimer(now, timer) }
-func (a *routerAdapter) gossip(now float64, message []byte) { a.router.OnGossip(now, message) }
+func (a *routerAdapter) timer(now units.Seconds, timer uint64)    { a.router.OnTimer(now, timer) }
+func (a *routerAdapter) gossip(now units.Seconds, message []byte) { a.router.OnGossip(now, message) }
 
-func (a *routerAdapter) preload(now float64, req simulatedRequest) bool {
+func (a *routerAdapter) preload(now units.Seconds, req simulatedRequest) bool {
 	return a.router.Preload(now, requestOf(req))
 }
 
-func (a *routerAdapter) restoreReplica(now float64, req simulatedRequest, worker string, age float64) {
+func (a *routerAdapter) restoreReplica(now units.Seconds, req simulatedRequest, worker string, age units.Seconds) {
 	a.router.RestoreReplica(now, requestOf(req), WorkerID(worker), age)
 }
 
-func (a *routerAdapter) attemptEnded(now float64, result attemptResult) {
+func (a *routerAdapter) attemptEnded(now units.Seconds, result attemptResult) {
 	a.router.OnAttemptResult(now, AttemptResult{
 		Request: RequestID(result.id), Worker: WorkerID(result.worker), Attempt: result.attempt,
-		Outcome: outcomeOf[result.outcome], Completed: result.completed, Latency: result.latency,
+		Outcome: outcomeOf[result.outcome], Completed: result.completed, Latency: units.Seconds(result.latency),
 		Start:  startTypeOf[result.start],
 		Report: LoadReport{Running: result.running, Waiting: result.waiting, Known: result.reported},
 	})
 }
 
-func (a *routerAdapter) loadEnded(now float64, worker, function string, result outcome, replicas int, duration float64) {
+func (a *routerAdapter) loadEnded(now units.Seconds, worker, function string, result outcome, replicas int, duration units.Seconds) {
 	a.router.OnLoadResult(now, LoadResult{
 		Worker: WorkerID(worker), Function: FunctionID(function), Outcome: outcomeOf[result],
 		Replicas: replicas, Duration: duration,
 	})
 }
 
-func (a *routerAdapter) StartAttempt(id RequestID, worker WorkerID, timeout float64) {
+func (a *routerAdapter) StartAttempt(id RequestID, worker WorkerID, timeout units.Seconds) {
 	a.frontEnd.startAttempt(string(id), string(worker), timeout)
 }
 
-func (a *routerAdapter) Reject(id RequestID, retryAfter float64) {
+func (a *routerAdapter) Reject(id RequestID, retryAfter units.Seconds) {
 	a.frontEnd.reject(string(id), retryAfter)
 }
 
@@ -148,6 +150,8 @@
 
 func (a *routerAdapter) Broadcast(message []byte) { a.frontEnd.broadcast(message) }
 
-func (a *routerAdapter) SetTimer(after float64, timer uint64) { a.frontEnd.setTimer(after, timer) }
+func (a *routerAdapter) SetTimer(after units.Seconds, timer uint64) {
+	a.frontEnd.setTimer(after, timer)
+}
 
 func (a *routerAdapter) RequestEndpoints() { a.frontEnd.subscribe() }
--- a/control/golden_fleet_test.go
+++ b/control/golden_fleet_test.go
@@ -3,6 +3,8 @@
 import (
 	"slices"
 	"strconv"
+
+	"streamcleat/internal/units"
 )
 
 // The golden fleet is a deterministic simulation with a virtual clock. It uses no identifier of the package, no map
@@ -56,7 +58,7 @@
 
 type requestClass struct {
 	name                                           string
-	latencyObjective, timeout, deduplicationWindow float64
+	latencyObjective, timeout, deduplicationWindow units.Seconds
 	semantics                                      semantics
 	scope                                          deduplicationScope
 }
@@ -72,7 +74,7 @@
 // simulatedRequest is a request as its client sends it.
 type simulatedRequest struct {
 	id, class, function string
-	timeLeft, loadTime  float64
+	timeLeft, loadTime  units.Seconds
 	concurrency         int
 	retried             bool
 }
@@ -101,17 +103,17 @@
 	frontEndCount                                int // stated in the deployment
 	routerCount                                  int // simulated
 	workerCount, functionCount                   int
-	duration                                     float64 // virtual seconds
-	requestRate                                  float64 // over all routers
-	burstFactor                                  float64 // factor on the request rate in every fifth second
+	duration                                     units.Seconds // virtual seconds
+	requestRate                                  float64       // over all routers
+	burstFactor                                  float64       // factor on the request rate in every fifth second
 	serviceTime, loadTime                        float64
 	loadTimeKnown                                bool // requests state the expected load time
 	pollsEndpoints                               bool
 	noLoadOnMiss                                 bool
 	loadCommandsAllowed, gossipAllowed           bool
 	maxAttempts                                  int
-	maxRetryAfter, idleReplicaLifetime           float64
-	loadCommandWindow                            float64
+	maxRetryAfter, idleReplicaLifetime           units.Seconds
+	loadCommandWindow                            units.Seconds
 	loadCommandAllowance, loadCommandsPerRequest float64
 	warmUpTime                                   float64
 	faultRate                                    float64         // changes of a worker's condition
@@ -123,7 +125,7 @@
 	slowStoreFactor                              float64         // factor on load times in the middle third
 	onlyCondition                                workerCondition // the only fault; healthy for all faults
 	onlyRestarts                                 bool            // churn only restarts workers, which keep their IDs
-	meanFaultDuration                            float64         // seconds in addition to the first; 0 for 3
+	meanFaultDuration                            units.Seconds   // seconds in addition to the first; 0 for 3
 	onlyClass                                    string          // the only request class; empty for all
 }
 
@@ -145,7 +147,7 @@
 
 // scheduledEvent is a function to be run at a virtual time.
 type scheduledEvent struct {
-	at  float64
+	at  units.Seconds
 	run func()
 }
 
@@ -153,7 +155,7 @@
 type eventQueue []scheduledEvent
 
 func (q *eventQueue) push(event scheduledEvent) {
-	i, _ := slices.BinarySearchFunc(*q, event.at, func(queued scheduledEvent, at float64) int {
+	i, _ := slices.BinarySearchFunc(*q, event.at, func(queued scheduledEvent, at units.Seconds) int {
 		if queued.at > at {
 			return 1
 		}
@@ -172,7 +174,7 @@
 type goldenFleet struct {
 	*scenario
 	random         splitMix64
-	now            float64
+	now            units.Seconds
 	events         eventQueue
 	workers        []*goldenWorker
 	frontEnds      []*goldenFrontEnd
@@ -196,21 +198,21 @@
 	return g
 }
 
-func (g *goldenFleet) newWorker(startedAt float64) *goldenWorker {
+func (g *goldenFleet) newWorker(startedAt units.Seconds) *goldenWorker {
 	i := g.workersCreated
 	g.workersCreated++
-	worker := &goldenWorker{replicasReadyAt: map[string]float64{}, goldenEndpoint: goldenEndpoint{
+	worker := &goldenWorker{replicasReadyAt: map[string]units.Seconds{}, goldenEndpoint: goldenEndpoint{
 		id:   "w" + strconv.Itoa(i),
-		zone: "z" + strconv.Itoa(i%3), failureDomain: i % 4, machineType: "small", weight: 1, startedAt: startedAt,
+		zone: "z" + strconv.Itoa(i%3), failureDomain: i % 4, machineType: "small", weight: 1, startedAt: float64(startedAt),
 	}}
 	if i%5 == 4 {
 		worker.machineType, worker.weight = "large", 2
 	}
-	worker.coresFreeAt = make([]float64, 2*int(worker.weight))
+	worker.coresFreeAt = make([]units.Seconds, 2*int(worker.weight))
 	return worker
 }
 
-func (g *goldenFleet) after(delay float64, run func()) {
+func (g *goldenFleet) after(delay units.Seconds, run func()) {
 	g.events.push(scheduledEvent{g.now + delay, run})
 }
 
@@ -235,24 +237,24 @@
 }
 
 // intervalOf returns a function that draws the interval to the next event of a rate.
-func (g *goldenFleet) intervalOf(rate float64) func() float64 {
-	return func() float64 {
+func (g *goldenFleet) intervalOf(rate float64) func() units.Seconds {
+	return func() units.Seconds {
 		if rate == 0 {
-			return g.duration
+			return units.Seconds(g.duration)
 		}
-		return g.random.skewed(1 / rate)
+		return units.Seconds(g.random.skewed(1 / rate))
 	}
 }
 
-func (g *goldenFleet) requestInterval() float64 {
+func (g *goldenFleet) requestInterval() units.Seconds {
 	rate := g.requestRate
 	if g.burstFactor > 0 && int(g.now)%5 == 0 {
 		rate *= g.burstFactor
 	}
-	return g.random.skewed(1 / rate)
+	return units.Seconds(g.random.skewed(1 / rate))
 }
 
-func (g *goldenFleet) scheduleRepeatedly(interval func() float64, run func()) {
+func (g *goldenFleet) scheduleRepeatedly(interval func() units.Seconds, run func()) {
 	g.after(interval(), func() {
 		if g.now < startTime+g.duration {
 			run()
@@ -284,7 +286,7 @@
 func (g *goldenFleet) sendEndpointUpdates(changed *goldenWorker) {
 	for _, f := range g.frontEnds {
 		isSnapshot := g.random.happens(0.5)
-		g.after(0.05+g.random.fraction()/5, func() {
+		g.after(units.Seconds(0.05+g.random.fraction()/5), func() {
 			if isSnapshot {
 				f.router.endpointSnapshot(g.now, g.endpointList())
 			} else {
@@ -303,7 +305,7 @@
 		if g.random.happens(0.8) {
 			worker.replicasReadyAt[req.function] = g.now
 		}
-		f.router.restoreReplica(g.now, req, worker.id, g.random.fraction()*g.idleReplicaLifetime*1.3)
+		f.router.restoreReplica(g.now, req, worker.id, units.Seconds(g.random.fraction())*g.idleReplicaLifetime*1.3)
 	}
 }
 
@@ -311,7 +313,7 @@
 	g.requestsSent++
 	class := requestClasses[g.random.below(len(requestClasses))]
 	req := simulatedRequest{id: "q" + strconv.Itoa(g.requestsSent), class: class.name, retried: g.random.happens(g.retryFraction)}
-	req.timeLeft = class.timeout * max(g.random.fraction(), 0.02)
+	req.timeLeft = class.timeout * units.Seconds(max(g.random.fraction(), 0.02))
 	if g.onlyClass != "" {
 		req.class = g.onlyClass
 	} else if g.random.happens(0.02) {
@@ -323,7 +325,7 @@
 	}
 	req.function, req.concurrency = "f"+strconv.Itoa(function), function%4
 	if g.loadTimeKnown {
-		req.loadTime = g.loadTime
+		req.loadTime = units.Seconds(g.loadTime)
 	}
 	return req
 }
@@ -332,7 +334,7 @@
 	f, req := g.frontEnds[g.random.below(len(g.frontEnds))], g.newRequest()
 	f.requests[req.id] = &openRequest{simulatedRequest: req}
 	if g.random.happens(g.cancelFraction) {
-		g.after(g.random.skewed(g.serviceTime), func() { f.cancel(req.id) })
+		g.after(units.Seconds(g.random.skewed(g.serviceTime)), func() { f.cancel(req.id) })
 	}
 	f.router.request(g.now, req)
 }
@@ -350,9 +352,9 @@
 	}
 	meanDuration := 3.0
 	if g.meanFaultDuration > 0 {
-		meanDuration = g.meanFaultDuration
+		meanDuration = float64(g.meanFaultDuration)
 	}
-	g.after(1+g.random.skewed(meanDuration), func() { worker.condition = healthy })
+	g.after(units.Seconds(1+g.random.skewed(meanDuration)), func() { worker.condition = healthy })
 }
 
 // changeWorker drains, crashes, restarts, resizes or adds a worker.
@@ -365,12 +367,12 @@
 	switch change {
 	case 0:
 		worker.state = stateDraining
-		g.after(1+g.random.fraction(), func() { g.removeWorker(worker) })
+		g.after(units.Seconds(1+g.random.fraction()), func() { g.removeWorker(worker) })
 	case 1:
 		g.removeWorker(worker)
 	case 2:
-		worker.startedAt, worker.state, worker.condition = g.now, stateServing, healthy
-		worker.replicasReadyAt = map[string]float64{}
+		worker.startedAt, worker.state, worker.condition = float64(g.now), stateServing, healthy
+		worker.replicasReadyAt = map[string]units.Seconds{}
 	case 3:
 		worker.weight = 0.5 + g.random.fraction()
 	case 4:
@@ -385,7 +387,7 @@
 	worker.state = stateRemoved
 	g.sendEndpointUpdates(worker)
 	if g.random.happens(0.8) {
-		g.after(g.random.fraction(), func() {
+		g.after(units.Seconds(g.random.fraction()), func() {
 			replacement := g.newWorker(g.now)
 			g.workers = append(g.workers, replacement)
 			g.sendEndpointUpdates(replacement)
--- a/control/golden_front_end_test.go
+++ b/control/golden_front_end_test.go
@@ -5,13 +5,15 @@
 	"fmt"
 	"slices"
 	"strconv"
+
+	"streamcleat/internal/units"
 )
 
 // openRequest is a request of a client, with the progress that its front end has made.
 type openRequest struct {
 	simulatedRequest
 	attempts            int
-	attemptStartedAt    float64
+	attemptStartedAt    units.Seconds
 	worker              *goldenWorker
 	inFlight, completed bool
 }
@@ -39,9 +41,9 @@
 }
 
 // startAttempt logs the call and schedules the result of the attempt.
-func (f *goldenFrontEnd) startAttempt(id, workerID string, timeout float64) {
+func (f *goldenFrontEnd) startAttempt(id, workerID string, timeout units.Seconds) {
 	g, req, worker := f.fleet, f.requests[id], f.fleet.workerByID(workerID)
-	f.logCall("attempt", id, workerID, formatExact(timeout))
+	f.logCall("attempt", id, workerID, formatExact(float64(timeout)))
 	req.attempts++
 	req.inFlight, req.attemptStartedAt, req.worker = true, g.now, worker
 	result, latency, start := g.serve(worker, req.function)
@@ -63,7 +65,7 @@
 	}
 	a := attemptResult{
 		id: req.id, worker: worker.id, attempt: attempt - 1, outcome: result, completed: req.completed,
-		latency: g.now - req.attemptStartedAt, start: start,
+		latency: float64(g.now - req.attemptStartedAt), start: start,
 	}
 	if a.reported = result < cancelled && g.random.happens(g.loadReportFraction); a.reported {
 		a.running, a.waiting = worker.utilization(g.now)
@@ -106,8 +108,8 @@
 	g.after(duration, func() { f.router.loadEnded(g.now, workerID, function, result, replicas, duration) })
 }
 
-func (f *goldenFrontEnd) reject(id string, retryAfter float64) {
-	f.logCall("reject", id, formatExact(retryAfter))
+func (f *goldenFrontEnd) reject(id string, retryAfter units.Seconds) {
+	f.logCall("reject", id, formatExact(float64(retryAfter)))
 	f.requests[id].completed = true
 }
 
@@ -130,12 +132,12 @@
 		} else if g.random.happens(0.02) {
 			received[g.random.below(len(received))] ^= byte(1 + g.random.below(255))
 		}
-		g.after(g.random.fraction()/20, func() { other.router.gossip(g.now, received) })
+		g.after(units.Seconds(g.random.fraction()/20), func() { other.router.gossip(g.now, received) })
 	}
 }
 
-func (f *goldenFrontEnd) setTimer(after float64, timer uint64) {
-	f.logCall("wake", formatExact(after), strconv.FormatUint(timer, 10))
+func (f *goldenFrontEnd) setTimer(after units.Seconds, timer uint64) {
+	f.logCall("wake", formatExact(float64(after)), strconv.FormatUint(timer, 10))
 	f.fleet.after(max(after, 0.001), func() { f.router.timer(f.fleet.now, timer) })
 }
 
@@ -151,7 +153,7 @@
 // golden files.
 func (f *goldenFrontEnd) logCall(call string, arguments ...string) {
 	g := f.fleet
-	g.log = fmt.Append(g.log, formatExact(g.now), " r", f.index, " ", call)
+	g.log = fmt.Append(g.log, formatExact(float64(g.now)), " r", f.index, " ", call)
 	for _, argument := range arguments {
 		g.log = append(append(g.log, ' '), argument...)
 	}
--- a/control/golden_worker_test.go
+++ b/control/golden_worker_test.go
@@ -1,5 +1,7 @@
 package control
 
+import "streamcleat/internal/units"
+
 // workerCondition is a fault of a simulated worker.
 type workerCondition int
 
@@ -20,11 +22,11 @@
 type goldenWorker struct {
 	goldenEndpoint
 	condition       workerCondition
-	coresFreeAt     []float64
-	replicasReadyAt map[string]float64 // by function
+	coresFreeAt     []units.Seconds
+	replicasReadyAt map[string]units.Seconds // by function
 }
 
-func (w *goldenWorker) utilization(now float64) (running, waiting float64) {
+func (w *goldenWorker) utilization(now units.Seconds) (running, waiting float64) {
 	for _, freeAt := range w.coresFreeAt {
 		if freeAt > now {
 			running++
@@ -41,12 +43,12 @@
 }
 
 // serve returns the outcome and latency of an attempt on a worker.
-func (g *goldenFleet) serve(worker *goldenWorker, function string) (result outcome, latency float64, start startKind) {
+func (g *goldenFleet) serve(worker *goldenWorker, function string) (result outcome, latency units.Seconds, start startKind) {
 	if result, isFaulty := conditionOutcomes[worker.condition]; isFaulty {
 		if result == timedOut {
 			return result, 1e9, startUnknown
 		}
-		return result, 0.01 + g.random.skewed(0.02), startUnknown
+		return result, units.Seconds(0.01 + g.random.skewed(0.02)), startUnknown
 	}
 	if worker.state == stateRemoved {
 		return unreachable, 0.05, startUnknown
@@ -72,7 +74,7 @@
 }
 
 // occupyCore occupies the core that is free first and returns the time of the response.
-func (g *goldenFleet) occupyCore(worker *goldenWorker, readyAt float64) float64 {
+func (g *goldenFleet) occupyCore(worker *goldenWorker, readyAt units.Seconds) units.Seconds {
 	core := 0
 	for i, freeAt := range worker.coresFreeAt {
 		if freeAt < worker.coresFreeAt[core] {
@@ -83,14 +85,14 @@
 	if worker.condition == slow {
 		serviceTime *= 6
 	}
-	worker.coresFreeAt[core] = max(worker.coresFreeAt[core], readyAt, g.now) + serviceTime
+	worker.coresFreeAt[core] = max(worker.coresFreeAt[core], readyAt, g.now) + units.Seconds(serviceTime)
 	return worker.coresFreeAt[core] + 0.005
 }
 
-func (g *goldenFleet) loadDuration() float64 {
+func (g *goldenFleet) loadDuration() units.Seconds {
 	duration := g.loadTime * (0.7 + g.random.fraction())
-	if progress := (g.now - startTime) / g.duration; g.slowStoreFactor > 0 && progress > 0.33 && progress < 0.67 {
+	if progress := float64((g.now - startTime) / g.duration); g.slowStoreFactor > 0 && progress > 0.33 && progress < 0.67 {
 		duration *= g.slowStoreFactor
 	}
-	return duration
+	return units.Seconds(duration)
 }
--- a/control/gossip.go
+++ b/control/gossip.go
@@ -1,6 +1,10 @@
 package control
 
-import "encoding/binary"
+import (
+	"encoding/binary"
+
+	"streamcleat/internal/units"
+)
 
 // Gossip: front ends broadcast a sample of their responses, each as function, worker and latency.
 
@@ -26,7 +30,7 @@
 }
 
 // broadcastResponse broadcasts a response to the other front ends if it falls into the sample.
-func (r *Router) broadcastResponse(fn *function, w *worker, latency float64) {
+func (r *Router) broadcastResponse(fn *function, w *worker, latency units.Seconds) {
 	needed := r.responsesPerMessage()
 	r.gossipCredits = min(r.gossipCredits+1, maxSavedGossipMessages*needed)
 	if !r.deployment.GossipAllowed || r.gossipCredits < needed || r.deployment.FrontEnds < 2 {
@@ -35,13 +39,13 @@
 	r.gossipCredits -= needed
 	message := uint32(fn.digest())
 	message |= w.digest() << workerDigestShift
-	message |= uint32(min(latency/gossipLatencyStepSeconds, maxGossipLatencySteps)) << gossipLatencyShift
+	message |= uint32(min(float64(latency/gossipLatencyStepSeconds), maxGossipLatencySteps)) << gossipLatencyShift
 	r.host.Broadcast(binary.LittleEndian.AppendUint32(nil, message))
 }
 
 // OnGossip handles a message of another front end. Malformed messages are ignored. A wrong one costs at most an
 // attempt that finds no replica.
-func (r *Router) OnGossip(now float64, data []byte) {
+func (r *Router) OnGossip(now units.Seconds, data []byte) {
 	r.now = now
 	if len(data) != gossipMessageBytes {
 		return
@@ -62,11 +66,11 @@
 
 // decayReportedLoads decays the loads reported by gossip. Without gossip, a worker's own report remains valid until
 // the next.
-func (r *Router) decayReportedLoads(elapsed float64) {
+func (r *Router) decayReportedLoads(elapsed units.Seconds) {
 	if !r.deployment.GossipAllowed {
 		return
 	}
 	for _, w := range r.workers {
-		w.reportedLoad = max(w.reportedLoad, 0) * (1 - min(elapsed/reportedLoadSeconds, 1))
+		w.reportedLoad = max(w.reportedLoad, 0) * (1 - min(float64(elapsed/reportedLoadSeconds), 1))
 	}
 }
--- a/control/host.go
+++ b/control/host.go
@@ -1,5 +1,7 @@
 package control
 
+import "streamcleat/internal/units"
+
 // EndpointState is the state of a worker in the endpoint list.
 type EndpointState int
 
@@ -18,7 +20,7 @@
 	FailureDomain int
 	State         EndpointState
 	Weight        float64
-	StartedAt     float64 // start of the process; 0 if it is long past
+	StartedAt     units.Seconds // start of the process; 0 if it is long past
 }
 
 // UpdateScope specifies which workers an endpoint update covers.
@@ -36,12 +38,12 @@
 	Class        string
 	Tenant       TenantID
 	Function     FunctionID
-	TimeLeft     float64 // time until the client's deadline
-	Concurrency  int     // requests that one replica serves concurrently
+	TimeLeft     units.Seconds // time until the client's deadline
+	Concurrency  int           // requests that one replica serves concurrently
 	Memory       float64
-	LoadTime     float64 // expected duration of a replica load; 0 if unknown
-	ExpectedWork float64 // 0 if unknown
-	Retried      bool    // the client marked it as a retry
+	LoadTime     units.Seconds // expected duration of a replica load; 0 if unknown
+	ExpectedWork units.Seconds // 0 if unknown
+	Retried      bool          // the client marked it as a retry
 }
 
 // Outcome is the result of an attempt or a load command.
@@ -85,7 +87,7 @@
 	Attempt   int
 	Outcome   Outcome
 	Completed bool // the client has received the final response
-	Latency   float64
+	Latency   units.Seconds
 	Start     StartType
 	Report    LoadReport
 }
@@ -96,16 +98,16 @@
 	Function FunctionID
 	Outcome  Outcome
 	Replicas int // replicas now loaded on the worker
-	Duration float64
+	Duration units.Seconds
 }
 
 // Host carries out the decisions of a Router. Times are relative to the current time.
 type Host interface {
 	// StartAttempt sends a request to a worker. The host reports the result with Router.OnAttemptResult, at the
 	// latest when the timeout expires.
-	StartAttempt(request RequestID, worker WorkerID, timeout float64)
+	StartAttempt(request RequestID, worker WorkerID, timeout units.Seconds)
 	// Reject responds that the client may retry the request after retryAfter.
-	Reject(request RequestID, retryAfter float64)
+	Reject(request RequestID, retryAfter units.Seconds)
 	// Fail responds with a final error.
 	Fail(request RequestID)
 	// LoadReplicas commands a worker to hold the given number of replicas. The host reports the result with
@@ -114,7 +116,7 @@
 	// Broadcast sends a message to all other front ends, which pass it to Router.OnGossip.
 	Broadcast(message []byte)
 	// SetTimer schedules a call of Router.OnTimer with the given timer ID.
-	SetTimer(after float64, timer uint64)
+	SetTimer(after units.Seconds, timer uint64)
 	// RequestEndpoints requests the endpoint list, which arrives with Router.OnEndpointUpdate, or fails with
 	// Router.OnEndpointPollFailed.
 	RequestEndpoints()
--- a/control/outlier_ejection.go
+++ b/control/outlier_ejection.go
@@ -1,5 +1,7 @@
 package control
 
+import "streamcleat/internal/units"
+
 // Outlier ejection: workers that receive no requests for a time, because of high latency or a lost load.
 
 const (
@@ -49,12 +51,12 @@
 }
 
 // expectedLatency returns the latency above which a replica is slow, given the long-run latency of its worker.
-func (r *Router) expectedLatency(fn *function, rep *replica) float64 {
-	return slowLatencyRatio * fn.medianLatency * max(rep.worker.relativeLatency, 1)
+func (r *Router) expectedLatency(fn *function, rep *replica) units.Seconds {
+	return slowLatencyRatio * fn.medianLatency * units.Seconds(max(rep.worker.relativeLatency, 1))
 }
 
 // updateLatency updates function, replica and worker with the latency of a warm response.
-func (r *Router) updateLatency(fn *function, rep *replica, latency float64) {
+func (r *Router) updateLatency(fn *function, rep *replica, latency units.Seconds) {
 	if fn.medianLatency == 0 {
 		fn.medianLatency = latency
 	}
@@ -69,7 +71,7 @@
 	rep.recentLatency += recentLatencyWeight * (capped - rep.recentLatency)
 	rep.lastLatencyAt = r.now
 	w := rep.worker
-	w.relativeLatency += relativeLatencyWeight * (latency/fn.medianLatency - w.relativeLatency)
+	w.relativeLatency += relativeLatencyWeight * (float64(latency/fn.medianLatency) - w.relativeLatency)
 	if rep.recentLatency <= r.expectedLatency(fn, rep) {
 		rep.slowSince = 0
 	} else if rep.slowSince == 0 {
--- a/control/outlier_ejection_test.go
+++ b/control/outlier_ejection_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"strconv"
 	"testing"
+
+	"streamcleat/internal/units"
 )
 
 // TestIsSlow_OldLatency checks that one old slow response does not exclude a replica, even with a request in flight.
@@ -64,7 +66,7 @@
 					latency = 1
 				}
 				fn.medianLatency = 0.05 // as if most responses came from other workers
-				r.updateLatency(fn, rep, latency)
+				r.updateLatency(fn, rep, units.Seconds(latency))
 				if rep.slowSince > 0 {
 					slow++
 				}
@@ -80,8 +82,8 @@
 func TestEjectSlowWorker_Bounds(t *testing.T) {
 	for _, c := range []struct {
 		name          string
-		slowFor       float64 // span of the slow responses of each function
-		age           float64 // time since the last of them
+		slowFor       units.Seconds // span of the slow responses of each function
+		age           units.Seconds // time since the last of them
 		functions     int
 		workers       int
 		ejectedOthers int
@@ -124,7 +126,7 @@
 	rep := fn.ensureReplica(r.workers[0])
 	for _, c := range []struct {
 		name               string
-		age, recentLatency float64
+		age, recentLatency units.Seconds
 		slow               bool
 	}{
 		{"above the expected latency", 0.5, 1.5, true},
--- a/control/replica_loading.go
+++ b/control/replica_loading.go
@@ -1,5 +1,7 @@
 package control
 
+import "streamcleat/internal/units"
+
 // Replica loading: when and on which worker a replica is loaded, and which loads requests wait for.
 
 const (
@@ -87,7 +89,7 @@
 func (r *Router) commandLoad(fn *function, w *worker) {
 	fn.pendingLoadOn = w
 	fn.loadCommandedAt = r.now
-	fn.loadCooldownUntil = r.now + loadCooldownSeconds + loadCooldownPerMissSeconds*r.replicaMissRate
+	fn.loadCooldownUntil = r.now + loadCooldownSeconds + units.Seconds(loadCooldownPerMissSeconds*r.replicaMissRate)
 	r.loadCommandTimes = append(r.pruneTimes(r.loadCommandTimes, r.deployment.LoadCommandWindow), r.now)
 	r.host.LoadReplicas(w.id, fn.id, 1)
 }
@@ -114,9 +116,9 @@
 
 // remainingLoadTime returns the expected remaining time of the pending load. An overdue load is expected to take as
 // long again as it already has.
-func (r *Router) remainingLoadTime(fn *function) float64 {
+func (r *Router) remainingLoadTime(fn *function) units.Seconds {
 	elapsed := r.now - fn.loadCommandedAt
-	if remaining := fn.loadTime*max(r.loadSlowdown, 1) - elapsed; remaining > 0 {
+	if remaining := fn.loadTime*units.Seconds(max(r.loadSlowdown, 1)) - elapsed; remaining > 0 {
 		return remaining
 	}
 	return elapsed
@@ -152,7 +154,7 @@
 }
 
 // OnLoadResult handles the result of a load command.
-func (r *Router) OnLoadResult(now float64, result LoadResult) {
+func (r *Router) OnLoadResult(now units.Seconds, result LoadResult) {
 	r.now = now
 	w, known := r.workersByID[result.Worker]
 	fn := r.functionsByID[result.Function]
@@ -160,7 +162,7 @@
 		return
 	}
 	if fn.loadTime > 0 && result.Duration > tickSeconds {
-		r.loadSlowdown += loadSlowdownWeight * (result.Duration/fn.loadTime - r.loadSlowdown)
+		r.loadSlowdown += loadSlowdownWeight * (float64(result.Duration/fn.loadTime) - r.loadSlowdown)
 	}
 	if result.Replicas > 0 {
 		fn.ensureReplica(w).markWarm(now)
@@ -180,7 +182,7 @@
 
 // Preload loads a function that is about to be requested, unless a replica can take the request, a load is pending,
 // or the quota is exhausted. It reports whether it sent a load command.
-func (r *Router) Preload(now float64, in Request) bool {
+func (r *Router) Preload(now units.Seconds, in Request) bool {
 	r.now = now
 	req := &request{Request: in, function: r.functionOf(in), class: &RequestClass{}}
 	serving, _ := r.pickReplica(req, includeOverloaded)
--- a/control/replica_selection.go
+++ b/control/replica_selection.go
@@ -4,6 +4,8 @@
 	"cmp"
 	"math"
 	"slices"
+
+	"streamcleat/internal/units"
 )
 
 // Replica selection: which replica serves a request, and how many replicas share a function's requests.
@@ -185,13 +187,13 @@
 func (r *Router) recordResponses(fn *function, responses float64) {
 	fn.responseRate += responses / rateAveragingSeconds
 	if r.hasManyFrontEnds() {
-		inUse := fn.responseRate * r.latencyP20 * concurrencyHeadroom
+		inUse := fn.responseRate * float64(r.latencyP20) * concurrencyHeadroom
 		fn.targetReplicas = max(inUse/float64(fn.concurrency), 1)
 	}
 }
 
-func (r *Router) decayResponseRates(elapsed float64) {
+func (r *Router) decayResponseRates(elapsed units.Seconds) {
 	for _, fn := range r.functions {
-		fn.responseRate *= 1 - min(elapsed/rateAveragingSeconds, 1)
+		fn.responseRate *= 1 - min(float64(elapsed/rateAveragingSeconds), 1)
 	}
 }
--- a/control/request.go
+++ b/control/request.go
@@ -1,26 +1,30 @@
 package control
 
-import "slices"
+import (
+	"slices"
+
+	"streamcleat/internal/units"
+)
 
 // request is a request that is open or has an attempt in flight.
 type request struct {
 	Request
 	class     *RequestClass
 	function  *function
-	deadline  float64
+	deadline  units.Seconds
 	timerID   uint64
 	attempts  int
 	loadWaits int // loads that the request has waited for
 
-	worker           *worker // worker of the newest attempt; nil before the first and after a replica miss
-	attemptStartedAt float64 // start of the newest attempt
+	worker           *worker       // worker of the newest attempt; nil before the first and after a replica miss
+	attemptStartedAt units.Seconds // start of the newest attempt
 	inFlight         bool
 	awaitsLoad       bool // the newest attempt was sent to a worker without a warm replica
 	finished         bool // answered or cancelled
 
 	possiblyExecuted bool
-	firstExecutionAt float64 // start of the first attempt that may have been executed
-	firstExecutionOn *worker // worker of that attempt
+	firstExecutionAt units.Seconds // start of the first attempt that may have been executed
+	firstExecutionOn *worker       // worker of that attempt
 }
 
 // recordAttemptStart records the start of an attempt on w.
--- a/control/router.go
+++ b/control/router.go
@@ -1,5 +1,7 @@
 package control
 
+import "streamcleat/internal/units"
+
 // Entry points of a Router: each updates the state from its input, then applies the rules of rules.go.
 
 const (
@@ -25,7 +27,7 @@
 }
 
 // OnEndpointUpdate applies an update of the endpoint list. A snapshot removes the workers that it does not list.
-func (r *Router) OnEndpointUpdate(now float64, scope UpdateScope, endpoints []Worker) {
+func (r *Router) OnEndpointUpdate(now units.Seconds, scope UpdateScope, endpoints []Worker) {
 	r.now = now
 	listed := make([]bool, len(r.workers))
 	for _, endpoint := range endpoints {
@@ -51,10 +53,10 @@
 }
 
 // OnEndpointPollFailed schedules another request for the endpoint list.
-func (r *Router) OnEndpointPollFailed(_ float64) { r.host.SetTimer(pollRetrySeconds, pollTimer) }
+func (r *Router) OnEndpointPollFailed(_ units.Seconds) { r.host.SetTimer(pollRetrySeconds, pollTimer) }
 
 // OnRequest handles a new request.
-func (r *Router) OnRequest(now float64, in Request) {
+func (r *Router) OnRequest(now units.Seconds, in Request) {
 	r.now = now
 	r.lastTimerID++
 	req := &request{
@@ -84,7 +86,7 @@
 }
 
 // OnCancel closes a request whose client has cancelled it or disconnected.
-func (r *Router) OnCancel(now float64, id RequestID) {
+func (r *Router) OnCancel(now units.Seconds, id RequestID) {
 	r.now = now
 	if req := r.requests[id]; req != nil {
 		r.finish(req)
@@ -93,7 +95,7 @@
 }
 
 // OnTimer handles the expiry of a timer that was set with Host.SetTimer.
-func (r *Router) OnTimer(now float64, timer uint64) {
+func (r *Router) OnTimer(now units.Seconds, timer uint64) {
 	r.now = now
 	switch timer {
 	case tickTimer:
@@ -122,7 +124,7 @@
 }
 
 // OnAttemptResult handles the result of an attempt. Results of attempts that are not in flight are ignored.
-func (r *Router) OnAttemptResult(now float64, result AttemptResult) {
+func (r *Router) OnAttemptResult(now units.Seconds, result AttemptResult) {
 	r.now = now
 	req := r.requests[result.Request]
 	if req == nil || !req.inFlight {
@@ -196,7 +198,7 @@
 }
 
 // RestoreReplica records, after a restart of the front end, that a replica was seen warm age seconds ago.
-func (r *Router) RestoreReplica(now float64, in Request, id WorkerID, age float64) {
+func (r *Router) RestoreReplica(now units.Seconds, in Request, id WorkerID, age units.Seconds) {
 	r.now = now
 	w, known := r.workersByID[id]
 	if known && w.state == Serving && age < r.deployment.IdleReplicaLifetime {
--- a/control/router_state.go
+++ b/control/router_state.go
@@ -1,14 +1,18 @@
 package control
 
-import "slices"
+import (
+	"slices"
+
+	"streamcleat/internal/units"
+)
 
 // Router makes the routing decisions of one front end from its own view of the fleet. It is not safe for concurrent
 // use.
 type Router struct {
 	deployment *Deployment
 	host       Host
-	now        float64
-	lastTickAt float64
+	now        units.Seconds
+	lastTickAt units.Seconds
 	random     multiplyWithCarry
 
 	requests          map[RequestID]*request // open, or with an attempt in flight
@@ -27,22 +31,22 @@
 	endpointVersion  int // incremented by each endpoint update
 	endpointRulesDue bool
 
-	meanLoadsUpdatedAt float64
+	meanLoadsUpdatedAt units.Seconds
 	meanLoad           float64 // mean load of the serving workers
 	meanReportedLoad   float64 // mean reported load of the serving workers that have one
 
-	requestTimes     []float64 // arrivals within the load command window
-	loadCommandTimes []float64 // load commands within the load command window
-	replicaMissRate  float64   // moving average of the fraction of attempts that found no loaded replica
-	loadSlowdown     float64   // moving average of load duration over expected load time; 0 while unknown
+	requestTimes     []units.Seconds // arrivals within the load command window
+	loadCommandTimes []units.Seconds // load commands within the load command window
+	replicaMissRate  float64         // moving average of the fraction of attempts that found no loaded replica
+	loadSlowdown     float64         // moving average of load duration over expected load time; 0 while unknown
 
-	admissionProbability float64 // probability of admitting a new request; the excess above 1 is a reserve
-	latencyP20           float64 // 20th percentile of response latency, estimated online
-	gossipCredits        float64 // responses not yet reported by gossip
+	admissionProbability float64       // probability of admitting a new request; the excess above 1 is a reserve
+	latencyP20           units.Seconds // 20th percentile of response latency, estimated online
+	gossipCredits        float64       // responses not yet reported by gossip
 }
 
 // New returns a Router. Equal seeds and inputs produce equal decisions.
-func New(deployment *Deployment, seed uint64, host Host, now float64) *Router {
+func New(deployment *Deployment, seed uint64, host Host, now units.Seconds) *Router {
 	return &Router{
 		deployment:           deployment,
 		host:                 host,
@@ -61,8 +65,8 @@
 }
 
 // pruneTimes removes the times older than window from times and returns the rest.
-func (r *Router) pruneTimes(times []float64, window float64) []float64 {
-	return slices.DeleteFunc(times, func(time float64) bool { return time <= r.now-window })
+func (r *Router) pruneTimes(times []units.Seconds, window units.Seconds) []units.Seconds {
+	return slices.DeleteFunc(times, func(time units.Seconds) bool { return time <= r.now-window })
 }
 
 // meanOverServing returns the mean over the serving workers for which value reports a known value.
--- a/control/rules_test.go
+++ b/control/rules_test.go
@@ -6,6 +6,8 @@
 	"strconv"
 	"testing"
 	"testing/quick"
+
+	"streamcleat/internal/units"
 )
 
 // TestRouter_InvariantsHoldUnderRandomFaults plays random deployments with workers that fail, become unresponsive,
@@ -34,12 +36,12 @@
 			class := fleet.deployment.RequestClasses[rnd.Intn(len(fleet.deployment.RequestClasses))]
 			requests++
 			fn := FunctionID(strconv.Itoa(rnd.Intn(1 + rnd.Intn(12))))
-			f.sendRequest(RequestID(strconv.Itoa(requests)), fn, class, class.Timeout*max(rnd.Float64(), 0.01))
+			f.sendRequest(RequestID(strconv.Itoa(requests)), fn, class, class.Timeout*units.Seconds(max(rnd.Float64(), 0.01)))
 		}
 		if worker := fleet.workers[rnd.Intn(len(fleet.workers))]; rnd.Intn(60) == 0 {
 			worker.changeRandomly(rnd, fleet.now)
 			for _, f := range fleet.frontEnds {
-				fleet.after(rnd.Float64(), f.sendEndpointList)
+				fleet.after(units.Seconds(rnd.Float64()), f.sendEndpointList)
 			}
 		}
 	}
@@ -48,7 +50,7 @@
 }
 
 // changeRandomly changes a worker's condition or state, or restarts it.
-func (w *simulatedWorker) changeRandomly(rnd *rand.Rand, now float64) {
+func (w *simulatedWorker) changeRandomly(rnd *rand.Rand, now units.Seconds) {
 	switch rnd.Intn(8) {
 	case 0, 1, 2, 3:
 		w.condition = workerCondition(rnd.Intn(int(partitioned) + 1))
@@ -91,7 +93,7 @@
 			}
 			f := fleet.frontEnds[0]
 			for i := range 500 {
-				f.sendRequest(RequestID(strconv.Itoa(i)), "big", fleet.deployment.RequestClasses[0], []float64{0.001, 3}[i%2])
+				f.sendRequest(RequestID(strconv.Itoa(i)), "big", fleet.deployment.RequestClasses[0], units.Seconds([]float64{0.001, 3}[i%2]))
 			}
 			fleet.advanceSteps(150)
 			for id, req := range f.requests {
--- a/control/simulated_fleet_test.go
+++ b/control/simulated_fleet_test.go
@@ -5,6 +5,8 @@
 	"math/rand"
 	"strconv"
 	"testing"
+
+	"streamcleat/internal/units"
 )
 
 // simulatedFleet is a simple fleet with several front ends and a virtual clock. It shares no code with the package. It
@@ -12,7 +14,7 @@
 type simulatedFleet struct {
 	rnd        *rand.Rand
 	deployment *Deployment
-	now        float64
+	now        units.Seconds
 	frontEnds  []*simulatedFrontEnd
 	workers    []*simulatedWorker
 	scheduled  []scheduledCall
@@ -20,7 +22,7 @@
 }
 
 type scheduledCall struct {
-	at   float64
+	at   units.Seconds
 	call func()
 }
 
@@ -63,12 +65,12 @@
 	}
 }
 
-func (s *simulatedFleet) after(delay float64, call func()) {
+func (s *simulatedFleet) after(delay units.Seconds, call func()) {
 	s.scheduled = append(s.scheduled, scheduledCall{s.now + delay, call})
 }
 
 // advance moves the clock and runs the calls that are then due, in the order in which they were scheduled.
-func (s *simulatedFleet) advance(duration float64) {
+func (s *simulatedFleet) advance(duration units.Seconds) {
 	s.now += duration
 	for i := 0; i < len(s.scheduled); i++ {
 		if s.scheduled[i].at <= s.now {
@@ -111,9 +113,9 @@
 }
 
 // sendAtInterval sends requests at a constant interval, waits for their responses and counts them.
-func (s *simulatedFleet) sendAtInterval(functions int, interval, duration float64) (succeeded, other int) {
+func (s *simulatedFleet) sendAtInterval(functions int, interval, duration units.Seconds) (succeeded, other int) {
 	var requests []*clientRequest
-	for i := 0; float64(i)*interval < duration; i++ {
+	for i := 0; units.Seconds(i)*interval < duration; i++ {
 		s.advance(interval)
 		id, fn := RequestID(fmt.Sprint(s.now, "-", i)), FunctionID(fmt.Sprint("f", i%functions))
 		f := s.frontEnds[i%len(s.frontEnds)]
@@ -154,7 +156,7 @@
 	d.NoLoadOnMiss, d.LoadCommandsAllowed = rnd.Intn(2) == 0, rnd.Intn(4) > 0
 	d.GossipAllowed = rnd.Intn(2) == 0
 	d.MaxAttempts = 1 + rnd.Intn(6)
-	d.MaxRetryAfter = float64(rnd.Intn(2))
+	d.MaxRetryAfter = units.Seconds(rnd.Intn(2))
 	if rnd.Intn(2) == 0 {
 		d.LoadCommandWindow, d.LoadCommandAllowance, d.LoadCommandsPerRequest = 2, float64(rnd.Intn(3)), rnd.Float64()/4
 	}
@@ -162,7 +164,7 @@
 		RequestClass{Name: "at-most-once", LatencyObjective: 0.5, Timeout: 2, Semantics: AtMostOnce},
 		RequestClass{
 			Name: "by-key-fleet", LatencyObjective: 0.8, Timeout: 2, Semantics: IdempotentByKey,
-			DeduplicationWindow: 0.2 + rnd.Float64(),
+			DeduplicationWindow: units.Seconds(0.2 + rnd.Float64()),
 		},
 		RequestClass{
 			Name: "by-key-zone", LatencyObjective: 1, Timeout: 3, Semantics: IdempotentByKey,
--- a/control/simulated_front_end_test.go
+++ b/control/simulated_front_end_test.go
@@ -1,20 +1,22 @@
 package control
 
+import "streamcleat/internal/units"
+
 // simulatedFrontEnd is the host of one router in the simulated fleet.
 type simulatedFrontEnd struct {
 	fleet        *simulatedFleet
 	index        int
 	router       *Router
 	requests     map[RequestID]*clientRequest
-	requestTimes []float64
-	loadTimes    []float64
+	requestTimes []units.Seconds
+	loadTimes    []units.Seconds
 }
 
 // clientRequest is a request of a client, with its attempts and the responses that the client received.
 type clientRequest struct {
 	Request
 	class     RequestClass
-	deadline  float64
+	deadline  units.Seconds
 	responses int
 	succeeded bool
 	attempts  []*attempt
@@ -22,7 +24,7 @@
 
 type attempt struct {
 	worker                  *simulatedWorker
-	startedAt               float64
+	startedAt               units.Seconds
 	ended, possiblyExecuted bool
 }
 
@@ -30,7 +32,7 @@
 func (f *simulatedFrontEnd) sendEndpointList() {
 	var endpoints []Worker
 	for _, worker := range f.fleet.workers {
-		worker.listedState[f.index], worker.listedStart[f.index] = worker.State, worker.StartedAt
+		worker.listedState[f.index], worker.listedStart[f.index] = worker.State, float64(worker.StartedAt)
 		if worker.State != Removed {
 			endpoints = append(endpoints, worker.Worker)
 		}
@@ -39,7 +41,7 @@
 }
 
 // sendRequest sends the router a request of a client.
-func (f *simulatedFrontEnd) sendRequest(id RequestID, fn FunctionID, class RequestClass, timeLeft float64) *clientRequest {
+func (f *simulatedFrontEnd) sendRequest(id RequestID, fn FunctionID, class RequestClass, timeLeft units.Seconds) *clientRequest {
 	req := &clientRequest{
 		class: class, deadline: f.fleet.now + timeLeft,
 		Request: Request{ID: id, Class: class.Name, Function: fn, TimeLeft: timeLeft, Concurrency: 2},
@@ -67,12 +69,12 @@
 }
 
 // StartAttempt checks an attempt and schedules its result.
-func (f *simulatedFrontEnd) StartAttempt(id RequestID, workerID WorkerID, timeout float64) {
+func (f *simulatedFrontEnd) StartAttempt(id RequestID, workerID WorkerID, timeout units.Seconds) {
 	s, req, worker := f.fleet, f.openRequest(id), f.fleet.workerByID(workerID)
 	f.checkAttempt(req, worker, timeout)
 	a := &attempt{worker: worker, startedAt: s.now, possiblyExecuted: true}
 	req.attempts = append(req.attempts, a)
-	if startIsKnown := worker.listedStart[f.index] == worker.StartedAt; startIsKnown {
+	if startIsKnown := units.Seconds(worker.listedStart[f.index]) == worker.StartedAt; startIsKnown {
 		s.checkSlowStart(worker)
 	}
 	outcome, latency := s.execute(worker, req.Function)
@@ -84,7 +86,7 @@
 }
 
 // checkAttempt checks the limit of attempts, the state of the worker, and that only safe retries are sent.
-func (f *simulatedFrontEnd) checkAttempt(req *clientRequest, worker *simulatedWorker, timeout float64) {
+func (f *simulatedFrontEnd) checkAttempt(req *clientRequest, worker *simulatedWorker, timeout units.Seconds) {
 	s := f.fleet
 	if len(req.attempts) >= s.deployment.MaxAttempts || timeout <= 0 {
 		s.recordViolation("attempt %d of %s with timeout %g", len(req.attempts), req.ID, timeout)
@@ -131,7 +133,7 @@
 }
 
 // Reject checks that the client may safely retry the request.
-func (f *simulatedFrontEnd) Reject(id RequestID, retryAfter float64) {
+func (f *simulatedFrontEnd) Reject(id RequestID, retryAfter units.Seconds) {
 	req := f.openRequest(id)
 	req.responses++
 	class := &req.class
@@ -157,7 +159,7 @@
 		s.recordViolation("load command to %s", workerID)
 	}
 	f.loadTimes = append(f.loadTimes, s.now)
-	inWindow := func(times []float64) (count float64) {
+	inWindow := func(times []units.Seconds) (count float64) {
 		for _, at := range times {
 			if at > s.now-d.LoadCommandWindow {
 				count++
@@ -190,13 +192,13 @@
 	}
 	for _, other := range s.frontEnds {
 		if other != f && s.rnd.Intn(10) > 0 {
-			s.after(s.rnd.Float64()/20, func() { other.router.OnGossip(s.now, message) })
+			s.after(units.Seconds(s.rnd.Float64()/20), func() { other.router.OnGossip(s.now, message) })
 		}
 	}
 }
 
 // SetTimer schedules a timer of the router.
-func (f *simulatedFrontEnd) SetTimer(after float64, timer uint64) {
+func (f *simulatedFrontEnd) SetTimer(after units.Seconds, timer uint64) {
 	f.fleet.after(max(after, 0.001), func() { f.router.OnTimer(f.fleet.now, timer) })
 }
 
--- a/control/simulated_worker_test.go
+++ b/control/simulated_worker_test.go
@@ -1,27 +1,29 @@
 package control
 
+import "streamcleat/internal/units"
+
 // simulatedWorker is one worker of the simulated fleet.
 type simulatedWorker struct {
 	Worker
 	serviceRate  float64 // requests per second when warm
-	freeAt       float64
+	freeAt       units.Seconds
 	actualStart  float64
 	listedState  []EndpointState // by front end: the state in the newest endpoint list
 	listedStart  []float64       // by front end: the start in the newest endpoint list
 	condition    workerCondition
 	replicas     map[FunctionID]bool
-	attemptTimes []float64
+	attemptTimes []units.Seconds
 }
 
 // restart starts a new process, which is cold.
-func (w *simulatedWorker) restart(now float64) { w.StartedAt, w.actualStart = now, now }
+func (w *simulatedWorker) restart(now units.Seconds) { w.StartedAt, w.actualStart = now, float64(now) }
 
 func (w *simulatedWorker) evictReplicas() { w.replicas = map[FunctionID]bool{} }
 
 // checkSlowStart checks that the front ends which know of a worker's start together stay within the capacity that it
 // has while warming up.
 func (s *simulatedFleet) checkSlowStart(worker *simulatedWorker) {
-	age := s.now - worker.actualStart
+	age := s.now - units.Seconds(worker.actualStart)
 	if worker.actualStart <= 0 || age >= s.deployment.WarmUpTime {
 		return
 	}
@@ -39,14 +41,14 @@
 }
 
 // warmUpCapacity returns the number of attempts within an overload window that a worker tolerates at an age.
-func (s *simulatedFleet) warmUpCapacity(worker *simulatedWorker, age float64) float64 {
+func (s *simulatedFleet) warmUpCapacity(worker *simulatedWorker, age units.Seconds) float64 {
 	d := s.deployment
-	fraction := d.InitialCapacityFraction + (1-d.InitialCapacityFraction)*age/d.WarmUpTime
-	return d.OverloadFactor * fraction * d.OverloadWindow * worker.serviceRate
+	fraction := d.InitialCapacityFraction + float64(units.Seconds(1-d.InitialCapacityFraction)*age/d.WarmUpTime)
+	return float64(units.Seconds(d.OverloadFactor*fraction)*d.OverloadWindow) * worker.serviceRate
 }
 
 // execute returns the outcome and latency of an attempt on a worker.
-func (s *simulatedFleet) execute(worker *simulatedWorker, fn FunctionID) (outcome Outcome, latency float64) {
+func (s *simulatedFleet) execute(worker *simulatedWorker, fn FunctionID) (outcome Outcome, latency units.Seconds) {
 	switch worker.condition {
 	case unresponsive:
 		return TimedOut, 1e9
@@ -65,6 +67,6 @@
 		return ReplicaMissing, 0.01
 	}
 	worker.replicas[fn] = true
-	worker.freeAt = max(worker.freeAt, s.now) + s.rnd.ExpFloat64()/worker.serviceRate
+	worker.freeAt = max(worker.freeAt, s.now) + units.Seconds(s.rnd.ExpFloat64()/worker.serviceRate)
 	return Succeeded, worker.freeAt - s.now + 0.005
 }
--- a/control/slow_start.go
+++ b/control/slow_start.go
@@ -1,6 +1,10 @@
 package control
 
-import "math"
+import (
+	"math"
+
+	"streamcleat/internal/units"
+)
 
 // Slow start: attempts on a worker that is warming up are limited by a budget, which is granted as credits.
 
@@ -11,12 +15,12 @@
 )
 
 // warmUpProgress returns the fraction of its capacity that w has at the given time, as a lower bound.
-func (r *Router) warmUpProgress(w *worker, time float64) float64 {
+func (r *Router) warmUpProgress(w *worker, time units.Seconds) float64 {
 	age := time - w.startedAt
 	if w.startedAt <= 0 || age >= r.deployment.WarmUpTime {
 		return 1
 	}
-	return r.deployment.InitialCapacityFraction + (1-r.deployment.InitialCapacityFraction)*max(age, 0)/r.deployment.WarmUpTime
+	return r.deployment.InitialCapacityFraction + float64(units.Seconds(1-r.deployment.InitialCapacityFraction)*max(age, 0)/r.deployment.WarmUpTime)
 }
 
 // slowStartBudget returns the number of attempts that this front end may start on w within an overload window. The
@@ -25,7 +29,7 @@
 func (r *Router) slowStartBudget(w *worker) float64 {
 	windowStart := max(r.now-r.deployment.OverloadWindow, w.startedAt)
 	fraction := slowStartBudgetFraction * r.deployment.OverloadFactor * r.warmUpProgress(w, windowStart)
-	budget := fraction * r.deployment.OverloadWindow * w.machine.peakRate
+	budget := float64(units.Seconds(fraction)*r.deployment.OverloadWindow) * w.machine.peakRate
 	return max(budget, 1/float64(r.deployment.FrontEnds))
 }
 
@@ -48,16 +52,16 @@
 	w.usedCredits = max(w.usedCredits+1, w.grantedCredits-maxSaved)
 }
 
-func (r *Router) grantSlowStartCredits(elapsed float64) {
+func (r *Router) grantSlowStartCredits(elapsed units.Seconds) {
 	for _, w := range r.workers {
 		if r.warmUpProgress(w, r.now) < 1 {
-			w.grantedCredits += creditFraction * r.slowStartBudget(w) * elapsed / r.deployment.OverloadWindow
+			w.grantedCredits += float64(units.Seconds(creditFraction*r.slowStartBudget(w)) * elapsed / r.deployment.OverloadWindow)
 		}
 	}
 }
 
 // updateMachineRates updates the rates of the machine types with the successful attempts since the last tick.
-func (r *Router) updateMachineRates(elapsed float64) {
+func (r *Router) updateMachineRates(elapsed units.Seconds) {
 	for _, machine := range r.machines {
 		machine.warmWorkers = 0
 	}
@@ -67,8 +71,8 @@
 		}
 	}
 	for _, machine := range r.machines {
-		rate := machine.successes / elapsed / max(machine.warmWorkers, 1)
-		machine.rate += min(elapsed/rateAveragingSeconds, 1) * (rate - machine.rate)
+		rate := machine.successes / float64(elapsed) / max(machine.warmWorkers, 1)
+		machine.rate += min(float64(elapsed/rateAveragingSeconds), 1) * (rate - machine.rate)
 		machine.peakRate = max(machine.peakRate, machine.rate)
 		machine.successes = 0
 	}
--- a/control/slow_start_test.go
+++ b/control/slow_start_test.go
@@ -4,6 +4,8 @@
 	"fmt"
 	"math"
 	"testing"
+
+	"streamcleat/internal/units"
 )
 
 // TestSlowStart_AllWorkersCold checks that requests are served while all workers are warming up, as after a fast
@@ -47,7 +49,7 @@
 				}
 			}
 		}
-		if capacity := fleet.warmUpCapacity(worker, wait); float64(started) > capacity || started == 0 {
+		if capacity := fleet.warmUpCapacity(worker, units.Seconds(wait)); float64(started) > capacity || started == 0 {
 			t.Errorf("%d attempts on a cold worker with a capacity of %.1f", started, capacity)
 		}
 	}
@@ -66,7 +68,7 @@
 			worker := fleet.workers[0]
 			worker.restart(fleet.now)
 			fleet.sendEndpointLists()
-			var started []float64
+			var started []units.Seconds
 			for step := range 1400 {
 				fleet.advance(stepSeconds)
 				if step == 300 {
@@ -77,10 +79,10 @@
 				for k := len(started) - 1; k >= 0 && started[k] > fleet.now-d.OverloadWindow; k-- {
 					inWindow++
 				}
-				capacity := fleet.warmUpCapacity(worker, fleet.now-worker.actualStart)
+				capacity := fleet.warmUpCapacity(worker, fleet.now-units.Seconds(worker.actualStart))
 				if inWindow > capacity+2*math.Sqrt(capacity)+2 {
 					t.Fatalf("%.0f attempts in the window %.2f s after the start, capacity %.1f",
-						inWindow, fleet.now-worker.actualStart, capacity)
+						inWindow, fleet.now-units.Seconds(worker.actualStart), capacity)
 				}
 			}
 			if len(started) < 5 {
@@ -117,7 +119,7 @@
 
 // useAllCredits starts all attempts that the front ends may start on the first worker, and appends their times to
 // started.
-func (s *simulatedFleet) useAllCredits(started []float64) []float64 {
+func (s *simulatedFleet) useAllCredits(started []units.Seconds) []units.Seconds {
 	class := s.deployment.RequestClasses[0]
 	deadline := s.now + 1
 	for _, i := range s.rnd.Perm(len(s.frontEnds)) {
--- a/control/view.go
+++ b/control/view.go
@@ -1,31 +1,33 @@
 package control
 
+import "streamcleat/internal/units"
+
 // Read-only views of a Router's state, for consoles and traces.
 
 // WorkerView is the state of one worker. Durations are in seconds.
 type WorkerView struct {
 	Worker
-	InFlight         int     // requests of this front end in flight
-	ConcurrencyLimit float64 // maximum of InFlight
-	Load             float64 // estimated requests over its current capacity
-	WarmUpProgress   float64 // fraction of its capacity that it has reached, as a lower bound
-	EjectedFor       float64 // remaining time of its ejection; 0 while not ejected
-	Replicas         int     // functions believed to have a warm replica on it
-	PendingLoads     int     // load commands without a result
+	InFlight         int           // requests of this front end in flight
+	ConcurrencyLimit float64       // maximum of InFlight
+	Load             float64       // estimated requests over its current capacity
+	WarmUpProgress   float64       // fraction of its capacity that it has reached, as a lower bound
+	EjectedFor       units.Seconds // remaining time of its ejection; 0 while not ejected
+	Replicas         int           // functions believed to have a warm replica on it
+	PendingLoads     int           // load commands without a result
 }
 
 // FunctionView is the state of one function. Durations are in seconds.
 type FunctionView struct {
 	ID            FunctionID
 	Concurrency   int
-	InFlight      int        // requests of this front end in flight
-	Waiters       int        // requests that wait for the pending load
-	ResponseRate  float64    // estimated responses per second across all front ends
-	MedianLatency float64    // 0 before the first response
-	Replicas      []WorkerID // workers believed to have a warm replica
-	ReplicaAges   []float64  // time since each of them was last seen warm
-	LoadTime      float64    // expected duration of a load; 0 if unknown
-	PendingLoadOn WorkerID   // worker of the pending load; empty for none
+	InFlight      int             // requests of this front end in flight
+	Waiters       int             // requests that wait for the pending load
+	ResponseRate  float64         // estimated responses per second across all front ends
+	MedianLatency units.Seconds   // 0 before the first response
+	Replicas      []WorkerID      // workers believed to have a warm replica
+	ReplicaAges   []units.Seconds // time since each of them was last seen warm
+	LoadTime      units.Seconds   // expected duration of a load; 0 if unknown
+	PendingLoadOn WorkerID        // worker of the pending load; empty for none
 }
 
 // Workers returns the workers that are not removed, in slot order.
--- a/control/worker.go
+++ b/control/worker.go
@@ -1,5 +1,7 @@
 package control
 
+import "streamcleat/internal/units"
+
 // worker holds the router's view of one endpoint. Removed endpoints keep their slot until it is reused.
 type worker struct {
 	index         int // slot in Router.workers
@@ -9,17 +11,17 @@
 	failureDomain int
 	state         EndpointState
 	weight        float64
-	startedAt     float64
+	startedAt     units.Seconds
 	machine       *machineStats // nil until the worker is first listed as serving or draining
 
 	inFlight         []*request // attempts of this front end
-	lastResponseAt   float64
+	lastResponseAt   units.Seconds
 	concurrencyLimit float64 // maximum number of own requests in flight
-	limitDecreasedAt float64
+	limitDecreasedAt units.Seconds
 	reportedLoad     float64 // requests of other front ends, by load reports and gossip; -1 if unknown
 	relativeLatency  float64 // long-run average of latency over the median of its function
-	ejectedUntil     float64
-	loadBackoffUntil float64 // no load commands are sent before
+	ejectedUntil     units.Seconds
+	loadBackoffUntil units.Seconds // no load commands are sent before
 
 	grantedCredits float64 // slow start credits granted since the process started
 	usedCredits    float64
--- a/internal/appliance/api_functions.go
+++ b/internal/appliance/api_functions.go
@@ -6,6 +6,7 @@
 
 	"streamcleat/control"
 	"streamcleat/internal/dispatch"
+	"streamcleat/internal/units"
 )
 
 const millisecondsPerSecond = 1000
@@ -53,5 +54,5 @@
 	}
 	f.InFlight += view.InFlight
 	f.Waiters += view.Waiters
-	f.MedianLatency = max(f.MedianLatency, view.MedianLatency*millisecondsPerSecond)
+	f.MedianLatency = float64(max(units.Seconds(f.MedianLatency), view.MedianLatency*millisecondsPerSecond))
 }
--- a/internal/appliance/api_requests.go
+++ b/internal/appliance/api_requests.go
@@ -100,15 +100,15 @@
 		Open:     trace.Open,
 		Worker:   response.Worker,
 		Attempts: response.Attempts,
-		Age:      eventloop.Now() - trace.StartedAt,
+		Age:      float64(eventloop.Now() - trace.StartedAt),
 		FrontEnd: frontEnd,
 	}
 	if trace.Open {
-		status.TimeLeft = trace.TimeLeft
+		status.TimeLeft = float64(trace.TimeLeft)
 		return status
 	}
 	status.Outcome = response.Kind.String()
 	status.Cause = response.Cause.String()
-	status.Elapsed = response.Elapsed
+	status.Elapsed = float64(response.Elapsed)
 	return status
 }
--- a/internal/appliance/crash_process_test.go
+++ b/internal/appliance/crash_process_test.go
@@ -13,6 +13,7 @@
 	"streamcleat/internal/dispatch"
 	"streamcleat/internal/schedule"
 	"streamcleat/internal/storage"
+	"streamcleat/internal/units"
 )
 
 // environment is the state outside the process, which a crash does not affect: the workers' executions and the
@@ -119,11 +120,11 @@
 		t.Fatal(err)
 	}
 	p.store = store
-	p.dispatcher = dispatch.New(crashSettings(), p, p.now())
-	for _, response := range p.dispatcher.Recover(p.now(), recovered.Records) {
+	p.dispatcher = dispatch.New(crashSettings(), p, units.Seconds(p.now()))
+	for _, response := range p.dispatcher.Recover(units.Seconds(p.now()), recovered.Records) {
 		env.lost[response.Identity] = true
 	}
-	p.dispatcher.OnEndpointUpdate(p.now(), control.Snapshot, []control.Worker{{ID: "wk-a", Weight: 1}, {ID: "wk-b", Weight: 1}})
+	p.dispatcher.OnEndpointUpdate(units.Seconds(p.now()), control.Snapshot, []control.Worker{{ID: "wk-a", Weight: 1}, {ID: "wk-b", Weight: 1}})
 	p.plan = schedule.Resume(entries, recovered.LastFirings, from)
 	for _, scheduled := range recovered.ScheduledRequests {
 		p.scheduled[scheduled.Request.Identity] = true
@@ -223,7 +224,7 @@
 		commands := p.loadCommands
 		p.loadCommands = nil
 		for _, command := range commands {
-			p.dispatcher.OnLoadReply(p.now(), command.ID, control.Succeeded, 1)
+			p.dispatcher.OnLoadReply(units.Seconds(p.now()), command.ID, control.Succeeded, 1)
 		}
 	}
 }
@@ -241,7 +242,7 @@
 	p.lastWaiter++
 	p.waiters[p.lastWaiter] = request.Identity
 	p.requests[request.Identity] = request
-	p.dispatcher.Submit(p.now(), p.lastWaiter, request)
+	p.dispatcher.Submit(units.Seconds(p.now()), p.lastWaiter, request)
 	p.settle()
 }
 
@@ -263,9 +264,9 @@
 		switch {
 		case f.from != p || p.killed.Load(): // the process that awaited the reply is dead
 		case rng.IntN(6) == 0:
-			p.dispatcher.OnAttemptReply(p.now(), f.attempt.ID, dispatch.WorkerReply{Outcome: control.ConnectionLost})
+			p.dispatcher.OnAttemptReply(units.Seconds(p.now()), f.attempt.ID, dispatch.WorkerReply{Outcome: control.ConnectionLost})
 		default:
-			p.dispatcher.OnAttemptReply(p.now(), f.attempt.ID, dispatch.WorkerReply{Outcome: control.Succeeded, Body: []byte("ok")})
+			p.dispatcher.OnAttemptReply(units.Seconds(p.now()), f.attempt.ID, dispatch.WorkerReply{Outcome: control.Succeeded, Body: []byte("ok")})
 		}
 		p.settle()
 	}
@@ -284,7 +285,7 @@
 	p.runWorkers(rng)
 	if !p.killed.Load() {
 		p.clock.add(0.5)
-		p.dispatcher.Tick(p.now())
+		p.dispatcher.Tick(units.Seconds(p.now()))
 		p.settle()
 	}
 }
--- a/internal/appliance/crash_test.go
+++ b/internal/appliance/crash_test.go
@@ -15,6 +15,7 @@
 
 	"streamcleat/internal/dispatch"
 	"streamcleat/internal/schedule"
+	"streamcleat/internal/units"
 )
 
 var campaignSeeds = flag.Int("campaign", 2, "number of seeds of the crash campaign")
@@ -92,7 +93,7 @@
 		r.process.runWorkers(r.rng)
 		r.clock.add(0.2)
 		if !r.killed.Load() {
-			r.process.dispatcher.Tick(r.process.now())
+			r.process.dispatcher.Tick(units.Seconds(r.process.now()))
 			r.process.settle()
 		}
 	}
--- a/internal/appliance/schedules.go
+++ b/internal/appliance/schedules.go
@@ -11,6 +11,7 @@
 	"streamcleat/internal/eventloop"
 	"streamcleat/internal/schedule"
 	"streamcleat/internal/storage"
+	"streamcleat/internal/units"
 )
 
 // maxScheduleSleep limits the sleep until the next firing, as the clock may be set or the appliance stopped meanwhile.
@@ -142,7 +143,7 @@
 		if response.Cause == dispatch.CauseShuttingDown {
 			return
 		}
-		wait, retry := schedule.NextRetry(deadline, time.Now(), attempt, seconds(response.RetryAfter))
+		wait, retry := schedule.NextRetry(deadline, time.Now(), attempt, seconds(float64(response.RetryAfter)))
 		if retry {
 			time.AfterFunc(wait, func() { a.submitScheduled(request, deadline, attempt+1) })
 			return
@@ -192,7 +193,7 @@
 		Class:    entry.Class,
 		Tenant:   entry.Tenant,
 		Function: entry.Function,
-		Timeout:  entry.Timeout.Seconds(),
+		Timeout:  units.Seconds(entry.Timeout.Seconds()),
 		Fields:   fields,
 		Body:     entry.Data,
 	}
--- a/internal/appliance/startup.go
+++ b/internal/appliance/startup.go
@@ -7,6 +7,7 @@
 	"streamcleat/internal/eventloop"
 	"streamcleat/internal/proxy"
 	"streamcleat/internal/storage"
+	"streamcleat/internal/units"
 )
 
 // openStore loads the state and posts StoreOpened.
@@ -133,7 +134,7 @@
 			Recovered:        a.recovered.Records,
 			ReplicaSnapshots: a.recovered.Replicas,
 			OnRequestEnd:     a.onRequestEnd,
-			RecordTimeout:    cfg.Limits.ResponseMargin / 2,
+			RecordTimeout:    units.Seconds(cfg.Limits.ResponseMargin / 2),
 		},
 	}
 	if a.store != nil {
--- a/internal/appliance/versions.go
+++ b/internal/appliance/versions.go
@@ -7,6 +7,7 @@
 
 	"streamcleat/internal/dispatch"
 	"streamcleat/internal/registry"
+	"streamcleat/internal/units"
 )
 
 // isVersionAllowed reports whether the version of a binding may still run. A withdrawn version may not.
@@ -75,7 +76,7 @@
 		profile.MemoryMB = version.MemoryMB
 	}
 	if version.LoadTime > 0 {
-		profile.LoadTime = version.LoadTime
+		profile.LoadTime = units.Seconds(version.LoadTime)
 	}
 	return binding, profile, nil
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -9,6 +9,7 @@
 	"streamcleat/internal/dispatch"
 	"streamcleat/internal/downstream/cloudevents"
 	"streamcleat/internal/http1"
+	"streamcleat/internal/units"
 	"streamcleat/internal/upstream/openinference"
 )
 
@@ -57,16 +58,16 @@
 		NoLoadOnMiss:            !c.Workers.LoadsOnRequest,
 		LoadCommandsAllowed:     c.Workers.LoadCommands,
 		MaxAttempts:             c.Rules.MaxAttempts,
-		MaxRetryAfter:           c.Rules.MaxRetryAfter,
-		IdleReplicaLifetime:     c.Workers.IdleReplicaLifetime,
-		LoadCommandWindow:       c.Rules.LoadCommandWindow,
+		MaxRetryAfter:           units.Seconds(c.Rules.MaxRetryAfter),
+		IdleReplicaLifetime:     units.Seconds(c.Workers.IdleReplicaLifetime),
+		LoadCommandWindow:       units.Seconds(c.Rules.LoadCommandWindow),
 		LoadCommandAllowance:    c.Rules.LoadCommandAllowance,
 		LoadCommandsPerRequest:  c.Rules.LoadCommandsPerRequest,
 		MinRoundInterval:        minRoundInterval,
 		InitialCapacityFraction: c.Rules.InitialCapacityFraction,
-		WarmUpTime:              c.Rules.WarmUpTime,
+		WarmUpTime:              units.Seconds(c.Rules.WarmUpTime),
 		OverloadFactor:          c.Rules.OverloadFactor,
-		OverloadWindow:          c.Rules.OverloadWindow,
+		OverloadWindow:          units.Seconds(c.Rules.OverloadWindow),
 	}
 	if c.Peers != nil {
 		d.FrontEnds, d.GossipAllowed = c.Peers.FrontEnds, true
@@ -74,11 +75,11 @@
 	for _, class := range c.RequestClasses {
 		d.RequestClasses = append(d.RequestClasses, control.RequestClass{
 			Name:                class.Name,
-			LatencyObjective:    class.LatencyObjective,
-			Timeout:             class.Timeout,
+			LatencyObjective:    units.Seconds(class.LatencyObjective),
+			Timeout:             units.Seconds(class.Timeout),
 			Semantics:           deliverySemantics[class.Semantics],
 			DeduplicationScope:  deduplicationScopes[class.DeduplicationScope],
-			DeduplicationWindow: class.DeduplicationWindow,
+			DeduplicationWindow: units.Seconds(class.DeduplicationWindow),
 		})
 	}
 	for _, tenant := range c.Tenants {
@@ -91,7 +92,7 @@
 func (c *Config) Function(name string) dispatch.FunctionProfile {
 	for _, function := range c.Functions {
 		if matches, _ := path.Match(function.Pattern, name); matches { // Parse has validated the pattern
-			return dispatch.FunctionProfile{Concurrency: max(function.Concurrency, 1), MemoryMB: function.MemoryMB, LoadTime: function.LoadTime}
+			return dispatch.FunctionProfile{Concurrency: max(function.Concurrency, 1), MemoryMB: function.MemoryMB, LoadTime: units.Seconds(function.LoadTime)}
 		}
 	}
 	return dispatch.FunctionProfile{Concurrency: 1}
@@ -102,10 +103,10 @@
 	return dispatch.Settings{
 		Deployment:          c.Deployment(),
 		Functions:           c.Function,
-		ResponseMargin:      c.Limits.ResponseMargin,
-		LoadTimeout:         c.Workers.LoadTimeout,
+		ResponseMargin:      units.Seconds(c.Limits.ResponseMargin),
+		LoadTimeout:         units.Seconds(c.Workers.LoadTimeout),
 		MaxOpen:             c.Limits.MaxOpenRequests,
-		DeduplicationWindow: c.Limits.DeduplicationWindow,
+		DeduplicationWindow: units.Seconds(c.Limits.DeduplicationWindow),
 		MaxCachedBytes:      c.Limits.MaxCachedBytes,
 		Seed:                seed,
 	}
@@ -114,8 +115,8 @@
 // Upstream returns the limits of connections to workers. via is the name of the front end in Via header fields.
 func (c *Config) Upstream(via string) openinference.Limits {
 	return openinference.Limits{
-		DialTimeout:  c.Workers.DialTimeout,
-		IdleTimeout:  c.Workers.IdleTimeout,
+		DialTimeout:  units.Seconds(c.Workers.DialTimeout),
+		IdleTimeout:  units.Seconds(c.Workers.IdleTimeout),
 		MaxPerWorker: c.Workers.MaxConnections,
 		Via:          via,
 		Message:      http1.Limits{Head: c.Limits.MaxHeadBytes, Body: max(c.Limits.MaxBodyBytes, minResponseBody)},
@@ -127,18 +128,18 @@
 	return cloudevents.Limits{
 		Message:        http1.Limits{Head: c.Limits.MaxHeadBytes, Body: c.Limits.MaxBodyBytes},
 		MaxPipelined:   c.Limits.MaxPipelined,
-		RequestTimeout: c.Limits.ReadTimeout,
-		IdleTimeout:    c.Limits.IdleTimeout,
+		RequestTimeout: units.Seconds(c.Limits.ReadTimeout),
+		IdleTimeout:    units.Seconds(c.Limits.IdleTimeout),
 		MaxUnread:      c.Limits.MaxUnreadBytes,
 		ClassTimeout:   c.requestTimeout,
 	}
 }
 
 // requestTimeout returns the timeout of a request class, or 0 for an unknown one.
-func (c *Config) requestTimeout(class string) float64 {
+func (c *Config) requestTimeout(class string) units.Seconds {
 	for i := range c.RequestClasses {
 		if c.RequestClasses[i].Name == class {
-			return c.RequestClasses[i].Timeout
+			return units.Seconds(c.RequestClasses[i].Timeout)
 		}
 	}
 	return 0
--- a/internal/console/tables.go
+++ b/internal/console/tables.go
@@ -103,7 +103,7 @@
 	}
 	steps := [][]string{}
 	for _, step := range r.Steps {
-		steps = append(steps, []string{"  " + formatSeconds(step.At), step.Event, step.Worker, step.Detail})
+		steps = append(steps, []string{"  " + formatSeconds(float64(step.At)), step.Event, step.Worker, step.Detail})
 	}
 	return Table(rows) + "\n\n" + Table(steps)
 }
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -1,6 +1,9 @@
 package deployment
 
-import "streamcleat/control"
+import (
+	"streamcleat/control"
+	"streamcleat/internal/units"
+)
 
 // Deployment converts the terms for the router.
 func (t *Terms) Deployment() *control.Deployment {
@@ -11,18 +14,18 @@
 		LoadCommandsAllowed:     t.Loading.LoadCommandsAllowed,
 		GossipAllowed:           t.Limits.GossipAllowed,
 		MaxAttempts:             max(t.Limits.MaxAttempts, 1),
-		IdleReplicaLifetime:     seconds(t.Loading.IdleReplicaLifetimeMs),
-		LoadCommandWindow:       seconds(t.Loading.LoadCommandWindowMs),
+		IdleReplicaLifetime:     units.Seconds(seconds(t.Loading.IdleReplicaLifetimeMs)),
+		LoadCommandWindow:       units.Seconds(seconds(t.Loading.LoadCommandWindowMs)),
 		LoadCommandAllowance:    t.Loading.LoadCommandAllowance,
 		LoadCommandsPerRequest:  t.Loading.LoadCommandsPerRequest,
-		MinRoundInterval:        seconds(t.RoundMs),
+		MinRoundInterval:        units.Seconds(seconds(t.RoundMs)),
 		InitialCapacityFraction: t.HealthRules.InitialCapacityFraction,
-		WarmUpTime:              seconds(t.HealthRules.WarmUpTimeMs),
+		WarmUpTime:              units.Seconds(seconds(t.HealthRules.WarmUpTimeMs)),
 		OverloadFactor:          t.HealthRules.OverloadFactor,
-		OverloadWindow:          seconds(t.HealthRules.OverloadWindowMs),
+		OverloadWindow:          units.Seconds(seconds(t.HealthRules.OverloadWindowMs)),
 	}
 	if t.Limits.RetryAfterAllowed {
-		d.MaxRetryAfter = seconds(t.Limits.MaxRetryAfterMs)
+		d.MaxRetryAfter = units.Seconds(seconds(t.Limits.MaxRetryAfterMs))
 	}
 	for _, tenant := range t.Tenants {
 		d.Tenants = append(d.Tenants, control.Tenant{Name: control.TenantID(tenant.Name), Quota: tenant.QuotaPerSecond})
@@ -37,11 +40,11 @@
 func (c RequestClass) controlClass() control.RequestClass {
 	return control.RequestClass{
 		Name:                c.Name,
-		LatencyObjective:    seconds(c.LatencyObjectiveMs),
-		Timeout:             seconds(c.TimeoutMs),
+		LatencyObjective:    units.Seconds(seconds(c.LatencyObjectiveMs)),
+		Timeout:             units.Seconds(seconds(c.TimeoutMs)),
 		Semantics:           semanticsByName[c.Semantics],
 		DeduplicationScope:  scopeByName[c.DeduplicationScope],
-		DeduplicationWindow: seconds(c.DeduplicationWindowMs),
+		DeduplicationWindow: units.Seconds(seconds(c.DeduplicationWindowMs)),
 	}
 }
 
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -1,14 +1,17 @@
 package dispatch
 
-import "streamcleat/control"
+import (
+	"streamcleat/control"
+	"streamcleat/internal/units"
+)
 
 // activeAttempt is an attempt in flight.
 type activeAttempt struct {
 	id       uint64
 	request  *openRequest
 	worker   control.WorkerID
-	sentAt   float64
-	deadline float64
+	sentAt   units.Seconds
+	deadline units.Seconds
 	number   int // 0 for the first attempt of the request
 }
 
@@ -18,7 +21,7 @@
 
 // startAttempt sends an open request to a worker. Unless the request is idempotent, a record that it was possibly
 // executed is stored first, and the attempt waits until that record is durable.
-func (d *Dispatcher) startAttempt(req *openRequest, worker control.WorkerID, timeout float64) {
+func (d *Dispatcher) startAttempt(req *openRequest, worker control.WorkerID, timeout units.Seconds) {
 	attempt := &activeAttempt{
 		id: d.nextID(), request: req, worker: worker, sentAt: d.now,
 		deadline: d.now + timeout, number: req.attempts,
@@ -48,7 +51,7 @@
 }
 
 // OnAttemptReply processes the end of an attempt. Replies to abandoned attempts are ignored.
-func (d *Dispatcher) OnAttemptReply(now float64, id uint64, reply WorkerReply) {
+func (d *Dispatcher) OnAttemptReply(now units.Seconds, id uint64, reply WorkerReply) {
 	d.advance(now)
 	if attempt := d.inFlight[id]; attempt != nil {
 		d.endAttempt(attempt, reply)
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -6,6 +6,7 @@
 	"slices"
 
 	"streamcleat/control"
+	"streamcleat/internal/units"
 )
 
 // Settings configures a [Dispatcher]. Times are in seconds.
@@ -19,13 +20,13 @@
 	// VersionAllowed reports whether the version of an earlier attempt may still run. It is set if ResolveVersion is.
 	VersionAllowed func(binding Binding) bool
 	// ResponseMargin is the time before the client's deadline at which the response is sent at the latest.
-	ResponseMargin float64
+	ResponseMargin units.Seconds
 	// LoadTimeout is the time after which a load command is abandoned.
-	LoadTimeout float64
+	LoadTimeout units.Seconds
 	// MaxOpen is the maximum number of open requests.
 	MaxOpen int
 	// DeduplicationWindow is the time for which final responses are cached. If it is 0, none are.
-	DeduplicationWindow float64
+	DeduplicationWindow units.Seconds
 	// MaxCachedBytes is the maximum total size of cached bodies. Beyond it the oldest are dropped.
 	MaxCachedBytes int
 	Seed           uint64
@@ -41,7 +42,7 @@
 	effects  Effects
 	router   *control.Router
 	classes  map[string]*control.RequestClass
-	now      float64
+	now      units.Seconds
 	lastID   uint64 // shared by requests, attempts and load commands
 	draining bool
 
@@ -70,7 +71,7 @@
 }
 
 // New returns a Dispatcher. now is the current time in seconds of a monotonic clock.
-func New(settings Settings, effects Effects, now float64) *Dispatcher {
+func New(settings Settings, effects Effects, now units.Seconds) *Dispatcher {
 	d := &Dispatcher{
 		settings:        settings,
 		effects:         effects,
@@ -107,10 +108,10 @@
 }
 
 // NextTimer returns the time at which [Dispatcher.Tick] must be called next.
-func (d *Dispatcher) NextTimer() float64 { return d.timers[0].at }
+func (d *Dispatcher) NextTimer() units.Seconds { return d.timers[0].at }
 
 // Tick runs the timers that are due.
-func (d *Dispatcher) Tick(now float64) {
+func (d *Dispatcher) Tick(now units.Seconds) {
 	d.advance(now)
 	for len(d.timers) > 0 && d.timers[0].at <= d.now {
 		due := d.timers[0]
@@ -120,7 +121,7 @@
 }
 
 // advance moves the clock forward, never backward.
-func (d *Dispatcher) advance(now float64) { d.now = max(d.now, now) }
+func (d *Dispatcher) advance(now units.Seconds) { d.now = max(d.now, now) }
 
 // nextID returns a new ID for a request, attempt or load command.
 func (d *Dispatcher) nextID() uint64 {
@@ -129,20 +130,20 @@
 }
 
 // OnEndpointUpdate applies an update of the endpoint list.
-func (d *Dispatcher) OnEndpointUpdate(now float64, scope control.UpdateScope, workers []control.Worker) {
+func (d *Dispatcher) OnEndpointUpdate(now units.Seconds, scope control.UpdateScope, workers []control.Worker) {
 	d.advance(now)
 	d.router.OnEndpointUpdate(d.now, scope, workers)
 }
 
 // OnGossip processes a gossip message from another front end.
-func (d *Dispatcher) OnGossip(now float64, message []byte) {
+func (d *Dispatcher) OnGossip(now units.Seconds, message []byte) {
 	d.advance(now)
 	d.router.OnGossip(d.now, message)
 }
 
 // Submit submits a request on behalf of a waiter, which gets exactly one response unless it cancels. The response may be
 // delivered before Submit returns.
-func (d *Dispatcher) Submit(now float64, to WaiterID, request Request) {
+func (d *Dispatcher) Submit(now units.Seconds, to WaiterID, request Request) {
 	d.advance(now)
 	class := d.classes[request.Class]
 	if class == nil {
@@ -192,7 +193,7 @@
 
 // Preload loads a replica of a function that will be requested soon, if the router knows of no loaded replica and the
 // budget of load commands allows it. It reports whether a load command was sent.
-func (d *Dispatcher) Preload(now float64, class, function string) bool {
+func (d *Dispatcher) Preload(now units.Seconds, class, function string) bool {
 	d.advance(now)
 	req := &openRequest{request: Request{Class: class, Function: function}}
 	if d.resolveFunction(req) != nil {
@@ -202,13 +203,13 @@
 }
 
 // Drain stops admitting requests. Open requests continue.
-func (d *Dispatcher) Drain(now float64) {
+func (d *Dispatcher) Drain(now units.Seconds) {
 	d.advance(now)
 	d.draining = true
 }
 
 // Terminate stops admitting requests and ends every open request immediately.
-func (d *Dispatcher) Terminate(now float64) {
+func (d *Dispatcher) Terminate(now units.Seconds) {
 	d.advance(now)
 	d.draining = true
 	open := make([]*openRequest, 0, len(d.requests))
--- a/internal/dispatch/effects.go
+++ b/internal/dispatch/effects.go
@@ -1,6 +1,9 @@
 package dispatch
 
-import "streamcleat/control"
+import (
+	"streamcleat/control"
+	"streamcleat/internal/units"
+)
 
 // Effects executes the actions that a [Dispatcher] decides on. No method may call back into the Dispatcher before it
 // returns.
@@ -30,8 +33,8 @@
 	ID           uint64 // identifies the attempt in its reply
 	Worker       control.WorkerID
 	Function     string
-	Number       int     // 0 for the first attempt of the request
-	Timeout      float64 // seconds after which the Dispatcher abandons the attempt
+	Number       int           // 0 for the first attempt of the request
+	Timeout      units.Seconds // seconds after which the Dispatcher abandons the attempt
 	Identity     Identity
 	Class        string // request class
 	Fields       []Field
--- a/internal/dispatch/harness_test.go
+++ b/internal/dispatch/harness_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"streamcleat/control"
+	"streamcleat/internal/units"
 )
 
 // startTime is the time at which each test begins.
@@ -22,7 +23,7 @@
 type harness struct {
 	t                *testing.T
 	dispatcher       *Dispatcher
-	now              float64
+	now              units.Seconds
 	responses        map[WaiterID][]Response
 	attempts         []Attempt
 	records          []Record
@@ -137,7 +138,7 @@
 }
 
 // advanceTo moves the clock and runs each timer at the time at which it is due.
-func (h *harness) advanceTo(now float64) {
+func (h *harness) advanceTo(now units.Seconds) {
 	for h.dispatcher.NextTimer() <= now {
 		h.now = max(h.now, h.dispatcher.NextTimer())
 		h.dispatcher.Tick(h.now)
@@ -146,7 +147,7 @@
 	h.dispatcher.Tick(now)
 }
 
-func (h *harness) submit(to WaiterID, class, id string, timeout float64) {
+func (h *harness) submit(to WaiterID, class, id string, timeout units.Seconds) {
 	identity := Identity{"/t", id}
 	h.atMostOnce[identity] = class == classAtMostOnce
 	h.dispatcher.Submit(h.now, to, Request{Identity: identity, Class: class, Function: "f", Timeout: timeout})
--- a/internal/dispatch/load.go
+++ b/internal/dispatch/load.go
@@ -4,13 +4,14 @@
 	"strconv"
 
 	"streamcleat/control"
+	"streamcleat/internal/units"
 )
 
 // pendingLoad is a load command without a reply.
 type pendingLoad struct {
 	worker   control.WorkerID
 	function control.FunctionID
-	sentAt   float64
+	sentAt   units.Seconds
 }
 
 // startLoad sends a load command to a worker.
@@ -31,7 +32,7 @@
 
 // OnLoadReply processes the end of a load command. replicas is the number that the worker has loaded, 0 if it did not
 // reply.
-func (d *Dispatcher) OnLoadReply(now float64, id uint64, outcome control.Outcome, replicas int) {
+func (d *Dispatcher) OnLoadReply(now units.Seconds, id uint64, outcome control.Outcome, replicas int) {
 	d.advance(now)
 	load := d.pendingLoads[id]
 	if load == nil {
--- a/internal/dispatch/memory_test.go
+++ b/internal/dispatch/memory_test.go
@@ -7,6 +7,7 @@
 	"testing"
 
 	"streamcleat/control"
+	"streamcleat/internal/units"
 )
 
 func BenchmarkRequest(b *testing.B) {
@@ -15,13 +16,13 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now += 0.0005
-		d.Tick(now)
-		d.Submit(now, WaiterID(i+1), Request{Identity: Identity{"/b", strconv.Itoa(i)}, Class: classIdempotent, Function: "f"})
+		d.Tick(units.Seconds(now))
+		d.Submit(units.Seconds(now), WaiterID(i+1), Request{Identity: Identity{"/b", strconv.Itoa(i)}, Class: classIdempotent, Function: "f"})
 		if effects.load != 0 {
-			d.OnLoadReply(now, effects.load, control.Succeeded, 1)
+			d.OnLoadReply(units.Seconds(now), effects.load, control.Succeeded, 1)
 			effects.load = 0
 		}
-		d.OnAttemptReply(now+0.0001, effects.attempt, WorkerReply{Outcome: control.Succeeded, Start: control.WarmStart})
+		d.OnAttemptReply(units.Seconds(now+0.0001), effects.attempt, WorkerReply{Outcome: control.Succeeded, Start: control.WarmStart})
 	}
 }
 
@@ -36,19 +37,19 @@
 	var before, after uint64
 	for i := range requests {
 		now += 0.007
-		d.Tick(now)
-		d.Submit(now, WaiterID(i+1), Request{
+		d.Tick(units.Seconds(now))
+		d.Submit(units.Seconds(now), WaiterID(i+1), Request{
 			Identity: Identity{"/b", strconv.Itoa(i)},
 			Class:    classes[i%3],
 			Function: fmt.Sprint("f", i/1000),
 			Body:     []byte("some body"),
 		})
 		if effects.load != 0 {
-			d.OnLoadReply(now, effects.load, control.Succeeded, 1)
+			d.OnLoadReply(units.Seconds(now), effects.load, control.Succeeded, 1)
 			effects.load = 0
 		}
 		if effects.attempt != 0 && i%7 > 0 { // one in seven attempts gets no reply
-			d.OnAttemptReply(now+0.0001, effects.attempt, WorkerReply{Outcome: control.Succeeded, Body: []byte("some answer")})
+			d.OnAttemptReply(units.Seconds(now+0.0001), effects.attempt, WorkerReply{Outcome: control.Succeeded, Body: []byte("some answer")})
 		}
 		effects.attempt = 0
 		switch i {
--- a/internal/dispatch/open_request.go
+++ b/internal/dispatch/open_request.go
@@ -4,6 +4,7 @@
 	"strconv"
 
 	"streamcleat/control"
+	"streamcleat/internal/units"
 )
 
 // requestIDBase is the base of the request IDs that are passed to the router.
@@ -12,7 +13,7 @@
 // waiter is a client that waits for the response to an open request.
 type waiter struct {
 	id       WaiterID
-	deadline float64
+	deadline units.Seconds
 }
 
 // requestState is the state of an open request. It is derived from whether the router still holds the request and
@@ -41,14 +42,14 @@
 	profile   FunctionProfile
 	class     *control.RequestClass
 	waiters   []waiter
-	startedAt float64
-	deadline  float64
+	startedAt units.Seconds
+	deadline  units.Seconds
 	released  bool           // no longer held by the router
 	attempt   *activeAttempt // nil: none is in flight
 
 	attempts         int             // number of attempts started
 	possiblyExecuted bool            // by an attempt of this request or of an earlier one with the same identity
-	firstExecutedAt  float64         // start of the first such attempt
+	firstExecutedAt  units.Seconds   // start of the first such attempt
 	digestMismatch   bool            // a worker ran another version than the bound one
 	attemptRecorded  bool            // a record that the request was possibly executed was stored
 	lastOutcome      control.Outcome // of the attempt that ended last
@@ -79,7 +80,7 @@
 }
 
 // routingRequest returns the request in the router's form. timeLeft is the number of seconds until its deadline.
-func (r *openRequest) routingRequest(timeLeft float64) control.Request {
+func (r *openRequest) routingRequest(timeLeft units.Seconds) control.Request {
 	return control.Request{
 		ID:           r.id,
 		Class:        r.request.Class,
@@ -203,7 +204,7 @@
 
 // OnCancel removes a waiter whose client canceled its request or disconnected. A request without waiters gets no further
 // attempt. An attempt in flight continues, so that a retry finds its response, unless Settings.CancelAbandoned is set.
-func (d *Dispatcher) OnCancel(now float64, id WaiterID) {
+func (d *Dispatcher) OnCancel(now units.Seconds, id WaiterID) {
 	d.advance(now)
 	req := d.requestByWaiter[id]
 	if req == nil {
--- a/internal/dispatch/random_test.go
+++ b/internal/dispatch/random_test.go
@@ -7,6 +7,7 @@
 	"testing"
 
 	"streamcleat/control"
+	"streamcleat/internal/units"
 )
 
 // randomRun applies random submissions, retries, cancellations, replies and endpoint updates to a dispatcher.
@@ -59,7 +60,7 @@
 	case 8:
 		r.updateEndpointRandom()
 	case 9:
-		r.advanceTo(r.now + r.rng.Float64())
+		r.advanceTo(r.now + units.Seconds(r.rng.Float64()))
 	}
 }
 
@@ -70,7 +71,7 @@
 		r.classes[id] = []string{classIdempotent, classKeyed, classAtMostOnce}[r.rng.IntN(3)]
 	}
 	timeout := 0.3 + 4*r.rng.Float64()
-	r.submit(r.lastWaiter, r.classes[id], id, timeout)
+	r.submit(r.lastWaiter, r.classes[id], id, units.Seconds(timeout))
 }
 
 func (r *randomRun) cancelRandom() {
--- a/internal/dispatch/recovery.go
+++ b/internal/dispatch/recovery.go
@@ -4,6 +4,7 @@
 	"math"
 
 	"streamcleat/control"
+	"streamcleat/internal/units"
 )
 
 // RecordKind is the kind of a Record.
@@ -19,16 +20,16 @@
 // describes. An attempt or response with AwaitsRecord set must not be sent until the record is durable.
 type Record struct {
 	Kind              RecordKind
-	Response          Response // Identity, Class and Function are always set; the rest for RecordRequestEnded
-	PossiblyExecuted  bool     // the request was possibly executed
-	FirstExecutionAge float64  // seconds since the start of the first attempt that was possibly executed
+	Response          Response      // Identity, Class and Function are always set; the rest for RecordRequestEnded
+	PossiblyExecuted  bool          // the request was possibly executed
+	FirstExecutionAge units.Seconds // seconds since the start of the first attempt that was possibly executed
 }
 
 // RecoveredRecord is a Record read back after a restart.
 type RecoveredRecord struct {
 	Record
-	Age      float64 // seconds of the deduplication window that have elapsed since it was stored
-	Reliable bool    // FirstExecutionAge, counted back from now, is exact; if false, any time may have passed
+	Age      units.Seconds // seconds of the deduplication window that have elapsed since it was stored
+	Reliable bool          // FirstExecutionAge, counted back from now, is exact; if false, any time may have passed
 }
 
 // ReplicaSnapshot describes a replica that a front end believes to be loaded. A process stores its snapshots for the next
@@ -37,10 +38,10 @@
 	Function        string // the function's ID for routing
 	Binding         Binding
 	Concurrency     int
-	LoadTime        float64
+	LoadTime        units.Seconds
 	Worker          string
-	WorkerStartedAt float64 // Unix time in seconds; 0: unknown, long ago
-	Age             float64 // seconds since the replica was last seen
+	WorkerStartedAt units.Seconds // Unix time in seconds; 0: unknown, long ago
+	Age             units.Seconds // seconds since the replica was last seen
 }
 
 // storeAttemptRecord stores that a request is possibly executed.
@@ -80,7 +81,7 @@
 //   - an at-most-once request fails.
 //
 // Recover returns the responses of the requests that failed.
-func (d *Dispatcher) Recover(now float64, records []RecoveredRecord) (failed []Response) {
+func (d *Dispatcher) Recover(now units.Seconds, records []RecoveredRecord) (failed []Response) {
 	d.advance(now)
 	for i := range records {
 		record := &records[i]
@@ -94,7 +95,7 @@
 			response:         record.Response,
 			expiresAt:        d.now + window,
 			possiblyExecuted: record.PossiblyExecuted,
-			firstExecutedAt:  math.Inf(-1),
+			firstExecutedAt:  units.Seconds(math.Inf(-1)),
 		}
 		if record.Reliable {
 			cached.firstExecutedAt = d.now - record.FirstExecutionAge
@@ -148,7 +149,7 @@
 
 // ReplicaSnapshots returns the replicas that the router believes to be loaded. startedAt returns the start of a worker in
 // Unix seconds.
-func (d *Dispatcher) ReplicaSnapshots(startedAt func(control.WorkerID) float64) []ReplicaSnapshot {
+func (d *Dispatcher) ReplicaSnapshots(startedAt func(control.WorkerID) units.Seconds) []ReplicaSnapshot {
 	var snapshots []ReplicaSnapshot
 	for _, function := range d.router.Functions() {
 		for i, worker := range function.Replicas {
@@ -168,7 +169,7 @@
 
 // RestoreReplica passes a replica that an earlier process knew to the router. The replica's worker must have been listed
 // by OnEndpointUpdate before.
-func (d *Dispatcher) RestoreReplica(now float64, snapshot ReplicaSnapshot) {
+func (d *Dispatcher) RestoreReplica(now units.Seconds, snapshot ReplicaSnapshot) {
 	d.advance(now)
 	if snapshot.Binding.ID != "" {
 		d.bindings[snapshot.Binding.ID] = snapshot.Binding
--- a/internal/dispatch/recovery_test.go
+++ b/internal/dispatch/recovery_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"streamcleat/control"
+	"streamcleat/internal/units"
 )
 
 // A request whose attempt has no recorded end was possibly executed. The response to a retry depends on the delivery
@@ -13,8 +14,8 @@
 		name        string
 		class       string
 		reliable    bool
-		firstRunAgo float64
-		age         float64
+		firstRunAgo units.Seconds
+		age         units.Seconds
 		failed      bool
 		attempts    int // for a retry
 	}{
@@ -72,7 +73,7 @@
 func TestRestoreReplica_FromSnapshot(t *testing.T) {
 	h := newHarness(t, nil)
 	h.reply(h.submitAndStart(classIdempotent, "e").ID, control.Succeeded)
-	snapshots := h.dispatcher.ReplicaSnapshots(func(control.WorkerID) float64 { return 7 })
+	snapshots := h.dispatcher.ReplicaSnapshots(func(control.WorkerID) units.Seconds { return 7 })
 	if len(snapshots) != 1 || snapshots[0].Function != "f" || snapshots[0].WorkerStartedAt != 7 || snapshots[0].Concurrency != 2 {
 		t.Fatalf("%+v", snapshots)
 	}
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -1,5 +1,7 @@
 package dispatch
 
+import "streamcleat/internal/units"
+
 // WaiterID identifies one client request that waits for a response. The caller chooses it and never reuses it.
 type WaiterID uint64
 
@@ -18,13 +20,13 @@
 	Class            string // request class
 	Tenant           string
 	Function         string
-	Timeout          float64 // seconds that the client waits, counted from when it sent the request; 0: the class's timeout
-	QueueTime        float64 // maximum seconds for which the request was buffered before it was read
-	Fields           []Field // for the worker: context attributes and the content type
+	Timeout          units.Seconds // seconds that the client waits, counted from when it sent the request; 0: the class's timeout
+	QueueTime        units.Seconds // maximum seconds for which the request was buffered before it was read
+	Fields           []Field       // for the worker: context attributes and the content type
 	Body             []byte
 	Retried          bool            // the client marked the request as a retry
 	StatedProfile    FunctionProfile // overrides the configured profile unless its Concurrency is 0
-	ExpectedWork     float64         // execution time that the client expects, in seconds; 0: unknown
+	ExpectedWork     units.Seconds   // execution time that the client expects, in seconds; 0: unknown
 	RejectDuplicates bool            // reject the request instead of joining it to an open one of the same identity
 }
 
@@ -39,7 +41,7 @@
 
 // FunctionProfile holds the properties of a function that are known before its first request.
 type FunctionProfile struct {
-	Concurrency int     // maximum number of requests that one replica runs concurrently
-	MemoryMB    float64 // memory of one replica
-	LoadTime    float64 // expected seconds to load a replica; 0: unknown
+	Concurrency int           // maximum number of requests that one replica runs concurrently
+	MemoryMB    float64       // memory of one replica
+	LoadTime    units.Seconds // expected seconds to load a replica; 0: unknown
 }
--- a/internal/dispatch/response.go
+++ b/internal/dispatch/response.go
@@ -1,6 +1,9 @@
 package dispatch
 
-import "streamcleat/control"
+import (
+	"streamcleat/control"
+	"streamcleat/internal/units"
+)
 
 // ResponseKind is the result of a request for its client.
 type ResponseKind uint8
@@ -20,15 +23,15 @@
 type Response struct {
 	Kind         ResponseKind
 	Cause        Cause
-	RetryAfter   float64 // seconds after which the client may retry a rejected request
-	Worker       string  // of the last attempt
+	RetryAfter   units.Seconds // seconds after which the client may retry a rejected request
+	Worker       string        // of the last attempt
 	Start        control.StartType
 	Replayed     bool // already given to another waiter of the same identity
 	Attempts     int
 	Fields       []Field
 	Body         []byte
 	Identity     Identity
-	Elapsed      float64 // seconds from admission to the end of the request
+	Elapsed      units.Seconds // seconds from admission to the end of the request
 	Class        string
 	Function     string
 	Tenant       string
--- a/internal/dispatch/response_cache.go
+++ b/internal/dispatch/response_cache.go
@@ -1,16 +1,19 @@
 package dispatch
 
-import "streamcleat/control"
+import (
+	"streamcleat/control"
+	"streamcleat/internal/units"
+)
 
 // cachedResponse is the final response to a request, retained so that a retry gets the same response.
 type cachedResponse struct {
 	identity         Identity
 	response         Response
-	expiresAt        float64
-	possiblyExecuted bool    // by some attempt
-	firstExecutedAt  float64 // start of the first such attempt
-	bodyDropped      bool    // the body is no longer counted in responseCache.bodyBytes
-	superseded       bool    // a later request of the same identity has ended
+	expiresAt        units.Seconds
+	possiblyExecuted bool          // by some attempt
+	firstExecutedAt  units.Seconds // start of the first such attempt
+	bodyDropped      bool          // the body is no longer counted in responseCache.bodyBytes
+	superseded       bool          // a later request of the same identity has ended
 }
 
 // mustReplay reports whether a retry gets the cached response instead of being executed. Only a rejected request may be
@@ -19,7 +22,7 @@
 
 // failIfDeduplicationExpired turns a cached rejection into a failure once a retry could have a duplicate effect, because
 // workers may have forgotten the first execution.
-func (c *cachedResponse) failIfDeduplicationExpired(class *control.RequestClass, now float64) {
+func (c *cachedResponse) failIfDeduplicationExpired(class *control.RequestClass, now units.Seconds) {
 	if c.response.Kind == Rejected && c.possiblyExecuted && deduplicationExpired(class, c.firstExecutedAt, now) {
 		c.response.Kind, c.response.Cause = Failed, CauseResponseExpired
 	}
@@ -27,7 +30,7 @@
 
 // deduplicationExpired reports whether a request has an idempotency key and workers may have forgotten its first
 // execution, so that another one would have a duplicate effect.
-func deduplicationExpired(class *control.RequestClass, firstExecutedAt, now float64) bool {
+func deduplicationExpired(class *control.RequestClass, firstExecutedAt, now units.Seconds) bool {
 	return class.Semantics == control.IdempotentByKey && now >= firstExecutedAt+class.DeduplicationWindow
 }
 
@@ -60,7 +63,7 @@
 func (c *responseCache) get(identity Identity) *cachedResponse { return c.byIdentity[identity] }
 
 // lookup returns the cached response of an identity; nil if there is none or it has expired.
-func (c *responseCache) lookup(identity Identity, now float64) *cachedResponse {
+func (c *responseCache) lookup(identity Identity, now units.Seconds) *cachedResponse {
 	cached := c.byIdentity[identity]
 	if cached != nil && cached.expiresAt <= now {
 		return nil
@@ -118,7 +121,7 @@
 }
 
 // expire removes expired and superseded responses.
-func (c *responseCache) expire(now float64) {
+func (c *responseCache) expire(now units.Seconds) {
 	expired := 0
 	for expired < len(c.byAge) && (c.byAge[expired].expiresAt <= now || c.byAge[expired].superseded) {
 		cached := c.byAge[expired]
--- a/internal/dispatch/routing_host.go
+++ b/internal/dispatch/routing_host.go
@@ -1,6 +1,9 @@
 package dispatch
 
-import "streamcleat/control"
+import (
+	"streamcleat/control"
+	"streamcleat/internal/units"
+)
 
 // routingHost implements [control.Host] for a dispatcher: it executes the router's decisions.
 type routingHost struct{ dispatcher *Dispatcher }
@@ -8,13 +11,13 @@
 var _ control.Host = routingHost{}
 
 // StartAttempt implements [control.Host].
-func (h routingHost) StartAttempt(id control.RequestID, worker control.WorkerID, timeout float64) {
+func (h routingHost) StartAttempt(id control.RequestID, worker control.WorkerID, timeout units.Seconds) {
 	h.dispatcher.startAttempt(h.dispatcher.requests[id], worker, timeout)
 }
 
 // Reject implements [control.Host]. The router does not know about earlier requests of the same identity: if one was
 // possibly executed and another execution is not safe, the request fails instead.
-func (h routingHost) Reject(id control.RequestID, retryAfter float64) {
+func (h routingHost) Reject(id control.RequestID, retryAfter units.Seconds) {
 	d := h.dispatcher
 	req := d.requests[id]
 	response := d.newResponse(req, Rejected, d.causeOf(req))
@@ -41,7 +44,7 @@
 func (h routingHost) Broadcast(message []byte) { h.dispatcher.effects.Broadcast(message) }
 
 // SetTimer implements [control.Host].
-func (h routingHost) SetTimer(after float64, mark uint64) {
+func (h routingHost) SetTimer(after units.Seconds, mark uint64) {
 	h.dispatcher.armTimer(after, routerTimer, mark, nil)
 }
 
--- a/internal/dispatch/send_permit.go
+++ b/internal/dispatch/send_permit.go
@@ -1,16 +1,18 @@
 package dispatch
 
+import "streamcleat/internal/units"
+
 // SendPermit is the decision whether an attempt or load command may be written now. Pools need a SendPermit to encode a
 // message, so that a decision made earlier is always checked again immediately before the message is written. Only the
 // [Dispatcher] issues permits.
 type SendPermit struct {
 	denial   SendDenial
-	timeLeft float64
+	timeLeft units.Seconds
 }
 
 // PermitSend returns a permit. timeLeft is the number of seconds until the client's deadline. It is for the Dispatcher
 // and its test fakes.
-func PermitSend(timeLeft float64) SendPermit { return SendPermit{timeLeft: timeLeft} }
+func PermitSend(timeLeft units.Seconds) SendPermit { return SendPermit{timeLeft: timeLeft} }
 
 // DenySend returns a SendPermit that denies sending. It is for the Dispatcher and its test fakes.
 func DenySend(denial SendDenial) SendPermit { return SendPermit{denial: denial} }
@@ -19,7 +21,7 @@
 func (p SendPermit) Permitted() bool { return p.denial == sendPermitted }
 
 // TimeLeft returns the number of seconds until the client's deadline, as of the permit's issue.
-func (p SendPermit) TimeLeft() float64 { return p.timeLeft }
+func (p SendPermit) TimeLeft() units.Seconds { return p.timeLeft }
 
 // Denial returns the reason why the message must not be written.
 func (p SendPermit) Denial() SendDenial { return p.denial }
@@ -43,7 +45,7 @@
 
 // AuthorizeAttempt decides whether an attempt may be written now. Pools call it immediately before they write the
 // attempt.
-func (d *Dispatcher) AuthorizeAttempt(now float64, id uint64) SendPermit {
+func (d *Dispatcher) AuthorizeAttempt(now units.Seconds, id uint64) SendPermit {
 	d.advance(now)
 	permit := d.decideSend(id)
 	if !permit.Permitted() {
@@ -53,7 +55,7 @@
 }
 
 // AuthorizeLoad permits a load command. It never denies, because no client waits for the command.
-func (d *Dispatcher) AuthorizeLoad(now float64) SendPermit {
+func (d *Dispatcher) AuthorizeLoad(now units.Seconds) SendPermit {
 	d.advance(now)
 	return PermitSend(d.settings.LoadTimeout)
 }
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -4,6 +4,7 @@
 	"container/heap"
 
 	"streamcleat/control"
+	"streamcleat/internal/units"
 )
 
 // routerPeriodicMark is the mark of the router's periodic timer, which also expires cached responses.
@@ -21,7 +22,7 @@
 
 // timer is an entry of a timerQueue.
 type timer struct {
-	at       float64
+	at       units.Seconds
 	kind     timerKind
 	key      uint64
 	sequence uint64 // order of arming; timers due at the same time fire in this order
@@ -59,7 +60,7 @@
 }
 
 // armTimer adds a timer that is due in the given number of seconds.
-func (d *Dispatcher) armTimer(after float64, kind timerKind, key uint64, req *openRequest) {
+func (d *Dispatcher) armTimer(after units.Seconds, kind timerKind, key uint64, req *openRequest) {
 	d.timerSequence++
 	heap.Push(&d.timers, timer{
 		at:       d.now + max(after, 0),
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -7,6 +7,7 @@
 	"strings"
 
 	"streamcleat/control"
+	"streamcleat/internal/units"
 )
 
 // Limits that bound the memory of traces at any request rate.
@@ -51,10 +52,10 @@
 
 // TraceStep is an event in the history of a request.
 type TraceStep struct {
-	At     float64 `json:"at"` // seconds since the request was admitted
-	Event  string  `json:"what"`
-	Worker string  `json:"worker,omitempty"`
-	Detail string  `json:"detail,omitempty"`
+	At     units.Seconds `json:"at"` // seconds since the request was admitted
+	Event  string        `json:"what"`
+	Worker string        `json:"worker,omitempty"`
+	Detail string        `json:"detail,omitempty"`
 }
 
 // Trace is the history of a request, open or ended.
@@ -63,8 +64,8 @@
 	Class     string
 	Function  string
 	Tenant    string
-	StartedAt float64 // on the Dispatcher's clock
-	TimeLeft  float64 // seconds until its deadline, while it is open
+	StartedAt units.Seconds // on the Dispatcher's clock
+	TimeLeft  units.Seconds // seconds until its deadline, while it is open
 	Open      bool
 	Waiters   int
 	Response  Response // without body and fields; only Worker, Attempts and Binding while the request is open
@@ -79,7 +80,7 @@
 
 // loadStep is an event in the history of a load command.
 type loadStep struct {
-	at       float64
+	at       units.Seconds
 	function string
 	step     TraceStep
 }
--- a/internal/downstream/cloudevents/golden_test.go
+++ b/internal/downstream/cloudevents/golden_test.go
@@ -8,6 +8,7 @@
 
 	"streamcleat/internal/downstream/cloudevents"
 	"streamcleat/internal/http1"
+	"streamcleat/internal/units"
 	"streamcleat/internal/verification/goldentest"
 )
 
@@ -17,7 +18,9 @@
 		client := &goldentest.FakeClient{Encode: encode, Show: goldentest.Lines}
 		client.Session = cloudevents.NewSession(cloudevents.Limits{
 			Message: http1.Limits{Head: 2000, Body: 500}, MaxPipelined: 3, RequestTimeout: 2, IdleTimeout: 10, MaxUnread: 1 << 16,
-			ClassTimeout: func(class string) float64 { return map[string]float64{"call": 5, "long": 60}[class] },
+			ClassTimeout: func(class string) units.Seconds {
+				return units.Seconds(map[string]float64{"call": 5, "long": 60}[class])
+			},
 		}, "front-1", client, 0)
 		return client
 	})
--- a/internal/downstream/cloudevents/problem.go
+++ b/internal/downstream/cloudevents/problem.go
@@ -7,6 +7,7 @@
 
 	"streamcleat/internal/dispatch"
 	"streamcleat/internal/http1"
+	"streamcleat/internal/units"
 )
 
 // problemType is the last component of a problem's type URI.
@@ -45,16 +46,16 @@
 // problemDetails is the body of an error response (RFC 9457). Members are in alphabetical order. The optional ones
 // describe the result of a request that was dispatched.
 type problemDetails struct {
-	Cause      string       `json:"cause,omitempty"`
-	Detail     string       `json:"detail"`
-	Event      *problemItem `json:"event,omitempty"`
-	Attempts   *int         `json:"launches,omitempty"`
-	Outcome    string       `json:"outcome,omitempty"`
-	RetryAfter *float64     `json:"retry-after,omitempty"`
-	Status     int          `json:"status"`
-	Title      string       `json:"title"`
-	Type       string       `json:"type"`
-	Worker     string       `json:"worker,omitempty"`
+	Cause      string         `json:"cause,omitempty"`
+	Detail     string         `json:"detail"`
+	Event      *problemItem   `json:"event,omitempty"`
+	Attempts   *int           `json:"launches,omitempty"`
+	Outcome    string         `json:"outcome,omitempty"`
+	RetryAfter *units.Seconds `json:"retry-after,omitempty"`
+	Status     int            `json:"status"`
+	Title      string         `json:"title"`
+	Type       string         `json:"type"`
+	Worker     string         `json:"worker,omitempty"`
 }
 
 // problemItem identifies the event that a problem concerns.
--- a/internal/downstream/cloudevents/response.go
+++ b/internal/downstream/cloudevents/response.go
@@ -63,7 +63,7 @@
 	}
 	if r.Kind == dispatch.Rejected {
 		details.RetryAfter = &retryAfter
-		seconds := strconv.Itoa(int(math.Ceil(retryAfter)))
+		seconds := strconv.Itoa(int(math.Ceil(float64(retryAfter))))
 		fields = append(fields, dispatch.Field{Name: "Retry-After", Value: seconds})
 	}
 	return encodeProblem(status, problemType(r.Kind.String()), details, fields, closes)
--- a/internal/downstream/cloudevents/session.go
+++ b/internal/downstream/cloudevents/session.go
@@ -9,16 +9,17 @@
 
 	"streamcleat/internal/dispatch"
 	"streamcleat/internal/http1"
+	"streamcleat/internal/units"
 )
 
 // Limits configures client connections. Times are in seconds.
 type Limits struct {
 	Message        http1.Limits
-	MaxPipelined   int                        // requests per connection that wait for their responses
-	RequestTimeout float64                    // from the first byte of a request until it is complete
-	IdleTimeout    float64                    // until a connection without requests is closed
-	MaxUnread      int                        // bytes of responses that a client may leave unread
-	ClassTimeout   func(class string) float64 // maximum timeout of a request; 0 if the class is unknown
+	MaxPipelined   int                              // requests per connection that wait for their responses
+	RequestTimeout units.Seconds                    // from the first byte of a request until it is complete
+	IdleTimeout    units.Seconds                    // until a connection without requests is closed
+	MaxUnread      int                              // bytes of responses that a client may leave unread
+	ClassTimeout   func(class string) units.Seconds // maximum timeout of a request; 0 if the class is unknown
 }
 
 // RequestHandler handles the requests of a session.
@@ -37,9 +38,9 @@
 	proxyName    string            // identifies this front end in Proxy-Status
 	pending      []*pendingRequest // in order of arrival
 	lastSlot     uint64
-	requestStart float64 // when the first byte of the incomplete request was received
-	activeAt     float64 // time of the last request or response
-	closed       bool    // no more input is read
+	requestStart units.Seconds // when the first byte of the incomplete request was received
+	activeAt     units.Seconds // time of the last request or response
+	closed       bool          // no more input is read
 	disconnected bool
 	output       bytes.Buffer
 }
@@ -57,12 +58,12 @@
 const maxRetainedOutput = 1 << 16
 
 // NewSession returns the session of a connection accepted at the time now.
-func NewSession(limits Limits, proxyName string, handler RequestHandler, now float64) *Session {
+func NewSession(limits Limits, proxyName string, handler RequestHandler, now units.Seconds) *Session {
 	return &Session{limits: limits, framer: http1.NewRequestFramer(limits.Message), handler: handler, proxyName: proxyName, activeAt: now}
 }
 
 // Feed processes bytes from the client. Wall is the wall-clock time, to which an expirytime is compared.
-func (s *Session) Feed(now float64, wall time.Time, data []byte) {
+func (s *Session) Feed(now units.Seconds, wall time.Time, data []byte) {
 	if s.closed || s.disconnected {
 		return
 	}
@@ -75,7 +76,7 @@
 }
 
 // readRequests handles the complete requests received so far.
-func (s *Session) readRequests(now float64, wall time.Time) {
+func (s *Session) readRequests(now units.Seconds, wall time.Time) {
 	for !s.closed {
 		m, err := s.framer.Next()
 		if err != nil {
@@ -116,7 +117,7 @@
 }
 
 // onRequest handles a complete request: it queues an event for submission and answers anything else right away.
-func (s *Session) onRequest(now float64, wall time.Time, m *http1.Message) {
+func (s *Session) onRequest(now units.Seconds, wall time.Time, m *http1.Message) {
 	waiting := len(s.pending)
 	pending := s.addPending()
 	pending.closes = m.Close
@@ -166,7 +167,7 @@
 }
 
 // Idle reports whether no request is open or incomplete, and the time of the last activity.
-func (s *Session) Idle() (since float64, idle bool) {
+func (s *Session) Idle() (since units.Seconds, idle bool) {
 	return s.activeAt, s.framer.Idle() && len(s.pending) == 0
 }
 
@@ -197,11 +198,11 @@
 
 // Tick applies timeouts and reports whether there is output or the connection is done. An overdue request is answered with
 // an error that ends the connection; a connection that was idle too long is closed silently.
-func (s *Session) Tick(now float64) bool {
+func (s *Session) Tick(now units.Seconds) bool {
 	switch {
 	case s.closed || s.disconnected:
 	case !s.framer.Idle() && now-s.requestStart > s.limits.RequestTimeout:
-		s.fail(requestTimedOut(s.limits.RequestTimeout))
+		s.fail(requestTimedOut(float64(s.limits.RequestTimeout)))
 		s.Advance(now)
 	case s.framer.Idle() && len(s.pending) == 0 && now-s.activeAt > s.limits.IdleTimeout:
 		s.closed = true
--- a/internal/downstream/cloudevents/session_test.go
+++ b/internal/downstream/cloudevents/session_test.go
@@ -11,12 +11,13 @@
 	"streamcleat/control"
 	"streamcleat/internal/dispatch"
 	"streamcleat/internal/http1"
+	"streamcleat/internal/units"
 )
 
 var (
 	limits = Limits{
 		Message: http1.Limits{Head: 2000, Body: 500}, MaxPipelined: 4, RequestTimeout: 2, IdleTimeout: 10, MaxUnread: 1 << 16,
-		ClassTimeout: func(string) float64 { return 5 },
+		ClassTimeout: func(string) units.Seconds { return 5 },
 	}
 	wall = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 )
--- a/internal/downstream/cloudevents/timeout.go
+++ b/internal/downstream/cloudevents/timeout.go
@@ -5,6 +5,8 @@
 	"strconv"
 	"strings"
 	"time"
+
+	"streamcleat/internal/units"
 )
 
 // expired is the timeout of a request whose deadline has passed. A timeout of 0 means that the request states none.
@@ -15,7 +17,7 @@
 
 // parseTimeout returns the time in seconds that the client waits: the lesser of its wait preference (RFC 7240) and the time
 // left until expirytime, 0 if neither is stated, and expired if it is over.
-func parseTimeout(header nethttp.Header, expiry string, wall time.Time) (float64, *requestError) {
+func parseTimeout(header nethttp.Header, expiry string, wall time.Time) (units.Seconds, *requestError) {
 	timeout, failure := parsePreferredWait(header)
 	if failure != nil || expiry == "" {
 		return timeout, failure
@@ -28,14 +30,14 @@
 	if left <= 0 {
 		left = expired
 	}
-	if timeout == 0 || left < timeout {
-		timeout = left
+	if timeout == 0 || units.Seconds(left) < timeout {
+		timeout = units.Seconds(left)
 	}
 	return timeout, nil
 }
 
 // parsePreferredWait parses the last wait preference of a request.
-func parsePreferredWait(header nethttp.Header) (wait float64, failure *requestError) {
+func parsePreferredWait(header nethttp.Header) (wait units.Seconds, failure *requestError) {
 	for _, line := range header.Values("Prefer") {
 		for preference := range strings.SplitSeq(line, ",") {
 			name, value, _ := strings.Cut(preference, "=")
@@ -48,7 +50,7 @@
 				return 0, requestErrorf(nethttp.StatusBadRequest, problemInvalidPreference,
 					"Prefer: wait=%.20q is not a number of seconds", value)
 			}
-			wait = seconds
+			wait = units.Seconds(seconds)
 			if seconds == 0 {
 				wait = expired
 			}
--- a/internal/downstream/frames/golden_test.go
+++ b/internal/downstream/frames/golden_test.go
@@ -8,6 +8,7 @@
 	"testing"
 
 	"streamcleat/internal/downstream/frames"
+	"streamcleat/internal/units"
 	"streamcleat/internal/verification/goldentest"
 )
 
@@ -24,7 +25,9 @@
 	})
 }
 
-func classTimeout(class string) float64 { return map[string]float64{"call": 4}[class] }
+func classTimeout(class string) units.Seconds {
+	return units.Seconds(map[string]float64{"call": 4}[class])
+}
 
 // show splits bytes into frames by their lengths.
 func show(data []byte) []string {
--- a/internal/downstream/frames/request.go
+++ b/internal/downstream/frames/request.go
@@ -8,6 +8,7 @@
 	"strings"
 
 	"streamcleat/internal/dispatch"
+	"streamcleat/internal/units"
 )
 
 // Names of a request's fields.
@@ -81,13 +82,13 @@
 	case fieldID:
 		request.ID = f.Value
 	case fieldTimeout:
-		request.Timeout, err = parseNumber(f.Name, f.Value, milliseconds)
+		request.Timeout, err = parseMilliseconds(f.Name, f.Value)
 	case fieldTenant:
 		request.Tenant = f.Value
 	case fieldFunction:
 		request.Function = f.Value
 	case fieldWork:
-		request.ExpectedWork, err = parseNumber(f.Name, f.Value, milliseconds)
+		request.ExpectedWork, err = parseMilliseconds(f.Name, f.Value)
 	case fieldProfile:
 		request.StatedProfile, err = l.parseProfile(f.Value)
 	case IdempotencyKeyField: // forwarded to workers unchanged
@@ -134,8 +135,8 @@
 			profile.Concurrency, err = parseConcurrency(pair, value, l.MaxConcurrency)
 		case profileLoadTime:
 			var loadMs float64
-			loadMs, err = parsePositive(pair, value, l.MaxLoadTime*1000)
-			profile.LoadTime = loadMs / 1000
+			loadMs, err = parsePositive(pair, value, float64(l.MaxLoadTime*1000))
+			profile.LoadTime = units.Seconds(loadMs / 1000)
 		}
 	}
 	return profile, err
@@ -162,6 +163,12 @@
 	return value, err
 }
 
+// parseMilliseconds parses a number of milliseconds.
+func parseMilliseconds(field, text string) (units.Seconds, error) {
+	seconds, err := parseNumber(field, text, milliseconds)
+	return units.Seconds(seconds), err
+}
+
 // parseNumber parses a finite number and multiplies it by unit.
 func parseNumber(field, text string, unit float64) (float64, error) {
 	value, err := strconv.ParseFloat(text, 64)
--- a/internal/downstream/frames/response.go
+++ b/internal/downstream/frames/response.go
@@ -33,7 +33,7 @@
 		return appendResponse(b, frameResponse, stream, codeSucceeded, nil, r.Body)
 	case dispatch.Rejected:
 		var fields []Field
-		if ms := math.Round(r.RetryAfter * 1000); ms > 0 {
+		if ms := math.Round(float64(r.RetryAfter * 1000)); ms > 0 {
 			fields = []Field{{fieldRetryAfter, strconv.FormatFloat(ms, 'f', 0, 64)}}
 		}
 		return appendResponse(b, frameResponse, stream, codeRejected, fields, []byte(r.Cause.String()))
--- a/internal/downstream/frames/session.go
+++ b/internal/downstream/frames/session.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"streamcleat/internal/dispatch"
+	"streamcleat/internal/units"
 )
 
 // RequestHandler handles the requests of a session.
@@ -19,17 +20,17 @@
 
 // Limits configures client connections and bounds what their requests may state. Times are in seconds.
 type Limits struct {
-	MaxOpen           int                        // open requests per connection
-	FirstFrameTimeout float64                    // until the first frame of a new connection is complete
-	FrameTimeout      float64                    // from the first byte of a frame until it is complete
-	IdleTimeout       float64                    // until a connection without open requests is closed
-	ClassTimeout      func(class string) float64 // maximum timeout of a request; 0 if the class is unknown
-	HasTenant         func(name string) bool     // whether the deployment has the tenant
-	IsReady           func() bool                // whether the front end is ready for requests
-	MaxMemoryMB       float64                    // maximum memory of a replica
-	MaxConcurrency    int                        // maximum concurrency of a replica
-	MaxLoadTime       float64                    // maximum load time of a replica
-	MaxExpectedWork   float64                    // maximum expected work of a request
+	MaxOpen           int                              // open requests per connection
+	FirstFrameTimeout units.Seconds                    // until the first frame of a new connection is complete
+	FrameTimeout      units.Seconds                    // from the first byte of a frame until it is complete
+	IdleTimeout       units.Seconds                    // until a connection without open requests is closed
+	ClassTimeout      func(class string) units.Seconds // maximum timeout of a request; 0 if the class is unknown
+	HasTenant         func(name string) bool           // whether the deployment has the tenant
+	IsReady           func() bool                      // whether the front end is ready for requests
+	MaxMemoryMB       float64                          // maximum memory of a replica
+	MaxConcurrency    int                              // maximum concurrency of a replica
+	MaxLoadTime       units.Seconds                    // maximum load time of a replica
+	MaxExpectedWork   units.Seconds                    // maximum expected work of a request
 }
 
 // Session is the state of one client connection. Responses are sent in any order. The slot of a request is its stream.
@@ -39,8 +40,8 @@
 	handler      RequestHandler
 	open         map[uint32]bool // streams of open requests
 	lastStream   uint32          // highest stream used; streams are not reused
-	frameStart   float64         // when the first byte of the incomplete frame was received
-	activeAt     float64         // time of the last frame or response
+	frameStart   units.Seconds   // when the first byte of the incomplete frame was received
+	activeAt     units.Seconds   // time of the last frame or response
 	received     bool            // a complete frame was received
 	closed       bool            // no more input is read
 	goAwaySent   bool
@@ -49,12 +50,12 @@
 }
 
 // NewSession returns the session of a connection accepted at the time now.
-func NewSession(limits *Limits, handler RequestHandler, now float64) *Session {
+func NewSession(limits *Limits, handler RequestHandler, now units.Seconds) *Session {
 	return &Session{limits: limits, handler: handler, open: map[uint32]bool{}, activeAt: now, frameStart: now}
 }
 
 // Feed processes bytes from the client.
-func (s *Session) Feed(now float64, _ time.Time, data []byte) {
+func (s *Session) Feed(now units.Seconds, _ time.Time, data []byte) {
 	if s.closed || s.disconnected {
 		return
 	}
@@ -136,7 +137,7 @@
 }
 
 // Respond sends the final response to a request.
-func (s *Session) Respond(now float64, slot uint64, r dispatch.Response) {
+func (s *Session) Respond(now units.Seconds, slot uint64, r dispatch.Response) {
 	stream := uint32(slot)
 	if s.disconnected || !s.open[stream] {
 		return
@@ -147,7 +148,7 @@
 }
 
 // Advance does nothing: Respond sends responses in any order.
-func (s *Session) Advance(float64) {}
+func (s *Session) Advance(units.Seconds) {}
 
 // Output returns and clears the bytes to be sent.
 func (s *Session) Output() []byte {
@@ -160,7 +161,7 @@
 func (s *Session) Done() bool { return s.closed && len(s.open) == 0 }
 
 // Idle reports whether no request is open or incomplete, and the time of the last activity.
-func (s *Session) Idle() (since float64, idle bool) {
+func (s *Session) Idle() (since units.Seconds, idle bool) {
 	return s.activeAt, len(s.open) == 0 && s.framer.idle()
 }
 
@@ -184,7 +185,7 @@
 
 // Tick applies timeouts and reports whether there is output or the connection is done. An overdue frame is answered with
 // an error that ends the connection; a connection that sent nothing in time or was idle too long is closed silently.
-func (s *Session) Tick(now float64) bool {
+func (s *Session) Tick(now units.Seconds) bool {
 	noFirstFrame := !s.received && now-s.activeAt > s.limits.FirstFrameTimeout
 	switch {
 	case s.closed || s.disconnected:
--- a/internal/downstream/frames/session_test.go
+++ b/internal/downstream/frames/session_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"streamcleat/internal/dispatch"
+	"streamcleat/internal/units"
 )
 
 // fakeHandler records the requests of a session and sends no responses.
@@ -27,8 +28,8 @@
 func newSession() (*Session, *fakeHandler) {
 	handler := &fakeHandler{requests: map[uint64]dispatch.Request{}}
 	return NewSession(&Limits{
-		MaxOpen: 3, FirstFrameTimeout: 2, FrameTimeout: 1, IdleTimeout: 5, ClassTimeout: func(class string) float64 {
-			return map[string]float64{"call": 4}[class]
+		MaxOpen: 3, FirstFrameTimeout: 2, FrameTimeout: 1, IdleTimeout: 5, ClassTimeout: func(class string) units.Seconds {
+			return units.Seconds(map[string]float64{"call": 4}[class])
 		}, HasTenant: func(name string) bool { return name == "acme" }, IsReady: func() bool { return len(handler.requests) == 0 },
 		MaxMemoryMB: 1 << 16, MaxConcurrency: 64, MaxLoadTime: 60, MaxExpectedWork: 60,
 	}, handler, 0), handler
@@ -195,7 +196,7 @@
 	busy.Feed(0, time.Time{}, encodeRequest(1, ""))
 	for _, c := range []struct {
 		session *Session
-		now     float64
+		now     units.Seconds
 		done    bool
 	}{{silent, 1.9, false}, {silent, 2.1, true}, {incomplete, 0.9, false}, {incomplete, 1.1, true}, {busy, 100, false}} {
 		if c.session.Tick(c.now); c.session.Done() != c.done {
--- a/internal/eventloop/connection.go
+++ b/internal/eventloop/connection.go
@@ -8,6 +8,7 @@
 
 	"streamcleat/internal/proxy"
 	"streamcleat/internal/syscalls"
+	"streamcleat/internal/units"
 	"streamcleat/internal/upstream"
 )
 
@@ -203,7 +204,7 @@
 func (c *connection) Unsent() int { return len(c.writeBuffer) }
 
 // InputAge implements proxy.Conn.
-func (c *connection) InputAge() float64 {
+func (c *connection) InputAge() units.Seconds {
 	estimate := &c.server.reactor.inputAge
 	age := estimate.age()
 	if !c.unreadSince.IsZero() {
@@ -214,7 +215,7 @@
 			age = max(age, ago)
 		}
 	}
-	return age.Seconds()
+	return units.Seconds(age.Seconds())
 }
 
 // RemoteAddr implements proxy.Conn.
--- a/internal/eventloop/dialer.go
+++ b/internal/eventloop/dialer.go
@@ -29,7 +29,7 @@
 
 // startDial connects to a worker. The result is reported to the proxy, never before startDial returns.
 func (s *Server) startDial(id upstream.ConnID, address string) {
-	d := &dial{server: s, id: id, deadline: time.Now().Add(time.Duration(s.settings.Upstream.DialTimeout * float64(time.Second)))}
+	d := &dial{server: s, id: id, deadline: time.Now().Add(s.settings.Upstream.DialTimeout.Duration())}
 	s.dials[id] = d
 	addr, err := netip.ParseAddrPort(address)
 	if err != nil {
--- a/internal/eventloop/host.go
+++ b/internal/eventloop/host.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"streamcleat/internal/units"
 	"streamcleat/internal/upstream"
 )
 
@@ -13,25 +14,25 @@
 var processStart = time.Now()
 
 // Now returns the time in seconds on the monotonic clock that all front ends of this process share.
-func Now() float64 { return clockBase + time.Since(processStart).Seconds() }
+func Now() units.Seconds { return units.Seconds(clockBase + time.Since(processStart).Seconds()) }
 
 // loopHost implements proxy.Host on a server's event loop and sockets and on the process's clock.
 type loopHost struct{ server *Server }
 
 // Now implements proxy.Host.
-func (h loopHost) Now() float64 { return Now() }
+func (h loopHost) Now() units.Seconds { return Now() }
 
 // Wall implements proxy.Host.
 func (h loopHost) Wall() time.Time { return time.Now() }
 
 // SetTimer implements proxy.Host.
-func (h loopHost) SetTimer(at float64) {
-	h.server.reactor.timers.tickAt = processStart.Add(time.Duration((at - clockBase) * float64(time.Second)))
+func (h loopHost) SetTimer(at units.Seconds) {
+	h.server.reactor.timers.tickAt = processStart.Add((at - clockBase).Duration())
 }
 
 // After implements proxy.Host.
-func (h loopHost) After(seconds float64, f func()) {
-	h.server.reactor.timers.after(time.Duration(seconds*float64(time.Second)), f)
+func (h loopHost) After(seconds units.Seconds, f func()) {
+	h.server.reactor.timers.after(seconds.Duration(), f)
 }
 
 // Post implements proxy.Host.
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -4,6 +4,7 @@
 	"streamcleat/control"
 	downstreamframes "streamcleat/internal/downstream/frames"
 	"streamcleat/internal/platform"
+	"streamcleat/internal/units"
 	upstreamframes "streamcleat/internal/upstream/frames"
 )
 
@@ -91,8 +92,8 @@
 func upstreamLimits(document *platform.Document, connections int) upstreamframes.Limits {
 	caps := &document.Terms.Limits
 	return upstreamframes.Limits{
-		DialTimeout:         caps.DialTimeoutMs / millisecondsPerSecond,
-		IdleTimeout:         caps.IdleTimeoutMs / millisecondsPerSecond * upstreamIdleFraction,
+		DialTimeout:         units.Seconds(caps.DialTimeoutMs / millisecondsPerSecond),
+		IdleTimeout:         units.Seconds(caps.IdleTimeoutMs / millisecondsPerSecond * upstreamIdleFraction),
 		MaxTotal:            connections,
 		MaxPerWorker:        max(connections/perWorkerDivisor, minConnectionsPerWorker),
 		MaxStreams:          max(caps.MaxStreams, 1),
@@ -103,7 +104,7 @@
 // clientLimits returns the limits of client connections and the classes and tenants that requests may name. A deployment
 // that lists no tenants accepts all.
 func clientLimits(deployment *control.Deployment, ready func() bool) *downstreamframes.Limits {
-	timeouts := map[string]float64{}
+	timeouts := map[string]units.Seconds{}
 	for _, class := range deployment.RequestClasses {
 		timeouts[class.Name] = class.Timeout
 	}
@@ -116,7 +117,7 @@
 		FirstFrameTimeout: firstFrameTimeout,
 		FrameTimeout:      frameArrivalTimeout,
 		IdleTimeout:       clientIdleTimeout,
-		ClassTimeout:      func(class string) float64 { return timeouts[class] },
+		ClassTimeout:      func(class string) units.Seconds { return timeouts[class] },
 		HasTenant:         func(name string) bool { return len(tenants) == 0 || tenants[name] },
 		IsReady:           ready,
 		MaxMemoryMB:       maxReplicaMemoryMB,
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -10,6 +10,7 @@
 	"streamcleat/internal/eventloop"
 	"streamcleat/internal/platform"
 	"streamcleat/internal/proxy"
+	"streamcleat/internal/units"
 	"streamcleat/internal/upstream"
 	upstreamframes "streamcleat/internal/upstream/frames"
 )
@@ -62,7 +63,7 @@
 
 // endpointList returns the endpoint list at the present time.
 func (n *Node) endpointList() *upstream.EndpointList {
-	return n.document.Discovery.EndpointList(eventloop.Now(), unixSeconds(time.Now()))
+	return n.document.Discovery.EndpointList(eventloop.Now(), units.Seconds(unixSeconds(time.Now())))
 }
 
 // Close ends the discovery watch. The server is stopped by Serve.
@@ -103,13 +104,13 @@
 		Dispatch: dispatch.Settings{
 			Deployment:      deployment,
 			ResponseMargin:  responseMargin,
-			LoadTimeout:     document.Terms.Loading.LoadTimeoutMs / millisecondsPerSecond,
+			LoadTimeout:     units.Seconds(document.Terms.Loading.LoadTimeoutMs / millisecondsPerSecond),
 			MaxOpen:         maxOpenRequests(document),
 			Seed:            document.Seed,
 			CancelAbandoned: true,
 			TracingDisabled: true,
 		},
-		NewSession: func(handler proxy.RequestHandler, now float64) proxy.Session {
+		NewSession: func(handler proxy.RequestHandler, now units.Seconds) proxy.Session {
 			return downstreamframes.NewSession(limits, handler, now)
 		},
 		NewPool: func(transport proxy.Transport, results upstream.ExchangeHandler) proxy.UpstreamPool {
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -7,6 +7,7 @@
 
 	"streamcleat/internal/platform"
 	"streamcleat/internal/proxy"
+	"streamcleat/internal/units"
 )
 
 // shutdownPollInterval is the interval at which a shutdown checks its phase.
@@ -63,12 +64,12 @@
 }
 
 // maxRequestTimeout returns the longest timeout of a request class in seconds.
-func (n *Node) maxRequestTimeout() float64 {
+func (n *Node) maxRequestTimeout() units.Seconds {
 	longest := 0.0
 	for _, class := range n.document.Terms.RequestClasses {
 		longest = max(longest, class.TimeoutMs/millisecondsPerSecond)
 	}
-	return longest
+	return units.Seconds(longest)
 }
 
 // reload reads the document again and switches to its discovery service. An invalid document, or one of another front
@@ -89,7 +90,7 @@
 func (n *Node) advanceShutdown(shutdown *platform.Shutdown, stoppedAt time.Time) (terminated bool, err error) {
 	err = n.server.Do(func(p *proxy.Proxy) {
 		outstanding := platform.Outstanding{Requests: !p.Idle(), UnreadResponses: p.HasClients()}
-		switch shutdown.Advance(time.Since(stoppedAt).Seconds(), outstanding) {
+		switch shutdown.Advance(units.Seconds(time.Since(stoppedAt).Seconds()), outstanding) {
 		case platform.Serving, platform.Draining: // requests are still accepted
 		case platform.GoingAway:
 			p.Drain()
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -8,6 +8,7 @@
 	"slices"
 
 	"streamcleat/control"
+	"streamcleat/internal/units"
 	"streamcleat/internal/upstream"
 )
 
@@ -107,7 +108,7 @@
 
 // EndpointList returns the current list, given the time on the caller's clock and the wall-clock time in Unix seconds.
 // A start time is converted to the caller's clock when it is first listed, and kept from then on.
-func (d *Discovery) EndpointList(now, wall float64) *upstream.EndpointList {
+func (d *Discovery) EndpointList(now, wall units.Seconds) *upstream.EndpointList {
 	known := make(map[startKey]float64, len(d.starts.known))
 	list := &upstream.EndpointList{Addresses: make(map[control.WorkerID]string, len(d.hosts))}
 	for _, h := range d.hosts {
@@ -116,9 +117,9 @@
 			key := startKey{h.Name, h.StartedAtMs}
 			startedAt, converted := d.starts.known[key]
 			if !converted {
-				startedAt = d.starts.clock.StartedAt(h.StartedAtMs/millisecondsPerSecond, now, wall)
+				startedAt = float64(d.starts.clock.StartedAt(units.Seconds(h.StartedAtMs/millisecondsPerSecond), now, wall))
 			}
-			known[key], worker.StartedAt = startedAt, startedAt
+			known[key], worker.StartedAt = startedAt, units.Seconds(startedAt)
 		}
 		list.Addresses[worker.ID] = h.Address
 		list.Workers = append(list.Workers, worker)
--- a/internal/platform/discovery_clock_test.go
+++ b/internal/platform/discovery_clock_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"testing"
+
+	"streamcleat/internal/units"
 )
 
 // Whatever steps the wall clock makes, a worker that just started must not count as warmed up, no start may be in the
@@ -22,12 +24,12 @@
 			discovery := NewDiscovery()
 			startsAt := func(seconds, clockError float64) map[string]float64 {
 				starts := map[string]float64{}
-				for _, worker := range discovery.EndpointList(processAt+seconds, trueUnix+seconds+clockError).Workers {
-					starts[string(worker.ID)] = worker.StartedAt
+				for _, worker := range discovery.EndpointList(units.Seconds(processAt+seconds), units.Seconds(trueUnix+seconds+clockError)).Workers {
+					starts[string(worker.ID)] = float64(worker.StartedAt)
 				}
 				return starts
 			}
-			unixMs := func(seconds float64) int { return int((trueUnix + seconds) * 1000) }
+			unixMs := func(seconds units.Seconds) int { return int((trueUnix + seconds) * 1000) }
 			read := func(line []byte) {
 				if _, err := discovery.ReadLine(line); err != nil {
 					t.Fatal(err)
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -1,5 +1,7 @@
 package platform
 
+import "streamcleat/internal/units"
+
 // ShutdownPhase is a phase of a graceful shutdown. Every request accepted in any phase is answered.
 type ShutdownPhase int
 
@@ -29,8 +31,8 @@
 
 // Shutdown is the state of a graceful shutdown.
 type Shutdown struct {
-	MaxRequestTimeout float64 // in seconds
-	answeredAt        float64 // when the last request was answered; 0 before
+	MaxRequestTimeout units.Seconds // in seconds
+	answeredAt        units.Seconds // when the last request was answered; 0 before
 }
 
 // Outstanding is the work that a front end has left.
@@ -40,7 +42,7 @@
 }
 
 // Advance advances the shutdown to the given time after the signal, in seconds, and returns its phase. Phases never go back.
-func (s *Shutdown) Advance(elapsed float64, left Outstanding) ShutdownPhase {
+func (s *Shutdown) Advance(elapsed units.Seconds, left Outstanding) ShutdownPhase {
 	killAt := min(s.MaxRequestTimeout, maxCountedTimeout) + killDelay
 	if s.answeredAt > 0 {
 		if !left.UnreadResponses || elapsed >= max(killAt, s.answeredAt+flushTime) {
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -2,12 +2,14 @@
 
 import (
 	"testing"
+
+	"streamcleat/internal/units"
 )
 
 func TestShutdown_Phases(t *testing.T) {
 	open, unread, none := Outstanding{Requests: true, UnreadResponses: true}, Outstanding{UnreadResponses: true}, Outstanding{}
 	type observation struct {
-		elapsed float64
+		elapsed units.Seconds
 		left    Outstanding
 		want    ShutdownPhase
 	}
--- a/internal/proxy/downstream.go
+++ b/internal/proxy/downstream.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"streamcleat/internal/dispatch"
+	"streamcleat/internal/units"
 )
 
 const (
@@ -20,8 +21,8 @@
 	waiters                map[uint64]dispatch.WaiterID // by the session's slot
 	sendScheduled          bool                         // is in Proxy.clientsToSend
 	closeAfterLastResponse bool
-	writeClosedAt          float64 // time at which our side was closed; 0: open
-	discardedBytes         int     // received since then
+	writeClosedAt          units.Seconds // time at which our side was closed; 0: open
+	discardedBytes         int           // received since then
 	closed                 bool
 }
 
@@ -167,7 +168,7 @@
 
 // sweepClients closes connections past their linger timeout and enforces the timeouts of the other sessions. It iterates
 // backward, because removing a client moves the last one, which was already visited, to its place.
-func (p *Proxy) sweepClients(now float64) {
+func (p *Proxy) sweepClients(now units.Seconds) {
 	for _, client := range slices.Backward(p.clients) {
 		if client.writeClosedAt > 0 && now-client.writeClosedAt > lingerTimeout {
 			p.closeClient(client, CloseLingered)
--- a/internal/proxy/durability.go
+++ b/internal/proxy/durability.go
@@ -5,6 +5,7 @@
 
 	"streamcleat/control"
 	"streamcleat/internal/dispatch"
+	"streamcleat/internal/units"
 )
 
 const (
@@ -33,7 +34,7 @@
 	response     dispatch.Response
 	waiter       dispatch.WaiterID // of the response
 	canceled     bool
-	waitingSince float64 // when a response began to wait; 0 for attempts
+	waitingSince units.Seconds // when a response began to wait; 0 for attempts
 }
 
 // isCanceled reports whether an effect was canceled.
@@ -156,7 +157,8 @@
 // their deadlines.
 func (p *Proxy) sendOverdueResponses() {
 	barrier := &p.durability
-	now, oldest := p.host.Now(), 0.0
+	now := p.host.Now()
+	var oldest units.Seconds
 	barrier.timeoutScheduled = false
 	for _, list := range [][]pendingEffect{barrier.awaitingCurrentCommit, barrier.awaitingNextCommit} {
 		for i := range list {
--- a/internal/proxy/effects.go
+++ b/internal/proxy/effects.go
@@ -60,6 +60,6 @@
 	if p.log.Enabled(context.Background(), slog.LevelDebug) || response.Kind != dispatch.Succeeded {
 		p.log.Log(context.Background(), level, "request ended", "request_id", response.Identity.String(),
 			"outcome", response.Kind.String(), "cause", response.Cause.String(), "function", response.Function,
-			"worker", response.Worker, "attempts", response.Attempts, "seconds", response.Elapsed)
+			"worker", response.Worker, "attempts", response.Attempts, "seconds", float64(response.Elapsed))
 	}
 }
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -5,6 +5,7 @@
 
 	"streamcleat/control"
 	"streamcleat/internal/dispatch"
+	"streamcleat/internal/units"
 	"streamcleat/internal/upstream"
 )
 
@@ -19,13 +20,13 @@
 type endpointState struct {
 	configured   *upstream.EndpointList // as last read; nil before the first reading
 	active       *upstream.EndpointList // in force, including drains
-	clockOffset  float64                // host's clock minus Unix time, at the last reading
+	clockOffset  units.Seconds          // host's clock minus Unix time, at the last reading
 	startClock   upstream.StartClock
-	statedStarts map[control.WorkerID]float64 // starts of workers in Unix seconds, as the list states them
-	lastReadAt   float64                      // time of the last reading, on the host's clock
-	drained      map[control.WorkerID]bool    // by operators
-	lastUnloadID uint64                       // IDs of unload commands count down, to differ from the dispatcher's
-	snapshots    []dispatch.ReplicaSnapshot   // of an earlier process; nil after the first list
+	statedStarts map[control.WorkerID]units.Seconds // starts of workers in Unix seconds, as the list states them
+	lastReadAt   units.Seconds                      // time of the last reading, on the host's clock
+	drained      map[control.WorkerID]bool          // by operators
+	lastUnloadID uint64                             // IDs of unload commands count down, to differ from the dispatcher's
+	snapshots    []dispatch.ReplicaSnapshot         // of an earlier process; nil after the first list
 }
 
 func newEndpointState(snapshots []dispatch.ReplicaSnapshot) endpointState {
@@ -33,12 +34,12 @@
 }
 
 // statedStart returns the start of a worker in Unix seconds as the list states it, 0 if it does not.
-func (e *endpointState) statedStart(id control.WorkerID) float64 { return e.statedStarts[id] }
+func (e *endpointState) statedStart(id control.WorkerID) units.Seconds { return e.statedStarts[id] }
 
 // ReadEndpointList parses an endpoint list and puts it in force. After an error the previous list stays in force.
 func (p *Proxy) ReadEndpointList(data []byte) error {
 	e := &p.endpoints
-	e.clockOffset = p.host.Now() - float64(p.host.Wall().UnixNano())/1e9
+	e.clockOffset = p.host.Now() - units.Seconds(float64(p.host.Wall().UnixNano())/1e9)
 	list, err := upstream.ParseEndpointList(data, e.clockOffset)
 	if err != nil {
 		return err
@@ -59,19 +60,19 @@
 // times, and the clocks of machines differ and may be stepped. Therefore a worker counts as restarted only if its stated
 // start changed. It then restarted after the previous reading, even if the stated time is earlier. No start is in the
 // future.
-func (e *endpointState) adjustStarts(list *upstream.EndpointList, now float64) {
+func (e *endpointState) adjustStarts(list *upstream.EndpointList, now units.Seconds) {
 	previous := e.workersByID()
-	stated := make(map[control.WorkerID]float64, len(list.Workers))
+	stated := make(map[control.WorkerID]units.Seconds, len(list.Workers))
 	for i := range list.Workers {
 		worker := &list.Workers[i]
 		if worker.StartedAt > 0 {
-			stated[worker.ID] = worker.StartedAt - e.clockOffset
-			worker.StartedAt = e.startClock.StartedAt(stated[worker.ID], now, now-e.clockOffset)
+			stated[worker.ID] = units.Seconds(worker.StartedAt - e.clockOffset)
+			worker.StartedAt = e.startClock.StartedAt(units.Seconds(stated[worker.ID]), now, now-e.clockOffset)
 		}
 		old, known := previous[worker.ID]
 		switch {
 		case !known || e.configured.Addresses[worker.ID] != list.Addresses[worker.ID]:
-		case isSameStart(stated[worker.ID], e.statedStarts[worker.ID], restartTolerance):
+		case isSameStart(float64(stated[worker.ID]), float64(e.statedStarts[worker.ID]), restartTolerance):
 			worker.StartedAt = e.configured.Workers[old].StartedAt
 		case worker.StartedAt > 0:
 			worker.StartedAt = max(worker.StartedAt, e.lastReadAt)
@@ -133,7 +134,7 @@
 	for _, snapshot := range snapshots {
 		snapshot.Age += p.host.Now() - p.startedAt
 		stated := p.endpoints.statedStart(control.WorkerID(snapshot.Worker))
-		if isSameStart(stated, snapshot.WorkerStartedAt, snapshotStartTolerance) {
+		if isSameStart(float64(stated), float64(snapshot.WorkerStartedAt), snapshotStartTolerance) {
 			p.dispatcher.RestoreReplica(p.host.Now(), snapshot)
 		}
 	}
--- a/internal/proxy/endpoints_test.go
+++ b/internal/proxy/endpoints_test.go
@@ -6,6 +6,7 @@
 
 	"streamcleat/control"
 	"streamcleat/internal/dispatch"
+	"streamcleat/internal/units"
 )
 
 // Stated starts are wall-clock times. Steps of this machine's clock don't change the start of a worker, and a restart is
@@ -17,7 +18,7 @@
 		MaxOpen:        10,
 		MaxCachedBytes: 1,
 	}}, host)
-	readStart := func(stated float64) float64 {
+	readStart := func(stated units.Seconds) float64 {
 		t.Helper()
 		label := ""
 		if stated != 0 {
@@ -26,22 +27,22 @@
 		if err := p.ReadEndpointList(fmt.Appendf(nil, `[{"targets":["h:1"],"labels":{"instance":"wk"%s}}]`, label)); err != nil {
 			t.Fatal(err)
 		}
-		return p.endpoints.configured.Workers[0].StartedAt
+		return float64(p.endpoints.configured.Workers[0].StartedAt)
 	}
-	unix := func(at float64) float64 { return hostEpoch + at }
-	if start := readStart(unix(990)); start != 990 {
+	unix := func(at units.Seconds) float64 { return float64(hostEpoch + at) }
+	if start := readStart(units.Seconds(unix(990))); start != 990 {
 		t.Errorf("worker started at %v, want 990", start)
 	}
 	host.skew, host.now = 120, 1010
-	if start := readStart(unix(990)); start != 990 {
+	if start := readStart(units.Seconds(unix(990))); start != 990 {
 		t.Errorf("after a clock step, worker started at %v, want 990", start)
 	}
 	host.now = 1020
-	if start := readStart(unix(1015)); start < 1010 || start > 1020 {
+	if start := readStart(units.Seconds(unix(1015))); start < 1010 || start > 1020 {
 		t.Errorf("restart between two readings placed at %v", start)
 	}
 	host.skew, host.now = -300, 1030
-	if start := readStart(unix(1025)); start < 1020 || start > 1030 {
+	if start := readStart(units.Seconds(unix(1025))); start < 1020 || start > 1030 {
 		t.Errorf("restart stated by a clock ahead of this one placed at %v", start)
 	}
 	if start := readStart(0); start != 0 {
--- a/internal/proxy/eviction.go
+++ b/internal/proxy/eviction.go
@@ -1,5 +1,7 @@
 package proxy
 
+import "streamcleat/internal/units"
+
 // EvictIdleClient closes the client connection that has been idle longest, if the settings allow it, and reports whether
 // it closed one. It never closes a connection with an open or partially received request, with unread input, or with
 // unsent bytes of a response.
@@ -20,7 +22,7 @@
 }
 
 // longestIdleClient returns the client that has been idle longest, nil if none is idle.
-func (p *Proxy) longestIdleClient() (oldest *Client, idleSince float64) {
+func (p *Proxy) longestIdleClient() (oldest *Client, idleSince units.Seconds) {
 	for _, client := range p.clients {
 		if since, idle := client.session.Idle(); idle && client.conn.Unsent() == 0 && (oldest == nil || since < idleSince) {
 			oldest, idleSince = client, since
--- a/internal/proxy/eviction_test.go
+++ b/internal/proxy/eviction_test.go
@@ -7,6 +7,7 @@
 	"streamcleat/internal/dispatch"
 	"streamcleat/internal/downstream/cloudevents"
 	"streamcleat/internal/http1"
+	"streamcleat/internal/units"
 )
 
 // fakeConn is a client connection without input.
@@ -20,7 +21,7 @@
 func (c *fakeConn) CloseWrite()               {}
 func (c *fakeConn) Unsent() int               { return c.unsent }
 func (c *fakeConn) ReadAhead() ([]byte, bool) { return nil, true }
-func (c *fakeConn) InputAge() float64         { return 0 }
+func (c *fakeConn) InputAge() units.Seconds   { return 0 }
 func (c *fakeConn) RemoteAddr() string        { return "client" }
 
 // The connection that has been idle longest is evicted, unless its last response is unsent. If there is no other, the new
--- a/internal/proxy/fake_host_test.go
+++ b/internal/proxy/fake_host_test.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"streamcleat/internal/units"
 	"streamcleat/internal/upstream"
 )
 
@@ -11,7 +12,7 @@
 
 // fakeHost implements Host with clocks that the test sets.
 type fakeHost struct {
-	now    float64
+	now    units.Seconds
 	skew   float64 // of the wall clock
 	timers []fakeTimer
 	dials  int
@@ -19,7 +20,7 @@
 
 // fakeTimer is a call of Host.After.
 type fakeTimer struct {
-	at float64
+	at units.Seconds
 	f  func()
 }
 
@@ -37,19 +38,19 @@
 }
 
 // run advances the clock by some seconds in steps of 50 ms.
-func (h *fakeHost) run(p *Proxy, seconds float64) {
+func (h *fakeHost) run(p *Proxy, seconds units.Seconds) {
 	for end := h.now + seconds; h.now < end; h.now += 0.05 {
 		h.fireTimers()
 		p.Tick()
 	}
 }
 
-func (h *fakeHost) Now() float64 { return h.now }
+func (h *fakeHost) Now() units.Seconds { return h.now }
 func (h *fakeHost) Wall() time.Time {
-	return time.Unix(hostEpoch, 0).Add(time.Duration((h.now + h.skew) * float64(time.Second)))
+	return time.Unix(hostEpoch, 0).Add((h.now + units.Seconds(h.skew)).Duration())
 }
-func (h *fakeHost) SetTimer(float64) {}
-func (h *fakeHost) After(seconds float64, f func()) {
+func (h *fakeHost) SetTimer(units.Seconds) {}
+func (h *fakeHost) After(seconds units.Seconds, f func()) {
 	h.timers = append(h.timers, fakeTimer{at: h.now + seconds, f: f})
 }
 func (h *fakeHost) Post(func())                  {}
--- a/internal/proxy/interfaces.go
+++ b/internal/proxy/interfaces.go
@@ -5,6 +5,7 @@
 
 	"streamcleat/internal/dispatch"
 	"streamcleat/internal/downstream/cloudevents"
+	"streamcleat/internal/units"
 	"streamcleat/internal/upstream"
 )
 
@@ -20,23 +21,23 @@
 // Session is the protocol state of a client connection. It has no socket and no clock.
 type Session interface {
 	// Feed processes bytes that the client sent.
-	Feed(now float64, wall time.Time, data []byte)
+	Feed(now units.Seconds, wall time.Time, data []byte)
 	// Respond delivers the final response to the request that was passed to RequestHandler.Submit with the slot.
-	Respond(now float64, slot uint64, response dispatch.Response)
+	Respond(now units.Seconds, slot uint64, response dispatch.Response)
 	// Advance is called after calls of Feed or Respond, before Output.
-	Advance(now float64)
+	Advance(now units.Seconds)
 	// Output returns the bytes to be sent and removes them from the session.
 	Output() []byte
 	// Done reports whether the connection is to be closed once all output is sent.
 	Done() bool
 	// Tick enforces the session's timeouts. It reports whether there may be new output or the session is done.
-	Tick(now float64) bool
+	Tick(now units.Seconds) bool
 	// Drain asks the client to send no more requests. Open requests still get their responses.
 	Drain()
 	// Disconnected reports that the connection was closed or lost.
 	Disconnected()
 	// Idle reports whether no request is open or partially received, and since when.
-	Idle() (since float64, idle bool)
+	Idle() (since units.Seconds, idle bool)
 }
 
 // Transport provides connections to workers for an UpstreamPool.
@@ -49,22 +50,22 @@
 // UpstreamPool manages the connections to workers in some protocol. It has no socket and no clock.
 type UpstreamPool interface {
 	SetEndpoints(list *upstream.EndpointList)
-	SendAttempt(now float64, attempt dispatch.Attempt)
-	SendLoad(now float64, command dispatch.LoadCommand)
+	SendAttempt(now units.Seconds, attempt dispatch.Attempt)
+	SendLoad(now units.Seconds, command dispatch.LoadCommand)
 	// WaitingFor returns the attempts that wait for a connection to be dialed.
 	WaitingFor(conn upstream.ConnID) []uint64
 	// CancelUnsent cancels an attempt if no byte of it was written, and reports whether it did.
 	CancelUnsent(attempt uint64) bool
 	// Abandon drops an attempt or load command. Its result is not reported.
-	Abandon(now float64, id uint64)
-	OnDialed(now float64, conn upstream.ConnID, err error)
-	OnData(now float64, conn upstream.ConnID, data []byte)
-	OnClosed(now float64, conn upstream.ConnID)
-	Tick(now float64)
+	Abandon(now units.Seconds, id uint64)
+	OnDialed(now units.Seconds, conn upstream.ConnID, err error)
+	OnData(now units.Seconds, conn upstream.ConnID, data []byte)
+	OnClosed(now units.Seconds, conn upstream.ConnID)
+	Tick(now units.Seconds)
 	// Pending reports whether Flush has work to do.
 	Pending() bool
 	Flush()
-	CloseAll(now float64)
+	CloseAll(now units.Seconds)
 	// Len returns the number of connections.
 	Len() int
 	// Check verifies the invariants of the pool's state.
@@ -74,13 +75,13 @@
 // Host provides a front end with clocks, timers and sockets.
 type Host interface {
 	// Now returns the time of a monotonic clock in seconds.
-	Now() float64
+	Now() units.Seconds
 	// Wall returns the wall-clock time, which may be stepped.
 	Wall() time.Time
 	// SetTimer schedules a call of Proxy.Tick and replaces an earlier schedule.
-	SetTimer(at float64)
+	SetTimer(at units.Seconds)
 	// After runs f on the front end's goroutine after a number of seconds.
-	After(seconds float64, f func())
+	After(seconds units.Seconds, f func())
 	// Post schedules f to run on the front end's goroutine. It may be called from any goroutine.
 	Post(f func())
 	// Dial opens a connection to a worker. The host calls Proxy.OnDialed with the result, possibly before Dial returns.
@@ -102,7 +103,7 @@
 	// connection has ended. ReadAhead is for client connections only.
 	ReadAhead() (data []byte, open bool)
 	// InputAge returns the maximum time, in seconds, for which the bytes that are being passed on may have been buffered.
-	InputAge() float64
+	InputAge() units.Seconds
 	// RemoteAddr returns the address of the other side, for logs.
 	RemoteAddr() string
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -5,6 +5,7 @@
 
 	"streamcleat/internal/dispatch"
 	"streamcleat/internal/downstream/cloudevents"
+	"streamcleat/internal/units"
 	"streamcleat/internal/upstream"
 	"streamcleat/internal/upstream/openinference"
 )
@@ -24,14 +25,14 @@
 	// EvictIdleClients closes the connection that has been idle longest, instead of rejecting a new one at MaxClients.
 	EvictIdleClients bool
 	// NewSession returns the session of a new client connection. The default speaks CloudEvents over HTTP.
-	NewSession func(handler RequestHandler, now float64) Session
+	NewSession func(handler RequestHandler, now units.Seconds) Session
 	// NewPool returns the pool of connections to workers. The default speaks the Open Inference Protocol.
 	NewPool func(t Transport, results upstream.ExchangeHandler) UpstreamPool
 	Log     *slog.Logger // nil: no logging
 	// RecordStore stores the records that must outlive the process. If it is nil, none are stored.
 	RecordStore RecordStore
 	// RecordTimeout is the maximum time that a response waits for its record. If it is 0, there is no limit.
-	RecordTimeout float64
+	RecordTimeout units.Seconds
 	// Recovered holds the records of an earlier process.
 	Recovered []dispatch.RecoveredRecord
 	// ReplicaSnapshots holds the replicas of an earlier process, with their ages at the start of this one.
@@ -47,9 +48,9 @@
 	log        *slog.Logger
 	dispatcher *dispatch.Dispatcher
 	pool       UpstreamPool
-	startedAt  float64             // on the host's clock
+	startedAt  units.Seconds       // on the host's clock
 	unanswered []dispatch.Response // of an earlier process, see Unanswered
-	timerAt    float64             // time for which the host's timer is set; 0: not set
+	timerAt    units.Seconds       // time for which the host's timer is set; 0: not set
 
 	// Open requests by the dispatcher's waiter.
 	lastWaiter      dispatch.WaiterID
@@ -84,7 +85,7 @@
 		}
 	}
 	if settings.NewSession == nil {
-		settings.NewSession = func(handler RequestHandler, now float64) Session {
+		settings.NewSession = func(handler RequestHandler, now units.Seconds) Session {
 			return cloudevents.NewSession(settings.Downstream, settings.Name, handler, now)
 		}
 	}
--- a/internal/simadapter/deliver.go
+++ b/internal/simadapter/deliver.go
@@ -4,6 +4,7 @@
 	"errors"
 
 	"streamcleat/control"
+	"streamcleat/internal/units"
 )
 
 // delivery decodes a message and, unless it is invalid, calls the router with it.
@@ -40,7 +41,7 @@
 
 // deliverEndpoints calls the router with a worker list. A persisted list is the first update of an instance and starts its
 // router.
-func deliverEndpoints(now float64, router *control.Router, kind updateKind, workers []control.Worker) {
+func deliverEndpoints(now units.Seconds, router *control.Router, kind updateKind, workers []control.Worker) {
 	if kind == updatePersisted {
 		router.Start()
 	}
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -8,6 +8,7 @@
 	"strings"
 
 	"streamcleat/control"
+	"streamcleat/internal/units"
 )
 
 const millisecondsPerSecond = 1000
@@ -50,13 +51,13 @@
 }
 
 // StartAttempt implements [control.Host].
-func (i *instance) StartAttempt(request control.RequestID, worker control.WorkerID, timeout float64) {
+func (i *instance) StartAttempt(request control.RequestID, worker control.WorkerID, timeout units.Seconds) {
 	i.write(messageRoute, field{fieldRequest, string(request)}, field{fieldWorker, string(worker)},
 		field{"LimitMs", formatMilliseconds(timeout)})
 }
 
 // Reject implements [control.Host].
-func (i *instance) Reject(request control.RequestID, retryAfter float64) {
+func (i *instance) Reject(request control.RequestID, retryAfter units.Seconds) {
 	i.write(messageReject, field{fieldRequest, string(request)}, field{"PauseMs", formatMilliseconds(retryAfter)})
 }
 
@@ -77,7 +78,7 @@
 }
 
 // SetTimer implements [control.Host].
-func (i *instance) SetTimer(after float64, mark uint64) {
+func (i *instance) SetTimer(after units.Seconds, mark uint64) {
 	i.write(messageSetTimer, field{"SleepForMs", formatMilliseconds(after)},
 		field{fieldTimerMark, strconv.FormatUint(mark, 10)})
 }
@@ -86,6 +87,6 @@
 func (i *instance) RequestEndpoints() { i.write(messageSubscribe, field{"Want", "1"}) }
 
 // formatMilliseconds formats a time in seconds as milliseconds.
-func formatMilliseconds(seconds float64) string {
-	return strconv.FormatFloat(seconds*millisecondsPerSecond, 'f', 3, 64)
+func formatMilliseconds(seconds units.Seconds) string {
+	return strconv.FormatFloat(float64(seconds*millisecondsPerSecond), 'f', 3, 64)
 }
--- a/internal/simadapter/line.go
+++ b/internal/simadapter/line.go
@@ -12,6 +12,7 @@
 
 	"streamcleat/control"
 	"streamcleat/internal/deployment"
+	"streamcleat/internal/units"
 )
 
 // bufferSize is the size of the input and output buffers. Most batches fit into it.
@@ -134,7 +135,9 @@
 }
 
 // seconds decodes a time stated in milliseconds.
-func (l *line) seconds(fieldName string) float64 { return l.float(fieldName) / millisecondsPerSecond }
+func (l *line) seconds(fieldName string) units.Seconds {
+	return units.Seconds(l.float(fieldName) / millisecondsPerSecond)
+}
 
 // integer decodes an integer, or 0 if the field is missing.
 func (l *line) integer(fieldName string) int {
--- a/internal/simadapter/serve.go
+++ b/internal/simadapter/serve.go
@@ -7,12 +7,13 @@
 	"io"
 
 	"streamcleat/control"
+	"streamcleat/internal/units"
 )
 
 // server holds the instances of a process and the worker lists that they share.
 type server struct {
 	out            *bufio.Writer
-	now            float64 // time of the current batch in seconds
+	now            units.Seconds // time of the current batch in seconds
 	inBatch        bool
 	instances      map[string]*instance
 	lists          map[int][]control.Worker // by slot
--- a/internal/storage/fixtures_test.go
+++ b/internal/storage/fixtures_test.go
@@ -18,6 +18,7 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 
 	"streamcleat/internal/dispatch"
+	"streamcleat/internal/units"
 )
 
 // The fixtures hold the keys and values of existing stores and must not change. A new record format gets new fixtures;
@@ -56,7 +57,7 @@
 		{Kind: dispatch.RecordRequestEnded, Response: dispatch.Response{
 			Identity: dispatch.Identity{Source: "/shop", ID: "ended-2"}, Class: "once", Kind: dispatch.Rejected, Cause: dispatch.CauseNoCapacity,
 		}},
-		{Kind: dispatch.RecordRequestEnded, PossiblyExecuted: true, FirstExecutionAge: math.Inf(1), Response: dispatch.Response{ // the encoding of an unknown time in a restored store
+		{Kind: dispatch.RecordRequestEnded, PossiblyExecuted: true, FirstExecutionAge: units.Seconds(math.Inf(1)), Response: dispatch.Response{ // the encoding of an unknown time in a restored store
 			Identity: dispatch.Identity{Source: "/shop", ID: "ended-3"}, Class: "once", Function: "f", Fields: []dispatch.Field{}, Body: []byte{}}},
 	}
 }
--- a/internal/storage/quarantine.go
+++ b/internal/storage/quarantine.go
@@ -9,6 +9,8 @@
 
 	"github.com/cockroachdb/pebble/v2"
 	"github.com/cockroachdb/pebble/v2/vfs"
+
+	"streamcleat/internal/units"
 )
 
 // replaceCorruptStore quarantines a corrupt store and creates a new one from the part that could be read. cause is the
@@ -85,10 +87,10 @@
 	for _, recovered := range state.Records {
 		record := recovered.Record
 		if !recovered.Reliable {
-			record.FirstExecutionAge = math.Inf(1)
+			record.FirstExecutionAge = units.Seconds(math.Inf(1))
 		}
 		recordedAt := now
-		recordedAt.ServiceTime -= recovered.Age
+		recordedAt.ServiceTime -= float64(recovered.Age)
 		mutations, err := encodeRecord(record, recordedAt)
 		if err != nil {
 			return nil, err
--- a/internal/storage/record_codec.go
+++ b/internal/storage/record_codec.go
@@ -10,6 +10,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"streamcleat/internal/dispatch"
+	"streamcleat/internal/units"
 )
 
 // errInvalidRecord is returned for a record that can be decoded but has missing or out-of-range values.
@@ -41,9 +42,10 @@
 	}
 	recovered := dispatch.RecoveredRecord{
 		Record: stored.record(),
-		Age:    max(now.ServiceTime-stored.RecordedAt.ServiceTime, 0),
+		Age:    units.Seconds(max(now.ServiceTime-stored.RecordedAt.ServiceTime, 0)),
 	}
-	recovered.FirstExecutionAge, recovered.Reliable = stored.FirstRunAt.until(now)
+	age, reliable := stored.FirstRunAt.until(now)
+	recovered.FirstExecutionAge, recovered.Reliable = units.Seconds(age), reliable
 	return recovered, nil
 }
 
@@ -120,11 +122,11 @@
 }
 
 func newStoredFunctionProfile(p dispatch.FunctionProfile) storedFunctionProfile {
-	return storedFunctionProfile{Concurrency: p.Concurrency, MemoryMB: p.MemoryMB, LoadTime: p.LoadTime}
+	return storedFunctionProfile{Concurrency: p.Concurrency, MemoryMB: p.MemoryMB, LoadTime: float64(p.LoadTime)}
 }
 
 func (p storedFunctionProfile) profile() dispatch.FunctionProfile {
-	return dispatch.FunctionProfile{Concurrency: p.Concurrency, MemoryMB: p.MemoryMB, LoadTime: p.LoadTime}
+	return dispatch.FunctionProfile{Concurrency: p.Concurrency, MemoryMB: p.MemoryMB, LoadTime: units.Seconds(p.LoadTime)}
 }
 
 func newStoredRequest(r *dispatch.Request) storedRequest {
@@ -134,12 +136,12 @@
 		Class:            r.Class,
 		Tenant:           r.Tenant,
 		Function:         r.Function,
-		Timeout:          r.Timeout,
+		Timeout:          float64(r.Timeout),
 		Fields:           convertSlice(r.Fields, newStoredField),
 		Body:             r.Body,
 		Retried:          r.Retried,
 		StatedProfile:    newStoredFunctionProfile(r.StatedProfile),
-		ExpectedWork:     r.ExpectedWork,
+		ExpectedWork:     float64(r.ExpectedWork),
 		RejectDuplicates: r.RejectDuplicates,
 	}
 }
@@ -150,12 +152,12 @@
 		Class:            r.Class,
 		Tenant:           r.Tenant,
 		Function:         r.Function,
-		Timeout:          r.Timeout,
+		Timeout:          units.Seconds(r.Timeout),
 		Fields:           convertSlice(r.Fields, storedField.field),
 		Body:             r.Body,
 		Retried:          r.Retried,
 		StatedProfile:    r.StatedProfile.profile(),
-		ExpectedWork:     r.ExpectedWork,
+		ExpectedWork:     units.Seconds(r.ExpectedWork),
 		RejectDuplicates: r.RejectDuplicates,
 	}
 }
@@ -169,10 +171,10 @@
 		Function:        r.Function,
 		Binding:         newStoredBinding(r.Binding),
 		Concurrency:     r.Concurrency,
-		LoadTime:        r.LoadTime,
+		LoadTime:        float64(r.LoadTime),
 		Worker:          r.Worker,
-		WorkerStartedAt: r.WorkerStartedAt,
-		Age:             r.Age,
+		WorkerStartedAt: float64(r.WorkerStartedAt),
+		Age:             float64(r.Age),
 	}
 }
 
@@ -181,10 +183,10 @@
 		Function:        r.Function,
 		Binding:         r.Binding.binding(),
 		Concurrency:     r.Concurrency,
-		LoadTime:        r.LoadTime,
+		LoadTime:        units.Seconds(r.LoadTime),
 		Worker:          r.Worker,
-		WorkerStartedAt: r.WorkerStartedAt,
-		Age:             r.Age,
+		WorkerStartedAt: units.Seconds(r.WorkerStartedAt),
+		Age:             units.Seconds(r.Age),
 	}
 }
 
@@ -192,8 +194,8 @@
 func newStoredRecord(record dispatch.Record, now Timestamp) storedRecord {
 	response := record.Response
 	firstRunAt := now
-	firstRunAt.Uptime -= record.FirstExecutionAge
-	firstRunAt.ServiceTime -= record.FirstExecutionAge
+	firstRunAt.Uptime -= float64(record.FirstExecutionAge)
+	firstRunAt.ServiceTime -= float64(record.FirstExecutionAge)
 	return storedRecord{
 		Kind:         uint8(record.Kind),
 		Source:       response.Identity.Source,
@@ -203,7 +205,7 @@
 		Tenant:       response.Tenant,
 		ResponseKind: uint8(response.Kind),
 		Cause:        uint8(response.Cause),
-		RetryAfter:   response.RetryAfter,
+		RetryAfter:   float64(response.RetryAfter),
 		Worker:       response.Worker,
 		Attempts:     response.Attempts,
 		Fields:       convertSlice(response.Fields, newStoredField),
@@ -211,7 +213,7 @@
 		MayHaveRun:   record.PossiblyExecuted,
 		FirstRunAt:   firstRunAt,
 		RecordedAt:   now,
-		Elapsed:      response.Elapsed,
+		Elapsed:      float64(response.Elapsed),
 		Binding:      newStoredBinding(response.Binding),
 	}
 }
@@ -228,12 +230,12 @@
 			Tenant:     r.Tenant,
 			Kind:       dispatch.ResponseKind(r.ResponseKind),
 			Cause:      dispatch.Cause(r.Cause),
-			RetryAfter: r.RetryAfter,
+			RetryAfter: units.Seconds(r.RetryAfter),
 			Worker:     r.Worker,
 			Attempts:   r.Attempts,
 			Fields:     convertSlice(r.Fields, storedField.field),
 			Body:       r.Body,
-			Elapsed:    r.Elapsed,
+			Elapsed:    units.Seconds(r.Elapsed),
 			Binding:    r.Binding.binding(),
 		},
 	}
--- a/internal/storage/recovery.go
+++ b/internal/storage/recovery.go
@@ -10,6 +10,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"streamcleat/internal/dispatch"
+	"streamcleat/internal/units"
 )
 
 // ScheduledRequest is a request of the appliance's own schedules that was open when the last process ended.
@@ -137,7 +138,7 @@
 	}
 	replicas := convertSlice(stored.Replicas, storedReplica.replica)
 	for i := range replicas {
-		replicas[i].Age += age
+		replicas[i].Age += units.Seconds(age)
 	}
 	return replicas
 }
@@ -181,7 +182,7 @@
 			r.countUnreadable()
 			return
 		}
-		if record.Age < r.retention {
+		if record.Age < units.Seconds(r.retention) {
 			r.state.Records = append(r.state.Records, record)
 		}
 	})
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -11,6 +11,7 @@
 	"github.com/cockroachdb/pebble/v2/vfs"
 
 	"streamcleat/internal/dispatch"
+	"streamcleat/internal/units"
 )
 
 // testRetention is the retention, in seconds, of most stores in the tests.
@@ -26,7 +27,7 @@
 
 // newRecord returns a record of a request; if kind is RecordRequestEnded, the request succeeded.
 func newRecord(kind dispatch.RecordKind, class, id string, firstRunAgo float64) dispatch.Record {
-	return dispatch.Record{Kind: kind, PossiblyExecuted: true, FirstExecutionAge: firstRunAgo, Response: dispatch.Response{
+	return dispatch.Record{Kind: kind, PossiblyExecuted: true, FirstExecutionAge: units.Seconds(firstRunAgo), Response: dispatch.Response{
 		Identity: dispatch.Identity{Source: "/t", ID: id}, Class: class, Function: "f", Kind: dispatch.Succeeded,
 		Body: []byte("body of " + id), Fields: []dispatch.Field{{Name: "A", Value: "b"}},
 	}}
@@ -101,7 +102,7 @@
 			want, ago = newRecord(dispatch.RecordRequestEnded, "keyed", "2", 4), 14
 		}
 		if got.Kind != want.Kind || got.Response.Identity != want.Response.Identity || string(got.Response.Body) != string(want.Response.Body) ||
-			!got.Reliable || got.FirstExecutionAge != ago || len(got.Response.Fields) != 1 {
+			!got.Reliable || got.FirstExecutionAge != units.Seconds(ago) || len(got.Response.Fields) != 1 {
 			t.Errorf("%+v", got)
 		}
 	}
--- a/internal/telemetry/recorder.go
+++ b/internal/telemetry/recorder.go
@@ -15,6 +15,7 @@
 	"go.opentelemetry.io/otel/trace"
 
 	"streamcleat/internal/dispatch"
+	"streamcleat/internal/units"
 )
 
 // shutdownTimeout bounds the export of the last spans, so that it can't delay the end of the process.
@@ -79,13 +80,13 @@
 
 // OnRequestEnd records an ended request. history is its trace, or nil if none was retained.
 func (r *Recorder) OnRequestEnd(response dispatch.Response, history *dispatch.Trace) {
-	overObjective := response.Elapsed > r.settings.LatencyObjective(response.Class)
+	overObjective := response.Elapsed > units.Seconds(r.settings.LatencyObjective(response.Class))
 	class := response.Class
 	if response.Cause == dispatch.CauseUnknownClass {
 		class = unknownClass
 	}
 	r.requests.WithLabelValues(class, response.Kind.String(), strconv.FormatBool(overObjective)).Inc()
-	r.duration.WithLabelValues(class, response.Kind.String()).Observe(response.Elapsed)
+	r.duration.WithLabelValues(class, response.Kind.String()).Observe(float64(response.Elapsed))
 	if response.Kind != dispatch.Succeeded {
 		r.causes.WithLabelValues(response.Cause.String(), response.Worker).Inc()
 	}
--- a/internal/telemetry/recorder_test.go
+++ b/internal/telemetry/recorder_test.go
@@ -12,6 +12,7 @@
 	"testing"
 
 	"streamcleat/internal/dispatch"
+	"streamcleat/internal/units"
 )
 
 // newRetriedRequest returns a request that was retried once and ended after elapsed seconds.
@@ -22,7 +23,7 @@
 		Worker:   "wk-b",
 		Attempts: 2,
 		Identity: dispatch.Identity{Source: "/t", ID: "e"},
-		Elapsed:  elapsed,
+		Elapsed:  units.Seconds(elapsed),
 		Class:    "call",
 	}
 	return response, &dispatch.Trace{Steps: []dispatch.TraceStep{
--- a/internal/telemetry/spans.go
+++ b/internal/telemetry/spans.go
@@ -41,11 +41,11 @@
 // writeSpans exports a request as a span with a child span per attempt. The other steps are events of the request's span.
 func (r *Recorder) writeSpans(response dispatch.Response, steps []dispatch.TraceStep, overObjective bool) {
 	end := time.Now()
-	start := end.Add(-toDuration(response.Elapsed))
+	start := end.Add(-toDuration(float64(response.Elapsed)))
 	ctx, root := r.startRequestSpan(response, start, overObjective)
 	var attempt trace.Span
 	for _, step := range steps {
-		at := start.Add(toDuration(step.At))
+		at := start.Add(toDuration(float64(step.At)))
 		switch {
 		case step.Event == dispatch.StepAttemptStarted:
 			attempt = r.startAttemptSpan(ctx, step, at)
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -7,6 +7,7 @@
 	"slices"
 
 	"streamcleat/control"
+	"streamcleat/internal/units"
 )
 
 // ConnID identifies a connection. IDs are not reused.
@@ -25,7 +26,7 @@
 	ID          ConnID
 	Worker      control.WorkerID
 	Established bool
-	Since       float64 // when the dial started; once established, when the connection was established or last became idle
+	Since       units.Seconds // when the dial started; once established, when the connection was established or last became idle
 }
 
 func (c *Connection) base() *Connection { return c }
@@ -37,13 +38,13 @@
 }
 
 // DialTimedOut reports whether the connection has been dialing for at least timeout seconds.
-func (c *Connection) DialTimedOut(now, timeout float64) bool {
+func (c *Connection) DialTimedOut(now, timeout units.Seconds) bool {
 	return !c.Established && now-c.Since >= timeout
 }
 
 // IdleTimedOut reports whether the connection, which must be idle, has been established and idle for at least timeout
 // seconds.
-func (c *Connection) IdleTimedOut(now, timeout float64) bool {
+func (c *Connection) IdleTimedOut(now, timeout units.Seconds) bool {
 	return c.Established && now-c.Since >= timeout
 }
 
@@ -79,7 +80,7 @@
 func (r *Connections[C]) ForWorker(worker control.WorkerID) []C { return r.byWorker[worker] }
 
 // Dial registers c as a new connection to worker, under a new ID, and dials addr.
-func (r *Connections[C]) Dial(now float64, c C, worker control.WorkerID, addr string) {
+func (r *Connections[C]) Dial(now units.Seconds, c C, worker control.WorkerID, addr string) {
 	r.lastID++
 	base := c.base()
 	base.ID, base.Worker, base.Since = r.lastID, worker, now
@@ -90,7 +91,7 @@
 
 // FinishDial records the result of a dial and returns its connection, which is established if err is nil. It returns nil
 // if the dial was given up meanwhile or its result was recorded before.
-func (r *Connections[C]) FinishDial(now float64, id ConnID, err error) C {
+func (r *Connections[C]) FinishDial(now units.Seconds, id ConnID, err error) C {
 	var none C
 	c, known := r.byID[id]
 	if !known {
--- a/internal/upstream/endpoint_list.go
+++ b/internal/upstream/endpoint_list.go
@@ -9,6 +9,7 @@
 	"strconv"
 
 	"streamcleat/control"
+	"streamcleat/internal/units"
 )
 
 // EndpointList is a list of workers with the address of each.
@@ -47,7 +48,7 @@
 // time in Unix seconds). Offset is added to start times to convert them to the caller's clock. The error joins an
 // EndpointError for each invalid entry. A list with any invalid entry is rejected as a whole, because applying the rest
 // would remove the workers that could not be read.
-func ParseEndpointList(data []byte, offset float64) (*EndpointList, error) {
+func ParseEndpointList(data []byte, offset units.Seconds) (*EndpointList, error) {
 	var groups []endpointGroup
 	if err := json.Unmarshal(data, &groups); err != nil {
 		return nil, fmt.Errorf("list of workers: %w", err)
@@ -74,7 +75,7 @@
 // endpointParser accumulates the workers and errors of the groups parsed so far.
 type endpointParser struct {
 	list   *EndpointList
-	offset float64
+	offset units.Seconds
 	group  int // index of the current group
 	errs   []error
 }
@@ -120,7 +121,7 @@
 		}
 	}
 	if started, ok := p.number(labels, labelStarted); ok {
-		worker.StartedAt = started + p.offset
+		worker.StartedAt = units.Seconds(started) + p.offset
 	}
 	switch phase := labels[labelPhase]; phase {
 	case "", phaseServing:
--- a/internal/upstream/frames/pool.go
+++ b/internal/upstream/frames/pool.go
@@ -6,17 +6,18 @@
 	"slices"
 
 	"streamcleat/control"
+	"streamcleat/internal/units"
 	"streamcleat/internal/upstream"
 )
 
 // Limits configures the connections to workers. Times are in seconds.
 type Limits struct {
-	DialTimeout         float64 // a worker whose dial takes longer is unreachable
-	IdleTimeout         float64 // an idle connection is closed after this
-	MaxTotal            int     // connections to all workers, including those being dialed
-	MaxPerWorker        int     // connections to one worker, exceeded only to open an idle one
-	MaxStreams          int     // concurrent exchanges per connection
-	IdempotencyKeyField string  // name of the attempt's field that holds the idempotency key
+	DialTimeout         units.Seconds // a worker whose dial takes longer is unreachable
+	IdleTimeout         units.Seconds // an idle connection is closed after this
+	MaxTotal            int           // connections to all workers, including those being dialed
+	MaxPerWorker        int           // connections to one worker, exceeded only to open an idle one
+	MaxStreams          int           // concurrent exchanges per connection
+	IdempotencyKeyField string        // name of the attempt's field that holds the idempotency key
 }
 
 // Transport dials connections and carries a pool's bytes. Its methods must not call back into the pool before they
@@ -30,7 +31,7 @@
 type endpoint struct {
 	address   string
 	serving   bool
-	startedAt float64
+	startedAt units.Seconds
 }
 
 // Pool is a front end's connections to workers, with several exchanges at a time on each. Its reports distinguish what
@@ -101,7 +102,7 @@
 }
 
 // settle starts the idle time of a connection without open exchanges, or closes it if it is draining.
-func (p *Pool) settle(now float64, c *connection) {
+func (p *Pool) settle(now units.Seconds, c *connection) {
 	if len(c.open) > 0 {
 		return
 	}
@@ -112,7 +113,7 @@
 }
 
 // Tick closes connections whose dial or idle time is over.
-func (p *Pool) Tick(now float64) {
+func (p *Pool) Tick(now units.Seconds) {
 	for _, id := range p.Connections.IDs() {
 		c := p.Connections.Get(id)
 		switch {
@@ -126,7 +127,7 @@
 }
 
 // CloseAll closes every connection and reports open exchanges as lost, or as unreachable if unsent.
-func (p *Pool) CloseAll(_ float64) {
+func (p *Pool) CloseAll(_ units.Seconds) {
 	for _, id := range p.Connections.IDs() {
 		if c := p.Connections.Get(id); c != nil {
 			p.closeLost(c)
--- a/internal/upstream/frames/pool_test.go
+++ b/internal/upstream/frames/pool_test.go
@@ -9,6 +9,7 @@
 
 	"streamcleat/control"
 	"streamcleat/internal/dispatch"
+	"streamcleat/internal/units"
 	"streamcleat/internal/upstream"
 )
 
@@ -83,7 +84,7 @@
 	fixture.reported = nil
 }
 
-func endpointList(addresses map[string]string, state control.EndpointState, startedAt float64) *upstream.EndpointList {
+func endpointList(addresses map[string]string, state control.EndpointState, startedAt units.Seconds) *upstream.EndpointList {
 	list := &upstream.EndpointList{Addresses: map[control.WorkerID]string{}}
 	for id, addr := range addresses {
 		list.Workers = append(list.Workers, control.Worker{ID: control.WorkerID(id), State: state, StartedAt: startedAt})
--- a/internal/upstream/frames/receive.go
+++ b/internal/upstream/frames/receive.go
@@ -6,6 +6,7 @@
 
 	"streamcleat/control"
 	"streamcleat/internal/dispatch"
+	"streamcleat/internal/units"
 	"streamcleat/internal/upstream"
 )
 
@@ -22,7 +23,7 @@
 }
 
 // OnDialed handles the result of a dial.
-func (p *Pool) OnDialed(now float64, id upstream.ConnID, err error) {
+func (p *Pool) OnDialed(now units.Seconds, id upstream.ConnID, err error) {
 	c := p.Connections.FinishDial(now, id, err)
 	switch {
 	case c == nil:
@@ -54,7 +55,7 @@
 }
 
 // OnData handles bytes from a worker.
-func (p *Pool) OnData(now float64, id upstream.ConnID, data []byte) {
+func (p *Pool) OnData(now units.Seconds, id upstream.ConnID, data []byte) {
 	c := p.Connections.Get(id)
 	if c == nil || !c.Established {
 		return
@@ -75,7 +76,7 @@
 }
 
 // onReply handles one reply. A reply whose ID is not open is late, a duplicate or unsolicited, and is ignored.
-func (p *Pool) onReply(now float64, c *connection, r reply) {
+func (p *Pool) onReply(now units.Seconds, c *connection, r reply) {
 	e := c.open[r.id]
 	outcome, known := outcomes[r.code]
 	if e == nil || !known {
@@ -98,7 +99,7 @@
 }
 
 // OnClosed handles a connection that the worker closed or that failed. An incomplete reply is discarded.
-func (p *Pool) OnClosed(_ float64, id upstream.ConnID) {
+func (p *Pool) OnClosed(_ units.Seconds, id upstream.ConnID) {
 	if c := p.Connections.Get(id); c != nil {
 		p.Connections.Remove(c)
 		p.failOpen(c)
--- a/internal/upstream/frames/send.go
+++ b/internal/upstream/frames/send.go
@@ -7,6 +7,7 @@
 
 	"streamcleat/control"
 	"streamcleat/internal/dispatch"
+	"streamcleat/internal/units"
 	"streamcleat/internal/upstream"
 )
 
@@ -22,7 +23,7 @@
 )
 
 // SendAttempt sends an attempt. Its wire ID is the request's ID.
-func (p *Pool) SendAttempt(now float64, a dispatch.Attempt) {
+func (p *Pool) SendAttempt(now units.Seconds, a dispatch.Attempt) {
 	id, err := strconv.ParseUint(a.Identity.ID, 16, 64)
 	e := &exchange{Exchange: upstream.Exchange{ID: a.ID, Worker: a.Worker}, wireID: id}
 	if err != nil {
@@ -38,7 +39,7 @@
 
 // attemptFields encodes the fields of an attempt.
 func (p *Pool) attemptFields(permit dispatch.SendPermit, a dispatch.Attempt) string {
-	timeLeft := math.Floor(permit.TimeLeft() * millisecondsPerSecond)
+	timeLeft := math.Floor(float64(permit.TimeLeft() * millisecondsPerSecond))
 	milliseconds := strconv.FormatFloat(max(timeLeft, minTimeoutMilliseconds), 'f', 0, 64)
 	var fields strings.Builder
 	fields.Grow(attemptFieldsSizeHint)
@@ -63,7 +64,7 @@
 
 // SendLoad sends a load command. A command for no replicas unloads idle ones: it gets no reply, and is dropped unless a
 // connection to the worker is established.
-func (p *Pool) SendLoad(now float64, command dispatch.LoadCommand) {
+func (p *Pool) SendLoad(now units.Seconds, command dispatch.LoadCommand) {
 	if command.Replicas <= 0 {
 		p.sendUnload(now, command)
 		return
@@ -75,7 +76,7 @@
 	p.send(now, &exchange{Exchange: upstream.Exchange{ID: command.ID, Worker: command.Worker, IsLoad: true, Encode: encode}, wireID: id})
 }
 
-func (p *Pool) sendUnload(now float64, command dispatch.LoadCommand) {
+func (p *Pool) sendUnload(now units.Seconds, command dispatch.LoadCommand) {
 	c := p.connectionFor(now, command.Worker, 0)
 	function, err := strconv.ParseUint(command.Function, 16, 64)
 	if err == nil && c != nil && c.Established {
@@ -84,7 +85,7 @@
 }
 
 // send writes an exchange to a connection, or has it wait for the connection's dial.
-func (p *Pool) send(now float64, e *exchange) {
+func (p *Pool) send(now units.Seconds, e *exchange) {
 	p.Exchanges.Add(e)
 	c := p.connectionFor(now, e.Worker, e.wireID)
 	if c == nil {
@@ -110,7 +111,7 @@
 // connectionFor returns the connection for one more exchange: an idle one if there is one; otherwise a new one, within
 // the limits, so that a reset affects few exchanges; otherwise the one with the fewest exchanges. It returns nil if
 // there is none.
-func (p *Pool) connectionFor(now float64, worker control.WorkerID, wireID uint64) *connection {
+func (p *Pool) connectionFor(now units.Seconds, worker control.WorkerID, wireID uint64) *connection {
 	if !p.endpoints[worker].serving {
 		return nil
 	}
@@ -165,7 +166,7 @@
 
 // Abandon ends an attempt without reporting it and cancels it at the worker. If part of it is still buffered, its
 // connection is closed instead, so that this part is not sent.
-func (p *Pool) Abandon(now float64, id uint64) {
+func (p *Pool) Abandon(now units.Seconds, id uint64) {
 	e := p.Exchanges.Get(id)
 	if e == nil {
 		return
--- a/internal/upstream/openinference/codec.go
+++ b/internal/upstream/openinference/codec.go
@@ -45,7 +45,7 @@
 // is requested by name in the path and by digest in If-Match: a worker that holds another version under that name
 // responds 412 and executes nothing.
 func InferRequest(addr, via string, permit dispatch.SendPermit, a dispatch.Attempt) []byte {
-	timeLeft := math.Floor(permit.TimeLeft()*millisecondsPerSecond) / millisecondsPerSecond
+	timeLeft := math.Floor(float64(permit.TimeLeft()*millisecondsPerSecond)) / millisecondsPerSecond
 	fields := append([]dispatch.Field{{Name: "Request-Timeout", Value: strconv.FormatFloat(timeLeft, 'f', 3, 64)}},
 		a.Fields...)
 	if b := a.Binding; b.ID != "" {
--- a/internal/upstream/openinference/pool.go
+++ b/internal/upstream/openinference/pool.go
@@ -9,14 +9,15 @@
 	"streamcleat/control"
 	"streamcleat/internal/dispatch"
 	"streamcleat/internal/http1"
+	"streamcleat/internal/units"
 	"streamcleat/internal/upstream"
 )
 
 // Limits configures the connections to workers. Times are in seconds.
 type Limits struct {
-	DialTimeout  float64 // a worker whose dial takes longer is unreachable
-	IdleTimeout  float64 // an idle connection is closed after this
-	MaxPerWorker int     // connections to one worker, including those being dialed
+	DialTimeout  units.Seconds // a worker whose dial takes longer is unreachable
+	IdleTimeout  units.Seconds // an idle connection is closed after this
+	MaxPerWorker int           // connections to one worker, including those being dialed
 	Message      http1.Limits
 	Via          string // the front end's name
 }
@@ -84,7 +85,7 @@
 }
 
 // setIdle makes an established connection available to the next exchange.
-func (p *Pool) setIdle(now float64, c *connection) {
+func (p *Pool) setIdle(now units.Seconds, c *connection) {
 	c.Since = now
 	p.idle[c.Worker] = append(p.idle[c.Worker], c)
 	p.queueTimeout(c)
@@ -121,7 +122,7 @@
 }
 
 // Tick closes connections whose dial or idle time is over.
-func (p *Pool) Tick(now float64) {
+func (p *Pool) Tick(now units.Seconds) {
 	remaining := p.timeouts[:0]
 	for _, c := range p.timeouts {
 		switch {
@@ -141,7 +142,7 @@
 }
 
 // CloseAll closes every connection and reports open exchanges as lost, including those that wait for a dial.
-func (p *Pool) CloseAll(_ float64) {
+func (p *Pool) CloseAll(_ units.Seconds) {
 	for _, id := range p.Connections.IDs() {
 		c := p.Connections.Get(id)
 		if c == nil {
--- a/internal/upstream/openinference/pool_test.go
+++ b/internal/upstream/openinference/pool_test.go
@@ -10,6 +10,7 @@
 	"streamcleat/control"
 	"streamcleat/internal/dispatch"
 	"streamcleat/internal/http1"
+	"streamcleat/internal/units"
 	"streamcleat/internal/upstream"
 )
 
@@ -64,7 +65,7 @@
 	return fixture
 }
 
-func (fixture *poolFixture) sendAttempt(now float64, id uint64) {
+func (fixture *poolFixture) sendAttempt(now units.Seconds, id uint64) {
 	fixture.pool.SendAttempt(now, dispatch.Attempt{ID: id, Worker: "h:1", Function: "a/b", Timeout: 2, Body: []byte("x")})
 }
 
@@ -181,32 +182,32 @@
 			switch rng.IntN(9) {
 			case 0, 1, 2:
 				last++
-				fixture.sendAttempt(now, last)
+				fixture.sendAttempt(units.Seconds(now), last)
 			case 3:
-				fixture.pool.OnDialed(now, c, nil)
+				fixture.pool.OnDialed(units.Seconds(now), c, nil)
 			case 4:
-				fixture.pool.OnDialed(now, c, errors.New("refused"))
+				fixture.pool.OnDialed(units.Seconds(now), c, errors.New("refused"))
 			case 5:
-				fixture.pool.OnData(now, c, []byte(okResponse)[:rng.IntN(len(okResponse)+1)])
+				fixture.pool.OnData(units.Seconds(now), c, []byte(okResponse)[:rng.IntN(len(okResponse)+1)])
 			case 6:
-				fixture.pool.OnClosed(now, c)
+				fixture.pool.OnClosed(units.Seconds(now), c)
 			case 7:
 				if last > 0 {
 					id := rng.Uint64N(last) + 1
 					abandoned[id] = abandoned[id] || len(fixture.outcomes[id]) == 0
-					fixture.pool.Abandon(now, id)
+					fixture.pool.Abandon(units.Seconds(now), id)
 				}
 			case 8:
 				list, _ := upstream.ParseEndpointList([]byte(lists[rng.IntN(len(lists))]), 0)
 				fixture.pool.SetEndpoints(list)
-				fixture.pool.Tick(now)
+				fixture.pool.Tick(units.Seconds(now))
 			}
 			fixture.pool.Flush()
 			if err := fixture.pool.Check(); err != nil {
 				t.Fatalf("seed %d: %v", seed, err)
 			}
 		}
-		fixture.pool.CloseAll(now)
+		fixture.pool.CloseAll(units.Seconds(now))
 		fixture.pool.Flush()
 		for id := uint64(1); id <= last; id++ {
 			if n := len(fixture.outcomes[id]); n != 1 && (n != 0 || !abandoned[id]) {
--- a/internal/upstream/openinference/receive.go
+++ b/internal/upstream/openinference/receive.go
@@ -3,11 +3,12 @@
 import (
 	"streamcleat/internal/dispatch"
 	"streamcleat/internal/http1"
+	"streamcleat/internal/units"
 	"streamcleat/internal/upstream"
 )
 
 // OnDialed handles the result of a dial.
-func (p *Pool) OnDialed(now float64, id upstream.ConnID, err error) {
+func (p *Pool) OnDialed(now units.Seconds, id upstream.ConnID, err error) {
 	c := p.Connections.FinishDial(now, id, err)
 	switch {
 	case c == nil:
@@ -24,7 +25,7 @@
 }
 
 // OnData handles bytes from a worker.
-func (p *Pool) OnData(now float64, id upstream.ConnID, data []byte) {
+func (p *Pool) OnData(now units.Seconds, id upstream.ConnID, data []byte) {
 	c := p.Connections.Get(id)
 	if c == nil || !c.Established {
 		return
@@ -43,7 +44,7 @@
 }
 
 // finish ends the exchange of a connection with its response, or with the error of parsing it.
-func (p *Pool) finish(now float64, c *connection, message *http1.Message, err error) {
+func (p *Pool) finish(now units.Seconds, c *connection, message *http1.Message, err error) {
 	e := c.exchange
 	c.exchange = nil
 	if err != nil || message.Close || !c.framer.Idle() || p.draining[c.Worker] {
@@ -63,7 +64,7 @@
 }
 
 // OnClosed handles a connection that the worker closed or that failed. Closing may complete a response.
-func (p *Pool) OnClosed(now float64, id upstream.ConnID) {
+func (p *Pool) OnClosed(now units.Seconds, id upstream.ConnID) {
 	c := p.Connections.Get(id)
 	if c == nil {
 		return
--- a/internal/upstream/openinference/send.go
+++ b/internal/upstream/openinference/send.go
@@ -3,18 +3,19 @@
 import (
 	"streamcleat/internal/dispatch"
 	"streamcleat/internal/http1"
+	"streamcleat/internal/units"
 	"streamcleat/internal/upstream"
 )
 
 // SendAttempt sends an attempt.
-func (p *Pool) SendAttempt(now float64, a dispatch.Attempt) {
+func (p *Pool) SendAttempt(now units.Seconds, a dispatch.Attempt) {
 	addr := p.addresses[a.Worker]
 	encode := func(permit dispatch.SendPermit) []byte { return InferRequest(addr, p.limits.Via, permit, a) }
 	p.send(now, &exchange{Exchange: upstream.Exchange{ID: a.ID, Worker: a.Worker, Encode: encode}})
 }
 
 // SendLoad sends a load command.
-func (p *Pool) SendLoad(now float64, command dispatch.LoadCommand) {
+func (p *Pool) SendLoad(now units.Seconds, command dispatch.LoadCommand) {
 	addr := p.addresses[command.Worker]
 	encode := func(dispatch.SendPermit) []byte { return LoadRequest(addr, p.limits.Via, command) }
 	p.send(now, &exchange{
@@ -24,7 +25,7 @@
 }
 
 // send writes an exchange to an idle connection, or has it wait for the dial of a new one.
-func (p *Pool) send(now float64, e *exchange) {
+func (p *Pool) send(now units.Seconds, e *exchange) {
 	p.Exchanges.Add(e)
 	addr := p.addresses[e.Worker]
 	if addr == "" || p.draining[e.Worker] {
@@ -48,7 +49,7 @@
 }
 
 // write writes an exchange to a free connection, which stays idle if the write is denied.
-func (p *Pool) write(now float64, c *connection, e *exchange) {
+func (p *Pool) write(now units.Seconds, c *connection, e *exchange) {
 	if !p.Exchanges.Write(e, p.transport, c.ID) {
 		c.exchange, e.connection = nil, nil
 		p.setIdle(now, c)
@@ -81,7 +82,7 @@
 }
 
 // Abandon ends an attempt without reporting it. If it was sent, its connection is closed, which cancels it at the worker.
-func (p *Pool) Abandon(_ float64, id uint64) {
+func (p *Pool) Abandon(_ units.Seconds, id uint64) {
 	e := p.Exchanges.Get(id)
 	if e == nil {
 		return
--- a/internal/verification/goldentest/client.go
+++ b/internal/verification/goldentest/client.go
@@ -6,18 +6,19 @@
 	"time"
 
 	"streamcleat/internal/dispatch"
+	"streamcleat/internal/units"
 )
 
 // Session is the front end's side of a client connection, for any protocol.
 type Session interface {
-	Feed(now float64, wall time.Time, data []byte)
-	Respond(now float64, slot uint64, r dispatch.Response)
-	Advance(now float64)
-	Tick(now float64) bool
+	Feed(now units.Seconds, wall time.Time, data []byte)
+	Respond(now units.Seconds, slot uint64, r dispatch.Response)
+	Advance(now units.Seconds)
+	Tick(now units.Seconds) bool
 	Drain()
 	Disconnected()
 	Done() bool
-	Idle() (since float64, idle bool)
+	Idle() (since units.Seconds, idle bool)
 	Output() []byte
 }
 
@@ -31,7 +32,7 @@
 	pieceSize int                                      // bytes that are fed at a time; 0: all
 	done      bool                                     // as last reported by the session
 	automatic *dispatch.Response                       // to each request, within Submit; may be nil
-	now       float64
+	now       units.Seconds
 	lines     []string // of the transcript, for the current line of the script
 }
 
@@ -58,7 +59,7 @@
 }
 
 // Act executes one line of the script.
-func (c *FakeClient) Act(now float64, verb string, words []string) []string {
+func (c *FakeClient) Act(now units.Seconds, verb string, words []string) []string {
 	c.lines, c.now = nil, now
 	switch verb {
 	case "always":
@@ -97,7 +98,7 @@
 
 // sendMessage sends a message of the client. "+verb" holds it back and sends it with the next one. "first=N verb" sends
 // only its first N bytes, or all but the last -N if N is negative; the verb "rest" sends the others.
-func (c *FakeClient) sendMessage(now float64, verb string, words []string) {
+func (c *FakeClient) sendMessage(now units.Seconds, verb string, words []string) {
 	name, hold := strings.CutPrefix(verb, "+")
 	if text, partial := strings.CutPrefix(verb, "first="); partial {
 		data := c.Encode(words[0], words[1:])
@@ -120,12 +121,12 @@
 	c.send(now, data)
 }
 
-func (c *FakeClient) send(now float64, data []byte) {
+func (c *FakeClient) send(now units.Seconds, data []byte) {
 	data = append(c.heldBack, data...)
 	c.heldBack = nil
 	for _, text := range c.Show(data) {
 		c.logf("< client %s", text)
 	}
-	wall := Wall.Add(time.Duration(now * float64(time.Second)))
+	wall := Wall.Add(now.Duration())
 	inPieces(data, c.pieceSize, func(piece []byte) { c.Session.Feed(now, wall, piece) })
 }
--- a/internal/verification/goldentest/script.go
+++ b/internal/verification/goldentest/script.go
@@ -6,13 +6,15 @@
 	"strconv"
 	"strings"
 	"testing"
+
+	"streamcleat/internal/units"
 )
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
 // Actor executes one line of a script and returns its effects as lines of the transcript.
 type Actor interface {
-	Act(now float64, verb string, words []string) []string
+	Act(now units.Seconds, verb string, words []string) []string
 }
 
 // Play runs testdata/NAME.script and compares the transcript with testdata/NAME.golden. newActor returns the actor of a
@@ -43,7 +45,7 @@
 			t.Fatalf("%s.script:%d: %v", name, number+1, err)
 		}
 		out.WriteString(line + "\n")
-		for _, effect := range actor.Act(now, words[1], words[2:]) {
+		for _, effect := range actor.Act(units.Seconds(now), words[1], words[2:]) {
 			out.WriteString("    " + words[0] + " " + effect + "\n")
 		}
 	}
