--- a/internal/verification/goldentest/words.go
+++ b/internal/verification/goldentest/words.go
@@ -6,6 +6,7 @@
 
 	"streamcleat/control"
 	"streamcleat/internal/dispatch"
+	"streamcleat/internal/units"
 )
 
 // outcomeWords has the words of transcripts for the outcome of an attempt.
@@ -63,10 +64,10 @@
 		r.Cause = parseCause(options["cause"])
 	}
 	if options["pause"] != "" {
-		r.RetryAfter = Number(options["pause"])
+		r.RetryAfter = units.Seconds(Number(options["pause"]))
 	}
 	if options["after"] != "" {
-		r.Elapsed = Number(options["after"])
+		r.Elapsed = units.Seconds(Number(options["after"]))
 	}
 	if options["attempts"] != "" {
 		r.Attempts = int(Number(options["attempts"]))
@@ -103,7 +104,7 @@
 		}
 	}
 	if options["limit"] != "" {
-		a.Timeout = Number(options["limit"])
+		a.Timeout = units.Seconds(Number(options["limit"]))
 	}
 	if name, value, ok := strings.Cut(options["field"], ": "); ok {
 		a.Fields = []dispatch.Field{{Name: name, Value: value}}
--- a/internal/verification/goldentest/workers.go
+++ b/internal/verification/goldentest/workers.go
@@ -7,21 +7,22 @@
 
 	"streamcleat/control"
 	"streamcleat/internal/dispatch"
+	"streamcleat/internal/units"
 	"streamcleat/internal/upstream"
 )
 
 // Pool is the front end's side of the connections to workers, for any protocol.
 type Pool interface {
 	SetEndpoints(list *upstream.EndpointList)
-	SendAttempt(now float64, a dispatch.Attempt)
-	SendLoad(now float64, command dispatch.LoadCommand)
+	SendAttempt(now units.Seconds, a dispatch.Attempt)
+	SendLoad(now units.Seconds, command dispatch.LoadCommand)
 	CancelUnsent(id uint64) bool
-	Abandon(now float64, id uint64)
-	OnDialed(now float64, c upstream.ConnID, err error)
-	OnData(now float64, c upstream.ConnID, data []byte)
-	OnClosed(now float64, c upstream.ConnID)
-	Tick(now float64)
-	CloseAll(now float64)
+	Abandon(now units.Seconds, id uint64)
+	OnDialed(now units.Seconds, c upstream.ConnID, err error)
+	OnData(now units.Seconds, c upstream.ConnID, data []byte)
+	OnClosed(now units.Seconds, c upstream.ConnID)
+	Tick(now units.Seconds)
+	CloseAll(now units.Seconds)
 	Flush()
 	Len() int
 	Check() error
@@ -36,8 +37,8 @@
 	heldBack  []byte                                   // sent with the next message
 	pieceSize int                                      // bytes that are fed at a time; 0: all
 	lines     []string                                 // of the transcript, for the current line of the script
-	now       float64
-	deadlines map[uint64]float64 // of attempts
+	now       units.Seconds
+	deadlines map[uint64]units.Seconds // of attempts
 }
 
 func (w *FakeWorkers) logf(format string, args ...any) {
@@ -71,9 +72,9 @@
 func (*FakeWorkers) AuthorizeLoad() dispatch.SendPermit { return dispatch.PermitSend(0) }
 
 // sendAttempt records the deadline of an attempt and passes it to the pool.
-func (w *FakeWorkers) sendAttempt(now float64, attempt dispatch.Attempt) {
+func (w *FakeWorkers) sendAttempt(now units.Seconds, attempt dispatch.Attempt) {
 	if w.deadlines == nil {
-		w.deadlines = map[uint64]float64{}
+		w.deadlines = map[uint64]units.Seconds{}
 	}
 	w.deadlines[attempt.ID] = now + attempt.Timeout
 	w.Pool.SendAttempt(now, attempt)
@@ -92,7 +93,7 @@
 }
 
 // Act executes one line of the script.
-func (w *FakeWorkers) Act(now float64, verb string, words []string) []string {
+func (w *FakeWorkers) Act(now units.Seconds, verb string, words []string) []string {
 	w.lines, w.now = nil, now
 	w.execute(now, verb, words)
 	w.Pool.Flush()
@@ -102,7 +103,7 @@
 	return w.lines
 }
 
-func (w *FakeWorkers) execute(now float64, verb string, words []string) {
+func (w *FakeWorkers) execute(now units.Seconds, verb string, words []string) {
 	number := func() uint64 { return uint64(Number(words[0])) }
 	switch verb {
 	case "workers":
@@ -138,7 +139,7 @@
 
 // sendMessage sends a message of a worker to the pool: "verb connection ...". "+verb" holds it back and sends it with the
 // next one.
-func (w *FakeWorkers) sendMessage(now float64, verb string, words []string) {
+func (w *FakeWorkers) sendMessage(now units.Seconds, verb string, words []string) {
 	name, hold := strings.CutPrefix(verb, "+")
 	data := w.Encode(name, words[1:])
 	if data == nil {
--- a/internal/verification/simulation/appliance.go
+++ b/internal/verification/simulation/appliance.go
@@ -10,6 +10,7 @@
 	"streamcleat/internal/registry"
 	"streamcleat/internal/schedule"
 	"streamcleat/internal/storage"
+	"streamcleat/internal/units"
 	"streamcleat/internal/verification/invariants"
 )
 
@@ -66,7 +67,7 @@
 
 	// State of the checks of the stored records.
 	acknowledged   map[dispatch.Identity]dispatch.Record // reported to the program as on disk
-	acknowledgedAt map[dispatch.Identity]float64
+	acknowledgedAt map[dispatch.Identity]units.Seconds
 	unacknowledged map[dispatch.Identity][]dispatch.Record // submitted, and not yet reported as on disk
 	auditEntries   int                                     // reported to the program as on disk
 }
@@ -79,7 +80,7 @@
 		},
 		site: s, number: number, disk: newDisk(),
 		acknowledged:   map[dispatch.Identity]dispatch.Record{},
-		acknowledgedAt: map[dispatch.Identity]float64{},
+		acknowledgedAt: map[dispatch.Identity]units.Seconds{},
 		unacknowledged: map[dispatch.Identity][]dispatch.Record{},
 	}
 	for i := range frontEnds {
@@ -146,7 +147,7 @@
 
 // timestamp returns the machine's clock for the store. Only a power loss reboots the machine.
 func (a *applianceProcess) timestamp() storage.Timestamp {
-	return storage.Timestamp{BootID: fmt.Sprintf("%s/%d", a.name, a.site.reboots[a.number]), Uptime: a.scheduler.now}
+	return storage.Timestamp{BootID: fmt.Sprintf("%s/%d", a.name, a.site.reboots[a.number]), Uptime: float64(a.scheduler.now)}
 }
 
 // execute executes an action of the lifecycle.
@@ -174,7 +175,7 @@
 	case appliance.CloseSocket: // the simulation has no console
 	case appliance.Exit:
 		a.exit(processExit)
-		a.scheduler.after(max(a.restartIn, minRestartDelay), a.name+" starts", a.startIfDown)
+		a.scheduler.after(units.Seconds(max(a.restartIn, minRestartDelay)), a.name+" starts", a.startIfDown)
 	}
 }
 
@@ -234,7 +235,7 @@
 	for _, request := range a.recovered.ScheduledRequests {
 		a.submitScheduled(request.Request, request.Deadline, 1)
 	}
-	a.tasks = appliance.NewTaskScheduler(a.scheduler.now,
+	a.tasks = appliance.NewTaskScheduler(float64(a.scheduler.now),
 		appliance.BackgroundTask{Name: taskTick, Interval: 1, Priority: 3, SliceDuration: 0.05, Urgent: true},
 		appliance.BackgroundTask{Name: taskExpiry, Interval: 2, Priority: 2, SliceDuration: 0.02, MaxTimeFraction: 0.05, MaxDelay: 5},
 		appliance.BackgroundTask{Name: taskCompaction, Interval: 7, Priority: 1, SliceDuration: 1, MaxTimeFraction: 0.05, MaxDelay: 10})
@@ -247,7 +248,7 @@
 	if a.store == nil || a.lifecycle.State >= appliance.Terminating {
 		return
 	}
-	name, _ := a.tasks.Next(a.scheduler.now, 0)
+	name, _ := a.tasks.Next(float64(a.scheduler.now), 0)
 	more := false
 	err := a.withStore(func() (err error) {
 		more, err = a.runTaskSlice(name)
@@ -256,7 +257,7 @@
 	if !a.running {
 		return
 	}
-	a.tasks.Done(a.scheduler.now, name, taskSlice, more, err)
+	a.tasks.Done(float64(a.scheduler.now), name, taskSlice, more, err)
 	a.after(taskInterval, "chores", a.runTask)
 }
 
@@ -323,7 +324,7 @@
 		return
 	}
 	a.exit(kind)
-	a.scheduler.after(restartIn, a.name+" starts", a.startIfDown)
+	a.scheduler.after(units.Seconds(restartIn), a.name+" starts", a.startIfDown)
 }
 
 // exit ends the process, breaks its connections, and prepares the disk for the next one.
--- a/internal/verification/simulation/client.go
+++ b/internal/verification/simulation/client.go
@@ -8,6 +8,7 @@
 	"strconv"
 
 	"streamcleat/internal/http1"
+	"streamcleat/internal/units"
 	"streamcleat/internal/verification/fakes"
 	"streamcleat/internal/verification/invariants"
 )
@@ -43,11 +44,11 @@
 	calls               int
 	frontEnd            int
 	firstSent           float64
-	retryUntil          float64 // time of the last retry
-	timeout             float64 // stated by the client; 0: none, the class's timeout applies
-	duplicated          bool    // sent by two independent programs
-	cancelAfter         float64 // seconds from each call to its cancellation; 0: not cancelled
-	repeats             int     // calls to make after the response, which must get the same one
+	retryUntil          units.Seconds // time of the last retry
+	timeout             units.Seconds // stated by the client; 0: none, the class's timeout applies
+	duplicated          bool          // sent by two independent programs
+	cancelAfter         float64       // seconds from each call to its cancellation; 0: not cancelled
+	repeats             int           // calls to make after the response, which must get the same one
 }
 
 // mayChangeFrontEnd reports whether a retry may go to another front end. At-most-once requests stay with the one that
@@ -65,7 +66,7 @@
 	number      uint64
 	frontEnd    *frontEnd
 	processName string // the front end's process at the time of sending
-	sentAt      float64
+	sentAt      units.Seconds
 	ended       bool
 	timeout     *event
 	conn        *clientConn
@@ -108,7 +109,7 @@
 		rng: newRand(s.script.Seed, name), rate: s.script.Rate / float64(s.script.Clients),
 	}
 	c.functions = rand.NewZipf(c.rng, 1.2, 2, uint64(len(s.functions)-1))
-	c.after(c.rng.Float64()*maxStartDelay, "begins", c.sendNext)
+	c.after(units.Seconds(c.rng.Float64()*maxStartDelay), "begins", c.sendNext)
 	return c
 }
 
@@ -136,14 +137,14 @@
 		return
 	}
 	rate := c.rate * max(c.site.rateFactor, 1)
-	c.after(c.rng.ExpFloat64()/rate, "next", c.sendNext)
+	c.after(units.Seconds(c.rng.ExpFloat64()/rate), "next", c.sendNext)
 	r := c.drawRequest()
 	c.send(r)
 	if r.duplicated { // by another program on the same machine
 		duplicate := *r
 		duplicate.timeout = 0
 		duplicate.cancelAfter, duplicate.repeats = 0, 0
-		c.after(c.rng.Float64()*maxDuplicateDelay, "twin", func() { c.send(&duplicate) })
+		c.after(units.Seconds(c.rng.Float64()*maxDuplicateDelay), "twin", func() { c.send(&duplicate) })
 	}
 }
 
@@ -156,7 +157,7 @@
 		number:     c.requests,
 		function:   c.site.functions[c.functions.Uint64()].Name,
 		frontEnd:   c.rng.IntN(len(c.site.frontEnds)),
-		firstSent:  now,
+		firstSent:  float64(now),
 		retryUntil: now + retryWindow*requestTimeout,
 	}
 	if c.rng.Float64() < max(c.site.cancelFraction, normalCancelFraction) {
@@ -167,7 +168,7 @@
 	}
 	r.duplicated = c.rng.IntN(12) == 0
 	if c.rng.IntN(8) == 0 {
-		r.timeout = minClientTimeout + (requestTimeout-minClientTimeout)*c.rng.Float64()
+		r.timeout = units.Seconds(minClientTimeout + (requestTimeout-minClientTimeout)*c.rng.Float64())
 	}
 	return r
 }
@@ -177,7 +178,7 @@
 	r.calls++
 	f, timeout := c.site.frontEnds[r.frontEnd], requestTimeout
 	if r.timeout > 0 {
-		timeout = r.timeout
+		timeout = float64(r.timeout)
 	}
 	call := &clientCall{request: r, number: c.site.recorder.NextCallID(), frontEnd: f, processName: f.processName(), sentAt: c.scheduler.now}
 	conn := c.reusableConn(f, r)
@@ -185,9 +186,9 @@
 	record.Function, record.Timeout = r.function, timeout
 	c.site.recorder.Add(record)
 	c.site.beginOperation(call)
-	call.timeout = c.after(timeout, "gives up "+r.id, func() { c.onTimeout(call) })
+	call.timeout = c.after(units.Seconds(timeout), "gives up "+r.id, func() { c.onTimeout(call) })
 	if r.cancelAfter > 0 {
-		c.after(r.cancelAfter, "leaves "+r.id, func() { c.cancel(call) })
+		c.after(units.Seconds(r.cancelAfter), "leaves "+r.id, func() { c.cancel(call) })
 	}
 	if conn == nil {
 		c.dial(call)
@@ -226,7 +227,7 @@
 		c.onRejected(r, m)
 	case r.repeats > 0 && outcome != invariants.Invalid:
 		r.repeats--
-		c.retry(r, closedRetryDelay+c.rng.Float64(), sameFrontEnd)
+		c.retry(r, units.Seconds(closedRetryDelay+c.rng.Float64()), sameFrontEnd)
 	}
 }
 
@@ -239,22 +240,22 @@
 	if c.site.ignoreRetryAfter {
 		c.retry(r, eagerRetryDelay, anyFrontEnd)
 	} else if m.Status == http.StatusServiceUnavailable {
-		c.retry(r, retryAfter+c.rng.Float64()*0.2, anyFrontEnd)
+		c.retry(r, units.Seconds(retryAfter+c.rng.Float64()*0.2), anyFrontEnd)
 	}
 }
 
 // retry schedules a retry of a request, unless its retries are used up. A retry to anyFrontEnd may change the
 // front end if the request's class allows it.
-func (c *client) retry(r *request, delay float64, target retryTarget) {
+func (c *client) retry(r *request, delay units.Seconds, target retryTarget) {
 	at := c.scheduler.now + delay
-	if at > r.retryUntil || r.calls >= maxCalls || c.finishing && at > c.site.script.Seconds+retryPeriod {
+	if at > r.retryUntil || r.calls >= maxCalls || c.finishing && at > units.Seconds(c.site.script.Seconds+retryPeriod) {
 		return
 	}
 	frontEnds := len(c.site.frontEnds)
 	if target == anyFrontEnd && r.mayChangeFrontEnd() && frontEnds > 1 && c.rng.IntN(3) == 0 {
 		// Front ends share nothing: another one can't know when the deduplication window of the workers ends.
 		if r.class == fakes.ClassIdempotentByKey {
-			windowEnd := r.firstSent + c.site.script.DeduplicationWindow - requestTimeout
+			windowEnd := units.Seconds(r.firstSent) + c.site.script.DeduplicationWindow - requestTimeout
 			if at >= windowEnd {
 				return
 			}
--- a/internal/verification/simulation/client_conn.go
+++ b/internal/verification/simulation/client_conn.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"streamcleat/internal/http1"
+	"streamcleat/internal/units"
 	"streamcleat/internal/verification/fakes"
 )
 
@@ -16,7 +17,7 @@
 	calls     []*clientCall // in flight, in the order of sending
 	responses *http1.Framer
 	closed    bool
-	usedAt    float64 // time of the latest call
+	usedAt    units.Seconds // time of the latest call
 }
 
 // reusableConn returns an open connection for a call of a request, or nil. Some calls are pipelined.
@@ -118,7 +119,7 @@
 }
 
 // closeByClient closes the connection at the client's side. Its calls are cancelled, and retried after a delay.
-func (c *clientConn) closeByClient(retryDelay float64, target retryTarget) {
+func (c *clientConn) closeByClient(retryDelay units.Seconds, target retryTarget) {
 	for _, call := range c.calls {
 		if !call.ended {
 			call.end()
@@ -148,7 +149,7 @@
 		}
 		call.end()
 		client.site.endLostCall(call)
-		client.retry(call.request, minLostRetryDelay+client.rng.Float64()*lostRetrySpread, anyFrontEnd)
+		client.retry(call.request, units.Seconds(minLostRetryDelay+client.rng.Float64()*lostRetrySpread), anyFrontEnd)
 	}
 	c.calls = nil
 }
--- a/internal/verification/simulation/connection.go
+++ b/internal/verification/simulation/connection.go
@@ -1,6 +1,10 @@
 package simulation
 
-import "slices"
+import (
+	"slices"
+
+	"streamcleat/internal/units"
+)
 
 // unlimited is the value of bytesUntilReset without a fault.
 const unlimited = -1
@@ -34,10 +38,10 @@
 
 	queue           []segment // towards the other side
 	queuedBytes     int
-	delivery        *event  // of the head of the queue
-	blockedSince    float64 // time since which the link has been partitioned; 0: it is not
-	readRate        float64 // bytes per second that this side reads; 0: unlimited
-	bytesUntilReset int     // bytes that this side still receives before the connection is reset
+	delivery        *event        // of the head of the queue
+	blockedSince    units.Seconds // time since which the link has been partitioned; 0: it is not
+	readRate        float64       // bytes per second that this side reads; 0: unlimited
+	bytesUntilReset int           // bytes that this side still receives before the connection is reset
 	canSend         bool
 	finished        bool // closed by this side, or by the other one with this side's knowledge
 }
@@ -68,9 +72,9 @@
 	n := e.conn.network
 	due := n.scheduler.now + n.delay(e.process.name, e.peer().process.name)
 	if len(e.queue) > 0 {
-		due = max(due, e.queue[len(e.queue)-1].due)
+		due = max(due, units.Seconds(e.queue[len(e.queue)-1].due))
 	}
-	e.queue = append(e.queue, segment{data, due})
+	e.queue = append(e.queue, segment{data, float64(due)})
 	e.queuedBytes += len(data)
 	e.scheduleDelivery()
 }
@@ -78,13 +82,13 @@
 func (e *endpoint) scheduleDelivery() {
 	if e.delivery == nil && len(e.queue) > 0 {
 		s := e.conn.network.scheduler
-		e.delivery = s.after(e.queue[0].due-s.now, e.conn.name, e.deliver)
+		e.delivery = s.after(units.Seconds(e.queue[0].due)-s.now, e.conn.name, e.deliver)
 	}
 }
 
 // retryDelivery retries the delivery of the head of the queue after a delay.
-func (e *endpoint) retryDelivery(delay float64) {
-	e.queue[0].due = e.conn.network.scheduler.now + delay
+func (e *endpoint) retryDelivery(delay units.Seconds) {
+	e.queue[0].due = float64(e.conn.network.scheduler.now + delay)
 	e.scheduleDelivery()
 }
 
@@ -132,7 +136,7 @@
 		e.queue = nil
 	}
 	if rate := e.peer().readRate; rate > 0 && len(data) > 0 && len(e.queue) > 0 {
-		e.queue[0].due = max(e.queue[0].due, now+float64(len(data))/rate)
+		e.queue[0].due = float64(max(units.Seconds(e.queue[0].due), now+units.Seconds(float64(len(data))/rate)))
 	}
 	e.queuedBytes -= len(data)
 	return data
--- a/internal/verification/simulation/disk.go
+++ b/internal/verification/simulation/disk.go
@@ -7,6 +7,8 @@
 	"syscall"
 
 	"github.com/cockroachdb/pebble/v2/vfs"
+
+	"streamcleat/internal/units"
 )
 
 // noTornWrite is the value of tearAfter without a fault.
@@ -18,7 +20,7 @@
 // disk is the disk of one machine, in memory. It distinguishes synced data from written data. Goroutines of the storage
 // library use it, so a lock guards the fields that they read.
 type disk struct {
-	syncDelay float64 // additional seconds of a sync; only used by the simulation's goroutine
+	syncDelay units.Seconds // additional seconds of a sync; only used by the simulation's goroutine
 
 	mu         sync.Mutex
 	fs         *vfs.MemFS
--- a/internal/verification/simulation/explore_front_end.go
+++ b/internal/verification/simulation/explore_front_end.go
@@ -5,6 +5,7 @@
 
 	"streamcleat/control"
 	"streamcleat/internal/dispatch"
+	"streamcleat/internal/units"
 )
 
 // modelAttempt is an attempt in progress.
@@ -145,7 +146,7 @@
 
 func (f *modelFrontEnd) markPossiblyExecuted(a modelAttempt) {
 	if _, noted := f.possiblyExecuted[a.Identity.ID]; !noted {
-		f.possiblyExecuted[a.Identity.ID] = f.model.now
+		f.possiblyExecuted[a.Identity.ID] = float64(f.model.now)
 	}
 }
 
@@ -179,7 +180,7 @@
 	switch {
 	case class == modelAtMostOnce && executed:
 		w.violation("rule 2: attempt of %s, which may have been executed", id)
-	case class == modelIdempotentByKey && executed && w.now >= since+modelDeduplicationWindow:
+	case class == modelIdempotentByKey && executed && w.now >= units.Seconds(since+modelDeduplicationWindow):
 		w.violation("rule 2: attempt of %s past the deduplication window", id)
 	case !f.isOpen(id):
 		w.violation("rule 1: attempt of %s without a waiting client", id)
--- a/internal/verification/simulation/explore_model.go
+++ b/internal/verification/simulation/explore_model.go
@@ -6,6 +6,7 @@
 
 	"streamcleat/control"
 	"streamcleat/internal/dispatch"
+	"streamcleat/internal/units"
 )
 
 // Times of the model, in seconds.
@@ -27,7 +28,7 @@
 type modelCall struct {
 	frontEnd  int
 	id, class string
-	timeout   float64
+	timeout   units.Seconds
 }
 
 var modelCalls = [...]modelCall{
@@ -53,7 +54,7 @@
 // callState is the state of a call.
 type callState struct {
 	sent      bool
-	sentAt    float64
+	sentAt    units.Seconds
 	responses int
 	cancelled bool
 }
@@ -62,7 +63,7 @@
 
 // model is the state of the model.
 type model struct {
-	now        float64
+	now        units.Seconds
 	frontEnds  [2]*modelFrontEnd
 	calls      [len(modelCalls)]callState
 	violations []string
--- a/internal/verification/simulation/front_end.go
+++ b/internal/verification/simulation/front_end.go
@@ -12,6 +12,7 @@
 	"streamcleat/internal/dispatch"
 	"streamcleat/internal/http1"
 	"streamcleat/internal/proxy"
+	"streamcleat/internal/units"
 	"streamcleat/internal/upstream"
 	"streamcleat/internal/verification/invariants"
 )
@@ -62,7 +63,7 @@
 		MaxClients:       config.Limits.MaxConnections,
 		Recovered:        a.recovered.Records,
 		ReplicaSnapshots: a.recovered.Replicas,
-		RecordTimeout:    config.Limits.ResponseMargin / 2,
+		RecordTimeout:    units.Seconds(config.Limits.ResponseMargin / 2),
 	}
 	if script.Versions {
 		settings.Dispatch.ResolveVersion, settings.Dispatch.VersionAllowed = a.resolveVersion, a.isVersionAllowed
@@ -96,9 +97,9 @@
 		if !w.listed {
 			phase = stateRemoved
 		}
-		if w.coldSince > 0 && f.coldStarts[w.name] != w.coldSince {
-			f.coldStarts[w.name] = w.coldSince
-			s.recorder.Add(invariants.Record{Kind: invariants.WorkerStarted, Worker: w.name, FrontEnd: f.processName(), StartedAt: w.coldSince})
+		if w.coldSince > 0 && units.Seconds(f.coldStarts[w.name]) != w.coldSince {
+			f.coldStarts[w.name] = float64(w.coldSince)
+			s.recorder.Add(invariants.Record{Kind: invariants.WorkerStarted, Worker: w.name, FrontEnd: f.processName(), StartedAt: float64(w.coldSince)})
 		}
 		if f.workerStates[w.name] != phase {
 			f.workerStates[w.name] = phase
@@ -155,29 +156,31 @@
 func (c proxyConn) ReadAhead() ([]byte, bool) { return nil, true }
 
 // InputAge implements proxy.Conn. Data is passed on when it arrives.
-func (c proxyConn) InputAge() float64 { return 0 }
+func (c proxyConn) InputAge() units.Seconds { return 0 }
 
 // host implements the clock, timers and network of a front end's proxy.
 type host frontEnd
 
 // Now implements proxy.Host.
-func (h *host) Now() float64 {
+func (h *host) Now() units.Seconds {
 	(*frontEnd)(h).touch()
-	return h.appliance.monotonic()
+	return units.Seconds(h.appliance.monotonic())
 }
 
 // Wall implements proxy.Host.
 func (h *host) Wall() time.Time { return h.appliance.wallClock() }
 
 // SetTimer implements proxy.Host.
-func (h *host) SetTimer(at float64) {
+func (h *host) SetTimer(at units.Seconds) {
 	f := (*frontEnd)(h)
 	f.timer.cancel()
-	f.timer = f.appliance.after(at-f.appliance.monotonic(), f.name+" wakes", func() { f.proxy.Tick() })
+	f.timer = f.appliance.after(at-units.Seconds(f.appliance.monotonic()), f.name+" wakes", func() { f.proxy.Tick() })
 }
 
 // After implements proxy.Host.
-func (h *host) After(seconds float64, do func()) { h.appliance.after(seconds, h.name+" after", do) }
+func (h *host) After(seconds units.Seconds, do func()) {
+	h.appliance.after(seconds, h.name+" after", do)
+}
 
 // Post implements proxy.Host.
 func (h *host) Post(do func()) { h.appliance.after(0, h.name+" posted", do) }
@@ -186,7 +189,7 @@
 func (h *host) Dial(id upstream.ConnID, addr string) {
 	f := (*frontEnd)(h)
 	s := f.appliance.site
-	s.network.dial(&f.appliance.process, addr, s.config.Workers.DialTimeout, func(e *endpoint, err error) {
+	s.network.dial(&f.appliance.process, addr, units.Seconds(s.config.Workers.DialTimeout), func(e *endpoint, err error) {
 		if err != nil {
 			f.proxy.OnDialed(id, nil, err)
 			return
--- a/internal/verification/simulation/inject.go
+++ b/internal/verification/simulation/inject.go
@@ -1,5 +1,7 @@
 package simulation
 
+import "streamcleat/internal/units"
+
 // Times of faults, in seconds.
 const (
 	clientOutageMargin = 0.3 // from the end of a partition or suspension until clients are promised responses again
@@ -29,13 +31,13 @@
 }
 
 // outageEnd returns the time from which clients are promised responses again by an appliance that the fault affects.
-func (i *injection) outageEnd() float64 {
+func (i *injection) outageEnd() units.Seconds {
 	return i.scheduler.now + i.fault.Duration + clientOutageMargin
 }
 
 func (i *injection) slowDisk() {
 	d := i.appliance.disk
-	d.syncDelay = i.fault.Size
+	d.syncDelay = units.Seconds(i.fault.Size)
 	i.undoLater("disk as usual", func() { d.syncDelay = 0 })
 }
 
@@ -84,7 +86,7 @@
 func (i *injection) suspendAppliance() {
 	a := i.appliance
 	if a.running && !a.suspended {
-		i.addOutage(a.number, everyone, i.outageEnd())
+		i.addOutage(a.number, everyone, float64(i.outageEnd()))
 		a.suspend(i.fault.Duration)
 	}
 }
@@ -129,7 +131,7 @@
 	}
 	a, function := i.appliance, i.functionNumber()
 	a.switchVersion(function, 1)
-	a.after(i.fault.Size, "takes the alias back", func() { a.switchVersion(function, 0) })
+	a.after(units.Seconds(i.fault.Size), "takes the alias back", func() { a.switchVersion(function, 0) })
 }
 
 func (i *injection) raiseTraffic() {
--- a/internal/verification/simulation/inject_network.go
+++ b/internal/verification/simulation/inject_network.go
@@ -1,5 +1,7 @@
 package simulation
 
+import "streamcleat/internal/units"
+
 // partition cuts one direction between two processes until the fault ends.
 func (i *injection) partition(from, to string) {
 	l, n := linkDirection{from, to}, i.network
@@ -26,7 +28,7 @@
 	n := i.network
 	links := []linkDirection{{i.appliance.name, other}, {other, i.appliance.name}}
 	for _, l := range links {
-		n.extraDelay[l] = i.fault.Size
+		n.extraDelay[l] = units.Seconds(i.fault.Size)
 	}
 	i.undoLater("no delay", func() {
 		for _, l := range links {
@@ -43,7 +45,7 @@
 
 func (i *injection) partitionClient() {
 	i.partitionBoth(i.appliance.name, i.clientName)
-	i.addOutage(i.fault.Appliance, i.fault.Client, i.outageEnd())
+	i.addOutage(i.fault.Appliance, i.fault.Client, float64(i.outageEnd()))
 }
 
 func (i *injection) partitionPeers() {
@@ -106,7 +108,7 @@
 			conn.end.conn.faulty = true
 		}
 	}
-	i.addOutage(everyone, i.fault.Client, i.scheduler.now+i.fault.Duration+requestTimeout)
+	i.addOutage(everyone, i.fault.Client, float64(i.scheduler.now+i.fault.Duration+requestTimeout))
 	i.undoLater("reads again", func() { c.readRate = 0 })
 }
 
--- a/internal/verification/simulation/inject_worker.go
+++ b/internal/verification/simulation/inject_worker.go
@@ -1,5 +1,7 @@
 package simulation
 
+import "streamcleat/internal/units"
+
 func (i *injection) crashWorker() { i.stopWorker(processExit) }
 
 func (i *injection) powerOffWorker() { i.stopWorker(powerLoss) }
@@ -8,7 +10,7 @@
 func (i *injection) stopWorker(kind exitKind) {
 	w := i.worker
 	w.stop(kind)
-	i.scheduler.after(i.fault.Size, w.name+" starts", func() { i.site.restartWorker(w) })
+	i.scheduler.after(units.Seconds(i.fault.Size), w.name+" starts", func() { i.site.restartWorker(w) })
 }
 
 func (i *injection) restartWorker() {
@@ -32,14 +34,14 @@
 func (i *injection) drainThenCrash() {
 	w := i.worker
 	i.announceDrain()
-	i.scheduler.after(i.fault.Size, w.name+" ends", func() { w.stop(processExit) })
+	i.scheduler.after(units.Seconds(i.fault.Size), w.name+" ends", func() { w.stop(processExit) })
 	i.endDrainLater()
 }
 
 func (i *injection) crashThenDrain() {
 	w := i.worker
 	w.stop(processExit)
-	i.scheduler.after(i.fault.Size, w.name+" drains", i.announceDrain)
+	i.scheduler.after(units.Seconds(i.fault.Size), w.name+" drains", i.announceDrain)
 	i.endDrainLater()
 }
 
@@ -51,7 +53,7 @@
 // endDrainLater returns the worker to service after the fault, under the same name and address.
 func (i *injection) endDrainLater() {
 	w := i.worker
-	i.scheduler.after(max(i.fault.Duration, i.fault.Size+0.01), w.name+" serves again", func() {
+	i.scheduler.after(max(i.fault.Duration, units.Seconds(i.fault.Size+0.01)), w.name+" serves again", func() {
 		w.state = stateServing
 		if !w.running && w.listed {
 			w.startCold()
--- a/internal/verification/simulation/network.go
+++ b/internal/verification/simulation/network.go
@@ -4,6 +4,8 @@
 	"errors"
 	"fmt"
 	"math/rand/v2"
+
+	"streamcleat/internal/units"
 )
 
 const (
@@ -30,11 +32,11 @@
 type network struct {
 	scheduler   *scheduler
 	rng         *rand.Rand
-	extraDelay  map[linkDirection]float64 // seconds
-	partitions  map[linkDirection]int     // number of faults that cut the link
-	loss        float64                   // fraction of datagrams
-	duplication float64                   // fraction of datagrams
-	buffer      int                       // size of the kernels' send buffers
+	extraDelay  map[linkDirection]units.Seconds // seconds
+	partitions  map[linkDirection]int           // number of faults that cut the link
+	loss        float64                         // fraction of datagrams
+	duplication float64                         // fraction of datagrams
+	buffer      int                             // size of the kernels' send buffers
 	listeners   map[string]*listener
 	conns       []*connection // open ones, in the order of their opening
 	dialed      int
@@ -48,7 +50,7 @@
 
 func newNetwork(scheduler *scheduler, rng *rand.Rand) *network {
 	return &network{
-		scheduler: scheduler, rng: rng, extraDelay: map[linkDirection]float64{}, partitions: map[linkDirection]int{},
+		scheduler: scheduler, rng: rng, extraDelay: map[linkDirection]units.Seconds{}, partitions: map[linkDirection]int{},
 		listeners: map[string]*listener{}, buffer: defaultBuffer,
 	}
 }
@@ -60,8 +62,8 @@
 	n.loss, n.duplication, n.buffer = 0, 0, defaultBuffer
 }
 
-func (n *network) delay(from, to string) float64 {
-	return minLatency + (maxLatency-minLatency)*n.rng.Float64()*n.rng.Float64() + n.extraDelay[linkDirection{from, to}]
+func (n *network) delay(from, to string) units.Seconds {
+	return units.Seconds(minLatency+(maxLatency-minLatency)*n.rng.Float64()*n.rng.Float64()) + n.extraDelay[linkDirection{from, to}]
 }
 
 func (n *network) isPartitioned(from, to string) bool {
@@ -75,13 +77,13 @@
 	incarnation int
 	addr        string
 	listener    *listener
-	startedAt   float64
-	timeout     float64
+	startedAt   units.Seconds
+	timeout     units.Seconds
 	done        func(*endpoint, error) // called in the process
 }
 
 // dial connects a process to an address, and calls done in the process with the result.
-func (n *network) dial(p *process, addr string, timeout float64, done func(*endpoint, error)) {
+func (n *network) dial(p *process, addr string, timeout units.Seconds, done func(*endpoint, error)) {
 	d := &dial{
 		network: n, process: p, incarnation: p.incarnation, addr: addr, listener: n.listeners[addr], startedAt: n.scheduler.now,
 		timeout: timeout, done: done,
@@ -93,7 +95,7 @@
 	n.scheduler.after(n.delay(p.name, d.listener.process.name), p.name+" dials "+addr, d.try)
 }
 
-func (d *dial) fail(delay float64, err error) {
+func (d *dial) fail(delay units.Seconds, err error) {
 	d.process.after(delay, "dialed "+d.addr, func() { d.done(nil, err) })
 }
 
@@ -180,7 +182,7 @@
 	for range copies {
 		delay := n.delay(from.name, to.name)
 		if n.duplication > 0 {
-			delay += n.rng.Float64() * maxReorderDelay
+			delay += units.Seconds(n.rng.Float64() * maxReorderDelay)
 		}
 		n.scheduler.after(delay, from.name+" tells "+to.name, func() {
 			if !n.isPartitioned(from.name, to.name) && to.running {
--- a/internal/verification/simulation/outages.go
+++ b/internal/verification/simulation/outages.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 
+	"streamcleat/internal/units"
 	"streamcleat/internal/verification/invariants"
 )
 
@@ -21,13 +22,13 @@
 // beginOutage begins an outage of an appliance for all clients. endOutage ends it.
 func (s *site) beginOutage(a *applianceProcess) {
 	if s.openOutages[a.number] == nil {
-		s.openOutages[a.number] = &outage{a.number, everyone, s.scheduler.now, never}
+		s.openOutages[a.number] = &outage{a.number, everyone, float64(s.scheduler.now), never}
 	}
 }
 
 func (s *site) endOutage(a *applianceProcess) {
 	if o := s.openOutages[a.number]; o != nil {
-		o.to = s.scheduler.now + outageMargin
+		o.to = float64(s.scheduler.now + outageMargin)
 		s.outages = append(s.outages, *o)
 		delete(s.openOutages, a.number)
 	}
@@ -35,7 +36,7 @@
 
 // addOutage adds an outage that lasts from now until a time.
 func (s *site) addOutage(applianceNumber, clientNumber int, until float64) {
-	s.outages = append(s.outages, outage{applianceNumber, clientNumber, s.scheduler.now, until})
+	s.outages = append(s.outages, outage{applianceNumber, clientNumber, float64(s.scheduler.now), until})
 }
 
 // isExempt reports whether the client of a call is not promised a response: there was an outage or a fault of its
@@ -49,7 +50,7 @@
 		return true
 	}
 	for _, o := range slices.Backward(s.outages) {
-		overlaps := o.to >= c.sentAt && o.from <= s.scheduler.now
+		overlaps := units.Seconds(o.to) >= c.sentAt && units.Seconds(o.from) <= s.scheduler.now
 		affectsAppliance := o.appliance < 0 || o.appliance == number
 		if overlaps && affectsAppliance && (o.client < 0 || s.clients[o.client] == c.conn.client) {
 			return true
@@ -59,9 +60,9 @@
 }
 
 // hadOutage reports whether an appliance had an outage for all clients since a time.
-func (s *site) hadOutage(a *applianceProcess, since float64) bool {
+func (s *site) hadOutage(a *applianceProcess, since units.Seconds) bool {
 	for _, o := range s.outages {
-		if o.to >= since && o.from <= s.scheduler.now && o.appliance == a.number && o.client < 0 {
+		if units.Seconds(o.to) >= since && units.Seconds(o.from) <= s.scheduler.now && o.appliance == a.number && o.client < 0 {
 			return true
 		}
 	}
@@ -71,7 +72,7 @@
 // beginOperation begins the operation of a call.
 func (s *site) beginOperation(c *clientCall) {
 	op := &operation{
-		request: c.request.id, frontEnd: c.frontEnd.name, boot: c.frontEnd.appliance.boots, call: s.scheduler.now,
+		request: c.request.id, frontEnd: c.frontEnd.name, boot: c.frontEnd.appliance.boots, call: float64(s.scheduler.now),
 		response: noResponse,
 	}
 	s.openOperation[c] = op
@@ -82,7 +83,7 @@
 // another process may have responded.
 func (s *site) endOperation(c *clientCall, outcome string) {
 	op := s.openOperation[c]
-	op.response, op.outcome = s.scheduler.now, outcome
+	op.response, op.outcome = float64(s.scheduler.now), outcome
 	if op.boot != c.frontEnd.appliance.boots {
 		op.outcome = ""
 	}
--- a/internal/verification/simulation/process.go
+++ b/internal/verification/simulation/process.go
@@ -1,6 +1,10 @@
 package simulation
 
-import "time"
+import (
+	"time"
+
+	"streamcleat/internal/units"
+)
 
 // epoch is the time of day at the start, five seconds before a full minute.
 var epoch = time.Date(2026, 12, 23, 23, 59, 55, 0, time.UTC)
@@ -47,12 +51,12 @@
 }
 
 // after schedules an event in the process.
-func (p *process) after(delay float64, name string, run func()) *event {
+func (p *process) after(delay units.Seconds, name string, run func()) *event {
 	return p.scheduler.after(delay, p.name+" "+name, p.whileRunning(run))
 }
 
 // suspend suspends the process for a duration in seconds.
-func (p *process) suspend(duration float64) {
+func (p *process) suspend(duration units.Seconds) {
 	if p.suspended || !p.running {
 		return
 	}
@@ -83,8 +87,8 @@
 
 // wallClock returns the machine's time of day.
 func (p *process) wallClock() time.Time {
-	return epoch.Add(time.Duration((p.scheduler.now + p.clockSkew) * float64(time.Second)))
+	return epoch.Add((p.scheduler.now + units.Seconds(p.clockSkew)).Duration())
 }
 
 // monotonic returns the machine's monotonic clock in seconds.
-func (p *process) monotonic() float64 { return p.uptimeBase + p.scheduler.now }
+func (p *process) monotonic() units.Seconds { return units.Seconds(p.uptimeBase) + p.scheduler.now }
--- a/internal/verification/simulation/profiles.go
+++ b/internal/verification/simulation/profiles.go
@@ -4,6 +4,8 @@
 	"maps"
 	"math/rand/v2"
 	"slices"
+
+	"streamcleat/internal/units"
 )
 
 // profile determines the size of the site, and the groups of faults that its seeds draw from.
@@ -104,7 +106,7 @@
 	s.Rate = (0.15 + 0.5*rng.Float64()) * float64(s.Workers*s.Cores) / s.Work
 	s.Rate = min(s.Rate, 50)
 	s.Timers = choose(rng, 0, 2, 6)
-	s.DeduplicationWindow = float64(choose(rng, 4, 8, 30))
+	s.DeduplicationWindow = units.Seconds(choose(rng, 4, 8, 30))
 	s.Versions = rng.IntN(3) == 0
 	s.LoadOnRequest = rng.IntN(2) == 0
 	s.LimitLoads = rng.IntN(3) == 0
--- a/internal/verification/simulation/report.go
+++ b/internal/verification/simulation/report.go
@@ -55,7 +55,7 @@
 		Findings:        findings,
 		Digest:          s.scheduler.digest(),
 		SimulatedEvents: s.scheduler.executed,
-		VirtualSeconds:  s.scheduler.now,
+		VirtualSeconds:  float64(s.scheduler.now),
 		RealSeconds:     time.Since(startedAt).Seconds(),
 		Restarts:        s.restarts,
 		FaultCoverage:   s.coverage,
--- a/internal/verification/simulation/scheduler.go
+++ b/internal/verification/simulation/scheduler.go
@@ -8,6 +8,8 @@
 	"hash"
 	"math"
 	"math/rand/v2"
+
+	"streamcleat/internal/units"
 )
 
 // never is later than any time.
@@ -15,7 +17,7 @@
 
 // event is a call at a time. Events of the same time run in the order in which they were scheduled.
 type event struct {
-	at       float64
+	at       units.Seconds
 	sequence uint64
 	name     string // part of the trace
 	run      func() // nil if cancelled
@@ -61,7 +63,7 @@
 
 // scheduler is the virtual clock and the queue of events. It hashes the trace of all events and received data.
 type scheduler struct {
-	now      float64 // seconds since the start
+	now      units.Seconds // seconds since the start
 	sequence uint64
 	queue    eventQueue
 	executed int    // number of events so far
@@ -74,7 +76,7 @@
 func newScheduler() *scheduler { return &scheduler{hash: sha256.New()} }
 
 // after schedules an event after a delay in seconds. Its name is part of the trace.
-func (s *scheduler) after(delay float64, name string, run func()) *event {
+func (s *scheduler) after(delay units.Seconds, name string, run func()) *event {
 	s.sequence++
 	e := &event{at: s.now + max(delay, 0), sequence: s.sequence, name: name, run: run}
 	heap.Push(&s.queue, e)
@@ -83,7 +85,7 @@
 
 // runNext runs the next event before a time. If there is none, it advances the clock to that time and returns false.
 func (s *scheduler) runNext(until float64) bool {
-	for s.queue.Len() > 0 && s.queue.events[0].at <= until {
+	for s.queue.Len() > 0 && s.queue.events[0].at <= units.Seconds(until) {
 		e := s.queue.events[0]
 		heap.Pop(&s.queue)
 		s.now = max(s.now, e.at)
@@ -96,13 +98,13 @@
 		e.run()
 		return true
 	}
-	s.now = max(s.now, until)
+	s.now = max(s.now, units.Seconds(until))
 	return false
 }
 
 // trace adds a name and data to the trace, with the present time.
 func (s *scheduler) trace(name string, data []byte) {
-	s.buffer = binary.LittleEndian.AppendUint64(s.buffer[:0], math.Float64bits(s.now))
+	s.buffer = binary.LittleEndian.AppendUint64(s.buffer[:0], math.Float64bits(float64(s.now)))
 	s.buffer = append(s.buffer, name...)
 	s.buffer = append(s.buffer, 0)
 	s.buffer = append(s.buffer, data...)
--- a/internal/verification/simulation/schedules.go
+++ b/internal/verification/simulation/schedules.go
@@ -6,6 +6,7 @@
 	"streamcleat/internal/dispatch"
 	"streamcleat/internal/schedule"
 	"streamcleat/internal/storage"
+	"streamcleat/internal/units"
 	"streamcleat/internal/verification/invariants"
 )
 
@@ -17,7 +18,7 @@
 // fireSchedules fires the due schedules. Like the real appliance, it writes firings to disk first.
 func (a *applianceProcess) fireSchedules() {
 	s := a.site
-	if s.script.Timers == 0 || a.schedulesSuspended || a.scheduler.now > s.script.Seconds+retryPeriod {
+	if s.script.Timers == 0 || a.schedulesSuspended || a.scheduler.now > units.Seconds(s.script.Seconds+retryPeriod) {
 		return
 	}
 	if due := a.schedules.TakeDue(a.wallClock()); len(due) > 0 {
@@ -30,7 +31,7 @@
 	if next, ok := a.schedules.Next(); ok {
 		wait = min(max(next.Sub(a.wallClock()).Seconds(), minScheduleWait), wait)
 	}
-	a.after(wait, "timers", a.fireSchedules)
+	a.after(units.Seconds(wait), "timers", a.fireSchedules)
 }
 
 // fire writes firings to disk and submits their requests.
@@ -81,7 +82,7 @@
 	deadline  time.Time
 	attempts  int // including this one
 	number    uint64
-	startedAt float64
+	startedAt units.Seconds
 }
 
 // submitScheduled submits a request of the appliance itself. A rejected one is retried until its deadline.
@@ -119,13 +120,13 @@
 
 // retryScheduled schedules a retry of a rejected request. It returns false if there is no time for one.
 func (a *applianceProcess) retryScheduled(c scheduledCall, response dispatch.Response) bool {
-	retryAfter := time.Duration(response.RetryAfter * float64(time.Second))
+	retryAfter := response.RetryAfter.Duration()
 	identity := c.request.Identity
 	wait, ok := schedule.NextRetry(c.deadline, a.wallClock(), c.attempts, retryAfter)
-	if !ok || a.scheduler.now+wait.Seconds() >= a.site.script.Seconds+retryPeriod {
+	if !ok || a.scheduler.now+units.Seconds(wait.Seconds()) >= units.Seconds(a.site.script.Seconds+retryPeriod) {
 		return false
 	}
-	a.after(wait.Seconds(), "again "+identity.ID, func() {
+	a.after(units.Seconds(wait.Seconds()), "again "+identity.ID, func() {
 		if a.isServing() {
 			a.submitScheduled(c.request, c.deadline, c.attempts+1)
 		}
--- a/internal/verification/simulation/script.go
+++ b/internal/verification/simulation/script.go
@@ -7,18 +7,20 @@
 	"fmt"
 	"math/rand/v2"
 	"slices"
+
+	"streamcleat/internal/units"
 )
 
 // Fault is one fault of a script. Appliances, workers and clients are numbered from 0.
 type Fault struct {
-	At        float64   `json:"at"`
-	Kind      FaultKind `json:"kind"`
-	Appliance int       `json:"box,omitempty"`
-	Worker    int       `json:"worker,omitempty"`
-	Client    int       `json:"client,omitempty"`
-	Duration  float64   `json:"for,omitempty"`
-	Size      float64   `json:"size,omitempty"` // seconds, a factor or a fraction, depending on the kind
-	Bytes     int       `json:"bytes,omitempty"`
+	At        units.Seconds `json:"at"`
+	Kind      FaultKind     `json:"kind"`
+	Appliance int           `json:"box,omitempty"`
+	Worker    int           `json:"worker,omitempty"`
+	Client    int           `json:"client,omitempty"`
+	Duration  units.Seconds `json:"for,omitempty"`
+	Size      float64       `json:"size,omitempty"` // seconds, a factor or a fraction, depending on the kind
+	Bytes     int           `json:"bytes,omitempty"`
 }
 
 // String describes the fault in errors of scripts.
@@ -29,25 +31,25 @@
 
 // Script describes a site and its faults. Times are seconds.
 type Script struct {
-	Seed                  uint64  `json:"seed"`
-	Profile               string  `json:"profile"`
-	Seconds               float64 `json:"seconds"` // until the recovery period begins
-	Appliances            int     `json:"boxes"`
-	FrontEndsPerAppliance int     `json:"front_ends_per_box"`
-	Workers               int     `json:"workers"`
-	Cores                 int     `json:"cores"` // of each worker
-	Functions             int     `json:"functions"`
-	Clients               int     `json:"clients"`
-	Rate                  float64 `json:"rate"`                    // requests per second
-	Work                  float64 `json:"work"`                    // mean work of a request
-	Timers                int     `json:"timers"`                  // schedules
-	LoadOnRequest         bool    `json:"load_on_event,omitempty"` // a request for a function that is not loaded loads it
-	Stateless             bool    `json:"stateless,omitempty"`     // appliances have no durable state
-	ColdStart             bool    `json:"cold,omitempty"`          // workers start cold
-	LimitLoads            bool    `json:"ration,omitempty"`        // load commands are limited
-	Versions              bool    `json:"versions,omitempty"`      // functions have versions, and aliases that move
-	DeduplicationWindow   float64 `json:"remember"`                // of the workers, for keyed requests
-	Faults                []Fault `json:"faults"`
+	Seed                  uint64        `json:"seed"`
+	Profile               string        `json:"profile"`
+	Seconds               float64       `json:"seconds"` // until the recovery period begins
+	Appliances            int           `json:"boxes"`
+	FrontEndsPerAppliance int           `json:"front_ends_per_box"`
+	Workers               int           `json:"workers"`
+	Cores                 int           `json:"cores"` // of each worker
+	Functions             int           `json:"functions"`
+	Clients               int           `json:"clients"`
+	Rate                  float64       `json:"rate"`                    // requests per second
+	Work                  float64       `json:"work"`                    // mean work of a request
+	Timers                int           `json:"timers"`                  // schedules
+	LoadOnRequest         bool          `json:"load_on_event,omitempty"` // a request for a function that is not loaded loads it
+	Stateless             bool          `json:"stateless,omitempty"`     // appliances have no durable state
+	ColdStart             bool          `json:"cold,omitempty"`          // workers start cold
+	LimitLoads            bool          `json:"ration,omitempty"`        // load commands are limited
+	Versions              bool          `json:"versions,omitempty"`      // functions have versions, and aliases that move
+	DeduplicationWindow   units.Seconds `json:"remember"`                // of the workers, for keyed requests
+	Faults                []Fault       `json:"faults"`
 }
 
 // Limits of scripts that are read from a file.
@@ -111,7 +113,7 @@
 }
 
 func (s *Script) hasTargetOf(f Fault) bool {
-	inTime := f.At >= 0 && f.At <= s.Seconds+1 && f.Duration >= 0
+	inTime := f.At >= 0 && f.At <= units.Seconds(s.Seconds+1) && f.Duration >= 0
 	return inTime && isIndex(f.Appliance, s.Appliances) && isIndex(f.Worker, s.Workers) && isIndex(f.Client, s.Clients)
 }
 
@@ -146,9 +148,9 @@
 
 // draw draws a fault of the kind within its bounds.
 func (k faultKind) draw(s *Script, rng *rand.Rand) Fault {
-	f := Fault{Kind: k.name, At: drawBetween(rng, bounds{0.3, s.Seconds})}
+	f := Fault{Kind: k.name, At: units.Seconds(drawBetween(rng, bounds{0.3, s.Seconds}))}
 	f.Appliance, f.Worker, f.Client = rng.IntN(s.Appliances), rng.IntN(s.Workers), rng.IntN(s.Clients)
-	f.Duration = min(drawBetween(rng, k.duration), s.Seconds+1-f.At)
+	f.Duration = min(units.Seconds(drawBetween(rng, k.duration)), units.Seconds(s.Seconds+1)-f.At)
 	f.Size = drawBetween(rng, k.size)
 	if k.maxBytes > 0 {
 		f.Bytes = k.minBytes + rng.IntN(k.maxBytes-k.minBytes+1)
--- a/internal/verification/simulation/shrink.go
+++ b/internal/verification/simulation/shrink.go
@@ -4,6 +4,8 @@
 	"errors"
 	"slices"
 	"strings"
+
+	"streamcleat/internal/units"
 )
 
 // ErrNoViolation is returned by Shrink for a script without violations.
@@ -141,7 +143,7 @@
 			candidate := s.best
 			candidate.Faults = slices.Clone(s.best.Faults)
 			fault := &candidate.Faults[i]
-			fault.Duration *= factor
+			fault.Duration *= units.Seconds(factor)
 			if fault.Duration != s.best.Faults[i].Duration && s.try(candidate) {
 				break
 			}
--- a/internal/verification/simulation/site.go
+++ b/internal/verification/simulation/site.go
@@ -9,6 +9,7 @@
 	"streamcleat/internal/appliance"
 	"streamcleat/internal/config"
 	"streamcleat/internal/schedule"
+	"streamcleat/internal/units"
 	"streamcleat/internal/verification/fakes"
 	"streamcleat/internal/verification/invariants"
 )
@@ -101,7 +102,7 @@
 		functions:     fakes.Catalogue(script.Functions, script.Work, script.Seed),
 		machineTypes:  map[string]string{},
 		executedKeys:  map[string]float64{},
-		recorder:      invariants.NewRecorderWithClock(func() float64 { return scheduler.now }),
+		recorder:      invariants.NewRecorderWithClock(func() float64 { return float64(scheduler.now) }),
 		reboots:       map[int]int{},
 		firedMinutes:  map[string]bool{},
 		openOutages:   map[int]*outage{},
@@ -147,13 +148,13 @@
 	for _, f := range script.Faults {
 		s.scheduler.after(f.At, "fault "+string(f.Kind), func() { s.inject(f) })
 	}
-	s.scheduler.after(script.Seconds, "calm", s.endFaults)
+	s.scheduler.after(units.Seconds(script.Seconds), "calm", s.endFaults)
 }
 
 func (s *site) newRules() invariants.Rules {
 	rules := invariants.Rules{
 		Semantics:               fakes.ClassSemantics(),
-		DeduplicationWindow:     map[string]float64{fakes.ClassIdempotentByKey: s.script.DeduplicationWindow},
+		DeduplicationWindow:     map[string]float64{fakes.ClassIdempotentByKey: float64(s.script.DeduplicationWindow)},
 		FunctionWork:            map[string]float64{},
 		Capacity:                map[string]float64{},
 		DrainGrace:              drainGrace,
@@ -178,7 +179,7 @@
 // configure sets the configuration of the front ends.
 func (s *site) configure() error {
 	document := fakes.SiteConfig{
-		Classes:   fakes.ClassConfigs(latencyObjective, requestTimeout, s.script.DeduplicationWindow),
+		Classes:   fakes.ClassConfigs(latencyObjective, requestTimeout, float64(s.script.DeduplicationWindow)),
 		Functions: fakes.FunctionConfigs(s.functions),
 		Workers: fakes.WorkersConfig{
 			IdleReplicaLifetime: idleReplicaLifetime, LoadsOnRequest: s.script.LoadOnRequest,
@@ -237,7 +238,7 @@
 		if a.ignoreList || !a.running {
 			continue
 		}
-		a.after(0.01+0.2*s.network.rng.Float64(), "sees the list", func() {
+		a.after(units.Seconds(0.01+0.2*s.network.rng.Float64()), "sees the list", func() {
 			a.eachFrontEnd(func(f *frontEnd) { f.readEndpointList() })
 		})
 	}
@@ -250,10 +251,10 @@
 		return true
 	}
 	at, known := s.executedKeys[r.id]
-	if known && s.scheduler.now-at <= s.script.DeduplicationWindow {
+	if known && s.scheduler.now-units.Seconds(at) <= s.script.DeduplicationWindow {
 		return false
 	}
-	s.executedKeys[r.id] = s.scheduler.now
+	s.executedKeys[r.id] = float64(s.scheduler.now)
 	return true
 }
 
--- a/internal/verification/simulation/versions.go
+++ b/internal/verification/simulation/versions.go
@@ -59,7 +59,7 @@
 
 // changeRegistry applies a change to the registry after it is on disk.
 func (a *applianceProcess) changeRegistry(entry registry.Entry) {
-	entry.At, entry.Actor = a.scheduler.now, registryActor
+	entry.At, entry.Actor = float64(a.scheduler.now), registryActor
 	if !a.running {
 		return
 	}
--- a/internal/verification/simulation/worker.go
+++ b/internal/verification/simulation/worker.go
@@ -6,6 +6,7 @@
 	"slices"
 
 	"streamcleat/internal/http1"
+	"streamcleat/internal/units"
 	"streamcleat/internal/verification/fakes"
 )
 
@@ -39,9 +40,9 @@
 	queue       []*workerRequest
 	active      int // requests in progress
 	loads       int // in progress
-	faultUntil  map[FaultKind]float64
-	coldSince   float64 // time of the start; 0 if it is warm
-	startedUnix float64 // start in the endpoint list; 0: not stated
+	faultUntil  map[FaultKind]units.Seconds
+	coldSince   units.Seconds // time of the start; 0 if it is warm
+	startedUnix float64       // start in the endpoint list; 0: not stated
 	listed      bool
 	state       string
 }
@@ -65,7 +66,7 @@
 	name := fmt.Sprintf("wk-%d", number)
 	w := &worker{
 		process: process{scheduler: s.scheduler, name: name, powered: true}, site: s, rng: newRand(s.script.Seed, name),
-		cores: s.script.Cores, speed: speed, faultUntil: map[FaultKind]float64{}, listed: true, state: stateServing,
+		cores: s.script.Cores, speed: speed, faultUntil: map[FaultKind]units.Seconds{}, listed: true, state: stateServing,
 	}
 	s.machineTypes[name] = kind
 	s.rules.Capacity[name] = float64(w.cores) * speed
@@ -115,7 +116,7 @@
 func (w *worker) drawFault(kind FaultKind) bool { return w.hasFault(kind) && w.rng.IntN(3) > 0 }
 
 // capacityFraction returns the fraction of its capacity that the worker has now.
-func (w *worker) capacityFraction() float64 {
+func (w *worker) capacityFraction() units.Seconds {
 	age := w.scheduler.now - w.coldSince
 	if w.coldSince == 0 || age >= warmUpTime {
 		return 1
--- a/internal/verification/simulation/worker_http.go
+++ b/internal/verification/simulation/worker_http.go
@@ -119,7 +119,7 @@
 			return
 		}
 	}
-	r.IdleSince = w.scheduler.now
+	r.IdleSince = float64(w.scheduler.now)
 	var check func()
 	check = func() {
 		switch {
--- a/internal/verification/simulation/worker_replicas.go
+++ b/internal/verification/simulation/worker_replicas.go
@@ -3,6 +3,7 @@
 import (
 	"net/http"
 
+	"streamcleat/internal/units"
 	"streamcleat/internal/verification/fakes"
 	"streamcleat/internal/verification/invariants"
 )
@@ -90,11 +91,11 @@
 			Function: replicas.Function.Name, Digest: replicas.Digest, CallID: r.attempt,
 		})
 	}
-	duration := replicas.Function.MeanWork / w.speed / w.capacityFraction() * (0.7 + 0.6*w.rng.Float64())
+	duration := replicas.Function.MeanWork / w.speed / float64(w.capacityFraction()) * (0.7 + 0.6*w.rng.Float64())
 	if w.hasFault(FaultSlow) {
 		duration *= slowFactor
 	}
-	w.after(duration, "ends "+r.id, func() { w.finish(r, first) })
+	w.after(units.Seconds(duration), "ends "+r.id, func() { w.finish(r, first) })
 }
 
 // finish releases the replica and the core of a request, and responds.
@@ -103,7 +104,7 @@
 	replicas.Busy--
 	w.active--
 	if replicas.Busy == 0 {
-		replicas.IdleSince = w.scheduler.now
+		replicas.IdleSince = float64(w.scheduler.now)
 	}
 	if !r.cancelled && !w.drawFault(FaultLoseResponses) {
 		response := fakes.InferResponse{ID: r.id, ModelName: replicas.Function.Name, Outputs: []struct{}{}}
@@ -122,11 +123,11 @@
 	}
 	r.Loading++
 	w.loads++
-	fetchTime, ok := 0.0, true
+	fetchTime, ok := units.Seconds(0), true
 	if !r.HasImage {
-		fetchTime, ok = w.site.store.fetch(r.Function.FetchTime)
+		fetchTime, ok = w.site.store.fetch(units.Seconds(r.Function.FetchTime))
 	}
-	w.after(fetchTime, "fetched "+r.Function.Name, func() {
+	w.after(units.Seconds(fetchTime), "fetched "+r.Function.Name, func() {
 		if !r.HasImage {
 			w.site.store.inFlight--
 		}
@@ -134,7 +135,7 @@
 		if !ok {
 			startTime = 0
 		}
-		w.after(startTime, "stands "+r.Function.Name, func() { w.finishLoad(r, ok) })
+		w.after(units.Seconds(startTime), "stands "+r.Function.Name, func() { w.finishLoad(r, ok) })
 	})
 	return true
 }
@@ -145,7 +146,7 @@
 	w.loads--
 	if ok {
 		r.Ready++
-		r.HasImage, r.IdleSince = true, w.scheduler.now
+		r.HasImage, r.IdleSince = true, float64(w.scheduler.now)
 	}
 	waiting := w.onLoaded[r]
 	delete(w.onLoaded, r)
@@ -157,7 +158,7 @@
 
 // evictIdle evicts replicas whose idle lifetime has passed.
 func (w *worker) evictIdle() {
-	w.replicas.EvictIdle(w.scheduler.now, idleReplicaLifetime+0.5)
+	w.replicas.EvictIdle(float64(w.scheduler.now), idleReplicaLifetime+0.5)
 	w.after(evictionInterval, "lapses", w.evictIdle)
 }
 
@@ -177,19 +178,19 @@
 	fullSpeed   int // concurrent fetches without slowdown
 	inFlight    int
 	slowdown    float64 // factor until slowUntil
-	slowUntil   float64
-	rejectUntil float64 // it rejects fetches until this time
+	slowUntil   units.Seconds
+	rejectUntil units.Seconds // it rejects fetches until this time
 }
 
 // fetch starts a fetch that takes base seconds on an idle store. It returns its duration, and whether it succeeds.
-func (s *functionStore) fetch(base float64) (duration float64, ok bool) {
+func (s *functionStore) fetch(base units.Seconds) (duration units.Seconds, ok bool) {
 	s.inFlight++
 	if s.scheduler.now < s.rejectUntil {
 		return 0.01, false
 	}
-	duration = base * max(float64(s.inFlight)/float64(s.fullSpeed), 1)
+	duration = base * units.Seconds(max(float64(s.inFlight)/float64(s.fullSpeed), 1))
 	if s.scheduler.now < s.slowUntil {
-		duration *= s.slowdown
+		duration *= units.Seconds(s.slowdown)
 	}
 	return duration, true
 }
