--- a/internal/downstream/cloudevents/session.go
+++ b/internal/downstream/cloudevents/session.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"streamcleat/internal/dispatch"
+	"streamcleat/internal/downstream"
 	"streamcleat/internal/http1"
 	"streamcleat/internal/units"
 )
@@ -22,19 +23,11 @@
 	ClassTimeout   func(class string) units.Seconds // maximum timeout of a request; 0 if the class is unknown
 }
 
-// RequestHandler handles the requests of a session.
-type RequestHandler interface {
-	// Submit starts a request. Its response is passed to Session.Respond with the same slot, possibly before Submit returns.
-	Submit(slot uint64, request dispatch.Request)
-	// Cancel ends a request whose client no longer waits.
-	Cancel(slot uint64)
-}
-
 // Session is the state of one client connection. Responses are sent in the order of requests, as HTTP/1.1 requires.
 type Session struct {
 	limits       Limits
 	framer       *http1.Framer
-	handler      RequestHandler
+	handler      downstream.RequestHandler
 	proxyName    string            // identifies this front end in Proxy-Status
 	pending      []*pendingRequest // in order of arrival
 	lastSlot     uint64
@@ -58,7 +51,7 @@
 const maxRetainedOutput = 1 << 16
 
 // NewSession returns the session of a connection accepted at the time now.
-func NewSession(limits Limits, proxyName string, handler RequestHandler, now units.Seconds) *Session {
+func NewSession(limits Limits, proxyName string, handler downstream.RequestHandler, now units.Seconds) *Session {
 	return &Session{limits: limits, framer: http1.NewRequestFramer(limits.Message), handler: handler, proxyName: proxyName, activeAt: now}
 }
 
--- a/internal/downstream/frames/session.go
+++ b/internal/downstream/frames/session.go
@@ -7,17 +7,10 @@
 	"time"
 
 	"streamcleat/internal/dispatch"
+	"streamcleat/internal/downstream"
 	"streamcleat/internal/units"
 )
 
-// RequestHandler handles the requests of a session.
-type RequestHandler interface {
-	// Submit starts a request. Its response is passed to Session.Respond with the same slot, possibly before Submit returns.
-	Submit(slot uint64, request dispatch.Request)
-	// Cancel ends a request whose client no longer waits.
-	Cancel(slot uint64)
-}
-
 // Limits configures client connections and bounds what their requests may state. Times are in seconds.
 type Limits struct {
 	MaxOpen           int                              // open requests per connection
@@ -37,7 +30,7 @@
 type Session struct {
 	limits       *Limits
 	framer       framer
-	handler      RequestHandler
+	handler      downstream.RequestHandler
 	open         map[uint32]bool // streams of open requests
 	lastStream   uint32          // highest stream used; streams are not reused
 	frameStart   units.Seconds   // when the first byte of the incomplete frame was received
@@ -50,7 +43,7 @@
 }
 
 // NewSession returns the session of a connection accepted at the time now.
-func NewSession(limits *Limits, handler RequestHandler, now units.Seconds) *Session {
+func NewSession(limits *Limits, handler downstream.RequestHandler, now units.Seconds) *Session {
 	return &Session{limits: limits, handler: handler, open: map[uint32]bool{}, activeAt: now, frameStart: now}
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"streamcleat/internal/dispatch"
+	"streamcleat/internal/downstream"
 	downstreamframes "streamcleat/internal/downstream/frames"
 	"streamcleat/internal/eventloop"
 	"streamcleat/internal/platform"
@@ -110,7 +111,7 @@
 			CancelAbandoned: true,
 			TracingDisabled: true,
 		},
-		NewSession: func(handler proxy.RequestHandler, now units.Seconds) proxy.Session {
+		NewSession: func(handler downstream.RequestHandler, now units.Seconds) proxy.Session {
 			return downstreamframes.NewSession(limits, handler, now)
 		},
 		NewPool: func(transport proxy.Transport, results upstream.ExchangeHandler) proxy.UpstreamPool {
--- a/internal/proxy/downstream.go
+++ b/internal/proxy/downstream.go
@@ -38,7 +38,7 @@
 	client *Client
 }
 
-// Submit implements RequestHandler.
+// Submit implements downstream.RequestHandler.
 func (h *clientHandler) Submit(slot uint64, request dispatch.Request) {
 	p := h.proxy
 	p.lastWaiter++
@@ -48,7 +48,7 @@
 	p.dispatcher.Submit(p.host.Now(), p.lastWaiter, request)
 }
 
-// Cancel implements RequestHandler.
+// Cancel implements downstream.RequestHandler.
 func (h *clientHandler) Cancel(slot uint64) {
 	if waiter, ok := h.client.waiters[slot]; ok {
 		delete(h.client.waiters, slot)
--- a/internal/proxy/interfaces.go
+++ b/internal/proxy/interfaces.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"streamcleat/internal/dispatch"
-	"streamcleat/internal/downstream/cloudevents"
 	"streamcleat/internal/units"
 	"streamcleat/internal/upstream"
 )
@@ -15,14 +14,11 @@
 	Commit(records []dispatch.Record, done func(error))
 }
 
-// RequestHandler receives the requests that a Session decodes.
-type RequestHandler = cloudevents.RequestHandler
-
 // Session is the protocol state of a client connection. It has no socket and no clock.
 type Session interface {
 	// Feed processes bytes that the client sent.
 	Feed(now units.Seconds, wall time.Time, data []byte)
-	// Respond delivers the final response to the request that was passed to RequestHandler.Submit with the slot.
+	// Respond delivers the final response to the request that was passed to downstream.RequestHandler.Submit with the slot.
 	Respond(now units.Seconds, slot uint64, response dispatch.Response)
 	// Advance is called after calls of Feed or Respond, before Output.
 	Advance(now units.Seconds)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -4,6 +4,7 @@
 	"log/slog"
 
 	"streamcleat/internal/dispatch"
+	"streamcleat/internal/downstream"
 	"streamcleat/internal/downstream/cloudevents"
 	"streamcleat/internal/units"
 	"streamcleat/internal/upstream"
@@ -25,7 +26,7 @@
 	// EvictIdleClients closes the connection that has been idle longest, instead of rejecting a new one at MaxClients.
 	EvictIdleClients bool
 	// NewSession returns the session of a new client connection. The default speaks CloudEvents over HTTP.
-	NewSession func(handler RequestHandler, now units.Seconds) Session
+	NewSession func(handler downstream.RequestHandler, now units.Seconds) Session
 	// NewPool returns the pool of connections to workers. The default speaks the Open Inference Protocol.
 	NewPool func(t Transport, results upstream.ExchangeHandler) UpstreamPool
 	Log     *slog.Logger // nil: no logging
@@ -85,7 +86,7 @@
 		}
 	}
 	if settings.NewSession == nil {
-		settings.NewSession = func(handler RequestHandler, now units.Seconds) Session {
+		settings.NewSession = func(handler downstream.RequestHandler, now units.Seconds) Session {
 			return cloudevents.NewSession(settings.Downstream, settings.Name, handler, now)
 		}
 	}
