--- a/control/golden_fleet_test.go
+++ b/control/golden_fleet_test.go
@@ -240,7 +240,7 @@
 func (g *goldenFleet) intervalOf(rate float64) func() units.Seconds {
 	return func() units.Seconds {
 		if rate == 0 {
-			return units.Seconds(g.duration)
+			return g.duration
 		}
 		return units.Seconds(g.random.skewed(1 / rate))
 	}
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -66,13 +66,13 @@
 	for i := range list.Workers {
 		worker := &list.Workers[i]
 		if worker.StartedAt > 0 {
-			stated[worker.ID] = units.Seconds(worker.StartedAt - e.clockOffset)
-			worker.StartedAt = e.startClock.StartedAt(units.Seconds(stated[worker.ID]), now, now-e.clockOffset)
+			stated[worker.ID] = worker.StartedAt - e.clockOffset
+			worker.StartedAt = e.startClock.StartedAt(stated[worker.ID], now, now-e.clockOffset)
 		}
 		old, known := previous[worker.ID]
 		switch {
 		case !known || e.configured.Addresses[worker.ID] != list.Addresses[worker.ID]:
-		case isSameStart(float64(stated[worker.ID]), float64(e.statedStarts[worker.ID]), restartTolerance):
+		case isSameStart(stated[worker.ID], e.statedStarts[worker.ID], restartTolerance):
 			worker.StartedAt = e.configured.Workers[old].StartedAt
 		case worker.StartedAt > 0:
 			worker.StartedAt = max(worker.StartedAt, e.lastReadAt)
@@ -82,7 +82,7 @@
 }
 
 // isSameStart reports whether two stated starts of a worker differ by less than a tolerance.
-func isSameStart(a, b, tolerance float64) bool {
+func isSameStart(a, b, tolerance units.Seconds) bool {
 	difference := a - b
 	return difference > -tolerance && difference < tolerance
 }
@@ -134,7 +134,7 @@
 	for _, snapshot := range snapshots {
 		snapshot.Age += p.host.Now() - p.startedAt
 		stated := p.endpoints.statedStart(control.WorkerID(snapshot.Worker))
-		if isSameStart(float64(stated), float64(snapshot.WorkerStartedAt), snapshotStartTolerance) {
+		if isSameStart(stated, snapshot.WorkerStartedAt, snapshotStartTolerance) {
 			p.dispatcher.RestoreReplica(p.host.Now(), snapshot)
 		}
 	}
--- a/internal/verification/simulation/front_end.go
+++ b/internal/verification/simulation/front_end.go
@@ -164,7 +164,7 @@
 // Now implements proxy.Host.
 func (h *host) Now() units.Seconds {
 	(*frontEnd)(h).touch()
-	return units.Seconds(h.appliance.monotonic())
+	return h.appliance.monotonic()
 }
 
 // Wall implements proxy.Host.
@@ -174,7 +174,7 @@
 func (h *host) SetTimer(at units.Seconds) {
 	f := (*frontEnd)(h)
 	f.timer.cancel()
-	f.timer = f.appliance.after(at-units.Seconds(f.appliance.monotonic()), f.name+" wakes", func() { f.proxy.Tick() })
+	f.timer = f.appliance.after(at-f.appliance.monotonic(), f.name+" wakes", func() { f.proxy.Tick() })
 }
 
 // After implements proxy.Host.
--- a/internal/verification/simulation/worker_replicas.go
+++ b/internal/verification/simulation/worker_replicas.go
@@ -127,7 +127,7 @@
 	if !r.HasImage {
 		fetchTime, ok = w.site.store.fetch(units.Seconds(r.Function.FetchTime))
 	}
-	w.after(units.Seconds(fetchTime), "fetched "+r.Function.Name, func() {
+	w.after(fetchTime, "fetched "+r.Function.Name, func() {
 		if !r.HasImage {
 			w.site.store.inFlight--
 		}
