--- a/internal/upstream/openinference/pool.go
+++ b/internal/upstream/openinference/pool.go
@@ -71,13 +71,13 @@
 	delete(p.idle, worker)
 	for _, c := range slices.Clone(p.Connections.ForWorker(worker)) {
 		if !c.Established {
-			p.giveUpDial(c)
+			p.abandonDial(c)
 		}
 	}
 }
 
-// giveUpDial closes a connection that is being dialed and fails the exchange that waits for it.
-func (p *Pool) giveUpDial(c *connection) {
+// abandonDial closes a connection that is being dialed and fails the exchange that waits for it.
+func (p *Pool) abandonDial(c *connection) {
 	p.close(c)
 	if c.exchange != nil {
 		p.Exchanges.FailUnsent(c.exchange)
@@ -129,7 +129,7 @@
 		case !p.Connections.Contains(c) || c.Established && c.exchange != nil:
 			c.queued = false
 		case c.DialTimedOut(now, p.limits.DialTimeout):
-			p.giveUpDial(c)
+			p.abandonDial(c)
 		case c.IdleTimedOut(now, p.limits.IdleTimeout):
 			p.removeIdle(c)
 			p.close(c)
--- a/internal/verification/nodetest/loopback.go
+++ b/internal/verification/nodetest/loopback.go
@@ -46,7 +46,7 @@
 	Close(t, conn)
 }
 
-// WaitForExit waits until a front end that was told to stop has ended without an error.
+// WaitForExit waits until a front end that was asked to stop has ended without an error.
 func WaitForExit(t *testing.T, done <-chan error) {
 	t.Helper()
 	select {
