--- a/control/endpoint_lease.go
+++ b/control/endpoint_lease.go
@@ -140,7 +140,7 @@
 func (r *Router) MayLoad(now units.Seconds, id WorkerID, function FunctionID) bool {
 	r.advance(now)
 	w, known := r.workersByID[id]
-	return known && r.holdsLease(w) && r.recountLoad(id, function)
+	return known && r.holdsLease(w) && r.recountLoadCommand(id, function)
 }
 
 // MayQuery is MaySend for a query or renewal. A renewal may go to a worker that has rejected something, if it may still be
--- a/control/golden_adapter_test.go
+++ b/control/golden_adapter_test.go
@@ -157,4 +157,4 @@
 	a.frontEnd.setTimer(after, timer)
 }
 
-func (a *routerAdapter) RequestEndpoints() { a.frontEnd.subscribe() }
+func (a *routerAdapter) RequestEndpoints() { a.frontEnd.requestEndpoints() }
--- a/control/golden_fleet_test.go
+++ b/control/golden_fleet_test.go
@@ -142,7 +142,7 @@
 
 func (r *splitMix64) fraction() float64           { return float64(r.next()>>11) / (1 << 53) }
 func (r *splitMix64) below(n int) int             { return int(r.next() % uint64(n)) }
-func (r *splitMix64) happens(p float64) bool      { return r.fraction() < p }
+func (r *splitMix64) bernoulli(p float64) bool    { return r.fraction() < p }
 func (r *splitMix64) skewed(mean float64) float64 { u := r.fraction(); return 3 * mean * u * u }
 
 // scheduledEvent is a function to be run at a virtual time.
@@ -285,7 +285,7 @@
 // sendEndpointUpdates sends each router a snapshot or a delta with the change, with a random delay for each.
 func (g *goldenFleet) sendEndpointUpdates(changed *goldenWorker) {
 	for _, f := range g.frontEnds {
-		isSnapshot := g.random.happens(0.5)
+		isSnapshot := g.random.bernoulli(0.5)
 		g.after(units.Seconds(0.05+g.random.fraction()/5), func() {
 			if isSnapshot {
 				f.router.endpointSnapshot(g.now, g.endpointList())
@@ -294,7 +294,7 @@
 			}
 		})
 	}
-	if g.random.happens(0.1) {
+	if g.random.bernoulli(0.1) {
 		g.frontEnds[g.random.below(len(g.frontEnds))].router.endpointPollFailed(g.now)
 	}
 }
@@ -302,7 +302,7 @@
 func (g *goldenFleet) restoreReplicas(f *goldenFrontEnd) {
 	for range g.restoredReplicas {
 		worker, req := g.workers[g.random.below(len(g.workers))], g.newRequest()
-		if g.random.happens(0.8) {
+		if g.random.bernoulli(0.8) {
 			worker.replicasReadyAt[req.function] = g.now
 		}
 		f.router.restoreReplica(g.now, req, worker.id, units.Seconds(g.random.fraction())*g.idleReplicaLifetime*1.3)
@@ -312,15 +312,15 @@
 func (g *goldenFleet) newRequest() simulatedRequest {
 	g.requestsSent++
 	class := requestClasses[g.random.below(len(requestClasses))]
-	req := simulatedRequest{id: "q" + strconv.Itoa(g.requestsSent), class: class.name, retried: g.random.happens(g.retryFraction)}
+	req := simulatedRequest{id: "q" + strconv.Itoa(g.requestsSent), class: class.name, retried: g.random.bernoulli(g.retryFraction)}
 	req.timeLeft = class.timeout * units.Seconds(max(g.random.fraction(), 0.02))
 	if g.onlyClass != "" {
 		req.class = g.onlyClass
-	} else if g.random.happens(0.02) {
+	} else if g.random.bernoulli(0.02) {
 		req.class = "unknown"
 	}
 	function := g.random.below(1 + g.random.below(g.functionCount))
-	if g.random.happens(g.hotFraction) {
+	if g.random.bernoulli(g.hotFraction) {
 		function = 0
 	}
 	req.function, req.concurrency = "f"+strconv.Itoa(function), function%4
@@ -333,7 +333,7 @@
 func (g *goldenFleet) sendRequest() {
 	f, req := g.frontEnds[g.random.below(len(g.frontEnds))], g.newRequest()
 	f.requests[req.id] = &openRequest{simulatedRequest: req}
-	if g.random.happens(g.cancelFraction) {
+	if g.random.bernoulli(g.cancelFraction) {
 		g.after(units.Seconds(g.random.skewed(g.serviceTime)), func() { f.cancel(req.id) })
 	}
 	f.router.request(g.now, req)
@@ -386,7 +386,7 @@
 func (g *goldenFleet) removeWorker(worker *goldenWorker) {
 	worker.state = stateRemoved
 	g.sendEndpointUpdates(worker)
-	if g.random.happens(0.8) {
+	if g.random.bernoulli(0.8) {
 		g.after(units.Seconds(g.random.fraction()), func() {
 			replacement := g.newWorker(g.now)
 			g.workers = append(g.workers, replacement)
--- a/control/golden_front_end_test.go
+++ b/control/golden_front_end_test.go
@@ -35,7 +35,7 @@
 	}
 	req.completed = true
 	f.router.clientCancelled(f.fleet.now, id)
-	if attempt := req.attempts; req.inFlight && f.fleet.random.happens(0.7) {
+	if attempt := req.attempts; req.inFlight && f.fleet.random.bernoulli(0.7) {
 		f.fleet.after(0.002, func() { f.endAttempt(req, attempt, cancelled, startUnknown) })
 	}
 }
@@ -60,18 +60,18 @@
 	}
 	g, worker := f.fleet, req.worker
 	req.inFlight = false
-	if result == succeeded || result == failed && g.random.happens(0.3) {
+	if result == succeeded || result == failed && g.random.bernoulli(0.3) {
 		req.completed = true
 	}
 	a := attemptResult{
 		id: req.id, worker: worker.id, attempt: attempt - 1, outcome: result, completed: req.completed,
 		latency: float64(g.now - req.attemptStartedAt), start: start,
 	}
-	if a.reported = result < cancelled && g.random.happens(g.loadReportFraction); a.reported {
+	if a.reported = result < cancelled && g.random.bernoulli(g.loadReportFraction); a.reported {
 		a.running, a.waiting = worker.utilization(g.now)
 	}
 	f.router.attemptEnded(g.now, a)
-	if g.random.happens(0.01) { // a duplicate result, which the router must ignore
+	if g.random.bernoulli(0.01) { // a duplicate result, which the router must ignore
 		g.after(0.001, func() { f.repeatResult(req, a) })
 	}
 }
@@ -123,13 +123,13 @@
 	f.logCall("broadcast", hex.EncodeToString(message))
 	g := f.fleet
 	for _, other := range g.frontEnds {
-		if other == f || g.random.happens(0.1) {
+		if other == f || g.random.bernoulli(0.1) {
 			continue
 		}
 		received := slices.Clone(message)
-		if g.random.happens(0.02) {
+		if g.random.bernoulli(0.02) {
 			received = received[:g.random.below(len(received))]
-		} else if g.random.happens(0.02) {
+		} else if g.random.bernoulli(0.02) {
 			received[g.random.below(len(received))] ^= byte(1 + g.random.below(255))
 		}
 		g.after(units.Seconds(g.random.fraction()/20), func() { other.router.gossip(g.now, received) })
@@ -141,7 +141,7 @@
 	f.fleet.after(max(after, 0.001), func() { f.router.timer(f.fleet.now, timer) })
 }
 
-func (f *goldenFrontEnd) subscribe() {
+func (f *goldenFrontEnd) requestEndpoints() {
 	f.logCall("resubscribe")
 	f.fleet.after(0.05, func() { f.router.endpointSnapshot(f.fleet.now, f.fleet.endpointList()) })
 }
--- a/control/golden_worker_test.go
+++ b/control/golden_worker_test.go
@@ -67,7 +67,7 @@
 	} else if readyAt > g.now {
 		start = startJoined
 	}
-	if start == startWarm && g.random.happens(0.2) {
+	if start == startWarm && g.random.bernoulli(0.2) {
 		start = startUnknown
 	}
 	return succeeded, g.occupyCore(worker, readyAt) - g.now, start
--- a/control/load_quota.go
+++ b/control/load_quota.go
@@ -9,8 +9,8 @@
 // The quota on load commands: how many of them may reach the workers within a window. A command counts from its decision
 // on, and once more from when its bytes leave, as a dial may have held it up for most of the window.
 
-// countedLoad is a load command that counts towards the quota.
-type countedLoad struct {
+// countedLoadCommand is a load command that counts towards the quota.
+type countedLoadCommand struct {
 	worker    WorkerID
 	function  FunctionID
 	countedAt units.Seconds
@@ -23,35 +23,35 @@
 		return r.deployment.LoadCommandsAllowed
 	}
 	r.requestTimes = r.pruneTimes(r.requestTimes, window)
-	r.pruneCountedLoads()
-	requests, commands := float64(len(r.requestTimes)), float64(len(r.countedLoads)+1)
+	r.pruneCountedLoadCommands()
+	requests, commands := float64(len(r.requestTimes)), float64(len(r.countedLoadCommands)+1)
 	return commands <= r.deployment.LoadCommandAllowance+r.deployment.LoadCommandsPerRequest*requests
 }
 
-// countLoad counts a load command that is sent now.
-func (r *Router) countLoad(worker WorkerID, function FunctionID) {
+// countLoadCommand counts a load command that is sent now.
+func (r *Router) countLoadCommand(worker WorkerID, function FunctionID) {
 	if r.deployment.LoadCommandWindow > 0 {
-		r.pruneCountedLoads()
-		r.countedLoads = append(r.countedLoads, countedLoad{worker, function, r.now})
+		r.pruneCountedLoadCommands()
+		r.countedLoadCommands = append(r.countedLoadCommands, countedLoadCommand{worker, function, r.now})
 	}
 }
 
-// recountLoad counts a load command anew as its bytes leave, and reports whether the quota still permits it.
-func (r *Router) recountLoad(worker WorkerID, function FunctionID) bool {
-	i := slices.IndexFunc(r.countedLoads, func(c countedLoad) bool { return c.worker == worker && c.function == function })
+// recountLoadCommand counts a load command anew as its bytes leave, and reports whether the quota still permits it.
+func (r *Router) recountLoadCommand(worker WorkerID, function FunctionID) bool {
+	i := slices.IndexFunc(r.countedLoadCommands, func(c countedLoadCommand) bool { return c.worker == worker && c.function == function })
 	if i >= 0 {
-		r.countedLoads = slices.Delete(r.countedLoads, i, i+1)
+		r.countedLoadCommands = slices.Delete(r.countedLoadCommands, i, i+1)
 	}
 	if !r.mayCommandLoad() {
 		return false
 	}
-	r.countLoad(worker, function)
+	r.countLoadCommand(worker, function)
 	return true
 }
 
-// pruneCountedLoads removes the load commands that are older than the window.
-func (r *Router) pruneCountedLoads() {
-	r.countedLoads = slices.DeleteFunc(r.countedLoads, func(c countedLoad) bool {
+// pruneCountedLoadCommands removes the load commands that are older than the window.
+func (r *Router) pruneCountedLoadCommands() {
+	r.countedLoadCommands = slices.DeleteFunc(r.countedLoadCommands, func(c countedLoadCommand) bool {
 		return c.countedAt <= r.now-r.deployment.LoadCommandWindow
 	})
 }
--- a/control/load_quota_test.go
+++ b/control/load_quota_test.go
@@ -26,11 +26,11 @@
 		decidedAt := h.now + 10
 		h.now = decidedAt
 		h.router.advance(h.now)
-		h.router.countLoad(h.home, "held")
+		h.router.countLoadCommand(h.home, "held")
 		h.now += c.leavesAfter
 		h.router.OnDiscoveryHeard(h.now, h.now)
 		for range c.others {
-			h.router.countLoad(h.home, "other")
+			h.router.countLoadCommand(h.home, "other")
 		}
 		if got := h.router.MayLoad(h.now, h.home, "held"); got != c.leaves {
 			t.Errorf("%s: may leave %v", name, got)
--- a/control/outage_fleet_test.go
+++ b/control/outage_fleet_test.go
@@ -30,7 +30,7 @@
 	deployment := randomDeployment(rnd)
 	deployment.EndpointLeases, deployment.DrainGrace = true, units.Seconds(0.2+rnd.Float64()*2)
 	fleet := newSimulatedFleet(seed, deployment, 2+rnd.Intn(7))
-	fleet.drainingAnswersQueries = answersQueries
+	fleet.drainingRespondsToQueries = answersQueries
 	requests, outageEnd := 0, 0
 	for step := range 2000 {
 		fleet.advance(stepSeconds)
@@ -76,7 +76,7 @@
 	}
 	f.router.OnEndpointUpdate(s.now, Snapshot, endpoints)
 	for _, worker := range s.workers {
-		delete(worker.unheardSends, f.index)
+		delete(worker.sendsAfterGrace, f.index)
 	}
 }
 
@@ -107,7 +107,7 @@
 	switch rnd.Intn(4) {
 	case 0, 1:
 		if w.State == Serving {
-			w.State, w.drainedAt, w.unheardSends = Draining, now, map[int]int{}
+			w.State, w.drainedAt, w.sendsAfterGrace = Draining, now, map[int]int{}
 		}
 	case 2:
 		w.State = Serving
@@ -122,6 +122,6 @@
 	if !s.discoveryDown || worker.State != Draining || s.now <= worker.drainedAt+s.deployment.DrainGrace {
 		return
 	}
-	worker.unheardSends[f.index]++
+	worker.sendsAfterGrace[f.index]++
 	s.recordViolation("%s at %s, which has drained for %.3f", message, worker.ID, s.now-worker.drainedAt)
 }
--- a/control/peer_proofs_test.go
+++ b/control/peer_proofs_test.go
@@ -45,14 +45,14 @@
 		cutOff, drained := fleet.frontEnds[0], fleet.workers[seed%int64(len(fleet.workers))]
 		fleet.discoveryDown = true
 		cutOff.router.OnDiscoveryLost(fleet.now)
-		drained.State, drained.drainedAt, drained.unheardSends = Draining, fleet.now, map[int]int{}
+		drained.State, drained.drainedAt, drained.sendsAfterGrace = Draining, fleet.now, map[int]int{}
 		listed := drained.listedState[0]
 		fleet.sendHeartbeatsExcept(cutOff)
 		fleet.advanceSteps(100)
 		drained.listedState[0] = listed
 		cutOff.restart(uint64(seed))
 		requests := fleet.sendWithHeartbeats(5, 80, cutOff)
-		sent += drained.unheardSends[0]
+		sent += drained.sendsAfterGrace[0]
 		for _, req := range requests {
 			if req.succeeded {
 				succeeded++
@@ -72,7 +72,7 @@
 	deployment.FrontEnds, deployment.GossipAllowed = 6, true
 	deployment.EndpointLeases, deployment.DrainGrace = true, units.Seconds(testDrainGrace)
 	fleet := newSimulatedFleet(seed, deployment, 8)
-	fleet.drainingAnswersQueries = true
+	fleet.drainingRespondsToQueries = true
 	fleet.sendHeartbeats()
 	return fleet
 }
@@ -217,7 +217,7 @@
 func TestOutage_ReturnedWorkersAreUsedAgain(t *testing.T) {
 	for seed := range int64(20) {
 		fleet := newSparseFleet(seed)
-		fleet.drainingAnswersQueries = false
+		fleet.drainingRespondsToQueries = false
 		fleet.sendAtInterval(8, 0.02, 2)
 		fleet.sendHeartbeats()
 		fleet.discoveryDown = true
@@ -226,7 +226,7 @@
 		}
 		drained := fleet.workers[:4]
 		for _, w := range drained {
-			w.State, w.drainedAt, w.unheardSends = Draining, fleet.now, map[int]int{}
+			w.State, w.drainedAt, w.sendsAfterGrace = Draining, fleet.now, map[int]int{}
 		}
 		fleet.sendAtInterval(8, 0.02, 4)
 		for _, w := range drained {
--- a/control/replica_loading.go
+++ b/control/replica_loading.go
@@ -93,7 +93,7 @@
 // sendLoadCommand sends the load command that commandLoad decided on.
 func (r *Router) sendLoadCommand(fn *function, w *worker) {
 	fn.loadCommandedAt = r.now
-	r.countLoad(w.id, fn.id)
+	r.countLoadCommand(w.id, fn.id)
 	r.host.LoadReplicas(w.id, fn.id, 1)
 }
 
--- a/control/router_state.go
+++ b/control/router_state.go
@@ -41,10 +41,10 @@
 	meanLoad           float64 // mean load of the serving workers
 	meanReportedLoad   float64 // mean reported load of the serving workers that have one
 
-	requestTimes    []units.Seconds // arrivals within the load command window
-	countedLoads    []countedLoad   // load commands within the load command window
-	replicaMissRate float64         // moving average of the fraction of attempts that found no loaded replica
-	loadSlowdown    float64         // moving average of load duration over expected load time; 0 while unknown
+	requestTimes        []units.Seconds      // arrivals within the load command window
+	countedLoadCommands []countedLoadCommand // load commands within the load command window
+	replicaMissRate     float64              // moving average of the fraction of attempts that found no loaded replica
+	loadSlowdown        float64              // moving average of load duration over expected load time; 0 while unknown
 
 	admissionProbability float64       // probability of admitting a new request; the excess above 1 is a reserve
 	latencyP20           units.Seconds // 20th percentile of response latency, estimated online
--- a/control/simulated_fleet_test.go
+++ b/control/simulated_fleet_test.go
@@ -20,8 +20,8 @@
 	scheduled  []scheduledCall
 	violation  string
 
-	discoveryDown          bool
-	drainingAnswersQueries bool
+	discoveryDown             bool
+	drainingRespondsToQueries bool
 }
 
 type scheduledCall struct {
--- a/control/simulated_front_end_test.go
+++ b/control/simulated_front_end_test.go
@@ -233,7 +233,7 @@
 		result.Outcome, result.Latency = TimedOut, timeout
 	case worker.condition == partitioned:
 		result.Outcome = Unreachable
-	case worker.State != Serving && (replicas > 0 || !s.drainingAnswersQueries):
+	case worker.State != Serving && (replicas > 0 || !s.drainingRespondsToQueries):
 		result.Outcome = Rejected
 	case worker.condition == rejecting && replicas > 0 && !worker.replicas[fn]:
 		result.Outcome = Rejected // a full worker has no room for another replica
--- a/control/simulated_worker_test.go
+++ b/control/simulated_worker_test.go
@@ -5,16 +5,16 @@
 // simulatedWorker is one worker of the simulated fleet.
 type simulatedWorker struct {
 	Worker
-	serviceRate  float64 // requests per second when warm
-	freeAt       units.Seconds
-	actualStart  float64
-	listedState  []EndpointState // by front end: the state in the newest endpoint list
-	listedStart  []float64       // by front end: the start in the newest endpoint list
-	condition    workerCondition
-	replicas     map[FunctionID]bool
-	attemptTimes []units.Seconds
-	drainedAt    units.Seconds
-	unheardSends map[int]int // by front end: messages since a drain that discovery did not tell of
+	serviceRate     float64 // requests per second when warm
+	freeAt          units.Seconds
+	actualStart     float64
+	listedState     []EndpointState // by front end: the state in the newest endpoint list
+	listedStart     []float64       // by front end: the start in the newest endpoint list
+	condition       workerCondition
+	replicas        map[FunctionID]bool
+	attemptTimes    []units.Seconds
+	drainedAt       units.Seconds
+	sendsAfterGrace map[int]int // by front end: messages since a drain that discovery did not tell of
 }
 
 // restart starts a new process, which is cold.
