--- a/control/concurrency_limit.go
+++ b/control/concurrency_limit.go
@@ -2,17 +2,18 @@
 
 import "streamcleat/internal/units"
 
-// Concurrency limit: own requests in flight on each worker, by additive increase and multiplicative decrease.
+// Concurrency limit: the maximum number of own requests in flight on each worker, adapted by additive increase and
+// multiplicative decrease (AIMD).
 
 const (
 	initialConcurrencyLimit = 12.0 // initial limit of a worker, divided among the front ends
-	minConcurrencyLimit     = 1.0  // allows the recovery of a worker to be observed
+	minConcurrencyLimit     = 1.0  // one request, so that the recovery of a worker can be observed
 	limitIncrease           = 0.3  // increment after an early response, divided among the front ends
-	usedLimitFraction       = 0.5  // fraction of the limit in flight above which it may grow
+	usedLimitFraction       = 0.5  // fraction of the limit that must be in flight for the limit to grow
 	limitDecreaseFactor     = 0.75 // factor after a late response
 	earlyLatencyFraction    = 0.5  // fraction of the latency objective below which a response is early
 	lateLatencyFraction     = 0.6  // fraction of the latency objective above which a response is late
-	stalledLatencyRatio     = 6.0  // multiple of the median latency after which a request is stalled, if loads are slow
+	stalledLatencyRatio     = 6.0  // multiple of the median latency after which a request is stalled while loads are slow
 )
 
 // responseTiming classifies a latency against the latency objective.
@@ -24,6 +25,7 @@
 	lateResponse
 )
 
+// classifyLatency classifies a latency against the latency objective of class.
 func classifyLatency(class *RequestClass, latency units.Seconds) responseTiming {
 	switch {
 	case latency > lateLatencyFraction*class.LatencyObjective:
@@ -35,10 +37,11 @@
 	}
 }
 
+// initialLimitPerFrontEnd returns this front end's share of a worker's initial limit.
 func (r *Router) initialLimitPerFrontEnd() float64 { return r.perFrontEnd(initialConcurrencyLimit) }
 
-// updateConcurrencyLimit adapts the limit of the worker of req. One decrease covers all requests that were sent
-// before it. The late response of a single request does not indicate queueing.
+// updateConcurrencyLimit adapts the limit of the worker of req to the timing of a response. Late responses to requests sent
+// before the last decrease cause no further one. A late response to the only request in flight does not indicate queueing.
 func (r *Router) updateConcurrencyLimit(req *request, timing responseTiming) {
 	w := req.worker
 	inFlight := float64(len(w.inFlight)) + 1
@@ -51,8 +54,8 @@
 	}
 }
 
-// hasCapacity reports whether w is below its concurrency limit and not ejected. Requests that wait for a load there
-// occupy none of its cores and are not counted.
+// hasCapacity reports whether w is below its concurrency limit and not ejected. Requests that wait for a load on w are not
+// counted, because they occupy none of its cores.
 func (r *Router) hasCapacity(w *worker) bool {
 	running := 0
 	for _, req := range w.inFlight {
@@ -64,8 +67,9 @@
 	return w.ejectedUntil <= r.now && float64(running) < w.concurrencyLimit
 }
 
-// isStalled reports whether a request in flight on w must be waiting for a load: loads are slow, and w still
-// responds to others. A slow artifact store must not exhaust the limits of its workers.
+// isStalled reports whether a request in flight on w is presumably waiting for a load, because loads are slow and w still
+// responds to other requests. Such requests are not counted, so that a slow artifact store does not exhaust the limits of
+// the workers.
 func (r *Router) isStalled(req *request, w *worker) bool {
 	if r.loadSlowdown <= maxNormalLoadSlowdown || r.now-w.lastResponseAt >= tickSeconds {
 		return false
--- a/control/function.go
+++ b/control/function.go
@@ -22,11 +22,11 @@
 	rankedWorkers []*worker // serving workers in rendezvous order
 	rankedVersion int       // endpointVersion for which rankedWorkers was computed
 
-	pendingLoadOn     *worker       // worker with an unanswered load command
-	loadCommandedAt   units.Seconds // time of the newest load command
-	loadAwaitsLease   bool          // the load command is sent once pendingLoadOn has proved to serve
-	loadCooldownUntil units.Seconds // no further replica is loaded before, while one is in use
-	waiters           []*request    // requests that wait for the pending load
+	pendingLoadOn     *worker       // worker of the load command whose result is pending
+	loadCommandedAt   units.Seconds // time of the latest load command
+	loadAwaitsLease   bool          // the load command is deferred until the lease of pendingLoadOn is confirmed
+	loadCooldownUntil units.Seconds // while a replica is in use, no other is loaded before this time
+	waiters           []*request    // requests waiting for the pending load
 }
 
 // replica holds the router's view of one function on one worker.
@@ -34,9 +34,9 @@
 	worker        *worker
 	inFlight      int // attempts of this front end
 	warm          bool
-	lastSeenAt    units.Seconds
+	lastSeenAt    units.Seconds // time at which the replica was last known to be loaded
 	recentLatency units.Seconds // moving average; 0 before the first sample
-	lastLatencyAt units.Seconds // time of the newest sample
+	lastLatencyAt units.Seconds // time of the latest sample
 	slowSince     units.Seconds // 0 while not slow
 }
 
@@ -64,15 +64,14 @@
 	rep.lastSeenAt = seenAt
 }
 
-// markRestarted clears what was observed of the worker's previous process.
+// markRestarted clears the observations of the worker's previous process.
 func (rep *replica) markRestarted() {
 	rep.warm = false
 	rep.slowSince = 0
 	rep.recentLatency = 0
 }
 
-// functionOf returns the function of a request, creating it if necessary, with its properties updated from the
-// request.
+// functionOf returns the function of a request, creating it if necessary, and updates its properties from the request.
 func (r *Router) functionOf(in Request) *function {
 	fn := r.functionsByID[in.Function]
 	if fn == nil {
@@ -100,7 +99,7 @@
 	})
 }
 
-// clearPendingLoad ends the pending load of fn and queues its waiters for the request rules.
+// clearPendingLoad clears the pending load of fn and queues its waiters for the request rules again.
 func (r *Router) clearPendingLoad(fn *function) {
 	fn.pendingLoadOn = nil
 	r.pending = append(r.pending, fn.waiters...)
--- a/control/load_quota.go
+++ b/control/load_quota.go
@@ -6,8 +6,9 @@
 	"streamcleat/internal/units"
 )
 
-// The quota on load commands: how many of them may reach the workers within a window. A command counts from its decision
-// on, and once more from when its bytes leave, as a dial may have held it up for most of the window.
+// The load command quota limits how many load commands may reach the workers within a window. A command counts from the
+// time of the decision and, once it is written to the connection, from that time instead: dialing the worker may have
+// delayed it for most of the window.
 
 // countedLoadCommand is a load command that counts towards the quota.
 type countedLoadCommand struct {
@@ -28,7 +29,7 @@
 	return commands <= r.deployment.LoadCommandAllowance+r.deployment.LoadCommandsPerRequest*requests
 }
 
-// countLoadCommand counts a load command that is sent now.
+// countLoadCommand counts a load command as sent at the current time.
 func (r *Router) countLoadCommand(worker WorkerID, function FunctionID) {
 	if r.deployment.LoadCommandWindow > 0 {
 		r.pruneCountedLoadCommands()
@@ -36,9 +37,12 @@
 	}
 }
 
-// recountLoadCommand counts a load command anew as its bytes leave, and reports whether the quota still permits it.
+// recountLoadCommand counts a load command again when it is about to be written to the connection, and reports whether the
+// quota still permits it.
 func (r *Router) recountLoadCommand(worker WorkerID, function FunctionID) bool {
-	i := slices.IndexFunc(r.countedLoadCommands, func(c countedLoadCommand) bool { return c.worker == worker && c.function == function })
+	i := slices.IndexFunc(r.countedLoadCommands, func(c countedLoadCommand) bool {
+		return c.worker == worker && c.function == function
+	})
 	if i >= 0 {
 		r.countedLoadCommands = slices.Delete(r.countedLoadCommands, i, i+1)
 	}
@@ -49,7 +53,7 @@
 	return true
 }
 
-// pruneCountedLoadCommands removes the load commands that are older than the window.
+// pruneCountedLoadCommands removes the load commands that are no longer within the window.
 func (r *Router) pruneCountedLoadCommands() {
 	r.countedLoadCommands = slices.DeleteFunc(r.countedLoadCommands, func(c countedLoadCommand) bool {
 		return c.countedAt <= r.now-r.deployment.LoadCommandWindow
--- a/control/outlier_ejection.go
+++ b/control/outlier_ejection.go
@@ -2,23 +2,23 @@
 
 import "streamcleat/internal/units"
 
-// Outlier ejection: workers that receive no requests for a time, because of high latency or a lost load.
+// Outlier ejection: workers with high latency or a lost load receive no requests for a time.
 
 const (
 	slowLatencyRatio       = 2.0  // multiple of the function's median latency above which a replica is slow
-	slowEvidenceSeconds    = 1.0  // span that slow responses must cover, and age at which a latency expires
-	slowReplicasToEject    = 2    // slow replicas, each of another function, that eject a worker
+	slowEvidenceSeconds    = 1.0  // period that slow responses must cover, and age at which a latency expires
+	slowReplicasToEject    = 2    // number of slow replicas, each of a different function, at which a worker is ejected
 	ejectionSeconds        = 2.0  // duration of an ejection
-	maxEjectedFraction     = 0.4  // of the serving workers; with more outliers, ejection does harm
-	maxSlowEjectedFraction = 0.05 // the same for slow workers; in an overload all are slow
-	recentLatencyWeight    = 0.2  // weight of the newest latency, low because single requests may be heavy
-	maxLatencyRatio        = 1.5  // multiple of the expected latency at which a latency is capped, likewise
-	medianLatencyStep      = 1.05 // factor of the running median, which outliers move less than a mean
-	relativeLatencyWeight  = 0.01 // weight of the newest latency in a worker's long-run relative latency
+	maxEjectedFraction     = 0.4  // of the serving workers; with more outliers, ejection does more harm than good
+	maxSlowEjectedFraction = 0.05 // the same for slow workers, because all workers are slow in an overload
+	recentLatencyWeight    = 0.2  // weight of the latest latency, low because single requests may be expensive
+	maxLatencyRatio        = 1.5  // multiple of the expected latency at which a latency is capped, for the same reason
+	medianLatencyStep      = 1.05 // step factor of the running median, which outliers affect less than a mean
+	relativeLatencyWeight  = 0.01 // weight of the latest latency in a worker's long-run relative latency
 )
 
 // ejectSlowWorker ejects a worker whose replicas of several functions are slow. Slow responses must cover the whole
-// evidence span, because no further attempt may follow a single one.
+// evidence period: a single one is not enough, because no further attempt that could refute it may follow.
 func (r *Router) ejectSlowWorker(w *worker) bool {
 	slow := 0
 	for _, fn := range r.functions {
@@ -43,14 +43,14 @@
 	return true
 }
 
-// isSlow reports whether the recent latency of a replica is above the expected one. An idle replica, or one whose
-// newest latency is old, is not slow: it would receive no attempt that could show otherwise.
+// isSlow reports whether the recent latency of a replica exceeds the expected latency. An idle replica, or one whose latest
+// sample is old, does not count as slow: it would receive no further attempt that could refute this.
 func (r *Router) isSlow(fn *function, rep *replica) bool {
 	isCurrent := rep.inFlight > 0 && r.now-rep.lastLatencyAt < slowEvidenceSeconds
 	return isCurrent && rep.recentLatency > r.expectedLatency(fn, rep)
 }
 
-// expectedLatency returns the latency above which a replica is slow, given the long-run latency of its worker.
+// expectedLatency returns the latency above which a replica is slow, scaled by the long-run relative latency of its worker.
 func (r *Router) expectedLatency(fn *function, rep *replica) units.Seconds {
 	return slowLatencyRatio * fn.medianLatency * units.Seconds(max(rep.worker.relativeLatency, 1))
 }
--- a/control/replica_loading.go
+++ b/control/replica_loading.go
@@ -2,24 +2,24 @@
 
 import "streamcleat/internal/units"
 
-// Replica loading: when and on which worker a replica is loaded, and which loads requests wait for.
+// Replica loading: when and on which worker a replica is loaded, and which requests wait for a load.
 
 const (
-	maxLoadWaits               = 3     // loads that a request waits for, in case its function fits on no worker
+	maxLoadWaits               = 3     // maximum number of loads that a request waits for, as its function may fit on no worker
 	loadCooldownSeconds        = 2.5   // minimum time between loads of a function while a replica is in use
-	loadCooldownPerMissSeconds = 120.0 // cooldown added per unit of the replica miss rate, which shows a full fleet
-	replicaMissWeight          = 0.02  // weight of the newest attempt in the replica miss rate
-	loadSlowdownWeight         = 0.2   // weight of the newest load in the load slowdown
-	maxNormalLoadSlowdown      = 1.3   // above it the artifact store is overloaded, and no load skips the cooldown
-	loadArrivalRounds          = 4.0   // rounds after which a load command is certain to have arrived
-	lostLoadRatio              = 3.0   // expected load times without any response after which a load is lost
-	minExpectedLoadSeconds     = 1.0   // lower bound of the expected load time in that, also where it is unknown
-	loadBackoffSeconds         = 0.5   // time without load commands for a worker that rejected or was unreachable
+	loadCooldownPerMissSeconds = 120.0 // cooldown added per unit of the replica miss rate, which is high if the fleet is full
+	replicaMissWeight          = 0.02  // weight of the latest attempt in the replica miss rate
+	loadSlowdownWeight         = 0.2   // weight of the latest load in the load slowdown
+	maxNormalLoadSlowdown      = 1.3   // above this the artifact store is overloaded, and no load skips the cooldown
+	loadArrivalRounds          = 4.0   // rounds after which a load command has certainly arrived
+	lostLoadRatio              = 3.0   // expected load times without any response after which a load is considered lost
+	minExpectedLoadSeconds     = 1.0   // lower bound of the expected load time for lostLoadRatio, also used if it is unknown
+	loadBackoffSeconds         = 0.5   // time without load commands after a worker has rejected one or was unreachable
 )
 
-// loadMissingReplica starts the load of a replica for the function of req, unless one is pending. While a replica is
-// in use the cooldown applies, except that it is skipped if no worker serves req now and loads take about their
-// expected time. A nil serving means that no replica can take the request.
+// loadMissingReplica starts the load of a replica for the function of req, unless a load is pending. While a replica is in
+// use the cooldown applies. It is skipped if no worker can serve req now and loads take about their expected time. serving
+// is the worker whose replica can serve the request, or nil if there is none.
 func (r *Router) loadMissingReplica(req *request, missing int, serving *worker) {
 	fn := req.function
 	if fn.pendingLoadOn != nil || req.loadWaits >= maxLoadWaits {
@@ -36,8 +36,8 @@
 	}
 }
 
-// hasReplicaInUse reports whether a warm replica is on a serving worker that is not ejected, whether or not that
-// worker has capacity.
+// hasReplicaInUse reports whether there is a warm replica on a serving worker that is not ejected, even if that worker has
+// no capacity.
 func (r *Router) hasReplicaInUse(fn *function) bool {
 	for i := range fn.replicas {
 		rep := &fn.replicas[i]
@@ -50,8 +50,8 @@
 	return false
 }
 
-// pickLoadTarget returns the first worker in rendezvous order that is not busy, or else the least-loaded one. If
-// several replicas are missing it picks at random among as many workers, so that front ends load them concurrently
+// pickLoadTarget returns the first worker in rendezvous order that is not busy or, if all are busy, the least-loaded one.
+// If several replicas are missing it picks at random among that many workers, so that front ends load them concurrently
 // rather than one after another.
 func (r *Router) pickLoadTarget(req *request, missing int) *worker {
 	var candidates, notBusy []*worker
@@ -79,6 +79,7 @@
 	return holders[r.random.below(len(holders))]
 }
 
+// commandLoad starts the load of fn on w. If w holds no lease, the load command is deferred until the lease is confirmed.
 func (r *Router) commandLoad(fn *function, w *worker) {
 	fn.pendingLoadOn = w
 	fn.loadCommandedAt = r.now
@@ -90,16 +91,16 @@
 	r.sendLoadCommand(fn, w)
 }
 
-// sendLoadCommand sends the load command that commandLoad decided on.
+// sendLoadCommand sends the load command for fn to w and counts it towards the quota.
 func (r *Router) sendLoadCommand(fn *function, w *worker) {
 	fn.loadCommandedAt = r.now
 	r.countLoadCommand(w.id, fn.id)
 	r.host.LoadReplicas(w.id, fn.id, 1)
 }
 
-// waitForPendingLoad handles a request whose function is being loaded. Once the load command is certain to have
-// arrived, the request is sent to the loading worker. Before that it waits for the result, if the load can complete
-// before the deadline.
+// waitForPendingLoad handles a request whose function is being loaded. Once the load command has certainly arrived, the
+// request is sent to the loading worker. Before that it waits for the result, provided that the load is expected to
+// complete before the deadline.
 func (r *Router) waitForPendingLoad(req *request) bool {
 	fn, w := req.function, req.function.pendingLoadOn
 	if w == nil || req.loadWaits >= maxLoadWaits {
@@ -118,8 +119,8 @@
 	return true
 }
 
-// remainingLoadTime returns the expected remaining time of the pending load. An overdue load is expected to take as
-// long again as it already has.
+// remainingLoadTime returns the expected remaining time of the pending load. An overdue load is expected to take as long
+// again as it has already taken.
 func (r *Router) remainingLoadTime(fn *function) units.Seconds {
 	elapsed := r.now - fn.loadCommandedAt
 	if remaining := fn.loadTime*units.Seconds(max(r.loadSlowdown, 1)) - elapsed; remaining > 0 {
@@ -128,16 +129,16 @@
 	return elapsed
 }
 
-// sendToLoadOnMiss sends a request to the worker that would receive the load command, if none may be sent and workers
-// load missing replicas themselves.
+// sendToLoadOnMiss handles a request for which no load command may be sent, in a deployment whose workers load missing
+// replicas themselves. It sends the request to the worker that would have received the load command.
 func (r *Router) sendToLoadOnMiss(req *request) bool {
 	mustLoadOnMiss := !r.deployment.NoLoadOnMiss && !r.mayCommandLoad()
 	return mustLoadOnMiss && r.startAttempt(req, r.pickLoadTarget(req, 1))
 }
 
-// abandonLostLoads ends pending loads on a worker that is draining, removed or unresponsive, and ejects an
-// unresponsive one. A worker that responds to other requests has a slow artifact store, which a further load
-// elsewhere would only slow down more.
+// abandonLostLoads abandons pending loads on a worker that is draining, removed or unresponsive, and ejects it if it is
+// unresponsive. A worker that still responds to other requests is waiting for a slow artifact store, which another load
+// elsewhere would only slow down further.
 func (r *Router) abandonLostLoads(w *worker) bool {
 	abandoned := false
 	for _, fn := range r.functions {
@@ -173,10 +174,10 @@
 	if result.Replicas > 0 {
 		fn.ensureReplica(w).markWarm(now)
 		if result.Duration < tickSeconds && r.hasManyFrontEnds() {
-			fn.loadCooldownUntil = now // it was loaded already, which cost the store nothing
+			fn.loadCooldownUntil = now // the replica was loaded already, which put no load on the artifact store
 		}
 	} else if result.Outcome == Rejected || result.Outcome == Unreachable || result.Outcome == ConnectionLost {
-		// Without backoff, an unreachable worker that is first in rendezvous order gets every further load command.
+		// Without backoff, an unreachable worker that is first in rendezvous order would receive every further load command.
 		w.loadBackoffUntil = now + loadBackoffSeconds
 	}
 	w.lastResponseAt = now
@@ -186,8 +187,8 @@
 	r.applyRules()
 }
 
-// Preload loads a function that is about to be requested, unless a replica can take the request, a load is pending,
-// or the quota is exhausted. It reports whether it sent a load command.
+// Preload loads a replica of a function that is about to be requested, unless a replica can serve the request, a load is
+// pending or the quota is exhausted. It reports whether it started a load.
 func (r *Router) Preload(now units.Seconds, in Request) bool {
 	r.advance(now)
 	req := &request{Request: in, function: r.functionOf(in), class: &RequestClass{}}
--- a/control/replica_selection.go
+++ b/control/replica_selection.go
@@ -8,20 +8,20 @@
 	"streamcleat/internal/units"
 )
 
-// Replica selection: which replica serves a request, and how many replicas share a function's requests.
+// Replica selection: which replica serves a request, and over how many replicas the requests of a function are spread.
 
 const (
-	overloadedInFlightRatio = 2.0   // own requests in flight over concurrency at which a replica is overloaded
+	overloadedInFlightRatio = 2.0   // ratio of own requests in flight to concurrency at which a replica is overloaded
 	busyLoadRatio           = 1.5   // a worker is busy above this multiple of the mean load
-	busyLoadMargin          = 1.0   // plus this many requests over its weight, as an idle fleet is uneven
-	targetReplicasGrowth    = 1.5   // without gossip: factor on the target replicas after a late response
+	busyLoadMargin          = 1.0   // plus this many requests over its weight, because load is uneven in an idle fleet
+	targetReplicasGrowth    = 1.5   // without gossip: factor for the target replicas after a late response
 	targetReplicasDecay     = 0.93  // without gossip: factor after an early response
-	concurrencyHeadroom     = 2.0   // with gossip: concurrency provided for each running request
+	concurrencyHeadroom     = 2.0   // with gossip: concurrency provisioned for each running request
 	latencyP20Step          = 0.005 // relative step upwards for each response
-	latencyP20DownSteps     = 5     // steps downwards for a response below it; one such in five balances
-	latencyP20Floor         = 0.5   // fraction of such a response's latency that bounds the estimate from below
+	latencyP20DownSteps     = 5     // steps downwards for a response below the estimate; one such in five balances the steps
+	latencyP20Floor         = 0.5   // the estimate does not fall below this fraction of such a response's latency
 	rateAveragingSeconds    = 3.0   // time constant of response rates
-	minWorkerWeight         = 0.01  // lower bound of stated weights, against division by zero
+	minWorkerWeight         = 0.01  // lower bound of configured weights, which prevents division by zero
 )
 
 // overloadFilter specifies whether pickReplica considers overloaded replicas.
@@ -32,8 +32,8 @@
 	includeOverloaded overloadFilter = false
 )
 
-// sendToWarmReplica sends a request to the least-loaded warm replica that is not overloaded, or else to the
-// least-loaded warm one. It loads another replica if fewer than the target are not overloaded.
+// sendToWarmReplica sends a request to the least-loaded warm replica that is not overloaded or, if there is none, to the
+// least-loaded warm replica. It loads another replica if fewer replicas than the target are available without overload.
 func (r *Router) sendToWarmReplica(req *request) bool {
 	preferred, missing := r.pickReplica(req, excludeOverloaded)
 	target := preferred
@@ -51,20 +51,20 @@
 }
 
 // pickReplica returns the worker of the least-loaded warm replica, and the number of replicas missing from the
-// target. Only the first workers in rendezvous order are candidates, as many as the target or the own requests in
-// flight call for: spreading requests over all replicas would keep each of them from being unloaded as idle.
+// target. Only the first workers in rendezvous order are candidates, as many as the target or the own requests in flight
+// require: if requests were spread over all replicas, none would become idle and be unloaded.
 func (r *Router) pickReplica(req *request, filter overloadFilter) (picked *worker, missing int) {
 	fn := req.function
 	target := int(math.Ceil(fn.targetReplicas))
 	var candidates []*worker
-	rejecting := 0 // replicas that count towards the target, and that have rejected this request
+	rejecting := 0 // replicas that count towards the target but have rejected this request
 	for _, w := range r.rendezvousOrder(req) {
 		rep := fn.replicaOn(w)
 		failedBefore := w == req.worker && len(candidates) > 0
 		if !r.isWarm(rep) || failedBefore || !r.hasCapacity(w) || !r.isEligible(req, w) {
 			continue
 		}
-		if req.wasRejectedBy(w) { // it would do so again, until the attempts of the request are used up
+		if req.wasRejectedBy(w) { // it would reject further attempts too, until the request has none left
 			rejecting++
 			continue
 		}
@@ -79,8 +79,8 @@
 	return r.leastLoaded(r.leaseHolders(candidates)), target - len(candidates) - rejecting
 }
 
-// retryRejectingReplica sends a request again to a warm replica whose worker rejected it, if no other can take it: a full
-// worker may have room by now.
+// retryRejectingReplica sends a request again to a warm replica whose worker has rejected it, if no other can serve it: the
+// worker may have been full and may have capacity again.
 func (r *Router) retryRejectingReplica(req *request) bool {
 	return r.startAttempt(req, r.pickRejectingReplica(req))
 }
@@ -104,6 +104,7 @@
 	return rep.inFlight > 0 || r.now < rep.lastSeenAt+r.deployment.IdleReplicaLifetime
 }
 
+// isOverloaded reports whether a replica is full or slow, or its worker is busy.
 func (r *Router) isOverloaded(fn *function, rep *replica) bool {
 	isFull := float64(rep.inFlight) >= overloadedInFlightRatio*float64(fn.concurrency)
 	return isFull || r.isSlow(fn, rep) || r.isBusy(rep.worker)
@@ -122,13 +123,13 @@
 		return true
 	}
 	if r.mayBeOtherProcess(w) && req.class.DeduplicationScope != ScopeFleet {
-		return false // the process at its address may be that of a worker in another scope
+		return false // the process at its address may belong to a worker in another scope
 	}
 	return inSameScope(req.class.DeduplicationScope, w, req.firstExecutionOn) && r.isRetryDeduplicated(req)
 }
 
-// load returns the estimated number of requests on w, including the next one, over its current capacity. A worker
-// without a report counts with the mean reported load.
+// load returns the estimated number of requests on w, including the next one, relative to its current capacity. For a
+// worker without a report the mean reported load is used.
 func (r *Router) load(w *worker) float64 {
 	reported := w.reportedLoad
 	if reported < 0 {
@@ -198,8 +199,8 @@
 	}
 }
 
-// updateTargetReplicas updates the number of replicas that a function needs. With many front ends the own requests
-// in flight do not show it, because each front end has hardly any.
+// updateTargetReplicas updates the number of replicas that a function needs. With many front ends this cannot be derived
+// from the own requests in flight, because each front end has hardly any.
 func (r *Router) updateTargetReplicas(req *request, result AttemptResult) {
 	fn := req.function
 	switch {
@@ -214,8 +215,8 @@
 }
 
 // recordResponses adds to a function's response rate and, with many front ends, derives its target replicas from it.
-// Latency enters as the 20th percentile, which excludes queueing: an overloaded fleet would otherwise spread its
-// functions until none fits.
+// The 20th percentile of latency is used because it excludes queueing: otherwise an overloaded fleet would spread its
+// functions over ever more workers until their replicas no longer fit.
 func (r *Router) recordResponses(fn *function, responses float64) {
 	fn.responseRate += responses / rateAveragingSeconds
 	if r.hasManyFrontEnds() {
@@ -224,6 +225,7 @@
 	}
 }
 
+// decayResponseRates decays the response rates of all functions over the elapsed time.
 func (r *Router) decayResponseRates(elapsed units.Seconds) {
 	for _, fn := range r.functions {
 		fn.responseRate *= 1 - min(float64(elapsed/rateAveragingSeconds), 1)
--- a/control/request.go
+++ b/control/request.go
@@ -14,15 +14,15 @@
 	deadline  units.Seconds
 	timerID   uint64
 	attempts  int
-	loadWaits int // loads that the request has waited for
-	// awaitedLease is set once the request has waited for the lease of a worker.
+	loadWaits int // number of loads that the request has waited for
+	// awaitedLease is set once the request has waited for the lease of a worker to be confirmed.
 	awaitedLease bool
 
-	worker           *worker       // worker of the newest attempt; nil before the first and after a replica miss
-	attemptStartedAt units.Seconds // start of the newest attempt
+	worker           *worker       // worker of the latest attempt; nil before the first and after a replica miss
+	attemptStartedAt units.Seconds // start of the latest attempt
 	inFlight         bool
-	awaitsLoad       bool // the newest attempt was sent to a worker without a warm replica
-	finished         bool // answered or cancelled
+	awaitsLoad       bool // the latest attempt was sent to a worker without a warm replica
+	finished         bool // responded to or cancelled
 
 	rejectedBy       []WorkerID // workers that rejected an attempt of the request
 	possiblyExecuted bool
@@ -42,7 +42,7 @@
 	w.inFlight = append(w.inFlight, req)
 }
 
-// recordAttemptEnd records the end of the attempt in flight and returns its replica.
+// recordAttemptEnd records the end of the attempt in flight and returns the replica it was sent to.
 func (r *Router) recordAttemptEnd(req *request) *replica {
 	rep := req.function.ensureReplica(req.worker)
 	req.inFlight = false
@@ -56,7 +56,7 @@
 // wasRejectedBy reports whether w rejected an attempt of the request.
 func (req *request) wasRejectedBy(w *worker) bool { return slices.Contains(req.rejectedBy, w.id) }
 
-// finish records that the request was answered or cancelled. It is retained while an attempt is in flight.
+// finish records that the request was responded to or cancelled. The request is retained while an attempt is in flight.
 func (r *Router) finish(req *request) {
 	req.finished = true
 	delete(r.requestsByTimerID, req.timerID)
@@ -65,7 +65,8 @@
 	}
 }
 
-// finishOrRequeue closes a request whose attempt has ended, or queues it for the request rules if it is still open.
+// finishOrRequeue releases or closes a request whose attempt has ended or, if the request is still open, queues it for the
+// request rules again.
 func (r *Router) finishOrRequeue(req *request, result AttemptResult) {
 	switch {
 	case req.finished:
--- a/control/router.go
+++ b/control/router.go
@@ -2,16 +2,16 @@
 
 import "streamcleat/internal/units"
 
-// Entry points of a Router: each updates the state from its input, then applies the rules of rules.go.
+// Entry points of a Router. Each updates the state from its input and then applies the rules of rules.go.
 
 const (
 	tickSeconds         = 0.25 // interval of the periodic updates
 	pollRetrySeconds    = 2.0  // delay before the endpoint list is requested again after a failure
-	idleFunctionSeconds = 60.0 // time without requests after which a function is removed
-	timerEarlyRounds    = 2.0  // rounds before its deadline from which a request's timer rejects it
+	idleFunctionSeconds = 60.0 // time without requests after which the state of a function is discarded
+	timerEarlyRounds    = 2.0  // a request's timer may reject it this many rounds before its deadline
 )
 
-// Timer IDs of the router. Requests use higher ones.
+// IDs of the router's periodic timers. Requests are assigned higher IDs.
 const (
 	tickTimer uint64 = iota
 	pollTimer
@@ -70,13 +70,13 @@
 	r.requests[req.ID] = req
 	r.requestsByTimerID[req.timerID] = req
 	r.requestTimes = append(r.pruneTimes(r.requestTimes, r.deployment.LoadCommandWindow), now)
-	// Attempts time out by themselves at the deadline. The timer covers a request that waits for a load.
+	// Attempts have their own timeout, which ends at the deadline. The timer covers requests that wait for a load.
 	r.host.SetTimer(max(in.TimeLeft-r.deployment.MinRoundInterval, 0), req.timerID)
 	r.pending = append(r.pending, req)
 	r.applyRules()
 }
 
-// requestClassOf returns the class of a request. One that the deployment does not state is treated as at-most-once.
+// requestClassOf returns the class of a request. A class that is not in the deployment is treated as at-most-once.
 func (r *Router) requestClassOf(in Request) *RequestClass {
 	for i := len(r.deployment.RequestClasses) - 1; i >= 0; i-- {
 		if class := &r.deployment.RequestClasses[i]; class.Name == in.Class {
@@ -116,6 +116,7 @@
 	r.applyRules()
 }
 
+// tick performs the periodic updates.
 func (r *Router) tick() {
 	elapsed := max(r.now-r.lastTickAt, tickSeconds/2)
 	r.lastTickAt = r.now
@@ -177,7 +178,8 @@
 			r.updateConcurrencyLimit(req, timing)
 		}
 	case TimedOut:
-		// Counts as late. Otherwise the limit of an overloaded worker that no longer responds would never fall.
+		// A timeout counts as a late response. Otherwise the limit of an overloaded worker that has stopped responding
+		// would never decrease.
 		if timing == lateResponse && !req.awaitsLoad {
 			r.updateConcurrencyLimit(req, lateResponse)
 		}
@@ -187,16 +189,16 @@
 		r.recordRejection(w, req.function)
 		r.updateConcurrencyLimit(req, lateResponse)
 	case Unreachable:
-		// The process is gone with its replicas. The endpoint list reports that seconds later.
+		// The process has terminated and its replicas are lost. The endpoint list reports this only seconds later.
 		rep.warm = false
 		w.loadBackoffUntil = r.now + loadBackoffSeconds
 		r.assumeOtherProcess(w)
 	case ReplicaMissing:
-		// The worker is healthy and may be used again for the same request.
+		// The worker is healthy, so that the request may be retried on it.
 		rep.warm = false
 		req.worker = nil
 	case Failed, ConnectionLost, Cancelled, NotSent:
-		// No evidence about the replica or the load of its worker.
+		// These outcomes indicate nothing about the replica or the load of its worker.
 	}
 }
 
--- a/control/router_state.go
+++ b/control/router_state.go
@@ -15,16 +15,16 @@
 	lastTickAt units.Seconds
 	random     multiplyWithCarry
 
-	requests          map[RequestID]*request // open, or with an attempt in flight
+	requests          map[RequestID]*request // open or with an attempt in flight
 	requestsByTimerID map[uint64]*request
 	lastTimerID       uint64
-	pending           []*request // queue of requests for the request rules
+	pending           []*request // requests to which the request rules are to be applied, in order
 
 	functions         []*function // in the order of their first requests
 	functionsByID     map[FunctionID]*function
 	functionsByDigest map[uint16]*function // by the digest used in gossip messages
 
-	workers          []*worker // slots, reused after their worker is removed
+	workers          []*worker // a slot is reused after its worker is removed
 	workersByID      map[WorkerID]*worker
 	workersByDigest  map[uint32]*worker // by the digest used in gossip messages
 	machines         []*machineStats
@@ -32,7 +32,8 @@
 	endpointRulesDue bool
 	discovery        discoveryLease
 	renewalCredits   float64
-	// queriesShowDrains is set once a worker that drains for certain rejected a query: an answer to one is a proof then.
+	// queriesShowDrains is set once a worker that is known to drain has rejected a query. While it is set, an accepted
+	// query confirms the lease of its worker.
 	queriesShowDrains bool
 	startedAt         units.Seconds
 	proofRequest      proofRequest
@@ -42,16 +43,16 @@
 	meanReportedLoad   float64 // mean reported load of the serving workers that have one
 
 	requestTimes        []units.Seconds      // arrivals within the load command window
-	countedLoadCommands []countedLoadCommand // load commands within the load command window
+	countedLoadCommands []countedLoadCommand // load commands sent within the load command window
 	replicaMissRate     float64              // moving average of the fraction of attempts that found no loaded replica
 	loadSlowdown        float64              // moving average of load duration over expected load time; 0 while unknown
 
-	admissionProbability float64       // probability of admitting a new request; the excess above 1 is a reserve
+	admissionProbability float64       // probability of admitting a new request; values above 1 are a reserve
 	latencyP20           units.Seconds // 20th percentile of response latency, estimated online
-	gossipCredits        float64       // responses not yet reported by gossip
+	gossipCredits        float64       // responses that gossip has not yet reported
 }
 
-// New returns a Router. Equal seeds and inputs produce equal decisions.
+// New returns a Router. Its decisions are deterministic: equal seeds and inputs produce equal decisions.
 func New(deployment *Deployment, seed uint64, host Host, now units.Seconds) *Router {
 	return &Router{
 		deployment:           deployment,
@@ -98,8 +99,8 @@
 	})
 }
 
-// updateMeanLoads recomputes the mean loads, once for each instant. The mean reported load comes first because load
-// substitutes it for workers without a report.
+// updateMeanLoads recomputes the mean loads unless they were computed at the current time already. The mean reported
+// load comes first because load substitutes it for workers without a report.
 func (r *Router) updateMeanLoads() {
 	if r.meanLoadsUpdatedAt == r.now {
 		return
--- a/control/rules.go
+++ b/control/rules.go
@@ -2,13 +2,13 @@
 
 import "streamcleat/internal/units"
 
-// requestRule decides a pending request, or reports false to leave it to the next rule.
+// requestRule handles a pending request, or returns false to pass it on to the next rule.
 type requestRule func(r *Router, req *request) bool
 
-// endpointRule updates a worker and reports whether that had an effect.
+// endpointRule updates a worker and reports whether it changed anything.
 type endpointRule func(r *Router, w *worker) bool
 
-// requestRules are tried in order until one decides the request. The last one always does.
+// requestRules are tried in order until one handles the request. The last one handles every request.
 var requestRules = []requestRule{
 	(*Router).rejectUnservable,
 	(*Router).shedLoad,
@@ -19,7 +19,7 @@
 	(*Router).reject,
 }
 
-// endpointRules are all applied to each worker after a tick or an endpoint update.
+// endpointRules are all applied to every worker after a tick or an endpoint update.
 var endpointRules = []endpointRule{
 	(*Router).ejectSlowWorker,
 	(*Router).abandonLostLoads,
@@ -28,7 +28,7 @@
 	(*Router).sendDelayedQuery,
 }
 
-// applyRules applies the rules until no request is pending and no endpoint rule has an effect.
+// applyRules applies the rules until no request is pending and no endpoint rule changes anything.
 func (r *Router) applyRules() {
 	r.updateMeanLoads()
 	for changed := true; changed; {
@@ -63,8 +63,8 @@
 	}
 }
 
-// startAttempt sends a request to w, or has it wait until w has proved to serve, and reports whether it did either. It does
-// nothing if w is nil.
+// startAttempt sends a request to w, or makes it wait until the lease of w is confirmed, and reports whether it did either.
+// It does nothing if w is nil.
 func (r *Router) startAttempt(req *request, w *worker) bool {
 	if w == nil {
 		return false
@@ -79,8 +79,8 @@
 	return true
 }
 
-// attemptTimeLeft returns the time until an attempt must have begun to execute: its client's deadline, or the end of the
-// deduplication window if an earlier attempt may have been executed and the worker then forgets its idempotency key.
+// attemptTimeLeft returns the time within which an attempt must begin to execute. It ends at the client's deadline, or with
+// the deduplication window if an earlier attempt may have been executed: the worker then discards the idempotency key.
 func (r *Router) attemptTimeLeft(req *request) units.Seconds {
 	deadline := req.deadline
 	if req.possiblyExecuted && req.class.Semantics == IdempotentByKey {
--- a/control/slow_start.go
+++ b/control/slow_start.go
@@ -6,15 +6,15 @@
 	"streamcleat/internal/units"
 )
 
-// Slow start: attempts on a worker that is warming up are limited by a budget, which is granted as credits.
+// Slow start: the rate of attempts on a worker that is warming up is limited by a budget, which is granted as credits.
 
 const (
-	slowStartBudgetFraction = 0.9  // fraction of the capacity that is used, as a margin for misestimated rates
-	creditFraction          = 0.6  // fraction of the budget granted as credits, because they are used at random times
-	creditLifetimeWindows   = 1.25 // overload windows after which an unused credit expires
+	slowStartBudgetFraction = 0.9  // fraction of the capacity that is used, as a margin for errors in the estimated rates
+	creditFraction          = 0.6  // fraction of the budget that is granted as credits, because they are used at random times
+	creditLifetimeWindows   = 1.25 // number of overload windows after which an unused credit expires
 )
 
-// warmUpProgress returns the fraction of its capacity that w has at the given time, as a lower bound.
+// warmUpProgress returns a lower bound of the fraction of its full capacity that w has at the given time.
 func (r *Router) warmUpProgress(w *worker, time units.Seconds) float64 {
 	age := time - r.coldSince(w)
 	if r.coldSince(w) <= 0 || age >= r.deployment.WarmUpTime {
@@ -23,9 +23,9 @@
 	return r.deployment.InitialCapacityFraction + float64(units.Seconds(1-r.deployment.InitialCapacityFraction)*max(age, 0)/r.deployment.WarmUpTime)
 }
 
-// slowStartBudget returns the number of attempts that this front end may start on w within an overload window. The
-// capacity of w is unknown; this front end's share of it is estimated as the peak rate that it has observed on a warm
-// worker of the same machine type.
+// slowStartBudget returns the number of attempts that this front end may start on w within an overload window. As the
+// capacity of w is unknown, this front end's share of it is estimated as the peak rate that it has observed on warm
+// workers of the same machine type.
 func (r *Router) slowStartBudget(w *worker) float64 {
 	windowStart := max(r.now-r.deployment.OverloadWindow, r.coldSince(w))
 	fraction := slowStartBudgetFraction * r.deployment.OverloadFactor * r.warmUpProgress(w, windowStart)
@@ -33,8 +33,8 @@
 	return max(budget, 1/float64(r.deployment.FrontEnds))
 }
 
-// hasSlowStartCredit reports whether w may receive another attempt. Unused credits expire, because otherwise all
-// front ends would use theirs at once when a rollout takes the worker of a hot function.
+// hasSlowStartCredit reports whether w may receive another attempt. Unused credits expire. Otherwise all front ends would
+// use theirs at once when a rollout stops the worker that serves a hot function.
 func (r *Router) hasSlowStartCredit(w *worker) bool {
 	if r.warmUpProgress(w, r.now) >= 1 {
 		return true
@@ -46,12 +46,13 @@
 	return sinceGrant < creditLifetimeWindows*creditFraction*r.slowStartBudget(w)
 }
 
-// useSlowStartCredit uses one credit, and discards saved ones that would let a window exceed its budget.
+// useSlowStartCredit uses one credit, and discards saved credits with which a window could exceed its budget.
 func (r *Router) useSlowStartCredit(w *worker) {
 	maxSaved := (1 - creditFraction) * r.slowStartBudget(w)
 	w.usedCredits = max(w.usedCredits+1, w.grantedCredits-maxSaved)
 }
 
+// grantSlowStartCredits grants the credits for the elapsed time to the workers that are warming up.
 func (r *Router) grantSlowStartCredits(elapsed units.Seconds) {
 	for _, w := range r.workers {
 		if r.warmUpProgress(w, r.now) < 1 {
@@ -60,7 +61,7 @@
 	}
 }
 
-// updateMachineRates updates the rates of the machine types with the successful attempts since the last tick.
+// updateMachineRates updates the observed rates of the machine types from the successful attempts since the last tick.
 func (r *Router) updateMachineRates(elapsed units.Seconds) {
 	for _, machine := range r.machines {
 		machine.warmWorkers = 0
