--- a/control/admission_test.go
+++ b/control/admission_test.go
@@ -7,8 +7,8 @@
 	"streamcleat/internal/units"
 )
 
-// TestShedLoad_LateResponses checks that late responses lead to the rejection of a fraction of the requests, retries
-// before first attempts. Missing responses do not indicate overload.
+// TestShedLoad_LateResponses checks that late responses cause a fraction of the requests to be rejected, with a higher
+// fraction of retries than of first attempts, and that timeouts cause none, because they do not indicate overload.
 func TestShedLoad_LateResponses(t *testing.T) {
 	d := basicDeployment()
 	d.FrontEnds = 100
@@ -37,8 +37,8 @@
 	fleet.checkInvariants(t)
 }
 
-// TestShedLoad_MinorityOfLateResponses checks that lateness which shedding load does not remedy, in a fourth of the
-// responses or fewer, sheds none, and that lateness of half of them does.
+// TestShedLoad_MinorityOfLateResponses checks that no load is shed if a fourth of the responses or fewer are late, which
+// load shedding would not remedy, and that load is shed if half of them are late.
 func TestShedLoad_MinorityOfLateResponses(t *testing.T) {
 	d := basicDeployment()
 	d.FrontEnds = 100
@@ -56,7 +56,7 @@
 				lowest = min(lowest, r.admissionProbability)
 			}
 			if lowest < 1 != sheds {
-				t.Errorf("lowest admission probability %.2f", lowest)
+				t.Errorf("lowest admission probability is %.2f", lowest)
 			}
 		})
 	}
--- a/control/concurrency_limit_test.go
+++ b/control/concurrency_limit_test.go
@@ -7,8 +7,8 @@
 	"streamcleat/internal/units"
 )
 
-// TestConcurrencyLimit_LateResponsesOfSingleRequests checks that late responses to single requests do not reduce the
-// limit of a worker.
+// TestConcurrencyLimit_LateResponsesOfSingleRequests checks that a late response to the only request in flight on a worker
+// does not reduce its limit.
 func TestConcurrencyLimit_LateResponsesOfSingleRequests(t *testing.T) {
 	r := newSimulatedFleet(6, basicDeployment(), 1).frontEnds[0].router
 	w := r.workers[0]
@@ -17,12 +17,12 @@
 		r.updateConcurrencyLimit(&request{worker: w, attemptStartedAt: r.now + units.Seconds(i)}, lateResponse)
 	}
 	if w.concurrencyLimit < 2 {
-		t.Errorf("concurrency limit %g", w.concurrencyLimit)
+		t.Errorf("concurrency limit was reduced to %g", w.concurrencyLimit)
 	}
 }
 
-// TestHasCapacity_RequestsWaitingForLoad is a regression test: ten waiting requests exhausted the limit of a worker
-// for its warm replicas.
+// TestHasCapacity_RequestsWaitingForLoad guards against a regression: ten requests waiting for a load exhausted the limit
+// of a worker, so that its warm replicas received no requests.
 func TestHasCapacity_RequestsWaitingForLoad(t *testing.T) {
 	r := newSimulatedFleet(8, basicDeployment(), 1).frontEnds[0].router
 	w := r.workers[0]
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestHasCapacity_StalledRequests checks that requests which wait for a replica do not exhaust the limit of a worker
-// that responds to others while the artifact store is slow.
+// TestHasCapacity_StalledRequests checks that requests which wait for a load do not exhaust the limit of a worker if the
+// artifact store is slow and the worker still responds to other requests.
 func TestHasCapacity_StalledRequests(t *testing.T) {
 	for _, c := range []struct {
 		name                        string
--- a/control/golden_adapter_test.go
+++ b/control/golden_adapter_test.go
@@ -2,8 +2,8 @@
 
 import "streamcleat/internal/units"
 
-// The adapter connects the golden fleet to the package. Renames in the package change only this file, neither the
-// fleet nor the golden files.
+// The adapter connects the golden fleet to the package, so that a rename in the package requires changes in this file only
+// and not in the fleet or the golden files.
 
 var outcomeOf = map[outcome]Outcome{
 	succeeded: Succeeded, failed: Failed, timedOut: TimedOut, disconnected: ConnectionLost,
@@ -148,7 +148,7 @@
 	a.frontEnd.loadReplicas(string(worker), string(function), replicas)
 }
 
-// QueryReplicas is not called without leases.
+// QueryReplicas does nothing, because routers without endpoint leases do not call it.
 func (a *routerAdapter) QueryReplicas(WorkerID, FunctionID, int, units.Seconds) {}
 
 func (a *routerAdapter) Broadcast(message []byte) { a.frontEnd.broadcast(message) }
--- a/control/golden_fleet_test.go
+++ b/control/golden_fleet_test.go
@@ -101,7 +101,7 @@
 type scenario struct {
 	name                                         string
 	frontEndCount                                int // stated in the deployment
-	routerCount                                  int // simulated
+	routerCount                                  int // number of routers that are simulated
 	workerCount, functionCount                   int
 	duration                                     units.Seconds // virtual seconds
 	requestRate                                  float64       // over all routers
@@ -129,7 +129,7 @@
 	onlyClass                                    string          // the only request class; empty for all
 }
 
-// splitMix64 is the SplitMix64 generator. Unlike math/rand it is equal in all releases of Go.
+// splitMix64 is the SplitMix64 generator. Unlike math/rand it produces the same numbers in all releases of Go.
 type splitMix64 uint64
 
 func (r *splitMix64) next() uint64 {
@@ -151,7 +151,7 @@
 	run func()
 }
 
-// eventQueue holds scheduled events by time, and events of equal time in the order in which they were scheduled.
+// eventQueue holds scheduled events ordered by time. Events of equal time are in the order in which they were scheduled.
 type eventQueue []scheduledEvent
 
 func (q *eventQueue) push(event scheduledEvent) {
@@ -216,7 +216,7 @@
 	g.events.push(scheduledEvent{g.now + delay, run})
 }
 
-// run plays the scenario and returns the log.
+// run simulates the scenario and returns the log.
 func (g *goldenFleet) run() []byte {
 	for _, f := range g.frontEnds {
 		f.router.start()
@@ -236,7 +236,7 @@
 	return g.log
 }
 
-// intervalOf returns a function that draws the interval to the next event of a rate.
+// intervalOf returns a function that draws random intervals between events of the given rate.
 func (g *goldenFleet) intervalOf(rate float64) func() units.Seconds {
 	return func() units.Seconds {
 		if rate == 0 {
@@ -282,7 +282,7 @@
 	panic("the router called an unknown worker " + id)
 }
 
-// sendEndpointUpdates sends each router a snapshot or a delta with the change, with a random delay for each.
+// sendEndpointUpdates sends each router, after a random delay, a snapshot or a delta with the change.
 func (g *goldenFleet) sendEndpointUpdates(changed *goldenWorker) {
 	for _, f := range g.frontEnds {
 		isSnapshot := g.random.bernoulli(0.5)
@@ -357,7 +357,7 @@
 	g.after(units.Seconds(1+g.random.skewed(meanDuration)), func() { worker.condition = healthy })
 }
 
-// changeWorker drains, crashes, restarts, resizes or adds a worker.
+// changeWorker drains, crashes, restarts or resizes a random worker, or adds one.
 func (g *goldenFleet) changeWorker() {
 	worker := g.workers[g.random.below(len(g.workers))]
 	change := g.random.below(5)
--- a/control/golden_front_end_test.go
+++ b/control/golden_front_end_test.go
@@ -9,7 +9,7 @@
 	"streamcleat/internal/units"
 )
 
-// openRequest is a request of a client, with the progress that its front end has made.
+// openRequest is a client's request and the state of its processing in the front end.
 type openRequest struct {
 	simulatedRequest
 	attempts            int
@@ -18,8 +18,7 @@
 	inFlight, completed bool
 }
 
-// goldenFrontEnd is the host of one router in the golden fleet. It logs each call of the router and simulates its
-// effects.
+// goldenFrontEnd is the host of one router in the golden fleet. It logs each call of the router and simulates its effects.
 type goldenFrontEnd struct {
 	fleet    *goldenFleet
 	index    int
@@ -146,7 +145,7 @@
 	f.fleet.after(0.05, func() { f.router.endpointSnapshot(f.fleet.now, f.fleet.endpointList()) })
 }
 
-// formatExact formats a float so that values differing in the last digit are distinguished.
+// formatExact formats a float with enough digits to distinguish any two values.
 func formatExact(x float64) string { return strconv.FormatFloat(x, 'g', -1, 64) }
 
 // logCall appends a call of the router to the log, with its time and front end. The call names are those of the
--- a/control/golden_test.go
+++ b/control/golden_test.go
@@ -122,8 +122,8 @@
 	},
 }
 
-// TestGolden compares every call that the routers make, with all arguments, to the golden files. The files apply to
-// machines without fused multiply-add, such as amd64 with the default GOAMD64=v1.
+// TestGolden compares every call of the routers, with all arguments, to the golden files. The files are valid for machines
+// without fused multiply-add, such as amd64 with the default GOAMD64=v1.
 func TestGolden(t *testing.T) {
 	for i := range scenarios {
 		s := &scenarios[i]
@@ -172,8 +172,8 @@
 	}
 }
 
-// summarize returns the first lines of a log as text and the others as checksums of blocks, which narrow down where
-// two logs differ. The checksum of the whole log comes last.
+// summarize returns the first lines of a log as text, then checksums of blocks of the other lines, which narrow down where
+// two logs differ, and last the checksum of the whole log.
 func summarize(seed uint64, log []byte) []byte {
 	lines := bytes.SplitAfter(log, []byte("\n"))
 	lines = lines[:len(lines)-1]
--- a/control/golden_worker_test.go
+++ b/control/golden_worker_test.go
@@ -36,7 +36,7 @@
 	return running, waiting
 }
 
-// conditionOutcomes holds the outcome of attempts and load commands for conditions that serve none.
+// conditionOutcomes maps conditions in which a worker serves nothing to the outcome of attempts and load commands.
 var conditionOutcomes = map[workerCondition]outcome{
 	unresponsive: timedOut, failing: failed, rejecting: rejected,
 	partitioned: unreachable, disconnecting: disconnected, notSending: notSent,
@@ -73,7 +73,7 @@
 	return succeeded, g.occupyCore(worker, readyAt) - g.now, start
 }
 
-// occupyCore occupies the core that is free first and returns the time of the response.
+// occupyCore occupies the core that becomes free first and returns the time of the response.
 func (g *goldenFleet) occupyCore(worker *goldenWorker, readyAt units.Seconds) units.Seconds {
 	core := 0
 	for i, freeAt := range worker.coresFreeAt {
--- a/control/load_quota_test.go
+++ b/control/load_quota_test.go
@@ -6,19 +6,20 @@
 	"streamcleat/internal/units"
 )
 
-// A load command that a dial held up counts from when its bytes leave, and leaves only if the quota then permits it.
-func TestLoadQuota_CountsFromDeparture(t *testing.T) {
+// TestLoadQuota_CountsFromTransmission checks that a load command that dialing has delayed counts from the time at which it
+// is written to the connection, and is sent only if the quota permits it at that time.
+func TestLoadQuota_CountsFromTransmission(t *testing.T) {
 	const window, allowance = 2, 2
 	for name, c := range map[string]struct {
-		leavesAfter units.Seconds // since the decision
-		others      int           // commands decided and sent just before it leaves
-		leaves      bool
-		permitted   bool // another one, two seconds after the decision
+		sendDelay units.Seconds // time from the decision to the transmission
+		others    int           // commands decided and sent just before the transmission
+		mayLoad   bool          // the delayed command may be sent
+		permitted bool          // another command is permitted two seconds after the decision
 	}{
-		"at once":                                {leaves: true, permitted: true},
-		"within the window":                      {leavesAfter: 1.5, others: 1, leaves: true},
-		"after the window":                       {leavesAfter: 2.5, others: 1, leaves: true},
-		"after the window, the quota is used up": {leavesAfter: 2.5, others: 2},
+		"at once":                                {mayLoad: true, permitted: true},
+		"within the window":                      {sendDelay: 1.5, others: 1, mayLoad: true},
+		"after the window":                       {sendDelay: 2.5, others: 1, mayLoad: true},
+		"after the window, the quota is used up": {sendDelay: 2.5, others: 2},
 	} {
 		h := newLeaseHost()
 		deployment := h.router.deployment
@@ -27,17 +28,17 @@
 		h.now = decidedAt
 		h.router.advance(h.now)
 		h.router.countLoadCommand(h.home, "held")
-		h.now += c.leavesAfter
+		h.now += c.sendDelay
 		h.router.OnDiscoveryHeard(h.now, h.now)
 		for range c.others {
 			h.router.countLoadCommand(h.home, "other")
 		}
-		if got := h.router.MayLoad(h.now, h.home, "held"); got != c.leaves {
-			t.Errorf("%s: may leave %v", name, got)
+		if got := h.router.MayLoad(h.now, h.home, "held"); got != c.mayLoad {
+			t.Errorf("%s: MayLoad = %v", name, got)
 		}
 		h.router.advance(max(h.now, decidedAt+window))
 		if got := h.router.mayCommandLoad(); got != c.permitted {
-			t.Errorf("%s: another command is permitted %v", name, got)
+			t.Errorf("%s: mayCommandLoad = %v", name, got)
 		}
 	}
 }
--- a/control/outlier_ejection_test.go
+++ b/control/outlier_ejection_test.go
@@ -8,7 +8,7 @@
 	"streamcleat/internal/units"
 )
 
-// TestIsSlow_OldLatency checks that one old slow response does not exclude a replica, even with a request in flight.
+// TestIsSlow_OldLatency checks that a single old slow response does not make a replica slow, even with a request in flight.
 func TestIsSlow_OldLatency(t *testing.T) {
 	fleet := newSimulatedFleet(1, basicDeployment(), 4)
 	fleet.sendAtInterval(1, 0.2, 4)
@@ -25,7 +25,7 @@
 	}
 }
 
-// TestEject_AllWorkersFail checks that the ejected fraction stays within its bound when all workers fail.
+// TestEject_AllWorkersFail checks that the ejected fraction stays within its limit when all workers fail.
 func TestEject_AllWorkersFail(t *testing.T) {
 	fleet := newSimulatedFleet(3, basicDeployment(), 10)
 	fleet.sendAtInterval(20, 0.02, 3)
@@ -48,8 +48,8 @@
 	}
 }
 
-// TestUpdateLatency_HeavyRequests checks that single requests which take many times the median, for example because
-// they waited for a core, do not make a replica slow, and that a high latency of all responses does.
+// TestUpdateLatency_HeavyRequests checks that single requests which take many times the median latency, for example
+// because they waited for a core, do not make a replica slow, and that a high latency of all responses does.
 func TestUpdateLatency_HeavyRequests(t *testing.T) {
 	for _, heavyOneIn := range []int{5, 1} {
 		t.Run(fmt.Sprint("one heavy in ", heavyOneIn), func(t *testing.T) {
@@ -78,12 +78,12 @@
 	}
 }
 
-// TestEjectSlowWorker_Bounds checks the evidence required for an ejection and the bound of the ejected fraction.
+// TestEjectSlowWorker_Bounds checks the evidence required for an ejection and the limit of the ejected fraction.
 func TestEjectSlowWorker_Bounds(t *testing.T) {
 	for _, c := range []struct {
 		name          string
-		slowFor       units.Seconds // span of the slow responses of each function
-		age           units.Seconds // time since the last of them
+		slowFor       units.Seconds // period that the slow responses of each function cover
+		age           units.Seconds // time since the last slow response
 		functions     int
 		workers       int
 		ejectedOthers int
@@ -117,8 +117,8 @@
 	}
 }
 
-// TestIsSlow_Bounds checks that neither a latency as old as the evidence span nor one equal to the expected latency
-// makes a replica slow.
+// TestIsSlow_Bounds checks that neither a latency as old as the evidence period nor one equal to the expected latency makes
+// a replica slow.
 func TestIsSlow_Bounds(t *testing.T) {
 	r := newSimulatedFleet(1, basicDeployment(), 1).frontEnds[0].router
 	r.now = 128 // keeps the differences below exact in binary
@@ -141,8 +141,8 @@
 	}
 }
 
-// TestEndpointUpdate_RestartResetsLatencies checks that the latencies of a worker's previous process are cleared, and
-// that those of other workers are not.
+// TestEndpointUpdate_RestartResetsLatencies checks that a restart of a worker clears the latencies of its previous process
+// but not those of other workers.
 func TestEndpointUpdate_RestartResetsLatencies(t *testing.T) {
 	fleet := newSimulatedFleet(1, basicDeployment(), 2)
 	f := fleet.frontEnds[0]
@@ -155,9 +155,9 @@
 	f.sendEndpointList()
 	restarted, other := fn.replicaOn(f.router.workers[0]), fn.replicaOn(f.router.workers[1])
 	if restarted.warm || restarted.recentLatency != 0 || restarted.slowSince != 0 {
-		t.Errorf("the restarted worker keeps %+v", *restarted)
+		t.Errorf("replica on the restarted worker still has %+v", *restarted)
 	}
 	if !other.warm || other.recentLatency != 2 || other.slowSince != 100 {
-		t.Errorf("the other worker has %+v", *other)
+		t.Errorf("replica on the other worker has %+v", *other)
 	}
 }
--- a/control/replica_loading_test.go
+++ b/control/replica_loading_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// TestAbandonLostLoads_UnresponsiveWorkerOnly checks that a lost connection is no evidence about the replicas of a
-// worker, and that a load is abandoned only if its worker responds to nothing else either.
+// TestAbandonLostLoads_UnresponsiveWorkerOnly checks that a replica stays warm after a lost connection, and that a load is
+// abandoned only if its worker does not respond to other requests either.
 func TestAbandonLostLoads_UnresponsiveWorkerOnly(t *testing.T) {
 	fleet := newSimulatedFleet(9, basicDeployment(), 3)
 	fleet.sendAtInterval(1, 0.2, 3)
@@ -29,7 +29,7 @@
 	}
 }
 
-// TestReplicaMissRate_EvictedReplicas checks that attempts which find their replica evicted raise the miss rate, which
+// TestReplicaMissRate_EvictedReplicas checks that attempts whose replica has been evicted raise the miss rate, which
 // lengthens the load cooldown.
 func TestReplicaMissRate_EvictedReplicas(t *testing.T) {
 	fleet := newSimulatedFleet(10, basicDeployment(), 4)
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestPreload_OneLoadWithinQuota checks that a preloaded function is warm when it is requested, that no command is
-// sent with a replica, with a pending load or with an exhausted quota, and that no attempt is started.
+// TestPreload_OneLoadWithinQuota checks that a preloaded function is warm when it is requested, that no load command is
+// sent if there is a replica, a load is pending or the quota is exhausted, and that a preload starts no attempt.
 func TestPreload_OneLoadWithinQuota(t *testing.T) {
 	d := basicDeployment()
 	d.LoadCommandWindow, d.LoadCommandAllowance = 5, 2
@@ -64,7 +64,7 @@
 	}
 	req := f.sendRequest("e", "f0", d.RequestClasses[0], 3)
 	if len(req.attempts) != 1 {
-		t.Fatal("request of a preloaded function was not sent at once")
+		t.Fatal("request for a preloaded function was not sent immediately")
 	}
 	preload("f1")
 	if preload("f2") {
@@ -74,7 +74,7 @@
 }
 
 // TestLoadCooldown_ReplicaWithoutCapacity checks that the cooldown is skipped if the only replica has no capacity while
-// another worker is idle, unless loads are slow: a further load would slow the artifact store more.
+// another worker is idle, unless loads are slow: another load would slow down the artifact store further.
 func TestLoadCooldown_ReplicaWithoutCapacity(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -123,8 +123,8 @@
 	}
 }
 
-// TestLoadBackoff_WorkerNotLoading checks that a worker that is first in rendezvous order but cannot load, such as one
-// that is still listed after a crash, does not receive every load command of a function.
+// TestLoadBackoff_WorkerNotLoading checks that a worker that is first in rendezvous order but cannot load replicas, for
+// example one that is still listed after a crash, does not receive every load command for a function.
 func TestLoadBackoff_WorkerNotLoading(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -139,7 +139,7 @@
 			first := fn.pendingLoadOn
 			f.router.OnLoadResult(fleet.now+0.001, LoadResult{Worker: first.id, Function: "f", Outcome: c.outcome, Duration: 0.001})
 			if fn.pendingLoadOn == nil || fn.pendingLoadOn == first {
-				t.Errorf("load moves from %v to %v", first, fn.pendingLoadOn)
+				t.Errorf("after a failed load on %v, the load is pending on %v", first, fn.pendingLoadOn)
 			}
 		})
 	}
--- a/control/replica_selection_test.go
+++ b/control/replica_selection_test.go
@@ -18,7 +18,7 @@
 }
 
 // TestTargetReplicas_HotFunctionOfManyFrontEnds checks that many front ends, none of which fills a replica by itself,
-// spread a hot function, and that malformed gossip messages change nothing.
+// spread a hot function over several replicas, and that malformed gossip messages change nothing.
 func TestTargetReplicas_HotFunctionOfManyFrontEnds(t *testing.T) {
 	for _, gossip := range []bool{false, true} {
 		t.Run(fmt.Sprint("gossip ", gossip), func(t *testing.T) {
@@ -27,7 +27,7 @@
 			fleet := newSimulatedFleet(13, d, 12)
 			fleet.sendAtInterval(1, 0.01, 8)
 			if replicas := fleet.countReplicas(); replicas < 4 {
-				t.Errorf("100 requests per second have %d replicas", replicas)
+				t.Errorf("a function with 100 requests per second has %d replicas", replicas)
 			}
 			fleet.checkInvariants(t)
 			r := fleet.frontEnds[0].router
@@ -51,7 +51,7 @@
 }
 
 // TestTargetReplicas_FewFrontEnds checks that the response rate determines the target replicas, and that a quick load
-// ends the cooldown, only with many front ends. Few front ends see enough of a function's requests themselves.
+// ends the cooldown, only with many front ends. With few, each receives enough of a function's requests to estimate them.
 func TestTargetReplicas_FewFrontEnds(t *testing.T) {
 	for _, frontEnds := range []int{2, 60} {
 		t.Run(fmt.Sprint(frontEnds, " front ends"), func(t *testing.T) {
@@ -70,7 +70,7 @@
 	}
 }
 
-// fleetWithReplica is a fleet whose only front end knows of one replica of a function.
+// fleetWithReplica is a fleet with one front end, which knows of one replica of a function.
 type fleetWithReplica struct {
 	*simulatedFleet
 	frontEnd *simulatedFrontEnd
@@ -89,7 +89,7 @@
 	return &fleetWithReplica{simulatedFleet: fleet, frontEnd: f, router: f.router, function: fn, replica: &fn.replicas[0]}
 }
 
-// replicaWorker returns the simulated worker of the replica.
+// replicaWorker returns the simulated worker that holds the replica.
 func (s *fleetWithReplica) replicaWorker() *simulatedWorker { return s.workers[s.replica.worker.index] }
 
 func TestIsWarm_IdleReplica(t *testing.T) {
@@ -117,7 +117,7 @@
 	}
 	fleet.replica.inFlight = 4
 	if pick(excludeOverloaded) != nil || pick(includeOverloaded) != fleet.replica.worker {
-		t.Error("replica at twice its concurrency is not excluded, or is not the last resort")
+		t.Error("replica at twice its concurrency is not excluded, or is not picked with includeOverloaded")
 	}
 }
 
@@ -130,8 +130,8 @@
 	}
 }
 
-// TestReplicaMissing_OneLoad checks that a miss marks the replica as not warm, and that a function has only one load
-// at a time.
+// TestReplicaMissing_OneLoad checks that a replica miss marks the replica as not warm, and that a function has only one
+// pending load at a time.
 func TestReplicaMissing_OneLoad(t *testing.T) {
 	fleet := newFleetWithReplica()
 	fleet.replicaWorker().evictReplicas()
@@ -150,8 +150,8 @@
 	}
 }
 
-// TestUnreachableWorker_FunctionLoadedElsewhere checks that a function whose only replica is on an unreachable worker
-// that is still listed is loaded elsewhere at once, before the attempts of its requests are exhausted.
+// TestUnreachableWorker_FunctionLoadedElsewhere checks that a function whose only replica is on an unreachable worker that
+// is still listed is loaded elsewhere immediately, before the attempts of its requests are exhausted.
 func TestUnreachableWorker_FunctionLoadedElsewhere(t *testing.T) {
 	fleet := newSimulatedFleet(3, basicDeployment(), 3)
 	fleet.sendAtInterval(1, 0.05, 2)
--- a/control/rules_test.go
+++ b/control/rules_test.go
@@ -11,8 +11,8 @@
 	"streamcleat/internal/units"
 )
 
-// TestRouter_InvariantsHoldUnderRandomFaults plays random deployments with workers that fail, become unresponsive,
-// restart, drain and are removed. The simulated fleet checks the invariants on each call.
+// TestRouter_InvariantsHoldUnderRandomFaults simulates random deployments whose workers fail, become unresponsive, restart,
+// drain and are removed. The simulated fleet checks the invariants on each call of a router.
 func TestRouter_InvariantsHoldUnderRandomFaults(t *testing.T) {
 	holds := func(seed int64) bool {
 		fleet := runRandomScenario(seed)
@@ -26,13 +26,13 @@
 	}
 }
 
-// An attempt that repeats one which may have been executed ends with the deduplication window: its worker forgets the
-// idempotency key then, and would execute the request again.
+// TestRetry_EndsWithDeduplicationWindow checks that a retry of an attempt which may have been executed ends with the
+// deduplication window. After it the worker has discarded the idempotency key and would execute the request again.
 func TestRetry_EndsWithDeduplicationWindow(t *testing.T) {
 	for _, c := range []struct {
 		semantics DeliverySemantics
 		window    units.Seconds
-		want      units.Seconds // of the retry, half a second after the first attempt
+		want      units.Seconds // time left to the retry, half a second after the first attempt
 	}{{IdempotentByKey, 2, 1.5}, {IdempotentByKey, 9, 2.5}, {Idempotent, 2, 2.5}} {
 		h := newLeaseHost()
 		class := &h.router.deployment.RequestClasses[0]
@@ -45,7 +45,7 @@
 		h.loaded("w1")
 		h.loaded("w2")
 		if len(h.timeLeft) != 3 || math.Abs(float64(h.timeLeft[2]-c.want)) > 1e-6 {
-			t.Errorf("semantics %v, window %v: time left to the attempts %v, want %v for the last", c.semantics, c.window, h.timeLeft, c.want)
+			t.Errorf("semantics %v, window %v: time left to the attempts is %v, want %v for the last", c.semantics, c.window, h.timeLeft, c.want)
 		}
 	}
 }
@@ -91,7 +91,7 @@
 	}
 }
 
-// checkNoStateLeft checks that every request has one response and that the routers retain none of them.
+// checkNoStateLeft checks that every request has exactly one response and that the routers retain no requests.
 func (s *simulatedFleet) checkNoStateLeft() {
 	for _, f := range s.frontEnds {
 		for id, req := range f.requests {
@@ -107,8 +107,8 @@
 	}
 }
 
-// TestOnRequest_NoCapacity sends requests to a fleet without workers, and to one whose workers reject every request
-// and load. Half of the requests have hardly any time left.
+// TestOnRequest_NoCapacity checks that every request receives a response if the fleet has no workers, or if its workers reject
+// every request and load command. Half of the requests have hardly any time left.
 func TestOnRequest_NoCapacity(t *testing.T) {
 	for _, workers := range []int{0, 3} {
 		t.Run(fmt.Sprint(workers, " workers"), func(t *testing.T) {
@@ -123,12 +123,12 @@
 			fleet.advanceSteps(150)
 			for id, req := range f.requests {
 				if req.responses != 1 {
-					t.Errorf("request %s has %d responses after half its time", id, req.responses)
+					t.Errorf("request %s has %d responses after half of its timeout", id, req.responses)
 				}
 			}
 			fleet.checkInvariants(t)
 			if len(f.loadTimes) > 20 {
-				t.Errorf("%d load commands", len(f.loadTimes))
+				t.Errorf("%d load commands, want at most 20", len(f.loadTimes))
 			}
 		})
 	}
--- a/control/simulated_fleet_test.go
+++ b/control/simulated_fleet_test.go
@@ -9,8 +9,8 @@
 	"streamcleat/internal/units"
 )
 
-// simulatedFleet is a simple fleet with several front ends and a virtual clock. It shares no code with the package. It
-// checks every call of the routers against the invariants and records the first violation.
+// simulatedFleet simulates a fleet with several front ends and a virtual clock. It shares no code with the package. It checks
+// every call of the routers against the invariants and records the first violation.
 type simulatedFleet struct {
 	rnd        *rand.Rand
 	deployment *Deployment
@@ -20,8 +20,8 @@
 	scheduled  []scheduledCall
 	violation  string
 
-	discoveryDown             bool
-	drainingRespondsToQueries bool
+	discoveryDown             bool // discovery is unavailable
+	drainingRespondsToQueries bool // draining workers accept queries instead of rejecting them
 }
 
 type scheduledCall struct {
@@ -54,6 +54,7 @@
 	return s
 }
 
+// recordViolation records a violated invariant, unless an earlier one is recorded.
 func (s *simulatedFleet) recordViolation(format string, args ...any) {
 	if s.violation == "" {
 		s.violation = fmt.Sprintf("%.3f: ", s.now) + fmt.Sprintf(format, args...)
@@ -72,7 +73,7 @@
 	s.scheduled = append(s.scheduled, scheduledCall{s.now + delay, call})
 }
 
-// advance moves the clock and runs the calls that are then due, in the order in which they were scheduled.
+// advance moves the clock forward and runs the calls that are then due, in the order in which they were scheduled.
 func (s *simulatedFleet) advance(duration units.Seconds) {
 	s.now += duration
 	for i := 0; i < len(s.scheduled); i++ {
--- a/control/simulated_front_end_test.go
+++ b/control/simulated_front_end_test.go
@@ -10,17 +10,18 @@
 	requests     map[RequestID]*clientRequest
 	requestTimes []units.Seconds
 	loadTimes    []units.Seconds
-	submitTimes  []units.Seconds // of requests to any process of the front end
+	submitTimes  []units.Seconds // times of requests, including those to processes before a restart of the front end
 	queryTimes   map[WorkerID][]units.Seconds
 }
 
-// Queries and renewals that a front end may send a worker within a second: for ticks and rejections, and for each request.
+// Limits of the queries and renewals that a front end may send to a worker within a second: a base for ticks and rejections,
+// and an addition for each request.
 const (
 	queriesPerSecond  = 15
 	queriesPerRequest = 3
 )
 
-// countSince returns the number of times from a time on.
+// countSince returns the number of times that are not before since.
 func countSince(times []units.Seconds, since units.Seconds) (count int) {
 	for _, at := range times {
 		if at >= since {
@@ -71,7 +72,7 @@
 	return req
 }
 
-// openRequest returns the request that the router acts on, and checks that it is open and not past its deadline.
+// openRequest returns the request that a call of the router refers to, and checks that it is open and within its deadline.
 func (f *simulatedFrontEnd) openRequest(id RequestID) *clientRequest {
 	req := f.requests[id]
 	if req == nil {
@@ -104,7 +105,7 @@
 	s.after(latency, func() { f.endAttempt(req, a, number, outcome) })
 }
 
-// checkAttempt checks the limit of attempts, the state of the worker, and that only safe retries are sent.
+// checkAttempt checks the limit of attempts, the state of the worker, and that a retry is safe.
 func (f *simulatedFrontEnd) checkAttempt(req *clientRequest, worker *simulatedWorker, timeout units.Seconds) {
 	s := f.fleet
 	if len(req.attempts) >= s.deployment.MaxAttempts || timeout <= 0 {
@@ -165,18 +166,18 @@
 		}
 	}
 	if retryAfter < 0 || retryAfter > f.fleet.deployment.MaxRetryAfter {
-		f.fleet.recordViolation("retry after %g", retryAfter)
+		f.fleet.recordViolation("Retry-After of %g is outside the limits", retryAfter)
 	}
 }
 
-// Fail records the final response.
+// Fail records the final error response.
 func (f *simulatedFrontEnd) Fail(id RequestID) { f.openRequest(id).responses++ }
 
-// LoadReplicas checks a load command against the quota and schedules its result. Unresponsive workers return none.
+// LoadReplicas checks a load command against the quota and schedules its result. Unresponsive workers return no result.
 func (f *simulatedFrontEnd) LoadReplicas(workerID WorkerID, fn FunctionID, replicas int) {
 	s, worker, d := f.fleet, f.fleet.workerByID(workerID), f.fleet.deployment
 	if worker.listedState[f.index] != Serving || !d.LoadCommandsAllowed || replicas < 1 || replicas > 16 {
-		s.recordViolation("load command to %s", workerID)
+		s.recordViolation("load command to %s is not allowed", workerID)
 	}
 	f.checkUnheardDrain("load command", worker)
 	f.loadTimes = append(f.loadTimes, s.now)
@@ -210,7 +211,8 @@
 	})
 }
 
-// QueryReplicas schedules the result of a query. A draining worker rejects it, unless it answers queries for no replicas.
+// QueryReplicas checks a query and schedules its result. A draining worker rejects it, unless the query is for no replicas
+// and draining workers respond to those.
 func (f *simulatedFrontEnd) QueryReplicas(workerID WorkerID, fn FunctionID, replicas int, timeout units.Seconds) {
 	s, worker := f.fleet, f.fleet.workerByID(workerID)
 	if !s.deployment.EndpointLeases || !s.deployment.LoadCommandsAllowed || replicas > 0 && s.deployment.LoadCommandWindow > 0 {
@@ -236,18 +238,18 @@
 	case worker.State != Serving && (replicas > 0 || !s.drainingRespondsToQueries):
 		result.Outcome = Rejected
 	case worker.condition == rejecting && replicas > 0 && !worker.replicas[fn]:
-		result.Outcome = Rejected // a full worker has no room for another replica
+		result.Outcome = Rejected // a full worker has no capacity for another replica
 	case worker.replicas[fn]:
 		result.Replicas = 1
 	}
 	s.after(result.Latency, func() { f.router.OnQueryResult(s.now, result) })
 }
 
-// Broadcast delivers a message to the other front ends, except for one in ten that is lost.
+// Broadcast delivers a message to the other front ends. One in ten deliveries is lost.
 func (f *simulatedFrontEnd) Broadcast(message []byte) {
 	s := f.fleet
 	if !s.deployment.GossipAllowed || len(message) > 256 {
-		s.recordViolation("message of %d bytes", len(message))
+		s.recordViolation("gossip message of %d bytes is not allowed", len(message))
 	}
 	for _, other := range s.frontEnds {
 		if other != f && s.rnd.Intn(10) > 0 {
--- a/control/simulated_worker_test.go
+++ b/control/simulated_worker_test.go
@@ -2,28 +2,28 @@
 
 import "streamcleat/internal/units"
 
-// simulatedWorker is one worker of the simulated fleet.
+// simulatedWorker is a worker of the simulated fleet.
 type simulatedWorker struct {
 	Worker
 	serviceRate     float64 // requests per second when warm
 	freeAt          units.Seconds
 	actualStart     float64
-	listedState     []EndpointState // by front end: the state in the newest endpoint list
-	listedStart     []float64       // by front end: the start in the newest endpoint list
+	listedState     []EndpointState // by front end: the state in the latest endpoint list
+	listedStart     []float64       // by front end: the start in the latest endpoint list
 	condition       workerCondition
 	replicas        map[FunctionID]bool
 	attemptTimes    []units.Seconds
 	drainedAt       units.Seconds
-	sendsAfterGrace map[int]int // by front end: messages since a drain that discovery did not tell of
+	sendsAfterGrace map[int]int // by front end: messages sent after the grace of a drain that discovery has not reported
 }
 
-// restart starts a new process, which is cold.
+// restart simulates the start of a new process, which is cold.
 func (w *simulatedWorker) restart(now units.Seconds) { w.StartedAt, w.actualStart = now, float64(now) }
 
 func (w *simulatedWorker) evictReplicas() { w.replicas = map[FunctionID]bool{} }
 
-// checkSlowStart checks that the front ends which know of a worker's start together stay within the capacity that it
-// has while warming up.
+// checkSlowStart checks that the front ends which know of a worker's start do not exceed the capacity that it has while
+// warming up.
 func (s *simulatedFleet) checkSlowStart(worker *simulatedWorker) {
 	age := s.now - units.Seconds(worker.actualStart)
 	if worker.actualStart <= 0 || age >= s.deployment.WarmUpTime {
@@ -42,7 +42,7 @@
 	}
 }
 
-// warmUpCapacity returns the number of attempts within an overload window that a worker tolerates at an age.
+// warmUpCapacity returns the number of attempts within an overload window that a worker of the given age tolerates.
 func (s *simulatedFleet) warmUpCapacity(worker *simulatedWorker, age units.Seconds) float64 {
 	d := s.deployment
 	fraction := d.InitialCapacityFraction + float64(units.Seconds(1-d.InitialCapacityFraction)*age/d.WarmUpTime)
@@ -64,7 +64,7 @@
 		return Rejected, 0.01
 	case partitioned:
 		return Unreachable, 0.05
-	default: // the simulated fleet uses no other fault
+	default: // other conditions are not simulated here
 	}
 	if worker.State == Removed {
 		return ConnectionLost, 0.05
--- a/control/slow_start_test.go
+++ b/control/slow_start_test.go
@@ -8,7 +8,7 @@
 	"streamcleat/internal/units"
 )
 
-// TestSlowStart_AllWorkersCold checks that requests are served while all workers are warming up, as after a fast
+// TestSlowStart_AllWorkersCold checks that requests are served while all workers are warming up, for example after a fast
 // rollout.
 func TestSlowStart_AllWorkersCold(t *testing.T) {
 	fleet := newSimulatedFleet(4, basicDeployment(), 4)
@@ -25,8 +25,8 @@
 	fleet.checkInvariants(t)
 }
 
-// TestSlowStart_ManyFrontEndsWithinBudget checks that many front ends, each with a budget below one attempt, together
-// stay within the budget of a cold worker.
+// TestSlowStart_ManyFrontEndsWithinBudget checks that many front ends, each with a budget of less than one attempt, do not
+// together exceed the budget of a cold worker.
 func TestSlowStart_ManyFrontEndsWithinBudget(t *testing.T) {
 	d := basicDeployment()
 	d.FrontEnds = 150
@@ -55,9 +55,9 @@
 	}
 }
 
-// TestSlowStart_SumOverFrontEndsWithinCapacity checks that front ends which start every permitted attempt together
-// stay within the capacity of a cold worker, with the rule's tolerance for random variation: with few or many of them,
-// under uneven load, and when a third of them restart without state.
+// TestSlowStart_SumOverFrontEndsWithinCapacity checks that front ends which start every permitted attempt do not together
+// exceed the capacity of a cold worker, apart from a tolerance for random variation. This must hold for few and many front
+// ends, under uneven load, and when a third of the front ends restart without state.
 func TestSlowStart_SumOverFrontEndsWithinCapacity(t *testing.T) {
 	for _, frontEnds := range []int{1, 3, 30, 300} {
 		t.Run(fmt.Sprint(frontEnds, " front ends"), func(t *testing.T) {
@@ -107,6 +107,7 @@
 	}
 }
 
+// restartEveryThirdFrontEnd replaces the router of every third front end by a new one without state.
 func (s *simulatedFleet) restartEveryThirdFrontEnd() {
 	for i, f := range s.frontEnds {
 		if i%3 == 0 {
