--- a/control/golden_fleet_test.go
+++ b/control/golden_fleet_test.go
@@ -101,7 +101,7 @@
 type scenario struct {
 	name                                         string
 	frontEndCount                                int // stated in the deployment
-	routerCount                                  int // simulated
+	routerCount                                  int // number of routers that are simulated
 	workerCount, functionCount                   int
 	duration                                     units.Seconds // virtual seconds
 	requestRate                                  float64       // over all routers
@@ -129,7 +129,7 @@
 	onlyClass                                    string          // the only request class; empty for all
 }
 
-// splitMix64 is the SplitMix64 generator. Unlike math/rand it is equal in all releases of Go.
+// splitMix64 is the SplitMix64 generator. Unlike math/rand it produces the same numbers in all releases of Go.
 type splitMix64 uint64
 
 func (r *splitMix64) next() uint64 {
@@ -142,7 +142,7 @@
 
 func (r *splitMix64) fraction() float64           { return float64(r.next()>>11) / (1 << 53) }
 func (r *splitMix64) below(n int) int             { return int(r.next() % uint64(n)) }
-func (r *splitMix64) happens(p float64) bool      { return r.fraction() < p }
+func (r *splitMix64) bernoulli(p float64) bool    { return r.fraction() < p }
 func (r *splitMix64) skewed(mean float64) float64 { u := r.fraction(); return 3 * mean * u * u }
 
 // scheduledEvent is a function to be run at a virtual time.
@@ -151,7 +151,7 @@
 	run func()
 }
 
-// eventQueue holds scheduled events by time, and events of equal time in the order in which they were scheduled.
+// eventQueue holds scheduled events ordered by time. Events of equal time are in the order in which they were scheduled.
 type eventQueue []scheduledEvent
 
 func (q *eventQueue) push(event scheduledEvent) {
@@ -216,7 +216,7 @@
 	g.events.push(scheduledEvent{g.now + delay, run})
 }
 
-// run plays the scenario and returns the log.
+// run simulates the scenario and returns the log.
 func (g *goldenFleet) run() []byte {
 	for _, f := range g.frontEnds {
 		f.router.start()
@@ -236,7 +236,7 @@
 	return g.log
 }
 
-// intervalOf returns a function that draws the interval to the next event of a rate.
+// intervalOf returns a function that draws random intervals between events of the given rate.
 func (g *goldenFleet) intervalOf(rate float64) func() units.Seconds {
 	return func() units.Seconds {
 		if rate == 0 {
@@ -282,10 +282,10 @@
 	panic("the router called an unknown worker " + id)
 }
 
-// sendEndpointUpdates sends each router a snapshot or a delta with the change, with a random delay for each.
+// sendEndpointUpdates sends each router, after a random delay, a snapshot or a delta with the change.
 func (g *goldenFleet) sendEndpointUpdates(changed *goldenWorker) {
 	for _, f := range g.frontEnds {
-		isSnapshot := g.random.happens(0.5)
+		isSnapshot := g.random.bernoulli(0.5)
 		g.after(units.Seconds(0.05+g.random.fraction()/5), func() {
 			if isSnapshot {
 				f.router.endpointSnapshot(g.now, g.endpointList())
@@ -294,7 +294,7 @@
 			}
 		})
 	}
-	if g.random.happens(0.1) {
+	if g.random.bernoulli(0.1) {
 		g.frontEnds[g.random.below(len(g.frontEnds))].router.endpointPollFailed(g.now)
 	}
 }
@@ -302,7 +302,7 @@
 func (g *goldenFleet) restoreReplicas(f *goldenFrontEnd) {
 	for range g.restoredReplicas {
 		worker, req := g.workers[g.random.below(len(g.workers))], g.newRequest()
-		if g.random.happens(0.8) {
+		if g.random.bernoulli(0.8) {
 			worker.replicasReadyAt[req.function] = g.now
 		}
 		f.router.restoreReplica(g.now, req, worker.id, units.Seconds(g.random.fraction())*g.idleReplicaLifetime*1.3)
@@ -312,15 +312,15 @@
 func (g *goldenFleet) newRequest() simulatedRequest {
 	g.requestsSent++
 	class := requestClasses[g.random.below(len(requestClasses))]
-	req := simulatedRequest{id: "q" + strconv.Itoa(g.requestsSent), class: class.name, retried: g.random.happens(g.retryFraction)}
+	req := simulatedRequest{id: "q" + strconv.Itoa(g.requestsSent), class: class.name, retried: g.random.bernoulli(g.retryFraction)}
 	req.timeLeft = class.timeout * units.Seconds(max(g.random.fraction(), 0.02))
 	if g.onlyClass != "" {
 		req.class = g.onlyClass
-	} else if g.random.happens(0.02) {
+	} else if g.random.bernoulli(0.02) {
 		req.class = "unknown"
 	}
 	function := g.random.below(1 + g.random.below(g.functionCount))
-	if g.random.happens(g.hotFraction) {
+	if g.random.bernoulli(g.hotFraction) {
 		function = 0
 	}
 	req.function, req.concurrency = "f"+strconv.Itoa(function), function%4
@@ -333,7 +333,7 @@
 func (g *goldenFleet) sendRequest() {
 	f, req := g.frontEnds[g.random.below(len(g.frontEnds))], g.newRequest()
 	f.requests[req.id] = &openRequest{simulatedRequest: req}
-	if g.random.happens(g.cancelFraction) {
+	if g.random.bernoulli(g.cancelFraction) {
 		g.after(units.Seconds(g.random.skewed(g.serviceTime)), func() { f.cancel(req.id) })
 	}
 	f.router.request(g.now, req)
@@ -357,7 +357,7 @@
 	g.after(units.Seconds(1+g.random.skewed(meanDuration)), func() { worker.condition = healthy })
 }
 
-// changeWorker drains, crashes, restarts, resizes or adds a worker.
+// changeWorker drains, crashes, restarts or resizes a random worker, or adds one.
 func (g *goldenFleet) changeWorker() {
 	worker := g.workers[g.random.below(len(g.workers))]
 	change := g.random.below(5)
@@ -386,7 +386,7 @@
 func (g *goldenFleet) removeWorker(worker *goldenWorker) {
 	worker.state = stateRemoved
 	g.sendEndpointUpdates(worker)
-	if g.random.happens(0.8) {
+	if g.random.bernoulli(0.8) {
 		g.after(units.Seconds(g.random.fraction()), func() {
 			replacement := g.newWorker(g.now)
 			g.workers = append(g.workers, replacement)
