--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -136,14 +136,14 @@
 	d.router.OnEndpointUpdate(d.now, scope, workers)
 }
 
-// OnDiscoveryHeard records that the endpoint list was complete at a time that is not before asOf.
-func (d *Dispatcher) OnDiscoveryHeard(now, asOf units.Seconds) {
+// OnDiscoveryAvailable records that the endpoint list was complete at a time that is not before asOf.
+func (d *Dispatcher) OnDiscoveryAvailable(now, asOf units.Seconds) {
 	d.advance(now)
 	d.router.OnDiscoveryHeard(d.now, asOf)
 }
 
-// OnDiscoveryLost records that updates of the endpoint list do not arrive for now.
-func (d *Dispatcher) OnDiscoveryLost(now units.Seconds) {
+// OnDiscoveryUnavailable records that updates of the endpoint list do not arrive for now.
+func (d *Dispatcher) OnDiscoveryUnavailable(now units.Seconds) {
 	d.advance(now)
 	d.router.OnDiscoveryLost(d.now)
 }
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -75,7 +75,7 @@
 		p.log.Warn("discovery heard", "news_seconds_old", float64(p.host.Now()-asOf))
 	}
 	p.endpoints.discovery = discoveryHeard
-	p.dispatcher.OnDiscoveryHeard(p.host.Now(), asOf)
+	p.dispatcher.OnDiscoveryAvailable(p.host.Now(), asOf)
 	p.Flush()
 }
 
@@ -124,7 +124,7 @@
 		p.log.Warn("discovery lost, endpoint leases run out", "reason", reason)
 	}
 	p.endpoints.discovery = discoveryLost
-	p.dispatcher.OnDiscoveryLost(p.host.Now())
+	p.dispatcher.OnDiscoveryUnavailable(p.host.Now())
 	p.Flush()
 }
 
