--- a/cmd/streamcleat/keys_test.go
+++ b/cmd/streamcleat/keys_test.go
@@ -26,7 +26,7 @@
 	appliance.Command{},
 	appliance.Change{},
 	config.Config{},
-	deployment.Terms{},
+	deployment.Settings{},
 	fakes.Fault{},
 	invariants.Record{},
 	invariants.Rules{},
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -10,35 +10,35 @@
 const failedPollFactor = 4
 
 // Deployment converts the terms for the router.
-func (t *Terms) Deployment() *control.Deployment {
+func (s *Settings) Deployment() *control.Deployment {
 	d := &control.Deployment{
-		FrontEnds:               max(t.FrontEnds, 1),
-		PollEndpoints:           t.Discovery == discoverySubscribe,
-		NoLoadOnMiss:            t.Loading.WhenAbsent == absentMiss,
-		LoadCommandsAllowed:     t.Loading.LoadCommandsAllowed,
-		GossipAllowed:           t.Limits.GossipAllowed,
-		MaxAttempts:             max(t.Limits.MaxAttempts, 1),
-		IdleReplicaLifetime:     units.Seconds(seconds(t.Loading.IdleReplicaLifetimeMs)),
-		LoadCommandWindow:       units.Seconds(seconds(t.Loading.LoadCommandWindowMs)),
-		LoadCommandAllowance:    t.Loading.LoadCommandAllowance,
-		LoadCommandsPerRequest:  t.Loading.LoadCommandsPerRequest,
-		MinRoundInterval:        units.Seconds(seconds(t.RoundMs)),
-		InitialCapacityFraction: t.HealthRules.InitialCapacityFraction,
-		WarmUpTime:              units.Seconds(seconds(t.HealthRules.WarmUpTimeMs)),
-		OverloadFactor:          t.HealthRules.OverloadFactor,
-		OverloadWindow:          units.Seconds(seconds(t.HealthRules.OverloadWindowMs)),
-		DrainGrace:              units.Seconds(seconds(t.HealthRules.DrainGraceMs)),
+		FrontEnds:               max(s.FrontEnds, 1),
+		PollEndpoints:           s.Discovery == discoverySubscribe,
+		NoLoadOnMiss:            s.Loading.WhenAbsent == absentMiss,
+		LoadCommandsAllowed:     s.Loading.LoadCommandsAllowed,
+		GossipAllowed:           s.Limits.GossipAllowed,
+		MaxAttempts:             max(s.Limits.MaxAttempts, 1),
+		IdleReplicaLifetime:     units.Seconds(seconds(s.Loading.IdleReplicaLifetimeMs)),
+		LoadCommandWindow:       units.Seconds(seconds(s.Loading.LoadCommandWindowMs)),
+		LoadCommandAllowance:    s.Loading.LoadCommandAllowance,
+		LoadCommandsPerRequest:  s.Loading.LoadCommandsPerRequest,
+		MinRoundInterval:        units.Seconds(seconds(s.RoundMs)),
+		InitialCapacityFraction: s.HealthRules.InitialCapacityFraction,
+		WarmUpTime:              units.Seconds(seconds(s.HealthRules.WarmUpTimeMs)),
+		OverloadFactor:          s.HealthRules.OverloadFactor,
+		OverloadWindow:          units.Seconds(seconds(s.HealthRules.OverloadWindowMs)),
+		DrainGrace:              units.Seconds(seconds(s.HealthRules.DrainGraceMs)),
 	}
 	if d.PollEndpoints {
-		d.PollLease = units.Seconds(seconds(t.HealthRules.PollWithinMs)) * failedPollFactor
+		d.PollLease = units.Seconds(seconds(s.HealthRules.PollWithinMs)) * failedPollFactor
 	}
-	if t.Limits.RetryAfterAllowed {
-		d.MaxRetryAfter = units.Seconds(seconds(t.Limits.MaxRetryAfterMs))
+	if s.Limits.RetryAfterAllowed {
+		d.MaxRetryAfter = units.Seconds(seconds(s.Limits.MaxRetryAfterMs))
 	}
-	for _, tenant := range t.Tenants {
+	for _, tenant := range s.Tenants {
 		d.Tenants = append(d.Tenants, control.Tenant{Name: control.TenantID(tenant.Name), Quota: tenant.QuotaPerSecond})
 	}
-	for _, class := range t.RequestClasses {
+	for _, class := range s.RequestClasses {
 		d.RequestClasses = append(d.RequestClasses, class.controlClass())
 	}
 	return d
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -50,7 +50,7 @@
 }
 
 // checkTerms checks that every key of pascalDocument was read.
-func checkTerms(t *testing.T, terms *Terms) {
+func checkTerms(t *testing.T, terms *Settings) {
 	t.Helper()
 	if terms.FrontEndIndex != 2 || !terms.Limits.GossipAllowed || terms.Limits.DialTimeoutMs != 250 || terms.Limits.IdleTimeoutMs != 30000 ||
 		terms.Limits.MaxStreams != 32 || terms.Limits.MaxOpen != 2000 || terms.Loading.LoadTimeoutMs != 1000 {
--- a/internal/deployment/terms.go
+++ b/internal/deployment/settings.go
@@ -7,18 +7,18 @@
 	"streamcleat/control"
 )
 
-// Terms holds the document's keys that are read. Other keys are ignored, and keys are case-insensitive. Times are in
+// Settings holds the document's keys that are read. Other keys are ignored, and keys are case-insensitive. Times are in
 // milliseconds, as in the document.
-type Terms struct {
-	Tenants        []Tenant       `json:"Accounts"`
-	FrontEnds      int            `json:"Balancers"`
-	FrontEndIndex  int            `json:"Me"` // of this front end among all
-	Limits         Limits         `json:"Caps"`
-	RequestClasses []RequestClass `json:"Classes"`
-	Discovery      string         `json:"Discovery"`
-	Loading        LoadingTerms   `json:"Domain"`
-	RoundMs        float64        `json:"RoundMs"` // minimum time between two routing rounds
-	HealthRules    HealthRules    `json:"Rules"`
+type Settings struct {
+	Tenants        []Tenant        `json:"Accounts"`
+	FrontEnds      int             `json:"Balancers"`
+	FrontEndIndex  int             `json:"Me"` // of this front end among all
+	Limits         Limits          `json:"Caps"`
+	RequestClasses []RequestClass  `json:"Classes"`
+	Discovery      string          `json:"Discovery"`
+	Loading        LoadingSettings `json:"Domain"`
+	RoundMs        float64         `json:"RoundMs"` // minimum time between two routing rounds
+	HealthRules    HealthRules     `json:"Rules"`
 }
 
 // Tenant is a customer with its quota of requests.
@@ -49,8 +49,8 @@
 	DeduplicationWindowMs float64 `json:"MemorySpanMs"`
 }
 
-// LoadingTerms states how workers load functions and which load commands are allowed.
-type LoadingTerms struct {
+// LoadingSettings states how workers load functions and which load commands are allowed.
+type LoadingSettings struct {
 	LoadCommandAllowance   float64 `json:"LoadFree"`
 	LoadCommandsPerRequest float64 `json:"LoadPart"`
 	LoadCommandWindowMs    float64 `json:"LoadWindowMs"`
@@ -98,17 +98,17 @@
 }
 
 // Read parses the document. It returns a [*ClassError] for an invalid request class and errors of encoding/json otherwise.
-func Read(document []byte) (*Terms, error) {
-	var terms Terms
-	if err := json.Unmarshal(document, &terms); err != nil {
+func Read(document []byte) (*Settings, error) {
+	var settings Settings
+	if err := json.Unmarshal(document, &settings); err != nil {
 		return nil, err
 	}
-	for _, class := range terms.RequestClasses {
+	for _, class := range settings.RequestClasses {
 		_, semanticsKnown := semanticsByName[class.Semantics]
 		_, scopeKnown := scopeByName[class.DeduplicationScope]
 		if !semanticsKnown || !scopeKnown {
 			return nil, &ClassError{Class: class.Name}
 		}
 	}
-	return &terms, nil
+	return &settings, nil
 }
--- a/internal/platform/document.go
+++ b/internal/platform/document.go
@@ -22,7 +22,7 @@
 	Peers            []string // addresses of all front ends, by index
 	PeerBroadcast    string
 	DiscoveryAddress string
-	Terms            *deployment.Terms
+	Terms            *deployment.Settings
 	Discovery        *Discovery // holds the endpoint list of the document
 }
 
