--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -5,11 +5,11 @@
 	"streamcleat/internal/units"
 )
 
-// failedPollFactor is the multiple of the stated time after which, with failing polls, a change of the endpoint list counts
-// as received.
+// failedPollFactor is the multiple of Settings.HealthRules.PollWithinMs after which a change of the endpoint list counts as
+// received while polls fail.
 const failedPollFactor = 4
 
-// Deployment converts the terms for the router.
+// Deployment converts the settings to the router's configuration.
 func (s *Settings) Deployment() *control.Deployment {
 	d := &control.Deployment{
 		FrontEnds:               max(s.FrontEnds, 1),
@@ -44,7 +44,7 @@
 	return d
 }
 
-// controlClass converts a request class for the router.
+// controlClass converts a request class to the router's form.
 func (c RequestClass) controlClass() control.RequestClass {
 	return control.RequestClass{
 		Name:                c.Name,
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -40,21 +40,22 @@
 		"lower":  strings.ToLower(pascalDocument),
 	} {
 		t.Run(name, func(t *testing.T) {
-			terms, err := Read([]byte(document))
+			settings, err := Read([]byte(document))
 			if err != nil {
 				t.Fatal(err)
 			}
-			checkTerms(t, terms)
+			checkSettings(t, settings)
 		})
 	}
 }
 
-// checkTerms checks that every key of pascalDocument was read.
-func checkTerms(t *testing.T, terms *Settings) {
+// checkSettings checks that every key of pascalDocument was read.
+func checkSettings(t *testing.T, settings *Settings) {
 	t.Helper()
-	if terms.FrontEndIndex != 2 || !terms.Limits.GossipAllowed || terms.Limits.DialTimeoutMs != 250 || terms.Limits.IdleTimeoutMs != 30000 ||
-		terms.Limits.MaxStreams != 32 || terms.Limits.MaxOpen != 2000 || terms.Loading.LoadTimeoutMs != 1000 {
-		t.Errorf("%+v", terms)
+	if settings.FrontEndIndex != 2 || !settings.Limits.GossipAllowed || settings.Limits.DialTimeoutMs != 250 ||
+		settings.Limits.IdleTimeoutMs != 30000 || settings.Limits.MaxStreams != 32 || settings.Limits.MaxOpen != 2000 ||
+		settings.Loading.LoadTimeoutMs != 1000 {
+		t.Errorf("%+v", settings)
 	}
 	want := &control.Deployment{
 		FrontEnds:               3,
@@ -83,7 +84,7 @@
 			DeduplicationWindow: 6,
 		}},
 	}
-	if got := terms.Deployment(); !reflect.DeepEqual(got, want) {
+	if got := settings.Deployment(); !reflect.DeepEqual(got, want) {
 		t.Errorf("\n%+v, want\n%+v", got, want)
 	}
 }
@@ -95,7 +96,7 @@
 	} {
 		_, err := Read([]byte(`{"Classes":[` + class + `]}`))
 		var classErr *ClassError
-		if !errors.As(err, &classErr) || classErr.Class != "call" || err.Error() != "event type call: unknown idempotency or group" {
+		if !errors.As(err, &classErr) || classErr.Class != "call" || err.Error() != "request class call: unknown idempotency or group" {
 			t.Errorf("%s: %v", class, err)
 		}
 	}
--- a/internal/deployment/settings.go
+++ b/internal/deployment/settings.go
@@ -7,12 +7,12 @@
 	"streamcleat/control"
 )
 
-// Settings holds the document's keys that are read. Other keys are ignored, and keys are case-insensitive. Times are in
-// milliseconds, as in the document.
+// Settings holds the keys that are read from the document. Other keys are ignored, and keys are case-insensitive. Times are
+// in milliseconds, as in the document.
 type Settings struct {
 	Tenants        []Tenant        `json:"Accounts"`
 	FrontEnds      int             `json:"Balancers"`
-	FrontEndIndex  int             `json:"Me"` // of this front end among all
+	FrontEndIndex  int             `json:"Me"` // index of this front end among all
 	Limits         Limits          `json:"Caps"`
 	RequestClasses []RequestClass  `json:"Classes"`
 	Discovery      string          `json:"Discovery"`
@@ -27,7 +27,7 @@
 	QuotaPerSecond float64 `json:"QuotaPerS"`
 }
 
-// Limits holds what a front end is allowed to do and the limits of its resources.
+// Limits holds the features that a front end may use and its resource limits.
 type Limits struct {
 	GossipAllowed     bool    `json:"Peers"`
 	RetryAfterAllowed bool    `json:"RetryAfter"`
@@ -39,7 +39,7 @@
 	MaxOpen           int     `json:"MaxOpen"`    // open requests
 }
 
-// RequestClass states the guarantees for a class of requests.
+// RequestClass holds the guarantees for a class of requests.
 type RequestClass struct {
 	Name                  string  `json:"Name"`
 	Semantics             string  `json:"Idempotency"` // key of semanticsByName
@@ -49,40 +49,45 @@
 	DeduplicationWindowMs float64 `json:"MemorySpanMs"`
 }
 
-// LoadingSettings states how workers load functions and which load commands are allowed.
+// LoadingSettings holds how workers load functions and which load commands are allowed.
 type LoadingSettings struct {
 	LoadCommandAllowance   float64 `json:"LoadFree"`
 	LoadCommandsPerRequest float64 `json:"LoadPart"`
 	LoadCommandWindowMs    float64 `json:"LoadWindowMs"`
 	IdleReplicaLifetimeMs  float64 `json:"StaysLoadedMs"`
-	LoadTimeoutMs          float64 `json:"OrderTimeoutMs"` // of a load command
+	LoadTimeoutMs          float64 `json:"OrderTimeoutMs"` // timeout of a load command
 	LoadCommandsAllowed    bool    `json:"MayOrder"`
-	WhenAbsent             string  `json:"WhenAbsent"` // what a worker does with a request for which it has no replica
+	WhenAbsent             string  `json:"WhenAbsent"` // what a worker does with a request without a loaded replica
 }
 
-// HealthRules states when a worker is warming up, when it counts as overloaded, and how a drain is to be kept.
+// HealthRules holds when a worker is warming up, when it counts as overloaded, and how long changes of the endpoint list
+// may take to apply.
 type HealthRules struct {
 	InitialCapacityFraction float64 `json:"ColdFrom"`
 	OverloadWindowMs        float64 `json:"FallMs"`
 	OverloadFactor          float64 `json:"FallMultiple"`
 	WarmUpTimeMs            float64 `json:"WarmWithinMs"`
-	DrainGraceMs            float64 `json:"DrainGraceMs"` // after a drain notice, for messages to the worker
-	PollWithinMs            float64 `json:"AskWithinMs"`  // without a successful poll, after which a change counts as received
+	// DrainGraceMs is the time after a drain notice in which messages may still be sent to the worker.
+	DrainGraceMs float64 `json:"DrainGraceMs"`
+	// PollWithinMs is the time without a successful poll after which a change of the endpoint list counts as received.
+	PollWithinMs float64 `json:"AskWithinMs"`
 }
 
 const (
-	discoverySubscribe = "subscribe" // Discovery: the front end polls the endpoint list, which is otherwise pushed
-	absentMiss         = "miss"      // WhenAbsent: the worker reports the miss, where it would otherwise load a replica
+	// discoverySubscribe as Discovery makes the front end poll the endpoint list. With other values updates are pushed to it.
+	discoverySubscribe = "subscribe"
+	// absentMiss as WhenAbsent makes a worker report a miss. With other values it loads a replica.
+	absentMiss = "miss"
 )
 
-// semanticsByName maps the document's names of delivery semantics.
+// semanticsByName maps the document's names for delivery semantics.
 var semanticsByName = map[string]control.DeliverySemantics{
 	"free":        control.Idempotent,
 	"guarded":     control.IdempotentByKey,
 	"single_shot": control.AtMostOnce,
 }
 
-// scopeByName maps the document's names of deduplication scopes.
+// scopeByName maps the document's names for deduplication scopes.
 var scopeByName = map[string]control.DeduplicationScope{
 	"":     control.ScopeFleet,
 	"all":  control.ScopeFleet,
@@ -94,7 +99,7 @@
 type ClassError struct{ Class string }
 
 func (e *ClassError) Error() string {
-	return fmt.Sprintf("event type %s: unknown idempotency or group", e.Class)
+	return fmt.Sprintf("request class %s: unknown idempotency or group", e.Class)
 }
 
 // Read parses the document. It returns a [*ClassError] for an invalid request class and errors of encoding/json otherwise.
