--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -15,8 +15,8 @@
 	number   int // 0 for the first attempt of the request
 }
 
-// possiblyExecuted reports whether an attempt with this outcome may have been executed. The outcomes from
-// control.Rejected on prove that it was not.
+// possiblyExecuted reports whether an attempt with this outcome may have been executed. control.Rejected and the
+// outcomes after it rule that out.
 func possiblyExecuted(outcome control.Outcome) bool { return outcome < control.Rejected }
 
 // startAttempt sends an open request to a worker. Unless the request is idempotent, a record that it was possibly
@@ -64,7 +64,7 @@
 	req := attempt.request
 	delete(d.inFlight, attempt.id)
 	if reply.Outcome == control.Succeeded && req.binding.ID != "" && reply.Digest != req.binding.Digest {
-		reply.Outcome = control.Failed // the worker ran another version than the bound one
+		reply.Outcome = control.Failed // the worker ran a version other than the bound one
 		req.digestMismatch = true
 	}
 	req.onAttemptEnded(attempt, reply)
--- a/internal/dispatch/check.go
+++ b/internal/dispatch/check.go
@@ -36,10 +36,10 @@
 		}
 	}
 	if waiters != len(d.requestByWaiter) {
-		found.addf("%d waiters indexed, %d of open requests", len(d.requestByWaiter), waiters)
+		found.addf("%d waiters indexed, but open requests have %d", len(d.requestByWaiter), waiters)
 	}
 	if inFlight != len(d.inFlight) {
-		found.addf("%d attempts in flight, %d of open requests", len(d.inFlight), inFlight)
+		found.addf("%d attempts indexed as in flight, but open requests have %d", len(d.inFlight), inFlight)
 	}
 	if len(d.openByIdentity) != len(d.requests) {
 		found.addf("%d requests open, %d identities indexed", len(d.requests), len(d.openByIdentity))
@@ -62,7 +62,7 @@
 	case !req.released && len(req.waiters) == 0:
 		found.addf("open request %s has no waiter", identity)
 	case !req.released && d.now > req.deadline+d.settings.ResponseMargin:
-		found.addf("request %s open %.3f s past its deadline", identity, d.now-req.deadline)
+		found.addf("request %s still open %.3f s past its deadline", identity, d.now-req.deadline)
 	}
 	attempt := req.attempt
 	if attempt != nil && (d.inFlight[attempt.id] != attempt || attempt.request != req) {
@@ -77,7 +77,7 @@
 			found.addf("waiter %d of request %s not indexed", w.id, req.request.Identity)
 		}
 		if d.now > w.deadline+d.settings.ResponseMargin {
-			found.addf("waiter %d of request %s waiting %.3f s past its deadline", w.id, req.request.Identity, d.now-w.deadline)
+			found.addf("waiter %d of request %s still waiting %.3f s past its deadline", w.id, req.request.Identity, d.now-w.deadline)
 		}
 	}
 }
@@ -114,7 +114,7 @@
 		}
 	}
 	if bytes != d.cache.bodyBytes || bytes > d.cache.maxBodyBytes {
-		found.addf("%d bytes of cached bodies, %d counted, %d allowed", bytes, d.cache.bodyBytes, d.cache.maxBodyBytes)
+		found.addf("cached bodies have %d bytes, %d counted, %d allowed", bytes, d.cache.bodyBytes, d.cache.maxBodyBytes)
 	}
 	if len(d.requests) > d.settings.MaxOpen {
 		found.addf("%d requests open, %d allowed", len(d.requests), d.settings.MaxOpen)
--- a/internal/dispatch/completion.go
+++ b/internal/dispatch/completion.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// causeOf returns the cause of a request that ends without success, derived from the outcome of its last attempt.
+// causeOf derives the cause of a request that ends without success from the outcome of its last attempt.
 func (d *Dispatcher) causeOf(req *openRequest) Cause {
 	if req.attempts == 0 {
 		if d.now >= req.deadline-2*d.settings.Deployment.MinRoundInterval {
@@ -48,8 +48,8 @@
 	return CauseDeadlineExceeded
 }
 
-// denyAdmission responds to a request that is not admitted. It is safe to reject the request: it was not executed, and an
-// earlier execution under the same identity would be cached.
+// denyAdmission responds to a request that is not admitted. Rejecting it is safe: it was not executed, and the response of
+// an earlier execution with the same identity would be in the cache.
 func (d *Dispatcher) denyAdmission(to WaiterID, request Request, kind ResponseKind, cause Cause) {
 	response := Response{
 		Kind:     kind,
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -19,7 +19,7 @@
 	ResolveVersion func(request *Request) (Binding, FunctionProfile, error)
 	// VersionAllowed reports whether the version of an earlier attempt may still run. It is set if ResolveVersion is.
 	VersionAllowed func(binding Binding) bool
-	// ResponseMargin is the time before the client's deadline at which the response is sent at the latest.
+	// ResponseMargin is how long before the client's deadline the response is sent at the latest.
 	ResponseMargin units.Seconds
 	// LoadTimeout is the time after which a load command is abandoned.
 	LoadTimeout units.Seconds
@@ -64,7 +64,7 @@
 	Accepted, Deduplicated, Replayed            uint64 // requests admitted, joined to an open one, served from the cache
 	Succeeded, Rejected, Failed                 uint64 // final responses by kind
 	Attempts, LoadCommands, TimedOut, Cancelled uint64 // attempts, load commands, attempt timeouts, canceled waiters
-	Queries                                     uint64 // queries whether a worker serves
+	Queries                                     uint64 // replica queries to workers
 
 	Open, InFlight, Cached, CachedBytes, Timers, PendingLoads int // gauges
 
@@ -111,7 +111,7 @@
 // NextTimer returns the time at which [Dispatcher.Tick] must be called next.
 func (d *Dispatcher) NextTimer() units.Seconds { return d.timers[0].at }
 
-// Tick runs the timers that are due.
+// Tick advances the clock and runs the timers that are due.
 func (d *Dispatcher) Tick(now units.Seconds) {
 	d.advance(now)
 	for len(d.timers) > 0 && d.timers[0].at <= d.now {
@@ -136,22 +136,23 @@
 	d.router.OnEndpointUpdate(d.now, scope, workers)
 }
 
-// OnDiscoveryAvailable records that the endpoint list was complete at a time that is not before asOf.
+// OnDiscoveryAvailable records that discovery is available: the endpoint list was complete at asOf or later.
 func (d *Dispatcher) OnDiscoveryAvailable(now, asOf units.Seconds) {
 	d.advance(now)
 	d.router.OnDiscoveryHeard(d.now, asOf)
 }
 
-// OnDiscoveryUnavailable records that updates of the endpoint list do not arrive for now.
+// OnDiscoveryUnavailable records a discovery outage: updates of the endpoint list do not arrive for now.
 func (d *Dispatcher) OnDiscoveryUnavailable(now units.Seconds) {
 	d.advance(now)
 	d.router.OnDiscoveryLost(d.now)
 }
 
-// DrainingByRejection returns the workers that count as draining because of what they rejected without discovery.
+// DrainingByRejection returns the workers that are considered draining because they rejected messages while discovery was
+// unavailable.
 func (d *Dispatcher) DrainingByRejection() []control.WorkerID { return d.router.DrainingByRejection() }
 
-// CanServe reports whether any worker may be sent requests now.
+// CanServe reports whether requests may be sent to at least one worker now.
 func (d *Dispatcher) CanServe(now units.Seconds) bool {
 	d.advance(now)
 	return d.router.CanServe(d.now)
@@ -220,7 +221,7 @@
 }
 
 // Preload loads a replica of a function that will be requested soon, if the router knows of no loaded replica and the
-// budget of load commands allows it. It reports whether a load command was sent.
+// quota of load commands allows it. It reports whether a load command was sent.
 func (d *Dispatcher) Preload(now units.Seconds, class, function string) bool {
 	d.advance(now)
 	req := &openRequest{request: Request{Class: class, Function: function}}
--- a/internal/dispatch/dispatcher_test.go
+++ b/internal/dispatch/dispatcher_test.go
@@ -153,14 +153,14 @@
 func TestSubmit_KeyedRequestRetriedOnlyWithinDeduplicationWindow(t *testing.T) {
 	h := newHarness(t, nil)
 	h.submitAndStart(classKeyed, "e")
-	firstRunAt := h.now
+	firstExecutedAt := h.now
 	h.advanceTo(startTime + 3.95)
 	h.wantResponse(1, Rejected, CauseDeadlineExceeded)
 	h.submit(2, classKeyed, "e", 0) // retried, with a deadline within the window
-	h.advanceTo(firstRunAt + 6.5)
+	h.advanceTo(firstExecutedAt + 6.5)
 	h.response(2)
 	for _, attempt := range h.attempts[1:] {
-		if attempt.Timeout > firstRunAt+6-startTime-3.95+0.01 {
+		if attempt.Timeout > firstExecutedAt+6-startTime-3.95+0.01 {
 			t.Fatalf("timeout of the retry is %.2f s, past the deduplication window", attempt.Timeout)
 		}
 	}
@@ -194,7 +194,7 @@
 		t.Fatal("not idle after Terminate")
 	}
 	h = newHarness(t, nil)
-	h.submit(1, classIdempotent, "e", -1) // its client's timeout had expired on arrival
+	h.submit(1, classIdempotent, "e", -1) // the client's timeout had expired on arrival
 	h.wantResponse(1, Rejected, CauseDeadlineExceeded)
 }
 
--- a/internal/dispatch/effects.go
+++ b/internal/dispatch/effects.go
@@ -49,17 +49,17 @@
 	Worker   control.WorkerID
 	Function string
 	Replicas int
-	// Query asks how many replicas are loaded. Its Replicas may be 0, which otherwise unloads idle ones.
+	// Query asks how many replicas are loaded. It may have Replicas 0, which in a load command unloads idle replicas.
 	Query   bool
 	Binding Binding
 }
 
-// WorkerReply is the result of an attempt, as its worker or the connection to it reported.
+// WorkerReply is the result of an attempt, as reported by its worker or by the connection to it.
 type WorkerReply struct {
 	Outcome control.Outcome
 	Start   control.StartType
 	Report  control.LoadReport
-	Digest  string // of the version that ran, as the worker proved it; "": not stated
+	Digest  string // of the version that ran, as the worker reported it; "": not reported
 	Fields  []Field
 	Body    []byte
 }
--- a/internal/dispatch/load.go
+++ b/internal/dispatch/load.go
@@ -11,13 +11,13 @@
 type pendingLoad struct {
 	worker   control.WorkerID
 	function control.FunctionID
-	sentAt   units.Seconds // of a query once it is written, of a load command when it was decided
+	sentAt   units.Seconds // of a query: when it was written; of a load command: when it was decided
 
-	// Of queries only.
+	// The fields below are set for queries only.
 	isQuery   bool
-	replicas  int // that the worker is told to hold
+	replicas  int // number that the worker is told to keep loaded
 	isWritten bool
-	timeout   units.Seconds // after it was written
+	timeout   units.Seconds // counted from the write
 }
 
 // startLoad sends a load command to a worker.
@@ -36,8 +36,8 @@
 	})
 }
 
-// startQuery asks a worker how many replicas it has loaded, and tells it to hold a number of them. Its timeout begins when it is written: the dial that it may wait
-// for has a timeout of its own.
+// startQuery asks a worker how many replicas it has loaded, and tells it to keep a number of them loaded. The query's
+// timeout starts when it is written, because the dial that it may wait for has a timeout of its own.
 func (d *Dispatcher) startQuery(worker control.WorkerID, function control.FunctionID, replicas int, timeout units.Seconds) {
 	id := d.nextID()
 	d.pendingLoads[id] = &pendingLoad{worker: worker, function: function, sentAt: d.now, isQuery: true, replicas: replicas, timeout: timeout}
@@ -48,8 +48,8 @@
 	})
 }
 
-// OnLoadReply processes the end of a load command or query. replicas is the number that the worker has loaded, 0 if it did not
-// reply.
+// OnLoadReply processes the end of a load command or query. replicas is the number that the worker has loaded, 0 if it did
+// not reply.
 func (d *Dispatcher) OnLoadReply(now units.Seconds, id uint64, outcome control.Outcome, replicas int) {
 	d.advance(now)
 	load := d.pendingLoads[id]
@@ -71,7 +71,7 @@
 	})
 }
 
-// queryTimeLeft returns the time left until a query times out, and 0 for a load command, whose timer is exact.
+// queryTimeLeft returns the time left until a query times out. It is 0 for a load command, whose timer needs no rearming.
 func (l *pendingLoad) queryTimeLeft(now units.Seconds) units.Seconds {
 	switch {
 	case !l.isQuery:
--- a/internal/dispatch/memory_test.go
+++ b/internal/dispatch/memory_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// A million requests in two hours retain no memory except for the cache.
+// A million requests in two hours of the Dispatcher's clock must retain no memory except for the cache.
 func TestDispatcher_HeapBounded(t *testing.T) {
 	const requests, firstMeasured = 1_000_000, 200_000
 	settings := testSettings()
--- a/internal/dispatch/open_request.go
+++ b/internal/dispatch/open_request.go
@@ -10,7 +10,7 @@
 // requestIDBase is the base of the request IDs that are passed to the router.
 const requestIDBase = 36
 
-// waiter is a client that waits for the response to an open request.
+// waiter is a client request that waits for the response to an open request.
 type waiter struct {
 	id       WaiterID
 	deadline units.Seconds
@@ -50,7 +50,7 @@
 	attempts         int             // number of attempts started
 	possiblyExecuted bool            // by an attempt of this request or of an earlier one with the same identity
 	firstExecutedAt  units.Seconds   // start of the first such attempt
-	digestMismatch   bool            // a worker ran another version than the bound one
+	digestMismatch   bool            // a worker ran a version other than the bound one
 	attemptRecorded  bool            // a record that the request was possibly executed was stored
 	lastOutcome      control.Outcome // of the attempt that ended last
 	lastStart        control.StartType
@@ -119,7 +119,6 @@
 	}
 }
 
-// removeWaiter removes a waiter from the request's list.
 func (r *openRequest) removeWaiter(id WaiterID) {
 	for i, w := range r.waiters {
 		if w.id == id {
--- a/internal/dispatch/recovery.go
+++ b/internal/dispatch/recovery.go
@@ -7,7 +7,7 @@
 	"streamcleat/internal/units"
 )
 
-// RecordKind is the kind of a Record.
+// RecordKind tells which event a [Record] describes.
 type RecordKind uint8
 
 // The kinds of records.
@@ -40,11 +40,11 @@
 	Concurrency     int
 	LoadTime        units.Seconds
 	Worker          string
-	WorkerStartedAt units.Seconds // Unix time in seconds; 0: unknown, long ago
+	WorkerStartedAt units.Seconds // Unix time in seconds; 0: unknown or long past
 	Age             units.Seconds // seconds since the replica was last seen
 }
 
-// storeAttemptRecord stores that a request is possibly executed.
+// storeAttemptRecord stores a record that a request is possibly executed from now on.
 func (d *Dispatcher) storeAttemptRecord(req *openRequest) {
 	record := Record{
 		Kind: RecordAttemptStarted,
@@ -116,7 +116,7 @@
 	cached.response.Kind = Rejected
 	cached.response.Cause = CauseRestarted
 	cached.response.RetryAfter = d.settings.Deployment.MaxRetryAfter
-	// Unless the whole fleet deduplicates, a retry may reach a worker that does not know of the first execution.
+	// Unless deduplication covers the whole fleet, a retry may reach a worker that does not know of the first execution.
 	duplicateUndetected := class.Semantics == control.IdempotentByKey &&
 		(class.DeduplicationScope != control.ScopeFleet || deduplicationExpired(class, cached.firstExecutedAt, d.now))
 	if class.Semantics == control.AtMostOnce || duplicateUndetected {
--- a/internal/dispatch/recovery_test.go
+++ b/internal/dispatch/recovery_test.go
@@ -7,17 +7,17 @@
 	"streamcleat/internal/units"
 )
 
-// A request whose attempt has no recorded end was possibly executed. The response to a retry depends on the delivery
-// semantics and on whether the time since the first execution is known.
+// A request whose attempt has no recorded end was possibly executed before the restart. The response to a retry
+// depends on the delivery semantics and on whether the time since the first execution is known.
 func TestRecover_AttemptWithoutEnd(t *testing.T) {
 	for _, test := range []struct {
-		name        string
-		class       string
-		reliable    bool
-		firstRunAgo units.Seconds
-		age         units.Seconds
-		failed      bool
-		attempts    int // for a retry
+		name              string
+		class             string
+		reliable          bool
+		firstExecutionAge units.Seconds
+		age               units.Seconds
+		failed            bool
+		attempts          int // for a retry
 	}{
 		{"idempotent", classIdempotent, true, 1, 1, false, 1},
 		{"keyed within deduplication window", classKeyed, true, 1, 1, false, 1},
@@ -33,7 +33,7 @@
 					Kind:              RecordAttemptStarted,
 					Response:          Response{Identity: Identity{"/t", "e"}, Class: test.class, Function: "f"},
 					PossiblyExecuted:  true,
-					FirstExecutionAge: test.firstRunAgo,
+					FirstExecutionAge: test.firstExecutionAge,
 				},
 				Age:      test.age,
 				Reliable: test.reliable,
--- a/internal/dispatch/response.go
+++ b/internal/dispatch/response.go
@@ -26,7 +26,7 @@
 	RetryAfter   units.Seconds // seconds after which the client may retry a rejected request
 	Worker       string        // of the last attempt
 	Start        control.StartType
-	Replayed     bool // already given to another waiter of the same identity
+	Replayed     bool // already delivered to another waiter of the same identity
 	Attempts     int
 	Fields       []Field
 	Body         []byte
@@ -59,7 +59,7 @@
 	CauseRestarted               // possibly executed before the front end restarted
 	CauseNotStored               // a record that must be durable could not be stored
 	CauseNoVersion               // the function reference resolves to no version that is allowed to run
-	CauseDigestMismatch          // the worker ran another version than the bound one
+	CauseDigestMismatch          // the worker ran a version other than the bound one
 	CauseDuplicate               // a request of the same identity is open, and joining is not allowed
 )
 
--- a/internal/dispatch/response_cache.go
+++ b/internal/dispatch/response_cache.go
@@ -21,15 +21,15 @@
 func (c *cachedResponse) mustReplay() bool { return c.response.Kind != Rejected }
 
 // failIfDeduplicationExpired turns a cached rejection into a failure once a retry could have a duplicate effect, because
-// workers may have forgotten the first execution.
+// workers may have discarded the idempotency key of the first execution.
 func (c *cachedResponse) failIfDeduplicationExpired(class *control.RequestClass, now units.Seconds) {
 	if c.response.Kind == Rejected && c.possiblyExecuted && deduplicationExpired(class, c.firstExecutedAt, now) {
 		c.response.Kind, c.response.Cause = Failed, CauseResponseExpired
 	}
 }
 
-// deduplicationExpired reports whether a request has an idempotency key and workers may have forgotten its first
-// execution, so that another one would have a duplicate effect.
+// deduplicationExpired reports whether a request has an idempotency key that workers may have discarded since its first
+// execution, so that another execution could have a duplicate effect.
 func deduplicationExpired(class *control.RequestClass, firstExecutedAt, now units.Seconds) bool {
 	return class.Semantics == control.IdempotentByKey && now >= firstExecutedAt+class.DeduplicationWindow
 }
--- a/internal/dispatch/routing_host.go
+++ b/internal/dispatch/routing_host.go
@@ -49,8 +49,8 @@
 func (h routingHost) Broadcast(message []byte) { h.dispatcher.effects.Broadcast(message) }
 
 // SetTimer implements [control.Host].
-func (h routingHost) SetTimer(after units.Seconds, mark uint64) {
-	h.dispatcher.armTimer(after, routerTimer, mark, nil)
+func (h routingHost) SetTimer(after units.Seconds, id uint64) {
+	h.dispatcher.armTimer(after, routerTimer, id, nil)
 }
 
 // RequestEndpoints implements [control.Host]. It does nothing: endpoint updates are pushed to the dispatcher.
--- a/internal/dispatch/send_permit.go
+++ b/internal/dispatch/send_permit.go
@@ -2,16 +2,16 @@
 
 import "streamcleat/internal/units"
 
-// SendPermit is the decision whether an attempt or load command may be written now. Pools need a SendPermit to encode a
-// message, so that a decision made earlier is always checked again immediately before the message is written. Only the
-// [Dispatcher] issues permits.
+// SendPermit is the decision whether an attempt or load command may be written now. Connection pools need a SendPermit to
+// encode a message, so that an earlier decision is always checked again immediately before the message is written. Only
+// the [Dispatcher] issues permits.
 type SendPermit struct {
 	denial   SendDenial
 	timeLeft units.Seconds
 }
 
-// PermitSend returns a permit. timeLeft is the number of seconds until the client's deadline. It is for the Dispatcher
-// and its test fakes.
+// PermitSend returns a SendPermit that allows sending. timeLeft is the number of seconds until the client's deadline. It is
+// for the Dispatcher and its test fakes.
 func PermitSend(timeLeft units.Seconds) SendPermit { return SendPermit{timeLeft: timeLeft} }
 
 // DenySend returns a SendPermit that denies sending. It is for the Dispatcher and its test fakes.
@@ -26,7 +26,7 @@
 // Denial returns the reason why the message must not be written.
 func (p SendPermit) Denial() SendDenial { return p.denial }
 
-// SendDenial is the reason why an attempt must not be written.
+// SendDenial is the reason why an attempt or load command must not be written.
 type SendDenial uint8
 
 // The send denials.
@@ -44,14 +44,14 @@
 	return [sendDenialCount]string{"permitted", "superseded", "no-waiter", "deadline-exceeded", "lease-expired"}[d]
 }
 
-// AuthorizeAttempt decides whether an attempt may be written now. Pools call it immediately before they write the
-// attempt.
+// AuthorizeAttempt decides whether an attempt may be written now. Connection pools call it immediately before they write
+// the attempt.
 func (d *Dispatcher) AuthorizeAttempt(now units.Seconds, id uint64) SendPermit {
 	d.advance(now)
 	return d.countDenial(d.decideSend(id))
 }
 
-// countDenial counts a permit that denies sending, and returns it.
+// countDenial counts the permit if it denies sending, and returns it.
 func (d *Dispatcher) countDenial(permit SendPermit) SendPermit {
 	if !permit.Permitted() {
 		d.counts.SendsDenied[permit.denial]++
@@ -59,8 +59,8 @@
 	return permit
 }
 
-// AuthorizeLoad decides whether a load command or query may be written now. Pools call it immediately before they write
-// it: like an attempt it may have waited for a dial while its worker began to drain.
+// AuthorizeLoad decides whether a load command or query may be written now. Connection pools call it immediately before
+// they write it: like an attempt, it may have waited for a dial while its worker began to drain.
 func (d *Dispatcher) AuthorizeLoad(now units.Seconds, id uint64) SendPermit {
 	d.advance(now)
 	load := d.pendingLoads[id]
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -7,17 +7,17 @@
 	"streamcleat/internal/units"
 )
 
-// routerPeriodicMark is the mark of the router's periodic timer, which also expires cached responses.
-const routerPeriodicMark = 0
+// routerPeriodicTimer is the router's ID of its periodic timer, which also expires cached responses.
+const routerPeriodicTimer = 0
 
 // timerKind is the purpose of a timer. It determines the meaning of the timer's key.
 type timerKind uint8
 
 const (
-	routerTimer     timerKind = iota // set by the router; the key is its mark
+	routerTimer     timerKind = iota // set by the router; the key is the router's timer ID
 	waiterDeadline                   // deadline of a waiter that the router does not enforce; the key is its WaiterID
 	attemptDeadline                  // timeout of an attempt; the key is the attempt's ID
-	loadDeadline                     // timeout of a load command; the key is the command's ID
+	loadDeadline                     // timeout of a load command or query; the key is its ID
 )
 
 // timer is an entry of a timerQueue.
@@ -29,8 +29,8 @@
 	request  *openRequest
 }
 
-// timerQueue is a heap of timers, the earliest first. Timers are never disarmed: one whose subject has ended does nothing
-// when it fires.
+// timerQueue is a heap of timers, the earliest first. Timers are never disarmed: a timer whose attempt, load command or
+// waiter has ended does nothing when it fires.
 type timerQueue []timer
 
 // Len implements heap.Interface.
@@ -75,7 +75,7 @@
 func (d *Dispatcher) fireTimer(t timer) {
 	switch t.kind {
 	case routerTimer:
-		if t.key == routerPeriodicMark {
+		if t.key == routerPeriodicTimer {
 			d.cache.expire(d.now)
 		}
 		d.router.OnTimer(d.now, t.key)
@@ -99,7 +99,8 @@
 	d.endAttempt(attempt, WorkerReply{Outcome: control.TimedOut})
 }
 
-// onLoadTimeout abandons a load command that is still pending at its deadline.
+// onLoadTimeout abandons a load command or query that is still pending at its deadline. The timer of a query is rearmed
+// until its timeout, counted from the write, has passed.
 func (d *Dispatcher) onLoadTimeout(id uint64) {
 	load := d.pendingLoads[id]
 	if load == nil {
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -17,7 +17,7 @@
 	maxLoadSteps   = 2000 // steps of load commands, the newest
 )
 
-// Texts of steps. The explain command and its JSON output print them, so they don't follow renamed constants.
+// Texts of steps. The explain command, its JSON output and the spans contain them, so they don't follow renamed constants.
 const (
 	StepAttemptStarted   = "launched" // an attempt was sent
 	StepAttemptSucceeded = "handled"  // an attempt succeeded
@@ -41,7 +41,7 @@
 	control.ReplicaMissing: "missed",
 }
 
-// startDetails holds the texts of the start types of attempts.
+// startDetails holds the texts of the start types of attempts. They are also label values of a metric.
 var startDetails = [...]string{
 	control.StartUnknown:    "",
 	control.WarmStart:       "found it warm",
@@ -85,13 +85,13 @@
 	step     TraceStep
 }
 
-// ring is a buffer of the newest items.
+// ring is a ring buffer of the newest items.
 type ring[T any] struct {
 	items  []T
 	oldest int // index of the oldest item once the ring is full; it is replaced next
 }
 
-// add adds an item, which replaces the oldest once there are limit items.
+// add adds an item. It replaces the oldest once there are limit items.
 func (r *ring[T]) add(item T, limit int) {
 	if len(r.items) < limit {
 		r.items = append(r.items, item)
@@ -122,7 +122,7 @@
 	d.traces.loads.add(loadStep{at: d.now, function: function, step: step}, maxLoadSteps)
 }
 
-// routingSummary describes the router's current view of a function.
+// routingSummary describes the router's current view of a function. It becomes the detail of a step.
 func (d *Dispatcher) routingSummary(function string) string {
 	if d.settings.TracingDisabled {
 		return ""
--- a/internal/units/units.go
+++ b/internal/units/units.go
@@ -1,12 +1,12 @@
-// Package units holds the unit in which a front end counts time.
+// Package units defines the unit in which a front end measures time.
 package units
 
 import "time"
 
-// Seconds is an instant of a front end's monotonic clock, or a span of time, in seconds. Routing decisions compute with
-// fractions of seconds in floating point, as the wire states them, and must come out bit-equal on the bench and on
-// sockets, so instants and spans keep that form from the event loop to the router. Instants of Unix time are marked so
-// where they occur.
+// Seconds is a time of a front end's monotonic clock, or a duration, in seconds. The wire formats have fractions of seconds
+// in floating point, and routing decisions must be bit-identical in the bench's simulator and over sockets. Times and
+// durations therefore keep this form from the event loop to the router. Unix times are documented as such where they
+// occur.
 type Seconds float64
 
 // Duration returns s as a time.Duration.
