--- a/internal/node/fixture_test.go
+++ b/internal/node/fixture_test.go
@@ -53,7 +53,7 @@
 func (f *fixture) awaitDiscovery() {
 	f.t.Helper()
 	for heard := false; !heard; time.Sleep(time.Millisecond) {
-		if err := f.node.server.Do(func(p *proxy.Proxy) { heard = p.DiscoveryHeard() }); err != nil {
+		if err := f.node.server.Do(func(p *proxy.Proxy) { heard = p.DiscoveryAvailable() }); err != nil {
 			f.t.Fatal(err)
 		}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -65,16 +65,16 @@
 	case platform.Changed:
 		list := h.node.endpointList()
 		_ = h.node.server.Post(func(p *proxy.Proxy) { p.SetEndpointList(list) })
-	case platform.Confirmed:
-		_ = h.node.server.Post(func(p *proxy.Proxy) { p.OnDiscoveryHeard(asOf) })
-	case platform.NoNews:
+	case platform.UpToDate:
+		_ = h.node.server.Post(func(p *proxy.Proxy) { p.OnDiscoveryAvailable(asOf) })
+	case platform.Ignored:
 	}
-	return effect != platform.NoNews, err
+	return effect != platform.Ignored, err
 }
 
 // OnLost implements eventloop.WatchHandler.
 func (h watchHandler) OnLost(reason error) {
-	_ = h.node.server.Post(func(p *proxy.Proxy) { p.OnDiscoveryLost(reason) })
+	_ = h.node.server.Post(func(p *proxy.Proxy) { p.OnDiscoveryUnavailable(reason) })
 }
 
 // endpointList returns the endpoint list at the present time.
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -55,7 +55,7 @@
 	}
 	recovered := n.server.RecoveredErrors()
 	closes, unanswered := map[proxy.CloseReason]uint64{}, uint64(0)
-	err = n.server.Do(func(p *proxy.Proxy) { closes, unanswered = p.Closes() })
+	err = n.server.Do(func(p *proxy.Proxy) { closes, unanswered = p.CloseCounts() })
 	n.log.Info("process totals", "accepted", counts.Accepted, "succeeded", counts.Succeeded, "rejected", counts.Rejected,
 		"failed", counts.Failed, "cancelled", counts.Cancelled, "attempts", counts.Attempts, "timed_out", counts.TimedOut,
 		"sends_denied", counts.SendsDenied, "closes", closes, "closed_unanswered", unanswered, "accept_failures", recovered.AcceptFailures,
@@ -94,7 +94,7 @@
 		case platform.Serving, platform.Draining: // requests are still accepted
 		case platform.GoingAway:
 			p.Drain()
-		case platform.Answering:
+		case platform.Responding:
 			p.Terminate()
 			p.CloseClients()
 		case platform.Flushing:
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -67,9 +67,9 @@
 
 // Effects of lines.
 const (
-	NoNews    LineEffect = iota // an event applied before, an older position, or an empty line
-	Confirmed                   // the service has no event after Position
-	Changed                     // the list has changed; further events may follow
+	Ignored  LineEffect = iota // an event applied before, an older position, or an empty line
+	UpToDate                   // the service has no event after Position
+	Changed                    // the list has changed; further events may follow
 )
 
 // ReadLine applies a line from the service. On error, because the line is malformed or preceding events are missing,
@@ -77,22 +77,22 @@
 func (d *Discovery) ReadLine(line []byte) (LineEffect, error) {
 	line = bytes.TrimSpace(line)
 	if len(line) == 0 {
-		return NoNews, nil
+		return Ignored, nil
 	}
 	e, err := parseEntry(line)
 	switch {
 	case err != nil:
-		return NoNews, fmt.Errorf("line %.60q: %w", line, err)
+		return Ignored, fmt.Errorf("line %.60q: %w", line, err)
 	case e.Update == nil && e.Position == d.position:
-		return Confirmed, nil
+		return UpToDate, nil
 	case e.Position <= d.position: // already applied
-		return NoNews, nil
+		return Ignored, nil
 	case e.Update == nil || e.Position != d.position+1 && !e.Update.Complete:
-		return NoNews, fmt.Errorf("event %d after %d: %w", e.Position, d.position, ErrMissingEvents)
+		return Ignored, fmt.Errorf("event %d after %d: %w", e.Position, d.position, ErrMissingEvents)
 	}
 	for _, h := range e.Update.Hosts {
 		if err := h.validate(); err != nil {
-			return NoNews, fmt.Errorf("event %d: worker %.40q: %w", e.Position, h.Name, err)
+			return Ignored, fmt.Errorf("event %d: worker %.40q: %w", e.Position, h.Name, err)
 		}
 	}
 	d.position = e.Position
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -34,16 +34,16 @@
 		list   string // names with states
 	}{
 		{string(snapshotLine(1, a, b)), Changed, false, "a0 b0"},
-		{string(snapshotLine(1, a)), NoNews, false, "a0 b0"}, // duplicate
-		{"1", Confirmed, false, "a0 b0"},
-		{"0", NoNews, false, "a0 b0"}, // an older position
-		{"", NoNews, false, "a0 b0"},
-		{string(deltaLine(2, hostJSON("a", "10.0.0.1:9", "leaving", 0)))[:30], NoNews, true, "a0 b0"}, // truncated
-		{string(deltaLine(3, hostJSON("a", "10.0.0.1:9", "left", 0))), NoNews, true, "a0 b0"},         // gap
-		{"2", NoNews, true, "a0 b0"},                                                                  // the service is ahead
+		{string(snapshotLine(1, a)), Ignored, false, "a0 b0"}, // duplicate
+		{"1", UpToDate, false, "a0 b0"},
+		{"0", Ignored, false, "a0 b0"}, // an older position
+		{"", Ignored, false, "a0 b0"},
+		{string(deltaLine(2, hostJSON("a", "10.0.0.1:9", "leaving", 0)))[:30], Ignored, true, "a0 b0"}, // truncated
+		{string(deltaLine(3, hostJSON("a", "10.0.0.1:9", "left", 0))), Ignored, true, "a0 b0"},         // gap
+		{"2", Ignored, true, "a0 b0"},                                                                  // the service is ahead
 		{string(deltaLine(2, hostJSON("a", "10.0.0.1:9", "leaving", 0))), Changed, false, "a1 b0"},
-		{string(deltaLine(3, hostJSON("b", "nowhere", "active", 0))), NoNews, true, "a1 b0"},
-		{string(deltaLine(3, hostJSON("b", "10.0.0.2:9", "odd", 0))), NoNews, true, "a1 b0"},
+		{string(deltaLine(3, hostJSON("b", "nowhere", "active", 0))), Ignored, true, "a1 b0"},
+		{string(deltaLine(3, hostJSON("b", "10.0.0.2:9", "odd", 0))), Ignored, true, "a1 b0"},
 		{string(deltaLine(3, hostJSON("a", "10.0.0.1:9", "left", 0), hostJSON("c", "10.0.0.1:9", "active", 9000))), Changed, false, "b0 c0"},
 		{string(snapshotLine(9, a)), Changed, false, "a0"}, // a complete list needs no preceding events
 	} {
@@ -85,7 +85,7 @@
 	f.Fuzz(func(t *testing.T, line []byte) {
 		discovery := NewDiscovery()
 		effect, err := discovery.ReadLine(line)
-		if list := discovery.EndpointList(0, 0); err != nil && (effect != NoNews || discovery.Position() != 0) || len(list.Workers) != len(list.Addresses) {
+		if list := discovery.EndpointList(0, 0); err != nil && (effect != Ignored || discovery.Position() != 0) || len(list.Workers) != len(list.Addresses) {
 			t.Errorf("%v, %v: %+v", effect, err, list)
 		}
 	})
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -10,7 +10,7 @@
 	Serving    ShutdownPhase = iota // no shutdown
 	Draining                        // not ready, but still accepting connections and requests
 	GoingAway                       // clients were sent go-away; requests sent before they received it are accepted
-	Answering                       // the platform's kill is imminent: open requests are answered with their present state
+	Responding                      // the platform's kill is imminent: open requests are answered with their present state
 	Flushing                        // no request is open: connections are closed once their output is sent
 	Terminated                      // all clients have read their responses, or the time for it is over: the process exits
 )
@@ -60,7 +60,7 @@
 		return Flushing
 	case elapsed >= killAt-flushTime:
 		s.answeredAt = elapsed
-		return Answering
+		return Responding
 	}
 	return GoingAway
 }
--- a/internal/proxy/close_reason.go
+++ b/internal/proxy/close_reason.go
@@ -10,13 +10,13 @@
 
 // The close reasons.
 const (
-	CloseEvicted     CloseReason = iota // idle, closed in favor of a new connection
-	CloseUnread                         // too many bytes of responses that the client did not read
-	CloseLingered                       // the client did not close its side within the linger timeout
-	CloseOversent                       // the client sent too many bytes after our side was closed
-	RejectedFull                        // the connection limit is reached, and no connection is idle
-	RejectedDraining                    // no connections are accepted while draining
-	closeReasonCount                    // number of values
+	CloseEvicted         CloseReason = iota // idle, closed in favor of a new connection
+	CloseUnreadResponses                    // too many bytes of responses that the client did not read
+	CloseLingerTimeout                      // the client did not close its side within the linger timeout
+	CloseExcessInput                        // the client sent too many bytes after our side was closed
+	RejectedFull                            // the connection limit is reached, and no connection is idle
+	RejectedDraining                        // no connections are accepted while draining
+	closeReasonCount                        // number of values
 )
 
 // String returns the reason's name in logs.
@@ -30,9 +30,9 @@
 	unanswered uint64 // requests that were open on closed connections
 }
 
-// Closes returns the number of client connections that the front end closed or rejected, by reason, and the number of
+// CloseCounts returns the number of client connections that the front end closed or rejected, by reason, and the number of
 // requests that were open on them. Only CloseUnread may leave requests unanswered.
-func (p *Proxy) Closes() (byReason map[CloseReason]uint64, unanswered uint64) {
+func (p *Proxy) CloseCounts() (byReason map[CloseReason]uint64, unanswered uint64) {
 	byReason = map[CloseReason]uint64{}
 	for reason, count := range p.closes.byReason {
 		byReason[CloseReason(reason)] = count
@@ -58,9 +58,9 @@
 	p.closes.unanswered += uint64(open)
 	level := slog.LevelDebug
 	switch {
-	case open > 0 && reason != CloseUnread:
+	case open > 0 && reason != CloseUnreadResponses:
 		level = slog.LevelError
-	case open > 0 || reason == CloseUnread || reason == RejectedFull:
+	case open > 0 || reason == CloseUnreadResponses || reason == RejectedFull:
 		level = slog.LevelWarn
 	}
 	p.log.Log(context.Background(), level, "client connection closed", "client", client, "cause", reason.String(), "open", open)
--- a/internal/proxy/downstream.go
+++ b/internal/proxy/downstream.go
@@ -105,7 +105,7 @@
 	if client.writeClosedAt > 0 {
 		client.discardedBytes += len(data)
 		if client.discardedBytes > maxDiscardedBytes {
-			p.closeClient(client, CloseOversent)
+			p.closeClient(client, CloseExcessInput)
 		}
 		return
 	}
@@ -165,7 +165,7 @@
 			return // by a write error
 		}
 		if client.conn.Unsent() > p.settings.Downstream.MaxUnread {
-			p.closeClient(client, CloseUnread)
+			p.closeClient(client, CloseUnreadResponses)
 			return
 		}
 	}
@@ -185,7 +185,7 @@
 			continue
 		}
 		if client.writeClosedAt > 0 && now-client.writeClosedAt > lingerTimeout {
-			p.closeClient(client, CloseLingered)
+			p.closeClient(client, CloseLingerTimeout)
 			continue
 		}
 		if client.session.Tick(now) || client.closeAfterLastResponse {
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -69,8 +69,8 @@
 	p.applyEndpoints()
 }
 
-// OnDiscoveryHeard records that the endpoint list was complete at a time that is not before asOf, on the host's clock.
-func (p *Proxy) OnDiscoveryHeard(asOf units.Seconds) {
+// OnDiscoveryAvailable records that the endpoint list was complete at a time that is not before asOf, on the host's clock.
+func (p *Proxy) OnDiscoveryAvailable(asOf units.Seconds) {
 	if p.endpoints.discovery != discoveryHeard {
 		p.log.Warn("discovery heard", "news_seconds_old", float64(p.host.Now()-asOf))
 	}
@@ -106,7 +106,7 @@
 	}
 	p.endpoints.cannotServe = cannotServe
 	if cannotServe {
-		p.log.Warn("no worker holds a lease, requests are rejected", "discovery_heard", p.DiscoveryHeard())
+		p.log.Warn("no worker holds a lease, requests are rejected", "discovery_heard", p.DiscoveryAvailable())
 	} else {
 		p.log.Warn("a worker holds a lease, requests are accepted")
 	}
@@ -115,11 +115,11 @@
 // CanServe reports whether any worker may be sent requests now.
 func (p *Proxy) CanServe() bool { return p.dispatcher.CanServe(p.host.Now()) }
 
-// DiscoveryHeard reports whether the discovery service was heard and not lost since.
-func (p *Proxy) DiscoveryHeard() bool { return p.endpoints.discovery == discoveryHeard }
+// DiscoveryAvailable reports whether the discovery service was heard and not lost since.
+func (p *Proxy) DiscoveryAvailable() bool { return p.endpoints.discovery == discoveryHeard }
 
-// OnDiscoveryLost records that updates of the endpoint list do not arrive for now, and why.
-func (p *Proxy) OnDiscoveryLost(reason error) {
+// OnDiscoveryUnavailable records that updates of the endpoint list do not arrive for now, and why.
+func (p *Proxy) OnDiscoveryUnavailable(reason error) {
 	if p.endpoints.discovery != discoveryLost {
 		p.log.Warn("discovery lost, endpoint leases run out", "reason", reason)
 	}
--- a/internal/proxy/eviction_test.go
+++ b/internal/proxy/eviction_test.go
@@ -49,7 +49,7 @@
 	if p.Accept(&fakeConn{}) != nil || oldest.closed || newest.closed {
 		t.Error("connection with an unsent response evicted")
 	}
-	closes, unanswered := p.Closes()
+	closes, unanswered := p.CloseCounts()
 	if closes[CloseEvicted] != 1 || closes[RejectedFull] != 1 || unanswered != 0 {
 		t.Error(closes, unanswered)
 	}
