--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -19,13 +19,13 @@
 	starts   startTimes
 }
 
-// startTimes holds the start times of workers on the caller's clock, as converted when they were first listed.
+// startTimes holds the start times of workers on the caller's clock, converted when they were first listed.
 type startTimes struct {
 	clock upstream.StartClock
 	known map[startKey]float64
 }
 
-// startKey identifies a process of a worker: a restarted worker states another start time under the same name.
+// startKey identifies a process of a worker: a restarted worker has the same name and another start time.
 type startKey struct {
 	host        string
 	startedAtMs float64
@@ -33,10 +33,10 @@
 
 const millisecondsPerSecond = 1000
 
-// ErrMissingEvents is wrapped by the error for a line that can't be applied because preceding events are missing.
+// ErrMissingEvents is the error for a line that can't be applied because preceding events are missing.
 var ErrMissingEvents = errors.New("preceding events missing")
 
-// NewDiscovery returns an empty list at position 0.
+// NewDiscovery returns a Discovery with an empty list at position 0.
 func NewDiscovery() *Discovery { return &Discovery{} }
 
 // Position returns the number of the last event applied.
@@ -45,8 +45,8 @@
 // ResumeRequest returns the first line to send on a new connection. It requests all events after Position.
 func (d *Discovery) ResumeRequest() []byte { return fmt.Appendf(nil, "tail %d\n", d.position) }
 
-// ReadSnapshot applies the events of the configuration document. The position stated in the document is ignored, as it
-// may be ahead of its events; ResumeRequest requests those that are missing.
+// ReadSnapshot applies the events of the configuration document. It ignores the position in the document, which may be ahead
+// of the document's events; ResumeRequest requests the missing events.
 func (d *Discovery) ReadSnapshot(data []byte) error {
 	var snapshot struct {
 		Entries []json.RawMessage `json:"entries"`
@@ -62,18 +62,18 @@
 	return nil
 }
 
-// LineEffect is what a line from the service tells.
+// LineEffect is the effect of a line from the service on the endpoint list.
 type LineEffect int
 
 // Effects of lines.
 const (
-	Ignored  LineEffect = iota // an event applied before, an older position, or an empty line
+	Ignored  LineEffect = iota // an event that was already applied, an older position, or an empty line
 	UpToDate                   // the service has no event after Position
 	Changed                    // the list has changed; further events may follow
 )
 
-// ReadLine applies a line from the service. On error, because the line is malformed or preceding events are missing,
-// nothing of it is applied, and the caller must resume from Position.
+// ReadLine applies a line from the service. It returns an error if the line is malformed or preceding events are missing. The
+// line then has no effect, and the caller must resume from Position.
 func (d *Discovery) ReadLine(line []byte) (LineEffect, error) {
 	line = bytes.TrimSpace(line)
 	if len(line) == 0 {
@@ -119,7 +119,7 @@
 }
 
 // EndpointList returns the current list, given the time on the caller's clock and the wall-clock time in Unix seconds.
-// A start time is converted to the caller's clock when it is first listed, and kept from then on.
+// A start time is converted to the caller's clock when it is first listed and does not change afterwards.
 func (d *Discovery) EndpointList(now, wall units.Seconds) *upstream.EndpointList {
 	known := make(map[startKey]float64, len(d.starts.known))
 	list := &upstream.EndpointList{Addresses: make(map[control.WorkerID]string, len(d.hosts))}
--- a/internal/platform/discovery_clock_test.go
+++ b/internal/platform/discovery_clock_test.go
@@ -6,8 +6,8 @@
 	"streamcleat/internal/units"
 )
 
-// Whatever steps the wall clock makes, a worker that just started must not count as warmed up, no start may be in the
-// future, and a start time once converted must not change.
+// A step of the wall clock must not make a worker that just started count as warmed up, must not put a start time in the
+// future, and must not change a start time that was already converted.
 func TestEndpointList_StartTimesUnderSteppedClock(t *testing.T) {
 	const hour, warmUp = 3600.0, 16.0
 	for name, c := range map[string]struct{ initialError, step float64 }{
@@ -20,7 +20,7 @@
 		"stepped by seconds":        {0, 5},
 	} {
 		t.Run(name, func(t *testing.T) {
-			const processAt, trueUnix = 1000.0, 1.7e9 // the same moment by both clocks
+			const processAt, trueUnix = 1000.0, 1.7e9 // the same time on both clocks
 			discovery := NewDiscovery()
 			startsAt := func(seconds, clockError float64) map[string]float64 {
 				starts := map[string]float64{}
--- a/internal/platform/discovery_event.go
+++ b/internal/platform/discovery_event.go
@@ -29,11 +29,11 @@
 	StartedAtMs   float64  `json:"born_ms"` // Unix time
 }
 
-// entry is a numbered event.
+// entry is a numbered event. Without an update it only gives the position of the service's last event.
 type entry struct {
 	Position int64 `json:"pos"`
 	Update   *struct {
-		Complete bool   `json:"whole"` // Hosts lists all workers rather than those that changed
+		Complete bool   `json:"whole"` // Hosts lists all workers, not only those that changed
 		Hosts    []host `json:"hosts"`
 	} `json:"hosts"`
 }
@@ -41,7 +41,7 @@
 // errMissingHost reports a worker without a name.
 var errMissingHost = errors.New("host: missing")
 
-// parseEntry parses an event, or a line that only states the position of the service's last event.
+// parseEntry parses an event or a line that consists of the position of the service's last event.
 func parseEntry(line []byte) (entry, error) {
 	var e entry
 	if line[0] == '{' {
@@ -52,7 +52,7 @@
 	return e, err
 }
 
-// validate returns an error if a worker can't be applied.
+// validate returns an error if the worker is invalid.
 func (h *host) validate() error {
 	if h.Name == "" {
 		return errMissingHost
@@ -67,7 +67,7 @@
 	return fmt.Errorf("health: %.40q is not active, leaving or left", h.State)
 }
 
-// worker converts a host, except for its start time.
+// worker converts a host to a control.Worker without its start time.
 func (h *host) worker() control.Worker {
 	worker := control.Worker{
 		ID: control.WorkerID(h.Name), Zone: control.ZoneID(h.Zone),
--- a/internal/platform/document.go
+++ b/internal/platform/document.go
@@ -11,7 +11,7 @@
 	"streamcleat/internal/deployment"
 )
 
-// Document is the configuration of a front end, which is read at start and on each reload.
+// Document is the configuration of a front end. It is read at start and on each reload.
 type Document struct {
 	Name             string
 	Listen           string
@@ -23,7 +23,7 @@
 	PeerBroadcast    string
 	DiscoveryAddress string
 	Terms            *deployment.Terms
-	Discovery        *Discovery // holds the endpoint list of the document
+	Discovery        *Discovery // initialized with the endpoint list of the document
 }
 
 // documentJSON is the encoding of a Document. It is an alias of an unnamed type because encoding/json prints type names
@@ -56,7 +56,7 @@
 // Unwrap returns the underlying error.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// Errors of fields.
+// Errors for document fields.
 var (
 	errMissing     = errors.New("missing")
 	errNotPositive = errors.New("not above 0")
@@ -74,8 +74,8 @@
 		DiscoveryAddress: doc.DiscoveryAddress, Discovery: NewDiscovery(),
 	}
 	var errs fieldErrors
-	errs.addAddresses(&doc)
-	errs.addLimits(&doc)
+	errs.validateAddresses(&doc)
+	errs.validateLimits(&doc)
 	if len(doc.Terms) == 0 {
 		errs.add("settings", errMissing)
 	} else {
@@ -104,36 +104,36 @@
 // fieldErrors accumulates the FieldErrors of a document.
 type fieldErrors []error
 
-// add appends an error of a field unless it is nil.
+// add appends an error for a field unless it is nil.
 func (f *fieldErrors) add(field string, err error) {
 	if err != nil {
 		*f = append(*f, &FieldError{Field: field, Err: err})
 	}
 }
 
-// addAddress appends an error if text is not an IP address with port.
-func (f *fieldErrors) addAddress(field, text string) {
+// validateAddress appends an error if text is not an IP address with a port.
+func (f *fieldErrors) validateAddress(field, text string) {
 	_, err := netip.ParseAddrPort(text)
 	f.add(field, err)
 }
 
-// addAddresses validates the addresses of a document.
-func (f *fieldErrors) addAddresses(doc *documentJSON) {
-	f.addAddress("listen", doc.Listen)
-	f.addAddress("journal", doc.DiscoveryAddress)
+// validateAddresses appends an error for each invalid address of a document.
+func (f *fieldErrors) validateAddresses(doc *documentJSON) {
+	f.validateAddress("listen", doc.Listen)
+	f.validateAddress("journal", doc.DiscoveryAddress)
 	if doc.PeerListen != "" {
-		f.addAddress("peer_listen", doc.PeerListen)
+		f.validateAddress("peer_listen", doc.PeerListen)
 	}
 	for i, peer := range doc.Peers {
-		f.addAddress(fmt.Sprintf("peers/%d", i), peer)
+		f.validateAddress(fmt.Sprintf("peers/%d", i), peer)
 	}
 	if doc.PeerBroadcast != "" {
-		f.addAddress("peers_all", doc.PeerBroadcast)
+		f.validateAddress("peers_all", doc.PeerBroadcast)
 	}
 }
 
-// addLimits validates the limits of a document.
-func (f *fieldErrors) addLimits(doc *documentJSON) {
+// validateLimits appends an error for each invalid limit of a document.
+func (f *fieldErrors) validateLimits(doc *documentJSON) {
 	if doc.Limits.MemoryMB <= 0 {
 		f.add("limits/memory_mb", errNotPositive)
 	}
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -14,9 +14,9 @@
 		want    ShutdownPhase
 	}
 	for name, observations := range map[string][]observation{
-		"idle: waits for new and crossing requests":                     {{0, none, Draining}, {0.6, none, Draining}, {0.7, none, GoingAway}, {0.9, open, GoingAway}, {1, none, Flushing}, {1.02, none, Terminated}},
-		"long request and slow client":                                  {{0.7, open, GoingAway}, {2.1, open, GoingAway}, {2.2, unread, Flushing}, {2.25, unread, Flushing}, {2.3, none, Terminated}},
-		"kill imminent: answers open requests, gives up on slow client": {{1, open, GoingAway}, {3.5, open, Responding}, {3.6, unread, Flushing}, {3.69, open, Flushing}, {3.75, unread, Terminated}},
+		"idle: waits for new requests and requests in flight":                     {{0, none, Draining}, {0.6, none, Draining}, {0.7, none, GoingAway}, {0.9, open, GoingAway}, {1, none, Flushing}, {1.02, none, Terminated}},
+		"long request and slow client":                                            {{0.7, open, GoingAway}, {2.1, open, GoingAway}, {2.2, unread, Flushing}, {2.25, unread, Flushing}, {2.3, none, Terminated}},
+		"kill imminent: responds to open requests, does not wait for slow client": {{1, open, GoingAway}, {3.5, open, Responding}, {3.6, unread, Flushing}, {3.69, open, Flushing}, {3.75, unread, Terminated}},
 	} {
 		s := Shutdown{MaxRequestTimeout: 4} // capped at maxCountedTimeout
 		for _, o := range observations {
--- a/internal/proxy/check.go
+++ b/internal/proxy/check.go
@@ -21,34 +21,34 @@
 	return errors.Join(errs...)
 }
 
-// checkClients compares the clients and their open requests with the table of requests.
+// checkClients compares the clients and their open requests with clientRequests.
 func (p *Proxy) checkClients() []error {
 	var errs []error
 	open := 0
 	for i, client := range p.clients {
 		if client.index != i || client.closed {
-			errs = append(errs, fmt.Errorf("client %d closed or indexed as %d", i, client.index))
+			errs = append(errs, fmt.Errorf("client %d is closed or has index %d", i, client.index))
 		}
 		for slot, waiter := range client.waiters {
 			open++
 			if p.clientRequests[waiter] != (clientRequest{client, slot}) {
-				errs = append(errs, fmt.Errorf("waiter %d of a client not indexed", waiter))
+				errs = append(errs, fmt.Errorf("waiter %d of a client is not in clientRequests or names another request", waiter))
 			}
 		}
 	}
 	if open != len(p.clientRequests) {
-		errs = append(errs, fmt.Errorf("%d waiters indexed, %d of open connections", len(p.clientRequests), open))
+		errs = append(errs, fmt.Errorf("%d waiters in clientRequests, %d on open connections", len(p.clientRequests), open))
 	}
 	return errs
 }
 
-// checkWaiters compares the dispatcher's waiters with those of clients and of internal requests. The dispatcher may have
-// fewer while responses wait for their records.
+// checkWaiters compares the number of the dispatcher's waiters with that of client and internal requests. The dispatcher may
+// have fewer while responses wait for their records.
 func (p *Proxy) checkWaiters() []error {
-	dispatched, own := p.dispatcher.Waiters(), len(p.clientRequests)+len(p.internalWaiters)
+	dispatched, registered := p.dispatcher.Waiters(), len(p.clientRequests)+len(p.internalWaiters)
 	responsesPending := p.durability.committing || len(p.durability.awaitingNextCommit) > 0
-	if dispatched > own || !responsesPending && dispatched != own {
-		return []error{fmt.Errorf("%d waiters in the dispatcher, %d of clients, %d internal",
+	if dispatched > registered || !responsesPending && dispatched != registered {
+		return []error{fmt.Errorf("%d waiters in the dispatcher, %d of clients, %d of internal requests",
 			dispatched, len(p.clientRequests), len(p.internalWaiters))}
 	}
 	return nil
--- a/internal/proxy/close_reason.go
+++ b/internal/proxy/close_reason.go
@@ -5,13 +5,13 @@
 	"log/slog"
 )
 
-// CloseReason is the reason for which the front end closed or rejected a client connection.
+// CloseReason is the reason why the front end closed or rejected a client connection.
 type CloseReason uint8
 
-// The close reasons.
+// Reasons for closing or rejecting a client connection.
 const (
 	CloseEvicted         CloseReason = iota // idle, closed in favor of a new connection
-	CloseUnreadResponses                    // too many bytes of responses that the client did not read
+	CloseUnreadResponses                    // the client left too many bytes of responses unread
 	CloseLingerTimeout                      // the client did not close its side within the linger timeout
 	CloseExcessInput                        // the client sent too many bytes after our side was closed
 	RejectedFull                            // the connection limit is reached, and no connection is idle
@@ -27,11 +27,11 @@
 // closeCounts counts the client connections that the front end closed or rejected.
 type closeCounts struct {
 	byReason   [closeReasonCount]uint64
-	unanswered uint64 // requests that were open on closed connections
+	unanswered uint64 // requests that were open on the closed connections
 }
 
 // CloseCounts returns the number of client connections that the front end closed or rejected, by reason, and the number of
-// requests that were open on them. Only CloseUnread may leave requests unanswered.
+// requests that were open on them. Only a close with CloseUnreadResponses may leave requests without a response.
 func (p *Proxy) CloseCounts() (byReason map[CloseReason]uint64, unanswered uint64) {
 	byReason = map[CloseReason]uint64{}
 	for reason, count := range p.closes.byReason {
@@ -41,7 +41,7 @@
 }
 
 // closeClient closes a client connection. All closes initiated by the front end go through it, so that each is counted and
-// logged. The client must have no open request unless it caused the close itself.
+// logged. The client must have no open request, unless the close is the client's fault.
 func (p *Proxy) closeClient(client *Client, reason CloseReason) {
 	open := len(client.waiters)
 	name := client.conn.RemoteAddr()
--- a/internal/proxy/downstream.go
+++ b/internal/proxy/downstream.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	lingerTimeout     = 1.0     // seconds that a client has to read and close after our side was closed
-	maxDiscardedBytes = 1 << 20 // maximum number of bytes that a client may send in that time
+	lingerTimeout     = 1.0     // seconds that a client has, after our side was closed, to read responses and close its side
+	maxDiscardedBytes = 1 << 20 // maximum number of bytes that a client may send after our side was closed
 	maxReadAheadBytes = 1 << 20 // maximum number of bytes read ahead of the event loop per call
 )
 
@@ -19,11 +19,11 @@
 	index                  int // in Proxy.clients
 	session                Session
 	waiters                map[uint64]dispatch.WaiterID // by the session's slot
-	sendScheduled          bool                         // is in Proxy.clientsToSend
+	sendScheduled          bool                         // the client is in Proxy.clientsToSend
 	closeAfterLastResponse bool
 	writeClosedAt          units.Seconds // time at which our side was closed; 0: open
-	discardedBytes         int           // received since then
-	overflowSince          units.Seconds // time at which it was accepted beyond the limit; 0: within it
+	discardedBytes         int           // bytes received after our side was closed
+	overflowSince          units.Seconds // time at which it was accepted beyond MaxClients; 0: within the limit
 	closed                 bool
 }
 
@@ -49,7 +49,7 @@
 	p.lastWaiter++
 	p.clientRequests[p.lastWaiter] = clientRequest{h.client, slot}
 	h.client.waiters[slot] = p.lastWaiter
-	now := p.host.Now() // before the age: after a suspension between the two the deadline is early rather than late
+	now := p.host.Now() // read before InputAge: a suspension between the two makes the deadline early rather than late
 	request.QueueTime = h.client.conn.InputAge()
 	p.dispatcher.Submit(now, p.lastWaiter, request)
 }
@@ -69,7 +69,7 @@
 		p.recordClose(conn.RemoteAddr(), RejectedDraining, 0)
 		return nil
 	}
-	isOverflow := p.isFull()
+	isOverflow := p.isAtLimit()
 	if isOverflow && p.overflow >= p.settings.OverflowClients {
 		p.recordClose(conn.RemoteAddr(), RejectedFull, 0)
 		return nil
@@ -129,7 +129,7 @@
 	}
 }
 
-// deliverResponse passes a response to its waiter, unless the waiter has left.
+// deliverResponse passes a response to its waiter, unless the request was canceled or its client disconnected.
 func (p *Proxy) deliverResponse(to dispatch.WaiterID, response dispatch.Response) {
 	if respond := p.internalWaiters[to]; respond != nil {
 		delete(p.internalWaiters, to)
@@ -162,7 +162,7 @@
 	if output := client.session.Output(); len(output) > 0 {
 		client.conn.Write(output)
 		if client.closed {
-			return // by a write error
+			return // the write failed
 		}
 		if client.conn.Unsent() > p.settings.Downstream.MaxUnread {
 			p.closeClient(client, CloseUnreadResponses)
@@ -177,11 +177,12 @@
 	}
 }
 
-// sweepClients closes connections past their linger timeout and enforces the timeouts of the other sessions. It iterates
-// backward, because removing a client moves the last one, which was already visited, to its place.
+// sweepClients closes overdue overflow connections and connections past their linger timeout, and enforces the timeouts of
+// the other sessions. It iterates backward, because removing a client moves the last one, which was already visited, to its
+// place.
 func (p *Proxy) sweepClients(now units.Seconds) {
 	for _, client := range slices.Backward(p.clients) {
-		if p.closeIfOverdue(client, now) {
+		if p.closeOverdueOverflow(client, now) {
 			continue
 		}
 		if client.writeClosedAt > 0 && now-client.writeClosedAt > lingerTimeout {
@@ -194,8 +195,7 @@
 	}
 }
 
-// removeClient removes a client connection and cancels its requests. It reports whether the connection was not removed
-// before.
+// removeClient removes a client connection and cancels its requests. It returns false if the connection was already removed.
 func (p *Proxy) removeClient(client *Client) bool {
 	if client.closed {
 		return false
--- a/internal/proxy/durability.go
+++ b/internal/proxy/durability.go
@@ -22,13 +22,13 @@
 	pendingRecords        []dispatch.Record // to be stored by the next commit
 	awaitingNextCommit    []pendingEffect   // to be released by the next commit
 	awaitingCurrentCommit []pendingEffect   // to be released by the commit under way
-	committing            bool
-	timeoutScheduled      bool // sendOverdueResponses is scheduled
-	fullLogged            bool // the overload of the record store was logged
+	committing            bool              // a commit is under way
+	timeoutScheduled      bool              // sendOverdueResponses is scheduled
+	overloadLogged        bool              // the overload of the record store was logged since the last commit ended
 }
 
-// pendingEffect is an attempt or a response that waits for its record, or an attempt that waits until its client's input
-// has been read.
+// pendingEffect is an attempt or a response that waits for its record, or an attempt that waits for its client's input to be
+// read.
 type pendingEffect struct {
 	attempt      *dispatch.Attempt // nil: the effect is a response
 	response     dispatch.Response
@@ -37,11 +37,10 @@
 	waitingSince units.Seconds // when a response began to wait; 0 for attempts
 }
 
-// isCanceled reports whether an effect was canceled.
 func isCanceled(effect pendingEffect) bool { return effect.canceled }
 
-// recordsFull reports whether the limit of pending records is reached. As after a disk failure, attempts that await a
-// record are then rejected and responses are sent without one.
+// recordsFull reports whether the limit of pending records is reached. If so, as after a disk failure, attempts that need a
+// record are rejected and responses are sent without waiting for theirs.
 func (p *Proxy) recordsFull() bool {
 	return len(p.durability.pendingRecords) >= recordsPerRequest*p.settings.Dispatch.MaxOpen
 }
@@ -51,15 +50,15 @@
 	return !p.durability.committing && len(p.durability.pendingRecords) == 0 && len(p.durability.awaitingNextCommit) == 0
 }
 
-// storeRecord adds a record to the next commit.
+// storeRecord adds a record to the next commit. It drops the record if the limit of pending records is reached.
 func (p *Proxy) storeRecord(record dispatch.Record) {
 	barrier := &p.durability
 	switch {
 	case p.settings.RecordStore == nil:
 	case !p.recordsFull():
 		barrier.pendingRecords = append(barrier.pendingRecords, record)
-	case !barrier.fullLogged:
-		barrier.fullLogged = true
+	case !barrier.overloadLogged:
+		barrier.overloadLogged = true
 		p.log.Error("record store overloaded, rejecting non-idempotent requests",
 			"waiting", len(barrier.pendingRecords))
 	}
@@ -90,7 +89,7 @@
 	}
 }
 
-// deferResponse makes a response wait for its record, at most for RecordTimeout.
+// deferResponse makes a response wait for its record, for at most RecordTimeout.
 func (p *Proxy) deferResponse(list *[]pendingEffect, to dispatch.WaiterID, response dispatch.Response) {
 	*list = append(*list, pendingEffect{response: response, waiter: to, waitingSince: p.host.Now()})
 	if p.settings.RecordTimeout > 0 && !p.durability.timeoutScheduled {
@@ -99,7 +98,7 @@
 	}
 }
 
-// cancelPending cancels a waiting attempt and reports whether there was one.
+// cancelPending cancels an attempt that is still pending and reports whether there was one.
 func (p *Proxy) cancelPending(attempt uint64) bool {
 	canceled := false
 	for _, list := range [...][]pendingEffect{p.durability.awaitingNextCommit, p.durability.awaitingCurrentCommit, p.outgoingAttempts} {
@@ -135,7 +134,7 @@
 func (p *Proxy) onCommitted(err error) {
 	barrier := &p.durability
 	effects := barrier.awaitingCurrentCommit
-	barrier.awaitingCurrentCommit, barrier.committing, barrier.fullLogged = nil, false, false
+	barrier.awaitingCurrentCommit, barrier.committing, barrier.overloadLogged = nil, false, false
 	if err != nil {
 		p.log.Error("failed to store records, rejecting non-idempotent requests", "error", err)
 	}
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -10,35 +10,36 @@
 )
 
 const (
-	// restartTolerance is the maximum difference, in seconds, between two stated starts of a worker that did not restart.
+	// restartTolerance is the maximum difference, in seconds, between the start times that two endpoint lists give for a
+	// worker that did not restart.
 	restartTolerance = 0.5
-	// snapshotStartTolerance is the same between the endpoint list and a replica snapshot.
+	// snapshotStartTolerance is the same, in seconds, between the endpoint list and a replica snapshot.
 	snapshotStartTolerance = 1
 )
 
-// discoveryState is what was last logged of the discovery service.
+// discoveryState is the state of the discovery service that was logged last.
 type discoveryState int
 
 // States of the discovery service.
 const (
-	discoveryNotTried discoveryState = iota
-	discoveryHeard
-	discoveryLost
+	discoveryUnknown discoveryState = iota // neither update nor outage was reported yet
+	discoveryAvailable
+	discoveryUnavailable
 )
 
-// endpointState holds the endpoint list as configured, and as operators' drains change it.
+// endpointState holds the endpoint list as configured and as modified by operators' drains.
 type endpointState struct {
-	configured   *upstream.EndpointList // as last read; nil before the first reading
+	configured   *upstream.EndpointList // as last read; nil before the first read
 	active       *upstream.EndpointList // in force, including drains
-	clockOffset  units.Seconds          // host's clock minus Unix time, at the last reading
+	clockOffset  units.Seconds          // host's clock minus Unix time, at the last read
 	startClock   upstream.StartClock
-	statedStarts map[control.WorkerID]units.Seconds // starts of workers in Unix seconds, as the list states them
-	lastReadAt   units.Seconds                      // time of the last reading, on the host's clock
+	listedStarts map[control.WorkerID]units.Seconds // start times of workers in Unix seconds, as in the list
+	lastReadAt   units.Seconds                      // time of the last read, on the host's clock
 	drained      map[control.WorkerID]bool          // by operators
 	discovery    discoveryState
-	cannotServe  bool                       // no worker may be sent requests, as last logged
-	rejecting    []control.WorkerID         // count as draining by their rejections, as last logged
-	lastUnloadID uint64                     // IDs of unload commands count down, to differ from the dispatcher's
+	cannotServe  bool                       // no worker may be sent requests; as last logged
+	rejecting    []control.WorkerID         // workers that count as draining because they reject requests; as last logged
+	lastUnloadID uint64                     // counts down, so that IDs of unload commands differ from the dispatcher's
 	snapshots    []dispatch.ReplicaSnapshot // of an earlier process; nil after the first list
 }
 
@@ -46,8 +47,8 @@
 	return endpointState{drained: map[control.WorkerID]bool{}, snapshots: snapshots}
 }
 
-// statedStart returns the start of a worker in Unix seconds as the list states it, 0 if it does not.
-func (e *endpointState) statedStart(id control.WorkerID) units.Seconds { return e.statedStarts[id] }
+// listedStart returns the start time of a worker in Unix seconds as given in the list, 0 if the list gives none.
+func (e *endpointState) listedStart(id control.WorkerID) units.Seconds { return e.listedStarts[id] }
 
 // ReadEndpointList parses an endpoint list and puts it in force. After an error the previous list stays in force.
 func (p *Proxy) ReadEndpointList(data []byte) error {
@@ -63,25 +64,27 @@
 	return nil
 }
 
-// SetEndpointList puts an endpoint list in force. The starts of its workers are on the host's clock.
+// SetEndpointList puts an endpoint list in force. The start times of its workers are on the host's clock.
 func (p *Proxy) SetEndpointList(list *upstream.EndpointList) {
 	p.endpoints.configured = list
 	p.applyEndpoints()
 }
 
-// OnDiscoveryAvailable records that the endpoint list was complete at a time that is not before asOf, on the host's clock.
+// OnDiscoveryAvailable reports that discovery is available and that the endpoint list was complete at asOf or later, on the
+// host's clock.
 func (p *Proxy) OnDiscoveryAvailable(asOf units.Seconds) {
-	if p.endpoints.discovery != discoveryHeard {
+	if p.endpoints.discovery != discoveryAvailable {
 		p.log.Warn("discovery heard", "news_seconds_old", float64(p.host.Now()-asOf))
 	}
-	p.endpoints.discovery = discoveryHeard
+	p.endpoints.discovery = discoveryAvailable
 	p.dispatcher.OnDiscoveryHeard(p.host.Now(), asOf)
 	p.Flush()
 }
 
-// logRejectingWorkers logs which workers begin and cease to count as draining while discovery is not heard.
-func (p *Proxy) logRejectingWorkers() {
-	if p.endpoints.discovery == discoveryHeard && len(p.endpoints.rejecting) == 0 {
+// logWorkersDrainingByRejection logs which workers begin and cease to count as draining because they reject requests, while
+// discovery is not available.
+func (p *Proxy) logWorkersDrainingByRejection() {
+	if p.endpoints.discovery == discoveryAvailable && len(p.endpoints.rejecting) == 0 {
 		return
 	}
 	rejecting := p.dispatcher.DrainingByRejection()
@@ -98,10 +101,10 @@
 	p.endpoints.rejecting = rejecting
 }
 
-// logAvailability logs when no worker may be sent requests any more, and when one may again.
+// logAvailability logs changes between no worker and at least one worker that may be sent requests.
 func (p *Proxy) logAvailability() {
 	cannotServe := !p.CanServe()
-	if cannotServe == p.endpoints.cannotServe || p.endpoints.discovery == discoveryNotTried {
+	if cannotServe == p.endpoints.cannotServe || p.endpoints.discovery == discoveryUnknown {
 		return
 	}
 	p.endpoints.cannotServe = cannotServe
@@ -115,45 +118,46 @@
 // CanServe reports whether any worker may be sent requests now.
 func (p *Proxy) CanServe() bool { return p.dispatcher.CanServe(p.host.Now()) }
 
-// DiscoveryAvailable reports whether the discovery service was heard and not lost since.
-func (p *Proxy) DiscoveryAvailable() bool { return p.endpoints.discovery == discoveryHeard }
+// DiscoveryAvailable reports whether the discovery service is available: it has confirmed the endpoint list, and no outage
+// was reported since.
+func (p *Proxy) DiscoveryAvailable() bool { return p.endpoints.discovery == discoveryAvailable }
 
-// OnDiscoveryUnavailable records that updates of the endpoint list do not arrive for now, and why.
+// OnDiscoveryUnavailable reports a discovery outage and its reason: no updates of the endpoint list arrive until it ends.
 func (p *Proxy) OnDiscoveryUnavailable(reason error) {
-	if p.endpoints.discovery != discoveryLost {
+	if p.endpoints.discovery != discoveryUnavailable {
 		p.log.Warn("discovery lost, endpoint leases run out", "reason", reason)
 	}
-	p.endpoints.discovery = discoveryLost
+	p.endpoints.discovery = discoveryUnavailable
 	p.dispatcher.OnDiscoveryLost(p.host.Now())
 	p.Flush()
 }
 
-// adjustStarts converts the starts of the workers in a new list to the host's clock. The list states starts as wall-clock
-// times, and the clocks of machines differ and may be stepped. Therefore a worker counts as restarted only if its stated
-// start changed. It then restarted after the previous reading, even if the stated time is earlier. No start is in the
+// adjustStarts converts the start times of the workers in a new list to the host's clock. The list gives wall-clock times,
+// and the clocks of machines differ and may be stepped. Therefore a worker counts as restarted only if its start time in the
+// list changed. It then restarted after the list was last read, even if the listed time is earlier. No start time is in the
 // future.
 func (e *endpointState) adjustStarts(list *upstream.EndpointList, now units.Seconds) {
 	previous := e.workersByID()
-	stated := make(map[control.WorkerID]units.Seconds, len(list.Workers))
+	listed := make(map[control.WorkerID]units.Seconds, len(list.Workers))
 	for i := range list.Workers {
 		worker := &list.Workers[i]
 		if worker.StartedAt > 0 {
-			stated[worker.ID] = worker.StartedAt - e.clockOffset
-			worker.StartedAt = e.startClock.StartedAt(stated[worker.ID], now, now-e.clockOffset)
+			listed[worker.ID] = worker.StartedAt - e.clockOffset
+			worker.StartedAt = e.startClock.StartedAt(listed[worker.ID], now, now-e.clockOffset)
 		}
 		old, known := previous[worker.ID]
 		switch {
 		case !known || e.configured.Addresses[worker.ID] != list.Addresses[worker.ID]:
-		case isSameStart(stated[worker.ID], e.statedStarts[worker.ID], restartTolerance):
+		case isSameStart(listed[worker.ID], e.listedStarts[worker.ID], restartTolerance):
 			worker.StartedAt = e.configured.Workers[old].StartedAt
 		case worker.StartedAt > 0:
 			worker.StartedAt = max(worker.StartedAt, e.lastReadAt)
 		}
 	}
-	e.statedStarts, e.lastReadAt = stated, now
+	e.listedStarts, e.lastReadAt = listed, now
 }
 
-// isSameStart reports whether two stated starts of a worker differ by less than a tolerance.
+// isSameStart reports whether two start times of a worker differ by less than a tolerance.
 func isSameStart(a, b, tolerance units.Seconds) bool {
 	difference := a - b
 	return difference > -tolerance && difference < tolerance
@@ -199,22 +203,23 @@
 	p.Flush()
 }
 
-// restoreReplicas restores, after the first list, the replicas of an earlier process on workers that have not restarted.
+// restoreReplicas restores the replicas of an earlier process on workers that have not restarted. Only the first call, after
+// the first list, has an effect.
 func (p *Proxy) restoreReplicas() {
 	snapshots := p.endpoints.snapshots
 	p.endpoints.snapshots = nil
 	for _, snapshot := range snapshots {
 		snapshot.Age += p.host.Now() - p.startedAt
-		stated := p.endpoints.statedStart(control.WorkerID(snapshot.Worker))
-		if isSameStart(stated, snapshot.WorkerStartedAt, snapshotStartTolerance) {
+		listed := p.endpoints.listedStart(control.WorkerID(snapshot.Worker))
+		if isSameStart(listed, snapshot.WorkerStartedAt, snapshotStartTolerance) {
 			p.dispatcher.RestoreReplica(p.host.Now(), snapshot)
 		}
 	}
 }
 
-// ReplicaSnapshots returns the replicas that this front end believes to be loaded.
+// ReplicaSnapshots returns the replicas that are loaded, as far as this front end knows.
 func (p *Proxy) ReplicaSnapshots() []dispatch.ReplicaSnapshot {
-	return p.dispatcher.ReplicaSnapshots(p.endpoints.statedStart)
+	return p.dispatcher.ReplicaSnapshots(p.endpoints.listedStart)
 }
 
 // lists reports whether the configured endpoint list names the worker.
@@ -253,8 +258,8 @@
 	return workers
 }
 
-// UnloadReplicas sends an unload command for idle replicas to every worker that is believed to have a function loaded. It
-// returns the number of commands.
+// UnloadReplicas sends an unload command for idle replicas of a function to every worker that has the function loaded, as far
+// as this front end knows. It returns the number of commands.
 func (p *Proxy) UnloadReplicas(function string) int {
 	commands := 0
 	_, functions := p.dispatcher.RoutingView()
--- a/internal/proxy/endpoints_test.go
+++ b/internal/proxy/endpoints_test.go
@@ -9,8 +9,8 @@
 	"streamcleat/internal/units"
 )
 
-// Stated starts are wall-clock times. Steps of this machine's clock don't change the start of a worker, and a restart is
-// placed after the previous reading of the list.
+// Start times in the endpoint list are wall-clock times. Steps of this machine's clock must not change the start time of a
+// worker, and a restart must be placed after the list was last read.
 func TestReadEndpointList_WorkerStartsAfterClockSteps(t *testing.T) {
 	host := &fakeHost{now: 1000}
 	p := New(Settings{Dispatch: dispatch.Settings{
@@ -18,11 +18,11 @@
 		MaxOpen:        10,
 		MaxCachedBytes: 1,
 	}}, host)
-	readStart := func(stated units.Seconds) float64 {
+	readStart := func(listed units.Seconds) float64 {
 		t.Helper()
 		label := ""
-		if stated != 0 {
-			label = fmt.Sprintf(`,"started":"%.3f"`, stated)
+		if listed != 0 {
+			label = fmt.Sprintf(`,"started":"%.3f"`, listed)
 		}
 		if err := p.ReadEndpointList(fmt.Appendf(nil, `[{"targets":["h:1"],"labels":{"instance":"wk"%s}}]`, label)); err != nil {
 			t.Fatal(err)
@@ -39,16 +39,16 @@
 	}
 	host.now = 1020
 	if start := readStart(units.Seconds(unix(1015))); start < 1010 || start > 1020 {
-		t.Errorf("restart between two readings placed at %v", start)
+		t.Errorf("restart between two reads placed at %v, want 1010 to 1020", start)
 	}
 	host.skew, host.now = -300, 1030
 	if start := readStart(units.Seconds(unix(1025))); start < 1020 || start > 1030 {
-		t.Errorf("restart stated by a clock ahead of this one placed at %v", start)
+		t.Errorf("restart by a clock ahead of this one placed at %v, want 1020 to 1030", start)
 	}
 	if start := readStart(0); start != 0 {
-		t.Errorf("worker without a stated start started at %v, want 0", start)
+		t.Errorf("worker without a listed start time started at %v, want 0", start)
 	}
-	if p.endpoints.statedStart("wk") != 0 || p.ReadEndpointList([]byte("[")) == nil || len(p.endpoints.configured.Workers) != 1 {
+	if p.endpoints.listedStart("wk") != 0 || p.ReadEndpointList([]byte("[")) == nil || len(p.endpoints.configured.Workers) != 1 {
 		t.Error("invalid list accepted or applied")
 	}
 }
--- a/internal/proxy/eviction.go
+++ b/internal/proxy/eviction.go
@@ -2,9 +2,9 @@
 
 import "streamcleat/internal/units"
 
-// EvictIdleClient closes the client connection that has been idle longest, if the settings allow it, and reports whether
-// it closed one. It never closes a connection with an open or partially received request, with unread input, or with
-// unsent bytes of a response.
+// EvictIdleClient closes the client connection that has been idle longest, if the settings allow it, and reports whether it
+// closed one. It never closes a connection with an open or partially received request, unread input, or unsent response
+// bytes.
 func (p *Proxy) EvictIdleClient() bool {
 	for p.settings.EvictIdleClients {
 		oldest, idleSince := p.longestIdleClient()
--- a/internal/proxy/eviction_test.go
+++ b/internal/proxy/eviction_test.go
@@ -44,7 +44,7 @@
 	}
 	newest := &fakeConn{unsent: 1}
 	if p.Accept(newest) == nil || oldest.closed || !idle.closed {
-		t.Errorf("oldest closed %v, idle closed %v", oldest.closed, idle.closed)
+		t.Errorf("connection with an unsent response closed: %v, want false; idle connection closed: %v, want true", oldest.closed, idle.closed)
 	}
 	if p.Accept(&fakeConn{}) != nil || oldest.closed || newest.closed {
 		t.Error("connection with an unsent response evicted")
--- a/internal/proxy/fake_host_test.go
+++ b/internal/proxy/fake_host_test.go
@@ -13,7 +13,7 @@
 // fakeHost implements Host with clocks that the test sets.
 type fakeHost struct {
 	now    units.Seconds
-	skew   float64 // of the wall clock
+	skew   float64 // seconds that the wall clock is ahead
 	timers []fakeTimer
 	dials  int
 }
@@ -37,7 +37,7 @@
 	}
 }
 
-// run advances the clock by some seconds in steps of 50 ms.
+// run advances the clock in steps of 50 ms and fires the timers that are due.
 func (h *fakeHost) run(p *Proxy, seconds units.Seconds) {
 	for end := h.now + seconds; h.now < end; h.now += 0.05 {
 		h.fireTimers()
--- a/internal/proxy/flush.go
+++ b/internal/proxy/flush.go
@@ -6,7 +6,8 @@
 )
 
 // Flush executes the work that the pool and the dispatcher have queued, until none is left. The work may queue more; a
-// nested call returns immediately. Writes to workers come first, as they are permitted by now.
+// nested call returns immediately. Writes to workers come first, because they already have their permits, which are outdated after
+// maxWriteDelay.
 func (p *Proxy) Flush() {
 	if p.flushing {
 		return
@@ -31,8 +32,8 @@
 	return len(p.upstreamOperations) + len(p.clientsToSend) + len(p.rejectedAttempts) + len(p.outgoingAttempts)
 }
 
-// flushAttempts sends attempts. It reads the pending input of each attempt's client first, because an unread cancel or
-// close must prevent the attempt.
+// flushAttempts sends attempts. It first reads the pending input of each attempt's client, because a cancellation or close
+// that was received but not yet read must prevent the attempt.
 func (p *Proxy) flushAttempts() {
 	for len(p.outgoingAttempts) > 0 {
 		first := &p.outgoingAttempts[0]
@@ -45,7 +46,7 @@
 		p.outgoingAttempts = p.outgoingAttempts[1:]
 		if !canceled {
 			p.pool.SendAttempt(p.host.Now(), *attempt)
-			p.flushUpstream() // before the next client is read: the attempt is authorized by now
+			p.flushUpstream() // before reading the next client's input: the attempt is already authorized
 		}
 	}
 	p.inputReadAt = 0
@@ -59,7 +60,7 @@
 	}
 }
 
-// flushRejectedAttempts reports attempts that were not sent, because their records can't be stored, to the dispatcher.
+// flushRejectedAttempts reports to the dispatcher the attempts that were not sent because their records can't be stored.
 func (p *Proxy) flushRejectedAttempts() {
 	rejected := p.rejectedAttempts
 	p.rejectedAttempts = nil
--- a/internal/proxy/interfaces.go
+++ b/internal/proxy/interfaces.go
@@ -14,7 +14,7 @@
 	Commit(records []dispatch.Record, done func(error))
 }
 
-// Session is the protocol state of a client connection. It has no socket and no clock.
+// Session is the protocol state of a client connection. It does no I/O and reads no clock.
 type Session interface {
 	// Feed processes bytes that the client sent.
 	Feed(now units.Seconds, wall time.Time, data []byte)
@@ -43,7 +43,7 @@
 	Unsent(conn upstream.ConnID) int
 }
 
-// UpstreamPool manages the connections to workers in some protocol. It has no socket and no clock.
+// UpstreamPool manages the connections to workers for one protocol. It does no I/O and reads no clock.
 type UpstreamPool interface {
 	SetEndpoints(list *upstream.EndpointList)
 	SendAttempt(now units.Seconds, attempt dispatch.Attempt)
@@ -52,7 +52,7 @@
 	WaitingFor(conn upstream.ConnID) []uint64
 	// CancelUnsent cancels an attempt if no byte of it was written, and reports whether it did.
 	CancelUnsent(attempt uint64) bool
-	// Abandon drops an attempt or load command. Its result is not reported.
+	// Abandon drops an attempt or load command, whose result is then not reported.
 	Abandon(now units.Seconds, id uint64)
 	OnDialed(now units.Seconds, conn upstream.ConnID, err error)
 	OnData(now units.Seconds, conn upstream.ConnID, data []byte)
@@ -82,16 +82,16 @@
 	Post(f func())
 	// Dial opens a connection to a worker. The host calls Proxy.OnDialed with the result, possibly before Dial returns.
 	Dial(conn upstream.ConnID, addr string)
-	// Broadcast sends a datagram to every other front end, without guarantee of delivery.
+	// Broadcast sends a datagram to every other front end. Delivery is not guaranteed.
 	Broadcast(datagram []byte)
 }
 
 // Conn is a connection of the host.
 type Conn interface {
 	Write(data []byte)
-	// Close closes the connection. The host reports no further events of it.
+	// Close closes the connection. The host reports no further events for it.
 	Close()
-	// CloseWrite closes our side after the bytes written so far. The other side is still read.
+	// CloseWrite closes our side once the bytes written so far are sent. Input is still read.
 	CloseWrite()
 	// Unsent returns the number of bytes that were written and that the kernel has not accepted.
 	Unsent() int
--- a/internal/proxy/overflow.go
+++ b/internal/proxy/overflow.go
@@ -5,21 +5,22 @@
 	"streamcleat/internal/units"
 )
 
-// Overflow connections: a few connections beyond the limit, on which each request is rejected, so that clients are told.
+// Overflow connections are a few connections beyond the limit. Their requests are rejected with a response, so that clients
+// learn why.
 
 const (
-	// overflowTimeout is the time in seconds that a client has to send its request on such a connection.
+	// overflowTimeout is the time, in seconds, that a client has to send its request on an overflow connection.
 	overflowTimeout units.Seconds = 1
-	// overflowRetryAfter is the retry time of its requests in seconds.
+	// overflowRetryAfter is the Retry-After, in seconds, of the rejections.
 	overflowRetryAfter units.Seconds = 1
 )
 
-// isFull reports whether a new connection would exceed the limit although an idle one was evicted, if possible.
-func (p *Proxy) isFull() bool {
+// isAtLimit reports whether the connection limit is reached. If so, it first tries to evict an idle connection.
+func (p *Proxy) isAtLimit() bool {
 	return len(p.clients)-p.overflow >= p.settings.MaxClients && !p.EvictIdleClient()
 }
 
-// rejectRequest rejects a request on an overflow connection, which takes no other.
+// rejectRequest rejects a request on an overflow connection and closes the connection after the response.
 func (p *Proxy) rejectRequest(client *Client, slot uint64, request *dispatch.Request) {
 	client.session.Respond(p.host.Now(), slot, dispatch.Response{
 		Kind: dispatch.Rejected, Cause: dispatch.CauseTooManyOpen, RetryAfter: overflowRetryAfter, Identity: request.Identity,
@@ -29,8 +30,8 @@
 	p.scheduleSend(client)
 }
 
-// closeIfOverdue closes an overflow connection whose client has not sent its request in time, and reports whether it did.
-func (p *Proxy) closeIfOverdue(client *Client, now units.Seconds) bool {
+// closeOverdueOverflow closes an overflow connection whose client has not sent its request in time, and reports whether it did.
+func (p *Proxy) closeOverdueOverflow(client *Client, now units.Seconds) bool {
 	isOverdue := client.overflowSince > 0 && client.writeClosedAt == 0 && now-client.overflowSince > overflowTimeout
 	if isOverdue {
 		p.closeClient(client, RejectedFull)
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -23,10 +23,11 @@
 	Downstream cloudevents.Limits
 	// MaxClients is the maximum number of client connections.
 	MaxClients int
-	// OverflowClients is the maximum number of further connections, whose requests are rejected: their clients are told that
-	// MaxClients is reached instead of being closed without a word.
+	// OverflowClients is the maximum number of connections beyond MaxClients. Their requests are rejected, so that clients get
+	// a response with the reason rather than a closed connection.
 	OverflowClients int
-	// EvictIdleClients closes the connection that has been idle longest, instead of rejecting a new one at MaxClients.
+	// EvictIdleClients makes a new connection at MaxClients evict the connection that has been idle longest, instead of being
+	// rejected.
 	EvictIdleClients bool
 	// NewSession returns the session of a new client connection. The default speaks CloudEvents over HTTP.
 	NewSession func(handler downstream.RequestHandler, now units.Seconds) Session
@@ -47,14 +48,14 @@
 
 // Proxy is one front end. It is confined to one goroutine.
 type Proxy struct {
-	settings   Settings
-	host       Host
-	log        *slog.Logger
-	dispatcher *dispatch.Dispatcher
-	pool       UpstreamPool
-	startedAt  units.Seconds       // on the host's clock
-	unanswered []dispatch.Response // of an earlier process, see Unanswered
-	timerAt    units.Seconds       // time for which the host's timer is set; 0: not set
+	settings         Settings
+	host             Host
+	log              *slog.Logger
+	dispatcher       *dispatch.Dispatcher
+	pool             UpstreamPool
+	startedAt        units.Seconds       // on the host's clock
+	failedAtRecovery []dispatch.Response // see FailedAtRecovery
+	timerAt          units.Seconds       // time for which the host's timer is set; 0: not set
 
 	// Open requests by the dispatcher's waiter.
 	lastWaiter      dispatch.WaiterID
@@ -62,7 +63,7 @@
 	internalWaiters map[dispatch.WaiterID]func(dispatch.Response) // submitted by Proxy.Submit
 
 	clients       []*Client
-	overflow      int // number of those beyond MaxClients
+	overflow      int // number of clients beyond MaxClients
 	upstreamConns map[upstream.ConnID]Conn
 	endpoints     endpointState
 	durability    durabilityBarrier
@@ -72,9 +73,9 @@
 	// Work for Flush.
 	flushing           bool
 	upstreamOperations []upstreamOperation
-	permittedAt        units.Seconds   // of the write that is being encoded; 0: it needs no permit
-	inputReadAt        units.Seconds   // when the input of the clients whose attempts are being sent began to be read; 0: it was not
-	rejectedAttempts   []uint64        // attempts whose records can't be stored
+	permittedAt        units.Seconds   // of the message that is being encoded, see recordPermitTime; 0: it needs no permit
+	inputReadAt        units.Seconds   // when the clients of the attempts that are being sent began to be read; 0: they were not
+	rejectedAttempts   []uint64        // attempts to be rejected because their records can't be stored
 	outgoingAttempts   []pendingEffect // attempts that wait until their clients' input has been read
 	clientsToSend      []*Client
 
@@ -111,14 +112,14 @@
 	}
 	p.pool = settings.NewPool(upstreamTransport{p}, exchangeHandler{p})
 	p.dispatcher = dispatch.New(settings.Dispatch, dispatchEffects{p}, p.startedAt)
-	p.unanswered = p.dispatcher.Recover(p.startedAt, recovered)
+	p.failedAtRecovery = p.dispatcher.Recover(p.startedAt, recovered)
 	p.resetTimer()
 	return p
 }
 
-// FailedAtRecovery returns the responses to requests of an earlier process that were possibly executed and must not be executed
-// again. The responses were not sent to a client.
-func (p *Proxy) FailedAtRecovery() []dispatch.Response { return p.unanswered }
+// FailedAtRecovery returns the responses to requests of an earlier process that may have been executed and must not be
+// executed again. The responses were not sent to a client.
+func (p *Proxy) FailedAtRecovery() []dispatch.Response { return p.failedAtRecovery }
 
 // Dispatcher returns the front end's dispatcher. A caller that changes its state must call Flush.
 func (p *Proxy) Dispatcher() *dispatch.Dispatcher { return p.dispatcher }
@@ -146,7 +147,7 @@
 	now := p.host.Now()
 	p.pool.Tick(now)
 	p.sweepClients(now)
-	p.logRejectingWorkers()
+	p.logWorkersDrainingByRejection()
 	p.logAvailability()
 	p.Flush()
 }
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// Terminate ends every open request immediately. It is called after StopListening, or after Drain where requests are
-// accepted until the end.
+// Terminate ends every open request immediately. It is called after StopListening, or after Drain if requests are accepted
+// until the end.
 func (p *Proxy) Terminate() {
 	p.dispatcher.Terminate(p.host.Now())
 	p.Flush()
@@ -60,5 +60,5 @@
 	return !slices.ContainsFunc(p.clients, func(client *Client) bool { return client.conn.Unsent() > 0 })
 }
 
-// HasClients reports whether client connections are left, whose clients may not have read all responses.
+// HasClients reports whether client connections remain. Their clients may not have read all responses.
 func (p *Proxy) HasClients() bool { return len(p.clients) > 0 }
--- a/internal/proxy/upstream.go
+++ b/internal/proxy/upstream.go
@@ -7,9 +7,9 @@
 	"streamcleat/internal/upstream"
 )
 
-// maxWriteDelay is the maximum time, in seconds, from the decision that a message may be sent to its write. What the
-// decision rests on, the deadline, the waiting client and the worker's lease, may not hold any more after a suspension of the
-// process in between.
+// maxWriteDelay is the maximum time, in seconds, between the decision to send a message and its write. If the process was
+// suspended in between, the decision may be outdated: the deadline may have passed, the client may have disconnected, or the
+// worker's lease may have expired.
 const maxWriteDelay = 0.05
 
 // upstreamOperation is a write to or the close of a connection to a worker.
@@ -17,19 +17,19 @@
 	conn  upstream.ConnID
 	data  []byte
 	close bool
-	// decidedAt is the time of the permit, or of the look at the client's input that it rests on.
+	// decidedAt is the time of the permit or, if the client's input was read before the permit, the time of that read.
 	decidedAt units.Seconds
 }
 
-// upstreamTransport implements Transport. Writes and closes are queued for Flush, so that their events don't reenter the
-// pool.
+// upstreamTransport implements Transport. It queues writes and closes for Flush, so that the events they cause don't reenter
+// the pool.
 type upstreamTransport struct{ proxy *Proxy }
 
 // Write implements Transport.
 func (t upstreamTransport) Write(conn upstream.ConnID, data []byte) {
 	p := t.proxy
 	operation := upstreamOperation{conn: conn, data: data, decidedAt: p.permittedAt}
-	if p.permittedAt == 0 { // it needs no permit
+	if p.permittedAt == 0 { // the write needs no permit
 		operation.decidedAt = p.host.Now()
 	}
 	p.permittedAt = 0
@@ -76,7 +76,7 @@
 // AuthorizeAttempt implements upstream.ExchangeHandler.
 func (h exchangeHandler) AuthorizeAttempt(id uint64) dispatch.SendPermit {
 	p := h.proxy
-	now := p.datePermit()
+	now := p.recordPermitTime()
 	permit := p.dispatcher.AuthorizeAttempt(now, id)
 	if !permit.Permitted() {
 		p.permittedAt = 0
@@ -88,7 +88,7 @@
 // AuthorizeLoad implements upstream.ExchangeHandler.
 func (h exchangeHandler) AuthorizeLoad(id uint64) dispatch.SendPermit {
 	p := h.proxy
-	now := p.datePermit()
+	now := p.recordPermitTime()
 	permit := p.dispatcher.AuthorizeLoad(now, id)
 	if !permit.Permitted() {
 		p.permittedAt = 0
@@ -97,9 +97,9 @@
 	return permit
 }
 
-// datePermit returns the present time for a permit, and dates the write that follows from it or from the look at the client's
-// input before.
-func (p *Proxy) datePermit() units.Seconds {
+// recordPermitTime returns the current time, at which a permit is requested, and sets permittedAt for the write that follows.
+// If the client's input was read before, permittedAt is the time of that read.
+func (p *Proxy) recordPermitTime() units.Seconds {
 	now := p.host.Now()
 	p.permittedAt = now
 	if p.inputReadAt > 0 {
@@ -108,8 +108,8 @@
 	return now
 }
 
-// OnDialed reports the result of a dial. It reads the pending input of the clients whose attempts wait for the connection
-// first, because they may have left in the meantime.
+// OnDialed reports the result of a dial. It first reads the pending input of the clients whose attempts wait for the
+// connection, because they may have canceled or disconnected in the meantime.
 func (p *Proxy) OnDialed(id upstream.ConnID, conn Conn, err error) {
 	if err == nil {
 		p.upstreamConns[id] = conn
--- a/internal/proxy/upstream_test.go
+++ b/internal/proxy/upstream_test.go
@@ -9,7 +9,8 @@
 	"streamcleat/internal/upstream"
 )
 
-// What was decided before a suspension of the process does not leave after it: the connection is closed instead.
+// A message that was queued before a suspension of the process is not sent after it, because the decision to send it may be
+// outdated. The connection is closed instead.
 func TestUpstreamWrite_OutdatedIsNotSent(t *testing.T) {
 	for delay, sent := range map[units.Seconds]bool{0.01: true, 0.2: false} {
 		host := &fakeHost{now: 1}
@@ -25,33 +26,34 @@
 	}
 }
 
-// pausedPool is a pool with one query, which the process is suspended over between its permit and its encoding.
-type pausedPool struct {
+// suspendingPool is a pool that sends one query. The process is suspended between the permit of the query and its encoding.
+type suspendingPool struct {
 	UpstreamPool
 	transport Transport
 	handler   upstream.ExchangeHandler
 	suspend   func()
 }
 
-func (p *pausedPool) SendLoad(_ units.Seconds, command dispatch.LoadCommand) {
+func (p *suspendingPool) SendLoad(_ units.Seconds, command dispatch.LoadCommand) {
 	if p.handler.AuthorizeLoad(command.ID).Permitted() {
 		p.suspend()
 		p.transport.Write(1, []byte("query"))
 	}
 }
 
-func (p *pausedPool) Pending() bool                               { return false }
-func (p *pausedPool) Flush()                                      {}
-func (p *pausedPool) OnClosed(units.Seconds, upstream.ConnID)     {}
-func (p *pausedPool) SetEndpoints(*upstream.EndpointList)         {}
-func (p *pausedPool) SendAttempt(units.Seconds, dispatch.Attempt) {}
+func (p *suspendingPool) Pending() bool                               { return false }
+func (p *suspendingPool) Flush()                                      {}
+func (p *suspendingPool) OnClosed(units.Seconds, upstream.ConnID)     {}
+func (p *suspendingPool) SetEndpoints(*upstream.EndpointList)         {}
+func (p *suspendingPool) SendAttempt(units.Seconds, dispatch.Attempt) {}
 
-// A write is as old as the permit that it rests on: the soak found deadlines past the slack after a suspension in between.
+// A write counts as decided at the time of its permit, not of its encoding. Otherwise a suspension between the two lets a
+// request reach the worker with a deadline past the allowed slack, as a soak test found.
 func TestUpstreamWrite_SuspensionAfterPermitIsNotSent(t *testing.T) {
 	for delay, sent := range map[units.Seconds]bool{0.01: true, 0.2: false} {
 		host := &fakeHost{now: 1}
 		deployment := &control.Deployment{FrontEnds: 1, LoadCommandsAllowed: true, NoLoadOnMiss: true, RequestClasses: []control.RequestClass{{Name: "c", Timeout: 2}}}
-		pool := &pausedPool{suspend: func() { host.now += delay }}
+		pool := &suspendingPool{suspend: func() { host.now += delay }}
 		p := New(Settings{
 			Dispatch: dispatch.Settings{Deployment: deployment, LoadTimeout: 5},
 			NewPool: func(transport Transport, handler upstream.ExchangeHandler) UpstreamPool {
