--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -33,7 +33,7 @@
 
 const millisecondsPerSecond = 1000
 
-// ErrMissingEvents is the error for a line that can't be applied because preceding events are missing.
+// ErrMissingEvents is wrapped by ReadLine's error for a line that can't be applied because preceding events are missing.
 var ErrMissingEvents = errors.New("preceding events missing")
 
 // NewDiscovery returns a Discovery with an empty list at position 0.
--- a/internal/platform/document.go
+++ b/internal/platform/document.go
@@ -45,7 +45,7 @@
 	Terms            json.RawMessage `json:"settings"`
 }
 
-// FieldError describes an invalid field of a document.
+// FieldError is the error for an invalid field of a document.
 type FieldError struct {
 	Field string // path, as in limits/memory_mb
 	Err   error
--- a/internal/proxy/durability.go
+++ b/internal/proxy/durability.go
@@ -50,7 +50,8 @@
 	return !p.durability.committing && len(p.durability.pendingRecords) == 0 && len(p.durability.awaitingNextCommit) == 0
 }
 
-// storeRecord adds a record to the next commit. It drops the record if the limit of pending records is reached.
+// storeRecord adds a record to the next commit. It drops the record if there is no record store or the limit of pending
+// records is reached.
 func (p *Proxy) storeRecord(record dispatch.Record) {
 	barrier := &p.durability
 	switch {
--- a/internal/proxy/flush.go
+++ b/internal/proxy/flush.go
@@ -6,8 +6,8 @@
 )
 
 // Flush executes the work that the pool and the dispatcher have queued, until none is left. The work may queue more; a
-// nested call returns immediately. Writes to workers come first, because they already have their permits, which are outdated after
-// maxWriteDelay.
+// nested call returns immediately. Writes to workers come first, because their permits were already issued and are outdated
+// after maxWriteDelay.
 func (p *Proxy) Flush() {
 	if p.flushing {
 		return
--- a/internal/proxy/overflow.go
+++ b/internal/proxy/overflow.go
@@ -15,7 +15,8 @@
 	overflowRetryAfter units.Seconds = 1
 )
 
-// isAtLimit reports whether the connection limit is reached. If so, it first tries to evict an idle connection.
+// isAtLimit reports whether the connection limit is reached and no idle connection can be evicted. At the limit it evicts one
+// if possible.
 func (p *Proxy) isAtLimit() bool {
 	return len(p.clients)-p.overflow >= p.settings.MaxClients && !p.EvictIdleClient()
 }
