--- a/internal/eventloop/discovery_watch.go
+++ b/internal/eventloop/discovery_watch.go
@@ -47,9 +47,9 @@
 	// OnLine processes a line. The watch had received everything that the service sent before asOf. An error closes the
 	// connection. If the line was of no use, the silence goes on.
 	OnLine(line []byte, asOf units.Seconds) (useful bool, err error)
-	// OnLost reports that the service can't be reached, or that its connection closed, and why. It is not called for a
+	// OnUnavailable reports that the service can't be reached, or that its connection closed, and why. It is not called for a
 	// change of address.
-	OnLost(reason error)
+	OnUnavailable(reason error)
 }
 
 // DiscoveryWatch keeps a connection to a discovery service, which sends its watch events line by line.
@@ -128,7 +128,7 @@
 	if addrCtx.Err() != nil {
 		return failures
 	}
-	w.handler.OnLost(err)
+	w.handler.OnUnavailable(err)
 	select {
 	case <-time.After(backoff(failures)):
 	case <-addrCtx.Done():
--- a/internal/eventloop/discovery_watch_test.go
+++ b/internal/eventloop/discovery_watch_test.go
@@ -26,7 +26,7 @@
 
 func (f watchFuncs) OnLine(line []byte, _ units.Seconds) (bool, error) { return true, f.onLine(line) }
 
-func (f watchFuncs) OnLost(error) {}
+func (f watchFuncs) OnUnavailable(error) {}
 
 // closeAtEnd closes c when the test ends.
 func closeAtEnd(t *testing.T, c io.Closer) {
--- a/internal/eventloop/faults_test.go
+++ b/internal/eventloop/faults_test.go
@@ -20,7 +20,7 @@
 // continue, and requests that arrive meanwhile are served once the call succeeds.
 func TestServer_SurvivesDocumentedSyscallErrors(t *testing.T) {
 	for _, call := range []faults.Call{faults.Accept, faults.Read, faults.Write, faults.Connect, faults.Socket, faults.EpollAdd, faults.Wait} {
-		for _, errno := range faults.Documented(call) {
+		for _, errno := range faults.DocumentedErrors(call) {
 			t.Run(fmt.Sprintf("%s %v", call, errno), func(t *testing.T) {
 				t.Parallel()
 				var script faults.Script
@@ -107,7 +107,7 @@
 	for _, call := range []faults.Call{faults.Socket, faults.EpollAdd} {
 		t.Run(string(call), func(t *testing.T) {
 			var script faults.Script
-			script.Fail(call, faults.Documented(call)[0], 5)
+			script.Fail(call, faults.DocumentedErrors(call)[0], 5)
 			f := newFixtureWithKernel(t, 1, "", faults.Kernel{Decide: script.Decide})
 			if result := f.request("idempotent", "first"); result.Status != 200 || script.Count() != 5 {
 				t.Errorf("%+v after %d failures, want 5", result, script.Count())
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -72,8 +72,8 @@
 	return effect != platform.NoNews, err
 }
 
-// OnLost implements eventloop.WatchHandler.
-func (h watchHandler) OnLost(reason error) {
+// OnUnavailable implements eventloop.WatchHandler.
+func (h watchHandler) OnUnavailable(reason error) {
 	_ = h.node.server.Post(func(p *proxy.Proxy) { p.OnDiscoveryLost(reason) })
 }
 
--- a/internal/syscalls/faults/faults.go
+++ b/internal/syscalls/faults/faults.go
@@ -43,8 +43,8 @@
 	Wait:     {unix.EINTR},
 }
 
-// Documented returns the errors that a call can be made to fail with.
-func Documented(call Call) []error { return documentedErrors[call] }
+// DocumentedErrors returns the errors that a call can be made to fail with.
+func DocumentedErrors(call Call) []error { return documentedErrors[call] }
 
 // Kernel passes calls to the operating system or makes them fail. It implements syscalls.Kernel.
 type Kernel struct {
