--- a/internal/syscalls/faults/doc.go
+++ b/internal/syscalls/faults/doc.go
@@ -1,4 +1,4 @@
-// Package faults is a test double of package syscalls that makes calls fail on a schedule. Tests script single faults
-// (Script); the soak test draws them from a seed (Random). A Script or Random owns its schedule. The release build does
-// not use this package; a build with the tag "faults" does.
+// Package faults is a test double for package syscalls that injects errors into system calls. Tests specify the errors
+// (Script); the soak test draws them from a seeded random generator (Random). Each Script or Random has its own state. The
+// package is not part of the release build, only of builds with the tag "faults".
 package faults
--- a/internal/syscalls/faults/faults.go
+++ b/internal/syscalls/faults/faults.go
@@ -11,7 +11,7 @@
 	"streamcleat/internal/syscalls"
 )
 
-// Call names a system call that can be made to fail.
+// Call is the name of a system call that can be made to fail.
 type Call string
 
 // System calls that can be made to fail.
@@ -25,11 +25,11 @@
 	Wait     Call = "epoll_wait"
 )
 
-// ErrShort makes a read or write succeed with one byte only.
+// ErrShort makes a read or write transfer one byte only instead of failing.
 var ErrShort = errors.New("short")
 
-// documentedErrors holds the errors that the manual pages document for each call and that a correct program can get.
-// Errors that a peer causes, such as ECONNRESET and ETIMEDOUT, are left out.
+// documentedErrors holds the errors that the manual page of each call documents and that a correct program can get. Errors
+// that the peer causes, such as ECONNRESET and ETIMEDOUT, are excluded.
 var documentedErrors = map[Call][]error{
 	Socket: {unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM},
 	Accept: {
@@ -43,13 +43,13 @@
 	Wait:     {unix.EINTR},
 }
 
-// DocumentedErrors returns the errors that a call can be made to fail with.
+// DocumentedErrors returns the errors with which a call can be made to fail.
 func DocumentedErrors(call Call) []error { return documentedErrors[call] }
 
-// Kernel passes calls to the operating system or makes them fail. It implements syscalls.Kernel.
+// Kernel implements syscalls.Kernel. It passes calls to the operating system or makes them fail.
 type Kernel struct {
 	syscalls.Linux
-	// Decide returns the error that a call fails with, or nil to make the call. It is called from any goroutine.
+	// Decide returns the error with which a call fails, or nil to make the call. It may be called from any goroutine.
 	Decide func(call Call) error
 }
 
@@ -95,7 +95,7 @@
 	return k.Linux.Write(fd, data)
 }
 
-// decideTransfer returns the part of the buffer that a read or write may transfer, or the error that it fails with.
+// decideTransfer returns the part of the buffer that a read or write may transfer, or the error with which it fails.
 func (k Kernel) decideTransfer(call Call, buffer []byte) ([]byte, error) {
 	err := k.Decide(call)
 	if errors.Is(err, ErrShort) {
@@ -131,14 +131,14 @@
 	failures  int
 }
 
-// Fail makes the next calls of a kind fail with err, so many times. It replaces what an earlier Fail left.
+// Fail makes the next calls of a kind fail with err, the given number of times. It replaces the faults of an earlier Fail.
 func (s *Script) Fail(call Call, err error, times int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.call, s.err, s.remaining = call, err, times
 }
 
-// Count returns the number of calls that have failed.
+// Count returns the number of calls that were made to fail.
 func (s *Script) Count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -157,19 +157,20 @@
 	return s.err
 }
 
-// Random draws faults from a seed. Some faults last for a while, as a lack of resources does.
+// Random makes calls fail at random, reproducibly for a seed. Some faults are outages, during which every call of a kind
+// fails, as with a lack of resources.
 type Random struct {
 	mu          sync.Mutex
 	random      *rand.Rand
 	rate        float64            // probability that a call fails outside an outage
-	outageEnd   map[Call]time.Time // a call fails until then
+	outageEnd   map[Call]time.Time // time until which every call of a kind fails
 	outageError map[Call]error
 }
 
 const (
-	// outageFraction is the fraction of faults that last for a while.
+	// outageFraction is the fraction of faults that start an outage.
 	outageFraction = 0.02
-	// maxOutage is the maximum duration of such a fault.
+	// maxOutage is the maximum duration of an outage.
 	maxOutage = 150 * time.Millisecond
 )
 
@@ -190,7 +191,7 @@
 	}
 	errs := documentedErrors[call]
 	err := errs[r.random.IntN(len(errs))]
-	// Callers retry these errors at once, so an outage would become a busy loop.
+	// Callers retry these errors immediately, so that an outage of them would cause a busy loop.
 	if !errors.Is(err, unix.EINTR) && !errors.Is(err, unix.EAGAIN) && !errors.Is(err, ErrShort) && r.random.Float64() < outageFraction {
 		r.outageEnd[call] = time.Now().Add(time.Duration(r.random.Int64N(int64(maxOutage))))
 		r.outageError[call] = err
--- a/internal/syscalls/kernel.go
+++ b/internal/syscalls/kernel.go
@@ -6,49 +6,49 @@
 	"golang.org/x/sys/unix"
 )
 
-// Kernel makes system calls. All sockets are non-blocking and close-on-exec. Errors are unix.Errno values.
+// Kernel provides the system calls. All sockets are non-blocking and close-on-exec. Errors are unix.Errno values.
 type Kernel interface {
 	// Socket opens a TCP socket with TCP_NODELAY, which accepted sockets inherit.
 	Socket(family int) (fd int, err error)
-	// Bind binds a socket to an address, with SO_REUSEADDR.
+	// Bind binds a socket to an address with SO_REUSEADDR.
 	Bind(fd int, address unix.Sockaddr) error
 	Listen(fd, backlog int) error
 	Accept(listener int) (fd int, peer unix.Sockaddr, err error)
 	Connect(fd int, address unix.Sockaddr) error
-	// SocketError returns and clears the pending error of a socket, which is the result of a connect.
+	// SocketError returns and clears the pending error of a socket, which is the result of an asynchronous connect.
 	SocketError(fd int) error
 	Read(fd int, buffer []byte) (n int, err error)
 	Write(fd int, data []byte) (n int, err error)
 	ShutdownWrite(fd int) error
 	// LastReceived returns the time since a connection last received data.
 	LastReceived(fd int) (ago time.Duration, err error)
-	// Close closes a descriptor. The descriptor is free afterwards even if Close fails.
+	// Close closes a descriptor. The descriptor is released even if Close fails.
 	Close(fd int) error
 	EpollCreate() (epoll int, err error)
 	EpollControl(epoll, operation, fd int, event *unix.EpollEvent) error
-	// EpollWait waits for events. Negative milliseconds wait without limit.
+	// EpollWait waits for events. A negative number of milliseconds means no limit.
 	EpollWait(epoll int, events []unix.EpollEvent, milliseconds int) (n int, err error)
-	// EventFD opens a descriptor that wakes an epoll instance when it is written to.
+	// EventFD opens an eventfd, which wakes an epoll instance when it is written to.
 	EventFD() (fd int, err error)
-	// Wake writes to a descriptor opened by EventFD.
+	// Wake writes to an eventfd that EventFD opened.
 	Wake(fd int) error
 }
 
-// Linux is the Kernel of the operating system.
+// Linux implements Kernel with the system calls of the operating system.
 type Linux struct{}
 
 // Socket implements Kernel.
 func (Linux) Socket(family int) (int, error) {
 	fd, err := unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err == nil {
-		_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // failure only delays small frames
+		_ = unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1) // failure only delays small messages
 	}
 	return fd, err
 }
 
 // Bind implements Kernel.
 func (Linux) Bind(fd int, address unix.Sockaddr) error {
-	// Connections of an earlier process may be in TIME_WAIT. If the option fails, Bind reports the address in use.
+	// Connections of an earlier process may still be in TIME_WAIT. If setting the option fails, Bind reports the address in use.
 	_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
 	return unix.Bind(fd, address)
 }
