--- a/internal/eventloop/connection.go
+++ b/internal/eventloop/connection.go
@@ -13,25 +13,26 @@
 )
 
 const (
-	// readSize is the maximum number of bytes read from a connection in one iteration, so that it cannot starve others.
+	// readSize is the maximum number of bytes read from a connection in one iteration, so that one connection cannot starve
+	// the others.
 	readSize = 64 << 10
 
 	readEvents  = unix.EPOLLIN
 	writeEvents = unix.EPOLLOUT
-	// closeEvents are reported whatever the interest is.
+	// closeEvents are always reported, regardless of the registered interest.
 	closeEvents = unix.EPOLLERR | unix.EPOLLHUP
 )
 
-// connection is a connection of a client or to a worker. It implements proxy.Conn.
+// connection is a connection from a client or to a worker. It implements proxy.Conn.
 type connection struct {
 	server        *Server
 	registration  *registration // nil once closed
 	remoteAddr    netip.AddrPort
-	writeBuffer   []byte          // written but not yet taken by the kernel
-	unreadSince   time.Time       // since when input may have waited although the loop ran; zero if it has not
-	acceptDelayed bool            // the first bytes may have waited until the connection was accepted
+	writeBuffer   []byte          // output that the kernel has not accepted yet
+	unreadSince   time.Time       // time since which input may have been left unread although the loop ran; zero if none has
+	acceptDelayed bool            // the first input may have arrived well before the connection was accepted
 	client        *proxy.Client   // nil if the connection is to a worker
-	upstreamID    upstream.ConnID // of a connection to a worker
+	upstreamID    upstream.ConnID // set if the connection is to a worker
 }
 
 func (c *connection) isOpen() bool { return c.registration != nil }
@@ -46,7 +47,7 @@
 	}
 }
 
-// readInput reads up to readSize bytes and passes them on.
+// readInput reads up to readSize bytes and passes them to the proxy.
 func (c *connection) readInput() {
 	buffer := c.server.readBuffer
 	n, err := c.read(buffer)
@@ -74,7 +75,7 @@
 	}
 }
 
-// pauseReading stops reading for retryDelay, after the kernel lacked memory for a read.
+// pauseReading stops reading for retryDelay after a read failed for lack of kernel memory.
 func (c *connection) pauseReading() {
 	reactor := c.server.reactor
 	if c.unreadSince.IsZero() {
@@ -96,7 +97,7 @@
 	}
 }
 
-// onClosed closes a connection that the peer closed or that broke, and reports it to the proxy.
+// onClosed releases a connection that the peer closed or that failed, and notifies the proxy.
 func (c *connection) onClosed(err error) {
 	if !c.isOpen() {
 		return
@@ -112,14 +113,14 @@
 	c.server.proxy.OnUpstreamClosed(c.upstreamID)
 }
 
-// release closes the socket and drops unsent output.
+// release closes the socket and discards unsent output.
 func (c *connection) release() {
 	c.server.reactor.poller.unregister(c.registration)
 	c.registration, c.writeBuffer = nil, nil
 }
 
-// Write implements proxy.Conn. Bytes that the kernel does not take at once are buffered. If the connection is broken, its
-// close is reported to the proxy before Write returns.
+// Write implements proxy.Conn. Data that the kernel does not accept immediately is buffered. If the connection has failed,
+// the proxy is notified of its close before Write returns.
 func (c *connection) Write(data []byte) {
 	if !c.isOpen() {
 		return
@@ -134,7 +135,7 @@
 	}
 }
 
-// flushWriteBuffer retries to write the buffered output.
+// flushWriteBuffer writes the buffered output.
 func (c *connection) flushWriteBuffer() {
 	rest, err := c.writeNow(c.writeBuffer)
 	if err != nil {
@@ -145,7 +146,7 @@
 	c.server.reactor.poller.setInterest(c.registration, c.registration.interest&^writeEvents)
 }
 
-// writeNow writes until everything is written or a call fails, and returns the unwritten rest.
+// writeNow writes until all data is written or a call fails, and returns the unwritten data.
 func (c *connection) writeNow(data []byte) (rest []byte, err error) {
 	for len(data) > 0 {
 		n, err := c.server.kernel.Write(c.registration.fd, data)
@@ -160,7 +161,7 @@
 	return nil, nil
 }
 
-// onWriteError buffers the unwritten rest after a transient error and closes the connection after any other.
+// onWriteError buffers the unwritten data after a transient error and closes the connection after any other error.
 func (c *connection) onWriteError(rest []byte, err error) {
 	class := syscalls.ClassOf(err)
 	if class != syscalls.WouldBlock && class != syscalls.Exhausted {
@@ -178,7 +179,7 @@
 		return
 	}
 	c.server.counters.writeRetries.Add(1)
-	reactor.poller.setInterest(c.registration, c.registration.interest&^writeEvents) // epoll would report it at once
+	reactor.poller.setInterest(c.registration, c.registration.interest&^writeEvents) // prevents a busy loop
 	reactor.timers.after(retryDelay, func() {
 		if c.isOpen() && len(c.writeBuffer) > 0 {
 			c.flushWriteBuffer()
@@ -196,7 +197,7 @@
 // CloseWrite implements proxy.Conn.
 func (c *connection) CloseWrite() {
 	if c.isOpen() {
-		_ = c.server.kernel.ShutdownWrite(c.registration.fd) // fails only if the peer has closed, which epoll reports
+		_ = c.server.kernel.ShutdownWrite(c.registration.fd) // fails only after the peer closed, which epoll reports
 	}
 }
 
@@ -212,7 +213,7 @@
 			reportedAge = ago
 		}
 	}
-	// The clock is read after the system call: the process may be suspended where it returns.
+	// The clock is read after the system call, since the process may be suspended as the call returns.
 	age := max(reportedAge, estimate.age())
 	if !c.unreadSince.IsZero() {
 		age = max(age, time.Since(c.unreadSince))
@@ -223,8 +224,8 @@
 // RemoteAddr implements proxy.Conn.
 func (c *connection) RemoteAddr() string { return c.remoteAddr.String() }
 
-// ReadAhead implements proxy.Conn. It reads from the socket what the event loop has not read yet. The returned slice is
-// valid until the next call on any connection.
+// ReadAhead implements proxy.Conn. It reads input from the socket that the event loop has not read yet. The returned slice
+// is valid until the next ReadAhead on any connection.
 func (c *connection) ReadAhead() (data []byte, open bool) {
 	if !c.isOpen() {
 		return nil, false
--- a/internal/eventloop/counters.go
+++ b/internal/eventloop/counters.go
@@ -2,17 +2,17 @@
 
 import "sync/atomic"
 
-// counters counts faults that the event loop recovered from.
+// counters counts errors from which the event loop recovered, and slow iterations.
 type counters struct {
-	acceptFailures       atomic.Uint64 // accept failed for lack of a local resource and was paused
-	abortedConnections   atomic.Uint64 // connections that ended before they were accepted
-	registrationFailures atomic.Uint64 // epoll could not add or modify a socket
-	dialRetries          atomic.Uint64 // socket or connect failed for lack of a local resource
+	acceptFailures       atomic.Uint64 // accept failed for lack of a local resource, and accepting was paused
+	abortedConnections   atomic.Uint64 // connections that closed before they were accepted
+	registrationFailures atomic.Uint64 // epoll_ctl failed to add or modify a descriptor
+	dialRetries          atomic.Uint64 // socket or connect failed transiently, mostly for lack of a local resource
 	writeRetries         atomic.Uint64 // write failed for lack of a local resource
 	slowIterations       atomic.Uint64 // iterations that took longer than slowIteration
 }
 
-// RecoveredErrors holds totals, since the start, of faults that the event loop recovered from.
+// RecoveredErrors holds the totals, since the start of the server, of errors from which the event loop recovered.
 type RecoveredErrors struct {
 	AcceptFailures, AbortedConnections, RegistrationFailures, DialRetries, WriteRetries, SlowIterations uint64
 }
--- a/internal/eventloop/dialer.go
+++ b/internal/eventloop/dialer.go
@@ -13,21 +13,21 @@
 	"streamcleat/internal/upstream"
 )
 
-// errDialTimeout reports a connection that was not established within the dial timeout.
+// errDialTimeout is reported if a connection is not established within the dial timeout.
 var errDialTimeout = errors.New("dial timeout")
 
-// dial is a connection to a worker that is being established. Its result is reported once, on the loop.
+// dial is an attempt to connect to a worker. Its result is reported to the proxy once, on the event loop.
 type dial struct {
 	server       *Server
 	id           upstream.ConnID
 	addr         netip.AddrPort
 	deadline     time.Time
-	cancelLookup context.CancelFunc // nil unless the address has to be looked up
+	cancelLookup context.CancelFunc // nil unless the address is a host name
 	registration *registration      // nil while there is no socket
 	ended        bool
 }
 
-// startDial connects to a worker. The result is reported to the proxy, never before startDial returns.
+// startDial starts to connect to a worker. The result is reported to the proxy after startDial has returned.
 func (s *Server) startDial(id upstream.ConnID, address string) {
 	d := &dial{server: s, id: id, deadline: time.Now().Add(s.settings.Upstream.DialTimeout.Duration())}
 	s.dials[id] = d
@@ -37,10 +37,10 @@
 		return
 	}
 	d.addr = addr
-	s.reactor.timers.after(0, d.connect) // the proxy is within a call
+	s.reactor.timers.after(0, d.connect) // deferred: the proxy must not be called back from within its own call
 }
 
-// startLookup resolves a host name off the loop and connects to its first address.
+// startLookup resolves a host name on a goroutine of its own and then connects to the address on the event loop.
 func (d *dial) startLookup(address string) {
 	ctx, cancel := context.WithDeadline(context.Background(), d.deadline)
 	d.cancelLookup = cancel
@@ -57,7 +57,7 @@
 	})
 }
 
-// lookUp returns the first address of host:port, preferring IPv4.
+// lookUp resolves host:port and returns its first IPv4 address, or its first address if it has no IPv4 address.
 func lookUp(ctx context.Context, address string) (netip.AddrPort, error) {
 	host, service, err := net.SplitHostPort(address)
 	if err != nil {
@@ -81,8 +81,8 @@
 	return netip.AddrPortFrom(best, uint16(port)), nil
 }
 
-// connect opens a socket and starts to connect it. If this machine lacks a resource, connect is retried until the dial's
-// deadline: nothing was sent, and the failure says nothing about the worker.
+// connect opens a socket and starts to connect it. If the local machine lacks a resource, connect is retried until the
+// dial's deadline: nothing was sent, and the failure does not indicate a fault of the worker.
 func (d *dial) connect() {
 	if d.ended {
 		return
@@ -101,13 +101,13 @@
 	err = kernel.Connect(fd, sockaddr)
 	if err == nil || syscalls.ClassOfConnect(err) == syscalls.WouldBlock {
 		d.registration = d.server.reactor.poller.register(fd, writeEvents, d)
-		return // epoll also reports a connection that is established at once
+		return // epoll also reports a connection that is established immediately
 	}
 	_ = kernel.Close(fd) // nothing was written to it
 	d.onConnectError("connect", err)
 }
 
-// onConnectError retries after a transient error and fails the dial after any other.
+// onConnectError schedules a retry after a transient error and fails the dial after any other error.
 func (d *dial) onConnectError(call string, err error) {
 	err = fmt.Errorf("%s: %w", d.addr, os.NewSyscallError(call, err))
 	if syscalls.ClassOfConnect(err) != syscalls.Exhausted {
@@ -122,21 +122,21 @@
 	d.server.reactor.timers.after(retryDelay, d.connect)
 }
 
-// onEvents implements eventHandler. The connect has completed or failed.
+// onEvents implements eventHandler. It is called when the connect has completed or failed.
 func (d *dial) onEvents(uint32) {
-	registered := d.registration
-	if err := d.server.kernel.SocketError(registered.fd); err != nil {
+	reg := d.registration
+	if err := d.server.kernel.SocketError(reg.fd); err != nil {
 		d.fail(fmt.Errorf("%s: %w", d.addr, os.NewSyscallError("connect", err)))
 		return
 	}
 	d.finish()
-	c := &connection{server: d.server, registration: registered, remoteAddr: d.addr, upstreamID: d.id}
-	registered.handler = c
-	d.server.reactor.poller.setInterest(registered, readEvents)
+	c := &connection{server: d.server, registration: reg, remoteAddr: d.addr, upstreamID: d.id}
+	reg.handler = c
+	d.server.reactor.poller.setInterest(reg, readEvents)
 	d.server.proxy.OnDialed(d.id, c, nil)
 }
 
-// finish marks the dial as ended and forgets it.
+// finish marks the dial as ended and removes it from the server.
 func (d *dial) finish() {
 	d.ended, d.registration = true, nil
 	delete(d.server.dials, d.id)
@@ -155,7 +155,7 @@
 	d.server.proxy.OnDialed(d.id, nil, err)
 }
 
-// expireDials fails the dials that are past their deadline, so that they do not keep their descriptors.
+// expireDials fails the dials whose deadline has passed and closes their sockets.
 func (s *Server) expireDials(now time.Time) {
 	for _, id := range sortedKeys(s.dials) {
 		if d := s.dials[id]; d != nil && now.After(d.deadline) {
@@ -164,7 +164,7 @@
 	}
 }
 
-// cancelLookups ends the name lookups in progress, whose results nobody waits for.
+// cancelLookups cancels the name lookups in progress, whose results are no longer needed.
 func (s *Server) cancelLookups() {
 	for _, d := range s.dials {
 		if d.cancelLookup != nil {
--- a/internal/eventloop/dialer_test.go
+++ b/internal/eventloop/dialer_test.go
@@ -12,7 +12,7 @@
 	"streamcleat/internal/upstream"
 )
 
-// listenWithFullBacklog listens on loopback and fills the accept queue, so that further dials hang.
+// listenWithFullBacklog listens on loopback and fills the accept queue, so that further dials do not complete.
 func listenWithFullBacklog(t *testing.T) (addr string) {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
--- a/internal/eventloop/discovery_watch.go
+++ b/internal/eventloop/discovery_watch.go
@@ -16,21 +16,22 @@
 )
 
 const (
-	// watchDialTimeout is the timeout of one attempt to connect to the discovery service.
+	// watchDialTimeout limits one attempt to connect to the discovery service.
 	watchDialTimeout = 500 * time.Millisecond
-	// maxLineBytes is the maximum length of one watch event.
+	// maxLineBytes is the maximum length of one line, which holds one watch event.
 	maxLineBytes = 4 << 20
 )
 
-// Exponential backoff with full jitter: hundreds of watchers that lose one service together must not reconnect at the
-// same time, nor stay away for long.
+// Reconnects use exponential backoff with full jitter: hundreds of watches that lose the connection to one service at the
+// same moment must not all reconnect at once, but must not stay disconnected for long either.
 const (
 	initialBackoff   = 100 * time.Millisecond
 	maxBackoff       = 800 * time.Millisecond
-	backoffDoublings = 3 // from initialBackoff to maxBackoff
+	backoffDoublings = 3 // number of doublings from initialBackoff to maxBackoff
 )
 
-// backoff returns a random delay before the next connection attempt. Its upper bound doubles with each failure.
+// backoff returns a random delay before the next connection attempt. The upper bound of the delay doubles with each
+// consecutive failure, up to maxBackoff.
 func backoff(failures int) time.Duration {
 	bound := maxBackoff
 	if failures < backoffDoublings {
@@ -39,20 +40,21 @@
 	return rand.N(bound)
 }
 
-// WatchHandler handles the lines of a discovery service. Its methods are called on the watch's own goroutine, so that watch
-// events never queue behind other traffic. They must not call the watch.
+// WatchHandler processes the lines that a discovery service sends. Its methods are called on the watch's own goroutine, so
+// that watch events never queue behind other traffic. They must not call methods of the watch.
 type WatchHandler interface {
-	// ResumeRequest returns what is sent first on each connection.
+	// ResumeRequest returns the request that is sent first on each new connection.
 	ResumeRequest() []byte
-	// OnLine processes a line. The watch had received everything that the service sent before asOf. An error closes the
-	// connection. If the line was of no use, the silence goes on.
+	// OnLine processes a line. The watch has received everything that the service sent before asOf. An error closes the
+	// connection. A line that is not useful does not extend the silence timeout.
 	OnLine(line []byte, asOf units.Seconds) (useful bool, err error)
-	// OnUnavailable reports that the service can't be reached, or that its connection closed, and why. It is not called for a
-	// change of address.
+	// OnUnavailable is called when a connection attempt fails or the connection closes, with the reason. It is not called
+	// when SetAddress replaces the address.
 	OnUnavailable(reason error)
 }
 
-// DiscoveryWatch keeps a connection to a discovery service, which sends its watch events line by line.
+// DiscoveryWatch keeps a connection to a discovery service open and passes the watch events that it receives, one a line, to
+// a handler.
 type DiscoveryWatch struct {
 	silenceTimeout time.Duration
 	handler        WatchHandler
@@ -62,10 +64,10 @@
 
 	mu         sync.Mutex
 	addr       string
-	cancelAddr context.CancelFunc // ends the dial, connection or backoff of the current address; nil before the first
+	cancelAddr context.CancelFunc // cancels the dial, connection or backoff for addr; nil until the first dial
 }
 
-// StartDiscoveryWatch connects to a service, and reconnects whenever the connection closes, brings no useful line for
+// StartDiscoveryWatch connects to a service. It reconnects whenever the connection closes, no useful line arrives within
 // silenceTimeout, or the handler returns an error.
 func StartDiscoveryWatch(addr string, silenceTimeout time.Duration, handler WatchHandler, log *slog.Logger) *DiscoveryWatch {
 	w := &DiscoveryWatch{silenceTimeout: silenceTimeout, handler: handler, log: log, addr: addr, stopped: make(chan struct{})}
@@ -75,7 +77,7 @@
 	return w
 }
 
-// SetAddress switches to another address at once, even during a dial or a backoff. Once it has returned, no line from the
+// SetAddress switches to another address immediately, also during a dial or a backoff. After it returns, no line from the
 // old address is processed.
 func (w *DiscoveryWatch) SetAddress(addr string) {
 	w.mu.Lock()
@@ -89,7 +91,7 @@
 	}
 }
 
-// Close stops the watch and waits until its handler is no longer called.
+// Close stops the watch. After it returns, the handler is not called.
 func (w *DiscoveryWatch) Close() {
 	w.cancel()
 	<-w.stopped
@@ -103,7 +105,7 @@
 	}
 }
 
-// currentAddress returns the address and a context that ends when SetAddress replaces it.
+// currentAddress returns the address and a context that is canceled when SetAddress replaces the address.
 func (w *DiscoveryWatch) currentAddress(ctx context.Context) (string, context.Context) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -112,8 +114,8 @@
 	return w.addr, addrCtx
 }
 
-// connect watches the current address until its connection closes, then backs off. It takes the number of consecutive
-// failures and returns the new number.
+// connect watches the current address until the connection closes, then waits for the backoff. It takes and returns the
+// number of consecutive failures.
 func (w *DiscoveryWatch) connect(ctx context.Context, failures int) int {
 	addr, addrCtx := w.currentAddress(ctx)
 	defer w.releaseAddress()
@@ -136,23 +138,23 @@
 	return failures + 1
 }
 
-// releaseAddress frees the context of currentAddress.
+// releaseAddress cancels the context that currentAddress returned, to free its resources.
 func (w *DiscoveryWatch) releaseAddress() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.cancelAddr()
 }
 
-// errWatchClosed is the reason if the service closes the connection.
-var errWatchClosed = errors.New("closed by the service")
+// errWatchClosed is reported if the service closes the connection.
+var errWatchClosed = errors.New("connection closed by the discovery service")
 
-// watchAddr watches one address until its connection closes, and reports whether any line was processed.
+// watchAddr watches one address until the connection closes. progress reports whether it received a useful line.
 func (w *DiscoveryWatch) watchAddr(ctx context.Context, addr string) (progress bool, err error) {
 	conn, err := (&net.Dialer{Timeout: watchDialTimeout}).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return false, err
 	}
-	closeConn := func() { _ = conn.Close() } // may be called more than once; all writes have completed
+	closeConn := func() { _ = conn.Close() } // may run more than once; no write is pending
 	defer closeConn()
 	defer context.AfterFunc(ctx, closeConn)()
 	if err := w.extendDeadline(conn); err != nil {
@@ -162,7 +164,7 @@
 		return false, err
 	}
 	w.log.Info("discovery watch connected", "address", addr)
-	reader := &datedReader{reader: conn}
+	reader := &timestampingReader{reader: conn}
 	lines := bufio.NewScanner(reader)
 	lines.Buffer(nil, maxLineBytes)
 	lines.Split(splitCompleteLines)
@@ -185,11 +187,11 @@
 	return progress, errWatchClosed
 }
 
-// errTruncatedLine is the reason if the connection ends within a line.
-var errTruncatedLine = errors.New("closed within a line")
+// errTruncatedLine is reported if the connection closes in the middle of a line.
+var errTruncatedLine = errors.New("connection closed in the middle of a line")
 
-// splitCompleteLines is a bufio.SplitFunc for lines without their line feed. What follows the last one is never a line: the
-// beginning of a heartbeat is a number too, and might be taken for the proof that an old list is complete.
+// splitCompleteLines is a bufio.SplitFunc that returns each line without its line feed. Data after the last line feed is never
+// returned as a line: a truncated heartbeat is also a valid number, which could confirm an outdated endpoint list as complete.
 func splitCompleteLines(data []byte, atEOF bool) (advance int, token []byte, err error) {
 	if end := bytes.IndexByte(data, '\n'); end >= 0 {
 		return end + 1, data[:end], nil
@@ -200,17 +202,18 @@
 	return 0, nil, nil
 }
 
-// datedReader dates what it reads: after the process was suspended, lines that lay unread may be old.
-type datedReader struct {
+// timestampingReader records a lower bound for the time at which the data that it returns was sent. After the process was
+// suspended, unread lines may be old.
+type timestampingReader struct {
 	reader io.Reader
-	// emptyAt is the last time at which everything sent before had been read. What is read next was sent after it.
+	// emptyAt is the last time at which all data received so far had been read. The data read next was sent after it.
 	emptyAt units.Seconds
-	// mayHaveMore is set if the last read filled its buffer.
+	// mayHaveMore reports that the last read filled its buffer, so that unread data may remain.
 	mayHaveMore bool
 }
 
 // Read implements io.Reader.
-func (r *datedReader) Read(buffer []byte) (int, error) {
+func (r *timestampingReader) Read(buffer []byte) (int, error) {
 	if !r.mayHaveMore {
 		r.emptyAt = Now()
 	}
@@ -219,13 +222,13 @@
 	return n, err
 }
 
-// extendDeadline sets the deadline of the connection to silenceTimeout from now.
+// extendDeadline sets the connection's deadline to silenceTimeout from now.
 func (w *DiscoveryWatch) extendDeadline(conn net.Conn) error {
 	return conn.SetDeadline(time.Now().Add(w.silenceTimeout))
 }
 
-// processLine passes a line on unless its address was replaced: lines that are still buffered must not take effect after
-// SetAddress.
+// processLine passes a line to the handler unless SetAddress has replaced the address: lines of the old address that are
+// still buffered must not take effect.
 func (w *DiscoveryWatch) processLine(ctx context.Context, line []byte, asOf units.Seconds) (useful bool, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/eventloop/discovery_watch_test.go
+++ b/internal/eventloop/discovery_watch_test.go
@@ -16,7 +16,7 @@
 	"streamcleat/internal/units"
 )
 
-// watchFuncs implements WatchHandler by functions; each line is useful.
+// watchFuncs implements WatchHandler with functions. Every line counts as useful.
 type watchFuncs struct {
 	request func() []byte
 	onLine  func([]byte) error
@@ -45,8 +45,8 @@
 	return listener
 }
 
-// serveConnections starts a service that handles each connection with the next handler. It returns its address and the
-// first line of each connection.
+// serveConnections starts a service that handles each connection with the next handler. It returns the service's address and
+// a channel with the first line that each connection received.
 func serveConnections(t *testing.T, handlers ...func(net.Conn)) (addr string, requests chan string) {
 	t.Helper()
 	listener := listenLoopback(t)
@@ -57,7 +57,7 @@
 			if err != nil {
 				return
 			}
-			line, _ := bufio.NewReader(conn).ReadString('\n') // a truncated line is compared as it is
+			line, _ := bufio.NewReader(conn).ReadString('\n') // a truncated line is compared as is
 			requests <- line
 			handle(conn)
 		}
@@ -67,10 +67,10 @@
 
 // send writes to a connection that the peer may have closed.
 func send(conn net.Conn, text string) {
-	_, _ = io.WriteString(conn, text) // the test checks what the peer received
+	_, _ = io.WriteString(conn, text) // the test checks what the peer receives
 }
 
-// wantText waits for a string on a channel and compares it.
+// wantText receives a string from a channel and compares it.
 func wantText(t *testing.T, from <-chan string, want string) {
 	t.Helper()
 	select {
@@ -83,9 +83,9 @@
 	}
 }
 
-// The watch reconnects when the service closes the connection, falls silent or sends a malformed line, and requests the
-// events after the last one processed. SetAddress switches to the new address. The beginning of a line is not processed: that
-// of a heartbeat, a number, may be the position of an earlier time, and would prove an old list complete.
+// The watch reconnects when the service closes the connection, stops sending or sends a malformed line, and requests the
+// events after the last one processed. SetAddress switches to the new address. A truncated line is not processed: a
+// truncated heartbeat is a number too, possibly an earlier position, and would confirm an outdated endpoint list as complete.
 func TestDiscoveryWatch_ReconnectsFromLastPosition(t *testing.T) {
 	keepOpen := func(conn net.Conn) { closeAtEnd(t, conn) }
 	sendAndKeep := func(text string) func(net.Conn) {
@@ -96,17 +96,17 @@
 	}
 	next, nextRequests := serveConnections(t, sendAndKeep("f\n"))
 	first, requests := serveConnections(t,
-		func(conn net.Conn) { // closes within a line
+		func(conn net.Conn) { // closes in the middle of a line
 			send(conn, "a\nb")
 			_ = conn.Close() // nothing is left to send
 		},
-		func(conn net.Conn) { // the same with a line that is well-formed so far
+		func(conn net.Conn) { // closes in the middle of a line that is well-formed so far
 			send(conn, "b")
 			_ = conn.Close() // nothing is left to send
 		},
-		sendAndKeep("c\nd"),   // falls silent within another line
+		sendAndKeep("c\nd"),   // stops sending in the middle of a line, after a complete one
 		keepOpen,              // sends nothing at all
-		sendAndKeep("bad ha"), // falls silent within a line
+		sendAndKeep("bad ha"), // stops sending in the middle of a malformed line
 		sendAndKeep("bad\n"),
 		sendAndKeep("e\n"))
 	var processed atomic.Int32
@@ -142,7 +142,7 @@
 	wantText(t, lines, "f")
 }
 
-// serveText starts a service that answers each request with text. requested receives a value for each request.
+// serveText starts a service that responds to each request with text. requested receives a value for each request.
 func serveText(t *testing.T, text string) (addr string, requested chan struct{}) {
 	t.Helper()
 	listener := listenLoopback(t)
@@ -174,14 +174,14 @@
 	for _, c := range []struct {
 		name   string
 		addr   string
-		settle time.Duration // until the watch reaches that state
+		settle time.Duration // time until the watch is in this state
 	}{
 		{"dial", listenWithFullBacklog(t), 60 * time.Millisecond},
-		{"backoff", "127.0.0.1:1", 860 * time.Millisecond}, // by then the backoff is long
+		{"backoff", "127.0.0.1:1", 860 * time.Millisecond}, // after several failures, so that the backoff is long
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var watches []*DiscoveryWatch
-			for range 8 { // a single backoff may end by chance
+			for range 8 { // the random backoff of a single watch may be short
 				watches = append(watches, startWatch(t, c.addr, func([]byte) error { return nil }))
 			}
 			time.Sleep(c.settle)
@@ -204,7 +204,7 @@
 	}
 }
 
-// Lines of the old address that were received before SetAddress, but not processed, must not take effect after it.
+// Lines of the old address that were received before SetAddress but not processed yet must not be processed after it.
 func TestDiscoveryWatchSetAddress_DropsBufferedLines(t *testing.T) {
 	old, _ := serveText(t, strings.Repeat("old\n", 1000))
 	next, requested := serveText(t, "new\n")
@@ -216,7 +216,7 @@
 		return nil
 	})
 	release := sync.OnceFunc(func() { close(step) })
-	t.Cleanup(release) // runs before the watch's cleanup, which a blocked line would hang
+	t.Cleanup(release) // runs before the cleanup of the watch, which would hang while a line is blocked
 	step <- struct{}{}
 	addressSet := make(chan struct{})
 	go func() {
@@ -225,7 +225,7 @@
 	}()
 	for waiting := true; waiting; {
 		select {
-		case step <- struct{}{}: // the line being processed
+		case step <- struct{}{}: // unblocks the line that is being processed
 		case <-addressSet:
 			waiting = false
 		}
--- a/internal/eventloop/doc.go
+++ b/internal/eventloop/doc.go
@@ -1,9 +1,10 @@
-// Package eventloop runs a front end on real sockets and the real clock. No other package of the front end uses either.
+// Package eventloop runs a front end on real sockets and the real clock. It is the only package of the front end that uses
+// either.
 //
-// A Server owns one proxy.Proxy and carries bytes between it, clients, workers and the other front ends. All state of the
-// proxy is used on the server's event loop only, so none of it is locked. The package owns the sockets, the dials in
-// progress, the timers and the task queue; it makes no routing decision. A DiscoveryWatch keeps the connection to the
-// discovery service on a goroutine of its own.
+// A Server owns one proxy.Proxy and transfers data between it, clients, workers and the other front ends. The state of the
+// proxy is accessed only on the server's event loop, so it needs no locks. The package owns the sockets, the dials in
+// progress, the timers and the task queue; it makes no routing decisions. A DiscoveryWatch maintains the connection to the
+// discovery service on its own goroutine.
 //
-// Commands, the node runtime and the appliance start servers.
+// Servers are started by the commands, the node runtime and the appliance.
 package eventloop
--- a/internal/eventloop/faults_test.go
+++ b/internal/eventloop/faults_test.go
@@ -16,8 +16,8 @@
 	"streamcleat/internal/syscalls/faults"
 )
 
-// Whatever documented error a system call of the loop fails with, the front end keeps serving: open connections
-// continue, and requests that arrive meanwhile are served once the call succeeds.
+// The front end keeps serving whatever documented error a system call of the event loop fails with: open connections
+// continue, and requests that arrive during the failures are served once the call succeeds.
 func TestServer_SurvivesDocumentedSyscallErrors(t *testing.T) {
 	for _, call := range []faults.Call{faults.Accept, faults.Read, faults.Write, faults.Connect, faults.Socket, faults.EpollAdd, faults.Wait} {
 		for _, errno := range faults.DocumentedErrors(call) {
@@ -39,7 +39,7 @@
 				f.send(open, requestText("idempotent", "after"))
 				readUntil(t, in, "HTTP/1.1 200 OK\r\n")
 				if script.Count() == 0 {
-					t.Error("faulty call never made")
+					t.Error("no call was made to fail")
 				}
 			})
 		}
@@ -54,13 +54,12 @@
 	}
 }
 
-// While accept keeps failing it is retried with backoff, not in a busy loop. Waiting clients are accepted when it
-// recovers.
+// While accept fails, it is retried with backoff and not in a busy loop. Waiting clients are accepted once it succeeds.
 func TestAccept_BacksOffWhileFailing(t *testing.T) {
 	var script faults.Script
 	f := newFixtureWithKernel(t, 1, "", faults.Kernel{Decide: script.Decide})
 	f.warmUp()
-	script.Fail(faults.Accept, unix.ENFILE, 6) // about 0.6 s with backoff, of the client's 1.2 s
+	script.Fail(faults.Accept, unix.ENFILE, 6) // takes about 0.6 s with backoff, within the client's 1.2 s
 	start := time.Now()
 	conn, in := f.dial()
 	f.send(conn, requestText("idempotent", "late"))
@@ -73,7 +72,7 @@
 	}
 }
 
-// Tasks that keep posting themselves starve neither sockets nor timers.
+// Tasks that post themselves again without end starve neither sockets nor timers.
 func TestPost_EndlessTasksDoNotStarveSockets(t *testing.T) {
 	f := newFixture(t, 1, "")
 	f.warmUp()
@@ -116,7 +115,7 @@
 	}
 }
 
-// If epoll_wait fails, the loop ends and Wait returns the error.
+// If epoll_wait fails, the event loop ends and Wait returns the error.
 func TestServer_EndsWhenEpollWaitFails(t *testing.T) {
 	var script faults.Script
 	server, err := eventloop.Start(eventloop.Settings{
@@ -135,7 +134,7 @@
 			t.Error(err)
 		}
 	case <-time.After(3 * time.Second):
-		t.Fatal("loop still running")
+		t.Fatal("event loop still running 3 s after epoll_wait failed")
 	}
 	if err := server.Stop(0); err != nil {
 		t.Error(err)
--- a/internal/eventloop/file_watch.go
+++ b/internal/eventloop/file_watch.go
@@ -7,31 +7,32 @@
 )
 
 const (
-	// filePollInterval is the interval at which a watched file is examined. Events of inotify would come sooner, but on a busy
-	// machine the kernel has taken half a minute to close a descriptor of it, at a stop as well as at the end of the process.
+	// filePollInterval is the interval at which the metadata of a watched file is checked. inotify would report changes
+	// sooner, but on a busy machine the kernel took half a minute to close an inotify descriptor, both on a stop and at
+	// process exit.
 	filePollInterval = 50 * time.Millisecond
-	// rereadInterval is the interval at which it is read even if it looks unchanged: it may be written in place within the
-	// resolution of its time.
+	// rereadInterval is the interval at which the file is read even if its metadata is unchanged: a write in place within
+	// the resolution of the modification time does not show there.
 	rereadInterval = 2 * time.Second
 )
 
-// fileWatch reads a file when it changes.
+// fileWatch polls a file and reports its content when it changes.
 type fileWatch struct {
 	path    string
-	info    os.FileInfo // of the file when it was read last; nil if it could not be examined
+	info    os.FileInfo // metadata at the last check; nil if stat failed
 	readAt  time.Time
-	content []byte // content reported last
-	failed  bool   // the last read failed and was reported
+	content []byte // last content that was reported
+	failed  bool   // the last read failed, and the error was reported
 	onRead  func([]byte, error)
 	stop    chan struct{}
 	stopped chan struct{}
 }
 
-// watchFile calls onRead with the file's content before it returns, and later on its own goroutine whenever the content
-// has changed or a read starts to fail.
+// watchFile calls onRead with the file's content before it returns. Afterwards it calls onRead on its own goroutine whenever
+// the content has changed or reading starts to fail.
 func watchFile(path string, onRead func([]byte, error)) (*fileWatch, error) {
 	w := &fileWatch{path: path, onRead: onRead, readAt: time.Now(), stop: make(chan struct{}), stopped: make(chan struct{})}
-	w.info, _ = os.Stat(path) // a failure shows in the read
+	w.info, _ = os.Stat(path) // if stat fails, the read reports the error
 	var err error
 	if w.content, err = os.ReadFile(path); err != nil {
 		return nil, err
@@ -57,8 +58,8 @@
 	}
 }
 
-// mayHaveChanged reports whether the file is to be read. It remembers what it saw before the read, so that a change
-// during the read shows the next time.
+// mayHaveChanged reports whether the file should be read again. The metadata is recorded before the read, so that a change
+// during the read is detected by the next check.
 func (w *fileWatch) mayHaveChanged() bool {
 	info, err := os.Stat(w.path)
 	if err != nil {
@@ -74,7 +75,7 @@
 	return true
 }
 
-// reread reports the file's content if it has changed, and an error unless the previous read failed too.
+// reread reads the file and reports its content if it has changed, or an error if the previous read succeeded.
 func (w *fileWatch) reread() {
 	data, err := os.ReadFile(w.path)
 	if err != nil && w.failed || err == nil && bytes.Equal(data, w.content) {
@@ -88,7 +89,7 @@
 	w.onRead(data, err)
 }
 
-// close stops the watch. Once it has returned, onRead is not called any more.
+// close stops the watch. After it returns, onRead is not called.
 func (w *fileWatch) close() {
 	close(w.stop)
 	<-w.stopped
--- a/internal/eventloop/file_watch_test.go
+++ b/internal/eventloop/file_watch_test.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// Incident: beside other load appliances did not end for more than 15 s, while they went on serving. The stop closes the watch
-// of the endpoint list first, and the kernel took 33 s to close a descriptor of inotify, in four processes at the same time.
-// What proved it: a program that opens and closes such descriptors beside the soak, one close of 500 in each of them. The
-// process must therefore hold none.
-func TestWatchFile_HoldsNoNotifyDescriptor(t *testing.T) {
+// The watch must not use inotify. With inotify, appliances on a busy machine kept serving for more than 15 s after they were
+// told to stop: a stop first closes the watch of the endpoint list, and the kernel took 33 s to close an inotify descriptor, in
+// four processes at the same time. A program that opened and closed inotify descriptors during the soak test reproduced this:
+// one close in 500 of each process hung.
+func TestWatchFile_OpensNoInotifyDescriptor(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "workers.json")
 	replaceFile(t, path, "first")
 	reads := make(chan string, 10)
@@ -35,7 +35,8 @@
 	wantText(t, reads, "other")
 }
 
-// A file is read again after it was replaced, and within the reread interval after it was written in place.
+// A file is read again after it is replaced, and within rereadInterval after it is written in place with its modification
+// time unchanged.
 func TestWatchFile_ReadsChanges(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "workers.json")
 	replaceFile(t, path, "a")
@@ -73,7 +74,7 @@
 	wantText(t, reads, "d")
 }
 
-// replaceFile replaces a file by renaming.
+// replaceFile writes a new file and renames it to path.
 func replaceFile(t *testing.T, path, content string) {
 	t.Helper()
 	if err := os.WriteFile(path+".new", []byte(content), 0o600); err != nil {
--- a/internal/eventloop/fixture_test.go
+++ b/internal/eventloop/fixture_test.go
@@ -20,23 +20,23 @@
 	"streamcleat/internal/verification/invariants"
 )
 
-// fixture is a front end with fake workers on loopback.
+// fixture is a front end with fake workers, all on the loopback interface.
 type fixture struct {
 	t        *testing.T
 	recorder *invariants.Recorder
 	workers  []*fakes.Worker
 	list     *fakes.EndpointList
-	path     string // of the endpoint list
+	path     string // path of the endpoint list file
 	server   *eventloop.Server
 }
 
-// newFixture starts a front end and workers. limits are members of the configuration's "limits" object.
+// newFixture starts a front end and workers. limits holds the members of the "limits" object of the configuration.
 func newFixture(t *testing.T, workers int, limits string) *fixture {
 	t.Helper()
 	return newFixtureWithKernel(t, workers, limits, nil)
 }
 
-// newFixtureWithKernel is newFixture with a kernel that may inject faults.
+// newFixtureWithKernel is like newFixture but takes the kernel, which may inject faults.
 func newFixtureWithKernel(t *testing.T, workers int, limits string, kernel syscalls.Kernel) *fixture {
 	t.Helper()
 	f := &fixture{t: t, recorder: invariants.NewRecorder(), path: filepath.Join(t.TempDir(), "workers.json")}
@@ -102,7 +102,7 @@
 	return client.Fire(context.Background(), schedule.Firing{Entry: &schedule.Entry{Class: class, Function: "tally"}, ID: id})
 }
 
-// warmUp loads a replica.
+// warmUp makes the workers load a replica.
 func (f *fixture) warmUp() {
 	f.t.Helper()
 	if result := f.request("idempotent", "warm"); result.Status != 200 {
@@ -143,10 +143,10 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	f.t.Fatal("requests still open")
+	f.t.Fatal("requests open or attempts in flight after 2 s")
 }
 
-// requestText returns a request in wire format.
+// requestText returns the text of an HTTP request.
 func requestText(class, id string) string {
 	return fmt.Sprintf("POST /events HTTP/1.1\r\nHost: f\r\nce-specversion: 1.0\r\nce-source: /t\r\nce-id: %s\r\nce-type: %s\r\n"+
 		"ce-function: tally\r\nContent-Length: 0\r\n\r\n", id, class)
--- a/internal/eventloop/host.go
+++ b/internal/eventloop/host.go
@@ -7,16 +7,16 @@
 	"streamcleat/internal/upstream"
 )
 
-// clockBase is the reading of Now, in seconds, at the start of the process. It is large enough that start times of
-// workers which are older than the process stay positive.
+// clockBase is the value of Now, in seconds, at the start of the process. It is large enough that the start times of workers
+// that started before the process are positive.
 const clockBase = 1e6
 
 var processStart = time.Now()
 
-// Now returns the time in seconds on the monotonic clock that all front ends of this process share.
+// Now returns the time, in seconds, of the monotonic clock that all front ends of this process share.
 func Now() units.Seconds { return units.Seconds(clockBase + time.Since(processStart).Seconds()) }
 
-// loopHost implements proxy.Host on a server's event loop and sockets and on the process's clock.
+// loopHost implements proxy.Host with a server's event loop and sockets and the clock of the process.
 type loopHost struct{ server *Server }
 
 // Now implements proxy.Host.
--- a/internal/eventloop/input_age_test.go
+++ b/internal/eventloop/input_age_test.go
@@ -8,18 +8,18 @@
 	"streamcleat/internal/units"
 )
 
-// A loop that is held up anywhere between two examinations of its sockets must not take the input of that time for new,
-// also if the wait that was held up had collected its events before.
+// If the event loop is delayed between two checks of its sockets, the input that arrived in between must not count as new,
+// also if the delay came after a wait had collected its events.
 func TestObserveWait_BoundsAgeOfInput(t *testing.T) {
 	type wait struct {
-		iteration, wait time.Duration // before and in the wait
+		iteration, wait time.Duration // duration of the iteration before the wait, and of the wait
 	}
 	const ms = time.Millisecond
 	for name, c := range map[string]struct {
-		waits    []wait
-		minAge   time.Duration
-		asksToo  bool // the kernel is asked for the arrival time
-		isRecent bool
+		waits         []wait
+		minAge        time.Duration
+		queriesKernel bool // the kernel is queried for the arrival time
+		isNegligible  bool
 	}{
 		"prompt":                              {[]wait{{ms, 5 * ms}, {ms, 5 * ms}}, 0, false, true},
 		"idle":                                {[]wait{{ms, 5 * ms}, {ms, 90 * ms}}, 0, true, true},
@@ -36,21 +36,22 @@
 				total += w.iteration + w.wait
 			}
 			now := time.Now().Add(-total)
-			e := inputAgeEstimator{lastEntered: now, lastReturn: now}
+			e := inputAgeEstimator{lastWaitStart: now, lastWaitEnd: now}
 			for _, w := range c.waits {
 				entered := now.Add(w.iteration)
 				now = entered.Add(w.wait)
 				e.observeWait(entered, now)
 			}
 			age := e.age()
-			if age < c.minAge || c.isRecent != (age == 0) || e.waitedLong != c.asksToo {
-				t.Errorf("age %v, want %v at least, recent %v; asks the kernel: %v, want %v", age, c.minAge, c.isRecent, e.waitedLong, c.asksToo)
+			if age < c.minAge || c.isNegligible != (age == 0) || e.waitedLong != c.queriesKernel {
+				t.Errorf("age %v, want at least %v, negligible: %v; kernel queried: %v, want %v",
+					age, c.minAge, c.isNegligible, e.waitedLong, c.queriesKernel)
 			}
 		})
 	}
 }
 
-// suspendingKernel suspends the process at the end of the system call that reports the arrival time.
+// suspendingKernel simulates a suspension of the process at the end of the system call that returns the arrival time.
 type suspendingKernel struct {
 	syscalls.Linux
 	suspension time.Duration
@@ -61,15 +62,15 @@
 	return 0, nil
 }
 
-// The process may be suspended as the system call for the arrival time returns, which is where signals are delivered: that
-// time counts as well.
-func TestInputAge_SuspendedWhileTheKernelIsAsked(t *testing.T) {
+// The process may be suspended as the system call for the arrival time returns, since signals are delivered there. The input
+// age must include the time of the suspension.
+func TestInputAge_IncludesSuspensionInSystemCall(t *testing.T) {
 	const suspension = 80 * time.Millisecond
 	now := time.Now()
-	loop := &reactor{inputAge: inputAgeEstimator{lastEntered: now, lastReturn: now, since: now, waitedLong: true}}
+	loop := &reactor{inputAge: inputAgeEstimator{lastWaitStart: now, lastWaitEnd: now, earliestArrival: now, waitedLong: true}}
 	server := &Server{reactor: loop, kernel: suspendingKernel{suspension: suspension}}
 	c := &connection{server: server, registration: &registration{}}
 	if age := c.InputAge(); age < units.Seconds(suspension.Seconds()) {
-		t.Errorf("age %v after a suspension of %v", age, suspension)
+		t.Errorf("age %v, want at least the suspension of %v", age, suspension)
 	}
 }
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -13,30 +13,30 @@
 )
 
 const (
-	// listenBacklog is the maximum number of connections in the accept queue. The kernel's own limit may be lower.
+	// listenBacklog is the requested length of the accept queue. The kernel may limit it further.
 	listenBacklog = 4096
-	// maxAcceptsPerIteration is the maximum number of connections accepted before other sockets are served.
+	// maxAcceptsPerIteration is the maximum number of connections accepted in one iteration, before other sockets are handled.
 	maxAcceptsPerIteration = 64
-	// The delay before accept is retried, after it failed for lack of a local resource, doubles between these bounds.
+	// After accept fails for lack of a local resource, the delay before the next accept doubles between these bounds.
 	initialAcceptBackoff = 10 * time.Millisecond
 	maxAcceptBackoff     = 500 * time.Millisecond
-	// addressInUseTimeout is the time for which Start waits for an address that is in use.
+	// addressInUseTimeout is the maximum time that Start waits for an address that is in use.
 	addressInUseTimeout = time.Second
-	// startTimeout is the time for which Start retries to open a socket while the machine lacks a resource.
+	// startTimeout is the maximum time that Start retries to open a socket while the machine lacks a resource.
 	startTimeout = 5 * time.Second
 )
 
-// listener accepts clients' connections. No error of accept closes it.
+// listener accepts connections from clients. It stays open whatever error accept returns.
 type listener struct {
 	server       *Server
 	fd           int
-	registration *registration // nil before listen and once closed
+	registration *registration // nil before listen and after close
 	backoff      time.Duration // 0 unless the last accept failed
-	pausedSince  time.Time     // since when connections have waited for accept to recover; zero if none do
+	pausedSince  time.Time     // time since which connections may have been waiting because accept fails; zero if none are
 }
 
-// openListener binds a socket to an address and returns the bound address, which differs if the port is 0. Connections
-// are refused until listen is called.
+// openListener binds a socket to an address and returns the bound address, which has the selected port if the port was 0.
+// Connections are refused until listen is called.
 func openListener(kernel syscalls.Kernel, address string) (l *listener, bound string, err error) {
 	tcpAddr, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil {
@@ -63,8 +63,8 @@
 	return &listener{fd: fd}, addrPortOf(local).String(), nil
 }
 
-// retryStart retries a call that fails because the machine lacks a resource, or because the address is in use: an earlier
-// process may be about to exit, or a connection of some process may hold the port briefly.
+// retryStart retries a call that fails because the machine lacks a resource or the address is in use: an earlier process may
+// be about to exit, or a connection of another process may occupy the port for a short time.
 func retryStart(call func() error) error {
 	start := time.Now()
 	for {
@@ -83,7 +83,7 @@
 	}
 }
 
-// listen starts to accept connections on the server's loop.
+// listen starts to accept connections on the server's event loop.
 func (l *listener) listen(s *Server) error {
 	if err := s.kernel.Listen(l.fd, listenBacklog); err != nil {
 		return errors.Join(os.NewSyscallError("listen", err), s.kernel.Close(l.fd))
@@ -97,7 +97,7 @@
 func (l *listener) onEvents(uint32) {
 	for range maxAcceptsPerIteration {
 		if l.registration == nil {
-			return // closed while a connection was handled
+			return // closed while an accepted connection was handled
 		}
 		fd, peer, err := l.server.kernel.Accept(l.fd)
 		if err == nil {
@@ -119,8 +119,8 @@
 	}
 }
 
-// pauseAccepting leaves connections in the accept queue for a while, until resources are available again. It evicts an
-// idle client if the settings allow that.
+// pauseAccepting stops accepting for the backoff delay, so that resources can become available again; connections stay in
+// the accept queue meanwhile. It evicts an idle client if the settings allow that.
 func (l *listener) pauseAccepting(err error) {
 	if l.pausedSince.IsZero() {
 		l.pausedSince = time.Now()
@@ -139,7 +139,7 @@
 	})
 }
 
-// close stops listening. Connections that were not accepted are reset.
+// close stops listening. Connections that have not been accepted are reset.
 func (l *listener) close() {
 	if l.registration == nil {
 		return
@@ -148,17 +148,17 @@
 	l.registration = nil
 }
 
-// onAccepted hands an accepted connection to the proxy. waitedSince is when accept was paused, or zero if it was not.
-func (s *Server) onAccepted(fd int, peer netip.AddrPort, waitedSince time.Time) {
-	c := &connection{server: s, remoteAddr: peer, acceptDelayed: s.reactor.inputAge.waitedLong || !waitedSince.IsZero()}
+// onAccepted passes an accepted connection to the proxy. pausedSince is the time since which accepting was paused, or zero.
+func (s *Server) onAccepted(fd int, peer netip.AddrPort, pausedSince time.Time) {
+	c := &connection{server: s, remoteAddr: peer, acceptDelayed: s.reactor.inputAge.waitedLong || !pausedSince.IsZero()}
 	c.registration = s.reactor.poller.register(fd, readEvents, c)
 	switch {
-	case !waitedSince.IsZero(): // the kernel's arrival time is preferred, see connection.InputAge
+	case !pausedSince.IsZero(): // InputAge prefers the arrival time that the kernel reports
 		if _, err := s.kernel.LastReceived(fd); err != nil {
-			c.unreadSince = waitedSince
+			c.unreadSince = pausedSince
 		}
-	case s.reactor.inputAge.age() > 0: // input may be as old as the connection
-		c.unreadSince = s.reactor.inputAge.since
+	case s.reactor.inputAge.age() > 0: // input may have arrived as early as the connection
+		c.unreadSince = s.reactor.inputAge.earliestArrival
 	case !c.registration.added:
 		c.unreadSince = time.Now()
 	}
--- a/internal/eventloop/listener_test.go
+++ b/internal/eventloop/listener_test.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// Every connection that is established during the start is served, from the first on, and only after OnStart: the
-// listener is not opened and closed again, and never accepts before the front end is ready.
+// Every connection that is established while the front end starts is served, from the first on, and only after OnStart: the
+// listener is not closed and reopened, and does not accept before the front end is ready.
 func TestStart_ServesEveryEstablishedConnection(t *testing.T) {
 	addr := freeAddress(t)
 	var started atomic.Bool
@@ -94,7 +94,7 @@
 	}
 }
 
-// A front end that is stopped right after its start ends with all its goroutines and runs no further tasks.
+// A front end that is stopped immediately after its start ends, with all its goroutines, and runs no further tasks.
 func TestStop_ImmediatelyAfterStart(t *testing.T) {
 	server, err := Start(startSettings("127.0.0.1:0"))
 	if err != nil {
@@ -108,14 +108,14 @@
 			t.Error(err)
 		}
 	case <-time.After(3 * time.Second):
-		t.Fatal("Stop hangs")
+		t.Fatal("Stop did not return within 3 s")
 	}
 	if err := server.Do(func(*proxy.Proxy) {}); !errors.Is(err, ErrLoopEnded) {
 		t.Errorf("Do after Stop: %v, want ErrLoopEnded", err)
 	}
 }
 
-// A connection that was established before listen would be reset.
+// No connection may be established before listen is called, since it would be reset.
 func TestOpenListener_RefusesConnectionsBeforeListen(t *testing.T) {
 	kernel := syscalls.Linux{}
 	l, addr, err := openListener(kernel, "127.0.0.1:0")
--- a/internal/eventloop/main_test.go
+++ b/internal/eventloop/main_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain fails if a goroutine outlives the tests.
+// TestMain fails if a goroutine is left after the tests.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/eventloop/peer_socket.go
+++ b/internal/eventloop/peer_socket.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// maxDatagram is the maximum size of a datagram in bytes. Front ends send none that is longer.
+	// maxDatagram is the maximum size of a gossip datagram in bytes. Front ends never send a longer one.
 	maxDatagram = 2048
-	// receiveRetryDelay keeps a persistent socket error from becoming a busy loop.
+	// receiveRetryDelay is the delay after a failed receive. It keeps a persistent socket error from causing a busy loop.
 	receiveRetryDelay = 10 * time.Millisecond
 )
 
 // peerSocket is the datagram socket for gossip with the other front ends.
 type peerSocket struct {
-	conn           *net.UDPConn            // nil if nothing is sent or received
-	receives       bool                    // conn is bound to the address that peers send to
-	targets        []netip.AddrPort        // destinations of each datagram
+	conn           *net.UDPConn            // nil if this front end neither sends nor receives gossip
+	receives       bool                    // conn is bound to the PeerListen address
+	targets        []netip.AddrPort        // addresses to which each datagram is sent
 	allowedSenders map[netip.AddrPort]bool // nil allows any sender
 }
 
@@ -51,7 +51,7 @@
 	return peers, nil
 }
 
-// resolve sets the targets and the allowed senders.
+// resolve resolves the configured addresses and sets the targets and the allowed senders.
 func (p *peerSocket) resolve(settings *Settings) error {
 	if settings.Self != "" {
 		p.allowedSenders = map[netip.AddrPort]bool{}
@@ -79,18 +79,18 @@
 	return nil
 }
 
-// accepts reports whether a datagram from an address is accepted.
+// accepts reports whether datagrams from the given address are accepted.
 func (p *peerSocket) accepts(from netip.AddrPort) bool {
 	return p.allowedSenders == nil || p.allowedSenders[unmapped(from)]
 }
 
-// unmapped returns an address in the one form in which addresses are compared: the resolver gives an IPv4 address as one
-// mapped to IPv6, and a socket may give it either way.
+// unmapped returns an address with any IPv4-mapped IPv6 address converted to IPv4, so that addresses can be compared. The
+// resolver returns IPv4 addresses in mapped form, and a socket may return either form.
 func unmapped(address netip.AddrPort) netip.AddrPort {
 	return netip.AddrPortFrom(address.Addr().Unmap(), address.Port())
 }
 
-// send sends a datagram to every peer.
+// send sends a datagram to every target. Errors are ignored.
 func (p *peerSocket) send(datagram []byte) {
 	for _, target := range p.targets {
 		_, _ = p.conn.WriteToUDPAddrPort(datagram, target) // gossip tolerates loss
@@ -103,7 +103,7 @@
 	}
 }
 
-// receiveDatagrams reads datagrams of peers until the socket is closed.
+// receiveDatagrams passes datagrams from allowed senders to the proxy until the socket is closed.
 func (s *Server) receiveDatagrams() {
 	buffer := make([]byte, maxDatagram)
 	for {
--- a/internal/eventloop/peer_socket_test.go
+++ b/internal/eventloop/peer_socket_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A datagram of a listed peer is accepted, and one from any other address is not. The addresses come in the forms that the
-// resolver and the socket give them.
+// A datagram from a listed peer is accepted, and one from any other address is not. The resolver and the socket may return
+// the same address in different forms.
 func TestPeerSocket_AcceptsListedPeersOnly(t *testing.T) {
 	open := func(settings *Settings) *peerSocket {
 		socket, err := openPeerSocket(settings)
@@ -16,9 +16,9 @@
 		t.Cleanup(socket.close)
 		return socket
 	}
-	own, peer, stranger := freeUDPAddress(t), freeUDPAddress(t), freeUDPAddress(t)
+	own, peer, unlisted := freeUDPAddress(t), freeUDPAddress(t), freeUDPAddress(t)
 	receiver := open(&Settings{PeerListen: own, Self: own, Peers: []string{own, peer}})
-	for sender, accepted := range map[string]bool{peer: true, stranger: false} {
+	for sender, accepted := range map[string]bool{peer: true, unlisted: false} {
 		open(&Settings{PeerListen: sender, Peers: []string{own}}).send([]byte("gossip"))
 		buffer := make([]byte, maxDatagram)
 		n, from, err := receiver.conn.ReadFromUDPAddrPort(buffer)
--- a/internal/eventloop/reactor.go
+++ b/internal/eventloop/reactor.go
@@ -15,19 +15,19 @@
 const (
 	// maxEventsPerIteration is the maximum number of events that are handled before tasks and timers run.
 	maxEventsPerIteration = 128
-	// slowIteration is the duration above which an iteration is logged: a client may have disconnected that long before
-	// the loop notices.
+	// slowIteration is the duration above which an iteration is logged: the loop may detect a client's disconnection late by
+	// that time.
 	slowIteration = 100 * time.Millisecond
 	// retryDelay is the delay before a call that failed for lack of a local resource is retried.
 	retryDelay = 10 * time.Millisecond
-	// longestWait is the longest wait for events while the loop serves.
+	// longestWait is the maximum duration of a wait for events while the server runs.
 	longestWait = time.Duration(proxy.SweepInterval * float64(time.Second))
-	// schedulingMargin is the scheduling delay that is normal on a machine which is not overloaded.
+	// schedulingMargin is the scheduling delay that is normal on a machine that is not overloaded.
 	schedulingMargin = 20 * time.Millisecond
 )
 
-// reactor is an event loop: it handles socket events, tasks and timers on one goroutine. Fields are used on that
-// goroutine only, except tasks.
+// reactor is an event loop: it handles socket events, tasks and timers on one goroutine. All fields except tasks are used
+// on that goroutine only.
 type reactor struct {
 	log      *slog.Logger
 	counters *counters
@@ -38,7 +38,7 @@
 	stopping bool
 }
 
-// newReactor returns a reactor that does not run yet.
+// newReactor returns a reactor that is not running yet.
 func newReactor(kernel syscalls.Kernel, log *slog.Logger, counters *counters) (*reactor, error) {
 	poller, err := newPoller(kernel, log, counters)
 	if err != nil {
@@ -47,10 +47,10 @@
 	return &reactor{log: log, counters: counters, poller: poller, tasks: taskQueue{wakeLoop: poller.wake}}, nil
 }
 
-// run serves until stop is called on the loop or the wait for events fails. It leaves all descriptors open.
+// run runs the event loop until stop is called or the wait for events fails. It closes no descriptors.
 func (r *reactor) run() error {
 	events := make([]unix.EpollEvent, maxEventsPerIteration)
-	var entered time.Time // start of the wait in progress; zero if it has returned
+	var entered time.Time // start of the wait in progress; zero if there is none
 	for !r.stopping {
 		now := time.Now()
 		if entered.IsZero() {
@@ -60,7 +60,7 @@
 		if err != nil && !errors.Is(err, unix.EINTR) {
 			return err
 		}
-		if err == nil { // an interrupted wait has not examined the sockets; it counts as still in progress
+		if err == nil { // an interrupted wait has not checked the sockets, so it counts as still in progress
 			r.inputAge.observeWait(entered, time.Now())
 			entered = time.Time{}
 		}
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// iterate handles events, then the tasks queued by then, then the timers that are due. Tasks that are posted meanwhile
-// run in the next iteration, so that they cannot starve the sockets.
+// iterate handles the events, then the tasks that are queued, then the timers that are due. Tasks that are posted while
+// tasks run wait for the next iteration, so that they cannot starve the sockets.
 func (r *reactor) iterate(events []unix.EpollEvent) {
 	start := time.Now()
 	r.poller.dispatch(events)
@@ -100,7 +100,7 @@
 	if next.IsZero() {
 		return -1
 	}
-	// Rounded up: a wait that ends early finds no timer due, and the loop would spin until one is.
+	// Rounded up: if the wait ended before the timer is due, the loop would spin until then.
 	return max(int(math.Ceil(float64(next.Sub(now))/float64(time.Millisecond))), 0)
 }
 
--- a/internal/eventloop/server.go
+++ b/internal/eventloop/server.go
@@ -17,20 +17,20 @@
 )
 
 const (
-	// storeTimeout is the time for which Stop waits for records to be stored.
+	// storeTimeout is the maximum time that Stop waits for records to be stored.
 	storeTimeout = 5 * time.Second
-	// sendTimeout is the time for which Stop waits for the last responses to be sent.
+	// sendTimeout is the maximum time that Stop waits for the last responses to be sent.
 	sendTimeout = time.Second
-	// loopStopTimeout is the time for which Stop waits for the event loop to end.
+	// loopStopTimeout is the maximum time that Stop waits for the event loop to end.
 	loopStopTimeout = 5 * time.Second
-	// pollInterval is the interval at which Stop checks a condition that it waits for.
+	// pollInterval is the interval at which Stop checks whether a condition holds.
 	pollInterval = 10 * time.Millisecond
-	// readAheadSize is the maximum number of bytes that one ReadAhead returns.
+	// readAheadSize is the maximum number of bytes that one call of ReadAhead returns.
 	readAheadSize = 16 << 10
 )
 
 var (
-	// ErrLoopEnded is returned by methods that need the event loop, after it has ended.
+	// ErrLoopEnded is returned by methods that need the event loop if it has ended.
 	ErrLoopEnded = errors.New("event loop ended")
 	// ErrLoopStalled is returned by Stop if the event loop does not end in time.
 	ErrLoopStalled = errors.New("event loop stalled")
@@ -39,12 +39,12 @@
 // Settings configure one front end and its sockets.
 type Settings struct {
 	proxy.Settings
-	Listen           string   // host:port for clients; port 0 selects a free port
-	PeerListen       string   // host:port for other front ends' datagrams; empty for none
-	Peers            []string // host:port of each other front end, and of this one if Self is set
-	EndpointListFile string   // endpoint list, read again whenever it changes; empty for none
-	PeerBroadcast    string   // address that reaches all other front ends; if empty, each of Peers gets a datagram
-	// Self is this front end's own address among Peers. If it is set, datagrams are accepted from Peers only.
+	Listen           string   // host:port that clients connect to; port 0 selects a free port
+	PeerListen       string   // host:port that receives gossip from other front ends; empty for none
+	Peers            []string // host:port of the other front ends, and of this one if Self is set
+	EndpointListFile string   // endpoint list file, read again whenever it changes; empty for none
+	PeerBroadcast    string   // address that reaches all other front ends; if empty, a datagram is sent to each of Peers
+	// Self is the address of this front end in Peers. If it is set, datagrams are accepted from Peers only.
 	Self    string
 	OnStart func(*proxy.Proxy) // called on the event loop before any input is handled; may be nil
 	Kernel  syscalls.Kernel    // makes the system calls on sockets; nil means syscalls.Linux
@@ -52,22 +52,22 @@
 
 // Server is one running front end.
 type Server struct {
-	settings        Settings
-	log             *slog.Logger
-	kernel          syscalls.Kernel
-	reactor         *reactor
-	listener        *listener
-	proxy           *proxy.Proxy
-	dials           map[upstream.ConnID]*dial
-	readBuffer      []byte
-	readAheadBuffer []byte
-	counters        counters
-	unanswered      []dispatch.Response // see Unanswered
-	peers           *peerSocket
-	fileWatch       *fileWatch // nil without a EndpointListFile
-
-	started    chan error     // receives the result of the start
-	loopEnded  chan struct{}  // closed when the loop has ended
+	settings         Settings
+	log              *slog.Logger
+	kernel           syscalls.Kernel
+	reactor          *reactor
+	listener         *listener
+	proxy            *proxy.Proxy
+	dials            map[upstream.ConnID]*dial
+	readBuffer       []byte
+	readAheadBuffer  []byte
+	counters         counters
+	failedAtRecovery []dispatch.Response // see FailedAtRecovery
+	peers            *peerSocket
+	fileWatch        *fileWatch // nil without an EndpointListFile
+
+	started    chan error     // receives the result of startServing
+	loopEnded  chan struct{}  // closed when the event loop has ended
 	loopErr    error          // valid once loopEnded is closed
 	background sync.WaitGroup // goroutines that Stop waits for
 
@@ -75,7 +75,7 @@
 	stopErr  error
 }
 
-// Start starts a front end and returns once it serves.
+// Start starts a front end and returns when it accepts connections.
 func Start(settings Settings) (*Server, error) {
 	s, err := newServer(settings)
 	if err != nil {
@@ -88,7 +88,7 @@
 	}
 	if settings.EndpointListFile != "" {
 		if s.fileWatch, err = watchFile(settings.EndpointListFile, s.readEndpointList); err != nil {
-			_ = s.Stop(0) // the watch's error is the cause
+			_ = s.Stop(0) // the error of watchFile is returned
 			return nil, fmt.Errorf("watch endpoint list %s: %w", settings.EndpointListFile, err)
 		}
 	}
@@ -99,7 +99,7 @@
 	return s, nil
 }
 
-// newServer returns a server whose address is bound and which does not run yet.
+// newServer returns a server that is bound to its address but not running yet.
 func newServer(settings Settings) (*Server, error) {
 	if settings.Log == nil {
 		settings.Log = slog.New(slog.DiscardHandler)
@@ -124,8 +124,8 @@
 	return s, nil
 }
 
-// open opens the sockets and the event loop, waiting for resources that the machine lacks. It sets settings.Listen to the
-// bound address.
+// open opens the sockets and creates the event loop. It retries while the machine lacks resources. It sets settings.Listen
+// to the bound address.
 func (s *Server) open(settings *Settings) error {
 	var bound string
 	err := retryStart(func() (err error) {
@@ -150,7 +150,7 @@
 	return nil
 }
 
-// runLoop serves until the loop is stopped or fails, then closes its sockets.
+// runLoop runs the event loop until it is stopped or fails, then closes the sockets.
 func (s *Server) runLoop() {
 	err := s.startServing()
 	if err == nil {
@@ -172,12 +172,12 @@
 	close(s.loopEnded)
 }
 
-// startServing creates the proxy and starts to accept clients.
+// startServing creates the proxy and starts to accept connections from clients.
 func (s *Server) startServing() error {
 	s.proxy = proxy.New(s.settings.Settings, loopHost{s})
 	s.reactor.timers.onTick = s.proxy.Tick
 	s.reactor.timers.onSweep = s.sweep
-	s.unanswered = s.proxy.FailedAtRecovery()
+	s.failedAtRecovery = s.proxy.FailedAtRecovery()
 	if s.settings.OnStart != nil {
 		s.settings.OnStart(s.proxy)
 	}
@@ -188,8 +188,8 @@
 // closeConnections closes all sockets after the loop has ended. The proxy is not notified.
 func (s *Server) closeConnections() {
 	for _, id := range sortedKeys(s.reactor.poller.registrations) {
-		if registered := s.reactor.poller.registrations[id]; registered != nil {
-			s.reactor.poller.unregister(registered)
+		if reg := s.reactor.poller.registrations[id]; reg != nil {
+			s.reactor.poller.unregister(reg)
 		}
 	}
 }
@@ -197,24 +197,24 @@
 // sortedKeys returns the keys of a map in ascending order.
 func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
 
-// FailedAtRecovery returns the failure responses of an earlier process's requests that may have executed and must not be
-// retried. No client received them.
-func (s *Server) FailedAtRecovery() []dispatch.Response { return s.unanswered }
+// FailedAtRecovery returns the failure responses to requests of an earlier process that may have been executed and must not
+// be retried. No client has received these responses.
+func (s *Server) FailedAtRecovery() []dispatch.Response { return s.failedAtRecovery }
 
 // Addr returns the address that clients connect to.
 func (s *Server) Addr() string { return s.settings.Listen }
 
-// Wait blocks until the loop has ended and returns its error.
+// Wait blocks until the event loop has ended and returns its error.
 func (s *Server) Wait() error {
 	<-s.loopEnded
 	return s.loopErr
 }
 
-// StopListening rejects new connections and requests. Open requests continue until Stop.
+// StopListening starts to reject new connections and requests. Open requests continue until Stop.
 func (s *Server) StopListening() error { return s.Do((*proxy.Proxy).StopListening) }
 
-// Stop rejects new connections and requests, waits up to grace for open requests, answers the remaining ones and ends the
-// loop.
+// Stop rejects new connections and requests, waits up to grace for open requests to complete, responds to the remaining ones
+// and ends the event loop.
 func (s *Server) Stop(grace time.Duration) error {
 	s.stopOnce.Do(func() { s.stopErr = s.stop(grace) })
 	return s.stopErr
@@ -235,14 +235,14 @@
 	select {
 	case <-s.loopEnded:
 		s.background.Wait()
-	case <-time.After(loopStopTimeout): // background goroutines may hang with the loop
+	case <-time.After(loopStopTimeout): // background goroutines may hang along with the event loop
 		return ErrLoopStalled
 	}
 	s.log.Info("stopped")
 	return nil
 }
 
-// waitUntil waits until a condition holds, the timeout expires or the loop ends.
+// waitUntil waits until a condition holds, the timeout expires or the event loop ends.
 func (s *Server) waitUntil(timeout time.Duration, condition func(*proxy.Proxy) bool) {
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		holds := false
--- a/internal/eventloop/server_test.go
+++ b/internal/eventloop/server_test.go
@@ -20,7 +20,7 @@
 	"streamcleat/internal/verification/invariants"
 )
 
-// Duplicates of a request get the response of its one attempt, both while it is open and after it has ended.
+// Duplicates of a request get the response of its only attempt, both while the request is open and after it has ended.
 func TestServer_DuplicateRequestsGetOneResponse(t *testing.T) {
 	for _, class := range []string{"idempotent", "keyed", "at-most-once"} {
 		t.Run(class, func(t *testing.T) {
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestServer_HungWorkerAnsweredByDeadline(t *testing.T) {
+func TestServer_RespondsByDeadlineIfWorkersHang(t *testing.T) {
 	f := newFixture(t, 2, `"answer_margin_s":0.1`)
 	f.warmUp()
 	f.inject(fakes.Fault{Kind: "hang"})
@@ -66,23 +66,23 @@
 	f.waitIdle()
 }
 
-func TestServer_ConnectionResetByIdempotency(t *testing.T) {
+func TestServer_RetriesLostConnectionsByIdempotency(t *testing.T) {
 	for _, c := range []struct {
 		fault      fakes.Fault
 		class      string
 		status     int
 		executions int
 	}{
-		{fakes.Fault{Kind: "cut", Bytes: 40}, "idempotent", 200, 2}, // possibly executed, idempotent: retried
+		{fakes.Fault{Kind: "cut", Bytes: 40}, "idempotent", 200, 2}, // possibly executed; retried, since it is idempotent
 		{fakes.Fault{Kind: "cut", Bytes: 40}, "keyed", 200, 1},      // the workers deduplicate the retry
 		{fakes.Fault{Kind: "cut", Bytes: 40}, "at-most-once", 502, 1},
 		{fakes.Fault{Kind: "reset"}, "idempotent", 200, 1},
-		{fakes.Fault{Kind: "reset"}, "at-most-once", 502, 0}, // never executed, which the front end cannot know
+		{fakes.Fault{Kind: "reset"}, "at-most-once", 502, 0}, // not executed, but the front end cannot know that
 	} {
 		t.Run(string(c.fault.Kind)+" "+c.class, func(t *testing.T) {
 			f := newFixture(t, 2, "")
 			f.warmUp()
-			f.inject(c.fault) // in force until it is replaced below
+			f.inject(c.fault) // lasts until it is replaced below
 			done := make(chan schedule.Result)
 			go func() { done <- f.request(c.class, "e") }()
 			for f.count(invariants.AttemptEnded, "e") == 0 {
@@ -103,7 +103,7 @@
 	}
 }
 
-// A refused connection proves that the request was not executed, so every event type is retried on another worker.
+// If the connection is refused, the request was not executed, so requests of every event type are retried on another worker.
 func TestServer_RetriesAfterRefusedConnection(t *testing.T) {
 	f := newFixture(t, 2, "")
 	if result := f.request("at-most-once", "warm"); result.Status != 200 {
@@ -121,7 +121,7 @@
 		}
 	}
 	for _, class := range []string{"idempotent", "keyed", "at-most-once"} {
-		// Time for the front end to see that its connection to the worker was closed.
+		// Gives the front end time to detect that its connection to the worker was closed.
 		time.Sleep(20 * time.Millisecond)
 		if result := f.request(class, class); result.Status != 200 || f.count(invariants.Executed, class) != 1 {
 			t.Errorf("%s: status %d, executed %d times", class, result.Status, f.count(invariants.Executed, class))
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestServer_RetryAfterClientDisconnect(t *testing.T) {
+func TestServer_DeduplicatesAfterClientDisconnect(t *testing.T) {
 	f := newFixture(t, 2, "")
 	f.request("idempotent", "warm")
 	conn, _ := f.dial()
@@ -145,8 +145,8 @@
 	}
 }
 
-// requestUntil has clients send requests of all event types until ctx ends. wait returns the number of responses that
-// were neither success nor rejection.
+// requestUntil starts clients that send requests of all event types until ctx ends. wait waits for them and returns the
+// number of responses that were neither success nor rejection.
 func (f *fixture) requestUntil(ctx context.Context, clients int) (wait func() (failed int64)) {
 	var running sync.WaitGroup
 	var failed atomic.Int64
@@ -212,7 +212,7 @@
 	}
 }
 
-// readStatuses reads the statuses of all responses until the connection closes.
+// readStatuses returns the status codes of all responses until the connection closes.
 func readStatuses(t *testing.T, in *bufio.Reader) string {
 	t.Helper()
 	var statuses []string
@@ -270,10 +270,10 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Error("client that never reads not disconnected")
+	t.Error("client that never reads was not disconnected within 2 s")
 }
 
-func TestStop_AnswersOpenRequests(t *testing.T) {
+func TestStop_RespondsToOpenRequests(t *testing.T) {
 	f := newFixture(t, 1, "")
 	f.request("idempotent", "warm")
 	f.inject(fakes.Fault{Kind: "hang"})
@@ -293,7 +293,7 @@
 		}
 	}
 	if _, err := net.DialTimeout("tcp", f.server.Addr(), time.Second); err == nil {
-		t.Error("still listening")
+		t.Error("front end accepts connections after Stop")
 	}
 }
 
--- a/internal/eventloop/socket_address.go
+++ b/internal/eventloop/socket_address.go
@@ -7,10 +7,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// errInvalidAddress reports an address without an IP.
+// errInvalidAddress is returned for an address without an IP.
 var errInvalidAddress = errors.New("invalid IP address and port")
 
-// addrPortOf converts a kernel socket address. It returns the zero AddrPort for other families than IPv4 and IPv6.
+// addrPortOf converts a kernel socket address. It returns the zero AddrPort for families other than IPv4 and IPv6.
 func addrPortOf(address unix.Sockaddr) netip.AddrPort {
 	switch a := address.(type) {
 	case *unix.SockaddrInet4:
@@ -21,7 +21,7 @@
 	return netip.AddrPort{}
 }
 
-// sockaddrOf converts an address to the kernel's form.
+// sockaddrOf converts an address to a kernel socket address and its address family.
 func sockaddrOf(addr netip.AddrPort) (family int, sockaddr unix.Sockaddr, err error) {
 	ip := addr.Addr().Unmap()
 	switch {
--- a/internal/eventloop/task_queue.go
+++ b/internal/eventloop/task_queue.go
@@ -2,17 +2,17 @@
 
 import "sync"
 
-// taskQueue holds functions that other goroutines hand to the event loop. Its methods may be called from any goroutine.
+// taskQueue holds functions that other goroutines post to the event loop. Its methods may be called from any goroutine.
 type taskQueue struct {
-	wakeLoop func() // ends the loop's wait for events
+	wakeLoop func() // interrupts the loop's wait for events
 
 	mu     sync.Mutex
 	tasks  []func()
-	awake  bool // a wake-up is pending, or the loop checks the queue before it waits again
+	awake  bool // no wake-up is needed: one is pending, or the loop checks the queue before it waits
 	closed bool
 }
 
-// post appends f. It returns ErrLoopEnded once the queue is closed.
+// post appends f to the queue. It returns ErrLoopEnded if the queue is closed.
 func (q *taskQueue) post(f func()) error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// prepareWait reports whether tasks are queued. If none are, the next post wakes the loop.
+// prepareWait is called before a wait and reports whether tasks are queued. If none are, the next post wakes the loop.
 func (q *taskQueue) prepareWait() (pending bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -35,14 +35,14 @@
 	return q.awake
 }
 
-// endWait suppresses wake-ups until the next prepareWait: the loop checks the queue by itself until then.
+// endWait suppresses wake-ups until the next prepareWait, since the loop checks the queue before it waits again.
 func (q *taskQueue) endWait() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.awake = true
 }
 
-// run runs the tasks that are queued at the call and returns their number. Tasks that they post stay queued.
+// run runs the tasks that are queued when it is called and returns their number. Tasks that they post stay queued.
 func (q *taskQueue) run() int {
 	q.mu.Lock()
 	tasks := q.tasks
@@ -54,7 +54,7 @@
 	return len(tasks)
 }
 
-// close drops queued tasks and rejects further ones.
+// close discards the queued tasks and rejects further ones.
 func (q *taskQueue) close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/eventloop/task_queue_test.go
+++ b/internal/eventloop/task_queue_test.go
@@ -20,7 +20,7 @@
 	post()
 	post()
 	if wakeUps != 1 {
-		t.Errorf("%d wake-ups by two tasks during one wait, want 1", wakeUps)
+		t.Errorf("%d wake-ups for two tasks posted during one wait, want 1", wakeUps)
 	}
 	queue.endWait()
 	if n := queue.run(); n != 2 {
--- a/internal/eventloop/timers.go
+++ b/internal/eventloop/timers.go
@@ -4,12 +4,12 @@
 
 // timers holds the timers of one event loop. All methods are called on the loop.
 type timers struct {
-	tickAt  time.Time // deadline of the proxy's own timer; zero if not set
+	tickAt  time.Time // time of the timer that the proxy sets; zero if not set
 	onTick  func()
 	sweepAt time.Time // zero if not set
 	onSweep func()
 	delayed []delayedCall
-	slowest timerDuration // slowest timer of the current iteration
+	slowest timerDuration // slowest timer in the current iteration
 }
 
 // delayedCall is a function that is to run at a given time.
@@ -18,18 +18,18 @@
 	f  func()
 }
 
-// timerDuration records how long a timer ran.
+// timerDuration is the time that the callback of a timer took.
 type timerDuration struct {
 	name string
 	took time.Duration
 }
 
-// after runs f on the loop once the delay has passed.
+// after schedules f to run on the event loop after the delay.
 func (t *timers) after(delay time.Duration, f func()) {
 	t.delayed = append(t.delayed, delayedCall{time.Now().Add(delay), f})
 }
 
-// next returns the earliest deadline, or the zero time if no timer is set.
+// next returns the time of the earliest timer, or the zero time if no timer is set.
 func (t *timers) next() time.Time {
 	next := earlier(t.tickAt, t.sweepAt)
 	for i := range t.delayed {
@@ -38,7 +38,7 @@
 	return next
 }
 
-// earlier returns the earlier of two deadlines. The zero time is no deadline.
+// earlier returns the earlier of two times. The zero time means that no time is set.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || !b.IsZero() && b.Before(a) {
 		return b
@@ -46,7 +46,7 @@
 	return a
 }
 
-// runProxyTimers runs the proxy's own timer and the sweep if they are due.
+// runProxyTimers runs the timer that the proxy sets and the sweep if they are due.
 func (t *timers) runProxyTimers(now time.Time) {
 	if !t.tickAt.IsZero() && !now.Before(t.tickAt) {
 		t.tickAt = time.Time{}
@@ -57,7 +57,7 @@
 	}
 }
 
-// runDelayed runs the delayed calls that are due. Calls that these add wait for a later iteration.
+// runDelayed runs the delayed calls that are due. Calls that they add wait for a later iteration.
 func (t *timers) runDelayed(now time.Time) {
 	calls := t.delayed
 	t.delayed = nil
@@ -72,7 +72,7 @@
 	})
 }
 
-// measure runs a timer and records its duration if it is the slowest of the iteration.
+// measure runs the callback of a timer and records its duration if it is the slowest in the iteration.
 func (t *timers) measure(name string, run func()) {
 	start := time.Now()
 	run()
