--- a/control/endpoint_lease.go
+++ b/control/endpoint_lease.go
@@ -52,9 +52,9 @@
 	drainSeenAt    units.Seconds // last rejection that this front end saw of a worker that probably drains; 0: none
 }
 
-// OnDiscoveryHeard renews the leases of all listed workers: the endpoint list was complete at a time that is not before
+// OnDiscoveryConfirmed renews the leases of all listed workers: the endpoint list was complete at a time that is not before
 // asOf. It is called for deployments with EndpointLeases only.
-func (r *Router) OnDiscoveryHeard(now, asOf units.Seconds) {
+func (r *Router) OnDiscoveryConfirmed(now, asOf units.Seconds) {
 	r.advance(now)
 	if asOf < r.discovery.suspendedAt {
 		return
@@ -67,14 +67,14 @@
 			w.disconnectedAt, w.reconnectedAt = 0, 0 // the list tells of another process, or there is none
 		}
 	}
-	if r.isDiscoveryHeard() {
+	if r.isDiscoveryAvailable() {
 		r.releaseAllWaiters(func(*worker) bool { return true })
 	}
 	r.applyRules()
 }
 
-// OnDiscoveryLost shortens the leases of all listed workers to one of the grace: no news will come for now.
-func (r *Router) OnDiscoveryLost(now units.Seconds) {
+// OnDiscoveryDisconnected shortens the leases of all listed workers to one of the grace: no news will come for now.
+func (r *Router) OnDiscoveryDisconnected(now units.Seconds) {
 	r.advance(now)
 	r.discovery.expiresAt = min(r.discovery.expiresAt, now+r.leaseDuration())
 	r.endpointRulesDue = true
@@ -95,8 +95,8 @@
 	return max(r.deployment.DrainGrace-leaseMarginSeconds, minLeaseSeconds)
 }
 
-// isDiscoveryHeard reports whether the endpoint list can be relied on.
-func (r *Router) isDiscoveryHeard() bool {
+// isDiscoveryAvailable reports whether the endpoint list can be relied on.
+func (r *Router) isDiscoveryAvailable() bool {
 	switch {
 	case r.deployment.EndpointLeases:
 		return r.now < r.discovery.expiresAt
@@ -120,12 +120,12 @@
 // not heard.
 func (r *Router) hasRejected(w *worker) bool {
 	lastProof := max(w.lease.provenAt, w.lease.clearedAt, r.discovery.confirmedAt)
-	return !r.isDiscoveryHeard() && w.lease.rejectedAt > lastProof
+	return !r.isDiscoveryAvailable() && w.lease.rejectedAt > lastProof
 }
 
 // isProven reports whether the last proof of w still counts: if it began to drain since, the grace is not over.
 func (r *Router) isProven(w *worker) bool {
-	return r.isDiscoveryHeard() || w.lease.provenAt > w.disconnectedAt && r.now < w.lease.provenAt+r.leaseDuration()
+	return r.isDiscoveryAvailable() || w.lease.provenAt > w.disconnectedAt && r.now < w.lease.provenAt+r.leaseDuration()
 }
 
 // MaySend reports whether an attempt may still be sent to a worker. The host asks it for each attempt as its bytes leave,
@@ -163,7 +163,7 @@
 func (r *Router) recordRejection(w *worker, fn *function) {
 	isUndecided := r.renewalsAllowed() && !r.isProven(w)
 	w.lease.rejectedAt, w.lease.rejectedQuery, w.lease.function = r.now, false, fn
-	if !r.isDiscoveryHeard() {
+	if !r.isDiscoveryAvailable() {
 		w.lease.retryAt, w.lease.failures = r.now, 0
 		r.endpointRulesDue = true
 	}
--- a/control/endpoint_lease_test.go
+++ b/control/endpoint_lease_test.go
@@ -78,7 +78,7 @@
 		endpoints = append(endpoints, Worker{ID: WorkerID(fmt.Sprint("w", i)), Weight: 1})
 	}
 	h.router.OnEndpointUpdate(h.now, Snapshot, endpoints)
-	h.router.OnDiscoveryHeard(h.now, h.now)
+	h.router.OnDiscoveryConfirmed(h.now, h.now)
 	h.request("first")
 	h.home = h.router.functionsByID["f"].pendingLoadOn.id
 	h.loaded(h.home)
@@ -160,7 +160,7 @@
 func newUndecidedOutage() *leaseHost {
 	h := newLeaseHost()
 	h.router.workersByID[h.home].lease.usedAt = 0 // no lease is renewed
-	h.router.OnDiscoveryLost(h.now)
+	h.router.OnDiscoveryDisconnected(h.now)
 	h.advance(testDrainGrace)
 	h.clear()
 	return h
@@ -170,7 +170,7 @@
 	h := newLeaseHost()
 	for i := range 20 {
 		h.advance(1)
-		h.router.OnDiscoveryHeard(h.now, h.now-1)
+		h.router.OnDiscoveryConfirmed(h.now, h.now-1)
 		id := strconv.Itoa(i)
 		h.request(RequestID(id))
 		h.expect(t, h.at(id+"@%s"), nil)
@@ -184,7 +184,7 @@
 	h.router.startedAt = h.now
 	h.request("a")
 	h.expect(t, nil, nil)
-	h.router.OnDiscoveryHeard(h.now, h.now)
+	h.router.OnDiscoveryConfirmed(h.now, h.now)
 	h.expect(t, h.at("a@%s"), nil)
 }
 
@@ -234,7 +234,7 @@
 	} {
 		h := newLeaseHost()
 		if c.lost {
-			h.router.OnDiscoveryLost(h.now)
+			h.router.OnDiscoveryDisconnected(h.now)
 		}
 		h.advance(c.after)
 		if got := h.router.MaySend(h.now, "w1"); got != c.holds {
@@ -317,8 +317,8 @@
 	h := newOutage()
 	h.request("a")
 	h.answerQuery(h.home, Rejected, 0)
-	h.router.OnDiscoveryHeard(h.now, h.now)
-	h.router.OnDiscoveryLost(h.now)
+	h.router.OnDiscoveryConfirmed(h.now, h.now)
+	h.router.OnDiscoveryDisconnected(h.now)
 	h.advance(testDrainGrace)
 	h.clear()
 	h.request("b")
@@ -331,12 +331,12 @@
 func TestLease_SuspendedProcessAwaitsNews(t *testing.T) {
 	h := newLeaseHost()
 	h.now += 1
-	h.router.OnDiscoveryHeard(h.now, h.now-1)
+	h.router.OnDiscoveryConfirmed(h.now, h.now-1)
 	if h.router.MaySend(h.now, h.home) {
 		t.Error("news from before the suspension renews a lease")
 	}
 	h.advance(0.25)
-	h.router.OnDiscoveryHeard(h.now, h.now-0.2)
+	h.router.OnDiscoveryConfirmed(h.now, h.now-0.2)
 	if !h.router.MaySend(h.now, h.home) {
 		t.Error("news from after the suspension renews no lease")
 	}
--- a/control/gossip.go
+++ b/control/gossip.go
@@ -76,7 +76,7 @@
 func (r *Router) onDrainMessage(data []byte) {
 	message := binary.LittleEndian.Uint16(data)
 	w, known := r.workersByDigest[uint32(message)&workerDigestMask]
-	if known && !r.isDiscoveryHeard() {
+	if known && !r.isDiscoveryAvailable() {
 		r.recordPeerDrain(w, r.now-units.Seconds(message>>drainAgeShift)*drainAgeUnitSeconds)
 	}
 }
--- a/control/lease_admission.go
+++ b/control/lease_admission.go
@@ -18,7 +18,7 @@
 
 // leaseHolders returns those of the candidates that hold leases, or all if there are none.
 func (r *Router) leaseHolders(candidates []*worker) []*worker {
-	if r.isDiscoveryHeard() {
+	if r.isDiscoveryAvailable() {
 		return candidates
 	}
 	var holders []*worker
@@ -36,7 +36,7 @@
 // mayUse reports whether w may be chosen for a message now, possibly one that waits for a proof.
 func (r *Router) mayUse(w *worker) bool {
 	switch {
-	case r.isDiscoveryHeard():
+	case r.isDiscoveryAvailable():
 		return true
 	case r.hasRejected(w) || r.awaitsBackoff(w):
 		return false
--- a/control/lease_admission_test.go
+++ b/control/lease_admission_test.go
@@ -116,7 +116,7 @@
 		h := newLeaseHost()
 		h.router.deployment.FrontEnds = 1 // no peer is asked
 		h.request("a")
-		h.router.OnDiscoveryLost(h.now)
+		h.router.OnDiscoveryDisconnected(h.now)
 		h.advance(tickSeconds)
 		h.answerQuery(h.home, Rejected, 1) // a renewal
 		h.advance(1)
--- a/control/lease_renewal.go
+++ b/control/lease_renewal.go
@@ -224,7 +224,7 @@
 		return
 	}
 	w.lease.drainConfirmed, w.lease.drainSeenAt = true, r.now
-	if !r.isDiscoveryHeard() {
+	if !r.isDiscoveryAvailable() {
 		r.broadcastDrain(w)
 	}
 }
--- a/control/lease_renewal_test.go
+++ b/control/lease_renewal_test.go
@@ -13,7 +13,7 @@
 		h := newLeaseHost()
 		h.request("a")
 		h.clear()
-		h.router.OnDiscoveryLost(h.now)
+		h.router.OnDiscoveryDisconnected(h.now)
 		h.advance(tickSeconds)
 		h.expect(t, nil, h.at("%s/f=1"))
 		h.answerQuery(h.home, outcome, 1)
@@ -32,7 +32,7 @@
 	h := newLeaseHost()
 	h.request("a")
 	h.clear()
-	h.router.OnDiscoveryLost(h.now)
+	h.router.OnDiscoveryDisconnected(h.now)
 	for range 40 {
 		h.advance(tickSeconds)
 		if len(h.queries) > 0 && h.queries[len(h.queries)-1] == h.at("%s/f=1")[0] {
--- a/control/load_quota_test.go
+++ b/control/load_quota_test.go
@@ -28,7 +28,7 @@
 		h.router.advance(h.now)
 		h.router.countLoad(h.home, "held")
 		h.now += c.leavesAfter
-		h.router.OnDiscoveryHeard(h.now, h.now)
+		h.router.OnDiscoveryConfirmed(h.now, h.now)
 		for range c.others {
 			h.router.countLoad(h.home, "other")
 		}
--- a/control/outage_fleet_test.go
+++ b/control/outage_fleet_test.go
@@ -85,7 +85,7 @@
 	s.sendHeartbeats()
 	s.discoveryDown = true
 	for _, f := range s.frontEnds {
-		f.router.OnDiscoveryLost(s.now)
+		f.router.OnDiscoveryDisconnected(s.now)
 	}
 }
 
@@ -98,7 +98,7 @@
 func (s *simulatedFleet) sendHeartbeats() {
 	s.sendEndpointLists()
 	for _, f := range s.frontEnds {
-		f.router.OnDiscoveryHeard(s.now, s.now)
+		f.router.OnDiscoveryConfirmed(s.now, s.now)
 	}
 }
 
--- a/control/peer_proofs.go
+++ b/control/peer_proofs.go
@@ -51,7 +51,7 @@
 
 // requestProofsIfUnproven asks the peers if some worker that may serve is not proven.
 func (r *Router) requestProofsIfUnproven() {
-	if !r.hasLeases() || r.isDiscoveryHeard() {
+	if !r.hasLeases() || r.isDiscoveryAvailable() {
 		return
 	}
 	for _, w := range r.workers {
@@ -125,13 +125,13 @@
 // proofAgeStep returns what a response states about w, or false if it states nothing.
 func (r *Router) proofAgeStep(w *worker) (step uint16, known bool) {
 	switch {
-	case w.state == Draining && r.isDiscoveryHeard(): // others repeat what they saw in drain messages
+	case w.state == Draining && r.isDiscoveryAvailable(): // others repeat what they saw in drain messages
 		return drainingAgeStep, true
 	case w.state != Serving || r.hasRejected(w):
 		return 0, false
 	}
 	provenAt := w.lease.provenAt
-	if r.isDiscoveryHeard() {
+	if r.isDiscoveryAvailable() {
 		provenAt = max(provenAt, r.discovery.confirmedAt)
 	}
 	age := math.Ceil(float64((r.now - provenAt) / r.proofAgeUnit()))
@@ -143,7 +143,7 @@
 
 // onProofResponse handles a response of a peer to the last request. Requests that wait for leases are decided anew.
 func (r *Router) onProofResponse(number uint32, proofs []byte) {
-	if !r.proofRequest.isSent || number != r.proofRequest.number || r.isDiscoveryHeard() {
+	if !r.proofRequest.isSent || number != r.proofRequest.number || r.isDiscoveryAvailable() {
 		return
 	}
 	r.proofRequest.responded = true
--- a/control/peer_proofs_test.go
+++ b/control/peer_proofs_test.go
@@ -44,7 +44,7 @@
 		fleet.sendAtInterval(5, 0.05, 2)
 		cutOff, drained := fleet.frontEnds[0], fleet.workers[seed%int64(len(fleet.workers))]
 		fleet.discoveryDown = true
-		cutOff.router.OnDiscoveryLost(fleet.now)
+		cutOff.router.OnDiscoveryDisconnected(fleet.now)
 		drained.State, drained.drainedAt, drained.unheardSends = Draining, fleet.now, map[int]int{}
 		listed := drained.listedState[0]
 		fleet.sendHeartbeatsExcept(cutOff)
@@ -99,7 +99,7 @@
 	for _, f := range s.frontEnds {
 		if f != cutOff {
 			f.sendEndpointList()
-			f.router.OnDiscoveryHeard(s.now, s.now)
+			f.router.OnDiscoveryConfirmed(s.now, s.now)
 		}
 	}
 }
@@ -146,7 +146,7 @@
 // A front end answers with its proofs and their ages. Workers without a proof are left out.
 func TestAnswer_TellsOwnProofs(t *testing.T) {
 	h := newOutageWithPeers()
-	h.router.OnDiscoveryHeard(h.now, h.now-1)
+	h.router.OnDiscoveryConfirmed(h.now, h.now-1)
 	proven, draining := h.router.workersByID["w0"], h.router.workersByID["w1"]
 	proven.recordProof(h.now - 0.19)
 	draining.state = Draining
@@ -222,7 +222,7 @@
 		fleet.sendHeartbeats()
 		fleet.discoveryDown = true
 		for _, f := range fleet.frontEnds {
-			f.router.OnDiscoveryLost(fleet.now)
+			f.router.OnDiscoveryDisconnected(fleet.now)
 		}
 		drained := fleet.workers[:4]
 		for _, w := range drained {
--- a/control/replica_loading.go
+++ b/control/replica_loading.go
@@ -67,7 +67,7 @@
 			continue
 		}
 		notBusy = append(notBusy, w)
-		if len(notBusy) >= missing && r.isDiscoveryHeard() {
+		if len(notBusy) >= missing && r.isDiscoveryAvailable() {
 			break
 		}
 	}
--- a/control/worker_process.go
+++ b/control/worker_process.go
@@ -21,7 +21,7 @@
 		return
 	}
 	w.disconnectedAt, w.reconnectedAt = r.now, 0
-	if !r.isDiscoveryHeard() {
+	if !r.isDiscoveryAvailable() {
 		r.startCold(w)
 	}
 }
@@ -34,7 +34,7 @@
 		return
 	}
 	w.reconnectedAt = r.now
-	if !r.isDiscoveryHeard() {
+	if !r.isDiscoveryAvailable() {
 		r.startCold(w)
 	}
 }
@@ -46,7 +46,7 @@
 
 // mayBeOtherProcess reports whether the process that answers for w may not be the one that discovery reported.
 func (r *Router) mayBeOtherProcess(w *worker) bool {
-	return w.disconnectedAt > 0 && !r.isDiscoveryHeard()
+	return w.disconnectedAt > 0 && !r.isDiscoveryAvailable()
 }
 
 // coldSince returns the time from which the process that answers for w may have been starting; 0 if it is long past.
--- a/control/worker_process_test.go
+++ b/control/worker_process_test.go
@@ -24,7 +24,7 @@
 		if h.router.MaySend(h.now, h.home) != c.heard || isCold == c.heard || h.router.isEligible(keyed, w) != c.heard {
 			t.Errorf("%s: may send %v, cold %v, eligible for a keyed retry %v", name, h.router.MaySend(h.now, h.home), isCold, h.router.isEligible(keyed, w))
 		}
-		h.router.OnDiscoveryHeard(h.now, h.now)
+		h.router.OnDiscoveryConfirmed(h.now, h.now)
 		if h.router.warmUpProgress(w, h.now) < 1 {
 			t.Errorf("%s: cold although discovery lists it as warm", name)
 		}
@@ -43,9 +43,9 @@
 			t.Errorf("%s: cold while discovery is heard", name)
 		}
 		if heardAfter {
-			h.router.OnDiscoveryHeard(h.now+0.1, h.now+0.1)
+			h.router.OnDiscoveryConfirmed(h.now+0.1, h.now+0.1)
 		}
-		h.router.OnDiscoveryLost(h.now + 0.1)
+		h.router.OnDiscoveryDisconnected(h.now + 0.1)
 		h.advance(2)
 		if isCold := h.router.warmUpProgress(w, h.now) < 1; isCold == heardAfter {
 			t.Errorf("%s: cold %v", name, isCold)
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -136,16 +136,16 @@
 	d.router.OnEndpointUpdate(d.now, scope, workers)
 }
 
-// OnDiscoveryHeard records that the endpoint list was complete at a time that is not before asOf.
-func (d *Dispatcher) OnDiscoveryHeard(now, asOf units.Seconds) {
+// OnDiscoveryConfirmed records that the endpoint list was complete at a time that is not before asOf.
+func (d *Dispatcher) OnDiscoveryConfirmed(now, asOf units.Seconds) {
 	d.advance(now)
-	d.router.OnDiscoveryHeard(d.now, asOf)
+	d.router.OnDiscoveryConfirmed(d.now, asOf)
 }
 
-// OnDiscoveryLost records that updates of the endpoint list do not arrive for now.
-func (d *Dispatcher) OnDiscoveryLost(now units.Seconds) {
+// OnDiscoveryDisconnected records that updates of the endpoint list do not arrive for now.
+func (d *Dispatcher) OnDiscoveryDisconnected(now units.Seconds) {
 	d.advance(now)
-	d.router.OnDiscoveryLost(d.now)
+	d.router.OnDiscoveryDisconnected(d.now)
 }
 
 // DrainingByRejection returns the workers that count as draining because of what they rejected without discovery.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -66,7 +66,7 @@
 		list := h.node.endpointList()
 		_ = h.node.server.Post(func(p *proxy.Proxy) { p.SetEndpointList(list) })
 	case platform.Confirmed:
-		_ = h.node.server.Post(func(p *proxy.Proxy) { p.OnDiscoveryHeard(asOf) })
+		_ = h.node.server.Post(func(p *proxy.Proxy) { p.OnDiscoveryConfirmed(asOf) })
 	case platform.NoNews:
 	}
 	return effect != platform.NoNews, err
@@ -74,7 +74,7 @@
 
 // OnLost implements eventloop.WatchHandler.
 func (h watchHandler) OnLost(reason error) {
-	_ = h.node.server.Post(func(p *proxy.Proxy) { p.OnDiscoveryLost(reason) })
+	_ = h.node.server.Post(func(p *proxy.Proxy) { p.OnDiscoveryDisconnected(reason) })
 }
 
 // endpointList returns the endpoint list at the present time.
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -69,13 +69,13 @@
 	p.applyEndpoints()
 }
 
-// OnDiscoveryHeard records that the endpoint list was complete at a time that is not before asOf, on the host's clock.
-func (p *Proxy) OnDiscoveryHeard(asOf units.Seconds) {
+// OnDiscoveryConfirmed records that the endpoint list was complete at a time that is not before asOf, on the host's clock.
+func (p *Proxy) OnDiscoveryConfirmed(asOf units.Seconds) {
 	if p.endpoints.discovery != discoveryHeard {
 		p.log.Warn("discovery heard", "news_seconds_old", float64(p.host.Now()-asOf))
 	}
 	p.endpoints.discovery = discoveryHeard
-	p.dispatcher.OnDiscoveryHeard(p.host.Now(), asOf)
+	p.dispatcher.OnDiscoveryConfirmed(p.host.Now(), asOf)
 	p.Flush()
 }
 
@@ -118,13 +118,13 @@
 // DiscoveryHeard reports whether the discovery service was heard and not lost since.
 func (p *Proxy) DiscoveryHeard() bool { return p.endpoints.discovery == discoveryHeard }
 
-// OnDiscoveryLost records that updates of the endpoint list do not arrive for now, and why.
-func (p *Proxy) OnDiscoveryLost(reason error) {
+// OnDiscoveryDisconnected records that updates of the endpoint list do not arrive for now, and why.
+func (p *Proxy) OnDiscoveryDisconnected(reason error) {
 	if p.endpoints.discovery != discoveryLost {
 		p.log.Warn("discovery lost, endpoint leases run out", "reason", reason)
 	}
 	p.endpoints.discovery = discoveryLost
-	p.dispatcher.OnDiscoveryLost(p.host.Now())
+	p.dispatcher.OnDiscoveryDisconnected(p.host.Now())
 	p.Flush()
 }
 
