--- a/control/endpoint_lease.go
+++ b/control/endpoint_lease.go
@@ -36,7 +36,7 @@
 
 // workerLease holds what one worker showed about whether it serves.
 type workerLease struct {
-	provenAt   units.Seconds // send time of the last message that it accepted
+	acceptedAt units.Seconds // send time of the last message that it accepted
 	rejectedAt units.Seconds // time of its last rejection
 	clearedAt  units.Seconds // send time of the query that it answered after it had rejected one
 	usedAt     units.Seconds // time of the last attempt
@@ -119,13 +119,13 @@
 // hasRejected reports whether w counts as draining because it rejected something after the last proof, while discovery is
 // not heard.
 func (r *Router) hasRejected(w *worker) bool {
-	lastProof := max(w.lease.provenAt, w.lease.clearedAt, r.discovery.confirmedAt)
-	return !r.isDiscoveryAvailable() && w.lease.rejectedAt > lastProof
+	lastConfirmedAt := max(w.lease.acceptedAt, w.lease.clearedAt, r.discovery.confirmedAt)
+	return !r.isDiscoveryAvailable() && w.lease.rejectedAt > lastConfirmedAt
 }
 
-// isProven reports whether the last proof of w still counts: if it began to drain since, the grace is not over.
-func (r *Router) isProven(w *worker) bool {
-	return r.isDiscoveryAvailable() || w.lease.provenAt > w.disconnectedAt && r.now < w.lease.provenAt+r.leaseDuration()
+// isConfirmed reports whether the last proof of w still counts: if it began to drain since, the grace is not over.
+func (r *Router) isConfirmed(w *worker) bool {
+	return r.isDiscoveryAvailable() || w.lease.acceptedAt > w.disconnectedAt && r.now < w.lease.acceptedAt+r.leaseDuration()
 }
 
 // MaySend reports whether an attempt may still be sent to a worker. The host asks it for each attempt as its bytes leave,
@@ -148,26 +148,26 @@
 func (r *Router) MayQuery(now units.Seconds, id WorkerID, replicas int) bool {
 	r.advance(now)
 	w, known := r.workersByID[id]
-	return known && (replicas == 0 || r.isProven(w))
+	return known && (replicas == 0 || r.isConfirmed(w))
 }
 
-// recordProof records that w accepted a message sent at a time.
-func (w *worker) recordProof(sentAt units.Seconds) {
-	w.lease.provenAt = max(w.lease.provenAt, sentAt)
-	if w.lease.provenAt > w.lease.rejectedAt {
+// recordAcceptance records that w accepted a message sent at a time.
+func (w *worker) recordAcceptance(sentAt units.Seconds) {
+	w.lease.acceptedAt = max(w.lease.acceptedAt, sentAt)
+	if w.lease.acceptedAt > w.lease.rejectedAt {
 		w.lease.drainConfirmed, w.lease.drainSeenAt = false, 0
 	}
 }
 
 // recordRejection records that w rejected an attempt or load command for a function.
 func (r *Router) recordRejection(w *worker, fn *function) {
-	isUndecided := r.renewalsAllowed() && !r.isProven(w)
+	cannotRenew := r.renewalsAllowed() && !r.isConfirmed(w)
 	w.lease.rejectedAt, w.lease.rejectedQuery, w.lease.function = r.now, false, fn
 	if !r.isDiscoveryAvailable() {
 		w.lease.retryAt, w.lease.failures = r.now, 0
 		r.endpointRulesDue = true
 	}
-	if isUndecided { // of a proven worker a renewal tells whether it drains or is full, also at peers
+	if cannotRenew { // of a proven worker a renewal tells whether it drains or is full, also at peers
 		w.lease.drainSeenAt = r.now
 		r.broadcastDrain(w)
 	}
@@ -177,7 +177,7 @@
 func (r *Router) updateLeaseFromLoad(w *worker, fn *function, result LoadResult) {
 	switch result.Outcome {
 	case Succeeded:
-		w.recordProof(r.now - result.Duration)
+		w.recordAcceptance(r.now - result.Duration)
 	case Rejected:
 		r.recordRejection(w, fn)
 	case Failed, TimedOut, ConnectionLost, Cancelled, Unreachable, NotSent, ReplicaMissing:
@@ -187,7 +187,7 @@
 
 // reset clears what a worker showed before its process restarted. A query in progress stays.
 func (l *workerLease) reset() {
-	l.provenAt, l.rejectedAt, l.clearedAt, l.usedAt, l.retryAt = 0, 0, 0, 0, 0
+	l.acceptedAt, l.rejectedAt, l.clearedAt, l.usedAt, l.retryAt = 0, 0, 0, 0, 0
 	l.failures, l.rejectedQuery, l.drainConfirmed, l.drainSeenAt = 0, false, false, 0
 }
 
--- a/control/endpoint_lease_test.go
+++ b/control/endpoint_lease_test.go
@@ -58,7 +58,7 @@
 }
 
 func (h *leaseHost) SetTimer(after units.Seconds, timer uint64) {
-	if timer == proofResponseTimer {
+	if timer == confirmationResponseTimer {
 		h.responsesDueAt = h.now + after
 	}
 }
@@ -100,15 +100,15 @@
 	h.router.OnLoadResult(h.now, LoadResult{Worker: worker, Function: "f", Outcome: Succeeded, Replicas: 1, Duration: 0.1})
 }
 
-// answerQuery reports the result of a query that was sent a moment ago.
-func (h *leaseHost) answerQuery(worker WorkerID, outcome Outcome, replicas int) {
+// respondToQuery reports the result of a query that was sent a moment ago.
+func (h *leaseHost) respondToQuery(worker WorkerID, outcome Outcome, replicas int) {
 	h.router.OnQueryResult(h.now, QueryResult{Worker: worker, Function: "f", Commanded: h.commanded, Outcome: outcome, Replicas: replicas, Latency: 0.001})
 }
 
 // admit sends a request while the home has no lease, and answers the query that goes before it.
 func (h *leaseHost) admit(id RequestID) {
 	h.request(id)
-	h.answerQuery(h.home, Succeeded, 1)
+	h.respondToQuery(h.home, Succeeded, 1)
 }
 
 // endAttempt reports the result of an attempt.
@@ -122,7 +122,7 @@
 		next := h.now + min(duration, tickSeconds)
 		if h.responsesDueAt > 0 && h.responsesDueAt <= next {
 			h.now, h.responsesDueAt = max(h.now, h.responsesDueAt), 0 // a stalled process is told late
-			h.router.OnTimer(h.now, proofResponseTimer)
+			h.router.OnTimer(h.now, confirmationResponseTimer)
 		}
 		h.now = next
 		h.router.OnTimer(h.now, tickTimer)
@@ -150,14 +150,14 @@
 
 // newOutageWithPeers returns a host whose leases have all run out. Its draining workers reject queries.
 func newOutageWithPeers() *leaseHost {
-	h := newUndecidedOutage()
+	h := newOutageWithoutQueryEvidence()
 	h.router.queriesShowDrains = true
 	return h
 }
 
-// newUndecidedOutage returns a host whose leases have all run out, and that does not know what draining workers do with
+// newOutageWithoutQueryEvidence returns a host whose leases have all run out, and that does not know what draining workers do with
 // queries.
-func newUndecidedOutage() *leaseHost {
+func newOutageWithoutQueryEvidence() *leaseHost {
 	h := newLeaseHost()
 	h.router.workersByID[h.home].lease.usedAt = 0 // no lease is renewed
 	h.router.OnDiscoveryDisconnected(h.now)
@@ -260,12 +260,12 @@
 func TestLease_RejectedQueryShowsDrain(t *testing.T) {
 	h := newOutage()
 	h.request("a")
-	h.answerQuery(h.home, Rejected, 0)
+	h.respondToQuery(h.home, Rejected, 0)
 	if len(h.queries) != 2 || h.queries[1] == h.queries[0] || len(h.loads)+len(h.attempts) > 0 {
 		t.Fatalf("queries %v, loads %v, attempts %v", h.queries, h.loads, h.attempts)
 	}
 	other := h.router.functionsByID["f"].pendingLoadOn.id
-	h.answerQuery(other, Succeeded, 0)
+	h.respondToQuery(other, Succeeded, 0)
 	if !slices.Equal(h.loads, []string{fmt.Sprint(other, "/f")}) {
 		t.Fatal("loads:", h.loads)
 	}
@@ -280,7 +280,7 @@
 		t.Error("not queried again:", h.queries)
 	}
 	h.commanded = 0
-	h.answerQuery(h.home, Succeeded, 1)
+	h.respondToQuery(h.home, Succeeded, 1)
 	if !h.router.MaySend(h.now, h.home) {
 		t.Error("no lease after a good answer")
 	}
@@ -316,7 +316,7 @@
 func TestLease_DiscoveryHeardEndsRejections(t *testing.T) {
 	h := newOutage()
 	h.request("a")
-	h.answerQuery(h.home, Rejected, 0)
+	h.respondToQuery(h.home, Rejected, 0)
 	h.router.OnDiscoveryConfirmed(h.now, h.now)
 	h.router.OnDiscoveryDisconnected(h.now)
 	h.advance(testDrainGrace)
--- a/control/gossip.go
+++ b/control/gossip.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// repeatDrains repeats the drain messages now and then, for front ends that start during an outage or missed one.
-func (r *Router) repeatDrains(elapsed units.Seconds) {
+// rebroadcastDrains repeats the drain messages now and then, for front ends that start during an outage or missed one.
+func (r *Router) rebroadcastDrains(elapsed units.Seconds) {
 	probability := float64(elapsed) / (drainGossipInterval * float64(r.deployment.FrontEnds))
 	for _, w := range r.workers {
 		if w.lease.drainSeenAt > 0 && r.hasRejected(w) && r.random.fraction() < probability {
@@ -102,7 +102,7 @@
 	case len(data) == drainMessageBytes:
 		r.onDrainMessage(data)
 	case len(data)%2 == 1:
-		r.onProofMessage(data)
+		r.onConfirmationMessage(data)
 	default: // malformed
 	}
 }
--- a/control/lease_admission.go
+++ b/control/lease_admission.go
@@ -14,7 +14,7 @@
 // worker can take are rejected with a retry time.
 
 // holdsLease reports whether attempts and load commands may be sent to w now.
-func (r *Router) holdsLease(w *worker) bool { return r.isProven(w) && !r.hasRejected(w) }
+func (r *Router) holdsLease(w *worker) bool { return r.isConfirmed(w) && !r.hasRejected(w) }
 
 // leaseHolders returns those of the candidates that hold leases, or all if there are none.
 func (r *Router) leaseHolders(candidates []*worker) []*worker {
@@ -41,17 +41,19 @@
 	case r.hasRejected(w) || r.awaitsBackoff(w):
 		return false
 	default:
-		return r.isProven(w) || r.mayBeProven()
+		return r.isConfirmed(w) || r.mayBeConfirmed()
 	}
 }
 
-// mayBeProven reports whether a worker without a proof may get one soon, by its answer to a query or from a peer.
-func (r *Router) mayBeProven() bool {
-	return r.queriesProve() || r.awaitsProofs() || r.mayRequestProofs()
+// mayBeConfirmed reports whether a worker without a proof may get one soon, by its answer to a query or from a peer.
+func (r *Router) mayBeConfirmed() bool {
+	return r.queriesConfirm() || r.awaitsConfirmations() || r.mayRequestConfirmations()
 }
 
-// queriesProve reports whether a worker that answers a query serves.
-func (r *Router) queriesProve() bool { return r.queriesShowDrains && r.deployment.LoadCommandsAllowed }
+// queriesConfirm reports whether a worker that answers a query serves.
+func (r *Router) queriesConfirm() bool {
+	return r.queriesShowDrains && r.deployment.LoadCommandsAllowed
+}
 
 // CanServe reports whether any worker may be sent requests now.
 func (r *Router) CanServe(now units.Seconds) bool {
--- a/control/lease_admission_test.go
+++ b/control/lease_admission_test.go
@@ -20,7 +20,7 @@
 		"one in ten, with room":    {proven: 1, unproven: 9},
 		"none":                     {proven: 0, unproven: 9},
 	} {
-		h := newUndecidedOutage()
+		h := newOutageWithoutQueryEvidence()
 		h.router.deployment.FrontEnds = 1
 		var endpoints []Worker
 		for i := range c.proven + c.unproven {
@@ -29,15 +29,15 @@
 		h.router.OnEndpointUpdate(h.now, Snapshot, endpoints)
 		for i := range c.proven {
 			w := h.router.workersByID[endpoints[i].ID]
-			w.recordProof(h.now)
+			w.recordAcceptance(h.now)
 			if c.busy {
 				w.concurrencyLimit = 0
 			}
 		}
 		for i, endpoint := range endpoints {
 			w := h.router.workersByID[endpoint.ID]
-			if isProven := i < c.proven; h.router.mayUse(w) != isProven || h.router.MaySend(h.now, w.id) != isProven || h.router.MayLoad(h.now, w.id, "f") != isProven {
-				t.Errorf("%s: worker %d, proven %v: may be used %v", name, i, isProven, !isProven)
+			if isConfirmed := i < c.proven; h.router.mayUse(w) != isConfirmed || h.router.MaySend(h.now, w.id) != isConfirmed || h.router.MayLoad(h.now, w.id, "f") != isConfirmed {
+				t.Errorf("%s: worker %d, proven %v: may be used %v", name, i, isConfirmed, !isConfirmed)
 			}
 		}
 		if h.router.CanServe(h.now) != (c.proven > 0) {
@@ -56,7 +56,7 @@
 			r.deployment.LoadCommandWindow, r.deployment.LoadCommandAllowance = 2, 5
 		},
 	} {
-		h := newUndecidedOutage()
+		h := newOutageWithoutQueryEvidence()
 		h.router.deployment.FrontEnds = 1
 		change(h.router)
 		h.request("a")
@@ -65,7 +65,7 @@
 		}
 		h.expect(t, nil, nil)
 		h.router.workersByID[h.home].lease.queryPending = true
-		h.answerQuery(h.home, Succeeded, 1)
+		h.respondToQuery(h.home, Succeeded, 1)
 		if h.router.MaySend(h.now, h.home) || h.router.MayLoad(h.now, h.home, "f") {
 			t.Errorf("%s: an answer to a query is taken for a proof", name)
 		}
@@ -79,19 +79,19 @@
 
 // Requests wait for the answers of peers, once, and are rejected if none has a proof.
 func TestLease_RequestsAwaitPeers(t *testing.T) {
-	for name, isProven := range map[string]bool{"a peer has a proof": true, "no peer has": false} {
-		h := newUndecidedOutage()
+	for name, isConfirmed := range map[string]bool{"a peer has a proof": true, "no peer has": false} {
+		h := newOutageWithoutQueryEvidence()
 		h.request("a")
-		if isProven {
+		if isConfirmed {
 			w := h.router.workersByID[h.home]
-			answer := binary.LittleEndian.AppendUint32([]byte{proofResponseKind}, h.router.proofRequest.number)
+			answer := binary.LittleEndian.AppendUint32([]byte{confirmationResponseKind}, h.router.confirmationRequest.nonce)
 			h.router.OnGossip(h.now, binary.LittleEndian.AppendUint16(answer, uint16(w.digest())))
 		}
-		if sent := slices.Equal(h.attempts, h.at("a@%s")); sent != isProven {
+		if sent := slices.Equal(h.attempts, h.at("a@%s")); sent != isConfirmed {
 			t.Errorf("%s: attempts %v", name, h.attempts)
 		}
 		h.advance(peerResponseSeconds)
-		if rejected := len(h.rejected) == 1; rejected == isProven || len(h.queries)+len(h.loads) > 0 {
+		if rejected := len(h.rejected) == 1; rejected == isConfirmed || len(h.queries)+len(h.loads) > 0 {
 			t.Errorf("%s: rejected %v, queries %v, loads %v", name, h.rejected, h.queries, h.loads)
 		}
 	}
@@ -103,7 +103,7 @@
 	h.request("a")
 	h.request("b")
 	h.expect(t, nil, h.at("%s/f=0"))
-	h.answerQuery(h.home, Succeeded, 1)
+	h.respondToQuery(h.home, Succeeded, 1)
 	h.expect(t, append(h.at("a@%s"), h.at("b@%s")...), nil)
 	h.advance(0.05)
 	h.request("c")
@@ -118,16 +118,16 @@
 		h.request("a")
 		h.router.OnDiscoveryDisconnected(h.now)
 		h.advance(tickSeconds)
-		h.answerQuery(h.home, Rejected, 1) // a renewal
+		h.respondToQuery(h.home, Rejected, 1) // a renewal
 		h.advance(1)
 		h.commanded = 0
-		h.answerQuery(h.home, outcome, 1)
+		h.respondToQuery(h.home, outcome, 1)
 		for _, w := range h.router.workers {
 			if w.id == h.home {
 				continue
 			}
 			h.router.queryWorker(w, h.router.functionsByID["f"])
-			h.answerQuery(w.id, Succeeded, 0)
+			h.respondToQuery(w.id, Succeeded, 0)
 			if got := h.router.MaySend(h.now, w.id); got != proves {
 				t.Errorf("outcome %d of the query: may send to %s %v", outcome, w.id, got)
 			}
--- a/control/lease_renewal.go
+++ b/control/lease_renewal.go
@@ -42,9 +42,9 @@
 // only noted while their messages may still arrive. It is sent then if its answer proves something.
 func (r *Router) queryWorker(w *worker, fn *function) bool {
 	if !r.hasRejected(w) {
-		r.requestProofs()
+		r.requestConfirmations()
 	}
-	if r.awaitsProofs() {
+	if r.awaitsConfirmations() {
 		w.lease.function = fn
 		return false
 	}
@@ -54,14 +54,14 @@
 // sendDelayedQuery sends a query that waited for messages of peers, if requests or loads still wait for it and its answer
 // proves something. Otherwise they go on without a proof of w.
 func (r *Router) sendDelayedQuery(w *worker) bool {
-	if w.lease.queryPending || w.lease.function == nil || r.awaitsProofs() {
+	if w.lease.queryPending || w.lease.function == nil || r.awaitsConfirmations() {
 		return false
 	}
 	isAwaited := len(w.lease.waiters) > 0 || r.awaitsLeaseForLoad(w)
 	if !isAwaited || r.now < w.lease.retryAt {
 		return false
 	}
-	if r.holdsLease(w) || !r.mayUse(w) || !r.queriesProve() {
+	if r.holdsLease(w) || !r.mayUse(w) || !r.queriesConfirm() {
 		r.releaseWaiters(w)
 		return true
 	}
@@ -103,13 +103,13 @@
 
 // mayRenew reports whether the lease of w is to be renewed now.
 func (r *Router) mayRenew(w *worker) bool {
-	runsOutAt := max(r.discovery.expiresAt, w.lease.provenAt+r.leaseDuration())
+	leaseExpiresAt := max(r.discovery.expiresAt, w.lease.acceptedAt+r.leaseDuration())
 	isInUse := r.now < w.lease.usedAt+renewalIdleSeconds
-	isDue := r.now > runsOutAt-renewalLeadSeconds && isInUse && r.renewalCredits >= 1
+	isDue := r.now > leaseExpiresAt-renewalLeadSeconds && isInUse && r.renewalCredits >= 1
 	if r.hasRejected(w) {
 		isDue = !w.lease.drainConfirmed
 	}
-	return isDue && r.renewalsAllowed() && r.isProven(w) && r.now >= w.lease.retryAt
+	return isDue && r.renewalsAllowed() && r.isConfirmed(w) && r.now >= w.lease.retryAt
 }
 
 // renewalsAllowed reports whether load commands may be used as renewals: they count towards a quota.
@@ -155,7 +155,7 @@
 	r.onReply(w, result.Outcome)
 	switch result.Outcome {
 	case Succeeded:
-		r.recordAnswer(w, result)
+		r.recordQueryResponse(w, result)
 	case Rejected:
 		r.recordRejectedQuery(w, result)
 	case Failed, TimedOut, ConnectionLost, Cancelled, Unreachable, NotSent, ReplicaMissing:
@@ -187,8 +187,8 @@
 	}
 }
 
-// recordAnswer records a good answer to a query or renewal.
-func (r *Router) recordAnswer(w *worker, result QueryResult) {
+// recordQueryResponse records a good answer to a query or renewal.
+func (r *Router) recordQueryResponse(w *worker, result QueryResult) {
 	w.lastResponseAt = r.now
 	sentAt := r.now - result.Latency
 	if result.Commanded == 0 && w.lease.drainConfirmed && !w.lease.rejectedQuery {
@@ -198,7 +198,7 @@
 		w.lease.clearedAt, w.lease.rejectedQuery = sentAt, false
 	}
 	if result.Commanded > 0 || r.queriesShowDrains {
-		w.recordProof(sentAt)
+		w.recordAcceptance(sentAt)
 	}
 	if r.hasRejected(w) {
 		r.backOffQueries(w) // the answer is no proof
@@ -233,7 +233,7 @@
 func (r *Router) recordFailedQuery(w *worker, outcome Outcome) {
 	r.backOffQueries(w)
 	if outcome == Unreachable || outcome == ConnectionLost {
-		r.assumeOtherProcess(w)
+		r.assumeProcessReplaced(w)
 	}
 }
 
--- a/control/lease_renewal_test.go
+++ b/control/lease_renewal_test.go
@@ -16,7 +16,7 @@
 		h.router.OnDiscoveryDisconnected(h.now)
 		h.advance(tickSeconds)
 		h.expect(t, nil, h.at("%s/f=1"))
-		h.answerQuery(h.home, outcome, 1)
+		h.respondToQuery(h.home, outcome, 1)
 		h.advance(tickSeconds)
 		if got := h.router.MaySend(h.now, h.home); got != serves {
 			t.Errorf("outcome %d: may send %v", outcome, got)
@@ -36,7 +36,7 @@
 	for range 40 {
 		h.advance(tickSeconds)
 		if len(h.queries) > 0 && h.queries[len(h.queries)-1] == h.at("%s/f=1")[0] {
-			h.answerQuery(h.home, Succeeded, 1)
+			h.respondToQuery(h.home, Succeeded, 1)
 		}
 	}
 	if len(h.queries) != 2 {
@@ -51,7 +51,7 @@
 		h.admit("a")
 		h.advance(0.1)
 		h.endAttempt("a", h.home, Succeeded, 0.1)
-		h.answerQuery(h.home, Succeeded, 1) // the renewal of the tick
+		h.respondToQuery(h.home, Succeeded, 1) // the renewal of the tick
 		h.request("b")
 		h.clear()
 		h.advance(0.05)
@@ -61,7 +61,7 @@
 		}
 		h.commanded = 1
 		h.now += 0.01
-		h.answerQuery(h.home, outcome, 1)
+		h.respondToQuery(h.home, outcome, 1)
 		if got := h.router.MaySend(h.now, h.home); got != serves {
 			t.Errorf("outcome %d: may send %v", outcome, got)
 		}
@@ -78,7 +78,7 @@
 			if query == h.at("%s/f=0")[0] {
 				queriedAt = append(queriedAt, h.now)
 			}
-			h.answerQuery(WorkerID(query[:2]), TimedOut, 0)
+			h.respondToQuery(WorkerID(query[:2]), TimedOut, 0)
 		}
 		h.clear()
 		h.advance(tickSeconds)
--- a/control/outage_fleet_test.go
+++ b/control/outage_fleet_test.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// checkUnheardDrain checks that a message to a worker is not sent past the grace of a drain that discovery did not tell of.
-func (f *simulatedFrontEnd) checkUnheardDrain(message string, worker *simulatedWorker) {
+// checkUnreportedDrain checks that a message to a worker is not sent past the grace of a drain that discovery did not tell of.
+func (f *simulatedFrontEnd) checkUnreportedDrain(message string, worker *simulatedWorker) {
 	s := f.fleet
 	if !s.discoveryDown || worker.State != Draining || s.now <= worker.drainedAt+s.deployment.DrainGrace {
 		return
--- /dev/null
+++ b/control/peer_confirmations.go
@@ -0,0 +1,175 @@
+package control
+
+import (
+	"encoding/binary"
+	"math"
+
+	"streamcleat/internal/units"
+)
+
+// Proofs of peers: while discovery is not heard, a front end that lacks a lease asks its peers which workers proved to
+// serve, before it tries one. Datagrams may arrive late. A request for proofs therefore carries a random nonce, and a
+// response repeats it: the ages of its proofs count back from the time of the request, whenever the response arrives.
+
+const (
+	// peerResponseSeconds is the time for which a query waits for the responses of peers.
+	peerResponseSeconds = 0.05
+	// minConfirmationRequestInterval is the least time between two requests of a front end, and confirmationRequestsPerSecond bounds those of all
+	// front ends together.
+	minConfirmationRequestInterval = 0.1
+	confirmationRequestsPerSecond  = 60.0
+	// responsesPerConfirmationRequest is the mean nonce of peers that respond to a request.
+	responsesPerConfirmationRequest = 4.0
+	// maxConfirmationsPerResponse keeps a response within a datagram of 256 bytes.
+	maxConfirmationsPerResponse = 120
+	// confirmationResponseTimer is the ID of the timer that ends the wait for responses. Clients' requests have lower ones.
+	confirmationResponseTimer uint64 = math.MaxUint64
+)
+
+// Messages of this kind have odd lengths, other gossip has even ones. They consist of the kind, the nonce of the request
+// in 32 bits and, in a response, 16 bits for each worker: the digest in 12, and the age of its proof in 4.
+const (
+	confirmationRequestKind  byte = 1
+	confirmationResponseKind byte = 2
+
+	confirmationRequestBytes = 5
+	confirmationBytes        = 2
+	confirmationAgeShift     = 12
+	maxConfirmationAgeStep   = 14 // the age of a confirmation that is about to expire
+	drainingAgeStep          = 15 // in place of an age: the worker drains
+)
+
+// confirmationRequest is the last request for proofs to the peers.
+type confirmationRequest struct {
+	nonce     uint32
+	sentAt    units.Seconds
+	isSent    bool // there was one
+	responded bool // any request got a response
+}
+
+func (r *Router) hasPeers() bool { return r.deployment.GossipAllowed && r.deployment.FrontEnds > 1 }
+
+// requestMissingConfirmations asks the peers if some worker that may serve is not proven.
+func (r *Router) requestMissingConfirmations() {
+	if !r.hasLeases() || r.isDiscoveryAvailable() {
+		return
+	}
+	for _, w := range r.workers {
+		if w.state == Serving && !r.isConfirmed(w) && !r.hasRejected(w) {
+			r.requestConfirmations()
+			return
+		}
+	}
+}
+
+// mayRequestConfirmations reports whether there are peers and no request was sent to them lately.
+func (r *Router) mayRequestConfirmations() bool {
+	interval := max(minConfirmationRequestInterval, units.Seconds(float64(r.deployment.FrontEnds)/confirmationRequestsPerSecond))
+	return r.hasPeers() && (!r.confirmationRequest.isSent || r.now >= r.confirmationRequest.sentAt+interval)
+}
+
+// requestConfirmations broadcasts a request for proofs, unless there was one lately.
+func (r *Router) requestConfirmations() {
+	if !r.mayRequestConfirmations() {
+		return
+	}
+	r.confirmationRequest.nonce = uint32(r.random.below(math.MaxUint32))
+	r.confirmationRequest.sentAt, r.confirmationRequest.isSent = r.now, true
+	r.host.Broadcast(binary.LittleEndian.AppendUint32([]byte{confirmationRequestKind}, r.confirmationRequest.nonce))
+	r.host.SetTimer(peerResponseSeconds, confirmationResponseTimer)
+}
+
+// awaitsConfirmations reports whether queries wait for messages of peers: after the start until the first response, and after each
+// request.
+func (r *Router) awaitsConfirmations() bool {
+	if !r.hasPeers() {
+		return false
+	}
+	isStarting := !r.confirmationRequest.responded && r.now < r.startedAt+startDelaySeconds
+	return isStarting || r.confirmationRequest.isSent && r.now < r.confirmationRequest.sentAt+peerResponseSeconds
+}
+
+// onConfirmationMessage handles a request for proofs or a response.
+func (r *Router) onConfirmationMessage(data []byte) {
+	if len(data) < confirmationRequestBytes {
+		return
+	}
+	nonce := binary.LittleEndian.Uint32(data[1:])
+	switch data[0] {
+	case confirmationRequestKind:
+		r.respondToConfirmationRequest(nonce)
+	case confirmationResponseKind:
+		r.onConfirmationResponse(nonce, data[confirmationRequestBytes:])
+	default: // of another version
+	}
+}
+
+// respondToConfirmationRequest tells which workers proved to serve and which drain. A few peers respond to each request.
+func (r *Router) respondToConfirmationRequest(nonce uint32) {
+	if !r.hasPeers() || len(r.workers) == 0 || r.random.fraction()*float64(r.deployment.FrontEnds-1) >= responsesPerConfirmationRequest {
+		return
+	}
+	response := binary.LittleEndian.AppendUint32([]byte{confirmationResponseKind}, nonce)
+	first := r.random.below(len(r.workers)) // another one each time, if there is not room for all
+	for i := range r.workers {
+		w := r.workers[(first+i)%len(r.workers)]
+		if step, known := r.confirmationAgeStep(w); known && len(response) < confirmationRequestBytes+maxConfirmationsPerResponse*confirmationBytes {
+			response = binary.LittleEndian.AppendUint16(response, uint16(w.digest())|step<<confirmationAgeShift)
+		}
+	}
+	if len(response) > confirmationRequestBytes {
+		r.host.Broadcast(response)
+	}
+}
+
+// confirmationAgeStep returns what a response states about w, or false if it states nothing.
+func (r *Router) confirmationAgeStep(w *worker) (step uint16, known bool) {
+	switch {
+	case w.state == Draining && r.isDiscoveryAvailable(): // others repeat what they saw in drain messages
+		return drainingAgeStep, true
+	case w.state != Serving || r.hasRejected(w):
+		return 0, false
+	}
+	acceptedAt := w.lease.acceptedAt
+	if r.isDiscoveryAvailable() {
+		acceptedAt = max(acceptedAt, r.discovery.confirmedAt)
+	}
+	age := math.Ceil(float64((r.now - acceptedAt) / r.confirmationAgeUnit()))
+	return uint16(min(age, drainingAgeStep)), age <= maxConfirmationAgeStep
+}
+
+// confirmationAgeUnit returns the unit of the ages in responses. All front ends of a deployment have the same.
+func (r *Router) confirmationAgeUnit() units.Seconds {
+	return r.leaseDuration() / maxConfirmationAgeStep
+}
+
+// onConfirmationResponse handles a response of a peer to the last request. Requests that wait for leases are decided anew.
+func (r *Router) onConfirmationResponse(nonce uint32, confirmations []byte) {
+	if !r.confirmationRequest.isSent || nonce != r.confirmationRequest.nonce || r.isDiscoveryAvailable() {
+		return
+	}
+	r.confirmationRequest.responded = true
+	for ; len(confirmations) >= confirmationBytes; confirmations = confirmations[confirmationBytes:] {
+		r.applyPeerConfirmation(binary.LittleEndian.Uint16(confirmations))
+	}
+	r.releaseAllWaiters(func(w *worker) bool { return !w.lease.queryPending })
+	r.endpointRulesDue = true
+	r.applyRules()
+}
+
+// applyPeerConfirmation applies what a peer tells of one worker.
+func (r *Router) applyPeerConfirmation(confirmation uint16) {
+	w, known := r.workersByDigest[uint32(confirmation)&workerDigestMask]
+	if !known || w.state != Serving {
+		return
+	}
+	step := confirmation >> confirmationAgeShift
+	if step == drainingAgeStep {
+		r.recordPeerDrain(w, r.confirmationRequest.sentAt)
+		return
+	}
+	acceptedAt := r.confirmationRequest.sentAt - units.Seconds(step)*r.confirmationAgeUnit()
+	if acceptedAt > w.disconnectedAt {
+		w.recordAcceptance(acceptedAt)
+	}
+}
--- a/control/peer_proofs_test.go
+++ b/control/peer_confirmations_test.go
@@ -17,7 +17,7 @@
 // What proved it: the records show the message 3 to 50 ms past the grace of the restarted process, a query answered just
 // before it, and at that time the worker listed as draining at both peers.
 func TestOutage_PeersTellRestartedFrontEnd(t *testing.T) {
-	sent, succeeded, other := playRestartsCutOff(t, true)
+	sent, succeeded, other := simulateIsolatedRestarts(t, true)
 	if sent > 0 {
 		t.Errorf("%d messages to draining workers past the grace", sent)
 	}
@@ -28,30 +28,30 @@
 
 // Without peers nobody can tell the restarted front end which workers drain: an answer to a query does not.
 func TestOutage_RestartWithoutPeersTriesNoDrainingWorker(t *testing.T) {
-	if sent, _, _ := playRestartsCutOff(t, false); sent > 0 {
+	if sent, _, _ := simulateIsolatedRestarts(t, false); sent > 0 {
 		t.Errorf("%d messages to draining workers past the grace", sent)
 	}
 }
 
-// playRestartsCutOff plays 40 fleets in which one front end is cut off from discovery, a worker drains, and that front end is
+// simulateIsolatedRestarts plays 40 fleets in which one front end is cut off from discovery, a worker drains, and that front end is
 // restarted with the list from before. It returns the messages that it sent to the worker past the grace, and the numbers of
 // requests that succeeded and did not.
-func playRestartsCutOff(t *testing.T, hasPeers bool) (sent, succeeded, other int) {
+func simulateIsolatedRestarts(t *testing.T, hasPeers bool) (sent, succeeded, other int) {
 	t.Helper()
 	for seed := range int64(40) {
 		fleet := newSparseFleet(seed)
 		fleet.deployment.GossipAllowed = hasPeers
 		fleet.sendAtInterval(5, 0.05, 2)
-		cutOff, drained := fleet.frontEnds[0], fleet.workers[seed%int64(len(fleet.workers))]
+		isolated, drained := fleet.frontEnds[0], fleet.workers[seed%int64(len(fleet.workers))]
 		fleet.discoveryDown = true
-		cutOff.router.OnDiscoveryDisconnected(fleet.now)
+		isolated.router.OnDiscoveryDisconnected(fleet.now)
 		drained.State, drained.drainedAt, drained.unheardSends = Draining, fleet.now, map[int]int{}
 		listed := drained.listedState[0]
-		fleet.sendHeartbeatsExcept(cutOff)
+		fleet.sendHeartbeatsExcept(isolated)
 		fleet.advanceSteps(100)
 		drained.listedState[0] = listed
-		cutOff.restart(uint64(seed))
-		requests := fleet.sendWithHeartbeats(5, 80, cutOff)
+		isolated.restart(uint64(seed))
+		requests := fleet.sendWithHeartbeats(5, 80, isolated)
 		sent += drained.unheardSends[0]
 		for _, req := range requests {
 			if req.succeeded {
@@ -78,11 +78,11 @@
 }
 
 // sendWithHeartbeats sends requests at an interval, while all front ends but one hear discovery, and waits for the last ones.
-func (s *simulatedFleet) sendWithHeartbeats(functions, count int, cutOff *simulatedFrontEnd) (requests []*clientRequest) {
+func (s *simulatedFleet) sendWithHeartbeats(functions, count int, isolated *simulatedFrontEnd) (requests []*clientRequest) {
 	const heartbeatEvery, waiting = 10, 80
 	for i := range count + waiting {
 		if i%heartbeatEvery == 0 {
-			s.sendHeartbeatsExcept(cutOff)
+			s.sendHeartbeatsExcept(isolated)
 		}
 		if s.advance(0.05); i >= count {
 			continue
@@ -95,9 +95,9 @@
 }
 
 // sendHeartbeatsExcept sends the list and a heartbeat to all front ends but one.
-func (s *simulatedFleet) sendHeartbeatsExcept(cutOff *simulatedFrontEnd) {
+func (s *simulatedFleet) sendHeartbeatsExcept(isolated *simulatedFrontEnd) {
 	for _, f := range s.frontEnds {
-		if f != cutOff {
+		if f != isolated {
 			f.sendEndpointList()
 			f.router.OnDiscoveryConfirmed(s.now, s.now)
 		}
@@ -117,21 +117,21 @@
 		"fresh proof":            {step: 0, arrives: 0.01, holdsFor: lease},
 		"late answer":            {step: 0, arrives: 0.3, holdsFor: lease},
 		"answer after the lease": {step: 0, arrives: 0.41},
-		"older proof":            {step: maxProofAgeStep / 2, arrives: 0.01, holdsFor: lease / 2},
-		"expired proof":          {step: maxProofAgeStep, arrives: 0.01},
+		"older proof":            {step: maxConfirmationAgeStep / 2, arrives: 0.01, holdsFor: lease / 2},
+		"expired proof":          {step: maxConfirmationAgeStep, arrives: 0.01},
 		"another question":       {step: 0, otherID: true, arrives: 0.01},
 		"draining":               {step: drainingAgeStep, arrives: 0.01, rejects: true},
 	} {
 		h := newOutageWithPeers()
-		h.router.proofRequest.isSent = false
-		h.router.requestProofs()
-		w, askedAt, number := h.router.workersByID[h.home], h.now, h.router.proofRequest.number
+		h.router.confirmationRequest.isSent = false
+		h.router.requestConfirmations()
+		w, askedAt, nonce := h.router.workersByID[h.home], h.now, h.router.confirmationRequest.nonce
 		if c.otherID {
-			number++
+			nonce++
 		}
 		h.now += c.arrives
-		answer := binary.LittleEndian.AppendUint32([]byte{proofResponseKind}, number)
-		h.router.OnGossip(h.now, binary.LittleEndian.AppendUint16(answer, uint16(w.digest())|c.step<<proofAgeShift))
+		answer := binary.LittleEndian.AppendUint32([]byte{confirmationResponseKind}, nonce)
+		h.router.OnGossip(h.now, binary.LittleEndian.AppendUint16(answer, uint16(w.digest())|c.step<<confirmationAgeShift))
 		for _, after := range []units.Seconds{0.02, 0.15, 0.25, 0.35, 0.39, 0.45} {
 			if now := askedAt + after; now > h.now && h.router.MaySend(now, h.home) != (after < c.holdsFor) {
 				t.Errorf("%s: may send %v s after the question: %v", name, after, !(after < c.holdsFor))
@@ -148,35 +148,35 @@
 	h := newOutageWithPeers()
 	h.router.OnDiscoveryConfirmed(h.now, h.now-1)
 	proven, draining := h.router.workersByID["w0"], h.router.workersByID["w1"]
-	proven.recordProof(h.now - 0.19)
+	proven.recordAcceptance(h.now - 0.19)
 	draining.state = Draining
-	question := binary.LittleEndian.AppendUint32([]byte{proofRequestKind}, 77)
+	question := binary.LittleEndian.AppendUint32([]byte{confirmationRequestKind}, 77)
 	h.router.OnGossip(h.now, question)
-	want := binary.LittleEndian.AppendUint32([]byte{proofResponseKind}, 77)
+	want := binary.LittleEndian.AppendUint32([]byte{confirmationResponseKind}, 77)
 	answer := h.broadcasts[len(h.broadcasts)-1]
-	if !bytes.HasPrefix(answer, want) || len(answer) != proofRequestBytes+2*proofBytes {
+	if !bytes.HasPrefix(answer, want) || len(answer) != confirmationRequestBytes+2*confirmationBytes {
 		t.Fatalf("answer %x", answer)
 	}
 	steps := map[uint32]uint16{}
-	for proofs := answer[proofRequestBytes:]; len(proofs) > 0; proofs = proofs[proofBytes:] {
-		proof := binary.LittleEndian.Uint16(proofs)
-		steps[uint32(proof)&workerDigestMask] = proof >> proofAgeShift
+	for confirmations := answer[confirmationRequestBytes:]; len(confirmations) > 0; confirmations = confirmations[confirmationBytes:] {
+		confirmation := binary.LittleEndian.Uint16(confirmations)
+		steps[uint32(confirmation)&workerDigestMask] = confirmation >> confirmationAgeShift
 	}
-	if steps[proven.digest()] != maxProofAgeStep/2 || steps[draining.digest()] != drainingAgeStep {
+	if steps[proven.digest()] != maxConfirmationAgeStep/2 || steps[draining.digest()] != drainingAgeStep {
 		t.Errorf("ages %v", steps)
 	}
 }
 
 func FuzzOnGossip(f *testing.F) {
-	f.Add([]byte{proofRequestKind, 1, 2, 3, 4})
-	f.Add([]byte{proofResponseKind, 1, 2, 3, 4, 5, 6})
+	f.Add([]byte{confirmationRequestKind, 1, 2, 3, 4})
+	f.Add([]byte{confirmationResponseKind, 1, 2, 3, 4, 5, 6})
 	f.Add([]byte{1, 2, 3, 4})
 	f.Fuzz(func(t *testing.T, message []byte) {
 		h := newOutageWithPeers()
-		h.router.requestProofs()
+		h.router.requestConfirmations()
 		h.router.OnGossip(h.now, message)
-		if len(message) >= proofRequestBytes {
-			binary.LittleEndian.PutUint32(message[1:], h.router.proofRequest.number)
+		if len(message) >= confirmationRequestBytes {
+			binary.LittleEndian.PutUint32(message[1:], h.router.confirmationRequest.nonce)
 			h.router.OnGossip(h.now, message)
 		}
 		for _, sent := range h.broadcasts {
@@ -191,12 +191,12 @@
 // they had heard kept workers that had returned out of use until discovery was heard.
 func TestDrainMessage_IsDatedByRejection(t *testing.T) {
 	for name, c := range map[string]struct {
-		age, provenAgo units.Seconds
-		drains         bool
+		age, acceptedAgo units.Seconds
+		drains           bool
 	}{
-		"rejection after the proof":  {age: 0, provenAgo: 0.2, drains: true},
-		"rejection before the proof": {age: 2, provenAgo: 0.2},
-		"no proof lately":            {age: 2, provenAgo: 60, drains: true},
+		"rejection after the proof":  {age: 0, acceptedAgo: 0.2, drains: true},
+		"rejection before the proof": {age: 2, acceptedAgo: 0.2},
+		"no proof lately":            {age: 2, acceptedAgo: 60, drains: true},
 	} {
 		sender, receiver := newOutageWithPeers(), newOutageWithPeers()
 		w := sender.router.workersByID["w1"]
@@ -204,7 +204,7 @@
 		sender.broadcasts = nil
 		sender.router.broadcastDrain(w)
 		heard := receiver.router.workersByID["w1"]
-		heard.recordProof(receiver.now - c.provenAgo)
+		heard.recordAcceptance(receiver.now - c.acceptedAgo)
 		receiver.router.discovery.confirmedAt = 1
 		receiver.router.OnGossip(receiver.now, sender.broadcasts[0])
 		if receiver.router.hasRejected(heard) != c.drains {
@@ -246,19 +246,19 @@
 // find out by a message of its own. One that a proven worker rejects may only mean that it is full. Where no renewal can
 // tell the two apart, peers with a proof of their own would lose a full worker by the message: nothing is broadcast.
 func TestRejectedLoad_IsBroadcast(t *testing.T) {
-	for name, c := range map[string]struct{ isProven, hasQuota bool }{
+	for name, c := range map[string]struct{ isConfirmed, hasQuota bool }{
 		"proof ran out":                         {},
-		"proven":                                {isProven: true},
+		"proven":                                {isConfirmed: true},
 		"proof ran out, quota on load commands": {hasQuota: true},
 	} {
 		h := newOutageWithPeers()
 		if c.hasQuota {
 			h.router.deployment.LoadCommandWindow, h.router.deployment.LoadCommandAllowance = 2, 5
 		}
-		silent := c.isProven || c.hasQuota
+		silent := c.isConfirmed || c.hasQuota
 		w, fn := h.router.workersByID["w1"], h.router.functionsByID["f"]
-		if c.isProven {
-			w.recordProof(h.now)
+		if c.isConfirmed {
+			w.recordAcceptance(h.now)
 		}
 		h.now += 0.01
 		h.router.OnLoadResult(h.now, LoadResult{Worker: w.id, Function: fn.id, Outcome: Rejected, Duration: 0.001})
--- a/control/replica_loading.go
+++ b/control/replica_loading.go
@@ -42,7 +42,7 @@
 	for i := range fn.replicas {
 		rep := &fn.replicas[i]
 		isUsable := rep.worker.state == Serving && r.mayUse(rep.worker) && rep.worker.ejectedUntil <= r.now
-		rejectsNow := !r.hasManyFrontEnds() && rep.worker.lease.rejectedAt > rep.worker.lease.provenAt
+		rejectsNow := !r.hasManyFrontEnds() && rep.worker.lease.rejectedAt > rep.worker.lease.acceptedAt
 		if r.isWarm(rep) && isUsable && !rejectsNow {
 			return true
 		}
--- a/control/replica_selection.go
+++ b/control/replica_selection.go
@@ -121,7 +121,7 @@
 	if !req.possiblyExecuted || req.class.Semantics == Idempotent {
 		return true
 	}
-	if r.mayBeOtherProcess(w) && req.class.DeduplicationScope != ScopeFleet {
+	if r.mayBeReplacedProcess(w) && req.class.DeduplicationScope != ScopeFleet {
 		return false // the process at its address may be that of a worker in another scope
 	}
 	return inSameScope(req.class.DeduplicationScope, w, req.firstExecutionOn) && r.isRetryDeduplicated(req)
--- a/control/router.go
+++ b/control/router.go
@@ -103,7 +103,7 @@
 		r.host.SetTimer(tickSeconds, tickTimer)
 		r.tick()
 		r.endpointRulesDue = true
-	case proofResponseTimer:
+	case confirmationResponseTimer:
 		r.endpointRulesDue = true
 	case pollTimer:
 		r.host.RequestEndpoints()
@@ -123,8 +123,8 @@
 	r.decayReportedLoads(elapsed)
 	r.grantSlowStartCredits(elapsed)
 	r.updateMachineRates(elapsed)
-	r.repeatDrains(elapsed)
-	r.requestProofsIfUnproven()
+	r.rebroadcastDrains(elapsed)
+	r.requestMissingConfirmations()
 	r.removeIdleFunctions(idleFunctionSeconds)
 }
 
@@ -167,7 +167,7 @@
 	timing := classifyLatency(req.class, result.Latency)
 	switch result.Outcome {
 	case Succeeded:
-		w.recordProof(r.now - result.Latency)
+		w.recordAcceptance(r.now - result.Latency)
 		if r.warmUpProgress(w, r.now) >= 1 {
 			w.machine.successes++
 		}
@@ -190,7 +190,7 @@
 		// The process is gone with its replicas. The endpoint list reports that seconds later.
 		rep.warm = false
 		w.loadBackoffUntil = r.now + loadBackoffSeconds
-		r.assumeOtherProcess(w)
+		r.assumeProcessReplaced(w)
 	case ReplicaMissing:
 		// The worker is healthy and may be used again for the same request.
 		rep.warm = false
--- a/control/router_state.go
+++ b/control/router_state.go
@@ -33,9 +33,9 @@
 	discovery        discoveryLease
 	renewalCredits   float64
 	// queriesShowDrains is set once a worker that drains for certain rejected a query: an answer to one is a proof then.
-	queriesShowDrains bool
-	startedAt         units.Seconds
-	proofRequest      proofRequest
+	queriesShowDrains   bool
+	startedAt           units.Seconds
+	confirmationRequest confirmationRequest
 
 	meanLoadsUpdatedAt units.Seconds
 	meanLoad           float64 // mean load of the serving workers
--- a/control/simulated_front_end_test.go
+++ b/control/simulated_front_end_test.go
@@ -110,7 +110,7 @@
 	if len(req.attempts) >= s.deployment.MaxAttempts || timeout <= 0 {
 		s.recordViolation("attempt %d of %s with timeout %g", len(req.attempts), req.ID, timeout)
 	}
-	f.checkUnheardDrain("attempt", worker)
+	f.checkUnreportedDrain("attempt", worker)
 	if worker.listedState[f.index] != Serving {
 		s.recordViolation("attempt on a worker listed in state %d", worker.listedState[f.index])
 	}
@@ -178,7 +178,7 @@
 	if worker.listedState[f.index] != Serving || !d.LoadCommandsAllowed || replicas < 1 || replicas > 16 {
 		s.recordViolation("load command to %s", workerID)
 	}
-	f.checkUnheardDrain("load command", worker)
+	f.checkUnreportedDrain("load command", worker)
 	f.loadTimes = append(f.loadTimes, s.now)
 	inWindow := func(times []units.Seconds) (count float64) {
 		for _, at := range times {
@@ -217,7 +217,7 @@
 		s.recordViolation("query for %d replicas is not allowed", replicas)
 	}
 	if replicas > 0 {
-		f.checkUnheardDrain("renewal", worker)
+		f.checkUnreportedDrain("renewal", worker)
 	}
 	if f.queryTimes == nil {
 		f.queryTimes = map[WorkerID][]units.Seconds{}
--- a/control/worker_process.go
+++ b/control/worker_process.go
@@ -11,18 +11,18 @@
 func (r *Router) OnDisconnected(now units.Seconds, id WorkerID) {
 	r.advance(now)
 	if w, known := r.workersByID[id]; known {
-		r.assumeOtherProcess(w)
+		r.assumeProcessReplaced(w)
 	}
 }
 
-// assumeOtherProcess has a worker count as one that has proved nothing and is cold, unless the list proves otherwise.
-func (r *Router) assumeOtherProcess(w *worker) {
+// assumeProcessReplaced has a worker count as one that has proved nothing and is cold, unless the list proves otherwise.
+func (r *Router) assumeProcessReplaced(w *worker) {
 	if !r.hasLeases() {
 		return
 	}
 	w.disconnectedAt, w.reconnectedAt = r.now, 0
 	if !r.isDiscoveryAvailable() {
-		r.startCold(w)
+		r.restartSlowStart(w)
 	}
 }
 
@@ -35,24 +35,24 @@
 	}
 	w.reconnectedAt = r.now
 	if !r.isDiscoveryAvailable() {
-		r.startCold(w)
+		r.restartSlowStart(w)
 	}
 }
 
-// startCold grants w the slow start credits of a process that just started.
-func (r *Router) startCold(w *worker) {
+// restartSlowStart grants w the slow start credits of a process that just started.
+func (r *Router) restartSlowStart(w *worker) {
 	w.usedCredits, w.grantedCredits = 0, r.random.fraction()
 }
 
-// mayBeOtherProcess reports whether the process that answers for w may not be the one that discovery reported.
-func (r *Router) mayBeOtherProcess(w *worker) bool {
+// mayBeReplacedProcess reports whether the process that answers for w may not be the one that discovery reported.
+func (r *Router) mayBeReplacedProcess(w *worker) bool {
 	return w.disconnectedAt > 0 && !r.isDiscoveryAvailable()
 }
 
 // coldSince returns the time from which the process that answers for w may have been starting; 0 if it is long past.
 func (r *Router) coldSince(w *worker) units.Seconds {
 	switch {
-	case !r.mayBeOtherProcess(w):
+	case !r.mayBeReplacedProcess(w):
 		return w.startedAt
 	case w.reconnectedAt == 0:
 		return r.now
--- a/control/worker_process_test.go
+++ b/control/worker_process_test.go
@@ -13,7 +13,7 @@
 	}{"heard": {newLeaseHost(), true}, "not heard": {newOutage(), false}} {
 		h := c.host
 		w := h.router.workersByID[h.home]
-		w.recordProof(h.now)
+		w.recordAcceptance(h.now)
 		h.router.OnDisconnected(h.now, h.home)
 		keyed := &request{
 			class:            &RequestClass{Semantics: IdempotentByKey, DeduplicationScope: ScopeZone, DeduplicationWindow: 9},
