--- a/control/deployment.go
+++ b/control/deployment.go
@@ -27,7 +27,7 @@
 	AtMostOnce                               // must not be executed twice
 )
 
-// DeduplicationScope is the set of workers that share their memory of idempotency keys.
+// DeduplicationScope is the set of workers that share a store of idempotency keys.
 type DeduplicationScope int
 
 // Deduplication scopes.
@@ -37,7 +37,7 @@
 	ScopeFailureDomain // a failure domain within one zone
 )
 
-// RequestClass holds the terms that the deployment states for a class of requests.
+// RequestClass is the configuration of a class of requests.
 type RequestClass struct {
 	Name                string
 	LatencyObjective    units.Seconds
@@ -58,12 +58,12 @@
 	FrontEnds               int
 	RequestClasses          []RequestClass
 	Tenants                 []Tenant
-	PollEndpoints           bool // the endpoint list must be requested with Host.Subscribe
+	PollEndpoints           bool // the endpoint list must be requested with Host.RequestEndpoints
 	NoLoadOnMiss            bool // a worker without the replica reports a miss instead of loading it
 	LoadCommandsAllowed     bool
 	GossipAllowed           bool // front ends may broadcast messages to each other
 	MaxAttempts             int
-	MaxRetryAfter           units.Seconds // maximum retry time of a rejection; 0 if clients are given none
+	MaxRetryAfter           units.Seconds // maximum Retry-After of a rejection; 0 if clients receive none
 	IdleReplicaLifetime     units.Seconds // minimum time that workers keep an idle replica
 	LoadCommandWindow       units.Seconds // window of the load command quota; 0 for no quota
 	LoadCommandAllowance    float64       // load commands allowed in each window
@@ -73,7 +73,7 @@
 	WarmUpTime              units.Seconds // time from a worker's start until it has full capacity
 	OverloadFactor          float64       // multiple of its capacity that a warming worker tolerates
 	OverloadWindow          units.Seconds // window over which OverloadFactor applies
-	EndpointLeases          bool          // the host tells when discovery is heard; otherwise the endpoint list holds until updated
-	PollLease               units.Seconds // time for which a list counts without a successful poll; 0: until updated
+	EndpointLeases          bool          // the host reports confirmations of the endpoint list; otherwise it is valid until updated
+	PollLease               units.Seconds // time for which a list is valid without a successful poll; 0: until updated
 	DrainGrace              units.Seconds // time after a drain notice in which messages may still be sent to the worker
 }
--- a/control/endpoint_index.go
+++ b/control/endpoint_index.go
@@ -5,7 +5,7 @@
 // The endpoint index holds the workers in slots, with lookups by ID and digest. Slots are reused so that the state
 // does not grow with every worker that is added and removed.
 
-// addWorker adds an endpoint that is not in the index, in a reusable slot or a new one.
+// addWorker adds an endpoint that is not yet in the index, in a reusable slot or a new one.
 func (r *Router) addWorker(endpoint Worker) *worker {
 	w := r.reusableWorker()
 	if w == nil {
@@ -54,8 +54,8 @@
 	w.startedAt = endpoint.StartedAt
 }
 
-// resetProcess resets what does not apply to a new process: replicas, limits and ejection. Slow start credits start
-// at a random fraction, so that front ends do not use their first ones together.
+// resetProcess resets what does not apply to a new process: replicas, limits and ejection. Slow start credits begin
+// at a random fraction, so that front ends do not use their first credits at the same time.
 func (r *Router) resetProcess(w *worker) {
 	for _, fn := range r.functions {
 		if rep := fn.replicaOn(w); rep != nil {
--- a/control/endpoint_lease.go
+++ b/control/endpoint_lease.go
@@ -2,58 +2,61 @@
 
 import "streamcleat/internal/units"
 
-// Endpoint leases: how long a worker counts as serving after the last proof of it. An endpoint list without an age would
-// be believed for good while the discovery service is out of reach, and requests would go on to workers that drain.
+// Endpoint leases: how long a worker counts as serving after this was last confirmed. Without leases, the endpoint list
+// would stay valid indefinitely during a discovery outage, and requests would still be sent to draining workers.
 //
-// While discovery is heard, all listed workers hold leases. Otherwise a worker holds one for the drain grace after it was
-// sent something that it accepted: an attempt, or a load command. Leases of workers in use are renewed before they run out
-// (lease_renewal.go). Nothing but queries is sent to a worker without a lease (lease_admission.go), and one that rejected
-// something after its last proof counts as draining.
+// While discovery is available, all listed workers hold leases. Otherwise an accepted attempt or load command confirms the
+// lease of a worker for the drain grace, counted from the time at which the message was sent. Leases of workers in use are
+// renewed before they expire (lease_renewal.go). Only queries are sent to a worker without a lease (lease_admission.go). A
+// worker that rejected a message after its last confirmation counts as draining.
 
 const (
-	// discoveryLeaseSeconds is the time for which news counts after the watch began to wait for it. The discovery service sends
-	// a heartbeat each second, so that it is news until half a second after the next one is due. The platform counts a drain
-	// as received 4 s after a silence began; the sooner workers are asked, the fewer attempts are rejected.
+	// discoveryLeaseSeconds is the time for which an update is valid after the watch began to wait for it. The discovery
+	// service sends a heartbeat each second, so that an update is valid until half a second after the next heartbeat is due.
+	// The platform counts a drain as received 4 s after updates stopped. The sooner workers are queried, the fewer attempts
+	// are rejected.
 	discoveryLeaseSeconds = 2.5
-	// leaseMarginSeconds is subtracted from the drain grace: the way of a message to its worker, and a scheduling delay.
+	// leaseMarginSeconds is subtracted from the drain grace. It covers the latency of a message to its worker and a scheduling
+	// delay.
 	leaseMarginSeconds = 0.1
-	// minLeaseSeconds is a lease where the grace is shorter than the margin: time to send once after an answer.
+	// minLeaseSeconds is the lease duration if the grace is shorter than the margin: long enough to send one message after a
+	// response.
 	minLeaseSeconds = 0.05
-	// maxInputGapSeconds is the time without input after which the process was suspended, as there are four ticks a second.
+	// maxInputGapSeconds is the time without input that shows that the process was suspended. There are four ticks a second.
 	maxInputGapSeconds = 0.5
 )
 
-// discoveryLease holds how long the news of the discovery service counts.
+// discoveryLease holds how long the endpoint list of the discovery service is valid.
 type discoveryLease struct {
 	expiresAt units.Seconds
-	// confirmedAt is a time at which the endpoint list was complete.
+	// confirmedAt is the latest time at which the endpoint list is known to have been complete.
 	confirmedAt units.Seconds
-	// suspendedAt is the time at which the process was last found to have been suspended. News received before may be old.
+	// suspendedAt is the time at which the process was last found to have been suspended. Updates received before it may be stale.
 	suspendedAt units.Seconds
 	// subscribed is set once a poll has succeeded: changes are pushed from then on.
 	subscribed bool
 }
 
-// workerLease holds what one worker showed about whether it serves.
+// workerLease holds the evidence of whether one worker serves or drains.
 type workerLease struct {
 	acceptedAt units.Seconds // send time of the last message that it accepted
 	rejectedAt units.Seconds // time of its last rejection
-	clearedAt  units.Seconds // send time of the query that it answered after it had rejected one
+	clearedAt  units.Seconds // send time of the query that it accepted after it had rejected one
 	usedAt     units.Seconds // time of the last attempt
 
 	queryPending bool          // a query or a renewal awaits its result
 	retryAt      units.Seconds // no query is sent before
-	failures     int           // queries without a good answer, in a row
+	failures     int           // consecutive queries that did not succeed
 	function     *function     // the function of the last query or rejection; nil before the first
 	waiters      []*request    // requests that wait for the result of the query
 
 	rejectedQuery  bool          // the last rejection was that of a query
-	drainConfirmed bool          // it rejected a renewal, which a full worker does not
-	drainSeenAt    units.Seconds // last rejection that this front end saw of a worker that probably drains; 0: none
+	drainConfirmed bool          // it rejected a renewal, which a full worker accepts
+	drainSeenAt    units.Seconds // last rejection that this front end received from it while it probably drained; 0: none
 }
 
-// OnDiscoveryConfirmed renews the leases of all listed workers: the endpoint list was complete at a time that is not before
-// asOf. It is called for deployments with EndpointLeases only.
+// OnDiscoveryConfirmed renews the leases of all listed workers: the endpoint list was complete at asOf or later. It is called
+// for deployments with EndpointLeases only.
 func (r *Router) OnDiscoveryConfirmed(now, asOf units.Seconds) {
 	r.advance(now)
 	if asOf < r.discovery.suspendedAt {
@@ -64,7 +67,7 @@
 	for _, w := range r.workers {
 		w.lease.drainConfirmed, w.lease.drainSeenAt = false, 0
 		if w.disconnectedAt <= asOf {
-			w.disconnectedAt, w.reconnectedAt = 0, 0 // the list tells of another process, or there is none
+			w.disconnectedAt, w.reconnectedAt = 0, 0 // the list shows any process that replaced it
 		}
 	}
 	if r.isDiscoveryAvailable() {
@@ -73,7 +76,8 @@
 	r.applyRules()
 }
 
-// OnDiscoveryDisconnected shortens the leases of all listed workers to one of the grace: no news will come for now.
+// OnDiscoveryDisconnected handles the end of the watch, after which no updates arrive until it is open again. It shortens the
+// leases of all listed workers to the lease duration.
 func (r *Router) OnDiscoveryDisconnected(now units.Seconds) {
 	r.advance(now)
 	r.discovery.expiresAt = min(r.discovery.expiresAt, now+r.leaseDuration())
@@ -81,8 +85,8 @@
 	r.applyRules()
 }
 
-// advance moves the clock to the time of an input. If the process was suspended before, unread news may await it, so that
-// the news that it has no longer counts.
+// advance moves the clock to the time of an input. If the process was suspended before, updates may be waiting unread, so
+// that the endpoint list is no longer valid.
 func (r *Router) advance(now units.Seconds) {
 	if now-r.now > maxInputGapSeconds {
 		r.discovery.expiresAt, r.discovery.suspendedAt = 0, now
@@ -90,7 +94,7 @@
 	r.now = now
 }
 
-// leaseDuration returns the time for which a proof counts.
+// leaseDuration returns the time for which an accepted message confirms a lease.
 func (r *Router) leaseDuration() units.Seconds {
 	return max(r.deployment.DrainGrace-leaseMarginSeconds, minLeaseSeconds)
 }
@@ -107,7 +111,7 @@
 	}
 }
 
-// hasLeases reports whether the endpoint list may cease to count.
+// hasLeases reports whether the endpoint list may expire.
 func (r *Router) hasLeases() bool { return r.deployment.EndpointLeases || r.deployment.PollLease > 0 }
 
 // OnEndpointPollSucceeded records that a poll of the endpoint list has succeeded, which subscribes to its changes.
@@ -116,35 +120,36 @@
 	r.discovery.subscribed = true
 }
 
-// hasRejected reports whether w counts as draining because it rejected something after the last proof, while discovery is
-// not heard.
+// hasRejected reports whether w counts as draining because it rejected a message after its last confirmation, while
+// discovery is unavailable.
 func (r *Router) hasRejected(w *worker) bool {
 	lastConfirmedAt := max(w.lease.acceptedAt, w.lease.clearedAt, r.discovery.confirmedAt)
 	return !r.isDiscoveryAvailable() && w.lease.rejectedAt > lastConfirmedAt
 }
 
-// isConfirmed reports whether the last proof of w still counts: if it began to drain since, the grace is not over.
+// isConfirmed reports whether the last confirmation of w is still valid. If w began to drain after it, the drain grace has not
+// expired.
 func (r *Router) isConfirmed(w *worker) bool {
 	return r.isDiscoveryAvailable() || w.lease.acceptedAt > w.disconnectedAt && r.now < w.lease.acceptedAt+r.leaseDuration()
 }
 
-// MaySend reports whether an attempt may still be sent to a worker. The host asks it for each attempt as its bytes leave,
-// which may be long after the decision.
+// MaySend reports whether an attempt may still be sent to a worker. The host calls it for each attempt when it
+// sends the bytes, which may be long after the decision.
 func (r *Router) MaySend(now units.Seconds, id WorkerID) bool {
 	r.advance(now)
 	w, known := r.workersByID[id]
 	return known && r.holdsLease(w)
 }
 
-// MayLoad is MaySend for a load command, which must also be within the quota as it leaves.
+// MayLoad is MaySend for a load command, which must also be within the quota when it is sent.
 func (r *Router) MayLoad(now units.Seconds, id WorkerID, function FunctionID) bool {
 	r.advance(now)
 	w, known := r.workersByID[id]
 	return known && r.holdsLease(w) && r.recountLoad(id, function)
 }
 
-// MayQuery is MaySend for a query or renewal. A renewal may go to a worker that has rejected something, if it may still be
-// only full.
+// MayQuery is MaySend for a query or renewal. A renewal may be sent to a worker that has rejected a message, since
+// the worker may only be full.
 func (r *Router) MayQuery(now units.Seconds, id WorkerID, replicas int) bool {
 	r.advance(now)
 	w, known := r.workersByID[id]
@@ -167,7 +172,7 @@
 		w.lease.retryAt, w.lease.failures = r.now, 0
 		r.endpointRulesDue = true
 	}
-	if cannotRenew { // of a proven worker a renewal tells whether it drains or is full, also at peers
+	if cannotRenew { // for a confirmed worker, a renewal shows whether it drains or is full, also to peers
 		w.lease.drainSeenAt = r.now
 		r.broadcastDrain(w)
 	}
@@ -181,11 +186,11 @@
 	case Rejected:
 		r.recordRejection(w, fn)
 	case Failed, TimedOut, ConnectionLost, Cancelled, Unreachable, NotSent, ReplicaMissing:
-		// No proof that the worker serves, nor that it drains.
+		// No evidence that the worker serves, nor that it drains.
 	}
 }
 
-// reset clears what a worker showed before its process restarted. A query in progress stays.
+// reset clears the evidence from before the worker's process restarted. A query in flight remains.
 func (l *workerLease) reset() {
 	l.acceptedAt, l.rejectedAt, l.clearedAt, l.usedAt, l.retryAt = 0, 0, 0, 0, 0
 	l.failures, l.rejectedQuery, l.drainConfirmed, l.drainSeenAt = 0, false, false, 0
--- a/control/gossip.go
+++ b/control/gossip.go
@@ -6,11 +6,11 @@
 	"streamcleat/internal/units"
 )
 
-// Gossip: front ends broadcast a sample of their responses, each as function, worker and latency.
+// Gossip: front ends broadcast a sample of the responses that they receive, each as function, worker and latency.
 
 const (
 	gossipMessageBytes        = 4
-	drainMessageBytes         = 2     // a worker that drains, while discovery is not heard
+	drainMessageBytes         = 2     // reports a draining worker during a discovery outage
 	drainGossipInterval       = 0.05  // s between the drain messages of all front ends together, for each worker
 	maxGossipBytesPerResponse = 150.0 // received by all front ends together; bounds the sampling rate
 	gossipLatencyStepSeconds  = 0.15  // unit of the latency in a message
@@ -19,15 +19,16 @@
 	reportedLoadSeconds       = 2.0   // time constant of the load reported by gossip
 )
 
-// A drain message consists of the digest of the worker in 12 bits and, in 4, the age of the last rejection that the sender saw
-// itself: front ends that repeated what they heard would keep each other from using a worker that has returned.
+// A drain message consists of the digest of the worker in 12 bits and, in 4, the age of the last rejection that the sender
+// received itself. If front ends repeated rejections reported by peers, they would keep each other from using a worker that
+// has returned to service.
 const (
 	drainAgeShift       = 12
 	drainAgeUnitSeconds = 1.0
 	maxDrainAge         = 15
 )
 
-// A message consists of the digest of the function in 16 bits, the digest of the worker in 12, and the latency in 4.
+// A response message consists of the digest of the function in 16 bits, the digest of the worker in 12, and the latency in 4.
 const (
 	workerDigestShift  = 16
 	gossipLatencyShift = 28
@@ -39,7 +40,7 @@
 	return max(bytesPerResponse/maxGossipBytesPerResponse, 1)
 }
 
-// broadcastResponse broadcasts a response to the other front ends if it falls into the sample.
+// broadcastResponse broadcasts a response to the other front ends if it is part of the sample.
 func (r *Router) broadcastResponse(fn *function, w *worker, latency units.Seconds) {
 	needed := r.responsesPerMessage()
 	r.gossipCredits = min(r.gossipCredits+1, maxSavedGossipMessages*needed)
@@ -53,8 +54,8 @@
 	r.host.Broadcast(binary.LittleEndian.AppendUint32(nil, message))
 }
 
-// broadcastDrain tells the other front ends that a worker rejected what only a draining worker rejects: some of them may not
-// have sent anything to it lately, and have no proof that it serves.
+// broadcastDrain informs the other front ends that a worker rejected a message that only a draining worker rejects. Some of
+// them may not have sent anything to it recently, so that their lease of it is not confirmed.
 func (r *Router) broadcastDrain(w *worker) {
 	if r.hasPeers() {
 		age := uint16(min(float64((r.now-w.lease.drainSeenAt)/drainAgeUnitSeconds), maxDrainAge))
@@ -62,7 +63,8 @@
 	}
 }
 
-// rebroadcastDrains repeats the drain messages now and then, for front ends that start during an outage or missed one.
+// rebroadcastDrains repeats the drain messages at random intervals, for front ends that start during an outage or missed a
+// message.
 func (r *Router) rebroadcastDrains(elapsed units.Seconds) {
 	probability := float64(elapsed) / (drainGossipInterval * float64(r.deployment.FrontEnds))
 	for _, w := range r.workers {
@@ -72,7 +74,7 @@
 	}
 }
 
-// onDrainMessage handles the message of another front end that a worker drains.
+// onDrainMessage handles a drain message of another front end.
 func (r *Router) onDrainMessage(data []byte) {
 	message := binary.LittleEndian.Uint16(data)
 	w, known := r.workersByDigest[uint32(message)&workerDigestMask]
@@ -81,8 +83,8 @@
 	}
 }
 
-// recordPeerDrain records that a worker drained at a time according to a peer. It counts as a rejection: while this front end
-// has a proof, a renewal decides.
+// recordPeerDrain records that a worker drained at a time according to a peer. It counts as a rejection. If the lease is
+// confirmed at this front end, a renewal decides whether the worker drains.
 func (r *Router) recordPeerDrain(w *worker, at units.Seconds) {
 	if at <= w.lease.rejectedAt {
 		return
@@ -92,8 +94,8 @@
 	r.endpointRulesDue = true
 }
 
-// OnGossip handles a message of another front end. Malformed messages are ignored. A wrong one costs at most an
-// attempt that finds no replica.
+// OnGossip handles a message of another front end. Malformed messages are ignored. An incorrect one causes at most
+// an attempt that finds no replica.
 func (r *Router) OnGossip(now units.Seconds, data []byte) {
 	r.advance(now)
 	switch {
--- a/control/host.go
+++ b/control/host.go
@@ -49,7 +49,7 @@
 // Outcome is the result of an attempt or a load command.
 type Outcome int
 
-// Outcomes. Rejected and all outcomes after it prove that the request was not executed.
+// Outcomes. With Rejected and all outcomes after it, the request was certainly not executed.
 const (
 	Succeeded      Outcome = iota
 	Failed                 // the worker responded with an error
@@ -105,7 +105,7 @@
 type QueryResult struct {
 	Worker    WorkerID
 	Function  FunctionID
-	Commanded int // replicas that the worker was told to hold; 0 if it was only asked
+	Commanded int // replicas that the worker was commanded to hold; 0 for a plain query
 	Outcome   Outcome
 	Replicas  int           // replicas loaded on the worker
 	Latency   units.Seconds // since the query was sent
@@ -123,9 +123,9 @@
 	// LoadReplicas commands a worker to hold the given number of replicas. The host reports the result with
 	// Router.OnLoadResult.
 	LoadReplicas(worker WorkerID, function FunctionID, replicas int)
-	// QueryReplicas asks a worker how many replicas it has loaded, and tells it to hold a number of them, which may be 0. It is
-	// sent only if Router.MayQuery permits it as the bytes leave. The host reports the result with Router.OnQueryResult, at
-	// the latest when the timeout expires.
+	// QueryReplicas queries how many replicas a worker has loaded, and commands it to hold the given number of them, which
+	// may be 0. The host sends it only if Router.MayQuery permits it at the moment of sending, and reports the result with
+	// Router.OnQueryResult, at the latest when the timeout expires.
 	QueryReplicas(worker WorkerID, function FunctionID, replicas int, timeout units.Seconds)
 	// Broadcast sends a message to all other front ends, which pass it to Router.OnGossip.
 	Broadcast(message []byte)
--- a/control/lease_admission.go
+++ b/control/lease_admission.go
@@ -6,12 +6,13 @@
 	"streamcleat/internal/units"
 )
 
-// Admission without discovery: which workers may be sent something, or be chosen for it once they are proven.
+// Admission during a discovery outage: which workers may be sent a message, or be chosen for one that waits until their
+// lease is confirmed.
 //
-// Only a proof counts. A worker without one may drain, and the first message to it would tell by breaking the rule on
-// draining workers. It is chosen only where it can be proven without such a message: by a peer, or by its answer to a
-// query in a deployment whose draining workers reject queries. Otherwise it gets nothing, and requests that no proven
-// worker can take are rejected with a retry time.
+// A worker whose lease is not confirmed may be draining, and a message sent to find out would violate the rule on draining
+// workers. It is chosen only if its lease can be confirmed without such a message: by a peer, or by its response to a query
+// in a deployment whose draining workers reject queries. Otherwise nothing is sent to it, and requests that no confirmed
+// worker can take are rejected with a Retry-After.
 
 // holdsLease reports whether attempts and load commands may be sent to w now.
 func (r *Router) holdsLease(w *worker) bool { return r.isConfirmed(w) && !r.hasRejected(w) }
@@ -33,7 +34,7 @@
 	return holders
 }
 
-// mayUse reports whether w may be chosen for a message now, possibly one that waits for a proof.
+// mayUse reports whether w may be chosen for a message now, possibly one that waits until the lease of w is confirmed.
 func (r *Router) mayUse(w *worker) bool {
 	switch {
 	case r.isDiscoveryAvailable():
@@ -45,12 +46,12 @@
 	}
 }
 
-// mayBeConfirmed reports whether a worker without a proof may get one soon, by its answer to a query or from a peer.
+// mayBeConfirmed reports whether the lease of a worker may be confirmed soon, by its response to a query or by a peer.
 func (r *Router) mayBeConfirmed() bool {
 	return r.queriesConfirm() || r.awaitsConfirmations() || r.mayRequestConfirmations()
 }
 
-// queriesConfirm reports whether a worker that answers a query serves.
+// queriesConfirm reports whether a successful query confirms the lease of a worker.
 func (r *Router) queriesConfirm() bool {
 	return r.queriesShowDrains && r.deployment.LoadCommandsAllowed
 }
--- a/control/lease_renewal.go
+++ b/control/lease_renewal.go
@@ -7,30 +7,30 @@
 	"streamcleat/internal/units"
 )
 
-// Lease renewal: what is sent to workers to learn whether they serve, while discovery is not heard.
+// Lease renewal: messages that show whether workers serve during a discovery outage.
 //
-// A renewal is a load command for one replica that is loaded already. A draining worker rejects it and a full one does not.
-// The rule on draining workers covers it, so that it is sent only while the last proof of the worker counts. A query is a
-// load command for no replicas, which may be sent to any worker. Some workers answer queries while they drain, so that an
-// answer is a proof only once a worker that drains for certain was seen to reject one. Until then it proves nothing.
+// A renewal is a load command for one replica that is already loaded. A draining worker rejects it, a full one accepts it.
+// The rule on draining workers applies to it, so it is sent only while the worker's lease is confirmed. A query is a load
+// command for no replicas, which may be sent to any worker. Some workers accept queries while they drain. Therefore a
+// successful query confirms a lease only once a worker that is known to drain has rejected a query.
 
 const (
-	// renewalLeadSeconds is the time before the end of a lease at which it is renewed: a tick, and the way to the worker and
-	// back.
+	// renewalLeadSeconds is the time before the expiry of a lease at which it is renewed: one tick plus the round trip to the
+	// worker.
 	renewalLeadSeconds = tickSeconds + 0.05
 	// renewalIdleSeconds is the time since the last attempt after which the lease of a worker is no longer renewed.
 	renewalIdleSeconds = 5.0
 	// startDelaySeconds is the time after the start during which requests and queries wait for messages of peers, unless one
-	// answers before.
+	// responds earlier.
 	startDelaySeconds = 0.3
-	// minQueryBackoffSeconds and maxQueryBackoffSeconds bound the time until a worker that did not answer is queried again.
+	// minQueryBackoffSeconds and maxQueryBackoffSeconds bound the time until a worker whose query did not succeed is queried again.
 	minQueryBackoffSeconds = 0.5
 	maxQueryBackoffSeconds = 4.0
-	// queryBackoffJitter is the random fraction of that time, so that front ends do not query a worker together.
+	// queryBackoffJitter is the random fraction of that time, so that front ends do not query a worker at the same time.
 	queryBackoffJitter = 0.5
 )
 
-// awaitLease has a request wait until w is proven, or no proof is to be had. It always reports true.
+// awaitLease makes a request wait until the lease of w is confirmed or cannot be confirmed. It always returns true.
 func (r *Router) awaitLease(req *request, w *worker) bool {
 	req.awaitedLease = true
 	w.lease.waiters = append(w.lease.waiters, req)
@@ -38,8 +38,8 @@
 	return true
 }
 
-// queryWorker queries w unless it is being asked already, and reports whether it did. The peers are asked first: the query is
-// only noted while their messages may still arrive. It is sent then if its answer proves something.
+// queryWorker queries w unless a query is pending, and reports whether it did. Peers are asked first: the query is delayed
+// while their messages may still arrive, and sent afterwards if its result can confirm the lease.
 func (r *Router) queryWorker(w *worker, fn *function) bool {
 	if !r.hasRejected(w) {
 		r.requestConfirmations()
@@ -51,8 +51,8 @@
 	return r.sendQuery(w, fn, 0)
 }
 
-// sendDelayedQuery sends a query that waited for messages of peers, if requests or loads still wait for it and its answer
-// proves something. Otherwise they go on without a proof of w.
+// sendDelayedQuery sends a query that waited for messages of peers, if requests or loads still wait for it and its
+// result can confirm the lease. Otherwise these resume without a confirmation of w.
 func (r *Router) sendDelayedQuery(w *worker) bool {
 	if w.lease.queryPending || w.lease.function == nil || r.awaitsConfirmations() {
 		return false
@@ -73,8 +73,8 @@
 	return slices.ContainsFunc(r.functions, func(fn *function) bool { return fn.pendingLoadOn == w && fn.loadAwaitsLease })
 }
 
-// sendQuery sends a query, or a renewal for a number of replicas, unless w is being asked already, and reports whether it
-// did. The rules are applied again after an effect, so that only a real one may be reported.
+// sendQuery sends a query, or a renewal for a number of replicas, unless one is pending, and reports whether it did. The
+// rules are applied again after each effect, so that true must be returned only if something was sent.
 func (r *Router) sendQuery(w *worker, fn *function, replicas int) bool {
 	if w.lease.queryPending {
 		return false
@@ -84,9 +84,9 @@
 	return true
 }
 
-// renewLease renews the lease of a worker in use before it runs out, and tells whether a worker that rejected something is
+// renewLease renews the lease of a worker in use before it expires, and checks whether a worker that rejected a message is
 // full or drains. Renewals without a rejection are limited to one for each request, so that many front ends with little
-// traffic each do not occupy the workers with them.
+// traffic each do not load the workers with renewals.
 func (r *Router) renewLease(w *worker) bool {
 	if !r.hasLeases() || w.state != Serving || w.lease.queryPending || !r.mayRenew(w) {
 		return false
@@ -112,7 +112,8 @@
 	return isDue && r.renewalsAllowed() && r.isConfirmed(w) && r.now >= w.lease.retryAt
 }
 
-// renewalsAllowed reports whether load commands may be used as renewals: they count towards a quota.
+// renewalsAllowed reports whether load commands may be used as renewals. They may not if there is a quota, towards which they
+// would count.
 func (r *Router) renewalsAllowed() bool {
 	return r.deployment.LoadCommandsAllowed && r.deployment.LoadCommandWindow <= 0
 }
@@ -134,8 +135,8 @@
 	return newest
 }
 
-// queryRejectingWorker queries a worker that rejected something, and again after a backoff: one that rejects the query is
-// used again once it answers one.
+// queryRejectingWorker queries a worker that rejected a message, and again after a backoff: a worker that rejects the query
+// is used again once it accepts one.
 func (r *Router) queryRejectingWorker(w *worker) bool {
 	isDue := r.hasRejected(w) && w.state == Serving && !w.lease.queryPending && r.now >= w.lease.retryAt
 	if !isDue || w.lease.function == nil || !r.deployment.LoadCommandsAllowed {
@@ -165,14 +166,14 @@
 	r.applyRules()
 }
 
-// releaseWaiters lets the requests and load commands that wait for the lease of w go on.
+// releaseWaiters resumes the requests and load commands that wait for the lease of w.
 func (r *Router) releaseWaiters(w *worker) {
 	r.resumeLoads(w)
 	r.pending = append(r.pending, w.lease.waiters...)
 	w.lease.waiters = nil
 }
 
-// releaseAllWaiters is releaseWaiters for all workers that a condition holds for. It looks at each worker and function once.
+// releaseAllWaiters is releaseWaiters for all workers that satisfy a condition. It visits each worker and function once.
 func (r *Router) releaseAllWaiters(condition func(*worker) bool) {
 	for _, fn := range r.functions {
 		if w := fn.pendingLoadOn; w != nil && fn.loadAwaitsLease && condition(w) {
@@ -187,7 +188,7 @@
 	}
 }
 
-// recordQueryResponse records a good answer to a query or renewal.
+// recordQueryResponse records a successful query or renewal.
 func (r *Router) recordQueryResponse(w *worker, result QueryResult) {
 	w.lastResponseAt = r.now
 	sentAt := r.now - result.Latency
@@ -201,7 +202,7 @@
 		w.recordAcceptance(sentAt)
 	}
 	if r.hasRejected(w) {
-		r.backOffQueries(w) // the answer is no proof
+		r.backOffQueries(w) // the response does not confirm the lease
 	} else {
 		w.lease.failures, w.lease.retryAt = 0, 0
 	}
@@ -213,7 +214,7 @@
 	}
 }
 
-// recordRejectedQuery records that w rejected a query, or a renewal of a replica that is loaded, which proves a drain.
+// recordRejectedQuery records that w rejected a query, or a renewal of a loaded replica, which shows that it drains.
 func (r *Router) recordRejectedQuery(w *worker, result QueryResult) {
 	w.lease.rejectedAt, w.lease.rejectedQuery = r.now, result.Commanded == 0
 	r.backOffQueries(w)
@@ -229,7 +230,7 @@
 	}
 }
 
-// recordFailedQuery records that w gave no answer. Without a connection its process is gone.
+// recordFailedQuery records that a query of w did not succeed. If the connection failed, the process may have been replaced.
 func (r *Router) recordFailedQuery(w *worker, outcome Outcome) {
 	r.backOffQueries(w)
 	if outcome == Unreachable || outcome == ConnectionLost {
@@ -237,7 +238,7 @@
 	}
 }
 
-// backOffQueries delays the next query of w. Until then it is not used without a proof.
+// backOffQueries delays the next query of w. Until then w is not used unless its lease is confirmed.
 func (r *Router) backOffQueries(w *worker) {
 	backoff := min(minQueryBackoffSeconds*math.Pow(2, float64(w.lease.failures)), maxQueryBackoffSeconds)
 	w.lease.failures++
@@ -245,10 +246,10 @@
 	r.endpointRulesDue = true
 }
 
-// awaitsBackoff reports whether w did not answer a query lately and must not be queried yet.
+// awaitsBackoff reports whether w holds no lease and must not be queried yet, because a recent query did not succeed.
 func (r *Router) awaitsBackoff(w *worker) bool { return !r.holdsLease(w) && r.now < w.lease.retryAt }
 
-// resumeLoads sends the load commands that waited for the lease of w, or ends them if it has none.
+// resumeLoads sends the load commands that waited for the lease of w, or drops them if it holds none.
 func (r *Router) resumeLoads(w *worker) {
 	for _, fn := range r.functions {
 		if fn.pendingLoadOn == w && fn.loadAwaitsLease {
@@ -257,7 +258,7 @@
 	}
 }
 
-// resumeLoad sends the load command for one function that waited for the lease of w, or ends it.
+// resumeLoad sends the load command for one function that waited for the lease of w, or drops it.
 func (r *Router) resumeLoad(fn *function, w *worker) {
 	fn.loadAwaitsLease = false
 	if r.holdsLease(w) && !r.isWarm(fn.replicaOn(w)) && r.mayCommandLoad() {
--- a/control/peer_confirmations.go
+++ b/control/peer_confirmations.go
@@ -7,27 +7,28 @@
 	"streamcleat/internal/units"
 )
 
-// Proofs of peers: while discovery is not heard, a front end that lacks a lease asks its peers which workers proved to
-// serve, before it tries one. Datagrams may arrive late. A request for proofs therefore carries a random nonce, and a
-// response repeats it: the ages of its proofs count back from the time of the request, whenever the response arrives.
+// Lease confirmations of peers: during a discovery outage, a front end that lacks a lease requests the lease confirmations
+// of its peers before it sends anything to the worker. Datagrams may arrive late. A request therefore carries a random
+// nonce, which the responses repeat: the ages of their confirmations count back from the time of the request, whenever a
+// response arrives.
 
 const (
 	// peerResponseSeconds is the time for which a query waits for the responses of peers.
 	peerResponseSeconds = 0.05
-	// minConfirmationRequestInterval is the least time between two requests of a front end, and confirmationRequestsPerSecond bounds those of all
-	// front ends together.
+	// minConfirmationRequestInterval is the minimum time between two requests of a front end, and
+	// confirmationRequestsPerSecond bounds the requests of all front ends together.
 	minConfirmationRequestInterval = 0.1
 	confirmationRequestsPerSecond  = 60.0
-	// responsesPerConfirmationRequest is the mean nonce of peers that respond to a request.
+	// responsesPerConfirmationRequest is the mean number of peers that respond to a request.
 	responsesPerConfirmationRequest = 4.0
 	// maxConfirmationsPerResponse keeps a response within a datagram of 256 bytes.
 	maxConfirmationsPerResponse = 120
-	// confirmationResponseTimer is the ID of the timer that ends the wait for responses. Clients' requests have lower ones.
+	// confirmationResponseTimer is the ID of the timer that ends the wait for responses. Timers of client requests have lower IDs.
 	confirmationResponseTimer uint64 = math.MaxUint64
 )
 
-// Messages of this kind have odd lengths, other gossip has even ones. They consist of the kind, the nonce of the request
-// in 32 bits and, in a response, 16 bits for each worker: the digest in 12, and the age of its proof in 4.
+// Confirmation messages have odd lengths, other gossip messages have even ones. They consist of the kind, the nonce of the
+// request in 32 bits and, in a response, 16 bits for each worker: its digest in 12, and the age of its confirmation in 4.
 const (
 	confirmationRequestKind  byte = 1
 	confirmationResponseKind byte = 2
@@ -39,17 +40,17 @@
 	drainingAgeStep          = 15 // in place of an age: the worker drains
 )
 
-// confirmationRequest is the last request for proofs to the peers.
+// confirmationRequest is the last request for the lease confirmations of peers.
 type confirmationRequest struct {
 	nonce     uint32
 	sentAt    units.Seconds
-	isSent    bool // there was one
-	responded bool // any request got a response
+	isSent    bool // a request was sent
+	responded bool // a response to any request was received
 }
 
 func (r *Router) hasPeers() bool { return r.deployment.GossipAllowed && r.deployment.FrontEnds > 1 }
 
-// requestMissingConfirmations asks the peers if some worker that may serve is not proven.
+// requestMissingConfirmations sends a request if the lease of any worker that may serve is not confirmed.
 func (r *Router) requestMissingConfirmations() {
 	if !r.hasLeases() || r.isDiscoveryAvailable() {
 		return
@@ -62,13 +63,13 @@
 	}
 }
 
-// mayRequestConfirmations reports whether there are peers and no request was sent to them lately.
+// mayRequestConfirmations reports whether there are peers and the minimum interval since the last request has passed.
 func (r *Router) mayRequestConfirmations() bool {
 	interval := max(minConfirmationRequestInterval, units.Seconds(float64(r.deployment.FrontEnds)/confirmationRequestsPerSecond))
 	return r.hasPeers() && (!r.confirmationRequest.isSent || r.now >= r.confirmationRequest.sentAt+interval)
 }
 
-// requestConfirmations broadcasts a request for proofs, unless there was one lately.
+// requestConfirmations broadcasts a request for lease confirmations if mayRequestConfirmations permits it.
 func (r *Router) requestConfirmations() {
 	if !r.mayRequestConfirmations() {
 		return
@@ -79,8 +80,8 @@
 	r.host.SetTimer(peerResponseSeconds, confirmationResponseTimer)
 }
 
-// awaitsConfirmations reports whether queries wait for messages of peers: after the start until the first response, and after each
-// request.
+// awaitsConfirmations reports whether queries wait for messages of peers: after the start until the first response, and
+// after each request.
 func (r *Router) awaitsConfirmations() bool {
 	if !r.hasPeers() {
 		return false
@@ -89,7 +90,7 @@
 	return isStarting || r.confirmationRequest.isSent && r.now < r.confirmationRequest.sentAt+peerResponseSeconds
 }
 
-// onConfirmationMessage handles a request for proofs or a response.
+// onConfirmationMessage handles a request for lease confirmations or a response.
 func (r *Router) onConfirmationMessage(data []byte) {
 	if len(data) < confirmationRequestBytes {
 		return
@@ -100,20 +101,23 @@
 		r.respondToConfirmationRequest(nonce)
 	case confirmationResponseKind:
 		r.onConfirmationResponse(nonce, data[confirmationRequestBytes:])
-	default: // of another version
+	default: // unknown kind, of another version
 	}
 }
 
-// respondToConfirmationRequest tells which workers proved to serve and which drain. A few peers respond to each request.
+// respondToConfirmationRequest broadcasts which workers have confirmed leases and which drain. Only a few peers respond to
+// each request.
 func (r *Router) respondToConfirmationRequest(nonce uint32) {
-	if !r.hasPeers() || len(r.workers) == 0 || r.random.fraction()*float64(r.deployment.FrontEnds-1) >= responsesPerConfirmationRequest {
+	if !r.hasPeers() || len(r.workers) == 0 ||
+		r.random.fraction()*float64(r.deployment.FrontEnds-1) >= responsesPerConfirmationRequest {
 		return
 	}
 	response := binary.LittleEndian.AppendUint32([]byte{confirmationResponseKind}, nonce)
-	first := r.random.below(len(r.workers)) // another one each time, if there is not room for all
+	first := r.random.below(len(r.workers)) // random, as a response may not have room for all workers
 	for i := range r.workers {
 		w := r.workers[(first+i)%len(r.workers)]
-		if step, known := r.confirmationAgeStep(w); known && len(response) < confirmationRequestBytes+maxConfirmationsPerResponse*confirmationBytes {
+		if step, known := r.confirmationAgeStep(w); known &&
+			len(response) < confirmationRequestBytes+maxConfirmationsPerResponse*confirmationBytes {
 			response = binary.LittleEndian.AppendUint16(response, uint16(w.digest())|step<<confirmationAgeShift)
 		}
 	}
@@ -125,7 +129,7 @@
 // confirmationAgeStep returns what a response states about w, or false if it states nothing.
 func (r *Router) confirmationAgeStep(w *worker) (step uint16, known bool) {
 	switch {
-	case w.state == Draining && r.isDiscoveryAvailable(): // others repeat what they saw in drain messages
+	case w.state == Draining && r.isDiscoveryAvailable(): // otherwise drain messages report it
 		return drainingAgeStep, true
 	case w.state != Serving || r.hasRejected(w):
 		return 0, false
@@ -138,12 +142,12 @@
 	return uint16(min(age, drainingAgeStep)), age <= maxConfirmationAgeStep
 }
 
-// confirmationAgeUnit returns the unit of the ages in responses. All front ends of a deployment have the same.
+// confirmationAgeUnit returns the unit of the ages in responses. It is the same on all front ends of a deployment.
 func (r *Router) confirmationAgeUnit() units.Seconds {
 	return r.leaseDuration() / maxConfirmationAgeStep
 }
 
-// onConfirmationResponse handles a response of a peer to the last request. Requests that wait for leases are decided anew.
+// onConfirmationResponse handles a response of a peer to the last request. Requests that wait for leases are resumed.
 func (r *Router) onConfirmationResponse(nonce uint32, confirmations []byte) {
 	if !r.confirmationRequest.isSent || nonce != r.confirmationRequest.nonce || r.isDiscoveryAvailable() {
 		return
@@ -157,7 +161,7 @@
 	r.applyRules()
 }
 
-// applyPeerConfirmation applies what a peer tells of one worker.
+// applyPeerConfirmation applies the confirmation or drain of one worker that a peer reports.
 func (r *Router) applyPeerConfirmation(confirmation uint16) {
 	w, known := r.workersByDigest[uint32(confirmation)&workerDigestMask]
 	if !known || w.state != Serving {
--- a/control/view.go
+++ b/control/view.go
@@ -59,8 +59,8 @@
 	return r.functionView(fn), true
 }
 
-// DrainingByRejection returns the workers that count as draining because of what they rejected while discovery is not
-// heard, in slot order.
+// DrainingByRejection returns the workers that count as draining because of their rejections while discovery is
+// unavailable, in slot order.
 func (r *Router) DrainingByRejection() []WorkerID {
 	var ids []WorkerID
 	for _, w := range r.workers {
--- a/control/worker.go
+++ b/control/worker.go
@@ -12,8 +12,9 @@
 	state         EndpointState
 	weight        float64
 	startedAt     units.Seconds
-	// disconnectedAt is the time at which the last connection ended, so that another process may have taken the worker's address;
-	// 0 if discovery was heard since. reconnectedAt is the time of the first reply after it; 0 before.
+	// disconnectedAt is the time at which the last connection ended, after which another process may have taken over the
+	// worker's address; 0 if discovery has confirmed the list since. reconnectedAt is the time of the first response after
+	// it; 0 before.
 	disconnectedAt, reconnectedAt units.Seconds
 	machine                       *machineStats // nil until the worker is first listed as serving or draining
 
@@ -24,7 +25,7 @@
 	reportedLoad     float64 // requests of other front ends, by load reports and gossip; -1 if unknown
 	relativeLatency  float64 // long-run average of latency over the median of its function
 	ejectedUntil     units.Seconds
-	loadBackoffUntil units.Seconds // no load commands are sent before
+	loadBackoffUntil units.Seconds // no load commands are sent before this time
 
 	lease workerLease
 
