--- a/control/endpoint_index_test.go
+++ b/control/endpoint_index_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestEndpointUpdate_ReplacedWorkersLeaveNoState checks that slots, lookups and replicas of removed workers are reused
-// or removed, also if a load result arrives after the removal.
+// The slots of removed workers are reused, and their lookups and replicas are removed, also if a load result arrives after
+// the removal.
 func TestEndpointUpdate_ReplacedWorkersLeaveNoState(t *testing.T) {
 	r := newSimulatedFleet(1, basicDeployment(), 3).frontEnds[0].router
 	for i := range 300 {
--- a/control/endpoint_lease_test.go
+++ b/control/endpoint_lease_test.go
@@ -15,7 +15,7 @@
 	testWorkers    = 3
 )
 
-// leaseHost is the host of one router. It records what the router sends and answers nothing by itself.
+// leaseHost is the host of one router. It records what the router sends and does not respond by itself.
 type leaseHost struct {
 	router   *Router
 	now      units.Seconds
@@ -24,13 +24,13 @@
 	loads    []string        // worker and function
 	queries  []string        // worker, function and replicas
 	rejected []RequestID
-	home     WorkerID // has loaded function f
+	home     WorkerID // worker that has loaded function f
 	drains   int      // drain messages broadcast
 
 	broadcasts [][]byte
 
 	commanded      int           // replicas of the last query
-	responsesDueAt units.Seconds // when the wait for answers of peers ends; 0 if there is none
+	responsesDueAt units.Seconds // end of the wait for responses of peers; 0 if there is none
 }
 
 func (h *leaseHost) StartAttempt(id RequestID, worker WorkerID, timeLeft units.Seconds) {
@@ -65,7 +65,7 @@
 
 func (h *leaseHost) RequestEndpoints() {}
 
-// newLeaseHost returns the host of a router that hears discovery and has just used function f on its home.
+// newLeaseHost returns the host of a router for which discovery is available and that has just used function f on its home.
 func newLeaseHost() *leaseHost {
 	h := &leaseHost{now: 100}
 	deployment := basicDeployment()
@@ -87,7 +87,7 @@
 	return h
 }
 
-// at names a function or request at the home.
+// at returns a list of one string: the format with the home as its argument.
 func (h *leaseHost) at(format string) []string { return []string{fmt.Sprintf(format, h.home)} }
 
 // request sends the router a request for function f.
@@ -95,17 +95,17 @@
 	h.router.OnRequest(h.now, Request{ID: id, Class: "idempotent", Function: "f", TimeLeft: 3, Concurrency: 4})
 }
 
-// loaded has the router learn that a worker loaded f.
+// loaded reports to the router that a worker has loaded f.
 func (h *leaseHost) loaded(worker WorkerID) {
 	h.router.OnLoadResult(h.now, LoadResult{Worker: worker, Function: "f", Outcome: Succeeded, Replicas: 1, Duration: 0.1})
 }
 
-// respondToQuery reports the result of a query that was sent a moment ago.
+// respondToQuery reports the result of a query that was sent 1 ms ago.
 func (h *leaseHost) respondToQuery(worker WorkerID, outcome Outcome, replicas int) {
 	h.router.OnQueryResult(h.now, QueryResult{Worker: worker, Function: "f", Commanded: h.commanded, Outcome: outcome, Replicas: replicas, Latency: 0.001})
 }
 
-// admit sends a request while the home has no lease, and answers the query that goes before it.
+// admit sends a request while the home has no lease, and responds to the query that precedes the attempt.
 func (h *leaseHost) admit(id RequestID) {
 	h.request(id)
 	h.respondToQuery(h.home, Succeeded, 1)
@@ -116,12 +116,12 @@
 	h.router.OnAttemptResult(h.now, AttemptResult{Request: id, Worker: worker, Outcome: outcome, Completed: outcome == Succeeded, Latency: latency})
 }
 
-// advance moves the clock in ticks. The wait for answers of peers ends between two of them.
+// advance moves the clock in ticks. The wait for responses of peers ends between two of them.
 func (h *leaseHost) advance(duration units.Seconds) {
 	for ; duration > 0; duration -= tickSeconds {
 		next := h.now + min(duration, tickSeconds)
 		if h.responsesDueAt > 0 && h.responsesDueAt <= next {
-			h.now, h.responsesDueAt = max(h.now, h.responsesDueAt), 0 // a stalled process is told late
+			h.now, h.responsesDueAt = max(h.now, h.responsesDueAt), 0 // a suspended process receives the timer late
 			h.router.OnTimer(h.now, confirmationResponseTimer)
 		}
 		h.now = next
@@ -129,7 +129,7 @@
 	}
 }
 
-// clear forgets what was sent.
+// clear deletes the records of what was sent.
 func (h *leaseHost) clear() { h.attempts, h.loads, h.queries, h.rejected = nil, nil, nil, nil }
 
 // expect compares what was sent since the last clear. There must be no load command.
@@ -141,22 +141,22 @@
 	h.clear()
 }
 
-// newOutage returns a host without peers whose leases have all run out.
+// newOutage returns a host without peers whose leases have all expired.
 func newOutage() *leaseHost {
 	h := newOutageWithPeers()
 	h.router.deployment.FrontEnds = 1
 	return h
 }
 
-// newOutageWithPeers returns a host whose leases have all run out. Its draining workers reject queries.
+// newOutageWithPeers returns a host whose leases have all expired. Its draining workers are known to reject queries.
 func newOutageWithPeers() *leaseHost {
 	h := newOutageWithoutQueryEvidence()
 	h.router.queriesShowDrains = true
 	return h
 }
 
-// newOutageWithoutQueryEvidence returns a host whose leases have all run out, and that does not know what draining workers do with
-// queries.
+// newOutageWithoutQueryEvidence returns a host whose leases have all expired, and that does not know whether draining workers
+// reject queries.
 func newOutageWithoutQueryEvidence() *leaseHost {
 	h := newLeaseHost()
 	h.router.workersByID[h.home].lease.usedAt = 0 // no lease is renewed
@@ -166,7 +166,7 @@
 	return h
 }
 
-func TestLease_HeardDiscoveryNeedsNoQuery(t *testing.T) {
+func TestLease_AvailableDiscoveryNeedsNoQuery(t *testing.T) {
 	h := newLeaseHost()
 	for i := range 20 {
 		h.advance(1)
@@ -178,8 +178,8 @@
 	}
 }
 
-// A request that waits for a query goes on once discovery is heard, also during the start delay.
-func TestLease_DiscoveryHeardReleasesRequests(t *testing.T) {
+// A request that waits for a query is resumed once discovery is available, also during the start delay.
+func TestLease_AvailableDiscoveryReleasesRequests(t *testing.T) {
 	h := newOutageWithPeers()
 	h.router.startedAt = h.now
 	h.request("a")
@@ -188,7 +188,7 @@
 	h.expect(t, h.at("a@%s"), nil)
 }
 
-// During the start delay nobody is queried, so that drain messages of peers come first.
+// During the start delay no worker is queried, so that drain messages of peers arrive first.
 func TestLease_StartDelay(t *testing.T) {
 	h := newOutageWithPeers()
 	h.router.startedAt = h.now
@@ -199,7 +199,7 @@
 	h.expect(t, nil, h.at("%s/f=0"))
 }
 
-// A list that was stored by an earlier process counts for a time if the polls for its changes fail.
+// A list that was stored by an earlier process is valid for a limited time if the polls for its changes fail.
 func TestLease_PolledList(t *testing.T) {
 	for _, succeeds := range []bool{false, true} {
 		h := &leaseHost{now: 100}
@@ -210,7 +210,7 @@
 		h.router.OnEndpointUpdate(h.now, Snapshot, []Worker{{ID: "w0", Weight: 1}})
 		h.router.OnEndpointPollFailed(h.now)
 		if h.advance(39); !h.router.MaySend(h.now, "w0") {
-			t.Error("list does not count while polls may still succeed")
+			t.Error("list is not valid while polls may still succeed")
 		}
 		if succeeds {
 			h.router.OnEndpointPollSucceeded(h.now)
@@ -221,19 +221,19 @@
 	}
 }
 
-func TestLease_LapsesWithoutNews(t *testing.T) {
+func TestLease_ExpiresWithoutUpdates(t *testing.T) {
 	for name, c := range map[string]struct {
-		lost  bool
-		after units.Seconds
-		holds bool
+		disconnected bool
+		after        units.Seconds
+		holds        bool
 	}{
-		"silence, before the next heartbeat is overdue": {false, 2.4, true},
-		"silence, after it":                             {false, 2.6, false},
-		"lost, within the grace":                        {true, 0.3, true},
-		"lost, at the end of the grace":                 {true, 0.45, false},
+		"no updates, before the next heartbeat is overdue": {false, 2.4, true},
+		"no updates, after it":                             {false, 2.6, false},
+		"disconnected, within the grace":                   {true, 0.3, true},
+		"disconnected, at the end of the grace":            {true, 0.45, false},
 	} {
 		h := newLeaseHost()
-		if c.lost {
+		if c.disconnected {
 			h.router.OnDiscoveryDisconnected(h.now)
 		}
 		h.advance(c.after)
@@ -243,7 +243,7 @@
 	}
 }
 
-// The proof of an accepted attempt counts from when it was sent.
+// An accepted attempt confirms the lease from the time at which it was sent.
 func TestLease_RenewedBySendTimeOfAcceptedAttempt(t *testing.T) {
 	for latency, holds := range map[units.Seconds]bool{0.1: true, 0.39: true, 0.41: false, 2: false} {
 		h := newOutage()
@@ -256,7 +256,8 @@
 	}
 }
 
-// A worker that rejects a query gets nothing until it answers one; its function is loaded elsewhere, after another query.
+// A worker that rejects a query is sent no attempts or load commands until it accepts a query. Its function is loaded on
+// another worker, which is queried first.
 func TestLease_RejectedQueryShowsDrain(t *testing.T) {
 	h := newOutage()
 	h.request("a")
@@ -282,24 +283,24 @@
 	h.commanded = 0
 	h.respondToQuery(h.home, Succeeded, 1)
 	if !h.router.MaySend(h.now, h.home) {
-		t.Error("no lease after a good answer")
+		t.Error("no lease after a successful query")
 	}
 }
 
-// A peer's message that a worker drains counts while discovery is not heard. With a proof of its own the front end asks
-// the worker first.
+// A drain message of a peer counts as a rejection during a discovery outage. If the front end has confirmed the lease itself,
+// it sends a renewal to the worker first.
 func TestLease_DrainMessage(t *testing.T) {
 	for name, c := range map[string]struct {
 		host  *leaseHost
 		query bool
-	}{"heard": {newLeaseHost(), false}, "not heard": {newOutage(), true}} {
+	}{"available": {newLeaseHost(), false}, "unavailable": {newOutage(), true}} {
 		h := c.host
 		w := h.router.workersByID[h.home]
 		h.router.OnGossip(h.now, binary.LittleEndian.AppendUint16(nil, uint16(w.digest())))
 		h.request("a")
 		usesHome := slices.Contains(h.attempts, h.at("a@%s")[0]) || len(w.lease.waiters) > 0
 		if usesHome == c.query {
-			t.Errorf("%s: request sent to a worker that drains, or kept from one that serves: %v", name, h.attempts)
+			t.Errorf("%s: request sent to a draining worker, or not sent to a serving one: %v", name, h.attempts)
 		}
 	}
 	h := newOutage()
@@ -309,11 +310,11 @@
 	h.router.OnGossip(h.now, binary.LittleEndian.AppendUint16(nil, uint16(h.router.workersByID[h.home].digest())))
 	h.request("b")
 	if !slices.Contains(h.queries, h.at("%s/f=1")[0]) || len(h.attempts) > 0 {
-		t.Errorf("with a proof: queries %v, attempts %v", h.queries, h.attempts)
+		t.Errorf("with a confirmed lease: queries %v, attempts %v", h.queries, h.attempts)
 	}
 }
 
-func TestLease_DiscoveryHeardEndsRejections(t *testing.T) {
+func TestLease_AvailableDiscoveryClearsRejections(t *testing.T) {
 	h := newOutage()
 	h.request("a")
 	h.respondToQuery(h.home, Rejected, 0)
@@ -327,24 +328,24 @@
 	}
 }
 
-// After a suspension of the process, news that was received before may have been followed by a drain that lies unread.
-func TestLease_SuspendedProcessAwaitsNews(t *testing.T) {
+// After a suspension of the process, a drain may be waiting unread behind the updates received before.
+func TestLease_SuspendedProcessAwaitsUpdates(t *testing.T) {
 	h := newLeaseHost()
 	h.now += 1
 	h.router.OnDiscoveryConfirmed(h.now, h.now-1)
 	if h.router.MaySend(h.now, h.home) {
-		t.Error("news from before the suspension renews a lease")
+		t.Error("an update from before the suspension renews a lease")
 	}
 	h.advance(0.25)
 	h.router.OnDiscoveryConfirmed(h.now, h.now-0.2)
 	if !h.router.MaySend(h.now, h.home) {
-		t.Error("news from after the suspension renews no lease")
+		t.Error("an update from after the suspension renews no lease")
 	}
 }
 
-// While discovery is heard, a rejected request goes on to another replica, or has one loaded; it goes back only if there is
-// no other way.
-func TestRejectedAttempt_GoesElsewhere(t *testing.T) {
+// While discovery is available, a rejected request is sent to another replica, or one is loaded for it. It is sent to a
+// worker that rejected it only if there is no alternative.
+func TestRejectedAttempt_IsSentToAnotherWorker(t *testing.T) {
 	h := newLeaseHost()
 	other := WorkerID("w0")
 	if h.home == other {
--- a/control/lease_admission_test.go
+++ b/control/lease_admission_test.go
@@ -7,27 +7,27 @@
 	"testing"
 )
 
-// Workers that hold no lease are left alone, whether or not a proven one has room: one that drains, and that nobody used
-// lately, would be found out by a message past the grace.
-func TestLease_UnprovenWorkersAreNotUsed(t *testing.T) {
+// Workers without a lease are sent nothing, whether or not a confirmed worker has room. If one of them drains and was not used
+// recently, the first message to it would be sent after the drain grace.
+func TestLease_UnconfirmedWorkersAreNotUsed(t *testing.T) {
 	for name, c := range map[string]struct {
-		proven, unproven int
-		busy             bool
+		confirmed, unconfirmed int
+		busy                   bool
 	}{
-		"two thirds proven":        {proven: 6, unproven: 3},
-		"two thirds, without room": {proven: 6, unproven: 3, busy: true},
-		"four fifths, no room":     {proven: 8, unproven: 2, busy: true},
-		"one in ten, with room":    {proven: 1, unproven: 9},
-		"none":                     {proven: 0, unproven: 9},
+		"two thirds confirmed":     {confirmed: 6, unconfirmed: 3},
+		"two thirds, without room": {confirmed: 6, unconfirmed: 3, busy: true},
+		"four fifths, no room":     {confirmed: 8, unconfirmed: 2, busy: true},
+		"one in ten, with room":    {confirmed: 1, unconfirmed: 9},
+		"none":                     {confirmed: 0, unconfirmed: 9},
 	} {
 		h := newOutageWithoutQueryEvidence()
 		h.router.deployment.FrontEnds = 1
 		var endpoints []Worker
-		for i := range c.proven + c.unproven {
+		for i := range c.confirmed + c.unconfirmed {
 			endpoints = append(endpoints, Worker{ID: WorkerID(fmt.Sprint("v", i)), Weight: 1})
 		}
 		h.router.OnEndpointUpdate(h.now, Snapshot, endpoints)
-		for i := range c.proven {
+		for i := range c.confirmed {
 			w := h.router.workersByID[endpoints[i].ID]
 			w.recordAcceptance(h.now)
 			if c.busy {
@@ -36,22 +36,22 @@
 		}
 		for i, endpoint := range endpoints {
 			w := h.router.workersByID[endpoint.ID]
-			if isConfirmed := i < c.proven; h.router.mayUse(w) != isConfirmed || h.router.MaySend(h.now, w.id) != isConfirmed || h.router.MayLoad(h.now, w.id, "f") != isConfirmed {
-				t.Errorf("%s: worker %d, proven %v: may be used %v", name, i, isConfirmed, !isConfirmed)
+			if isConfirmed := i < c.confirmed; h.router.mayUse(w) != isConfirmed || h.router.MaySend(h.now, w.id) != isConfirmed || h.router.MayLoad(h.now, w.id, "f") != isConfirmed {
+				t.Errorf("%s: worker %d, confirmed %v: may be used %v", name, i, isConfirmed, !isConfirmed)
 			}
 		}
-		if h.router.CanServe(h.now) != (c.proven > 0) {
-			t.Errorf("%s: can serve %v", name, c.proven == 0)
+		if h.router.CanServe(h.now) != (c.confirmed > 0) {
+			t.Errorf("%s: can serve %v", name, c.confirmed == 0)
 		}
 	}
 }
 
-// Without a proof, and without a way to one that the rule on draining workers allows, requests are rejected at once. An
-// answer to a query is no such way where draining workers may answer them.
-func TestLease_RejectsWithoutProof(t *testing.T) {
+// If no lease is confirmed, and none can be within the rule on draining workers, requests are rejected immediately. A
+// successful query does not confirm a lease if draining workers may accept queries.
+func TestLease_RejectsWithoutConfirmation(t *testing.T) {
 	for name, change := range map[string]func(*Router){
-		"unknown what draining workers do": func(*Router) {},
-		"no load commands":                 func(r *Router) { r.deployment.LoadCommandsAllowed = false },
+		"unknown whether draining workers reject queries": func(*Router) {},
+		"no load commands": func(r *Router) { r.deployment.LoadCommandsAllowed = false },
 		"quota on load commands": func(r *Router) {
 			r.deployment.LoadCommandWindow, r.deployment.LoadCommandAllowance = 2, 5
 		},
@@ -67,7 +67,7 @@
 		h.router.workersByID[h.home].lease.queryPending = true
 		h.respondToQuery(h.home, Succeeded, 1)
 		if h.router.MaySend(h.now, h.home) || h.router.MayLoad(h.now, h.home, "f") {
-			t.Errorf("%s: an answer to a query is taken for a proof", name)
+			t.Errorf("%s: a response to a query confirms the lease", name)
 		}
 		h.request("b")
 		if !slices.Equal(h.rejected, []RequestID{"b"}) {
@@ -77,15 +77,15 @@
 	}
 }
 
-// Requests wait for the answers of peers, once, and are rejected if none has a proof.
+// Requests wait once for the responses of peers, and are rejected if no peer has confirmed a lease.
 func TestLease_RequestsAwaitPeers(t *testing.T) {
-	for name, isConfirmed := range map[string]bool{"a peer has a proof": true, "no peer has": false} {
+	for name, isConfirmed := range map[string]bool{"a peer has confirmed a lease": true, "no peer has": false} {
 		h := newOutageWithoutQueryEvidence()
 		h.request("a")
 		if isConfirmed {
 			w := h.router.workersByID[h.home]
-			answer := binary.LittleEndian.AppendUint32([]byte{confirmationResponseKind}, h.router.confirmationRequest.nonce)
-			h.router.OnGossip(h.now, binary.LittleEndian.AppendUint16(answer, uint16(w.digest())))
+			response := binary.LittleEndian.AppendUint32([]byte{confirmationResponseKind}, h.router.confirmationRequest.nonce)
+			h.router.OnGossip(h.now, binary.LittleEndian.AppendUint16(response, uint16(w.digest())))
 		}
 		if sent := slices.Equal(h.attempts, h.at("a@%s")); sent != isConfirmed {
 			t.Errorf("%s: attempts %v", name, h.attempts)
@@ -97,7 +97,7 @@
 	}
 }
 
-// A request waits for one query, which others share; then it is sent, and a later one within the lease needs none.
+// Concurrent requests wait for the same query and are then sent. A later one within the lease is sent without a query.
 func TestLease_WorkerIsQueriedFirst(t *testing.T) {
 	h := newOutage()
 	h.request("a")
@@ -110,9 +110,9 @@
 	h.expect(t, h.at("c@%s"), nil)
 }
 
-// Once a worker that drains for certain was seen to reject a query, an answer to one is a proof.
+// Once a worker that is known to drain has rejected a query, a successful query confirms a lease.
 func TestLease_QueriesThatShowDrains(t *testing.T) {
-	for outcome, proves := range map[Outcome]bool{Rejected: true, Succeeded: false} {
+	for outcome, confirms := range map[Outcome]bool{Rejected: true, Succeeded: false} {
 		h := newLeaseHost()
 		h.router.deployment.FrontEnds = 1 // no peer is asked
 		h.request("a")
@@ -128,7 +128,7 @@
 			}
 			h.router.queryWorker(w, h.router.functionsByID["f"])
 			h.respondToQuery(w.id, Succeeded, 0)
-			if got := h.router.MaySend(h.now, w.id); got != proves {
+			if got := h.router.MaySend(h.now, w.id); got != confirms {
 				t.Errorf("outcome %d of the query: may send to %s %v", outcome, w.id, got)
 			}
 			break
--- a/control/lease_renewal_test.go
+++ b/control/lease_renewal_test.go
@@ -7,7 +7,8 @@
 	"streamcleat/internal/units"
 )
 
-// The lease of a worker in use is renewed by a load command for a replica that it has; a rejection of that is a drain.
+// The lease of a worker in use is renewed by a load command for a replica that it has loaded. If it rejects that, it
+// drains.
 func TestLease_RenewedWhileInUse(t *testing.T) {
 	for outcome, serves := range map[Outcome]bool{Succeeded: true, Rejected: false, TimedOut: false} {
 		h := newLeaseHost()
@@ -44,7 +45,7 @@
 	}
 }
 
-// A worker that rejects an attempt within its lease is asked at once whether it drains.
+// A worker that rejects an attempt within its lease is sent a renewal immediately, which shows whether it drains.
 func TestLease_RejectionWithinLeaseIsConfirmed(t *testing.T) {
 	for outcome, serves := range map[Outcome]bool{Succeeded: true, Rejected: false} {
 		h := newOutage()
@@ -57,7 +58,7 @@
 		h.advance(0.05)
 		h.endAttempt("b", h.home, Rejected, 0.05)
 		if len(h.queries) == 0 || h.queries[0] != h.at("%s/f=1")[0] {
-			t.Fatal("not confirmed:", h.queries)
+			t.Fatal("no renewal:", h.queries)
 		}
 		h.commanded = 1
 		h.now += 0.01
@@ -68,7 +69,7 @@
 	}
 }
 
-// The intervals between the queries of a worker that does not answer grow to a bound.
+// The intervals between the queries of a worker that does not respond grow up to a maximum.
 func TestLease_QueriesBackOff(t *testing.T) {
 	h := newOutageWithPeers()
 	var queriedAt []units.Seconds
--- a/control/outage_fleet_test.go
+++ b/control/outage_fleet_test.go
@@ -9,11 +9,11 @@
 	"streamcleat/internal/units"
 )
 
-// Fleets with random outages of discovery and random drains: nothing is sent to a worker that has drained for longer than
-// the grace, if discovery had not reported it.
-func TestRouter_DrainsAreKeptDuringOutages(t *testing.T) {
-	holds := func(seed int64, answersQueries bool) bool {
-		fleet := runRandomOutages(seed, answersQueries)
+// With random discovery outages and random drains, nothing is sent to a worker that has drained for longer than the grace,
+// even if discovery has not reported the drain.
+func TestRouter_RespectsDrainsDuringOutages(t *testing.T) {
+	holds := func(seed int64, acceptsQueries bool) bool {
+		fleet := runRandomOutages(seed, acceptsQueries)
 		if fleet.violation != "" {
 			t.Logf("seed %d: %s", seed, fleet.violation)
 		}
@@ -24,13 +24,14 @@
 	}
 }
 
-// runRandomOutages plays requests with outages of discovery, during which workers drain, return, and fail in other ways.
-func runRandomOutages(seed int64, answersQueries bool) *simulatedFleet {
+// runRandomOutages simulates requests and discovery outages, during which workers drain, return to service, and fail in other
+// ways.
+func runRandomOutages(seed int64, acceptsQueries bool) *simulatedFleet {
 	rnd := rand.New(rand.NewSource(seed))
 	deployment := randomDeployment(rnd)
 	deployment.EndpointLeases, deployment.DrainGrace = true, units.Seconds(0.2+rnd.Float64()*2)
 	fleet := newSimulatedFleet(seed, deployment, 2+rnd.Intn(7))
-	fleet.drainingAnswersQueries = answersQueries
+	fleet.drainingAnswersQueries = acceptsQueries
 	requests, outageEnd := 0, 0
 	for step := range 2000 {
 		fleet.advance(stepSeconds)
@@ -60,7 +61,8 @@
 	return fleet
 }
 
-// restart replaces the front end's router, whose requests are lost with it. The new one starts with the list of the old.
+// restart replaces the front end's router, whose requests are lost. The new router starts with the endpoint list of the old
+// one.
 func (f *simulatedFrontEnd) restart(seed uint64) {
 	s := f.fleet
 	f.requests, f.requestTimes, f.loadTimes = map[RequestID]*clientRequest{}, nil, nil
@@ -80,7 +82,7 @@
 	}
 }
 
-// beginOutage cuts all front ends off discovery, after a last list.
+// beginOutage isolates all front ends from discovery, after a last list.
 func (s *simulatedFleet) beginOutage() {
 	s.sendHeartbeats()
 	s.discoveryDown = true
@@ -102,7 +104,7 @@
 	}
 }
 
-// drainOrReturn has a worker drain or return, or changes its condition.
+// drainOrReturn makes a worker drain or return to service, or changes its condition.
 func (w *simulatedWorker) drainOrReturn(rnd *rand.Rand, now units.Seconds) {
 	switch rnd.Intn(4) {
 	case 0, 1:
@@ -116,7 +118,8 @@
 	}
 }
 
-// checkUnreportedDrain checks that a message to a worker is not sent past the grace of a drain that discovery did not tell of.
+// checkUnreportedDrain records a violation if a message is sent to a worker after the grace of a drain that discovery has not
+// reported.
 func (f *simulatedFrontEnd) checkUnreportedDrain(message string, worker *simulatedWorker) {
 	s := f.fleet
 	if !s.discoveryDown || worker.State != Draining || s.now <= worker.drainedAt+s.deployment.DrainGrace {
--- a/control/peer_confirmations_test.go
+++ b/control/peer_confirmations_test.go
@@ -9,14 +9,12 @@
 	"streamcleat/internal/units"
 )
 
-// Incident: the soak of outages, run beside other load, found single load commands to workers that had drained for longer
-// than the grace. One front end was cut off from discovery and restarted with a list from before the drain, and the
-// draining workers answered queries, so that it took the answer for a reason to try them.
-//
-// How it came about: each front end proved for itself which workers serve, though its peers heard discovery, or had proofs.
-// What proved it: the records show the message 3 to 50 ms past the grace of the restarted process, a query answered just
-// before it, and at that time the worker listed as draining at both peers.
-func TestOutage_PeersTellRestartedFrontEnd(t *testing.T) {
+// Guards against load commands to workers that have drained for longer than the grace, which the soak test of discovery outages
+// found under other load. One front end was isolated from discovery and restarted with a list from before the drain. The
+// draining workers responded to queries, so that it took them for serving: it did not use what its peers knew, for which
+// discovery was available or leases were confirmed. The load command was sent 3 to 50 ms after the grace of the restarted
+// process, just after a query had succeeded, while both peers listed the worker as draining.
+func TestOutage_PeersInformRestartedFrontEnd(t *testing.T) {
 	sent, succeeded, other := simulateIsolatedRestarts(t, true)
 	if sent > 0 {
 		t.Errorf("%d messages to draining workers past the grace", sent)
@@ -26,16 +24,16 @@
 	}
 }
 
-// Without peers nobody can tell the restarted front end which workers drain: an answer to a query does not.
-func TestOutage_RestartWithoutPeersTriesNoDrainingWorker(t *testing.T) {
+// Without peers, the restarted front end cannot learn which workers drain: responses to queries do not show it.
+func TestOutage_RestartWithoutPeersUsesNoDrainingWorker(t *testing.T) {
 	if sent, _, _ := simulateIsolatedRestarts(t, false); sent > 0 {
 		t.Errorf("%d messages to draining workers past the grace", sent)
 	}
 }
 
-// simulateIsolatedRestarts plays 40 fleets in which one front end is cut off from discovery, a worker drains, and that front end is
-// restarted with the list from before. It returns the messages that it sent to the worker past the grace, and the numbers of
-// requests that succeeded and did not.
+// simulateIsolatedRestarts runs 40 fleets in which one front end is isolated from discovery, a worker drains, and that front
+// end is restarted with the list from before the drain. It returns how many messages it sent to the worker after the grace,
+// and how many requests succeeded and did not succeed.
 func simulateIsolatedRestarts(t *testing.T, hasPeers bool) (sent, succeeded, other int) {
 	t.Helper()
 	for seed := range int64(40) {
@@ -65,7 +63,7 @@
 	return sent, succeeded, other
 }
 
-// newSparseFleet returns a fleet that hears discovery, with little traffic at each front end. Its draining workers answer
+// newSparseFleet returns a fleet with discovery available and little traffic at each front end. Its draining workers accept
 // queries.
 func newSparseFleet(seed int64) *simulatedFleet {
 	deployment := basicDeployment()
@@ -77,7 +75,8 @@
 	return fleet
 }
 
-// sendWithHeartbeats sends requests at an interval, while all front ends but one hear discovery, and waits for the last ones.
+// sendWithHeartbeats sends requests at an interval, while discovery is available to all front ends but one, and waits for the
+// last ones.
 func (s *simulatedFleet) sendWithHeartbeats(functions, count int, isolated *simulatedFrontEnd) (requests []*clientRequest) {
 	const heartbeatEvery, waiting = 10, 80
 	for i := range count + waiting {
@@ -104,37 +103,38 @@
 	}
 }
 
-// A proof of a peer counts back from the question, whenever the answer arrives, and only the last question's answers count.
-func TestAnswer_ProofIsDatedByQuestion(t *testing.T) {
+// The age of a peer's confirmation counts back from the time of the request, whenever the response arrives. Responses to
+// earlier requests are ignored.
+func TestConfirmationResponse_AgeCountsFromRequest(t *testing.T) {
 	lease := units.Seconds(testDrainGrace - leaseMarginSeconds)
 	for name, c := range map[string]struct {
 		step     uint16
-		otherID  bool          // the answer is to another question
-		arrives  units.Seconds // after the question
-		holdsFor units.Seconds // after the question; 0: never
+		otherID  bool          // the response is to another request
+		arrives  units.Seconds // after the request
+		holdsFor units.Seconds // after the request; 0: never
 		rejects  bool
 	}{
-		"fresh proof":            {step: 0, arrives: 0.01, holdsFor: lease},
-		"late answer":            {step: 0, arrives: 0.3, holdsFor: lease},
-		"answer after the lease": {step: 0, arrives: 0.41},
-		"older proof":            {step: maxConfirmationAgeStep / 2, arrives: 0.01, holdsFor: lease / 2},
-		"expired proof":          {step: maxConfirmationAgeStep, arrives: 0.01},
-		"another question":       {step: 0, otherID: true, arrives: 0.01},
-		"draining":               {step: drainingAgeStep, arrives: 0.01, rejects: true},
+		"fresh confirmation":       {step: 0, arrives: 0.01, holdsFor: lease},
+		"late response":            {step: 0, arrives: 0.3, holdsFor: lease},
+		"response after the lease": {step: 0, arrives: 0.41},
+		"older confirmation":       {step: maxConfirmationAgeStep / 2, arrives: 0.01, holdsFor: lease / 2},
+		"expired confirmation":     {step: maxConfirmationAgeStep, arrives: 0.01},
+		"another request":          {step: 0, otherID: true, arrives: 0.01},
+		"draining":                 {step: drainingAgeStep, arrives: 0.01, rejects: true},
 	} {
 		h := newOutageWithPeers()
 		h.router.confirmationRequest.isSent = false
 		h.router.requestConfirmations()
-		w, askedAt, nonce := h.router.workersByID[h.home], h.now, h.router.confirmationRequest.nonce
+		w, requestedAt, nonce := h.router.workersByID[h.home], h.now, h.router.confirmationRequest.nonce
 		if c.otherID {
 			nonce++
 		}
 		h.now += c.arrives
-		answer := binary.LittleEndian.AppendUint32([]byte{confirmationResponseKind}, nonce)
-		h.router.OnGossip(h.now, binary.LittleEndian.AppendUint16(answer, uint16(w.digest())|c.step<<confirmationAgeShift))
+		response := binary.LittleEndian.AppendUint32([]byte{confirmationResponseKind}, nonce)
+		h.router.OnGossip(h.now, binary.LittleEndian.AppendUint16(response, uint16(w.digest())|c.step<<confirmationAgeShift))
 		for _, after := range []units.Seconds{0.02, 0.15, 0.25, 0.35, 0.39, 0.45} {
-			if now := askedAt + after; now > h.now && h.router.MaySend(now, h.home) != (after < c.holdsFor) {
-				t.Errorf("%s: may send %v s after the question: %v", name, after, !(after < c.holdsFor))
+			if now := requestedAt + after; now > h.now && h.router.MaySend(now, h.home) != (after < c.holdsFor) {
+				t.Errorf("%s: may send %v s after the request: %v", name, after, !(after < c.holdsFor))
 			}
 		}
 		if h.router.hasRejected(w) != c.rejects {
@@ -143,26 +143,26 @@
 	}
 }
 
-// A front end answers with its proofs and their ages. Workers without a proof are left out.
-func TestAnswer_TellsOwnProofs(t *testing.T) {
+// A front end responds with its lease confirmations and their ages. Workers without a confirmation are omitted.
+func TestConfirmationResponse_ListsOwnConfirmations(t *testing.T) {
 	h := newOutageWithPeers()
 	h.router.OnDiscoveryConfirmed(h.now, h.now-1)
-	proven, draining := h.router.workersByID["w0"], h.router.workersByID["w1"]
-	proven.recordAcceptance(h.now - 0.19)
+	confirmed, draining := h.router.workersByID["w0"], h.router.workersByID["w1"]
+	confirmed.recordAcceptance(h.now - 0.19)
 	draining.state = Draining
-	question := binary.LittleEndian.AppendUint32([]byte{confirmationRequestKind}, 77)
-	h.router.OnGossip(h.now, question)
+	request := binary.LittleEndian.AppendUint32([]byte{confirmationRequestKind}, 77)
+	h.router.OnGossip(h.now, request)
 	want := binary.LittleEndian.AppendUint32([]byte{confirmationResponseKind}, 77)
-	answer := h.broadcasts[len(h.broadcasts)-1]
-	if !bytes.HasPrefix(answer, want) || len(answer) != confirmationRequestBytes+2*confirmationBytes {
-		t.Fatalf("answer %x", answer)
+	response := h.broadcasts[len(h.broadcasts)-1]
+	if !bytes.HasPrefix(response, want) || len(response) != confirmationRequestBytes+2*confirmationBytes {
+		t.Fatalf("response %x", response)
 	}
 	steps := map[uint32]uint16{}
-	for confirmations := answer[confirmationRequestBytes:]; len(confirmations) > 0; confirmations = confirmations[confirmationBytes:] {
+	for confirmations := response[confirmationRequestBytes:]; len(confirmations) > 0; confirmations = confirmations[confirmationBytes:] {
 		confirmation := binary.LittleEndian.Uint16(confirmations)
 		steps[uint32(confirmation)&workerDigestMask] = confirmation >> confirmationAgeShift
 	}
-	if steps[proven.digest()] != maxConfirmationAgeStep/2 || steps[draining.digest()] != drainingAgeStep {
+	if steps[confirmed.digest()] != maxConfirmationAgeStep/2 || steps[draining.digest()] != drainingAgeStep {
 		t.Errorf("ages %v", steps)
 	}
 }
@@ -187,33 +187,34 @@
 	})
 }
 
-// A drain message of a peer is as old as the rejection that it saw itself. Front ends that repeated to each other what
-// they had heard kept workers that had returned out of use until discovery was heard.
-func TestDrainMessage_IsDatedByRejection(t *testing.T) {
+// The age of a drain message is that of the last rejection that its sender received itself. When front ends repeated the drain
+// messages of their peers, workers that had returned to service stayed unused until discovery was available.
+func TestDrainMessage_AgeCountsFromRejection(t *testing.T) {
 	for name, c := range map[string]struct {
 		age, acceptedAgo units.Seconds
 		drains           bool
 	}{
-		"rejection after the proof":  {age: 0, acceptedAgo: 0.2, drains: true},
-		"rejection before the proof": {age: 2, acceptedAgo: 0.2},
-		"no proof lately":            {age: 2, acceptedAgo: 60, drains: true},
+		"rejection after the confirmation":  {age: 0, acceptedAgo: 0.2, drains: true},
+		"rejection before the confirmation": {age: 2, acceptedAgo: 0.2},
+		"no recent confirmation":            {age: 2, acceptedAgo: 60, drains: true},
 	} {
 		sender, receiver := newOutageWithPeers(), newOutageWithPeers()
 		w := sender.router.workersByID["w1"]
 		w.lease.rejectedAt, w.lease.drainSeenAt = sender.now, sender.now-c.age
 		sender.broadcasts = nil
 		sender.router.broadcastDrain(w)
-		heard := receiver.router.workersByID["w1"]
-		heard.recordAcceptance(receiver.now - c.acceptedAgo)
+		receivedWorker := receiver.router.workersByID["w1"]
+		receivedWorker.recordAcceptance(receiver.now - c.acceptedAgo)
 		receiver.router.discovery.confirmedAt = 1
 		receiver.router.OnGossip(receiver.now, sender.broadcasts[0])
-		if receiver.router.hasRejected(heard) != c.drains {
+		if receiver.router.hasRejected(receivedWorker) != c.drains {
 			t.Errorf("%s: counts as draining %v", name, !c.drains)
 		}
 	}
 }
 
-// Workers that reject queries while they drain are used again soon after their return, though no discovery is heard.
+// Workers that reject queries while they drain are used again soon after they return to service, also during a discovery
+// outage.
 func TestOutage_ReturnedWorkersAreUsedAgain(t *testing.T) {
 	for seed := range int64(20) {
 		fleet := newSparseFleet(seed)
@@ -242,14 +243,14 @@
 	}
 }
 
-// A load command that a worker without a proof rejects is all that anybody learns of it: it is broadcast, or each would
-// find out by a message of its own. One that a proven worker rejects may only mean that it is full. Where no renewal can
-// tell the two apart, peers with a proof of their own would lose a full worker by the message: nothing is broadcast.
+// If a worker with an unconfirmed lease rejects a load command, the rejection is broadcast. Otherwise each front end would
+// send the worker a message of its own. A confirmed worker that rejects a load command may only be full. If a quota prevents
+// the renewal that could tell, nothing is broadcast: peers with a confirmed lease would stop using a full worker.
 func TestRejectedLoad_IsBroadcast(t *testing.T) {
 	for name, c := range map[string]struct{ isConfirmed, hasQuota bool }{
-		"proof ran out":                         {},
-		"proven":                                {isConfirmed: true},
-		"proof ran out, quota on load commands": {hasQuota: true},
+		"unconfirmed":                         {},
+		"confirmed":                           {isConfirmed: true},
+		"unconfirmed, quota on load commands": {hasQuota: true},
 	} {
 		h := newOutageWithPeers()
 		if c.hasQuota {
