--- a/control/lease_admission.go
+++ b/control/lease_admission.go
@@ -6,19 +6,20 @@
 	"streamcleat/internal/units"
 )
 
-// Admission without discovery: which workers may be sent something, or be chosen for it once they are proven.
+// Admission during a discovery outage: which workers may be sent a message, or be chosen for one that waits until their
+// lease is confirmed.
 //
-// Only a proof counts. A worker without one may drain, and the first message to it would tell by breaking the rule on
-// draining workers. It is chosen only where it can be proven without such a message: by a peer, or by its answer to a
-// query in a deployment whose draining workers reject queries. Otherwise it gets nothing, and requests that no proven
-// worker can take are rejected with a retry time.
+// A worker whose lease is not confirmed may be draining, and a message sent to find out would violate the rule on draining
+// workers. It is chosen only if its lease can be confirmed without such a message: by a peer, or by its response to a query
+// in a deployment whose draining workers reject queries. Otherwise nothing is sent to it, and requests that no confirmed
+// worker can take are rejected with a Retry-After.
 
 // holdsLease reports whether attempts and load commands may be sent to w now.
-func (r *Router) holdsLease(w *worker) bool { return r.isProven(w) && !r.hasRejected(w) }
+func (r *Router) holdsLease(w *worker) bool { return r.isConfirmed(w) && !r.hasRejected(w) }
 
 // leaseHolders returns those of the candidates that hold leases, or all if there are none.
 func (r *Router) leaseHolders(candidates []*worker) []*worker {
-	if r.isDiscoveryHeard() {
+	if r.isDiscoveryAvailable() {
 		return candidates
 	}
 	var holders []*worker
@@ -33,25 +34,27 @@
 	return holders
 }
 
-// mayUse reports whether w may be chosen for a message now, possibly one that waits for a proof.
+// mayUse reports whether w may be chosen for a message now, possibly one that waits until the lease of w is confirmed.
 func (r *Router) mayUse(w *worker) bool {
 	switch {
-	case r.isDiscoveryHeard():
+	case r.isDiscoveryAvailable():
 		return true
 	case r.hasRejected(w) || r.awaitsBackoff(w):
 		return false
 	default:
-		return r.isProven(w) || r.mayBeProven()
+		return r.isConfirmed(w) || r.mayBeConfirmed()
 	}
 }
 
-// mayBeProven reports whether a worker without a proof may get one soon, by its answer to a query or from a peer.
-func (r *Router) mayBeProven() bool {
-	return r.queriesProve() || r.awaitsProofs() || r.mayRequestProofs()
+// mayBeConfirmed reports whether the lease of a worker may be confirmed soon, by its response to a query or by a peer.
+func (r *Router) mayBeConfirmed() bool {
+	return r.queriesConfirm() || r.awaitsConfirmations() || r.mayRequestConfirmations()
 }
 
-// queriesProve reports whether a worker that answers a query serves.
-func (r *Router) queriesProve() bool { return r.queriesShowDrains && r.deployment.LoadCommandsAllowed }
+// queriesConfirm reports whether a successful query confirms the lease of a worker.
+func (r *Router) queriesConfirm() bool {
+	return r.queriesShowDrains && r.deployment.LoadCommandsAllowed
+}
 
 // CanServe reports whether any worker may be sent requests now.
 func (r *Router) CanServe(now units.Seconds) bool {
--- a/control/router.go
+++ b/control/router.go
@@ -103,7 +103,7 @@
 		r.host.SetTimer(tickSeconds, tickTimer)
 		r.tick()
 		r.endpointRulesDue = true
-	case proofResponseTimer:
+	case confirmationResponseTimer:
 		r.endpointRulesDue = true
 	case pollTimer:
 		r.host.RequestEndpoints()
@@ -124,8 +124,8 @@
 	r.decayReportedLoads(elapsed)
 	r.grantSlowStartCredits(elapsed)
 	r.updateMachineRates(elapsed)
-	r.repeatDrains(elapsed)
-	r.requestProofsIfUnproven()
+	r.rebroadcastDrains(elapsed)
+	r.requestMissingConfirmations()
 	r.removeIdleFunctions(idleFunctionSeconds)
 }
 
@@ -168,7 +168,7 @@
 	timing := classifyLatency(req.class, result.Latency)
 	switch result.Outcome {
 	case Succeeded:
-		w.recordProof(r.now - result.Latency)
+		w.recordAcceptance(r.now - result.Latency)
 		if r.warmUpProgress(w, r.now) >= 1 {
 			w.machine.successes++
 		}
@@ -192,7 +192,7 @@
 		// The process has terminated and its replicas are lost. The endpoint list reports this only seconds later.
 		rep.warm = false
 		w.loadBackoffUntil = r.now + loadBackoffSeconds
-		r.assumeOtherProcess(w)
+		r.assumeProcessReplaced(w)
 	case ReplicaMissing:
 		// The worker is healthy, so that the request may be retried on it.
 		rep.warm = false
--- a/control/router_state.go
+++ b/control/router_state.go
@@ -34,9 +34,9 @@
 	renewalCredits   float64
 	// queriesShowDrains is set once a worker that is known to drain has rejected a query. While it is set, an accepted
 	// query confirms the lease of its worker.
-	queriesShowDrains bool
-	startedAt         units.Seconds
-	proofRequest      proofRequest
+	queriesShowDrains   bool
+	startedAt           units.Seconds
+	confirmationRequest confirmationRequest
 
 	meanLoadsUpdatedAt units.Seconds
 	meanLoad           float64 // mean load of the serving workers
