--- a/control/endpoint_lease.go
+++ b/control/endpoint_lease.go
@@ -55,9 +55,9 @@
 	drainSeenAt    units.Seconds // last rejection that this front end received from it while it probably drained; 0: none
 }
 
-// OnDiscoveryConfirmed renews the leases of all listed workers: the endpoint list was complete at asOf or later. It is called
+// OnDiscoveryAvailable renews the leases of all listed workers: the endpoint list was complete at asOf or later. It is called
 // for deployments with EndpointLeases only.
-func (r *Router) OnDiscoveryConfirmed(now, asOf units.Seconds) {
+func (r *Router) OnDiscoveryAvailable(now, asOf units.Seconds) {
 	r.advance(now)
 	if asOf < r.discovery.suspendedAt {
 		return
@@ -76,9 +76,9 @@
 	r.applyRules()
 }
 
-// OnDiscoveryDisconnected handles the end of the watch, after which no updates arrive until it is open again. It shortens the
+// OnDiscoveryUnavailable handles the end of the watch, after which no updates arrive until it is open again. It shortens the
 // leases of all listed workers to the lease duration.
-func (r *Router) OnDiscoveryDisconnected(now units.Seconds) {
+func (r *Router) OnDiscoveryUnavailable(now units.Seconds) {
 	r.advance(now)
 	r.discovery.expiresAt = min(r.discovery.expiresAt, now+r.leaseDuration())
 	r.endpointRulesDue = true
--- a/control/endpoint_lease_test.go
+++ b/control/endpoint_lease_test.go
@@ -78,7 +78,7 @@
 		endpoints = append(endpoints, Worker{ID: WorkerID(fmt.Sprint("w", i)), Weight: 1})
 	}
 	h.router.OnEndpointUpdate(h.now, Snapshot, endpoints)
-	h.router.OnDiscoveryConfirmed(h.now, h.now)
+	h.router.OnDiscoveryAvailable(h.now, h.now)
 	h.request("first")
 	h.home = h.router.functionsByID["f"].pendingLoadOn.id
 	h.loaded(h.home)
@@ -160,7 +160,7 @@
 func newOutageWithoutQueryEvidence() *leaseHost {
 	h := newLeaseHost()
 	h.router.workersByID[h.home].lease.usedAt = 0 // no lease is renewed
-	h.router.OnDiscoveryDisconnected(h.now)
+	h.router.OnDiscoveryUnavailable(h.now)
 	h.advance(testDrainGrace)
 	h.clear()
 	return h
@@ -170,7 +170,7 @@
 	h := newLeaseHost()
 	for i := range 20 {
 		h.advance(1)
-		h.router.OnDiscoveryConfirmed(h.now, h.now-1)
+		h.router.OnDiscoveryAvailable(h.now, h.now-1)
 		id := strconv.Itoa(i)
 		h.request(RequestID(id))
 		h.expect(t, h.at(id+"@%s"), nil)
@@ -184,7 +184,7 @@
 	h.router.startedAt = h.now
 	h.request("a")
 	h.expect(t, nil, nil)
-	h.router.OnDiscoveryConfirmed(h.now, h.now)
+	h.router.OnDiscoveryAvailable(h.now, h.now)
 	h.expect(t, h.at("a@%s"), nil)
 }
 
@@ -234,7 +234,7 @@
 	} {
 		h := newLeaseHost()
 		if c.disconnected {
-			h.router.OnDiscoveryDisconnected(h.now)
+			h.router.OnDiscoveryUnavailable(h.now)
 		}
 		h.advance(c.after)
 		if got := h.router.MaySend(h.now, "w1"); got != c.holds {
@@ -318,8 +318,8 @@
 	h := newOutage()
 	h.request("a")
 	h.respondToQuery(h.home, Rejected, 0)
-	h.router.OnDiscoveryConfirmed(h.now, h.now)
-	h.router.OnDiscoveryDisconnected(h.now)
+	h.router.OnDiscoveryAvailable(h.now, h.now)
+	h.router.OnDiscoveryUnavailable(h.now)
 	h.advance(testDrainGrace)
 	h.clear()
 	h.request("b")
@@ -332,12 +332,12 @@
 func TestLease_SuspendedProcessAwaitsUpdates(t *testing.T) {
 	h := newLeaseHost()
 	h.now += 1
-	h.router.OnDiscoveryConfirmed(h.now, h.now-1)
+	h.router.OnDiscoveryAvailable(h.now, h.now-1)
 	if h.router.MaySend(h.now, h.home) {
 		t.Error("an update from before the suspension renews a lease")
 	}
 	h.advance(0.25)
-	h.router.OnDiscoveryConfirmed(h.now, h.now-0.2)
+	h.router.OnDiscoveryAvailable(h.now, h.now-0.2)
 	if !h.router.MaySend(h.now, h.home) {
 		t.Error("an update from after the suspension renews no lease")
 	}
--- a/control/lease_admission_test.go
+++ b/control/lease_admission_test.go
@@ -116,7 +116,7 @@
 		h := newLeaseHost()
 		h.router.deployment.FrontEnds = 1 // no peer is asked
 		h.request("a")
-		h.router.OnDiscoveryDisconnected(h.now)
+		h.router.OnDiscoveryUnavailable(h.now)
 		h.advance(tickSeconds)
 		h.respondToQuery(h.home, Rejected, 1) // a renewal
 		h.advance(1)
--- a/control/lease_renewal_test.go
+++ b/control/lease_renewal_test.go
@@ -14,7 +14,7 @@
 		h := newLeaseHost()
 		h.request("a")
 		h.clear()
-		h.router.OnDiscoveryDisconnected(h.now)
+		h.router.OnDiscoveryUnavailable(h.now)
 		h.advance(tickSeconds)
 		h.expect(t, nil, h.at("%s/f=1"))
 		h.respondToQuery(h.home, outcome, 1)
@@ -33,7 +33,7 @@
 	h := newLeaseHost()
 	h.request("a")
 	h.clear()
-	h.router.OnDiscoveryDisconnected(h.now)
+	h.router.OnDiscoveryUnavailable(h.now)
 	for range 40 {
 		h.advance(tickSeconds)
 		if len(h.queries) > 0 && h.queries[len(h.queries)-1] == h.at("%s/f=1")[0] {
--- a/control/load_quota_test.go
+++ b/control/load_quota_test.go
@@ -29,7 +29,7 @@
 		h.router.advance(h.now)
 		h.router.countLoadCommand(h.home, "held")
 		h.now += c.sendDelay
-		h.router.OnDiscoveryConfirmed(h.now, h.now)
+		h.router.OnDiscoveryAvailable(h.now, h.now)
 		for range c.others {
 			h.router.countLoadCommand(h.home, "other")
 		}
--- a/control/outage_fleet_test.go
+++ b/control/outage_fleet_test.go
@@ -87,7 +87,7 @@
 	s.sendHeartbeats()
 	s.discoveryDown = true
 	for _, f := range s.frontEnds {
-		f.router.OnDiscoveryDisconnected(s.now)
+		f.router.OnDiscoveryUnavailable(s.now)
 	}
 }
 
@@ -100,7 +100,7 @@
 func (s *simulatedFleet) sendHeartbeats() {
 	s.sendEndpointLists()
 	for _, f := range s.frontEnds {
-		f.router.OnDiscoveryConfirmed(s.now, s.now)
+		f.router.OnDiscoveryAvailable(s.now, s.now)
 	}
 }
 
--- a/control/peer_confirmations_test.go
+++ b/control/peer_confirmations_test.go
@@ -42,7 +42,7 @@
 		fleet.sendAtInterval(5, 0.05, 2)
 		isolated, drained := fleet.frontEnds[0], fleet.workers[seed%int64(len(fleet.workers))]
 		fleet.discoveryDown = true
-		isolated.router.OnDiscoveryDisconnected(fleet.now)
+		isolated.router.OnDiscoveryUnavailable(fleet.now)
 		drained.State, drained.drainedAt, drained.sendsAfterGrace = Draining, fleet.now, map[int]int{}
 		listed := drained.listedState[0]
 		fleet.sendHeartbeatsExcept(isolated)
@@ -98,7 +98,7 @@
 	for _, f := range s.frontEnds {
 		if f != isolated {
 			f.sendEndpointList()
-			f.router.OnDiscoveryConfirmed(s.now, s.now)
+			f.router.OnDiscoveryAvailable(s.now, s.now)
 		}
 	}
 }
@@ -146,7 +146,7 @@
 // A front end responds with its lease confirmations and their ages. Workers without a confirmation are omitted.
 func TestConfirmationResponse_ListsOwnConfirmations(t *testing.T) {
 	h := newOutageWithPeers()
-	h.router.OnDiscoveryConfirmed(h.now, h.now-1)
+	h.router.OnDiscoveryAvailable(h.now, h.now-1)
 	confirmed, draining := h.router.workersByID["w0"], h.router.workersByID["w1"]
 	confirmed.recordAcceptance(h.now - 0.19)
 	draining.state = Draining
@@ -223,7 +223,7 @@
 		fleet.sendHeartbeats()
 		fleet.discoveryDown = true
 		for _, f := range fleet.frontEnds {
-			f.router.OnDiscoveryDisconnected(fleet.now)
+			f.router.OnDiscoveryUnavailable(fleet.now)
 		}
 		drained := fleet.workers[:4]
 		for _, w := range drained {
--- a/control/rules_test.go
+++ b/control/rules_test.go
@@ -39,7 +39,7 @@
 		class.Semantics, class.DeduplicationWindow, class.DeduplicationScope = c.semantics, c.window, ScopeFleet
 		h.request("a")
 		h.now += 0.5
-		h.router.OnDiscoveryConfirmed(h.now, h.now)
+		h.router.OnDiscoveryAvailable(h.now, h.now)
 		h.endAttempt("a", h.home, Failed, 0.5)
 		h.loaded("w0")
 		h.loaded("w1")
--- a/control/worker_process_test.go
+++ b/control/worker_process_test.go
@@ -24,7 +24,7 @@
 		if h.router.MaySend(h.now, h.home) != c.available || isCold == c.available || h.router.isEligible(keyed, w) != c.available {
 			t.Errorf("%s: may send %v, cold %v, eligible for a keyed retry %v", name, h.router.MaySend(h.now, h.home), isCold, h.router.isEligible(keyed, w))
 		}
-		h.router.OnDiscoveryConfirmed(h.now, h.now)
+		h.router.OnDiscoveryAvailable(h.now, h.now)
 		if h.router.warmUpProgress(w, h.now) < 1 {
 			t.Errorf("%s: cold although discovery lists it as warm", name)
 		}
@@ -44,9 +44,9 @@
 			t.Errorf("%s: cold while discovery is available", name)
 		}
 		if confirmedAfter {
-			h.router.OnDiscoveryConfirmed(h.now+0.1, h.now+0.1)
+			h.router.OnDiscoveryAvailable(h.now+0.1, h.now+0.1)
 		}
-		h.router.OnDiscoveryDisconnected(h.now + 0.1)
+		h.router.OnDiscoveryUnavailable(h.now + 0.1)
 		h.advance(2)
 		if isCold := h.router.warmUpProgress(w, h.now) < 1; isCold == confirmedAfter {
 			t.Errorf("%s: cold %v", name, isCold)
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -139,13 +139,13 @@
 // OnDiscoveryAvailable records that discovery is available: the endpoint list was complete at asOf or later.
 func (d *Dispatcher) OnDiscoveryAvailable(now, asOf units.Seconds) {
 	d.advance(now)
-	d.router.OnDiscoveryConfirmed(d.now, asOf)
+	d.router.OnDiscoveryAvailable(d.now, asOf)
 }
 
 // OnDiscoveryUnavailable records a discovery outage: updates of the endpoint list do not arrive for now.
 func (d *Dispatcher) OnDiscoveryUnavailable(now units.Seconds) {
 	d.advance(now)
-	d.router.OnDiscoveryDisconnected(d.now)
+	d.router.OnDiscoveryUnavailable(d.now)
 }
 
 // DrainingByRejection returns the workers that are considered draining because they rejected messages while discovery was
