--- a/internal/storage/batch.go
+++ b/internal/storage/batch.go
@@ -2,15 +2,15 @@
 
 import "github.com/cockroachdb/pebble/v2"
 
-// pendingWrite is a queued write. It is committed with the next batch.
+// pendingWrite is a queued write, which is committed with the next batch.
 type pendingWrite struct {
 	mutations []mutation
-	done      func(error) // called once, when the batch is on disk or has failed
+	done      func(error) // called once, when the batch has been synced or has failed
 	records   int         // number of request records among the mutations
 }
 
-// enqueue adds a write to the next batch and wakes the committer. If the store is closed or has failed, it calls done
-// immediately with the error.
+// enqueue adds a write to the next batch and wakes the committer. If the store is closed or rejects writes, enqueue calls
+// done immediately with the error.
 func (s *Store) enqueue(p pendingWrite) {
 	s.mu.Lock()
 	err := s.writeErr
@@ -31,7 +31,7 @@
 	}
 }
 
-// write commits mutations and returns when they are on disk.
+// write commits mutations and returns when they have been synced to disk or have failed.
 func (s *Store) write(mutations []mutation) error {
 	result := make(chan error, 1)
 	s.enqueue(pendingWrite{mutations: mutations, done: func(err error) { result <- err }})
@@ -41,7 +41,7 @@
 	return <-result
 }
 
-// commitLoop commits batches until the store is closed. Writes that are queued during a sync form the next batch.
+// commitLoop commits batches until the store is closed. Writes queued while a batch is synced form the next batch.
 func (s *Store) commitLoop() {
 	defer close(s.committerDone)
 	for range s.wake {
@@ -50,8 +50,8 @@
 	}
 }
 
-// CommitPending commits all queued writes as one batch and calls their callbacks. It reports whether there were any. With
-// Options.Synchronous the owner of the store calls it, otherwise only the committer does.
+// CommitPending commits all queued writes as one batch and calls their callbacks. It reports whether there were any. The
+// owner of the store calls it if Options.Synchronous is set; otherwise only the committer goroutine does.
 func (s *Store) CommitPending() bool {
 	s.mu.Lock()
 	writes, err := s.queue, s.writeErr
@@ -64,7 +64,7 @@
 		err = s.commitBatch(writes)
 	}
 	if err != nil {
-		s.recordFailure(err)
+		s.rejectWrites(err)
 	}
 	for _, p := range writes {
 		p.done(err)
@@ -72,9 +72,9 @@
 	return true
 }
 
-// recordFailure makes the store reject further writes, because the state on disk after a failed sync is unknown, until the
-// database has been opened anew.
-func (s *Store) recordFailure(err error) {
+// rejectWrites makes the store reject all writes with err until the database has been reopened, because the state on disk
+// is unknown after a failed sync.
+func (s *Store) rejectWrites(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.writeErr != nil {
@@ -85,11 +85,12 @@
 	s.scheduleReopen()
 }
 
-// commitBatch commits the writes and the current service time as one batch and waits for the sync.
+// commitBatch commits the writes and the current service time as one batch and waits until it has been
+// synced, unless Options.NoSync is set.
 func (s *Store) commitBatch(writes []pendingWrite) (err error) {
 	s.databaseMu.RLock()
 	defer s.databaseMu.RUnlock()
-	if s.libraryFailed.Load() {
+	if s.engineFailed.Load() {
 		return ErrEngineFailed
 	}
 	defer s.recoverPanic(&err)
@@ -112,7 +113,7 @@
 	return batch.Commit(pebble.Sync)
 }
 
-// addTo adds m to batch as a set or a delete.
+// addTo adds m to batch as a set or a deletion.
 func (m mutation) addTo(batch *pebble.Batch) error {
 	if m.value == nil {
 		return batch.Delete(m.key, nil)
--- a/internal/storage/errors.go
+++ b/internal/storage/errors.go
@@ -12,20 +12,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// Sentinel errors. They are wrapped with the state folder or the operation.
+// Sentinel errors, which are wrapped with the state folder or the operation.
 var (
-	// ErrInUse is returned by OpenStore if another process has the store open.
+	// ErrInUse is returned by OpenStore if the state folder is locked by another store.
 	ErrInUse = errors.New("state folder in use by another process")
-	// ErrUnsupportedFormat is returned by OpenStore for a store with a different record format.
+	// ErrUnsupportedFormat is returned by OpenStore for a store that was written in another format.
 	ErrUnsupportedFormat = errors.New("unsupported store format")
-	// ErrClosed is the error of a write to a closed store.
+	// ErrClosed is returned for a write to a closed store.
 	ErrClosed = errors.New("store closed")
-	// ErrEngineFailed is returned after the database library has panicked on a disk error.
-	ErrEngineFailed = errors.New("database library failed on a disk error")
+	// ErrEngineFailed is returned after Pebble, the storage engine, has panicked on a disk error.
+	ErrEngineFailed = errors.New("storage engine failed on a disk error")
 )
 
 // isCorruption reports whether err means that files of the store are corrupt or missing. Pebble marks only some of these
-// errors; the others can be recognized only by their text.
+// errors as corruption; the others can be recognized only by their text.
 func isCorruption(err error) bool {
 	if pebble.IsCorruptionError(err) || errors.Is(err, os.ErrNotExist) {
 		return true
@@ -34,8 +34,8 @@
 	return strings.Contains(text, "corrupt") || strings.Contains(text, "checksum")
 }
 
-// isLocked reports whether err means that the folder is locked by another store. Pebble returns the error of the system
-// call, or, if this process holds the lock, an error that can be recognized only by its text.
+// isLocked reports whether err means that another store holds the lock of the folder. The file system returns the error of
+// the system call or, if the store is in this process, an error that can be recognized only by its text.
 func isLocked(err error) bool {
 	if errors.Is(err, unix.EAGAIN) {
 		return true
@@ -45,11 +45,11 @@
 		strings.Contains(text, "lock held by current process")
 }
 
-// libraryError returns the error that the library panicked with. It panics again for a runtime error or a value that is
-// not an error.
-func libraryError(panicked any) error {
-	if fault, ok := panicked.(runtime.Error); ok {
-		panic(fault)
+// enginePanicError returns the error with which Pebble panicked. It panics again with a runtime error, which is a bug and
+// no disk error, or with a value that is not an error.
+func enginePanicError(panicked any) error {
+	if runtimeErr, ok := panicked.(runtime.Error); ok {
+		panic(runtimeErr)
 	}
 	err, ok := panicked.(error)
 	if !ok {
@@ -58,44 +58,45 @@
 	return err
 }
 
-// recoverLibraryPanic is deferred around calls of the library and converts its panic on a disk error into an error. A
-// panic in one of the library's own goroutines, such as on a failed directory sync, can't be recovered. It ends the
-// process, and the next process recovers from the stored state.
-func recoverLibraryPanic(err *error) {
+// recoverEnginePanic is deferred around calls to Pebble and converts a panic on a disk error into an error. A panic in
+// one of Pebble's own goroutines, such as after a failed directory sync, can't be recovered: it crashes the process, and
+// the next process recovers from the stored state.
+func recoverEnginePanic(err *error) {
 	if panicked := recover(); panicked != nil {
-		*err = libraryError(panicked)
+		*err = enginePanicError(panicked)
 	}
 }
 
-// recoverPanic is recoverLibraryPanic for an open store. It also marks the library as failed: it may have panicked while
-// holding a lock, so it must not be called again.
+// recoverPanic is recoverEnginePanic for an open store. It also marks the database as failed: Pebble may have panicked
+// while holding a lock, so the database must not be used again.
 func (s *Store) recoverPanic(err *error) {
 	if panicked := recover(); panicked != nil {
-		s.libraryFailed.Store(true)
-		*err = libraryError(panicked)
+		s.engineFailed.Store(true)
+		*err = enginePanicError(panicked)
 	}
 }
 
-// pebbleLogger implements pebble.Logger. It logs Pebble's errors and discards its informational messages.
+// pebbleLogger implements pebble.Logger. It logs errors and discards informational messages.
 type pebbleLogger struct {
 	log   *slog.Logger
 	fence *fence // of the database
 }
 
-// Infof discards the message.
+// Infof implements pebble.Logger.
 func (pebbleLogger) Infof(string, ...any) {}
 
-// Errorf logs an error.
+// Errorf logs an error, unless the database was discarded.
 func (l pebbleLogger) Errorf(format string, args ...any) {
-	if !l.fence.isClosed.Load() {
+	if !l.fence.active.Load() {
 		l.log.Error(fmt.Sprintf(format, args...))
 	}
 }
 
-// Fatalf logs an error and panics. Pebble expects it to end the process; the store instead recovers the panic, so that
-// the appliance continues to serve requests that need no storage. Of a database that was given up it ends the goroutine.
+// Fatalf logs an error and panics. Pebble expects it to exit the process; the store instead recovers the panic, so that
+// the appliance continues to serve requests that need no storage. If the database was discarded, Fatalf only ends the
+// calling goroutine.
 func (l pebbleLogger) Fatalf(format string, args ...any) {
-	l.fence.exitIfClosed()
+	l.fence.exitIfActive()
 	l.log.Error(fmt.Sprintf(format, args...))
 	panic(fmt.Errorf(format, args...))
 }
--- a/internal/storage/keys.go
+++ b/internal/storage/keys.go
@@ -9,15 +9,15 @@
 	"streamcleat/internal/dispatch"
 )
 
-// formatName is the value of formatKey. A store with a different value has an incompatible record format.
+// formatName is the value of formatKey. A store with another value has an incompatible format.
 const formatName = "streamcleat 1"
 
 // The prefixes and keys of the database are part of the stored format:
 //
-//	e/HASH               record of a request, by the hash of its identity
-//	x/MILLISECONDS/HASH  expiry index of the records, by the service time at which the record was written
+//	e/HASH               record of a request, keyed by the hash of the request's identity
+//	x/MILLISECONDS/HASH  expiry index of the records, keyed by the service time at which the record was written
 //	t/ENTRY              last minute for which a schedule entry fired
-//	o/HASH               open request of the appliance's own schedules
+//	o/HASH               open request of the appliance's own schedules, keyed like a record
 //	h/NUMBER             entry of the registry's audit trail
 //	m/...                metadata of the store
 var (
@@ -33,8 +33,8 @@
 	replicasKey      = []byte("m/known")
 	cleanShutdownKey = []byte("m/clean")
 
-	// afterExpiryKeys is the upper bound of the expiry keys.
-	afterExpiryKeys = []byte("y")
+	// expiryPrefixEnd is the exclusive upper bound of the expiry keys.
+	expiryPrefixEnd = []byte("y")
 )
 
 const (
@@ -52,13 +52,13 @@
 	return hash.Sum(nil)
 }
 
-// joinKey returns a newly allocated key of prefix and rest.
+// joinKey returns prefix and rest concatenated in a new slice.
 func joinKey(prefix, rest []byte) []byte {
 	return append(append(make([]byte, 0, len(prefix)+len(rest)), prefix...), rest...)
 }
 
-// expiryKey returns the key of a record in the expiry index. With a nil hash it returns the lower bound of the keys of a
-// service time.
+// expiryKey returns the key of a record in the expiry index. With a nil hash it returns the lower bound of the
+// keys with this service time.
 func expiryKey(serviceTime float64, hash []byte) []byte {
 	key := binary.BigEndian.AppendUint64(append([]byte{}, expiryPrefix...), uint64(max(serviceTime, 0)*expiryUnitsPerSecond))
 	return append(append(key, '/'), hash...)
--- a/internal/storage/quarantine.go
+++ b/internal/storage/quarantine.go
@@ -14,7 +14,7 @@
 )
 
 // replaceCorruptStore quarantines a corrupt store and creates a new one from the part that could be read. cause is the
-// error that showed the corruption.
+// error that revealed the corruption.
 func replaceCorruptStore(dir string, options Options, state *RecoveredState, cause error) (*Store, *RecoveredState, error) {
 	path, err := quarantinePath(dir, options.FS)
 	if err != nil {
@@ -38,13 +38,13 @@
 		return nil, nil, err
 	}
 	if err := s.restoreState(state); err != nil {
-		_ = s.Close() // the copy's error is returned
+		_ = s.Close() // the restore error is returned
 		return nil, nil, fmt.Errorf("state folder %s: restoring the readable part of a corrupt store: %w", dir, err)
 	}
 	return s, state, nil
 }
 
-// quarantinePath returns an unused path next to the folder.
+// quarantinePath returns an unused path next to dir, to which a corrupt store can be renamed.
 func quarantinePath(dir string, fs vfs.FS) (string, error) {
 	for number := 1; ; number++ {
 		path := fmt.Sprintf("%s.set-aside-%d", strings.TrimRight(dir, "/"), number)
@@ -58,7 +58,7 @@
 	}
 }
 
-// restoreState writes the readable part of a corrupt store into this new store as one batch.
+// restoreState writes the state that was read from a corrupt store into this new store as one batch.
 func (s *Store) restoreState(state *RecoveredState) error {
 	mutations, err := encodeRecords(state, s.now())
 	if err != nil {
@@ -87,8 +87,8 @@
 	return batch.Commit(pebble.Sync)
 }
 
-// encodeRecords returns the mutations that store recovered records with their ages at now. If the time since a first run
-// is unknown, it is stored as infinite.
+// encodeRecords returns the mutations that store recovered records with their ages at now. If the time since the first
+// execution of a request is unknown, it is stored as infinite.
 func encodeRecords(state *RecoveredState, now Timestamp) ([]mutation, error) {
 	var all []mutation
 	for _, recovered := range state.Records {
--- a/internal/storage/record_codec.go
+++ b/internal/storage/record_codec.go
@@ -19,8 +19,8 @@
 // mutation sets a key of the database, or deletes it if value is nil.
 type mutation struct{ key, value []byte }
 
-// encodeRecord returns the mutations that store a record. A record replaces an older one of the same request. The older
-// one's key in the expiry index remains and is ignored when it comes due; see hasExpired.
+// encodeRecord returns the mutations that store a record. A record replaces an older one of the same request. The
+// expiry key of the older record remains; when it comes due, it does not delete the newer record (see hasExpired).
 func encodeRecord(record dispatch.Record, now Timestamp) ([]mutation, error) {
 	value, err := cbor.Marshal(newStoredRecord(record, now))
 	if err != nil {
@@ -44,17 +44,17 @@
 		Record: stored.record(),
 		Age:    units.Seconds(max(now.ServiceTime-stored.RecordedAt.ServiceTime, 0)),
 	}
-	age, reliable := stored.FirstRunAt.until(now)
+	age, reliable := stored.FirstExecutionAt.until(now)
 	recovered.FirstExecutionAge, recovered.Reliable = units.Seconds(age), reliable
 	return recovered, nil
 }
 
-// hasExpired reports whether a stored record is older than the retention. keyTime is the time of its expiry key in
-// milliseconds. If a newer record has replaced the one that the key was written for, hasExpired reports false.
+// hasExpired reports whether a stored record is older than the retention. keyTime is the time in the expiry key,
+// in milliseconds. If a newer record has replaced the one for which the key was written, hasExpired returns false.
 func hasExpired(value []byte, keyTime, retention float64, now Timestamp) bool {
 	var stored storedRecord
 	if cbor.Unmarshal(value, &stored) != nil {
-		return true // an unreadable record need not be retained
+		return true // an unreadable record is not worth keeping
 	}
 	recordedAt := stored.RecordedAt.ServiceTime
 	return math.Floor(max(recordedAt, 0)*expiryUnitsPerSecond) <= keyTime && now.ServiceTime-recordedAt >= retention
@@ -96,15 +96,15 @@
 	return math.Float64frombits(binary.BigEndian.Uint64(value)), true
 }
 
-// convertSlice returns the converted elements of list. It keeps nil and empty lists apart, because they are encoded
+// convertSlice converts each element of list. A nil list stays nil and an empty one empty, because they are encoded
 // differently.
-func convertSlice[From, To any](list []From, conversion func(From) To) []To {
+func convertSlice[From, To any](list []From, convert func(From) To) []To {
 	if list == nil {
 		return nil
 	}
 	converted := make([]To, len(list))
 	for i := range list {
-		converted[i] = conversion(list[i])
+		converted[i] = convert(list[i])
 	}
 	return converted
 }
@@ -193,36 +193,36 @@
 // newStoredRecord returns the stored form of a record written at now.
 func newStoredRecord(record dispatch.Record, now Timestamp) storedRecord {
 	response := record.Response
-	firstRunAt := now
-	firstRunAt.Uptime -= float64(record.FirstExecutionAge)
-	firstRunAt.ServiceTime -= float64(record.FirstExecutionAge)
+	firstExecutionAt := now
+	firstExecutionAt.Uptime -= float64(record.FirstExecutionAge)
+	firstExecutionAt.ServiceTime -= float64(record.FirstExecutionAge)
 	return storedRecord{
-		Kind:         uint8(record.Kind),
-		Source:       response.Identity.Source,
-		ID:           response.Identity.ID,
-		Class:        response.Class,
-		Function:     response.Function,
-		Tenant:       response.Tenant,
-		ResponseKind: uint8(response.Kind),
-		Cause:        uint8(response.Cause),
-		RetryAfter:   float64(response.RetryAfter),
-		Worker:       response.Worker,
-		Attempts:     response.Attempts,
-		Fields:       convertSlice(response.Fields, newStoredField),
-		Body:         response.Body,
-		MayHaveRun:   record.PossiblyExecuted,
-		FirstRunAt:   firstRunAt,
-		RecordedAt:   now,
-		Elapsed:      float64(response.Elapsed),
-		Binding:      newStoredBinding(response.Binding),
-	}
-}
-
-// record returns the record without FirstExecutionAge, which depends on the clock.
+		Kind:             uint8(record.Kind),
+		Source:           response.Identity.Source,
+		ID:               response.Identity.ID,
+		Class:            response.Class,
+		Function:         response.Function,
+		Tenant:           response.Tenant,
+		ResponseKind:     uint8(response.Kind),
+		Cause:            uint8(response.Cause),
+		RetryAfter:       float64(response.RetryAfter),
+		Worker:           response.Worker,
+		Attempts:         response.Attempts,
+		Fields:           convertSlice(response.Fields, newStoredField),
+		Body:             response.Body,
+		MayHaveExecuted:  record.PossiblyExecuted,
+		FirstExecutionAt: firstExecutionAt,
+		RecordedAt:       now,
+		Elapsed:          float64(response.Elapsed),
+		Binding:          newStoredBinding(response.Binding),
+	}
+}
+
+// record returns the dispatch record without its FirstExecutionAge, which depends on the current time.
 func (r *storedRecord) record() dispatch.Record {
 	return dispatch.Record{
 		Kind:             dispatch.RecordKind(r.Kind),
-		PossiblyExecuted: r.MayHaveRun,
+		PossiblyExecuted: r.MayHaveExecuted,
 		Response: dispatch.Response{
 			Identity:   dispatch.Identity{Source: r.Source, ID: r.ID},
 			Class:      r.Class,
--- a/internal/storage/recovery.go
+++ b/internal/storage/recovery.go
@@ -13,11 +13,11 @@
 	"streamcleat/internal/units"
 )
 
-// ScheduledRequest is a request of the appliance's own schedules that was open when the last process ended.
+// ScheduledRequest is a request of the appliance's own schedules that was open when the previous process ended.
 type ScheduledRequest struct {
 	Request  dispatch.Request
 	Due      time.Time
-	Deadline time.Time // it is not retried after this time
+	Deadline time.Time // the request is not retried after this time
 }
 
 // RecoveredState is the state that earlier processes stored.
@@ -27,11 +27,11 @@
 	LastFirings       map[string]time.Time       // last minute fired, by schedule entry
 	Replicas          []dispatch.ReplicaSnapshot // known replicas, with their current ages
 	AuditTrail        [][]byte                   // entries of the registry's audit trail in order
-	Config            []byte                     // last configuration in force
-	Created           bool                       // the store did not exist
-	QuarantinePath    string                     // path of the quarantined corrupt store, or empty
+	Config            []byte                     // configuration that was last in force
+	Created           bool                       // the store did not exist before
+	QuarantinePath    string                     // path of the corrupt store that was quarantined, or empty
 	UnreadableRecords int                        // number of values that could not be decoded
-	CleanShutdown     bool                       // the last process closed the store
+	CleanShutdown     bool                       // the previous process closed the store
 }
 
 // newRecoveredState returns an empty state.
@@ -44,7 +44,7 @@
 	db        *pebble.DB
 	retention float64
 	clock     func() Timestamp
-	now       Timestamp // with the last stored service time
+	now       Timestamp // its service time is the last stored one
 	state     *RecoveredState
 }
 
@@ -104,8 +104,8 @@
 	return err
 }
 
-// readClock sets the current time. Its service time is that of the last write, because the time between processes does
-// not count as service.
+// readClock sets the current time. Its service time is that of the last write, because the time between two processes
+// does not count as service time.
 func (r *stateReader) readClock() error {
 	r.now = r.clock()
 	seconds, known, err := readServiceTime(r.db)
@@ -124,8 +124,8 @@
 	return nil
 }
 
-// decodeReplicas returns the known replicas with their ages. It returns none if their age is unknown, or if the list is
-// unreadable: replicas are only a hint, so that is counted and does not fail the recovery.
+// decodeReplicas returns the known replicas with their ages. It returns none if their age is unknown or the list can't be
+// decoded: replicas are only a hint, so an unreadable list is counted and does not fail the recovery.
 func (r *stateReader) decodeReplicas(value []byte) []dispatch.ReplicaSnapshot {
 	var stored storedReplicaList
 	if err := cbor.Unmarshal(value, &stored); err != nil {
@@ -174,7 +174,7 @@
 	})
 }
 
-// readRecords reads the request records that are younger than the retention.
+// readRecords reads the request records that are still within the retention.
 func (r *stateReader) readRecords() error {
 	return iteratePrefix(r.db, recordPrefix, func(_, value []byte) {
 		record, err := decodeRecord(value, r.now)
--- a/internal/storage/reopen.go
+++ b/internal/storage/reopen.go
@@ -12,27 +12,28 @@
 	"github.com/cockroachdb/pebble/v2/vfs/errorfs"
 )
 
-// Reopening: the library keeps the first error of a write for good, and its state on disk is unknown then. The database is
-// given up and opened anew, as after a crash, until that succeeds. Writes are rejected meanwhile.
+// After the first failed write, Pebble returns that error for all later writes, and the state on disk is unknown. The
+// store then discards the open database and reopens it from disk, as after a crash, retrying until that succeeds.
+// Writes are rejected meanwhile.
 
 const (
-	// reopenInterval is the time between the end of a failed database, or a failed attempt to open it, and the next attempt.
+	// reopenInterval is the time from a failed write, or a failed attempt to reopen the database, to the next attempt.
 	reopenInterval = 500 * time.Millisecond
 	// lockFileName is the file that is locked while the store is open.
 	lockFileName = "LOCK"
 )
 
-// errGivenUp is the error of file operations of a database that was given up.
-var errGivenUp = errors.New("database was given up after a failed write")
+// errDiscarded is returned for the file operations of a discarded database.
+var errDiscarded = errors.New("database discarded after a failed write")
 
-// fence ends the file operations of one database, so that a goroutine of a database that was given up does not write to
-// the files of the next one. It implements errorfs.Injector.
-type fence struct{ isClosed atomic.Bool }
+// fence fails all file operations of one database once it is active, so that the goroutines of a discarded database
+// can't write to the files of its successor. It implements errorfs.Injector.
+type fence struct{ active atomic.Bool }
 
 // MaybeError implements errorfs.Injector.
 func (f *fence) MaybeError(errorfs.Op) error {
-	if f.isClosed.Load() {
-		return errGivenUp
+	if f.active.Load() {
+		return errDiscarded
 	}
 	return nil
 }
@@ -40,21 +41,21 @@
 // String implements errorfs.Injector.
 func (f *fence) String() string { return "fence" }
 
-// exitIfClosed ends the calling goroutine if the fence is closed.
-func (f *fence) exitIfClosed() {
-	if f.isClosed.Load() {
+// exitIfActive ends the calling goroutine if the fence is active.
+func (f *fence) exitIfActive() {
+	if f.active.Load() {
 		runtime.Goexit()
 	}
 }
 
-// unlockedFS is a file system whose locks always succeed: the store holds the lock of its folder itself, also between two
-// databases.
+// unlockedFS is a file system on which locking does nothing: the store itself locks its folder, and keeps that lock while
+// the database is reopened.
 type unlockedFS struct{ vfs.FS }
 
 // Lock implements vfs.FS.
 func (unlockedFS) Lock(string) (io.Closer, error) { return io.NopCloser(nil), nil }
 
-// lockFolder locks the state folder.
+// lockFolder locks the state folder. It returns ErrInUse if another store holds the lock.
 func lockFolder(dir string, fs vfs.FS) (io.Closer, error) {
 	lock, err := fs.Lock(fs.PathJoin(dir, lockFileName))
 	if err != nil && isLocked(err) {
@@ -66,14 +67,14 @@
 	return lock, nil
 }
 
-// scheduleReopen has the database opened anew after reopenInterval. An owner that commits by itself does not want it.
+// scheduleReopen calls reopen after reopenInterval. With Options.Synchronous it does nothing.
 func (s *Store) scheduleReopen() {
 	if !s.options.Synchronous {
 		time.AfterFunc(reopenInterval, s.reopen)
 	}
 }
 
-// reopen gives up the failed database and opens it anew. After an error it tries again later.
+// reopen discards the failed database and opens it from disk. After an error it schedules another attempt.
 func (s *Store) reopen() {
 	s.databaseMu.Lock()
 	defer s.databaseMu.Unlock()
@@ -83,7 +84,7 @@
 	if closed {
 		return
 	}
-	s.giveUpDatabase()
+	s.discardDatabase()
 	err := checkWritable(s.dir, s.options.FS)
 	if err == nil {
 		s.db, s.fence, err = openDatabase(s.dir, s.options)
@@ -92,27 +93,28 @@
 		s.scheduleReopen()
 		return
 	}
-	s.libraryFailed.Store(false)
+	s.engineFailed.Store(false)
 	s.mu.Lock()
 	s.writeErr = nil
 	s.mu.Unlock()
 	s.options.Log.Warn("state opened anew after a failed write, accepting writes")
 }
 
-// giveUpDatabase ends the file operations of the failed database and frees what it lets go.
-func (s *Store) giveUpDatabase() {
-	if s.fence.isClosed.Swap(true) {
+// discardDatabase activates the fence of the failed database and closes the database in the background to release its
+// resources. Further calls for the same database do nothing.
+func (s *Store) discardDatabase() {
+	if s.fence.active.Swap(true) {
 		return
 	}
 	failed := s.db
-	go func() { // it may wait forever for a lock that the library held when it panicked
+	go func() { // Close may wait forever for a lock that Pebble held when it panicked
 		var err error
-		defer recoverLibraryPanic(&err)
-		_ = failed.Close() // its writes fail, and its error is known
+		defer recoverEnginePanic(&err)
+		_ = failed.Close() // an error is expected, because the fence fails all writes
 	}()
 }
 
-// newDatabaseFS returns the file system of one database, and the fence that ends its operations.
+// newDatabaseFS returns the file system for one database and the fence of its file operations.
 func newDatabaseFS(fs vfs.FS) (vfs.FS, *fence) {
 	f := &fence{}
 	return errorfs.Wrap(unlockedFS{fs}, f), f
--- a/internal/storage/retention.go
+++ b/internal/storage/retention.go
@@ -9,7 +9,7 @@
 )
 
 // Expire deletes records that are older than the retention. It examines at most limit expiry keys and returns how many
-// it examined; fewer than limit means that no more are due.
+// it examined; a result below limit means that no more are due.
 func (s *Store) Expire(limit int) (examined int, err error) {
 	mutations, count, err := s.expiryDeletions(limit, s.now())
 	if err != nil || len(mutations) == 0 {
@@ -23,7 +23,7 @@
 func (s *Store) expiryDeletions(limit int, now Timestamp) (mutations []mutation, examined int, err error) {
 	s.databaseMu.RLock()
 	defer s.databaseMu.RUnlock()
-	if s.libraryFailed.Load() {
+	if s.engineFailed.Load() {
 		return nil, 0, ErrEngineFailed
 	}
 	defer s.recoverPanic(&err)
@@ -43,7 +43,7 @@
 	return mutations, examined, errors.Join(iterator.Error(), iterator.Close())
 }
 
-// expiredRecordKey returns the key of the record that an expiry key points to, or nil if the record does not exist, can't
+// expiredRecordKey returns the key of the record that an expiry key refers to, or nil if the record does not exist, can't
 // be read from the database or has not expired.
 func (s *Store) expiredRecordKey(expiry []byte, now Timestamp) []byte {
 	keyTime, hash, ok := parseExpiryKey(expiry)
@@ -67,7 +67,7 @@
 func (s *Store) Size() uint64 {
 	s.databaseMu.RLock()
 	defer s.databaseMu.RUnlock()
-	if s.libraryFailed.Load() {
+	if s.engineFailed.Load() {
 		return 0
 	}
 	return s.db.Metrics().DiskSpaceUsage()
@@ -81,5 +81,5 @@
 	s.databaseMu.RLock()
 	defer s.databaseMu.RUnlock()
 	defer s.recoverPanic(&err)
-	return s.db.Compact(context.Background(), expiryPrefix, afterExpiryKeys, false)
+	return s.db.Compact(context.Background(), expiryPrefix, expiryPrefixEnd, false)
 }
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -15,13 +15,13 @@
 // Memory limits of the database.
 const (
 	memTableSize         = 4 << 20 // bytes; Pebble's default
-	memTablesBeforeStall = 4       // memtables, including full ones, before writes stall
+	memTablesBeforeStall = 4       // number of memtables, including full ones, at which writes stall
 )
 
-// Permissions of the state folder and its write probe.
+// Mode of the state folder, and the file that checkWritable writes in it.
 const (
 	stateFolderMode = 0o700    // requests and responses are readable only by the appliance's user
-	probeFileName   = "probe"  // written and removed at each startup
+	probeFileName   = "probe"  // written and removed at startup and before each attempt to reopen
 	probeSize       = 64 << 10 // bytes
 )
 
@@ -32,10 +32,10 @@
 type Options struct {
 	FS          vfs.FS           // nil means the operating system's file system
 	Clock       func() Timestamp // returns boot ID and uptime without service time; nil means MachineClock
-	Retention   float64          // seconds of service time for which request records are retained
+	Retention   float64          // how long request records are kept, in seconds of service time
 	Log         *slog.Logger     // nil disables logging
-	NoSync      bool             // do not wait for the disk; for benchmarks only
-	Synchronous bool             // start no goroutine; the owner commits queued writes with Step
+	NoSync      bool             // commit without waiting for the sync; for benchmarks only
+	Synchronous bool             // start no goroutine and never reopen; the owner calls CommitPending
 }
 
 // withDefaults returns a copy of o with defaults for unset fields.
@@ -60,25 +60,25 @@
 	startedAt          Timestamp
 	initialServiceTime float64 // service time at startup, in seconds
 
-	databaseMu sync.RWMutex // guards the fields below, up to the blank line, and is held by all calls of the library
+	databaseMu sync.RWMutex // guards the fields up to the blank line; held during all calls to Pebble
 	db         *pebble.DB
 	fence      *fence // of db
 
-	mu       sync.Mutex // guards the fields below, up to the blank line
-	writeErr error      // error of the failed write; later writes are rejected with it until the database is opened anew
+	mu       sync.Mutex // guards the fields up to the blank line
+	writeErr error      // error of the failed write, with which all writes are rejected until the database has been reopened
 	queue    []pendingWrite
 	closed   bool
 
-	wake          chan struct{} // signals the committer that the queue is not empty
+	wake          chan struct{} // tells the committer that the queue is not empty
 	committerDone chan struct{}
-	libraryFailed atomic.Bool // the library panicked, possibly holding a lock, and must not be called again
+	engineFailed  atomic.Bool // Pebble panicked, possibly while holding a lock; db must not be used again
 
-	CommittedBatches atomic.Int64 // number of batches submitted
+	CommittedBatches atomic.Int64 // number of batches submitted to Pebble
 	CommittedRecords atomic.Int64 // number of request records in these batches
 }
 
-// OpenStore opens or creates the store in dir and returns it with the recovered state. A corrupt store is quarantined: it
-// is renamed to RecoveredState.QuarantinePath, and its readable part is copied into a new store.
+// OpenStore opens or creates the store in dir and returns it with the recovered state. A corrupt store is quarantined:
+// its folder is renamed to RecoveredState.QuarantinePath, and the readable part is copied into a new store.
 func OpenStore(dir string, options Options) (*Store, *RecoveredState, error) {
 	options = options.withDefaults()
 	if err := options.FS.MkdirAll(dir, stateFolderMode); err != nil {
@@ -96,7 +96,7 @@
 		return nil, nil, errors.Join(err, lock.Close())
 	}
 	if s.lock = lock; state.QuarantinePath != "" { // the locked folder was renamed
-		_ = lock.Close() // of a file that nobody opens any more
+		_ = lock.Close() // an error is harmless, as no process opens this lock file again
 		if s.lock, err = lockFolder(dir, options.FS); err != nil {
 			return nil, nil, errors.Join(err, s.Close())
 		}
@@ -104,7 +104,7 @@
 	return s, state, nil
 }
 
-// openLockedStore is OpenStore for a folder that is locked.
+// openLockedStore is OpenStore for a folder whose lock is held.
 func openLockedStore(dir string, options Options) (*Store, *RecoveredState, error) {
 	db, fence, err := openDatabase(dir, options)
 	switch {
@@ -116,23 +116,23 @@
 	return nil, nil, fmt.Errorf("state folder %s: %w", dir, err)
 }
 
-// recoverStore reads the state of an open database and starts the store. It replaces a corrupt database. After any other
-// error, such as a transient disk failure or an unsupported format, the database is left untouched.
+// recoverStore reads the state from an open database and starts the store. A corrupt database is replaced. After any other
+// error, such as a transient disk failure or an unsupported format, the database is closed and left as it is.
 func recoverStore(dir string, db *pebble.DB, fence *fence, options Options) (*Store, *RecoveredState, error) {
 	state, err := readState(db, options)
 	if err == nil {
 		s, err := newStore(dir, db, fence, options)
 		return s, state, err
 	}
-	_ = db.Close() // the read's error is returned
+	_ = db.Close() // the read error is returned
 	if !isCorruption(err) {
 		return nil, nil, fmt.Errorf("state folder %s: %w", dir, err)
 	}
 	return replaceCorruptStore(dir, options, state, err)
 }
 
-// checkWritable writes and removes a probe file. Without this check Pebble would retry its WAL writes forever on a disk
-// that rejects them.
+// checkWritable writes and removes a probe file. Without this check, Pebble would retry WAL writes forever on a disk that
+// rejects them.
 func checkWritable(dir string, fs vfs.FS) error {
 	name := fs.PathJoin(dir, probeFileName)
 	file, err := fs.Create(name, vfs.WriteCategoryUnspecified)
@@ -148,7 +148,7 @@
 
 // openDatabase opens or creates the database in dir.
 func openDatabase(dir string, options Options) (db *pebble.DB, fence *fence, err error) {
-	defer recoverLibraryPanic(&err)
+	defer recoverEnginePanic(&err)
 	fs, fence := newDatabaseFS(options.FS)
 	listener := &pebble.EventListener{
 		DataCorruption: func(info pebble.DataCorruptionInfo) { // without this callback Pebble treats corruption as fatal
@@ -166,7 +166,7 @@
 	return db, fence, err
 }
 
-// newStore starts a store on an open database and clears its mark of a clean shutdown.
+// newStore starts a store on an open database and removes the clean-shutdown marker.
 func newStore(dir string, db *pebble.DB, fence *fence, options Options) (*Store, error) {
 	s := &Store{
 		dir:           dir,
@@ -177,7 +177,7 @@
 		wake:          make(chan struct{}, 1), // one wake-up covers all writes queued before it is received
 		committerDone: make(chan struct{}),
 	}
-	// An error can't occur here: recovery has read this value already, or the database is new.
+	// No error is expected: recovery has already read this value, or the database is new.
 	if seconds, known, err := readServiceTime(db); err == nil && known {
 		s.initialServiceTime = seconds
 	}
@@ -187,20 +187,20 @@
 		go s.commitLoop()
 	}
 	if err := s.write([]mutation{{formatKey, []byte(formatName)}, {cleanShutdownKey, nil}}); err != nil {
-		_ = s.Close() // the write's error is returned
+		_ = s.Close() // the write error is returned
 		return nil, fmt.Errorf("initializing state: %w", err)
 	}
 	return s, nil
 }
 
-// Err returns the error for which the store rejects writes at present, or nil.
+// Err returns the error with which the store currently rejects writes, or nil if it accepts them.
 func (s *Store) Err() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.writeErr
 }
 
-// Close commits the queued writes, marks the shutdown as clean and closes the database. Later calls do nothing.
+// Close commits the queued writes, stores the clean-shutdown marker and closes the database. Further calls do nothing.
 func (s *Store) Close() error {
 	err := s.write([]mutation{{cleanShutdownKey, cleanShutdownValue}})
 	s.mu.Lock()
@@ -230,15 +230,16 @@
 	return s.closeDatabase()
 }
 
-// closeDatabase closes the database and unlocks its folder. It returns ErrEngineFailed if the library must not be called.
+// closeDatabase closes the database and unlocks its folder. After a panic of Pebble it discards the database
+// and returns ErrEngineFailed.
 func (s *Store) closeDatabase() (err error) {
 	s.databaseMu.Lock()
 	defer s.databaseMu.Unlock()
 	if s.lock != nil { // nil while the store is being opened
 		defer func() { err = errors.Join(err, s.lock.Close()) }()
 	}
-	if s.libraryFailed.Load() {
-		s.giveUpDatabase()
+	if s.engineFailed.Load() {
+		s.discardDatabase()
 		return ErrEngineFailed
 	}
 	defer s.recoverPanic(&err)
--- a/internal/storage/stored_types.go
+++ b/internal/storage/stored_types.go
@@ -1,40 +1,41 @@
 package storage
 
-// The types in this file are the stored values. Their CBOR keys and the order of their fields are part of the stored
-// format: changing either loses data unless stores are migrated. Types of dispatch can change freely, because
-// record_codec.go converts between them and the types here. Only the numeric values of dispatch.RecordKind,
+// The types in this file define the encoding of the stored values. Their CBOR keys and the order of their fields are part
+// of the stored format: changing either loses data unless stores are migrated. The types of package dispatch can change
+// freely, because record_codec.go converts between them and these types. Only the numeric values of dispatch.RecordKind,
 // dispatch.ResponseKind and dispatch.Cause are stored directly and must not change.
 
-// storedRecord is the stored form of dispatch.Record: an open request with an attempt, or an ended request.
+// storedRecord is the stored form of dispatch.Record: an open request that has had an attempt, or a request that
+// has ended.
 type storedRecord struct {
-	Kind         uint8         `cbor:"1,keyasint"` // dispatch.RecordKind
-	Source       string        `cbor:"2,keyasint"`
-	ID           string        `cbor:"3,keyasint"`
-	Class        string        `cbor:"4,keyasint"`
-	Function     string        `cbor:"5,keyasint,omitempty"`
-	Tenant       string        `cbor:"6,keyasint,omitempty"`
-	ResponseKind uint8         `cbor:"7,keyasint,omitempty"` // dispatch.ResponseKind
-	Cause        uint8         `cbor:"8,keyasint,omitempty"` // dispatch.Cause
-	RetryAfter   float64       `cbor:"9,keyasint,omitempty"`
-	Worker       string        `cbor:"10,keyasint,omitempty"`
-	Attempts     int           `cbor:"11,keyasint,omitempty"`
-	Fields       []storedField `cbor:"12,keyasint,omitempty"`
-	Body         []byte        `cbor:"13,keyasint,omitempty"`
-	MayHaveRun   bool          `cbor:"14,keyasint,omitempty"`
-	FirstRunAt   Timestamp     `cbor:"15,keyasint"` // start of the first attempt that may have executed
-	RecordedAt   Timestamp     `cbor:"16,keyasint"`
-	Elapsed      float64       `cbor:"17,keyasint,omitempty"`
-	Binding      storedBinding `cbor:"18,keyasint,omitempty"` // written even if zero, as the encoder never omits structs
+	Kind             uint8         `cbor:"1,keyasint"` // dispatch.RecordKind
+	Source           string        `cbor:"2,keyasint"`
+	ID               string        `cbor:"3,keyasint"`
+	Class            string        `cbor:"4,keyasint"`
+	Function         string        `cbor:"5,keyasint,omitempty"`
+	Tenant           string        `cbor:"6,keyasint,omitempty"`
+	ResponseKind     uint8         `cbor:"7,keyasint,omitempty"` // dispatch.ResponseKind
+	Cause            uint8         `cbor:"8,keyasint,omitempty"` // dispatch.Cause
+	RetryAfter       float64       `cbor:"9,keyasint,omitempty"`
+	Worker           string        `cbor:"10,keyasint,omitempty"`
+	Attempts         int           `cbor:"11,keyasint,omitempty"`
+	Fields           []storedField `cbor:"12,keyasint,omitempty"`
+	Body             []byte        `cbor:"13,keyasint,omitempty"`
+	MayHaveExecuted  bool          `cbor:"14,keyasint,omitempty"`
+	FirstExecutionAt Timestamp     `cbor:"15,keyasint"` // start of the first attempt that may have executed
+	RecordedAt       Timestamp     `cbor:"16,keyasint"`
+	Elapsed          float64       `cbor:"17,keyasint,omitempty"`
+	Binding          storedBinding `cbor:"18,keyasint,omitempty"` // encoded even if zero, because the encoder never omits structs
 }
 
 // storedScheduledRequest is the stored form of ScheduledRequest.
 type storedScheduledRequest struct {
 	Request  storedRequest `cbor:"1,keyasint"`
-	Due      int64         `cbor:"2,keyasint"` // Unix seconds; the minute at which the request was due
+	Due      int64         `cbor:"2,keyasint"` // Unix seconds; the minute for which the entry fired
 	Deadline int64         `cbor:"3,keyasint"` // Unix seconds
 }
 
-// storedReplicaList is the list of known replicas at RecordedAt. A nil list is stored as null.
+// storedReplicaList is the list of the replicas known at RecordedAt. A nil list is stored as null.
 type storedReplicaList struct {
 	RecordedAt Timestamp       `cbor:"1,keyasint"`
 	Replicas   []storedReplica `cbor:"2,keyasint"`
--- a/internal/storage/writes.go
+++ b/internal/storage/writes.go
@@ -17,8 +17,8 @@
 	Request  dispatch.Request
 }
 
-// Commit stores request records asynchronously. It calls done once, with nil when the records are on disk or with the
-// error. It implements proxy.RecordStore.
+// Commit stores request records asynchronously. It calls done once: with nil when the records have been synced to disk,
+// or with the error. It implements proxy.RecordStore.
 func (s *Store) Commit(records []dispatch.Record, done func(error)) {
 	now := s.now()
 	p := pendingWrite{done: done, records: len(records)}
@@ -33,8 +33,8 @@
 	s.enqueue(p)
 }
 
-// RecordFirings stores the firings and their open requests as one batch. The requests must not be submitted unless it
-// returns nil; otherwise an entry could fire again after a crash.
+// RecordFirings stores firings and their open requests in one batch. The requests must be submitted only after it has
+// returned nil; otherwise an entry could fire a second time after a crash.
 func (s *Store) RecordFirings(firings []Firing) error {
 	var mutations []mutation
 	for i := range firings {
@@ -48,14 +48,14 @@
 	return s.write(mutations)
 }
 
-// ScheduledRequestDone deletes the open scheduled request with the given identity. It does not wait for the disk: if the
-// deletion is lost in a crash, the request is submitted again, which is harmless.
+// ScheduledRequestDone deletes the open scheduled request with the given identity. It does not wait for the sync:
+// if a crash loses the deletion, the request is submitted again, which is harmless.
 func (s *Store) ScheduledRequestDone(id dispatch.Identity) {
 	deletion := mutation{joinKey(scheduledPrefix, identityHash(id)), nil}
 	s.enqueue(pendingWrite{mutations: []mutation{deletion}, done: func(error) {}})
 }
 
-// AppendAudit stores an entry of the registry's audit trail under its zero-based number.
+// AppendAudit stores the entry of the registry's audit trail that has the given zero-based number.
 func (s *Store) AppendAudit(number int, entry []byte) error {
 	return s.write([]mutation{{auditKey(number), entry}})
 }
@@ -63,8 +63,8 @@
 // SaveConfig stores the configuration in force.
 func (s *Store) SaveConfig(document []byte) error { return s.write([]mutation{{configKey, document}}) }
 
-// SaveReplicas stores the known replicas. Like every write it also stores the current service time, from which the next
-// process continues to count.
+// SaveReplicas stores the known replicas. Like every write, it also stores the current service time, from which the
+// next process continues.
 func (s *Store) SaveReplicas(replicas []dispatch.ReplicaSnapshot) error {
 	value, err := cbor.Marshal(storedReplicaList{RecordedAt: s.now(), Replicas: convertSlice(replicas, newStoredReplica)})
 	if err != nil {
