--- a/internal/storage/crash_test.go
+++ b/internal/storage/crash_test.go
@@ -14,7 +14,7 @@
 	"streamcleat/internal/dispatch"
 )
 
-// faultInjector injects a fault at one write or sync and all later ones: a crash of the process or a disk error.
+// faultInjector makes one write or sync and all later ones fail, or simulates a crash at that write.
 type faultInjector struct {
 	writes  atomic.Int64 // number of writes and syncs so far
 	failAt  atomic.Int64 // number of the first write that fails; 0 for none
@@ -40,7 +40,7 @@
 // String implements errorfs.Injector.
 func (f *faultInjector) String() string { return "fault injector" }
 
-// crashRun is one run of a store whose process crashes at one of its writes.
+// crashRun is one run of a process that uses a store and crashes at one of the store's writes.
 type crashRun struct {
 	seed            uint64
 	crashAt         int64 // number of the write at which the process crashes; 0 for none
@@ -49,13 +49,13 @@
 	clock          fakeClock
 	injector       faultInjector
 	hasCrashed     atomic.Bool
-	disk           *vfs.MemFS // disk of the process; not read after the crash
-	diskAfterCrash *vfs.MemFS // disk after the crash
+	disk           *vfs.MemFS // disk that the process writes to; not read after the crash
+	diskAfterCrash *vfs.MemFS // copy of the disk made at the crash
 
-	committed           map[string]dispatch.RecordKind // records whose commit succeeded
-	attempted           map[string]bool                // records whose commit was attempted
+	committed           map[string]dispatch.RecordKind // kind of the last record of each request, if its commit succeeded
+	attempted           map[string]bool                // requests for which a commit was attempted
 	lastCommittedMinute int                            // last minute whose firing was stored
-	lastAttemptedMinute int                            // last minute whose firing was attempted
+	lastAttemptedMinute int                            // last minute for which storing a firing was attempted
 }
 
 func newCrashRun(crashAt int64, unsynced int, seed uint64) *crashRun {
@@ -73,12 +73,12 @@
 	r.diskAfterCrash = r.disk.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: r.unsyncedPercent, RNG: rand.New(rand.NewPCG(r.seed, 5))})
 }
 
-// runUntilCrash runs the process until it ends or crashes.
+// runUntilCrash runs the process until it crashes or has done all its writes.
 func (r *crashRun) runUntilCrash(t *testing.T) {
 	t.Helper()
 	s, _, err := OpenStore("state", Options{FS: errorfs.Wrap(r.disk, &r.injector), Clock: r.clock.now, Retention: testRetention})
 	if err != nil {
-		return // diskAfterCrash at startup; checkRecovery checks the restart
+		return // crashed at startup; checkRecovery checks the restart
 	}
 	rng := rand.New(rand.NewPCG(r.seed, 6))
 	for minute := range 12 {
@@ -100,13 +100,13 @@
 	}
 }
 
-// writeMinute writes a record and the firing of a minute, and records which of them succeeded.
+// writeMinute stores a record and the firing of a minute, and notes which of these writes succeeded.
 func (r *crashRun) writeMinute(s *Store, minute int, id string, kind dispatch.RecordKind) {
 	r.attempted[id] = true
 	if commit(s, newRecord(kind, "once", id, 0)) == nil && !r.hasCrashed.Load() {
 		r.committed[id] = kind
 	} else {
-		delete(r.committed, id) // the old or the new record may be stored
+		delete(r.committed, id) // either the old or the new record may be on disk
 	}
 	r.lastAttemptedMinute = minute
 	request := dispatch.Request{Identity: dispatch.Identity{Source: "/own", ID: strconv.Itoa(minute)}}
@@ -116,7 +116,7 @@
 	}
 }
 
-// checkRecovery opens the store after the crash. It must recover everything that was committed and nothing
+// checkRecovery opens the store after the crash and checks that it recovers everything that was committed and nothing
 // that was never written.
 func (r *crashRun) checkRecovery(t *testing.T) {
 	t.Helper()
@@ -129,7 +129,7 @@
 		t.Fatalf("crash at write %d, %d%% unsynced: %v", r.crashAt, r.unsyncedPercent, err)
 	}
 	defer closeStore(t, s)
-	// A crash during the creation of the store may leave it corrupt; a later crash must not.
+	// Only a crash during the creation of the store may leave it corrupt.
 	if state.QuarantinePath != "" && len(r.committed)+r.lastCommittedMinute > 0 {
 		t.Fatalf("crash at write %d, %d%% unsynced: store quarantined", r.crashAt, r.unsyncedPercent)
 	}
@@ -160,12 +160,12 @@
 	if r.lastCommittedMinute > 0 && (!ok || last.Unix() < int64(r.lastCommittedMinute*60) || last.Unix() > int64(r.lastAttemptedMinute*60)) {
 		t.Fatalf("crash at write %d: minute %d stored, recovered %v", r.crashAt, r.lastCommittedMinute, last)
 	}
-	if len(state.ScheduledRequests) < r.lastCommittedMinute { // the request of each stored minute is open
+	if len(state.ScheduledRequests) < r.lastCommittedMinute { // the request of each stored minute is still open
 		t.Fatalf("crash at write %d: %d open requests, minute %d stored", r.crashAt, len(state.ScheduledRequests), r.lastCommittedMinute)
 	}
 }
 
-// runCrash performs and checks one run and returns the number of its writes.
+// runCrash executes one run, checks the recovery after it, and returns the number of writes.
 func runCrash(t *testing.T, crashAt int64, unsynced int, seed uint64) int64 {
 	t.Helper()
 	r := newCrashRun(crashAt, unsynced, seed)
@@ -191,7 +191,8 @@
 	t.Logf("%d crash points, each with 3 seeds", writes)
 }
 
-// After a full disk the store accepts writes again by itself, as often as that happens, and keeps what it had committed.
+// After a disk error, such as a full disk, the store must accept writes again without a restart once the disk works, also
+// after repeated errors, and must keep what it had committed.
 func TestStore_AcceptsWritesAfterDiskRecovers(t *testing.T) {
 	for _, cause := range []error{syscall.ENOSPC, syscall.EIO} {
 		t.Run(cause.Error(), func(t *testing.T) {
@@ -207,9 +208,9 @@
 				mustCommit(t, s, newRecord(dispatch.RecordAttemptStarted, "once", strconv.Itoa(outage), 0))
 				injector.failAt.Store(injector.writes.Load() + 1)
 				if commit(s, newRecord(dispatch.RecordAttemptStarted, "once", "rejected", 0)) == nil {
-					t.Fatal("commit succeeded on a full disk")
+					t.Fatal("commit succeeded although the disk fails all writes")
 				}
-				time.Sleep(2 * reopenInterval) // also an attempt to open it anew fails
+				time.Sleep(2 * reopenInterval) // at least one attempt to reopen the database fails as well
 				injector.failAt.Store(0)
 				deadline := time.Now().Add(2 * time.Second)
 				for s.Err() != nil && time.Now().Before(deadline) {
@@ -239,9 +240,9 @@
 			}
 			mustCommit(t, s, newRecord(dispatch.RecordAttemptStarted, "once", "1", 0))
 			injector.failAt.Store(injector.writes.Load() + 1)
-			for range 2 { // the store keeps rejecting writes although the disk works again
+			for range 2 { // writes are rejected even though the disk works again, until the database has been reopened
 				if err := commit(s, newRecord(dispatch.RecordAttemptStarted, "once", "2", 0)); err == nil {
-					t.Error("commit succeeded on a failed store")
+					t.Error("commit succeeded after a failed write")
 				}
 				injector.failAt.Store(1 << 60)
 			}
--- a/internal/storage/fixtures_test.go
+++ b/internal/storage/fixtures_test.go
@@ -21,8 +21,8 @@
 	"streamcleat/internal/units"
 )
 
-// The fixtures hold the keys and values of existing stores and must not change. A new record format gets new fixtures;
-// run with -update only to create those.
+// The fixtures in testdata hold the keys and values of existing stores and must not change. A new stored format gets new
+// fixtures; run the tests with -update only to create those.
 var update = flag.Bool("update", false, "write the fixtures of the stored format")
 
 const fixtureRetention = 1000
@@ -57,13 +57,13 @@
 		{Kind: dispatch.RecordRequestEnded, Response: dispatch.Response{
 			Identity: dispatch.Identity{Source: "/shop", ID: "ended-2"}, Class: "once", Kind: dispatch.Rejected, Cause: dispatch.CauseNoCapacity,
 		}},
-		{Kind: dispatch.RecordRequestEnded, PossiblyExecuted: true, FirstExecutionAge: units.Seconds(math.Inf(1)), Response: dispatch.Response{ // the encoding of an unknown time in a restored store
+		{Kind: dispatch.RecordRequestEnded, PossiblyExecuted: true, FirstExecutionAge: units.Seconds(math.Inf(1)), Response: dispatch.Response{ // how a store restored from a corrupt one encodes an unknown age
 			Identity: dispatch.Identity{Source: "/shop", ID: "ended-3"}, Class: "once", Function: "f", Fields: []dispatch.Field{}, Body: []byte{}}},
 	}
 }
 
-// fixtureScheduledRequests returns open requests of the appliance's schedules: one with all fields set, the others with
-// the minimum of fields.
+// fixtureScheduledRequests returns open requests of the appliance's own schedules: one with all fields set, the others
+// with the minimum of fields.
 func fixtureScheduledRequests() []dispatch.Request {
 	return []dispatch.Request{
 		{
@@ -83,7 +83,7 @@
 	}
 }
 
-// writeFull writes every kind of value with the store's exported methods.
+// writeFull writes every kind of value through the exported methods of the store.
 func writeFull(s *Store, clock *fakeClock) error {
 	clock.uptime++
 	if err := commit(s, fixtureRecords()...); err != nil {
@@ -118,24 +118,24 @@
 	return s.SaveReplicas([]dispatch.ReplicaSnapshot{})
 }
 
-var fixtures = map[string]func(*Store, *fakeClock) error{"full": writeFull, "sparse": writeSparse, "empty-list": writeEmptyList}
+var fixtureWriters = map[string]func(*Store, *fakeClock) error{"full": writeFull, "sparse": writeSparse, "empty-list": writeEmptyList}
 
-// dumpStore returns the content of a database, one line per key: key and value in hexadecimal.
+// dumpStore returns the content of a database as one line per key, with key and value in hexadecimal.
 func dumpStore(t *testing.T, db *pebble.DB) string {
 	t.Helper()
-	it, err := db.NewIter(nil)
+	iterator, err := db.NewIter(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var text strings.Builder
-	for ok := it.First(); ok; ok = it.Next() {
-		v, err := it.ValueAndErr()
+	for valid := iterator.First(); valid; valid = iterator.Next() {
+		value, err := iterator.ValueAndErr()
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&text, "%x %x\n", it.Key(), v)
+		fmt.Fprintf(&text, "%x %x\n", iterator.Key(), value)
 	}
-	if err := errors.Join(it.Error(), it.Close()); err != nil {
+	if err := errors.Join(iterator.Error(), iterator.Close()); err != nil {
 		t.Fatal(err)
 	}
 	return text.String()
@@ -143,7 +143,7 @@
 
 func fixtureFile(name string) string { return filepath.Join("testdata", "store-1-"+name+".hex") }
 
-// loadFixture creates a database with the content of a fixture. It does not use the code under test.
+// loadFixture creates a database with the content of a fixture, without using the code under test.
 func loadFixture(t *testing.T, fs vfs.FS, name string) {
 	t.Helper()
 	data, err := os.ReadFile(fixtureFile(name))
@@ -156,19 +156,19 @@
 	}
 	lines := bufio.NewScanner(bytes.NewReader(data))
 	lines.Buffer(nil, 1<<20)
-	b := db.NewBatch()
+	batch := db.NewBatch()
 	for lines.Scan() {
-		k, v, _ := strings.Cut(lines.Text(), " ")
-		key, kerr := hex.DecodeString(k)
-		value, verr := hex.DecodeString(v)
-		if kerr != nil || verr != nil || len(key) == 0 {
-			t.Fatalf("%s: line %q", name, lines.Text())
+		keyHex, valueHex, _ := strings.Cut(lines.Text(), " ")
+		key, keyErr := hex.DecodeString(keyHex)
+		value, valueErr := hex.DecodeString(valueHex)
+		if keyErr != nil || valueErr != nil || len(key) == 0 {
+			t.Fatalf("%s: malformed line %q", name, lines.Text())
 		}
-		if err := b.Set(key, value, nil); err != nil {
+		if err := batch.Set(key, value, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := b.Commit(pebble.Sync); err != nil {
+	if err := batch.Commit(pebble.Sync); err != nil {
 		t.Fatal(err)
 	}
 	if err := db.Close(); err != nil {
--- a/internal/storage/format_test.go
+++ b/internal/storage/format_test.go
@@ -13,9 +13,9 @@
 	"streamcleat/internal/dispatch"
 )
 
-// The bytes written must equal those in existing stores.
+// Stored keys and values must be byte for byte the same as in existing stores.
 func TestStoredFormat_MatchesFixtures(t *testing.T) {
-	for name, write := range fixtures {
+	for name, write := range fixtureWriters {
 		t.Run(name, func(t *testing.T) {
 			clock := &fakeClock{uptime: 50, boot: "boot-a"}
 			s, _, err := OpenStore("state", Options{FS: vfs.NewMem(), Clock: clock.now, Retention: fixtureRetention})
@@ -63,7 +63,7 @@
 	}
 	replicas := fixtureReplicas()
 	for i := range replicas {
-		replicas[i].Age += 7 // the fixture was written at uptime 53
+		replicas[i].Age += 7 // the replicas were stored at uptime 53 and are read at 60
 	}
 	if !reflect.DeepEqual(state.Replicas, replicas) {
 		t.Errorf("replicas: %+v, want %+v", state.Replicas, replicas)
@@ -88,13 +88,13 @@
 	}
 	for _, record := range records {
 		if len(record.Response.Fields) == 0 {
-			record.Response.Fields = nil // empty lists are not stored
+			record.Response.Fields = nil // empty lists and bodies are not stored
 		}
 		if len(record.Response.Body) == 0 {
 			record.Response.Body = nil
 		}
-		record.FirstExecutionAge += 9                                            // written at uptime 51
-		want := dispatch.RecoveredRecord{Record: record, Age: 2, Reliable: true} // the last service time was stored at uptime 53
+		record.FirstExecutionAge += 9                                            // the records were stored at uptime 51 and are read at 60
+		want := dispatch.RecoveredRecord{Record: record, Age: 2, Reliable: true} // in service time: stored at uptime 51, last write at 53
 		if got := byID[record.Response.Identity.ID]; !reflect.DeepEqual(got, want) {
 			t.Errorf("request %s:\n%+v, want\n%+v", record.Response.Identity.ID, got, want)
 		}
@@ -118,7 +118,7 @@
 	}
 }
 
-// A store without known replicas must be readable.
+// A store in which nothing but a nil or an empty list of replicas was stored must be readable.
 func TestOpenStore_RecoversSparseFixtures(t *testing.T) {
 	for _, name := range []string{"sparse", "empty-list"} {
 		fs, clock := vfs.NewMem(), &fakeClock{uptime: 60, boot: "boot-a"}
@@ -134,7 +134,7 @@
 	}
 }
 
-// Record kinds, response kinds and causes are stored as numbers whose meaning must not change.
+// Record kinds, response kinds and causes are stored as numbers, so the meaning of each number must not change.
 func TestStoredFormat_EnumValuesUnchanged(t *testing.T) {
 	if dispatch.RecordAttemptStarted != 0 || dispatch.RecordRequestEnded != 1 {
 		t.Error("numeric values of record kinds changed")
@@ -170,17 +170,17 @@
 	return strings.HasSuffix(t.PkgPath(), "/dispatch")
 }
 
-// Stored types must not contain types of dispatch, and every field must have an explicit key, so that renames in Go do
-// not change the stored format.
+// Stored types must not contain types of package dispatch, and each of their fields must have an explicit key, so that
+// renaming Go identifiers does not change the stored format.
 func TestStoredTypes_HaveExplicitKeys(t *testing.T) {
 	for _, v := range []any{storedRecord{}, storedScheduledRequest{}, storedReplicaList{}, storedField{}, storedBinding{}, storedFunctionProfile{}, storedRequest{}, storedReplica{}} {
 		r := reflect.TypeOf(v)
 		if containsDispatchType(r) {
-			t.Errorf("%s contains a type of dispatch", r)
+			t.Errorf("%s contains a type of package dispatch", r)
 		}
 		for f := range r.Fields() {
 			if f.Tag.Get("cbor") == "" {
-				t.Errorf("%s.%s has no key", r, f.Name)
+				t.Errorf("%s.%s has no explicit CBOR key", r, f.Name)
 			}
 		}
 	}
--- a/internal/storage/quarantine_test.go
+++ b/internal/storage/quarantine_test.go
@@ -15,8 +15,8 @@
 	"streamcleat/internal/dispatch"
 )
 
-// corruptStore applies damage to each file of a closed store. damage returns the new content of a file, or nil to remove
-// it.
+// corruptStore applies damage to each file of a closed store. damage returns the new content of the file, or nil if the
+// file is to be removed.
 func corruptStore(t *testing.T, dir string, damage func(name string, data []byte) []byte) {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
@@ -40,7 +40,7 @@
 	}
 }
 
-// A folder whose neighbors can't be read is not searched forever.
+// quarantinePath must return an error of Stat instead of trying further paths forever.
 func TestQuarantinePath_EndsOnError(t *testing.T) {
 	failing := errorfs.InjectorFunc(func(errorfs.Op) error { return syscall.EIO })
 	if path, err := quarantinePath("state", errorfs.Wrap(vfs.NewMem(), failing)); !errors.Is(err, syscall.EIO) {
@@ -71,7 +71,7 @@
 	return data
 }
 
-// A corrupt store must be renamed, not silently replaced by an empty one.
+// A corrupt store must be kept under another name, not silently replaced by an empty one.
 func TestOpenStore_QuarantinesCorruptStore(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -107,7 +107,7 @@
 		t.Fatal(err)
 	}
 	if state.QuarantinePath == "" && len(state.Records) != 100 {
-		t.Errorf("%d of 100 records recovered, but no quarantine", len(state.Records))
+		t.Errorf("%d of 100 records recovered, but the store was not quarantined", len(state.Records))
 	}
 	if state.QuarantinePath != "" {
 		if _, err := os.Stat(state.QuarantinePath); err != nil {
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -25,9 +25,9 @@
 
 func (c *fakeClock) now() Timestamp { return Timestamp{BootID: c.boot, Uptime: c.uptime} }
 
-// newRecord returns a record of a request; if kind is RecordRequestEnded, the request succeeded.
-func newRecord(kind dispatch.RecordKind, class, id string, firstRunAgo float64) dispatch.Record {
-	return dispatch.Record{Kind: kind, PossiblyExecuted: true, FirstExecutionAge: units.Seconds(firstRunAgo), Response: dispatch.Response{
+// newRecord returns a record of a request that may have executed. With RecordRequestEnded the request succeeded.
+func newRecord(kind dispatch.RecordKind, class, id string, firstExecutionAge float64) dispatch.Record {
+	return dispatch.Record{Kind: kind, PossiblyExecuted: true, FirstExecutionAge: units.Seconds(firstExecutionAge), Response: dispatch.Response{
 		Identity: dispatch.Identity{Source: "/t", ID: id}, Class: class, Function: "f", Kind: dispatch.Succeeded,
 		Body: []byte("body of " + id), Fields: []dispatch.Field{{Name: "A", Value: "b"}},
 	}}
@@ -49,7 +49,7 @@
 	}
 }
 
-// commit stores records and waits until they are on disk.
+// commit stores records, waits until they are on disk or have failed, and returns the error.
 func commit(s *Store, records ...dispatch.Record) error {
 	result := make(chan error, 1)
 	s.Commit(records, func(err error) { result <- err })
@@ -110,7 +110,7 @@
 	mustSaveReplicas(t, s)
 	closeStore(t, s)
 
-	clock.boot, clock.uptime = "b", 1 // after a reboot the time since a first run is unknown
+	clock.boot, clock.uptime = "b", 1 // after a reboot the time since the first execution is unknown
 	s, state = openStore(t, crashed, clock)
 	if !state.CleanShutdown || len(state.ScheduledRequests) != 0 || len(state.Records) != 2 || state.Records[0].Reliable {
 		t.Fatalf("%+v", state)
@@ -135,7 +135,7 @@
 	}
 }
 
-// Records expire by service time, in batches of at most the limit.
+// Records expire by service time; each call of Expire examines no more keys than its limit.
 func TestExpire_InBoundedBatches(t *testing.T) {
 	fs, clock := vfs.NewMem(), &fakeClock{boot: "a"}
 	s, _ := openStore(t, fs, clock)
@@ -143,8 +143,8 @@
 		mustCommit(t, s, newRecord(dispatch.RecordRequestEnded, "once", strconv.Itoa(i), 0))
 		clock.uptime++
 	}
-	mustCommit(t, s, newRecord(dispatch.RecordRequestEnded, "once", "0", 0)) // the newer record extends the retention of request 0
-	clock.uptime += 74.5                                                     // 25 expiry keys are past the retention
+	mustCommit(t, s, newRecord(dispatch.RecordRequestEnded, "once", "0", 0)) // a newer record extends the retention of request 0
+	clock.uptime += 74.5                                                     // 25 expiry keys are older than the retention
 	examined := expireAll(t, s)
 	mustSaveReplicas(t, s)
 	closeStore(t, s)
@@ -187,8 +187,8 @@
 	closeStore(t, s)
 }
 
-// A store of another format, for example of a newer version, must not be quarantined: the records that prevent duplicate
-// execution would be lost.
+// A store in another format, for example one written by a newer version, must not be quarantined: that would lose the
+// records that prevent duplicate executions.
 func TestOpenStore_UnsupportedFormat(t *testing.T) {
 	fs, clock := vfs.NewMem(), &fakeClock{boot: "a"}
 	s, _ := openStore(t, fs, clock)
