--- a/internal/schedule/client.go
+++ b/internal/schedule/client.go
@@ -16,20 +16,20 @@
 	cehttp "github.com/cloudevents/sdk-go/v2/protocol/http"
 )
 
-// Result is the outcome of a firing at its client.
+// Result is the outcome of a firing as seen by its client.
 type Result struct {
 	Firing
 	FrontEnd   string
 	Status     int    // HTTP status of the last response; 0 if there was none
-	Digest     string // digest of the version named by the response
+	Digest     string // digest of the version that the response names
 	Latency    time.Duration
 	Attempts   int
 	Err        error
-	Replayed   bool // the response was cached from an earlier request of the same firing
+	Replayed   bool // the front end replayed its response to an earlier request of the same firing
 	RetryAfter time.Duration
 }
 
-// Client sends firings to front ends over HTTP. Its fields must not be changed after the first firing.
+// Client sends firings to front ends over HTTP. Its fields must not be modified after the first firing.
 type Client struct {
 	Source         string   // CloudEvents source; must be the same for all clients of one crontab
 	FrontEnds      []string // addresses, host:port
@@ -42,23 +42,23 @@
 	// that it returns is called after the attempt with the status of the response, 0 if there was none, and the digest
 	// that the response names.
 	OnAttempt func(f Firing, frontEnd string, remaining time.Duration) func(status int, digest string, err error)
-	OnResult  func(Result) // called for each firing of Run; may be nil
+	OnResult  func(Result) // called with the result of each firing of Run; may be nil
 }
 
 const (
-	// minAttemptTime is the minimum time left until the deadline for a retry. No response could arrive in less.
+	// minAttemptTime is the minimum time left until the deadline for a retry. With less, the response would come too late.
 	minAttemptTime = 100 * time.Millisecond
-	// minRetryWait is the minimum wait before a retry. Retry-After may ask for a longer one.
+	// minRetryWait is the minimum wait before a retry. Retry-After may ask for a longer wait.
 	minRetryWait = 20 * time.Millisecond
 	// maxResponseBytes is the maximum number of bytes read from a response body so that its connection can be reused.
 	maxResponseBytes = 1 << 20
-	// maxPlanSleep limits the sleep until the next firing, as the wall clock may be set meanwhile.
+	// maxPlanSleep limits the sleep until the next firing, as the wall clock may be set in the meantime.
 	maxPlanSleep = time.Minute
-	// minPlanSleep keeps Run from spinning if it wakes up slightly early.
+	// minPlanSleep prevents Run from busy-waiting if it wakes up slightly before a firing is due.
 	minPlanSleep = time.Millisecond
 )
 
-// CloudEvent returns the CloudEvent of a firing.
+// CloudEvent returns the CloudEvent that represents a firing.
 func CloudEvent(source string, f Firing) cloudevents.Event {
 	e := cloudevents.New()
 	e.SetSource(source)
@@ -75,9 +75,9 @@
 	return e
 }
 
-// Fire sends a firing and waits for its final response. Rejections and lost responses are retried with the same identity
-// at the same front end, which deduplicates them. If that front end can't be reached, the next one in rendezvous order is
-// tried.
+// Fire sends a firing and waits for its final response. After a rejection or a lost response it retries with the same ID at
+// the same front end, which deduplicates the requests. If the connection to that front end is refused, it tries the next
+// one in rendezvous order.
 func (c *Client) Fire(ctx context.Context, f Firing) Result {
 	timeout := f.Entry.Timeout
 	if timeout == 0 {
@@ -116,12 +116,13 @@
 		return false // a final response
 	}
 	if result.Status == 0 && reached && c.AtMostOnce[result.Entry.Class] {
-		return false // it may have been executed
+		return false // the request may have been executed
 	}
 	return result.Attempts <= c.MaxRetries
 }
 
-// attempt sends a firing once, stores the outcome in result and reports whether the front end was reached.
+// attempt sends a firing once, stores the outcome in result and reports whether the front end was reached. Only a refused
+// connection counts as not reached: the request cannot have been executed.
 func (c *Client) attempt(ctx context.Context, result *Result, remaining time.Duration) (reached bool) {
 	onEnd := func(int, string, error) {}
 	if c.OnAttempt != nil {
@@ -132,7 +133,7 @@
 	return reached
 }
 
-// send makes the HTTP request of an attempt.
+// send performs the HTTP request of an attempt.
 func (c *Client) send(ctx context.Context, result *Result, remaining time.Duration) (reached bool) {
 	result.Status, result.Err, result.RetryAfter, result.Digest = 0, nil, 0, ""
 	e := CloudEvent(c.Source, result.Firing)
@@ -164,9 +165,9 @@
 	return true
 }
 
-// Run fires the due entries of a plan until ctx ends, then waits for the firings in flight. clock returns the time of day,
-// and until returns the real time to sleep until that clock shows a given time.
-func (c *Client) Run(ctx context.Context, p *Plan, clock func() time.Time, until func(time.Time) time.Duration) {
+// Run sends the due firings of a plan until ctx is done, then waits for the firings in flight. clock returns the current
+// time, and durationUntil the real time that passes until that clock shows a given time.
+func (c *Client) Run(ctx context.Context, p *Plan, clock func() time.Time, durationUntil func(time.Time) time.Duration) {
 	var inFlight sync.WaitGroup
 	defer inFlight.Wait()
 	for {
@@ -175,7 +176,7 @@
 		}
 		sleep := maxPlanSleep
 		if next, ok := p.Next(); ok {
-			sleep = min(max(until(next), minPlanSleep), sleep)
+			sleep = min(max(durationUntil(next), minPlanSleep), sleep)
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/schedule/crontab.go
+++ b/internal/schedule/crontab.go
@@ -24,7 +24,7 @@
 // Values of ParseError.Field other than the names of variables.
 const (
 	scheduleField = "schedule"
-	lineField     = "line" // the whole line
+	lineField     = "line" // an error that concerns the whole line
 )
 
 const (
@@ -36,11 +36,11 @@
 type ParseError struct {
 	File  string
 	Line  int
-	Field string // the name of a variable, "schedule" or "line"
+	Field string // name of a variable, "schedule" or "line"
 	Err   error
 }
 
-// Error implements the error interface.
+// Error returns the error with its position.
 func (e *ParseError) Error() string { return fmt.Sprintf("%s:%d: %v", e.File, e.Line, e.Err) }
 
 // Unwrap returns the error without its position.
@@ -54,9 +54,10 @@
 //	minute hour day month weekday TYPE FUNCTION [TENANT] [%DATA]
 //
 // with a descriptor such as @hourly allowed in place of the five fields. Lines that start with # are comments. A
-// NAME=VALUE line sets a variable for the lines after it: CRON_TZ (time zone, default UTC), MISFIRE (skip, once or all,
-// default skip), MISFIRE_WITHIN and WAIT (durations). As in POSIX, the first unescaped % ends the command and starts its
-// data, in which a further % is a line break and \% a literal %. The error joins one ParseError for each invalid line.
+// NAME=VALUE line sets a variable for the following lines: CRON_TZ (time zone, default UTC), MISFIRE (skip, once or all,
+// default skip), MISFIRE_WITHIN (catch-up window) and WAIT (timeout of the request; both are positive durations). As in
+// POSIX, the first unescaped % ends the command and starts its data, in which a further % is a line break and \% a
+// literal %. The returned error joins one ParseError for each invalid line.
 func Parse(r io.Reader, name string) ([]Entry, error) {
 	p := &crontabParser{
 		file:          name,
@@ -72,7 +73,7 @@
 	}
 	if err := scanner.Err(); err != nil {
 		p.line++
-		p.fail(lineField, err)
+		p.addError(lineField, err)
 	}
 	return p.entries, errors.Join(p.errs...)
 }
@@ -91,8 +92,8 @@
 	errs      []error
 }
 
-// fail records an error in the current line.
-func (p *crontabParser) fail(field string, err error) {
+// addError records an error in the current line.
+func (p *crontabParser) addError(field string, err error) {
 	p.errs = append(p.errs, &ParseError{File: p.file, Line: p.line, Field: field, Err: err})
 }
 
@@ -104,7 +105,7 @@
 		key = strings.TrimSpace(key)
 		value = strings.Trim(strings.TrimSpace(value), `"'`)
 		if err := p.setVariable(key, value); err != nil {
-			p.fail(key, fmt.Errorf("%s: %w", key, err))
+			p.addError(key, fmt.Errorf("%s: %w", key, err))
 		}
 		return
 	}
@@ -133,50 +134,50 @@
 }
 
 func (p *crontabParser) parseEntry(line string) {
-	command, data, hasData := cutPercent(line)
+	command, data, hasData := splitAtPercent(line)
 	fields := strings.Fields(command)
-	specFields := 5
+	specFieldCount := 5
 	if len(fields) > 0 && strings.HasPrefix(fields[0], "@") {
-		specFields = 1
+		specFieldCount = 1
 	}
-	if len(fields) < specFields+2 || len(fields) > specFields+3 {
-		p.fail(lineField, fmt.Errorf("%d fields, want a schedule of %d and TYPE FUNCTION [TENANT] [%%DATA]", len(fields), specFields))
+	if len(fields) < specFieldCount+2 || len(fields) > specFieldCount+3 {
+		p.addError(lineField, fmt.Errorf("%d fields, want a schedule of %d and TYPE FUNCTION [TENANT] [%%DATA]", len(fields), specFieldCount))
 		return
 	}
 	e := Entry{
 		Line:          p.line,
-		Spec:          strings.Join(fields[:specFields], " "),
+		Spec:          strings.Join(fields[:specFieldCount], " "),
 		Zone:          p.zone,
-		Class:         fields[specFields],
-		Function:      fields[specFields+1],
+		Class:         fields[specFieldCount],
+		Function:      fields[specFieldCount+1],
 		Misfire:       p.misfire,
 		CatchUpWindow: p.catchUpWindow,
 		Timeout:       p.timeout,
 	}
-	if len(fields) == specFields+3 {
-		e.Tenant = fields[specFields+2]
+	if len(fields) == specFieldCount+3 {
+		e.Tenant = fields[specFieldCount+2]
 	}
 	if hasData {
 		e.Data = []byte(data)
 	}
 	var err error
 	if e.schedule, err = parseSpec(fields[0], e.Spec, p.zone); err != nil {
-		p.fail(scheduleField, err)
+		p.addError(scheduleField, err)
 		return
 	}
 	if first, duplicate := p.lineByKey[e.Key()]; duplicate {
-		p.fail(lineField, fmt.Errorf("duplicate of the entry in line %d", first))
+		p.addError(lineField, fmt.Errorf("duplicate of the entry in line %d", first))
 		return
 	}
 	p.lineByKey[e.Key()] = p.line
 	p.entries = append(p.entries, e)
 }
 
-// parseSpec parses a schedule. @every and @reboot are rejected: they depend on the start time of the client, so that two
-// clients of one crontab would fire different minutes.
+// parseSpec parses a schedule. It rejects @every and @reboot: they depend on the start time of the client, so that two
+// clients with the same crontab would fire in different minutes.
 func parseSpec(firstField, spec string, zone *time.Location) (cron.Schedule, error) {
-	if w := strings.ToLower(firstField); strings.HasPrefix(w, "@every") || w == "@reboot" {
-		return nil, fmt.Errorf("schedule %s depends on the start time of the client, so that two clients would differ", firstField)
+	if descriptor := strings.ToLower(firstField); strings.HasPrefix(descriptor, "@every") || descriptor == "@reboot" {
+		return nil, fmt.Errorf("schedule %s depends on the client's start time, so that clients would fire at different times", firstField)
 	}
 	schedule, err := specParser.Parse(normalizeSunday(spec))
 	if err != nil {
@@ -188,7 +189,8 @@
 	return schedule, nil
 }
 
-// normalizeSunday replaces weekday 7 by 0. POSIX allows only 0 for Sunday, but many crontabs use 7.
+// normalizeSunday replaces weekday 7 with 0, also at the end of a range. POSIX allows only 0 for Sunday, but many crontabs
+// use 7.
 func normalizeSunday(spec string) string {
 	fields := strings.Fields(spec)
 	if len(fields) != 5 {
@@ -229,8 +231,9 @@
 	return s != ""
 }
 
-// cutPercent splits a line at its first unescaped %. In the data after it, further unescaped % become line breaks.
-func cutPercent(line string) (command, data string, found bool) {
+// splitAtPercent splits a line at its first unescaped % into a command and its data. Further unescaped % become line breaks
+// in the data, and \% becomes % in both parts.
+func splitAtPercent(line string) (command, data string, found bool) {
 	var b strings.Builder
 	for i := 0; i < len(line); i++ {
 		switch c := line[i]; {
--- a/internal/schedule/entry.go
+++ b/internal/schedule/entry.go
@@ -7,7 +7,7 @@
 	"github.com/robfig/cron/v3"
 )
 
-// Entry is an entry of a crontab.
+// Entry is one entry of a crontab.
 type Entry struct {
 	Line          int
 	Spec          string // the schedule as written in the crontab
@@ -17,12 +17,12 @@
 	Tenant        string
 	Data          []byte
 	Misfire       MisfirePolicy
-	CatchUpWindow time.Duration // maximum age of the firings that MisfireOnce and MisfireAll catch up on
-	Timeout       time.Duration // deadline of the request after firing; 0: the timeout of the request class
+	CatchUpWindow time.Duration // maximum age of missed firings that MisfireOnce and MisfireAll catch up on
+	Timeout       time.Duration // of the request; 0: the timeout of its class or Client.DefaultTimeout
 	schedule      cron.Schedule
 }
 
-// Key identifies an entry. It is the same at all clients with the same crontab.
+// Key returns the identifier of an entry. All clients with the same crontab derive the same keys.
 func (e *Entry) Key() string {
 	key := strings.ReplaceAll(strings.Join(strings.Fields(e.Spec), "_"), "/", "~") + "/" + e.Class + "/" + e.Function
 	if e.Tenant != "" {
@@ -34,7 +34,7 @@
 	return key
 }
 
-// starBit is set by the cron library in the bit mask of a field that is *.
+// starBit is the bit that the cron library sets in the bit mask of a field that is *.
 const starBit = 1 << 63
 
 // Next returns the first minute after the given time in which the entry is due, or the zero time if there is none.
@@ -47,12 +47,12 @@
 	return due
 }
 
-// isRepeatedWallTime reports whether the wall clock showed the same minute before, because daylight saving time ended in
-// between.
+// isRepeatedWallTime reports whether t is the second occurrence of its wall-clock minute, because daylight saving time
+// ended in between. It covers changes of 30 minutes, one hour and two hours.
 func isRepeatedWallTime(t time.Time) bool {
 	const wallTime = "2006-01-02 15:04"
-	for _, step := range []time.Duration{30 * time.Minute, time.Hour, 2 * time.Hour} {
-		if t.Add(-step).Format(wallTime) == t.Format(wallTime) {
+	for _, change := range []time.Duration{30 * time.Minute, time.Hour, 2 * time.Hour} {
+		if t.Add(-change).Format(wallTime) == t.Format(wallTime) {
 			return true
 		}
 	}
--- a/internal/schedule/main_test.go
+++ b/internal/schedule/main_test.go
@@ -6,7 +6,7 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain fails if a goroutine started by a test outlives all tests.
+// TestMain fails if a goroutine is still running after all tests.
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(m)
 }
--- a/internal/schedule/plan.go
+++ b/internal/schedule/plan.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// Firing is a single firing of an entry.
+// Firing is one occurrence of an entry's schedule.
 type Firing struct {
 	Entry *Entry
 	Due   time.Time
 	ID    string        // see FiringID
-	Delay time.Duration // from Due to the call that returned it
+	Delay time.Duration // time from Due to the call of TakeDue that returned the firing
 }
 
-// FiringID returns the identity of a firing. It consists of the entry's key and the due minute in UTC.
+// FiringID returns the ID of a firing. It consists of the entry's key and the due minute in UTC.
 func FiringID(e *Entry, due time.Time) string {
 	return e.Key() + "/" + due.UTC().Format("2006-01-02T15:04Z")
 }
 
-// maxClockStepBack is the largest backward step of the clock that is waited out, as cron does. After a larger one all
-// entries are planned anew.
+// maxClockStepBack is the largest backward step of the clock after which a Plan keeps its due times and so waits until the
+// clock reaches them again, as cron does. After a larger step it recomputes them.
 const maxClockStepBack = 3 * time.Hour
 
 // Plan holds the next due time of each entry. Each firing is returned once, ordered by due time and then by the position
@@ -30,16 +30,16 @@
 // with explicit hours fires in the first occurrence only.
 type Plan struct {
 	entries dueHeap
-	now     time.Time // the latest time passed to Due
+	now     time.Time // latest time passed to TakeDue since the last call of replan
 }
 
-// NewPlan plans entries that are due after the time from.
+// NewPlan returns a plan of the firings that are due after the time from.
 func NewPlan(entries []Entry, from time.Time) *Plan {
 	return Resume(entries, nil, from)
 }
 
-// Resume plans entries with the minutes in which they last fired, by key. Entries without a last firing are planned from
-// the time from on.
+// Resume returns a plan that continues after the last firings, given by the keys of their entries. Entries without a last
+// firing, or with one more than maxClockStepBack in the future, are planned from the time from on.
 func Resume(entries []Entry, last map[string]time.Time, from time.Time) *Plan {
 	p := &Plan{now: from}
 	for i := range entries {
@@ -52,14 +52,14 @@
 	return p
 }
 
-// add plans an entry. An entry that is never due, such as one for February 30, is left out.
-func (p *Plan) add(e *Entry, order int, after time.Time) {
+// add adds an entry to the plan. An entry that is never due, such as one for February 30, is left out.
+func (p *Plan) add(e *Entry, position int, after time.Time) {
 	if due := e.Next(after); !due.IsZero() {
-		heap.Push(&p.entries, &scheduledEntry{entry: e, due: due, order: order})
+		heap.Push(&p.entries, &scheduledEntry{entry: e, due: due, position: position})
 	}
 }
 
-// Next returns the earliest due time, and false if no entry is ever due.
+// Next returns the earliest due time, or false if no entry is ever due.
 func (p *Plan) Next() (time.Time, bool) {
 	if len(p.entries) == 0 {
 		return time.Time{}, false
@@ -67,8 +67,9 @@
 	return p.entries[0].due, true
 }
 
-// TakeDue returns the firings that are due by now. Missed firings are returned as the entry's misfire policy says. They keep
-// the identity of their minute, so that a firing that was sent before is deduplicated.
+// TakeDue returns the firings that are due by now and removes them from the plan. The entry's misfire policy selects which
+// missed firings are returned. A missed firing has the ID of the minute in which it was due, so that front ends deduplicate
+// it if it was sent before.
 func (p *Plan) TakeDue(now time.Time) []Firing {
 	if now.Before(p.now.Add(-maxClockStepBack)) {
 		p.replan(now)
@@ -89,7 +90,7 @@
 	return due
 }
 
-// replan plans all entries anew after the clock was set back by more than maxClockStepBack.
+// replan recomputes all due times after the clock was set back by more than maxClockStepBack.
 func (p *Plan) replan(now time.Time) {
 	for _, e := range p.entries {
 		if due := e.entry.Next(now); !due.IsZero() {
@@ -100,7 +101,7 @@
 	p.now = now
 }
 
-// DueWithin returns the firings that are due within span from now, at most one for each function, in crontab order.
+// DueWithin returns the firings that are due within the given span after now, at most one per function, in crontab order.
 func DueWithin(entries []Entry, now time.Time, span time.Duration) []Firing {
 	var firings []Firing
 	seen := map[string]bool{}
@@ -116,16 +117,17 @@
 	return firings
 }
 
-// scheduledEntry is an entry with the minute in which it is due next.
+// scheduledEntry is an entry with its next due time.
 type scheduledEntry struct {
-	entry *Entry
-	due   time.Time
-	order int // position in the crontab
+	entry    *Entry
+	due      time.Time
+	position int // in the crontab
 }
 
-// take returns the firings to make now and advances the entry past now.
+// take returns the firings of the entry that are due by now, including the missed ones that its misfire policy selects, and
+// advances the entry past now.
 func (e *scheduledEntry) take(now time.Time) []Firing {
-	// Skip firings before the catch-up window: they are never made, and iterating over a long gap would be slow.
+	// Skip firings before the catch-up window: they are never returned, and iterating over a long gap would be slow.
 	if oldest := now.Add(-max(e.entry.CatchUpWindow, 2*misfireThreshold)); e.due.Before(oldest) {
 		e.due = e.entry.Next(oldest.Add(-time.Second))
 	}
@@ -151,13 +153,13 @@
 // Less reports whether entry i is due before entry j.
 func (h *dueHeap) Less(i, j int) bool {
 	a, b := (*h)[i], (*h)[j]
-	return a.due.Before(b.due) || a.due.Equal(b.due) && a.order < b.order
+	return a.due.Before(b.due) || a.due.Equal(b.due) && a.position < b.position
 }
 
 // Swap exchanges two entries.
 func (h *dueHeap) Swap(i, j int) { (*h)[i], (*h)[j] = (*h)[j], (*h)[i] }
 
-// Push appends a *scheduledEntry. Values of other types are ignored; Plan.add, the only caller, pushes none.
+// Push appends a *scheduledEntry. Values of other types are ignored; Plan.add, the only caller, never pushes them.
 func (h *dueHeap) Push(x any) {
 	if entry, ok := x.(*scheduledEntry); ok {
 		*h = append(*h, entry)
--- a/internal/schedule/rendezvous.go
+++ b/internal/schedule/rendezvous.go
@@ -7,8 +7,8 @@
 	"streamcleat/internal/stablehash"
 )
 
-// RendezvousOrder orders front ends for an identity by rendezvous hashing. The order is the same at every client, so that
-// clients that fire the same minute send it to the same front end, which deduplicates the requests.
+// RendezvousOrder orders front ends for a firing ID by rendezvous hashing. The order is the same at every client, so that
+// all clients send the same firing to the same front end, which deduplicates the requests.
 func RendezvousOrder(frontEnds []string, id string) []string {
 	type candidate struct {
 		frontEnd string
@@ -35,7 +35,7 @@
 	return ordered
 }
 
-// rendezvousWeight returns the weight of a front end for an identity. The highest weight comes first.
+// rendezvousWeight returns the weight of a front end for a firing ID. The front end with the highest weight comes first.
 func rendezvousWeight(frontEnd, id string) uint64 {
 	hash := stablehash.Pair(frontEnd, id)
 	return hash ^ hash>>33
--- a/internal/schedule/schedule_test.go
+++ b/internal/schedule/schedule_test.go
@@ -25,8 +25,8 @@
 	return v
 }
 
-// minutes returns the due minutes of firings in UTC, separated by spaces.
-func minutes(firings []Firing) string {
+// dueMinutes returns the due minutes of firings in UTC, separated by spaces.
+func dueMinutes(firings []Firing) string {
 	var list []string
 	for _, f := range firings {
 		list = append(list, f.ID[strings.LastIndex(f.ID, "/")+1:])
@@ -35,12 +35,12 @@
 }
 
 func TestParse_Entries(t *testing.T) {
-	list := mustParse(t, "# resets\nCRON_TZ=Asia/Tokyo\n\n0 0 * * mon-fri price-reset shop-1 kitaboshi %{\"at\":\"50\\%\"}%x\n"+
+	entries := mustParse(t, "# resets\nCRON_TZ=Asia/Tokyo\n\n0 0 * * mon-fri price-reset shop-1 kitaboshi %{\"at\":\"50\\%\"}%x\n"+
 		"MISFIRE=all\nMISFIRE_WITHIN=2h\nWAIT=3s\n@hourly shop-event tally\nCRON_TZ=UTC\n*/15 8-20 1,15 * 5-7 shop-event count t\n")
-	if len(list) != 3 {
-		t.Fatal(list)
+	if len(entries) != 3 {
+		t.Fatal(entries)
 	}
-	a, b, c := list[0], list[1], list[2]
+	a, b, c := entries[0], entries[1], entries[2]
 	if a.Class != "price-reset" || a.Function != "shop-1" || a.Tenant != "kitaboshi" || string(a.Data) != "{\"at\":\"50%\"}\nx" ||
 		a.Zone.String() != "Asia/Tokyo" || a.Misfire != MisfireSkip || a.Timeout != 0 {
 		t.Errorf("%+v", a)
@@ -51,7 +51,7 @@
 	if got := c.Key(); got != "*~15_8-20_1,15_*_5-7/shop-event/count@t" {
 		t.Error(got)
 	}
-	// Day and weekday are both restricted: either may match (POSIX). 2026-12-06 is a Sunday, weekday 7.
+	// Day and weekday are both restricted, so that either may match (POSIX). 2026-12-06 is a Sunday, weekday 7.
 	if next := c.schedule.Next(utc("2026-12-06 00:00:00")); !next.Equal(utc("2026-12-06 08:00:00")) {
 		t.Error(next)
 	}
@@ -62,7 +62,7 @@
 		"MISFIRE=later\nWAIT=-3s\nMAILTO=x\n* * * * * shop f t more\n* * * * * shop f\n*  * * * * shop f\n"), "tab")
 	list, ok := err.(interface{ Unwrap() []error })
 	if !ok {
-		t.Fatalf("not a list of errors: %v", err)
+		t.Fatalf("error does not wrap a list of errors: %v", err)
 	}
 	wanted := []struct {
 		line  int
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestTwoClients_SameIdentityAndFrontEnd(t *testing.T) {
+func TestTwoClients_SameFiringIDAndFrontEnd(t *testing.T) {
 	tab := "CRON_TZ=Europe/Berlin\n* * * * * shop f t\n"
 	a, b := NewPlan(mustParse(t, tab), utc("2026-12-01 11:59:58")), NewPlan(mustParse(t, tab), utc("2026-12-01 11:59:01"))
 	fa, fb := a.TakeDue(utc("2026-12-01 12:00:00")), b.TakeDue(utc("2026-12-01 12:00:01"))
@@ -105,19 +105,19 @@
 		id := fmt.Sprint("e/", i)
 		r := RendezvousOrder(frontEnds, id)
 		if other := RendezvousOrder([]string{"c:1", "a:1", "b:1"}, id); strings.Join(r, " ") != strings.Join(other, " ") {
-			t.Fatal("the result depends on the order of the list")
+			t.Fatal("the order depends on the order of the list of front ends")
 		}
 		used[r[0]]++
 	}
 	for f, n := range used {
 		if n < 60 {
-			t.Errorf("%s gets %d of 300 identities, want at least 60", f, n)
+			t.Errorf("%s gets %d of 300 IDs, want at least 60", f, n)
 		}
 	}
 }
 
 func TestPlan_DaylightSavingChange(t *testing.T) {
-	// In Berlin, 02:00 to 03:00 does not exist on 2026-03-29 and is repeated on 2026-10-25.
+	// In Berlin, the hour from 02:00 to 03:00 does not exist on 2026-03-29 and occurs twice on 2026-10-25.
 	for _, c := range []struct{ spec, from, to, want string }{
 		{"30 2 * * *", "2026-03-28 12:00:00", "2026-03-30 12:00:00", "2026-03-30T00:30Z"},
 		{"30 2 * * *", "2026-10-24 12:00:00", "2026-10-26 12:00:00", "2026-10-25T00:30Z 2026-10-26T01:30Z"},
@@ -125,7 +125,7 @@
 		{"30 * * * *", "2026-03-29 00:00:00", "2026-03-29 02:00:00", "2026-03-29T00:30Z 2026-03-29T01:30Z"},
 	} {
 		p := NewPlan(mustParse(t, "CRON_TZ=Europe/Berlin\nMISFIRE=all\nMISFIRE_WITHIN=72h\n"+c.spec+" shop f\n"), utc(c.from))
-		if got := minutes(p.TakeDue(utc(c.to))); got != c.want {
+		if got := dueMinutes(p.TakeDue(utc(c.to))); got != c.want {
 			t.Errorf("%s from %s: %s, want %s", c.spec, c.from, got, c.want)
 		}
 	}
@@ -139,10 +139,10 @@
 	} {
 		t.Run(c.policy, func(t *testing.T) {
 			p := NewPlan(mustParse(t, "MISFIRE="+c.policy+"\nMISFIRE_WITHIN=5m\n*/2 * * * * shop f\n"), utc("2026-12-01 11:00:00"))
-			if got := minutes(p.TakeDue(utc("2026-12-01 12:10:30"))); got != c.want {
+			if got := dueMinutes(p.TakeDue(utc("2026-12-01 12:10:30"))); got != c.want {
 				t.Errorf("%s, want %s", got, c.want)
 			}
-			if got := minutes(p.TakeDue(utc("2026-12-01 12:10:59"))); got != "" {
+			if got := dueMinutes(p.TakeDue(utc("2026-12-01 12:10:59"))); got != "" {
 				t.Errorf("fired again: %s", got)
 			}
 		})
@@ -158,35 +158,35 @@
 
 func TestPlan_ClockSetBackAndForward(t *testing.T) {
 	p := NewPlan(mustParse(t, "0 * * * * shop f\n"), utc("2026-12-01 11:30:00"))
-	if got := minutes(p.TakeDue(utc("2026-12-01 12:00:01"))); got != "2026-12-01T12:00Z" {
+	if got := dueMinutes(p.TakeDue(utc("2026-12-01 12:00:01"))); got != "2026-12-01T12:00Z" {
 		t.Fatal(got)
 	}
 	for _, now := range []string{"2026-12-01 11:00:02", "2026-12-01 11:59:59", "2026-12-01 12:00:02"} { // set back by an hour
-		if got := minutes(p.TakeDue(utc(now))); got != "" {
+		if got := dueMinutes(p.TakeDue(utc(now))); got != "" {
 			t.Errorf("at %s fired again: %s", now, got)
 		}
 	}
-	if got := minutes(p.TakeDue(utc("2026-12-01 13:00:00"))); got != "2026-12-01T13:00Z" {
+	if got := dueMinutes(p.TakeDue(utc("2026-12-01 13:00:00"))); got != "2026-12-01T13:00Z" {
 		t.Error(got)
 	}
-	if got := minutes(p.TakeDue(utc("2026-12-01 15:00:10"))); got != "2026-12-01T15:00Z" { // set forward: 14:00 was missed
+	if got := dueMinutes(p.TakeDue(utc("2026-12-01 15:00:10"))); got != "2026-12-01T15:00Z" { // set forward: 14:00 was missed
 		t.Error(got)
 	}
-	p.TakeDue(utc("2026-12-01 05:00:30")) // set back by ten hours: planned anew
+	p.TakeDue(utc("2026-12-01 05:00:30")) // set back by ten hours: due times are recomputed
 	if next, _ := p.Next(); !next.Equal(utc("2026-12-01 06:00:00")) {
 		t.Error(next)
 	}
 }
 
 func TestResume_ContinuesFromLastFiring(t *testing.T) {
-	list := mustParse(t, "MISFIRE=all\n*/10 * * * * shop f\n*/10 * * * * shop g\n")
-	last := map[string]time.Time{list[0].Key(): utc("2026-12-01 11:40:00")}
-	p := Resume(list, last, utc("2026-12-01 12:05:00"))
-	if got := minutes(p.TakeDue(utc("2026-12-01 12:05:00"))); got != "2026-12-01T11:50Z 2026-12-01T12:00Z" {
+	entries := mustParse(t, "MISFIRE=all\n*/10 * * * * shop f\n*/10 * * * * shop g\n")
+	last := map[string]time.Time{entries[0].Key(): utc("2026-12-01 11:40:00")}
+	p := Resume(entries, last, utc("2026-12-01 12:05:00"))
+	if got := dueMinutes(p.TakeDue(utc("2026-12-01 12:05:00"))); got != "2026-12-01T11:50Z 2026-12-01T12:00Z" {
 		t.Error(got)
 	}
-	last[list[0].Key()] = utc("2027-12-01 00:00:00") // recorded by a clock that was a year ahead
-	p = Resume(list, last, utc("2026-12-01 12:05:00"))
+	last[entries[0].Key()] = utc("2027-12-01 00:00:00") // recorded while the clock was a year ahead
+	p = Resume(entries, last, utc("2026-12-01 12:05:00"))
 	if next, _ := p.Next(); !next.Equal(utc("2026-12-01 12:10:00")) {
 		t.Error(next)
 	}
@@ -203,11 +203,11 @@
 		seen[f.ID] = true
 	}
 	if len(seen) != 500 {
-		t.Fatalf("%d identities, want 500", len(seen))
+		t.Fatalf("%d firing IDs, want 500", len(seen))
 	}
 }
 
-// A line with data but without a schedule is an error that names the line.
+// A line that has data but no schedule must be reported as an error with its line number.
 func TestCrontabLineWithoutSchedule(t *testing.T) {
 	for _, line := range []string{"%", "%data", " % x"} {
 		if _, err := Parse(strings.NewReader("# first\n"+line+"\n"), "tab"); err == nil || !strings.Contains(err.Error(), "tab:2") {
