--- a/internal/registry/entry.go
+++ b/internal/registry/entry.go
@@ -7,8 +7,8 @@
 	"github.com/opencontainers/go-digest"
 )
 
-// Entry is one change in the audit trail. Exactly one of Publish, AliasUpdate, Rollout and Withdraw is set. Its JSON form
-// is stored.
+// Entry is one change in the audit trail. Exactly one of Publish, AliasUpdate, Rollout and Withdraw is set. Entries are
+// stored in their JSON form.
 type Entry struct {
 	At          float64      `json:"at"` // Unix seconds
 	Actor       string       `json:"who"`
@@ -19,7 +19,7 @@
 	Reason      string       `json:"why,omitempty"`
 }
 
-// Version is one immutable version of a function.
+// Version is one version of a function. Except for its withdrawal it is immutable.
 type Version struct {
 	Function    string        `json:"function"`
 	Name        string        `json:"version"` // for example 1.4.0
@@ -28,7 +28,7 @@
 	MemoryMB    float64       `json:"memory_mb,omitempty"`
 	LoadTime    float64       `json:"load_s,omitempty"`      // expected load time in seconds
 	Classes     []string      `json:"event_types,omitempty"` // accepted request classes; empty means all
-	Withdrawn   bool          `json:"withdrawn,omitempty"`   // must no longer run
+	Withdrawn   bool          `json:"withdrawn,omitempty"`   // the version must no longer run
 	SignedBy    []string      `json:"signed_by,omitempty"`   // IDs of the keys whose signatures were verified at publication
 }
 
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// AliasUpdate moves an alias to a version, or removes it. It ends a rollout of that alias.
+// AliasUpdate moves an alias to a version, or removes it. It ends the rollout of that alias, if any.
 type AliasUpdate struct {
 	Function string        `json:"function"`
 	Alias    string        `json:"alias"`
--- a/internal/registry/errors.go
+++ b/internal/registry/errors.go
@@ -6,15 +6,15 @@
 )
 
 var (
-	// ErrUnknown means that no function, version or alias has the given name.
+	// ErrUnknown means that no function, version or alias has the given name or digest.
 	ErrUnknown = errors.New("not in the registry")
-	// ErrWithdrawn means that a version is withdrawn and must no longer run.
+	// ErrWithdrawn means that a version has been withdrawn and must no longer run.
 	ErrWithdrawn = errors.New("withdrawn")
 	// ErrEmptyEntry is returned for an entry without a change.
 	ErrEmptyEntry = errors.New("entry contains no change")
 )
 
-// ReferenceError is a syntax error in a reference.
+// ReferenceError reports a syntax error in a reference.
 type ReferenceError struct {
 	Text string
 	Err  error
@@ -26,9 +26,9 @@
 // Unwrap returns the underlying error.
 func (e *ReferenceError) Unwrap() error { return e.Err }
 
-// ChangeError is the rejection of a change.
+// ChangeError reports why a change was rejected.
 type ChangeError struct {
-	Change   string // publish, alias or rollout
+	Change   string // kind of change: publish, alias or rollout
 	Function string
 	Name     string // of the version or alias
 	Err      error
--- a/internal/registry/format_test.go
+++ b/internal/registry/format_test.go
@@ -12,8 +12,8 @@
 	"github.com/opencontainers/go-digest"
 )
 
-// The fixture holds audit trail entries of existing stores, one per line. It must not change; run with -update only to
-// create a new one.
+// The fixture holds audit trail entries in the format of existing stores, one per line. It must not change: run the tests
+// with -update only to create a new one.
 var update = flag.Bool("update", false, "write the fixture of the audit trail")
 
 var (
@@ -22,7 +22,7 @@
 	newDigest         = digest.FromString("new")
 )
 
-// fixtureEntries returns entries of every kind, with all fields set and with the minimum of fields.
+// fixtureEntries returns entries of every kind, some with all fields and some with only the required fields.
 func fixtureEntries() []Entry {
 	return []Entry{
 		{At: 1_800_000_000.25, Actor: "ann", Reason: "first", Publish: &Version{
@@ -94,7 +94,7 @@
 	}
 }
 
-// The JSON form of a View is part of the admin API and of handler list --json.
+// The JSON form of a View is part of the admin API and of the output of handler list --json.
 func TestView_JSONKeys(t *testing.T) {
 	data, err := json.Marshal(View{
 		Function: "f", Versions: []Version{{Function: "f", Name: "1", Digest: "d", Withdrawn: true}},
--- a/internal/registry/model_test.go
+++ b/internal/registry/model_test.go
@@ -9,12 +9,13 @@
 	"pgregory.net/rapid"
 )
 
-// registryModel is a reference model of a registry with the single function f. It tracks only what each name refers to.
+// registryModel is a reference model of a registry with the single function f. It tracks only what each name refers to and
+// which versions are withdrawn.
 type registryModel struct {
 	versions  map[string]digest.Digest
 	aliases   map[string]digest.Digest
 	withdrawn map[digest.Digest]bool
-	rollouts  map[string]digest.Digest // by alias: the new version
+	rollouts  map[string]digest.Digest // by alias: digest of the new version
 }
 
 func newRegistryModel() *registryModel {
@@ -26,8 +27,8 @@
 	}
 }
 
-// drawChange draws an entry and the version and alias that it concerns. ok is false if no entry was drawn: most
-// withdrawals are skipped to keep them rare.
+// drawChange draws a random entry and returns it with the version and alias that it concerns. ok is false if no entry was
+// drawn: most withdrawals are skipped to keep them rare.
 func drawChange(t *rapid.T) (e Entry, version, alias string, ok bool) {
 	version = rapid.SampledFrom([]string{"v1", "v2", "v3"}).Draw(t, "version")
 	alias = rapid.SampledFrom([]string{DefaultAlias, "sale-week"}).Draw(t, "alias")
@@ -60,7 +61,7 @@
 		m.versions[version] = digestOf(version)
 	case e.AliasUpdate != nil:
 		if (err == nil) != usable {
-			t.Fatalf("move to %s: %v", version, err)
+			t.Fatalf("alias update to %s: %v", version, err)
 		}
 		if usable {
 			m.aliases[alias] = digestOf(version)
@@ -84,8 +85,8 @@
 	}
 }
 
-// syncFrom copies aliases and rollouts from the registry. The model does not predict where a withdrawal moves them; it
-// only checks that they do not resolve to a withdrawn version.
+// syncFrom copies the aliases and rollouts of the registry to the model. The model does not predict how a withdrawal changes
+// them; it only checks that they do not resolve to a withdrawn version.
 func (m *registryModel) syncFrom(r *Registry) {
 	for _, v := range r.List() {
 		m.aliases = v.Aliases
@@ -96,7 +97,7 @@
 	}
 }
 
-// allowedDigests returns the versions that a tag may resolve to.
+// allowedDigests returns the digests that a tag may resolve to.
 func (m *registryModel) allowedDigests(tag string) map[digest.Digest]bool {
 	allowed := map[digest.Digest]bool{}
 	for _, d := range []digest.Digest{m.versions[tag], m.aliases[tag], m.rollouts[tag]} {
@@ -107,9 +108,8 @@
 	return allowed
 }
 
-// TestRegistry_MatchesModel compares the registry with the model under random changes. A reference must resolve to a
-// published version that is not withdrawn and that the model allows, and replaying the audit trail must produce the same
-// registry.
+// TestRegistry_MatchesModel compares the registry with the model after random changes. A reference must resolve to a version
+// that the model allows, which is published and not withdrawn, and replaying the audit trail must produce the same registry.
 func TestRegistry_MatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := New()
--- a/internal/registry/reference.go
+++ b/internal/registry/reference.go
@@ -8,10 +8,10 @@
 	"github.com/opencontainers/go-digest"
 )
 
-// DefaultAlias is the default alias, used by references without a tag or digest.
+// DefaultAlias is the alias that a reference without a tag or digest names.
 const DefaultAlias = "current"
 
-// Length limits of the names in a reference, in accordance with the OCI distribution specification.
+// Length limits in bytes of the names in a reference, in accordance with the OCI distribution specification.
 const (
 	maxTagLength          = 128
 	maxFunctionNameLength = 200
@@ -20,24 +20,23 @@
 // Reference is a parsed reference: function, function:alias, function:version or function@digest.
 type Reference struct {
 	Function string
-	Tag      string        // alias or version name; Current if the reference has none
+	Tag      string        // alias or version name; DefaultAlias if the reference has none
 	Digest   digest.Digest // takes precedence over Tag; empty if the reference has none
 }
 
-// ParseRef parses a reference as specified by the OCI distribution specification. Its errors are of type
-// *ReferenceError.
+// ParseRef parses a reference in the form of the OCI distribution specification. Its errors are of type *ReferenceError.
 func ParseRef(text string) (Reference, error) {
-	name, sum, pinned := strings.Cut(text, "@")
+	name, digestText, hasDigest := strings.Cut(text, "@")
 	ref := Reference{Tag: DefaultAlias}
-	if pinned {
-		parsed, err := digest.Parse(sum)
+	if hasDigest {
+		parsed, err := digest.Parse(digestText)
 		if err != nil {
 			return ref, &ReferenceError{Text: text, Err: fmt.Errorf("digest: %w", err)}
 		}
 		ref.Digest = parsed
 	}
-	name, tag, tagged := strings.Cut(name, ":")
-	if tagged {
+	name, tag, hasTag := strings.Cut(name, ":")
+	if hasTag {
 		if !isTag(tag) {
 			return ref, &ReferenceError{Text: text, Err: fmt.Errorf("%q is not a tag", tag)}
 		}
@@ -50,7 +49,7 @@
 	return ref, nil
 }
 
-// isTag reports whether s is a valid tag: an alias or a version name.
+// isTag reports whether s is valid as a tag, that is, as an alias or a version name.
 func isTag(s string) bool {
 	return s != "" && len(s) <= maxTagLength && !strings.ContainsFunc(s, func(c rune) bool { return !isTagCharacter(c) })
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -21,7 +21,7 @@
 type functionRecord struct {
 	versions        []*Version // in order of publication
 	aliases         map[string]digest.Digest
-	previousDigests map[string]digest.Digest // by alias: the version it named before its last move
+	previousDigests map[string]digest.Digest // by alias: the version that it named before its last update
 	rollouts        map[string]*Rollout      // by alias
 }
 
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// Apply applies a change and appends it to the audit trail. If it returns an error, the registry is unchanged.
+// Apply applies an entry and appends it to the audit trail. If it returns an error, the registry is unchanged.
 func (r *Registry) Apply(e Entry) error {
 	if err := r.applyChange(e); err != nil {
 		return err
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// checkUnpublished returns an error if the name or the digest of v is already in use.
+// checkUnpublished returns an error if the name or the digest of v is already in use for its function.
 func (r *Registry) checkUnpublished(v *Version) error {
 	f := r.functions[v.Function]
 	if f == nil {
@@ -113,23 +113,24 @@
 	return nil
 }
 
-// findUsable returns a version that is published and not withdrawn. On error it returns the function if that is known.
-func (r *Registry) findUsable(name string, d digest.Digest) (*functionRecord, *Version, error) {
-	f := r.functions[name]
+// findUsable returns a version that is published and not withdrawn, and the record of its function. On error it returns as
+// much of both as is known.
+func (r *Registry) findUsable(function string, d digest.Digest) (*functionRecord, *Version, error) {
+	f := r.functions[function]
 	if f == nil {
-		return nil, nil, unknownFunctionError(name)
+		return nil, nil, unknownFunctionError(function)
 	}
 	v := f.versionByDigest(d)
 	if v == nil {
-		return f, nil, fmt.Errorf("%s@%s: %w", name, d, ErrUnknown)
+		return f, nil, fmt.Errorf("%s@%s: %w", function, d, ErrUnknown)
 	}
 	if v.Withdrawn {
-		return f, v, fmt.Errorf("%s:%s: %w", name, v.Name, ErrWithdrawn)
+		return f, v, fmt.Errorf("%s:%s: %w", function, v.Name, ErrWithdrawn)
 	}
 	return f, v, nil
 }
 
-// updateAlias moves or removes an alias and ends its rollout.
+// updateAlias moves, creates or removes an alias and ends its rollout.
 func (r *Registry) updateAlias(update AliasUpdate) error {
 	if !isTag(update.Alias) {
 		return fmt.Errorf("alias %q is not a tag", update.Alias)
@@ -161,11 +162,11 @@
 	return nil
 }
 
-// withdraw withdraws a version. Rollouts from or to it end, and aliases that name it return to their previous version.
-func (r *Registry) withdraw(text string) error {
-	ref, err := ParseRef(text)
+// withdraw withdraws a version. Rollouts from or to it end, and aliases that name it move back to their previous version.
+func (r *Registry) withdraw(reference string) error {
+	ref, err := ParseRef(reference)
 	if err != nil || ref.Digest == "" {
-		return errors.Join(err, fmt.Errorf("withdraw %q: want function@digest", text))
+		return errors.Join(err, fmt.Errorf("withdraw %q: want function@digest", reference))
 	}
 	f, v, err := r.findUsable(ref.Function, ref.Digest)
 	if err != nil {
@@ -177,8 +178,8 @@
 	return nil
 }
 
-// endRollouts ends the rollouts from or to a withdrawn version. An alias that was rolled out from it moves to the new
-// version, because there is nothing to roll back to.
+// endRollouts ends the rollouts from or to a withdrawn version. The alias of a rollout from it moves to the new version,
+// because the old one can no longer be used.
 func (f *functionRecord) endRollouts(withdrawn digest.Digest) {
 	for alias, rollout := range f.rollouts {
 		switch withdrawn {
@@ -191,11 +192,11 @@
 	}
 }
 
-// revertAliases moves the aliases that name a withdrawn version back to their previous version. It removes those without
-// a usable previous version.
+// revertAliases moves the aliases that name a withdrawn version back to their previous version. It removes aliases whose
+// previous version is missing or withdrawn as well.
 func (f *functionRecord) revertAliases(withdrawn digest.Digest) {
-	for alias, named := range f.aliases {
-		if named != withdrawn {
+	for alias, current := range f.aliases {
+		if current != withdrawn {
 			continue
 		}
 		if previous := f.versionByDigest(f.previousDigests[alias]); previous != nil && !previous.Withdrawn {
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// newPublishedRegistry returns a registry with the given versions of one function. The alias current names the first.
+// newPublishedRegistry returns a registry with the given versions of the function shop. The default alias names the first.
 func newPublishedRegistry(t *testing.T, versions ...string) *Registry {
 	t.Helper()
 	r := New()
@@ -61,7 +61,7 @@
 	r := newPublishedRegistry(t, "1.0", "1.1")
 	for _, c := range []struct {
 		ref, text string
-		invalid   bool // syntax error in the reference
+		invalid   bool // whether the reference has a syntax error
 	}{
 		{"", "not a function name", true},
 		{"shop:", "not a tag", true},
@@ -130,7 +130,8 @@
 	}
 }
 
-// A request that gets the new version keeps it as the canary fraction grows, and the measured fraction is as configured.
+// A request that resolves to the new version must continue to do so as the canary fraction grows, and the measured fraction
+// must be as configured.
 func TestRollout_SelectsByFractionAndTenant(t *testing.T) {
 	r := newPublishedRegistry(t, "1.0", "1.1")
 	isCanary := map[string]bool{}
@@ -141,17 +142,17 @@
 			id := strconv.Itoa(i)
 			v, _ := r.Resolve("shop", "x", "other", id)
 			if isCanary[id] && !v.Canary {
-				t.Fatalf("request %s returned to the old version at fraction %v", id, fraction)
+				t.Fatalf("request %s went back to the old version at canary fraction %v", id, fraction)
 			}
 			if isCanary[id] = v.Canary; v.Canary {
 				canaries++
 			}
 			if v, _ := r.Resolve("shop", "x", "first", id); !v.Canary {
-				t.Fatal("a listed tenant got the old version")
+				t.Fatal("a request of a listed tenant resolved to the old version")
 			}
 		}
 		if measured := float64(canaries) / 2000; measured < fraction-0.03 || measured > fraction+0.03 {
-			t.Errorf("%.3f of the requests, want %v", measured, fraction)
+			t.Errorf("%.3f of the requests resolved to the new version, want %v", measured, fraction)
 		}
 	}
 }
@@ -170,7 +171,7 @@
 	r := start()
 	record(r, "1.1", 20, 0)
 	if len(r.AdvanceRollouts(105)) != 0 {
-		t.Error("advanced before the end of the step")
+		t.Error("rollout advanced before the end of the step")
 	}
 	for now, want := range map[float64]float64{111: 0.5} {
 		due := r.AdvanceRollouts(now)
@@ -180,7 +181,7 @@
 		mustApply(t, r, due[0])
 	}
 	if len(r.AdvanceRollouts(130)) != 0 {
-		t.Error("advanced without responses in the step")
+		t.Error("rollout advanced without responses in the step")
 	}
 	record(r, "1.1", 5, 0)
 	mustApply(t, r, r.AdvanceRollouts(130)[0])
@@ -191,13 +192,13 @@
 	}
 	mustApply(t, r, due[0])
 	if got := resolvedName(t, r, "shop"); got != "1.1" || len(r.AdvanceRollouts(1000)) != 0 {
-		t.Error("rollout did not end, alias names ", got)
+		t.Error("rollout did not complete, or the alias does not name the new version: ", got)
 	}
 	r = start()
-	record(r, "1.0", 50, 25) // the old version fails as well, so the new one is not the cause
+	record(r, "1.0", 50, 25) // the old version fails as often, so the new one is not the cause
 	record(r, "1.1", 10, 5)
 	if due := r.AdvanceRollouts(101); len(due) != 0 {
-		t.Errorf("rolled back although the old version is no better: %+v", due)
+		t.Errorf("rolled back although the old version fails as often: %+v", due)
 	}
 	record(r, "1.1", 0, 10)
 	due = r.AdvanceRollouts(102)
--- a/internal/registry/rollout.go
+++ b/internal/registry/rollout.go
@@ -11,26 +11,26 @@
 	"streamcleat/internal/stablehash"
 )
 
-// Rollout is a gradual move of an alias: it names To for the canary requests and From for all others. Its JSON form is
-// stored.
+// Rollout is the gradual move of an alias between two versions: the alias names To for canary requests and From for all
+// others. Rollouts are stored in their JSON form.
 type Rollout struct {
 	Function             string        `json:"function"`
 	Alias                string        `json:"alias"`
 	From                 digest.Digest `json:"from"`
 	To                   digest.Digest `json:"to"`
-	CanaryFraction       float64       `json:"share"`             // fraction of requests that get To
-	Tenants              []string      `json:"tenants,omitempty"` // tenants whose requests always get To
+	CanaryFraction       float64       `json:"share"`             // fraction of requests that resolve to To
+	Tenants              []string      `json:"tenants,omitempty"` // tenants whose requests always resolve to To
 	Steps                []float64     `json:"steps,omitempty"`   // canary fractions to advance through automatically
 	StepDuration         float64       `json:"hold_s,omitempty"`  // minimum duration of a step in seconds
-	MinResponses         int           `json:"least,omitempty"`   // minimum number of responses of To in a step
-	MaxExcessFailureRate float64       `json:"most_bad"`          // the rollout rolls back if the failure rate of To exceeds that of From by more
+	MinResponses         int           `json:"least,omitempty"`   // minimum number of responses from To in a step
+	MaxExcessFailureRate float64       `json:"most_bad"`          // rollback if the failure rate of To exceeds that of From by more
 
 	stepStartedAt float64
-	fromResults   resultCounts // since the start of the step
+	fromResults   resultCounts // since the start of the current step
 	toResults     resultCounts
 }
 
-// resultCounts counts the responses of a version.
+// resultCounts counts the responses from a version.
 type resultCounts struct {
 	succeeded int
 	failed    int // failures caused by the version
@@ -56,7 +56,7 @@
 // rolloutActor is the actor of automatic changes in the audit trail.
 const rolloutActor = "rollout"
 
-// startRollout starts a rollout, or the next step of the current one.
+// startRollout starts a rollout, or the next step of the current rollout.
 func (r *Registry) startRollout(rollout Rollout, now float64) error {
 	f, _, err := r.findUsable(rollout.Function, rollout.To)
 	if err != nil {
@@ -85,12 +85,12 @@
 }
 
 func (ro *Rollout) validate() error {
-	last := 0.0
+	previous := 0.0
 	for _, step := range append(slices.Clone(ro.Steps), 1) {
-		if step < last || step > 1 {
+		if step < previous || step > 1 {
 			return errors.New("steps must be ascending and at most 1")
 		}
-		last = step
+		previous = step
 	}
 	if ro.CanaryFraction < 0 || ro.CanaryFraction > 1 || ro.StepDuration < 0 || ro.MinResponses < 0 || ro.MaxExcessFailureRate < 0 || ro.MaxExcessFailureRate > 1 {
 		return errors.New("share and most_bad must be between 0 and 1, and hold_s and least must not be negative")
@@ -98,38 +98,39 @@
 	return nil
 }
 
-// isCanary reports whether a request gets the new version.
-func (ro *Rollout) isCanary(tenant, request string) bool {
-	return slices.Contains(ro.Tenants, tenant) || rolloutPosition(ro.Function, request) < ro.CanaryFraction
+// isCanary reports whether a request resolves to the new version.
+func (ro *Rollout) isCanary(tenant, requestID string) bool {
+	return slices.Contains(ro.Tenants, tenant) || rolloutPosition(ro.Function, requestID) < ro.CanaryFraction
 }
 
-// rolloutPosition maps a request to a fixed position in [0, 1). The request gets the new version if its position is below
-// the canary fraction.
-func rolloutPosition(function, request string) float64 {
-	const significantBits = 53 // precision of a float64
-	return float64(stablehash.Pair(function, request)>>(64-significantBits)) / (1 << significantBits)
+// rolloutPosition maps a request to a fixed position in [0, 1). The request resolves to the new version if its position is
+// below the canary fraction.
+func rolloutPosition(function, requestID string) float64 {
+	const significantBits = 53 // significand of a float64
+	return float64(stablehash.Pair(function, requestID)>>(64-significantBits)) / (1 << significantBits)
 }
 
 // Rollback returns the update that moves an alias back: to the old version of its rollout if there is one, otherwise to
-// the version that it named before its last move.
-func (r *Registry) Rollback(name, alias string) (AliasUpdate, error) {
-	f := r.functions[name]
+// the version that it named before its last update.
+func (r *Registry) Rollback(function, alias string) (AliasUpdate, error) {
+	f := r.functions[function]
 	if f == nil {
-		return AliasUpdate{}, unknownFunctionError(name)
+		return AliasUpdate{}, unknownFunctionError(function)
 	}
 	if rollout := f.rollouts[alias]; rollout != nil {
-		return AliasUpdate{Function: name, Alias: alias, Digest: rollout.From}, nil
+		return AliasUpdate{Function: function, Alias: alias, Digest: rollout.From}, nil
 	}
 	previous := f.previousDigests[alias]
 	if previous == "" {
-		return AliasUpdate{}, fmt.Errorf("alias %s:%s has no previous version", name, alias)
+		return AliasUpdate{}, fmt.Errorf("alias %s:%s has no previous version", function, alias)
 	}
-	return AliasUpdate{Function: name, Alias: alias, Digest: previous}, nil
+	return AliasUpdate{Function: function, Alias: alias, Digest: previous}, nil
 }
 
-// RecordResult counts a response of a version in the rollouts from or to it. failed means a failure caused by the version.
-func (r *Registry) RecordResult(name string, d digest.Digest, failed bool) {
-	f := r.functions[name]
+// RecordResult counts a response from a version in the rollouts from or to it. failed means that the version caused the
+// request to fail.
+func (r *Registry) RecordResult(function string, d digest.Digest, failed bool) {
+	f := r.functions[function]
 	if f == nil {
 		return
 	}
@@ -143,12 +144,13 @@
 	}
 }
 
-// AdvanceRollouts returns the entries that advance, end or roll back rollouts at now, ordered by function and alias. It
-// does not change the registry: the caller stores the entries and passes them to Apply.
+// AdvanceRollouts returns the entries that advance, complete or roll back rollouts at now, ordered by the first publication
+// of their functions and then by alias. It does not change the registry: the caller stores the entries and passes them to
+// Apply.
 func (r *Registry) AdvanceRollouts(now float64) []Entry {
 	var due []Entry
-	for _, name := range r.functionNames {
-		f := r.functions[name]
+	for _, function := range r.functionNames {
+		f := r.functions[function]
 		for _, alias := range slices.Sorted(maps.Keys(f.rollouts)) {
 			if entry, ok := f.rollouts[alias].advance(now); ok {
 				due = append(due, entry)
@@ -159,10 +161,10 @@
 }
 
 // advance returns the entry that is due for a rollout at now, if any. The first rule that applies decides:
-//   - The rollout rolls back if there are enough responses and the failure rate of the new version is too high.
-//   - It waits while the step is too short or there are not enough responses.
-//   - It advances to the next step.
-//   - After the last step it ends, and the alias moves to the new version.
+//   - The rollout rolls back if there are enough responses and the excess failure rate of the new version is too high.
+//   - It waits if it has no steps, the current step has not lasted long enough or there are not enough responses.
+//   - It advances to the next step, or after the last one to all requests.
+//   - After a step with all requests it completes: the alias moves to the new version.
 //
 // The reasons are stored in the audit trail.
 func (ro *Rollout) advance(now float64) (Entry, bool) {
@@ -178,11 +180,11 @@
 		return Entry{}, false
 	}
 	if next := ro.nextFraction(); ro.CanaryFraction < 1 && next > ro.CanaryFraction {
-		step := *ro
-		step.CanaryFraction = next
-		step.fromResults = resultCounts{}
-		step.toResults = resultCounts{}
-		entry.Rollout = &step
+		nextStep := *ro
+		nextStep.CanaryFraction = next
+		nextStep.fromResults = resultCounts{}
+		nextStep.toResults = resultCounts{}
+		entry.Rollout = &nextStep
 		entry.Reason = fmt.Sprintf("it has held at %.2f", ro.CanaryFraction)
 		return entry, true
 	}
--- a/internal/registry/rollout_pacer.go
+++ b/internal/registry/rollout_pacer.go
@@ -7,11 +7,11 @@
 	"github.com/opencontainers/go-digest"
 )
 
-// Migration is the move of one function to its new version in a release.
+// Migration is the move of one function to a new version as part of a release.
 type Migration struct {
 	Function    string
 	To          digest.Digest
-	RequestRate float64 // functions with a higher request rate migrate first
+	RequestRate float64 // functions with a higher request rate migrate first; only the order matters
 	LoadTime    float64 // expected load time in seconds, 0 if unknown
 
 	state         migrationState
@@ -26,16 +26,16 @@
 	migrationPending migrationState = iota
 	migrationLoading
 	migrationDone
-	migrationAbandoned // all load attempts failed; the alias did not move
+	migrationAbandoned // all load attempts failed; the alias is unchanged
 )
 
 const (
-	// maxLoadSlowdown is the multiple of its expected time after which a load counts as failed.
+	// maxLoadSlowdown is the multiple of the expected load time after which a load counts as failed.
 	maxLoadSlowdown = 4.0
-	// pauseLoadSlowdown is the multiple of its expected time after which a successful load pauses the release.
+	// pauseLoadSlowdown is the multiple of the expected load time above which a successful load pauses the release.
 	pauseLoadSlowdown = maxLoadSlowdown / 2
-	// minExpectedLoadTime is the lower bound of the expected load time in seconds, so that jitter of short loads does not
-	// count as a slowdown.
+	// minExpectedLoadTime is the lower bound of the expected load time in seconds. It prevents the jitter of short loads from
+	// counting as a slowdown.
 	minExpectedLoadTime = 0.5
 	// pauseDuration is the length of a pause in seconds.
 	pauseDuration = 3.0
@@ -43,10 +43,10 @@
 	maxLoadAttempts = 5
 )
 
-// RolloutPacer limits the loads of a release of many functions. The alias of a function moves only after a replica of the
-// new version is loaded, so that no request waits for the load, and the number of concurrent loads is bounded to protect
-// the function store. Slow or failed loads pause the release; the old versions continue to serve. A RolloutPacer does no
-// I/O, and its caller passes the time in seconds.
+// RolloutPacer paces the loads in a release of many functions. The alias of a function moves only after a replica of the
+// new version is loaded, so that no request waits for the load. The number of concurrent loads is limited to protect the
+// function store. Slow or failed loads pause the release, while the old versions continue to serve. A RolloutPacer does no
+// I/O, and its callers pass the time in seconds.
 type RolloutPacer struct {
 	Alias      string
 	PauseCount int // number of pauses so far
@@ -56,11 +56,11 @@
 	pausedUntil float64
 }
 
-// NewRolloutPacer returns the pacer of a release with at most maxLoads concurrent loads.
-func NewRolloutPacer(alias string, maxLoads int, list []Migration) *RolloutPacer {
+// NewRolloutPacer returns a pacer for the given migrations that allows at most maxLoads concurrent loads, but at least one.
+func NewRolloutPacer(alias string, maxLoads int, pending []Migration) *RolloutPacer {
 	p := &RolloutPacer{Alias: alias, maxLoads: max(maxLoads, 1)}
-	for i := range list {
-		p.migrations = append(p.migrations, &list[i])
+	for i := range pending {
+		p.migrations = append(p.migrations, &pending[i])
 	}
 	slices.SortStableFunc(p.migrations, func(a, b *Migration) int { return cmp.Compare(b.RequestRate, a.RequestRate) })
 	return p
@@ -75,9 +75,9 @@
 	return nil
 }
 
-// Next returns the migrations whose loads are to be started now, by descending request rate. The caller confirms each
-// started load with OnLoadRequested. A load that takes too long counts as failed and pauses the release; during a pause Next
-// returns nothing.
+// Next returns the migrations whose loads are to be started now, in descending order of request rate. The caller reports
+// each load that it starts with OnLoadRequested. A load that takes too long counts as failed and pauses the release. During
+// a pause Next returns nothing.
 func (p *RolloutPacer) Next(now float64) []Migration {
 	loads := 0
 	for _, m := range p.migrations {
@@ -100,7 +100,8 @@
 	return next
 }
 
-// loadExceeds reports whether the current load has taken longer than a multiple of its expected time.
+// loadExceeds reports whether the current load has taken longer than a multiple of its expected time, which is at least
+// minExpectedLoadTime.
 func (m *Migration) loadExceeds(multiple, now float64) bool {
 	return now-m.loadStartedAt > multiple*max(m.LoadTime, minExpectedLoadTime)
 }
@@ -119,7 +120,7 @@
 	p.PauseCount++
 }
 
-// handleLoadFailure pauses the release and schedules another load attempt, unless the attempts are used up.
+// handleLoadFailure pauses the release and makes the migration pending again, or abandons it after maxLoadAttempts.
 func (p *RolloutPacer) handleLoadFailure(m *Migration, now float64) {
 	p.pause(now)
 	m.state = migrationPending
@@ -135,8 +136,8 @@
 	}
 }
 
-// OnLoaded records that a replica of a function is loaded and returns the alias update that is now due, if any. A slow
-// load pauses the release.
+// OnLoaded records that a replica of the new version of a function is loaded and returns the alias update that is now due,
+// if any. A slow load pauses the release.
 func (p *RolloutPacer) OnLoaded(function string, now float64) (AliasUpdate, bool) {
 	m := p.find(function)
 	if m == nil || m.state == migrationDone || m.state == migrationAbandoned {
--- a/internal/registry/rollout_pacer_test.go
+++ b/internal/registry/rollout_pacer_test.go
@@ -11,7 +11,7 @@
 	p := NewRolloutPacer(DefaultAlias, 2, []Migration{{Function: "b", RequestRate: 1}, {Function: "a", RequestRate: 5}, {Function: "c"}})
 	next := p.Next(0)
 	if len(next) != 2 || next[0].Function != "a" || next[1].Function != "b" {
-		t.Fatalf("want the two most requested functions first: %+v", next)
+		t.Fatalf("want the two functions with the highest request rates first: %+v", next)
 	}
 	p.OnLoadRequested("a", 0)
 	p.OnLoadRequested("b", 0)
@@ -22,7 +22,7 @@
 		t.Fatalf("%+v", n)
 	}
 	if p.Next(2.1); len(p.Next(2.2)) != 0 || p.PauseCount != 1 {
-		t.Fatal("did not pause after a load timed out")
+		t.Fatal("no pause after a load timed out")
 	}
 	if n := p.Next(5.2); len(n) != 2 || n[0].Function != "b" {
 		t.Fatalf("after the pause: %+v", n)
@@ -41,8 +41,8 @@
 
 const simulatedFunctions = 30
 
-// Whatever the results of the loads, every function moves at most once, the number of concurrent loads is bounded, and the
-// release ends.
+// Whatever the results of the loads, the alias of each function moves at most once, the number of concurrent loads stays
+// within its limit, and the release ends.
 func TestRolloutPacer_TerminatesUnderRandomLoadResults(t *testing.T) {
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -57,25 +57,25 @@
 			remaining := simulatedFunctions
 			for now := 0.0; remaining > 0; now += 0.25 {
 				if now > 3000 {
-					t.Fatalf("%d migrations still remaining", remaining)
+					t.Fatalf("%d migrations remaining", remaining)
 				}
 				stepPacer(t, p, rng, maxLoads, now, moves)
 				remaining, _ = p.Remaining()
 			}
 			_, abandoned := p.Remaining()
 			if len(moves)+len(abandoned) != simulatedFunctions {
-				t.Fatalf("%d moved, %d abandoned", len(moves), len(abandoned))
+				t.Fatalf("%d migrations done, %d abandoned", len(moves), len(abandoned))
 			}
 			for f, n := range moves {
 				if n != 1 {
-					t.Fatalf("%s moved %d times", f, n)
+					t.Fatalf("the alias of %s moved %d times", f, n)
 				}
 			}
 		})
 	}
 }
 
-// stepPacer starts the loads that are due and completes some of those in progress. It counts the alias moves by function.
+// stepPacer starts the loads that are due and lets some loads in progress succeed or fail. It counts alias moves by function.
 func stepPacer(t *testing.T, p *RolloutPacer, rng *rand.Rand, maxLoads int, now float64, moves map[string]int) {
 	t.Helper()
 	for _, m := range p.Next(now) {
--- a/internal/registry/view.go
+++ b/internal/registry/view.go
@@ -16,17 +16,17 @@
 	Rollouts []Rollout                `json:"rollouts,omitempty"`
 }
 
-// List returns all functions in order of first publication.
+// List returns the state of all functions in order of first publication.
 func (r *Registry) List() []View {
 	var list []View
-	for _, name := range r.functionNames {
-		list = append(list, r.functions[name].view(name))
+	for _, function := range r.functionNames {
+		list = append(list, r.functions[function].view(function))
 	}
 	return list
 }
 
-func (f *functionRecord) view(name string) View {
-	view := View{Function: name, Aliases: map[string]digest.Digest{}}
+func (f *functionRecord) view(function string) View {
+	view := View{Function: function, Aliases: map[string]digest.Digest{}}
 	for _, v := range f.versions {
 		view.Versions = append(view.Versions, *v)
 	}
