--- a/internal/http1/framer.go
+++ b/internal/http1/framer.go
@@ -9,13 +9,13 @@
 	"strings"
 )
 
-// state names the part of a message that is read next.
+// state is the part of a message that the framer reads next.
 type state uint8
 
 const (
 	stateHead       state = iota // start line and header fields
 	stateFixedBody               // body with a Content-Length
-	stateUntilClose              // body that ends with the connection
+	stateUntilClose              // body that extends to the end of the connection
 	stateChunkSize               // chunk size line
 	stateChunkData
 	stateChunkEnd // CRLF after the data of a chunk
@@ -27,13 +27,13 @@
 type stepResult uint8
 
 const (
-	stepAdvanced        stepResult = iota // a part was read; the next step follows
+	stepAdvanced        stepResult = iota // a part was read; call step again
 	stepNeedsInput                        // the buffer lacks bytes of the current part
 	stepExpectsContinue                   // the client waits for 100 Continue
 	stepComplete                          // the message is complete
 )
 
-// maxChunkLine is the maximum length of a chunk size line in bytes. Chunk extensions count and are ignored.
+// maxChunkLine is the maximum length of a chunk size line in bytes, including chunk extensions, which are ignored.
 const maxChunkLine = 256
 
 const crlf = "\r\n"
@@ -47,12 +47,12 @@
 	limits           Limits
 	response         bool // frames responses, not requests
 	buf              []byte
-	scanned          int // bytes of buf that were searched for the end of the head
+	scanned          int // bytes of buf already searched for the end of the head
 	state            state
 	remaining        int      // bytes of the body or chunk that are still to be read
 	trailerSize      int      // bytes of the trailer read so far
 	message          *Message // nil until its head is read
-	continueReturned bool     // the message was returned with ExpectContinue
+	continueReturned bool     // the current message was already returned with ExpectContinue
 	protocolErr      *ProtocolError
 }
 
@@ -62,10 +62,10 @@
 // NewResponseFramer returns a Framer for the responses of a server to requests other than HEAD and CONNECT.
 func NewResponseFramer(limits Limits) *Framer { return &Framer{limits: limits, response: true} }
 
-// Feed appends received bytes, which it copies.
+// Feed appends a copy of the received bytes to the buffer.
 func (f *Framer) Feed(data []byte) { f.buf = append(f.buf, data...) }
 
-// Idle reports whether no message has started.
+// Idle reports whether the framer is between messages, with no bytes buffered.
 func (f *Framer) Idle() bool { return f.state == stateHead && len(f.buf) == 0 }
 
 // Buffered returns the number of buffered bytes, including those of an incomplete body.
@@ -77,8 +77,9 @@
 	return n
 }
 
-// Next returns the next complete message, or nil if more bytes are needed. A *ProtocolError is final. A request that
-// waits for 100 Continue is returned once with ExpectContinue set and no body, and again when it is complete.
+// Next returns the next complete message, or nil if more bytes are needed. After a *ProtocolError, every call returns the
+// same error. A request that waits for 100 Continue is returned once with ExpectContinue set and no body, and again when
+// it is complete.
 func (f *Framer) Next() (*Message, error) {
 	if f.protocolErr != nil {
 		return nil, f.protocolErr
@@ -102,8 +103,8 @@
 	}
 }
 
-// End is called when the sender has closed its side. It returns the response whose body the close completes, if any,
-// and an error if the close truncates a message.
+// End handles the end of the stream, after the sender has closed its side. It returns the response whose body extends to
+// the end of the connection, if there is one, or an error if the close truncated a message.
 func (f *Framer) End() (*Message, error) {
 	switch {
 	case f.protocolErr != nil:
@@ -116,7 +117,7 @@
 	return nil, fmt.Errorf("message truncated after %d bytes: %w", f.Buffered(), errConnectionClosed)
 }
 
-// finishMessage returns the message and starts the next one.
+// finishMessage returns the complete message and resets the framer for the next one.
 func (f *Framer) finishMessage() *Message {
 	message := f.message
 	f.message, f.state, f.scanned, f.continueReturned = nil, stateHead, 0, false
@@ -213,7 +214,7 @@
 	return stepAdvanced, nil
 }
 
-// checkBodySize rejects a body that would exceed the limit with so many more bytes.
+// checkBodySize returns an error if the body would exceed its limit with the given number of additional bytes.
 func (f *Framer) checkBodySize(more int) *ProtocolError {
 	if len(f.message.Body)+more > f.limits.Body {
 		return newProtocolErrorf(nethttp.StatusRequestEntityTooLarge, "body is over %d bytes", f.limits.Body)
@@ -270,7 +271,7 @@
 	return stepAdvanced, nil
 }
 
-// readTrailer skips a trailer field: trailers must not override the header.
+// readTrailer reads a trailer field and discards it, since trailers must not override the header.
 func (f *Framer) readTrailer() (stepResult, *ProtocolError) {
 	line, ok, protocolErr := f.readLine(f.limits.Head)
 	if protocolErr != nil || !ok {
@@ -288,7 +289,8 @@
 	return stepAdvanced, nil
 }
 
-// readLine removes a line of a chunked body from the buffer and returns it. It returns false if the line is incomplete.
+// readLine removes a line of a chunked body from the buffer and returns it without its line terminator, or returns false
+// if the line is incomplete.
 func (f *Framer) readLine(limit int) (string, bool, *ProtocolError) {
 	end := bytes.IndexByte(f.buf, '\n')
 	switch {
--- a/internal/http1/framer_test.go
+++ b/internal/http1/framer_test.go
@@ -14,7 +14,7 @@
 
 var limits = Limits{Head: 400, Body: 100}
 
-// readAll feeds a framer in pieces and returns each complete message as text.
+// readAll passes the pieces of an input to a framer and returns each complete message as text.
 func readAll(f *Framer, pieces ...string) (got []string, err error) {
 	for _, piece := range pieces {
 		f.Feed([]byte(piece))
@@ -34,21 +34,21 @@
 	return got, nil
 }
 
-// checkRequests feeds a framer in pieces and compares its messages with want, or the status and reason of its error
-// with the status and text in want.
-func checkRequests(t *testing.T, feeding, want string, pieces ...string) {
+// checkRequests passes the pieces of an input to a request framer and compares its messages with want. If the framer
+// returns an error, want holds its status and a part of its reason.
+func checkRequests(t *testing.T, inputMode, want string, pieces ...string) {
 	t.Helper()
 	got, err := readAll(NewRequestFramer(limits), pieces...)
 	if err == nil {
 		if s := fmt.Sprint(got); s != want {
-			t.Errorf("%s: got %s, want %s", feeding, s, want)
+			t.Errorf("%s: got %s, want %s", inputMode, s, want)
 		}
 		return
 	}
 	var protocolErr *ProtocolError
 	status, reason, _ := strings.Cut(want, " ")
 	if !errors.As(err, &protocolErr) || strconv.Itoa(protocolErr.Status) != status || !strings.Contains(protocolErr.Reason, reason) {
-		t.Errorf("%s: got error %v, want %s", feeding, err, want)
+		t.Errorf("%s: got error %v, want %s", inputMode, err, want)
 	}
 }
 
@@ -158,8 +158,8 @@
 	}
 }
 
-// FuzzFramer checks for any input that the result does not depend on how the bytes are split, and that every framed
-// request is read alike by the standard library.
+// FuzzFramer checks for arbitrary input that the result does not depend on how the bytes are split, and that the standard
+// library parses every framed request identically.
 func FuzzFramer(f *testing.F) {
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabcGET / HTTP/1.1\r\nHost: b\r\n\r\n"), 7)
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n0\r\n\r\n"), 60)
@@ -168,13 +168,13 @@
 		split = min(max(split, 0), len(data))
 		parts, partsErr := readAll(NewRequestFramer(limits), string(data[:split]), string(data[split:]))
 		if fmt.Sprint(whole) != fmt.Sprint(parts) || fmt.Sprint(wholeErr) != fmt.Sprint(partsErr) {
-			t.Fatalf("whole: %q %v\nin parts: %q %v", whole, wholeErr, parts, partsErr)
+			t.Fatalf("result depends on the split\nwhole: %q %v\nin parts: %q %v", whole, wholeErr, parts, partsErr)
 		}
 		r := bufio.NewReader(bytes.NewReader(bytes.TrimLeft(data, "\r\n")))
 		for _, m := range whole {
 			req, err := nethttp.ReadRequest(r)
 			if err != nil {
-				return // net/http is stricter on targets
+				return // net/http rejects some request targets that the framer accepts
 			}
 			body, err := io.ReadAll(req.Body)
 			if want := fmt.Sprintf("%s%s 0 %s", req.Method, req.RequestURI, body); err == nil && m != want {
--- a/internal/http1/head.go
+++ b/internal/http1/head.go
@@ -17,11 +17,12 @@
 	version11 = "HTTP/1.1"
 )
 
-// nonTokenBytes holds the visible characters that are not allowed in a field name (RFC 9110 section 5.6.2).
-const nonTokenBytes = `"(),/:;<=>?@[\]{}`
+// tokenDelimiters holds the visible ASCII characters that are not allowed in a token (RFC 9110 section 5.6.2), and thus
+// not in a field name.
+const tokenDelimiters = `"(),/:;<=>?@[\]{}`
 
-// parseHead parses a head and prepares for the body. It rejects whatever another parser could frame differently, since
-// that allows request smuggling.
+// parseHead parses a head and sets the state that reads the body. It rejects any head that another parser could frame
+// differently, since such ambiguity enables request smuggling.
 func (f *Framer) parseHead(head []byte) *ProtocolError {
 	if protocolErr := checkLines(head); protocolErr != nil {
 		return protocolErr
@@ -59,7 +60,7 @@
 	return nil
 }
 
-// checkLines rejects bytes and line terminators that parsers treat differently.
+// checkLines rejects NUL bytes, line terminators and folded lines that other parsers may interpret differently.
 func checkLines(head []byte) *ProtocolError {
 	for i, c := range head {
 		switch {
@@ -78,14 +79,16 @@
 
 func checkFieldNames(fields textproto.MIMEHeader) *ProtocolError {
 	for _, name := range slices.Sorted(maps.Keys(fields)) {
-		if strings.ContainsFunc(name, isNotToken) {
+		if strings.ContainsFunc(name, isNotTokenChar) {
 			return badRequestf("header: field name %.40q is not a token", name)
 		}
 	}
 	return nil
 }
 
-func isNotToken(c rune) bool { return c <= ' ' || c >= 0x7f || strings.ContainsRune(nonTokenBytes, c) }
+func isNotTokenChar(c rune) bool {
+	return c <= ' ' || c >= 0x7f || strings.ContainsRune(tokenDelimiters, c)
+}
 
 // parseStartLine sets the status of a response, or the method and target of a request, and returns the version.
 func (f *Framer) parseStartLine(message *Message, line string) (version string, protocolErr *ProtocolError) {
@@ -107,7 +110,7 @@
 	return parts[2], nil
 }
 
-// startBody sets the message and the state that reads its body (RFC 9112 section 6.3).
+// startBody sets the current message and the state that reads its body, as RFC 9112 section 6.3 defines its length.
 func (f *Framer) startBody(message *Message, version string) *ProtocolError {
 	contentLengths, transferCodings := message.Header["Content-Length"], message.Header["Transfer-Encoding"]
 	f.message, f.state, f.remaining = message, stateFixedBody, 0
@@ -128,7 +131,7 @@
 	return status < 200 || status == nethttp.StatusNoContent || status == nethttp.StatusNotModified
 }
 
-// checkTransferCodings rejects any transfer coding other than a single chunked.
+// checkTransferCodings rejects everything but a single chunked transfer coding in HTTP/1.1, without a Content-Length.
 func checkTransferCodings(transferCodings, contentLengths []string, version string) *ProtocolError {
 	switch {
 	case len(contentLengths) > 0:
@@ -141,7 +144,7 @@
 	return nil
 }
 
-// setFixedLength sets the length of the body from Content-Length.
+// setFixedLength sets the length of the body from the Content-Length field.
 func (f *Framer) setFixedLength(contentLengths []string) *ProtocolError {
 	if len(contentLengths) > 1 {
 		return badRequestf("Content-Length is given %d times", len(contentLengths))
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -11,10 +11,10 @@
 	Body int // content after transfer decoding
 }
 
-// Message is one complete request or response.
+// Message is a complete request or response, or a request head that waits for 100 Continue.
 type Message struct {
-	Method, Target string // of a request
-	Status         int    // of a response
+	Method, Target string // set for requests
+	Status         int    // set for responses
 	Header         nethttp.Header
 	Body           []byte
 	Close          bool // the sender closes the connection after the message
@@ -23,7 +23,7 @@
 
 // ProtocolError reports a violation of the protocol or of Limits, after which the stream cannot be read any further.
 type ProtocolError struct {
-	Status int // of the response that a server sends before it closes the connection
+	Status int // status of the response that a server sends before it closes the connection
 	Reason string
 }
 
