--- a/internal/downstream/frames/doc.go
+++ b/internal/downstream/frames/doc.go
@@ -1,4 +1,5 @@
-// Package frames is the client side of the platform's protocol: its frames, and the state of one client connection. It
-// owns the requests open on a connection and the bytes that wait to be sent on it. It has no socket and no clock: package
-// proxy feeds bytes into a Session and handles its requests, and package eventloop carries the bytes.
+// Package frames implements the client side of the platform's frame protocol: the encoding of its frames and the state of
+// one client connection. It owns the open requests of a connection and its unsent output. It performs no I/O and reads no
+// clock: package proxy passes received bytes to a Session and handles its requests, and package eventloop reads and writes
+// the sockets.
 package frames
--- a/internal/downstream/frames/golden_test.go
+++ b/internal/downstream/frames/golden_test.go
@@ -12,7 +12,7 @@
 	"streamcleat/internal/verification/goldentest"
 )
 
-// TestGoldenSessions compares the bytes exchanged with clients in scripted sessions with the golden transcript.
+// TestGoldenSessions plays scripted client sessions and compares the exchanged bytes with the golden transcript.
 func TestGoldenSessions(t *testing.T) {
 	goldentest.Play(t, "session", func(*testing.T) goldentest.Actor {
 		client := &goldentest.FakeClient{Encode: encode, Show: show}
@@ -29,7 +29,7 @@
 	return units.Seconds(map[string]float64{"call": 4}[class])
 }
 
-// show splits bytes into frames by their lengths.
+// show splits bytes into frames by their length fields.
 func show(data []byte) []string {
 	return goldentest.Frames(data, func(b []byte) int {
 		if len(b) < 4 {
@@ -39,7 +39,7 @@
 	})
 }
 
-// encode encodes what a client sends, independently of the code under test.
+// encode encodes the input of a client for a script command, independently of the code under test.
 func encode(verb string, args []string) []byte {
 	switch verb {
 	case "request":
@@ -68,8 +68,8 @@
 const validFields = "kind=call req=9b1f03aa5c7e2d41 timeout=1500 owner=acme subject=7f3a9c21e0b4d655"
 
 // encodePayload returns the payload of a valid request with changes: name=value replaces or adds a field, also=name=value
-// adds one even if it is a duplicate, -name removes one; body=text sets the body, body*N one of N bytes, and name*N a
-// field of N bytes.
+// adds a field even if it is a duplicate, -name removes a field, name*N sets a field to a value of N bytes, body=text sets
+// the body, and body*N sets a body of N bytes.
 func encodePayload(changes []string) []byte {
 	var fields [][2]string
 	var body string
--- a/internal/downstream/frames/request.go
+++ b/internal/downstream/frames/request.go
@@ -11,7 +11,7 @@
 	"streamcleat/internal/units"
 )
 
-// Names of a request's fields.
+// Names of the fields of a request.
 const (
 	fieldClass    = "kind"
 	fieldID       = "req"
@@ -19,9 +19,9 @@
 	fieldTenant   = "owner"
 	fieldFunction = "subject"
 	fieldWork     = "ms"   // expected work in milliseconds
-	fieldProfile  = "more" // name:value;name:value
+	fieldProfile  = "more" // name:value pairs, separated by semicolons
 
-	// IdempotencyKeyField holds the idempotency key, by which workers recognize retries.
+	// IdempotencyKeyField is the name of the field with the idempotency key, by which workers recognize retries.
 	IdempotencyKeyField = "opkey"
 )
 
@@ -33,13 +33,14 @@
 )
 
 const (
-	maxKeyLength = 256  // of an idempotency key in bytes
-	milliseconds = 1e-3 // of a second
-	// timeoutTolerance is the factor by which a timeout may exceed the class's, to allow for rounding by the client.
+	maxKeyLength          = 256 // of an idempotency key in bytes
+	secondsPerMillisecond = 1e-3
+	// timeoutTolerance is the factor by which a request's timeout may exceed the maximum of its class, to allow for
+	// rounding by the client.
 	timeoutTolerance = 1.001
 )
 
-// fieldError describes an invalid field of a request. Its text is sent to the client.
+// fieldError reports an invalid field of a request. Its text is sent to the client.
 type fieldError struct{ field, problem string }
 
 func (e *fieldError) Error() string { return e.field + ": " + e.problem }
@@ -48,8 +49,8 @@
 	return &fieldError{field: field, problem: fmt.Sprintf(format, args...)}
 }
 
-// parseRequest parses and validates the payload of a request frame. The error names the first invalid field: in payload
-// order if any is malformed, otherwise in the order of validate.
+// parseRequest parses and validates the payload of a request frame. The error names the first malformed field in the order
+// of the payload or, if no field is malformed, the first invalid one in the order in which validate checks them.
 func (l *Limits) parseRequest(payload []byte) (dispatch.Request, error) {
 	var request dispatch.Request
 	fields, body, err := parseFields(payload)
@@ -92,7 +93,7 @@
 	case fieldProfile:
 		request.StatedProfile, err = l.parseProfile(f.Value)
 	case IdempotencyKeyField: // forwarded to workers unchanged
-		if !isValidKey(f.Value) {
+		if !isValidIdempotencyKey(f.Value) {
 			return fieldErrorf(f.Name, "%.40q is not a key of up to %d characters without comma, equals sign and spaces", f.Value, maxKeyLength)
 		}
 		request.Fields = []dispatch.Field{{Name: f.Name, Value: f.Value}}
@@ -100,7 +101,7 @@
 	return err
 }
 
-// validate checks a request against the deployment's terms.
+// validate checks a request against the classes, tenants and limits of the deployment.
 func (l *Limits) validate(request *dispatch.Request) error {
 	maxTimeout := l.ClassTimeout(request.Class)
 	switch {
@@ -163,13 +164,13 @@
 	return value, err
 }
 
-// parseMilliseconds parses a number of milliseconds.
+// parseMilliseconds parses a number of milliseconds and converts it to seconds.
 func parseMilliseconds(field, text string) (units.Seconds, error) {
-	seconds, err := parseNumber(field, text, milliseconds)
+	seconds, err := parseNumber(field, text, secondsPerMillisecond)
 	return units.Seconds(seconds), err
 }
 
-// parseNumber parses a finite number and multiplies it by unit.
+// parseNumber parses a finite number and multiplies it by the given unit.
 func parseNumber(field, text string, unit float64) (float64, error) {
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(value) || math.IsInf(value, 0) {
@@ -178,8 +179,8 @@
 	return value * unit, nil
 }
 
-// isValidKey reports whether text can be encoded as a field value in a frame to a worker.
-func isValidKey(text string) bool {
+// isValidIdempotencyKey reports whether text is an idempotency key that can be encoded as a field value in a frame to a worker.
+func isValidIdempotencyKey(text string) bool {
 	return len(text) <= maxKeyLength && !strings.ContainsFunc(text, func(c rune) bool {
 		return c <= ' ' || c > '~' || c == ',' || c == '='
 	})
--- a/internal/downstream/frames/response.go
+++ b/internal/downstream/frames/response.go
@@ -7,7 +7,7 @@
 	"streamcleat/internal/dispatch"
 )
 
-// responseCode is the result stated by a response or readiness frame.
+// responseCode is the result code of a response or readiness frame.
 type responseCode byte
 
 const (
@@ -16,18 +16,18 @@
 	codeFailed    responseCode = 13
 )
 
-// fieldRetryAfter is the field of a rejection that states its Retry-After in milliseconds.
+// fieldRetryAfter is the name of the field of a rejection that holds the Retry-After in milliseconds.
 const fieldRetryAfter = "holdoff"
 
-// appendResponse appends a frame with a response code, fields and a body.
+// appendResponse appends a response or readiness frame with a response code, fields and a body.
 func appendResponse(b []byte, kind frameType, stream uint32, code responseCode, fields []Field, body []byte) []byte {
 	b, start := beginFrame(b, kind, stream)
 	b = appendFields(append(b, byte(code)), fields)
 	return endFrame(append(b, body...), start)
 }
 
-// appendFinal appends the final response to the request on a stream.
-func appendFinal(b []byte, stream uint32, r *dispatch.Response) []byte {
+// appendFinalResponse appends the final response to the request on a stream.
+func appendFinalResponse(b []byte, stream uint32, r *dispatch.Response) []byte {
 	switch r.Kind {
 	case dispatch.Succeeded:
 		return appendResponse(b, frameResponse, stream, codeSucceeded, nil, r.Body)
--- a/internal/downstream/frames/session.go
+++ b/internal/downstream/frames/session.go
@@ -11,7 +11,7 @@
 	"streamcleat/internal/units"
 )
 
-// Limits configures client connections and bounds what their requests may state. Times are in seconds.
+// Limits configures client connections and bounds the values in their requests. Times are in seconds.
 type Limits struct {
 	MaxOpen           int                              // open requests per connection
 	FirstFrameTimeout units.Seconds                    // until the first frame of a new connection is complete
@@ -26,37 +26,38 @@
 	MaxExpectedWork   units.Seconds                    // maximum expected work of a request
 }
 
-// Session is the state of one client connection. Responses are sent in any order. The slot of a request is its stream.
+// Session is the protocol state of one client connection. Responses are sent in the order in which they become available.
+// The slot of a request is its stream number.
 type Session struct {
-	limits       *Limits
-	framer       framer
-	handler      downstream.RequestHandler
-	open         map[uint32]bool // streams of open requests
-	lastStream   uint32          // highest stream used; streams are not reused
-	frameStart   units.Seconds   // when the first byte of the incomplete frame was received
-	activeAt     units.Seconds   // time of the last frame or response
-	received     bool            // a complete frame was received
-	closed       bool            // no more input is read
-	goAwaySent   bool
-	disconnected bool
-	output       []byte
+	limits        *Limits
+	framer        framer
+	handler       downstream.RequestHandler
+	openStreams   map[uint32]bool // streams with an open request
+	lastStream    uint32          // highest stream number used; stream numbers are not reused
+	frameStart    units.Seconds   // when the first byte of the incomplete frame was received
+	lastActivity  units.Seconds   // time of the last complete frame or response
+	frameReceived bool            // a complete frame was received
+	readClosed    bool            // no more input is read
+	goAwaySent    bool
+	disconnected  bool
+	output        []byte
 }
 
-// NewSession returns the session of a connection accepted at the time now.
+// NewSession returns the session of a connection that was accepted at time now.
 func NewSession(limits *Limits, handler downstream.RequestHandler, now units.Seconds) *Session {
-	return &Session{limits: limits, handler: handler, open: map[uint32]bool{}, activeAt: now, frameStart: now}
+	return &Session{limits: limits, handler: handler, openStreams: map[uint32]bool{}, lastActivity: now, frameStart: now}
 }
 
 // Feed processes bytes from the client.
 func (s *Session) Feed(now units.Seconds, _ time.Time, data []byte) {
-	if s.closed || s.disconnected {
+	if s.readClosed || s.disconnected {
 		return
 	}
 	if s.framer.idle() {
 		s.frameStart = now
 	}
 	s.framer.feed(data)
-	for !s.closed && !s.disconnected {
+	for !s.readClosed && !s.disconnected {
 		f, ok, err := s.framer.next()
 		if err != nil {
 			s.fail(err.Error())
@@ -65,17 +66,17 @@
 		if !ok {
 			break
 		}
-		s.received, s.activeAt, s.frameStart = true, now, now
+		s.frameReceived, s.lastActivity, s.frameStart = true, now, now
 		s.onFrame(f)
 	}
 	s.framer.compact()
 }
 
-// fail sends a connection error and stops reading. The connection is done once its open requests are answered.
+// fail sends a connection error and stops reading. The connection is closed once its open requests have been responded to.
 func (s *Session) fail(reason string) {
 	s.output = appendResponse(s.output, frameResponse, 0, codeFailed, nil, []byte(reason))
-	s.closed = true
-	s.framer = framer{} // release the buffer: failed connections may stay open for a while
+	s.readClosed = true
+	s.framer = framer{} // release the buffer, since the connection stays open until its open requests are complete
 }
 
 // reject rejects the request on a stream.
@@ -88,8 +89,8 @@
 	case frameRequest:
 		s.onRequest(f)
 	case frameCancel:
-		if s.open[f.stream] {
-			delete(s.open, f.stream)
+		if s.openStreams[f.stream] {
+			delete(s.openStreams, f.stream)
 			s.handler.Cancel(uint64(f.stream))
 		}
 	case frameReadinessQuery:
@@ -108,7 +109,7 @@
 	case f.stream == 0:
 		s.fail("stream 0 carries no request")
 		return
-	case f.stream <= s.lastStream: // its response could be taken for that of an earlier request
+	case f.stream <= s.lastStream: // the client could confuse its response with that of an earlier request
 		s.fail(fmt.Sprintf("stream %d: not above %d, the last one", f.stream, s.lastStream))
 		return
 	}
@@ -121,10 +122,10 @@
 	switch {
 	case err != nil:
 		s.reject(f.stream, err.Error())
-	case len(s.open) >= s.limits.MaxOpen:
+	case len(s.openStreams) >= s.limits.MaxOpen:
 		s.reject(f.stream, fmt.Sprintf("stream: %d requests are open on this connection", s.limits.MaxOpen))
 	default:
-		s.open[f.stream] = true
+		s.openStreams[f.stream] = true
 		s.handler.Submit(uint64(f.stream), request)
 	}
 }
@@ -132,18 +133,18 @@
 // Respond sends the final response to a request.
 func (s *Session) Respond(now units.Seconds, slot uint64, r dispatch.Response) {
 	stream := uint32(slot)
-	if s.disconnected || !s.open[stream] {
+	if s.disconnected || !s.openStreams[stream] {
 		return
 	}
-	delete(s.open, stream)
-	s.activeAt = now
-	s.output = appendFinal(s.output, stream, &r)
+	delete(s.openStreams, stream)
+	s.lastActivity = now
+	s.output = appendFinalResponse(s.output, stream, &r)
 }
 
-// Advance does nothing: Respond sends responses in any order.
+// Advance does nothing, since Respond sends each response immediately.
 func (s *Session) Advance(units.Seconds) {}
 
-// Output returns and clears the bytes to be sent.
+// Output returns the bytes to be sent and clears them.
 func (s *Session) Output() []byte {
 	output := s.output
 	s.output = nil
@@ -151,42 +152,44 @@
 }
 
 // Done reports whether the connection is to be closed once its output is sent.
-func (s *Session) Done() bool { return s.closed && len(s.open) == 0 }
+func (s *Session) Done() bool { return s.readClosed && len(s.openStreams) == 0 }
 
-// Idle reports whether no request is open or incomplete, and the time of the last activity.
+// Idle reports whether no request is open and no frame incomplete, and the time of the last activity.
 func (s *Session) Idle() (since units.Seconds, idle bool) {
-	return s.activeAt, len(s.open) == 0 && s.framer.idle()
+	return s.lastActivity, len(s.openStreams) == 0 && s.framer.idle()
 }
 
-// Disconnected handles a connection that the client closed or that failed: its open requests are cancelled.
+// Disconnected cancels the open requests of a connection that the client closed or that failed.
 func (s *Session) Disconnected() {
 	s.disconnected = true
-	for _, stream := range slices.Sorted(maps.Keys(s.open)) {
+	for _, stream := range slices.Sorted(maps.Keys(s.openStreams)) {
 		s.handler.Cancel(uint64(stream))
 	}
-	clear(s.open)
+	clear(s.openStreams)
 }
 
-// Drain sends a go-away frame. Requests that the client sent before it received the frame are still accepted.
+// Drain sends a go-away frame. Requests are still accepted, since the client may have sent them before it received the
+// frame.
 func (s *Session) Drain() {
-	if !s.goAwaySent && !s.closed {
+	if !s.goAwaySent && !s.readClosed {
 		s.goAwaySent = true
 		b, start := beginFrame(s.output, frameGoAway, 0)
 		s.output = endFrame(b, start)
 	}
 }
 
-// Tick applies timeouts and reports whether there is output or the connection is done. An overdue frame is answered with
-// an error that ends the connection; a connection that sent nothing in time or was idle too long is closed silently.
+// Tick applies the timeouts and reports whether there is output to send or the connection is done. If a frame is not
+// complete in time, it sends a connection error and stops reading. A connection without a first frame in time, or idle for
+// too long, is closed without an error.
 func (s *Session) Tick(now units.Seconds) bool {
-	noFirstFrame := !s.received && now-s.activeAt > s.limits.FirstFrameTimeout
+	noFirstFrame := !s.frameReceived && now-s.lastActivity > s.limits.FirstFrameTimeout
 	switch {
-	case s.closed || s.disconnected:
+	case s.readClosed || s.disconnected:
 	case !s.framer.idle() && (now-s.frameStart > s.limits.FrameTimeout || noFirstFrame):
 		s.fail("frame: not whole in time")
-	case !s.framer.idle() || len(s.open) > 0:
-	case noFirstFrame || now-s.activeAt > s.limits.IdleTimeout:
-		s.closed = true
+	case !s.framer.idle() || len(s.openStreams) > 0:
+	case noFirstFrame || now-s.lastActivity > s.limits.IdleTimeout:
+		s.readClosed = true
 	}
 	return len(s.output) > 0 || s.Done()
 }
--- a/internal/downstream/frames/session_test.go
+++ b/internal/downstream/frames/session_test.go
@@ -37,8 +37,8 @@
 
 const validFields = "kind=call req=9b1f03aa5c7e2d41 timeout=1500 owner=acme subject=7f3a9c21e0b4d655 ms=8.2 more=memory_mb:512;lanes:2;load_ms:640"
 
-// encodeRequest returns a request frame. Changes of the form name=value replace or add a field, and a name alone removes
-// the field.
+// encodeRequest returns a frame with a valid request and changes: name=value replaces or adds a field, and name alone
+// removes one.
 func encodeRequest(stream uint32, body string, changes ...string) []byte {
 	var fields []Field
 	for _, pair := range append(strings.Fields(validFields), changes...) {
@@ -58,7 +58,7 @@
 	return endFrame(append(b, payload...), start)
 }
 
-// decodeOutput returns the frames in a session's output as type/stream/code and text.
+// decodeOutput decodes the frames in a session's output. It returns each as type/stream/code, followed by fields and body.
 func decodeOutput(t *testing.T, s *Session) []string {
 	t.Helper()
 	var decoded []string
@@ -96,7 +96,7 @@
 		request := handler.requests[1]
 		if len(handler.requests) != 2 || request.ID != "9b1f03aa5c7e2d41" || request.Class != "call" || request.Tenant != "acme" || request.Function != "7f3a9c21e0b4d655" ||
 			request.Timeout != 1.5 || request.StatedProfile != (dispatch.FunctionProfile{Concurrency: 2, MemoryMB: 512, LoadTime: 0.64}) || string(request.Body) != "body\x00" || !request.RejectDuplicates {
-			t.Fatalf("split at %d: %+v", cut, handler.requests)
+			t.Fatalf("split at %d: requests %+v", cut, handler.requests)
 		}
 	}
 }
@@ -112,7 +112,7 @@
 			s, handler := newSession()
 			s.Feed(0, time.Time{}, encodeRequest(1, "", change))
 			if got := decodeOutput(t, s); len(handler.requests) > 0 || len(got) != 1 || !strings.HasPrefix(got[0], "2/1/8 ") || !strings.Contains(got[0], want) {
-				t.Errorf("%q, accepted %d", got, len(handler.requests))
+				t.Errorf("output %q, %d requests accepted", got, len(handler.requests))
 			}
 		})
 	}
@@ -130,9 +130,9 @@
 			s.Feed(0, time.Time{}, encodeRequest(9, "")) // must not be read
 			got := decodeOutput(t, s)
 			if len(got) != 1 || !strings.HasPrefix(got[0], "2/0/13 ") || len(handler.requests) > 1 {
-				t.Errorf("%q", got)
+				t.Errorf("output %q", got)
 			}
-			for slot := range handler.requests { // open requests are still answered
+			for slot := range handler.requests { // open requests still receive a response
 				s.Respond(0, slot, dispatch.Response{Kind: dispatch.Succeeded, Body: []byte("x")})
 			}
 			if _, idle := s.Idle(); !s.Done() || !idle || len(s.framer.buf) > 0 {
@@ -157,7 +157,7 @@
 	s.Feed(0, time.Time{}, encodeRequest(3, strings.Repeat("x", MaxBody+1)))
 	got := decodeOutput(t, s)
 	if len(handler.requests) != 1 || handler.requests[2].ID == "" || len(got) != 2 || !strings.HasPrefix(got[0], "2/1/8 ") || !strings.HasPrefix(got[1], "2/3/8 body") {
-		t.Errorf("%q, %v", got, handler.requests)
+		t.Errorf("output %q, requests %v", got, handler.requests)
 	}
 }
 
@@ -171,12 +171,12 @@
 	s.Respond(0, 3, dispatch.Response{Kind: dispatch.Rejected, RetryAfter: 0.25, Cause: dispatch.CauseNoCapacity})
 	s.Respond(0, 2, dispatch.Response{Kind: dispatch.Succeeded}) // cancelled
 	s.Respond(0, 1, dispatch.Response{Kind: dispatch.Succeeded, Body: []byte("b")})
-	s.Respond(0, 1, dispatch.Response{Kind: dispatch.Failed}) // already answered
+	s.Respond(0, 1, dispatch.Response{Kind: dispatch.Failed}) // already responded to
 	s.Drain()
 	s.Drain()
 	want := []string{"5/7/0 ", "2/4/8 stream: 3 requests are open on this connection", "5/8/8 ", "2/3/8 holdoff=250 no-room", "2/1/0 b", "6/0"}
 	if got := decodeOutput(t, s); !slices.Equal(got, want) {
-		t.Errorf("%q", got)
+		t.Errorf("output %q", got)
 	}
 	if !slices.Equal(handler.cancelled, []uint64{2}) {
 		t.Errorf("cancelled %v", handler.cancelled)
@@ -232,9 +232,9 @@
 			rest = rest[n:]
 		}
 		if a, b := unsplit.Output(), pieces.Output(); !bytes.Equal(a, b) || len(unsplitHandler.requests) != len(piecesHandler.requests) {
-			t.Errorf("in one piece %q, in several %q", a, b)
+			t.Errorf("output for unsplit input %q, for split input %q", a, b)
 		}
-		if len(pieces.framer.buf) > headerSize+maxFields+MaxBody {
+		if len(pieces.framer.buf) > headerSize+maxFieldsSize+MaxBody {
 			t.Errorf("%d bytes buffered", len(pieces.framer.buf))
 		}
 	})
