--- a/internal/downstream/cloudevents/attributes.go
+++ b/internal/downstream/cloudevents/attributes.go
@@ -14,7 +14,7 @@
 	"streamcleat/internal/dispatch"
 )
 
-// binaryFields returns an event's context attributes as the header fields of binary mode, in a fixed order.
+// binaryFields returns the context attributes of an event as the header fields of binary mode, in a fixed order.
 func binaryFields(event *cloudevents.Event, extensions map[string]any) []dispatch.Field {
 	fields := []dispatch.Field{
 		{Name: "ce-specversion", Value: specVersion},
@@ -42,11 +42,12 @@
 	return fields
 }
 
-// unescapeQuoted removes the backslash escapes of a quoted string.
-var unescapeQuoted = strings.NewReplacer(`\\`, `\`, `\"`, `"`)
+// quotedStringUnescaper removes the backslash escapes from the content of a quoted string.
+var quotedStringUnescaper = strings.NewReplacer(`\\`, `\`, `\"`, `"`)
 
 // decodeAttributes decodes the values of ce- fields (HTTP binding, section 3.1.3.2): it removes double quotes, then
-// percent-decodes once. The CloudEvents SDK leaves both to its caller. Invalid percent encoding is kept unchanged.
+// percent-decodes once, neither of which the CloudEvents SDK does. Values with invalid percent encoding are not
+// percent-decoded.
 func decodeAttributes(header nethttp.Header) nethttp.Header {
 	decoded := make(nethttp.Header, len(header))
 	for name, values := range header {
@@ -60,7 +61,7 @@
 
 func decodeAttribute(value string) string {
 	if len(value) >= 2 && value[0] == '"' && value[len(value)-1] == '"' {
-		value = unescapeQuoted.Replace(value[1 : len(value)-1])
+		value = quotedStringUnescaper.Replace(value[1 : len(value)-1])
 	}
 	if !strings.Contains(value, "%") {
 		return value
@@ -72,8 +73,8 @@
 	return decoded
 }
 
-// encodeAttribute percent-encodes the characters that a field value must not contain (HTTP binding, section 3.1.3.2), so
-// that an attribute can't inject header fields.
+// encodeAttribute percent-encodes the characters that a field value must not contain (HTTP binding, section 3.1.3.2), which
+// also prevents an attribute from injecting header fields.
 func encodeAttribute(value string) string {
 	for i := range len(value) {
 		if !isFieldChar(value[i]) {
--- a/internal/downstream/cloudevents/golden_test.go
+++ b/internal/downstream/cloudevents/golden_test.go
@@ -12,7 +12,7 @@
 	"streamcleat/internal/verification/goldentest"
 )
 
-// TestGoldenSessions compares the text exchanged with clients in scripted sessions with the golden transcript.
+// TestGoldenSessions plays scripted client sessions and compares the exchanged text with the golden transcript.
 func TestGoldenSessions(t *testing.T) {
 	goldentest.Play(t, "session", func(*testing.T) goldentest.Actor {
 		client := &goldentest.FakeClient{Encode: encode, Show: goldentest.Lines}
@@ -26,8 +26,9 @@
 	})
 }
 
-// encode encodes what a client sends: "request ID [POST=/path] [-field] [body=text] [field: value] [also=field: value]" is
-// a valid request in binary mode with changes, "structured TEXT" one in structured mode, and "raw TEXT" is sent unchanged.
+// encode encodes the input of a client for a script command. "request ID [POST=/path] [-field] [body=text] [field: value]
+// [also=field: value]" is a valid request in binary mode with changes, "structured TEXT" is a request in structured mode
+// with the given body, and "raw TEXT" is sent unchanged.
 func encode(verb string, args []string) []byte {
 	switch verb {
 	case "request":
--- a/internal/downstream/cloudevents/problem.go
+++ b/internal/downstream/cloudevents/problem.go
@@ -25,8 +25,8 @@
 
 const problemURIPrefix = "urn:streamcleat:problem:"
 
-// requestError describes a request that can't be accepted, with the status and problem type of its response. Its text is
-// sent to the client.
+// requestError reports a request that is not accepted, with the status and problem type of its response. Its text is sent
+// to the client.
 type requestError struct {
 	status  int
 	problem problemType
@@ -43,12 +43,12 @@
 	return requestErrorf(nethttp.StatusBadRequest, problemInvalidEvent, format, args...)
 }
 
-// problemDetails is the body of an error response (RFC 9457). Members are in alphabetical order. The optional ones
-// describe the result of a request that was dispatched.
+// problemDetails is the body of an error response (RFC 9457). Members are in alphabetical order of their JSON names. The
+// optional members describe the result of a request that was dispatched.
 type problemDetails struct {
 	Cause      string         `json:"cause,omitempty"`
 	Detail     string         `json:"detail"`
-	Event      *problemItem   `json:"event,omitempty"`
+	Event      *problemEvent  `json:"event,omitempty"`
 	Attempts   *int           `json:"launches,omitempty"`
 	Outcome    string         `json:"outcome,omitempty"`
 	RetryAfter *units.Seconds `json:"retry-after,omitempty"`
@@ -58,22 +58,22 @@
 	Worker     string         `json:"worker,omitempty"`
 }
 
-// problemItem identifies the event that a problem concerns.
-type problemItem struct {
+// problemEvent identifies the event to which a problem applies.
+type problemEvent struct {
 	ID     string `json:"id"`
 	Source string `json:"source"`
 }
 
 // encodeProblem encodes an error response. It sets the status, title and type of details.
-func encodeProblem(status int, problem problemType, details problemDetails, fields []dispatch.Field, closes bool) []byte {
+func encodeProblem(status int, problem problemType, details problemDetails, fields []dispatch.Field, closeAfter bool) []byte {
 	details.Status, details.Title, details.Type = status, nethttp.StatusText(status), problemURIPrefix+string(problem)
 	body, _ := json.Marshal(details) // strings and finite numbers never fail
 	fields = append([]dispatch.Field{{Name: "Content-Type", Value: "application/problem+json"}}, fields...)
-	return encodeResponse(status, fields, append(body, '\n'), closes)
+	return encodeResponse(status, fields, append(body, '\n'), closeAfter)
 }
 
-// requestTimedOut returns the error for a request that is incomplete after limit seconds.
-func requestTimedOut(limit float64) error {
+// newRequestTimeoutError returns the error for a request that was not complete within limit seconds.
+func newRequestTimeoutError(limit float64) error {
 	return &http1.ProtocolError{
 		Status: nethttp.StatusRequestTimeout,
 		Reason: fmt.Sprintf("the request was not whole after %v s", limit),
--- a/internal/downstream/cloudevents/request.go
+++ b/internal/downstream/cloudevents/request.go
@@ -18,21 +18,21 @@
 	"streamcleat/internal/http1"
 )
 
-// Extension attributes that are read.
+// Names of the extension attributes that the gateway reads.
 const (
-	attributeFunction = "function"   // function that handles the event
-	attributeTenant   = "tenant"     // tenant that the event is accounted to
-	attributeExpiry   = "expirytime" // as in the CloudEvents extension of that name
-	attributeRetry    = "repeat"     // "true" if the sender retries the event
+	attributeFunction = "function"   // function that handles the event; required
+	attributeTenant   = "tenant"     // tenant to which the event is accounted
+	attributeExpiry   = "expirytime" // defined by the CloudEvents extension of that name
+	attributeRetry    = "repeat"     // "true" if the event is a retry by its sender
 )
 
 const (
-	specVersion        = "1.0"
-	specVersionField   = "Ce-Specversion"
-	structuredPrefix   = "application/cloudevents"
-	structuredJSON     = "application/cloudevents+json"
-	attributePrefix    = "Ce-" // of header fields that hold context attributes
-	maxReferenceLength = 256   // of a function or tenant name in bytes
+	specVersion                = "1.0"
+	specVersionField           = "Ce-Specversion"
+	cloudEventsMediaTypePrefix = "application/cloudevents"
+	structuredJSONMediaType    = "application/cloudevents+json"
+	attributePrefix            = "Ce-" // prefix of the header fields that hold context attributes
+	maxReferenceLength         = 256   // maximum length of a function or tenant name in bytes
 )
 
 // contentMode is the content mode of an HTTP request (CloudEvents 1.0, HTTP binding, sections 3.1 and 3.2).
@@ -43,18 +43,19 @@
 	structuredMode                    // attributes and data in the body
 )
 
-// parseRequest parses an HTTP request with one CloudEvent. Wall is the wall-clock time at which the request was complete.
-func parseRequest(m *http1.Message, wall time.Time) (request dispatch.Request, failure *requestError) {
-	mode, failure := detectMode(m.Header)
-	if failure != nil {
-		return request, failure
+// parseRequest parses an HTTP request with one CloudEvent. The parameter wallTime is the wall-clock time at which the request
+// was complete.
+func parseRequest(m *http1.Message, wallTime time.Time) (request dispatch.Request, requestErr *requestError) {
+	mode, requestErr := detectMode(m.Header)
+	if requestErr != nil {
+		return request, requestErr
 	}
-	if failure := checkAttributeNames(m.Header); failure != nil {
-		return request, failure
+	if requestErr := checkAttributeNames(m.Header); requestErr != nil {
+		return request, requestErr
 	}
-	event, failure := parseEvent(m, mode)
-	if failure != nil {
-		return request, failure
+	event, requestErr := parseEvent(m, mode)
+	if requestErr != nil {
+		return request, requestErr
 	}
 	request.Identity = dispatch.Identity{Source: event.Source(), ID: event.ID()}
 	request.Class = event.Type()
@@ -62,25 +63,25 @@
 	request.Tenant = extensionText(extensions, attributeTenant)
 	request.Function = extensionText(extensions, attributeFunction)
 	request.Retried = extensionText(extensions, attributeRetry) == "true"
-	if failure := checkReferences(&request); failure != nil {
-		return request, failure
+	if requestErr := checkReferences(&request); requestErr != nil {
+		return request, requestErr
 	}
-	request.Timeout, failure = parseTimeout(m.Header, extensionText(extensions, attributeExpiry), wall)
-	if failure != nil {
-		return request, failure
+	request.Timeout, requestErr = parseTimeout(m.Header, extensionText(extensions, attributeExpiry), wallTime)
+	if requestErr != nil {
+		return request, requestErr
 	}
 	request.Body = event.Data()
 	request.Fields = binaryFields(event, extensions)
 	return request, nil
 }
 
-// detectMode returns the content mode of a request. It returns an error for an unsupported format or specification
-// version.
+// detectMode returns the content mode of a request, or an error if its event format or specification version is not
+// supported.
 func detectMode(header nethttp.Header) (contentMode, *requestError) {
 	media, _, _ := strings.Cut(header.Get("Content-Type"), ";")
 	media = strings.ToLower(strings.TrimSpace(media))
-	if strings.HasPrefix(media, structuredPrefix) {
-		if media != structuredJSON {
+	if strings.HasPrefix(media, cloudEventsMediaTypePrefix) {
+		if media != structuredJSONMediaType {
 			return structuredMode, requestErrorf(nethttp.StatusUnsupportedMediaType, problemUnsupportedFormat,
 				"content type %q: only application/cloudevents+json is taken in structured mode, one event in a request", media)
 		}
@@ -97,7 +98,7 @@
 	}
 }
 
-// checkAttributeNames rejects attribute names on which the CloudEvents SDK panics, including the empty one.
+// checkAttributeNames rejects attribute names that make the CloudEvents SDK panic, including the empty name.
 func checkAttributeNames(header nethttp.Header) *requestError {
 	for _, name := range slices.Sorted(maps.Keys(header)) {
 		attribute, ok := strings.CutPrefix(name, attributePrefix)
@@ -136,13 +137,13 @@
 	return event, nil
 }
 
-// requestBody is the body of a request passed to the CloudEvents SDK.
+// requestBody is the request body that is passed to the CloudEvents SDK.
 type requestBody struct{ *bytes.Reader }
 
-// Close does nothing: the message owns the bytes.
+// Close does nothing, since the message owns the bytes.
 func (requestBody) Close() error { return nil }
 
-// validationDetail formats a validation error, with the invalid attributes in alphabetical order.
+// validationDetail formats a validation error, with the invalid attributes sorted by name.
 func validationDetail(err error) string {
 	var invalid cloudevents.ValidationError
 	if !errors.As(err, &invalid) {
@@ -164,17 +165,17 @@
 	return ""
 }
 
-// checkReferences checks the names of the function and the tenant.
+// checkReferences validates the function and tenant of a request.
 func checkReferences(request *dispatch.Request) *requestError {
 	if request.Function == "" {
 		return invalidEventf("attribute function: missing; it names the function that runs the event")
 	}
 	for _, name := range []string{request.Function, request.Tenant} {
-		if len(name) > maxReferenceLength || strings.ContainsFunc(name, isBlank) {
+		if len(name) > maxReferenceLength || strings.ContainsFunc(name, isSpaceOrControl) {
 			return invalidEventf("attribute function or tenant: %.40q is over 256 bytes or holds blanks", name)
 		}
 	}
 	return nil
 }
 
-func isBlank(r rune) bool { return r <= ' ' || r == 0x7f }
+func isSpaceOrControl(r rune) bool { return r <= ' ' || r == 0x7f }
--- a/internal/downstream/cloudevents/session.go
+++ b/internal/downstream/cloudevents/session.go
@@ -16,14 +16,15 @@
 // Limits configures client connections. Times are in seconds.
 type Limits struct {
 	Message        http1.Limits
-	MaxPipelined   int                              // requests per connection that wait for their responses
+	MaxPipelined   int                              // pending requests per connection
 	RequestTimeout units.Seconds                    // from the first byte of a request until it is complete
-	IdleTimeout    units.Seconds                    // until a connection without requests is closed
+	IdleTimeout    units.Seconds                    // until a connection without pending requests is closed
 	MaxUnread      int                              // bytes of responses that a client may leave unread
 	ClassTimeout   func(class string) units.Seconds // maximum timeout of a request; 0 if the class is unknown
 }
 
-// Session is the state of one client connection. Responses are sent in the order of requests, as HTTP/1.1 requires.
+// Session is the protocol state of one client connection. Responses are sent in the order of their requests, as HTTP/1.1
+// requires.
 type Session struct {
 	limits       Limits
 	framer       *http1.Framer
@@ -32,8 +33,8 @@
 	pending      []*pendingRequest // in order of arrival
 	lastSlot     uint64
 	requestStart units.Seconds // when the first byte of the incomplete request was received
-	activeAt     units.Seconds // time of the last request or response
-	closed       bool          // no more input is read
+	lastActivity units.Seconds // time of the last complete request or response
+	readClosed   bool          // no more input is read
 	disconnected bool
 	output       bytes.Buffer
 }
@@ -44,33 +45,35 @@
 	pathHealth = "/healthz"
 )
 
-// continueResponse asks the client to send the body.
+// continueResponse tells the client to send the body of a request with Expect: 100-continue.
 const continueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
 
-// maxRetainedOutput is the maximum size in bytes of an output buffer that is retained for later responses.
+// maxRetainedOutput is the maximum capacity in bytes of an output buffer that is reused for later responses.
 const maxRetainedOutput = 1 << 16
 
-// NewSession returns the session of a connection accepted at the time now.
+// NewSession returns the session of a connection that was accepted at time now.
 func NewSession(limits Limits, proxyName string, handler downstream.RequestHandler, now units.Seconds) *Session {
-	return &Session{limits: limits, framer: http1.NewRequestFramer(limits.Message), handler: handler, proxyName: proxyName, activeAt: now}
+	return &Session{
+		limits: limits, framer: http1.NewRequestFramer(limits.Message), handler: handler, proxyName: proxyName, lastActivity: now,
+	}
 }
 
-// Feed processes bytes from the client. Wall is the wall-clock time, to which an expirytime is compared.
-func (s *Session) Feed(now units.Seconds, wall time.Time, data []byte) {
-	if s.closed || s.disconnected {
+// Feed processes bytes from the client. An expirytime attribute is compared with wallTime, the time of day.
+func (s *Session) Feed(now units.Seconds, wallTime time.Time, data []byte) {
+	if s.readClosed || s.disconnected {
 		return
 	}
 	if s.framer.Idle() {
 		s.requestStart = now
 	}
 	s.framer.Feed(data)
-	s.readRequests(now, wall)
+	s.readRequests(now, wallTime)
 	s.Advance(now)
 }
 
 // readRequests handles the complete requests received so far.
-func (s *Session) readRequests(now units.Seconds, wall time.Time) {
-	for !s.closed {
+func (s *Session) readRequests(now units.Seconds, wallTime time.Time) {
+	for !s.readClosed {
 		m, err := s.framer.Next()
 		if err != nil {
 			s.fail(err)
@@ -80,28 +83,29 @@
 			return
 		}
 		if m.ExpectContinue {
-			if len(s.pending) == 0 { // otherwise omitted, as RFC 9110, section 10.1.1 allows: the client sends the body anyway
+			if len(s.pending) == 0 { // otherwise omitted, as RFC 9110, section 10.1.1 allows: clients send the body anyway
 				s.output.WriteString(continueResponse)
 			}
 			continue
 		}
-		s.requestStart, s.activeAt = now, now
-		s.onRequest(now, wall, m)
+		s.requestStart, s.lastActivity = now, now
+		s.onRequest(now, wallTime, m)
 	}
 }
 
-// fail sends an error response to a malformed request and stops reading, since the stream is out of sync.
+// fail sends an error response to a malformed or incomplete request and stops reading, since the start of the next request
+// is unknown.
 func (s *Session) fail(err error) {
 	status := nethttp.StatusBadRequest
 	if protocolError, ok := errors.AsType[*http1.ProtocolError](err); ok {
 		status = protocolError.Status
 	}
 	pending := s.addPending()
-	pending.closes, s.closed = true, true
+	pending.closeAfter, s.readClosed = true, true
 	pending.reject(requestErrorf(status, problemInvalidRequest, "%s", err))
 }
 
-// addPending appends a request that waits for its response.
+// addPending appends a new pending request.
 func (s *Session) addPending() *pendingRequest {
 	s.lastSlot++
 	pending := &pendingRequest{slot: s.lastSlot}
@@ -109,13 +113,14 @@
 	return pending
 }
 
-// onRequest handles a complete request: it queues an event for submission and answers anything else right away.
-func (s *Session) onRequest(now units.Seconds, wall time.Time, m *http1.Message) {
+// onRequest handles a complete request. It queues an event for submission and sets the response to any other request
+// immediately.
+func (s *Session) onRequest(now units.Seconds, wallTime time.Time, m *http1.Message) {
 	waiting := len(s.pending)
 	pending := s.addPending()
-	pending.closes = m.Close
+	pending.closeAfter = m.Close
 	if m.Close {
-		s.closed = true
+		s.readClosed = true
 	}
 	path, _, _ := strings.Cut(m.Target, "?")
 	switch {
@@ -130,10 +135,10 @@
 			dispatch.Field{Name: "Allow", Value: nethttp.MethodPost})
 		return
 	}
-	request, failure := parseRequest(m, wall)
+	request, requestErr := parseRequest(m, wallTime)
 	switch {
-	case failure != nil:
-		pending.reject(failure)
+	case requestErr != nil:
+		pending.reject(requestErr)
 	case waiting >= s.limits.MaxPipelined:
 		pending.reject(requestErrorf(nethttp.StatusTooManyRequests, problemPipeline,
 			"over %d requests of this connection wait", s.limits.MaxPipelined),
@@ -146,7 +151,7 @@
 	}
 }
 
-// Output returns and clears the bytes to be sent.
+// Output returns the bytes to be sent and clears them.
 func (s *Session) Output() []byte {
 	if s.output.Len() == 0 {
 		return nil
@@ -159,18 +164,18 @@
 	return output
 }
 
-// Idle reports whether no request is open or incomplete, and the time of the last activity.
+// Idle reports whether no request is pending or incomplete, and the time of the last activity.
 func (s *Session) Idle() (since units.Seconds, idle bool) {
-	return s.activeAt, s.framer.Idle() && len(s.pending) == 0
+	return s.lastActivity, s.framer.Idle() && len(s.pending) == 0
 }
 
 // Done reports whether the connection is to be closed once its output is sent.
-func (s *Session) Done() bool { return s.closed && len(s.pending) == 0 }
+func (s *Session) Done() bool { return s.readClosed && len(s.pending) == 0 }
 
-// Disconnected handles a connection that the client closed or that failed: its open requests are cancelled.
+// Disconnected cancels the open requests of a connection that the client closed or that failed.
 func (s *Session) Disconnected() { s.abandon() }
 
-// abandon cancels the pending requests of a connection on which nothing more can be sent.
+// abandon cancels the pending requests of a connection on which no more responses can be sent.
 func (s *Session) abandon() {
 	s.disconnected = true
 	for _, pending := range s.pending {
@@ -183,22 +188,23 @@
 
 // Drain stops reading. The connection is closed after the response to the last pending request.
 func (s *Session) Drain() {
-	s.closed = true
+	s.readClosed = true
 	if len(s.pending) > 0 {
-		s.pending[len(s.pending)-1].closes = true
+		s.pending[len(s.pending)-1].closeAfter = true
 	}
 }
 
-// Tick applies timeouts and reports whether there is output or the connection is done. An overdue request is answered with
-// an error that ends the connection; a connection that was idle too long is closed silently.
+// Tick applies the timeouts and reports whether there is output to send or the connection is done. If a request is not
+// complete in time, it sends an error response, after which the connection is closed. A connection that was idle for too
+// long is closed without a response.
 func (s *Session) Tick(now units.Seconds) bool {
 	switch {
-	case s.closed || s.disconnected:
+	case s.readClosed || s.disconnected:
 	case !s.framer.Idle() && now-s.requestStart > s.limits.RequestTimeout:
-		s.fail(requestTimedOut(float64(s.limits.RequestTimeout)))
+		s.fail(newRequestTimeoutError(float64(s.limits.RequestTimeout)))
 		s.Advance(now)
-	case s.framer.Idle() && len(s.pending) == 0 && now-s.activeAt > s.limits.IdleTimeout:
-		s.closed = true
+	case s.framer.Idle() && len(s.pending) == 0 && now-s.lastActivity > s.limits.IdleTimeout:
+		s.readClosed = true
 	}
 	return s.output.Len() > 0 || s.Done()
 }
--- a/internal/downstream/cloudevents/session_test.go
+++ b/internal/downstream/cloudevents/session_test.go
@@ -19,10 +19,10 @@
 		Message: http1.Limits{Head: 2000, Body: 500}, MaxPipelined: 4, RequestTimeout: 2, IdleTimeout: 10, MaxUnread: 1 << 16,
 		ClassTimeout: func(string) units.Seconds { return 5 },
 	}
-	wall = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
+	wallTime = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 )
 
-// fakeHandler records the requests of a session and feeds it input and responses.
+// fakeHandler records the requests of a session and passes input and responses to the session.
 type fakeHandler struct {
 	session   *Session
 	requests  map[uint64]dispatch.Request
@@ -55,7 +55,7 @@
 
 // feed passes input to the session and returns its output.
 func (handler *fakeHandler) feed(text string) string {
-	handler.session.Feed(0, wall, []byte(text))
+	handler.session.Feed(0, wallTime, []byte(text))
 	return string(handler.session.Output())
 }
 
@@ -133,7 +133,7 @@
 			}
 			if !strings.HasPrefix(out, "HTTP/1.1 "+c.status) || json.Unmarshal([]byte(body), &problem) != nil || !strings.Contains(problem.Detail, c.detail) ||
 				!strings.Contains(head, "application/problem+json") || len(handler.order) != 0 {
-				t.Errorf("%.60q: %s", c.input, out)
+				t.Errorf("input %.60q: output %s", c.input, out)
 			}
 		})
 	}
@@ -166,7 +166,7 @@
 			out := handler.respond(1, c.response)
 			for _, w := range c.want {
 				if !strings.Contains(out, w) {
-					t.Errorf("%+v: no %q in %s", c.response, w, out)
+					t.Errorf("response %+v: no %q in output %s", c.response, w, out)
 				}
 			}
 			if handler.respond(1, c.response) != "" {
@@ -176,8 +176,8 @@
 	}
 }
 
-// numbered returns a response whose body identifies it.
-func numbered(n int) dispatch.Response {
+// numberedResponse returns a response whose body identifies it.
+func numberedResponse(n int) dispatch.Response {
 	return dispatch.Response{Kind: dispatch.Succeeded, Body: fmt.Appendf(nil, "<%d>", n)}
 }
 
@@ -185,14 +185,14 @@
 	handler := newFakeHandler()
 	handler.feed(event("1", "", "") + event("2", "", "") + event("3", "", ""))
 	if len(handler.order) != 3 {
-		t.Fatalf("submitted %v", handler.order)
+		t.Fatalf("submitted slots %v", handler.order)
 	}
-	if out := handler.respond(3, numbered(3)) + handler.respond(2, numbered(2)); out != "" {
-		t.Fatalf("out of order: %q", out)
+	if out := handler.respond(3, numberedResponse(3)) + handler.respond(2, numberedResponse(2)); out != "" {
+		t.Fatalf("response sent out of order: %q", out)
 	}
-	out := handler.respond(1, numbered(1))
+	out := handler.respond(1, numberedResponse(1))
 	if a, b, c := strings.Index(out, "<1>"), strings.Index(out, "<2>"), strings.Index(out, "<3>"); a < 0 || b < a || c < b {
-		t.Fatalf("%q", out)
+		t.Fatalf("output %q", out)
 	}
 }
 
@@ -200,7 +200,7 @@
 	handler := newFakeHandler()
 	handler.immediate = true
 	if out := handler.feed(event("1", "", "") + event("2", "", "")); strings.Count(out, "200 OK") != 2 {
-		t.Fatalf("%q", out)
+		t.Fatalf("output %q", out)
 	}
 }
 
@@ -216,23 +216,23 @@
 	}
 	var out string
 	for i := range 4 {
-		out = handler.respond(uint64(i+1), numbered(i)) // the last one also releases the rejections behind it
+		out = handler.respond(uint64(i+1), numberedResponse(i)) // the last response also releases the rejections behind it
 	}
 	if strings.Count(out, "429 ") != 2 || !strings.Contains(out, "Retry-After: 1") {
-		t.Fatalf("%q", out)
+		t.Fatalf("output %q", out)
 	}
 }
 
-// HTTP/1.1 responses are in order, so an event is held back while its response could be late behind another.
+// HTTP/1.1 responses are sent in order, so an event is held back while its response could miss its deadline behind another.
 func TestPipeline_HoldsBackEventBehindLaterDeadline(t *testing.T) {
 	handler := newFakeHandler()
 	handler.feed(event("slow", "Prefer: wait=4\r\n", "") + event("quick", "Prefer: wait=1\r\n", ""))
 	if len(handler.order) != 1 {
-		t.Fatal("submitted though its response may not be sent in time")
+		t.Fatal("event submitted although its response may not be sent before its deadline")
 	}
-	handler.respond(1, numbered(1))
+	handler.respond(1, numberedResponse(1))
 	if len(handler.order) != 2 || handler.requests[2].Timeout != -1 {
-		t.Fatalf("%v %+v", handler.order, handler.requests[2])
+		t.Fatalf("submitted slots %v, second request %+v", handler.order, handler.requests[2])
 	}
 	handler = newFakeHandler()
 	handler.feed(event("quick", "Prefer: wait=1\r\n", "") + event("slow", "Prefer: wait=4\r\n", ""))
@@ -245,7 +245,7 @@
 	handler := newFakeHandler()
 	handler.feed(event("1", "", "") + event("2", "", ""))
 	handler.session.Disconnected()
-	if fmt.Sprint(handler.cancelled) != "[1 2]" || handler.respond(1, numbered(1)) != "" {
+	if fmt.Sprint(handler.cancelled) != "[1 2]" || handler.respond(1, numberedResponse(1)) != "" {
 		t.Fatalf("cancelled %v", handler.cancelled)
 	}
 }
@@ -259,7 +259,7 @@
 	}
 	handler.session.Tick(2.1)
 	if out := string(handler.session.Output()); !strings.HasPrefix(out, "HTTP/1.1 408") || !handler.session.Done() {
-		t.Fatalf("%q", out)
+		t.Fatalf("output %q", out)
 	}
 }
 
@@ -275,8 +275,8 @@
 	handler := newFakeHandler()
 	handler.feed(event("1", "", ""))
 	handler.session.Drain()
-	if out := handler.respond(1, numbered(1)); !strings.Contains(out, "Connection: close") || !handler.session.Done() {
-		t.Fatalf("%q", out)
+	if out := handler.respond(1, numberedResponse(1)); !strings.Contains(out, "Connection: close") || !handler.session.Done() {
+		t.Fatalf("output %q", out)
 	}
 }
 
@@ -286,12 +286,12 @@
 	handler.feed(fmt.Sprintf("POST / HTTP/1.1\r\nHost: f\r\nContent-Type: application/cloudevents+json\r\nContent-Length: %d\r\n\r\n%s", len(structured), structured))
 	for _, f := range handler.requests[1].Fields {
 		if strings.ContainsAny(f.Value, "\r\n ü") {
-			t.Errorf("%s: %q", f.Name, f.Value)
+			t.Errorf("unencoded value of field %s: %q", f.Name, f.Value)
 		}
 	}
 }
 
-// Both modes take the same version only.
+// Both content modes accept only specification version 1.0.
 func TestFeed_RejectsOtherSpecVersions(t *testing.T) {
 	structured := `{"specversion":"0.3","source":"/t","id":"1","type":"shop-event","function":"tally"}`
 	for name, text := range map[string]string{
@@ -300,7 +300,7 @@
 	} {
 		handler := newFakeHandler()
 		if out := handler.feed(text); !strings.HasPrefix(out, "HTTP/1.1 400") || !strings.Contains(out, `\"0.3\" is not 1.0`) || len(handler.requests) > 0 {
-			t.Errorf("%s mode: %q, %d requests", name, out, len(handler.requests))
+			t.Errorf("%s mode: output %q, %d requests submitted", name, out, len(handler.requests))
 		}
 	}
 }
@@ -320,13 +320,13 @@
 			outs[i] = handler.feed(string(data[:at])) + handler.feed(string(data[at:]))
 			for _, request := range handler.requests {
 				if request.ID == "" || request.Source == "" || request.Class == "" || request.Function == "" {
-					t.Fatalf("submitted an event without its attributes: %+v", request)
+					t.Fatalf("event submitted without required attributes: %+v", request)
 				}
 			}
 		}
 		if a, b := strings.ReplaceAll(outs[0], "HTTP/1.1 100 Continue\r\n\r\n", ""),
 			strings.ReplaceAll(outs[1], "HTTP/1.1 100 Continue\r\n\r\n", ""); a != b {
-			t.Fatalf("in one piece %q, in two %q", a, b)
+			t.Fatalf("output for unsplit input %q, for split input %q", a, b)
 		}
 	})
 }
--- a/internal/downstream/cloudevents/timeout.go
+++ b/internal/downstream/cloudevents/timeout.go
@@ -9,26 +9,26 @@
 	"streamcleat/internal/units"
 )
 
-// expired is the timeout of a request whose deadline has passed. A timeout of 0 means that the request states none.
-const expired = -1
+// timeoutExpired is the timeout of a request whose deadline has passed. A timeout of 0 means that the request states no timeout.
+const timeoutExpired = -1
 
-// maxPreferredWait is the maximum wait preference in seconds.
+// maxPreferredWait is the maximum value of the wait preference in seconds.
 const maxPreferredWait = 1e6
 
-// parseTimeout returns the time in seconds that the client waits: the lesser of its wait preference (RFC 7240) and the time
-// left until expirytime, 0 if neither is stated, and expired if it is over.
-func parseTimeout(header nethttp.Header, expiry string, wall time.Time) (units.Seconds, *requestError) {
-	timeout, failure := parsePreferredWait(header)
-	if failure != nil || expiry == "" {
-		return timeout, failure
+// parseTimeout returns the timeout of a request: the lesser of the client's wait preference (RFC 7240) and the time left
+// until expirytime. It returns 0 if neither is stated, and timeoutExpired if no time is left.
+func parseTimeout(header nethttp.Header, expiry string, wallTime time.Time) (units.Seconds, *requestError) {
+	timeout, requestErr := parsePreferredWait(header)
+	if requestErr != nil || expiry == "" {
+		return timeout, requestErr
 	}
 	expiresAt, err := time.Parse(time.RFC3339Nano, expiry)
 	if err != nil {
 		return 0, invalidEventf("attribute expirytime: %.40q is not an RFC 3339 time", expiry)
 	}
-	left := expiresAt.Sub(wall).Seconds()
+	left := expiresAt.Sub(wallTime).Seconds()
 	if left <= 0 {
-		left = expired
+		left = timeoutExpired
 	}
 	if timeout == 0 || units.Seconds(left) < timeout {
 		timeout = units.Seconds(left)
@@ -36,8 +36,8 @@
 	return timeout, nil
 }
 
-// parsePreferredWait parses the last wait preference of a request.
-func parsePreferredWait(header nethttp.Header) (wait units.Seconds, failure *requestError) {
+// parsePreferredWait returns the last wait preference of a request, 0 if there is none, and timeoutExpired for a wait of 0.
+func parsePreferredWait(header nethttp.Header) (wait units.Seconds, requestErr *requestError) {
 	for _, line := range header.Values("Prefer") {
 		for preference := range strings.SplitSeq(line, ",") {
 			name, value, _ := strings.Cut(preference, "=")
@@ -52,7 +52,7 @@
 			}
 			wait = units.Seconds(seconds)
 			if seconds == 0 {
-				wait = expired
+				wait = timeoutExpired
 			}
 		}
 	}
