--- a/internal/upstream/openinference/codec.go
+++ b/internal/upstream/openinference/codec.go
@@ -13,7 +13,7 @@
 	"streamcleat/internal/http1"
 )
 
-// digestField states the digest of the replica that responded (OCI distribution specification).
+// digestField is the header field with the digest of the replica that responded (OCI distribution specification).
 const digestField = "Docker-Content-Digest"
 
 // forwardedFields are the header fields of a worker's response that are forwarded to the client.
@@ -24,7 +24,8 @@
 // headerSizeHint is the capacity reserved for the request line and header.
 const headerSizeHint = 256
 
-// encodeRequest encodes a POST request. Via is the front end's name (RFC 9110, section 7.6.3).
+// encodeRequest encodes a POST request. The parameter via is the front end's name in the Via field (RFC 9110, section
+// 7.6.3).
 func encodeRequest(target, addr, via string, fields []dispatch.Field, body []byte) []byte {
 	var b bytes.Buffer
 	b.Grow(headerSizeHint + len(body))
@@ -41,9 +42,9 @@
 }
 
 // InferRequest encodes an attempt as POST /v2/models/{function}/infer, with the CloudEvent's data as body and its context
-// attributes as ce- fields. Request-Timeout is the time left to the client in seconds, rounded down. A function version
-// is requested by name in the path and by digest in If-Match: a worker that holds another version under that name
-// responds 412 and executes nothing.
+// attributes as ce- fields. Request-Timeout is the time for which the client still waits, in seconds, rounded down to
+// milliseconds. A function version is requested by name in the path and by digest in If-Match: a worker that has a
+// different version under that name responds 412 and does not execute the request.
 func InferRequest(addr, via string, permit dispatch.SendPermit, a dispatch.Attempt) []byte {
 	timeLeft := math.Floor(float64(permit.TimeLeft()*millisecondsPerSecond)) / millisecondsPerSecond
 	fields := append([]dispatch.Field{{Name: "Request-Timeout", Value: strconv.FormatFloat(timeLeft, 'f', 3, 64)}},
@@ -56,9 +57,9 @@
 	return encodeRequest("/v2/models/"+url.PathEscape(a.Function)+"/infer", addr, via, fields, a.Body)
 }
 
-// ParseInferResponse returns the result of an attempt. 2xx is success. 404 means that the function is not loaded, 412 that
-// another version is, 429 and 503 that the worker rejected the request: with each of these the worker guarantees that the
-// request was not executed. With any other status it may have been.
+// ParseInferResponse returns the result of an attempt. 2xx means success, 404 that the function is not loaded, 412 that a
+// different version is loaded, and 429 and 503 that the worker rejected the request. With 404, 412, 429 and 503 the worker
+// guarantees that it did not execute the request. With any other error status it may have executed it.
 func ParseInferResponse(m *http1.Message) dispatch.WorkerReply {
 	reply := dispatch.WorkerReply{
 		Report: parseLoadReport(m.Header.Get("Endpoint-Load-Metrics")),
@@ -87,13 +88,14 @@
 
 func isRejection(status int) bool { return status == 429 || status == 503 }
 
-// startTypes maps the Server-Timing metrics (W3C Server Timing) that state whether a request found a loaded replica.
+// startTypes maps the Server-Timing metrics (W3C Server Timing) that state whether a request found a loaded replica to
+// start types.
 var startTypes = map[string]control.StartType{
 	"warm": control.WarmStart, "load": control.ColdStart, "joined": control.JoinedColdStart,
 	"load-failed": control.StartFailed,
 }
 
-// parseStartType returns the first start type among the metrics of a Server-Timing field.
+// parseStartType returns the start type of the first metric in a Server-Timing field that states one.
 func parseStartType(field string) control.StartType {
 	for metric := range strings.SplitSeq(field, ",") {
 		name, _, _ := strings.Cut(metric, ";")
--- a/internal/upstream/openinference/connection.go
+++ b/internal/upstream/openinference/connection.go
@@ -5,17 +5,17 @@
 	"streamcleat/internal/upstream"
 )
 
-// exchange is an attempt or load command.
+// exchange is an attempt or load command and its response.
 type exchange struct {
 	upstream.Exchange
-	digest     string      // requested by a load command
-	connection *connection // nil if there was none for it
+	digest     string      // digest that a load command requests
+	connection *connection // connection assigned to the exchange, or nil
 }
 
 // connection is a connection to a worker. It carries one exchange at a time.
 type connection struct {
 	upstream.Connection
-	exchange *exchange // in flight, or waiting for the dial
-	queued   bool      // listed in Pool.timeouts
-	framer   *http1.Framer
+	exchange   *exchange // in flight, or waiting for the dial; nil if there is none
+	inTimeouts bool      // listed in Pool.timeouts
+	framer     *http1.Framer
 }
--- a/internal/upstream/openinference/golden_test.go
+++ b/internal/upstream/openinference/golden_test.go
@@ -10,7 +10,7 @@
 	"streamcleat/internal/verification/goldentest"
 )
 
-// TestGoldenWorkers compares the text exchanged with workers in scripted sessions with the golden transcript.
+// TestGoldenWorkers plays scripted sessions with workers and compares the exchanged text with the golden transcript.
 func TestGoldenWorkers(t *testing.T) {
 	goldentest.Play(t, "workers", func(*testing.T) goldentest.Actor {
 		workers := goldentest.NewFakeWorkers()
@@ -20,7 +20,8 @@
 	})
 }
 
-// encode encodes what a worker sends: "answer STATUS [body=text] [field: value]" or "raw TEXT".
+// encode encodes the output of a worker for a script command: "answer STATUS [body=text] [field: value]" is a response,
+// and "raw TEXT" is sent unchanged.
 func encode(verb string, args []string) []byte {
 	switch verb {
 	case "answer":
--- a/internal/upstream/openinference/load_command.go
+++ b/internal/upstream/openinference/load_command.go
@@ -10,8 +10,8 @@
 	"streamcleat/internal/http1"
 )
 
-// LoadRequest encodes a load command of the model repository extension, with the number of replicas as a load parameter.
-// A command for no replicas unloads idle ones.
+// LoadRequest encodes a load command as a request of the model repository extension, with the number of replicas as a load
+// parameter. A command for 0 replicas unloads the idle replicas.
 func LoadRequest(addr, via string, command dispatch.LoadCommand) []byte {
 	if command.Replicas == 0 {
 		name, _, _ := strings.Cut(command.Function, "@")
@@ -26,8 +26,8 @@
 		[]dispatch.Field{{Name: "Content-Type", Value: "application/json"}}, body)
 }
 
-// ParseLoadResponse returns the outcome of a load command and the number of replicas loaded. If a digest was requested, a
-// response that does not state the same digest is a failure.
+// ParseLoadResponse returns the outcome of a load command and the number of loaded replicas. If the command requested a
+// digest, a successful response without that digest counts as a failure.
 func ParseLoadResponse(m *http1.Message, digest string) (control.Outcome, int) {
 	switch {
 	case isSuccess(m.Status) && digest != "" && m.Header.Get(digestField) != digest:
@@ -40,8 +40,8 @@
 	return control.Failed, 0
 }
 
-// loadedReplicas returns the number of replicas that the body of a successful response states. A response without the
-// parameter, as the protocol defines it, means one replica.
+// loadedReplicas returns the number of replicas that the body of a successful response states. A response without this
+// parameter, which the protocol does not define, means one replica.
 func loadedReplicas(body []byte) int {
 	var response struct {
 		Parameters struct {
--- a/internal/upstream/openinference/load_report.go
+++ b/internal/upstream/openinference/load_report.go
@@ -8,15 +8,15 @@
 	"streamcleat/control"
 )
 
-// Named metrics of a load report.
+// Named metrics of a load report, and the limit of their values.
 const (
-	metricPrefix  = "named_metrics."
-	metricRunning = "running"
-	metricWaiting = "waiting"
-	maxMetric     = 1e9 // values from here on are considered faulty and ignored
+	namedMetricPrefix = "named_metrics."
+	metricRunning     = "running"
+	metricWaiting     = "waiting"
+	maxMetricValue    = 1e9 // values of at least this are considered invalid and ignored
 )
 
-// parseLoadReport parses an ORCA load report in TEXT or JSON format. Missing and malformed metrics are left out.
+// parseLoadReport parses an ORCA load report in TEXT or JSON format. Missing and malformed metrics are omitted.
 func parseLoadReport(field string) control.LoadReport {
 	var report control.LoadReport
 	format, data, _ := strings.Cut(strings.TrimSpace(field), " ")
@@ -25,7 +25,7 @@
 		for pair := range strings.SplitSeq(data, ",") {
 			name, text, _ := strings.Cut(strings.TrimSpace(pair), "=")
 			if value, err := strconv.ParseFloat(text, 64); err == nil {
-				addMetric(&report, strings.TrimPrefix(name, metricPrefix), value)
+				setMetric(&report, strings.TrimPrefix(name, namedMetricPrefix), value)
 			}
 		}
 	case "JSON":
@@ -37,16 +37,16 @@
 		}
 		for _, name := range []string{metricRunning, metricWaiting} {
 			if value, ok := metrics.Named[name]; ok {
-				addMetric(&report, name, value)
+				setMetric(&report, name, value)
 			}
 		}
 	}
 	return report
 }
 
-// addMetric sets the metric of the given name. Other names are ignored.
-func addMetric(report *control.LoadReport, name string, value float64) {
-	if !(value < maxMetric) { // NaN too
+// setMetric sets the metric of the given name in a report. Unknown names and invalid values are ignored.
+func setMetric(report *control.LoadReport, name string, value float64) {
+	if !(value < maxMetricValue) { // also true for NaN
 		return
 	}
 	switch name {
--- a/internal/upstream/openinference/pool.go
+++ b/internal/upstream/openinference/pool.go
@@ -14,26 +14,27 @@
 
 // Limits configures the connections to workers. Times are in seconds.
 type Limits struct {
-	DialTimeout  units.Seconds // a worker whose dial takes longer is unreachable
-	IdleTimeout  units.Seconds // an idle connection is closed after this
-	MaxPerWorker int           // connections to one worker, including those being dialed
+	DialTimeout  units.Seconds // until a dial is aborted and the worker considered unreachable
+	IdleTimeout  units.Seconds // until an idle connection is closed
+	MaxPerWorker int           // maximum connections to one worker, including those being dialed
 	Message      http1.Limits
-	Via          string // the front end's name
+	Via          string // the front end's name in the Via field
 }
 
-// Pool is a front end's connections to workers that speak the Open Inference Protocol, with one request at a time on
-// each. Its reports distinguish what was never sent from what may have been executed. It is not safe for concurrent use.
+// Pool manages a front end's connections to workers that speak the Open Inference Protocol, with one request at a time on
+// each connection. The outcomes that it reports distinguish exchanges that were never sent from those that a worker may
+// have executed. It is not safe for concurrent use.
 type Pool struct {
 	upstream.Pool[*connection, *exchange]
 	limits    Limits
 	transport upstream.Transport
 	addresses map[control.WorkerID]string
-	draining  map[control.WorkerID]bool          // nothing new is sent to these
+	draining  map[control.WorkerID]bool          // workers to which no new exchange is sent
 	idle      map[control.WorkerID][]*connection // most recently used last
-	timeouts  []*connection                      // dialing or idle, in the order they became so; entries may be stale
+	timeouts  []*connection                      // dialing or idle, in the order in which they were added; entries may be stale
 }
 
-// NewPool returns a pool without endpoints.
+// NewPool returns a pool with an empty endpoint list.
 func NewPool(limits Limits, transport upstream.Transport, handler upstream.ExchangeHandler) *Pool {
 	return &Pool{
 		Pool:   upstream.NewPool[*connection, *exchange](transport, handler),
@@ -42,8 +43,8 @@
 	}
 }
 
-// SetEndpoints applies a new endpoint list. Workers that are draining, removed or moved are drained: exchanges that wait
-// for a dial fail as unsent, and idle connections are closed.
+// SetEndpoints applies a new endpoint list. A worker that is draining or removed, or whose address changed, is drained:
+// exchanges that wait for a dial fail as unsent, and idle connections are closed.
 func (p *Pool) SetEndpoints(list *upstream.EndpointList) {
 	for _, worker := range slices.Sorted(maps.Keys(p.addresses)) {
 		if list.Addresses[worker] != p.addresses[worker] {
@@ -62,7 +63,7 @@
 	}
 }
 
-// drainWorker closes a worker's idle connections and gives up its dials. Requests already sent continue.
+// drainWorker closes a worker's idle connections and aborts its dials. Requests in flight continue.
 func (p *Pool) drainWorker(worker control.WorkerID) {
 	for _, c := range p.idle[worker] {
 		p.close(c)
@@ -75,7 +76,7 @@
 	}
 }
 
-// abandonDial closes a connection that is being dialed and fails the exchange that waits for it.
+// abandonDial closes a connection that is being dialed and fails the exchange that waits for the dial.
 func (p *Pool) abandonDial(c *connection) {
 	p.close(c)
 	if c.exchange != nil {
@@ -90,7 +91,7 @@
 	p.queueTimeout(c)
 }
 
-// removeIdle makes a connection unavailable if it was idle.
+// removeIdle removes a connection from the idle list if it is listed.
 func (p *Pool) removeIdle(c *connection) {
 	list := p.idle[c.Worker]
 	if i := slices.Index(list, c); i >= 0 {
@@ -104,7 +105,7 @@
 	p.transport.Close(c.ID)
 }
 
-// remove removes a connection that is already closed.
+// remove removes a closed connection from the pool.
 func (p *Pool) remove(c *connection) {
 	p.Connections.Remove(c)
 	if len(p.Connections.ForWorker(c.Worker)) == 0 {
@@ -112,21 +113,21 @@
 	}
 }
 
-// queueTimeout has Tick check the timeout of a connection that is being dialed or became idle.
+// queueTimeout adds a connection that is being dialed or became idle to those whose timeouts Tick checks.
 func (p *Pool) queueTimeout(c *connection) {
-	if !c.queued {
-		c.queued = true
+	if !c.inTimeouts {
+		c.inTimeouts = true
 		p.timeouts = append(p.timeouts, c)
 	}
 }
 
-// Tick closes connections whose dial or idle time is over.
+// Tick closes connections whose dial or idle timeout has expired.
 func (p *Pool) Tick(now units.Seconds) {
 	remaining := p.timeouts[:0]
 	for _, c := range p.timeouts {
 		switch {
 		case !p.Connections.Contains(c) || c.Established && c.exchange != nil:
-			c.queued = false
+			c.inTimeouts = false
 		case c.DialTimedOut(now, p.limits.DialTimeout):
 			p.abandonDial(c)
 		case c.IdleTimedOut(now, p.limits.IdleTimeout):
@@ -140,7 +141,8 @@
 	p.timeouts = remaining
 }
 
-// CloseAll closes every connection and reports open exchanges as lost, including those that wait for a dial.
+// CloseAll closes every connection and reports its exchange: as lost if it was written, as unreachable if it waits for the
+// dial.
 func (p *Pool) CloseAll(_ units.Seconds) {
 	for _, id := range p.Connections.IDs() {
 		c := p.Connections.Get(id)
@@ -154,7 +156,7 @@
 	}
 }
 
-// Check returns an error for each inconsistency in the pool. It is meant for tests.
+// Check returns an error that describes every inconsistency in the pool. It is meant for tests.
 func (p *Pool) Check() error {
 	errs := []error{p.Connections.Check()}
 	for worker, list := range p.idle {
--- a/internal/upstream/openinference/pool_test.go
+++ b/internal/upstream/openinference/pool_test.go
@@ -14,10 +14,11 @@
 	"streamcleat/internal/upstream"
 )
 
-// defaultTimeLeft is the time in seconds that the client of an attempt still waits when the attempt is written.
+// defaultTimeLeft is the time in seconds for which a client still waits when its attempt is written.
 const defaultTimeLeft = 2
 
-// poolFixture is a pool with its transport and handler, which record what the pool sends and reports.
+// poolFixture is a pool and its transport and handler. It records the bytes that the pool sends and the outcomes that it
+// reports.
 type poolFixture struct {
 	pool     *Pool
 	dials    []upstream.ConnID
@@ -39,7 +40,7 @@
 	fixture.outcomes[id] = append(fixture.outcomes[id], reply.Outcome)
 }
 
-// AuthorizeAttempt permits every attempt but the denied one, with defaultTimeLeft.
+// AuthorizeAttempt permits every attempt except the denied one, with defaultTimeLeft.
 func (fixture *poolFixture) AuthorizeAttempt(id uint64) dispatch.SendPermit {
 	if id == fixture.denied {
 		return dispatch.DenySend(dispatch.DeniedNoWaiter)
@@ -75,7 +76,7 @@
 
 const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 
-func TestSendAttempt_ReportsOnceByWhatWasSent(t *testing.T) {
+func TestSendAttempt_ReportsOneOutcome(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		act  func(fixture *poolFixture)
@@ -123,7 +124,7 @@
 			fixture.sendAttempt(1, 7)
 			c.act(fixture)
 			if got := fixture.outcomes[7]; len(got) != 1 || got[0] != c.want {
-				t.Errorf("%v, want %v", got, c.want)
+				t.Errorf("outcomes %v, want %v", got, c.want)
 			}
 			fixture.pool.OnClosed(2, 1)
 			fixture.pool.Flush()
@@ -137,8 +138,9 @@
 	}
 }
 
-// A dial that fails for lack of local resources, as of descriptors, is no evidence about the worker.
-func TestOnDialed_LocalFailureIsNoEvidence(t *testing.T) {
+// A dial that fails for lack of local resources, such as file descriptors, says nothing about the worker, so its attempt is
+// reported as not sent.
+func TestOnDialed_LocalFailureIsReportedNotSent(t *testing.T) {
 	for name, c := range map[string]struct {
 		err  error
 		want control.Outcome
@@ -155,8 +157,9 @@
 	}
 }
 
-// What was written may have been executed; what only waited for a dial was not.
-func TestCloseAll_ReportsByWhatWasSent(t *testing.T) {
+// An attempt that was written may have been executed and is reported as lost; one that waited for a dial was not executed
+// and is reported as unreachable.
+func TestCloseAll_ReportsUnsentAsUnreachable(t *testing.T) {
 	for name, dialed := range map[string]bool{"waits for a dial": false, "written": true} {
 		fixture := newPoolFixture(t)
 		fixture.sendAttempt(0, 1)
@@ -178,7 +181,7 @@
 	fixture.pool.OnDialed(1, 1, nil)
 	if got := string(fixture.written[1]); !strings.HasPrefix(got, "POST /v2/models/a%2Fb/infer HTTP/1.1\r\nHost: h:1\r\nVia: 1.1 front\r\n") ||
 		!strings.HasSuffix(got, "Request-Timeout: 2.000\r\n\r\nx") {
-		t.Fatalf("%q", got)
+		t.Fatalf("request %q", got)
 	}
 	fixture.pool.OnData(1.1, 1, []byte(okResponse))
 	fixture.sendAttempt(2, 2) // on the idle connection
@@ -186,9 +189,9 @@
 	fixture.sendAttempt(2, 4) // over the limit
 	fixture.pool.Flush()
 	if len(fixture.dials) != 2 || len(fixture.outcomes[4]) != 1 || fixture.outcomes[4][0] != control.Unreachable {
-		t.Fatalf("%d dials, %v", len(fixture.dials), fixture.outcomes)
+		t.Fatalf("%d dials, outcomes %v", len(fixture.dials), fixture.outcomes)
 	}
-	fixture.pool.Abandon(2.5, 2) // in flight: closing the connection cancels it
+	fixture.pool.Abandon(2.5, 2) // in flight: cancelled by closing the connection
 	if !fixture.closed[1] {
 		t.Fatal("connection of the abandoned attempt is still open")
 	}
@@ -204,7 +207,7 @@
 	}
 }
 
-// In any order of events, each exchange is reported once unless it is abandoned, and the pool stays consistent.
+// For random sequences of events, each exchange is reported once unless it is abandoned, and the pool stays consistent.
 func TestPool_RandomEventOrder(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 2))
@@ -254,12 +257,12 @@
 			}
 		}
 		if fixture.pool.Len() != 0 {
-			t.Fatalf("seed %d: %d connections left", seed, fixture.pool.Len())
+			t.Fatalf("seed %d: %d connections still open after CloseAll", seed, fixture.pool.Len())
 		}
 	}
 }
 
-// FuzzResponse checks that any input is reported once, and alike however it is split.
+// FuzzResponse checks that for arbitrary input from a worker one outcome is reported, independent of how the input is split.
 func FuzzResponse(f *testing.F) {
 	f.Add([]byte(okResponse), 5)
 	f.Add([]byte("HTTP/1.1 404 N\r\nServer-Timing: load-failed\r\nEndpoint-Load-Metrics: TEXT named_metrics.running=1\r\nContent-Length: 0\r\n\r\n"), 30)
@@ -286,30 +289,33 @@
 			}
 		}
 		if got[0] != got[1] {
-			t.Fatalf("in one piece %s, in two %s", got[0], got[1])
+			t.Fatalf("outcomes for unsplit input %s, for split input %s", got[0], got[1])
 		}
 	})
 }
 
-// discard is a transport and handler that record nothing.
-type discard struct{}
+// noopHandler is a transport and handler that does nothing and permits every write.
+type noopHandler struct{}
 
-func (discard) Dial(upstream.ConnID, string)                {}
-func (discard) Write(upstream.ConnID, []byte)               {}
-func (discard) Close(upstream.ConnID)                       {}
-func (discard) OnAttemptReply(uint64, dispatch.WorkerReply) {}
-func (discard) AuthorizeAttempt(uint64) dispatch.SendPermit {
+func (noopHandler) Dial(upstream.ConnID, string)                {}
+func (noopHandler) Write(upstream.ConnID, []byte)               {}
+func (noopHandler) Close(upstream.ConnID)                       {}
+func (noopHandler) OnAttemptReply(uint64, dispatch.WorkerReply) {}
+func (noopHandler) AuthorizeAttempt(uint64) dispatch.SendPermit {
 	return dispatch.PermitSend(defaultTimeLeft)
 }
 
-func (discard) AuthorizeLoad(uint64) dispatch.SendPermit { return dispatch.PermitSend(defaultTimeLeft) }
-func (discard) OnDisconnected(control.WorkerID)          {}
+func (noopHandler) AuthorizeLoad(uint64) dispatch.SendPermit {
+	return dispatch.PermitSend(defaultTimeLeft)
+}
+func (noopHandler) OnDisconnected(control.WorkerID) {}
 
-func (discard) OnLoadReply(uint64, control.Outcome, int) {}
+func (noopHandler) OnLoadReply(uint64, control.Outcome, int) {}
 
-// BenchmarkExchange measures one attempt and its reply on a reused connection.
+// BenchmarkExchange measures an attempt and its response on a reused connection.
 func BenchmarkExchange(b *testing.B) {
-	pool := NewPool(Limits{DialTimeout: 0.25, IdleTimeout: 10, MaxPerWorker: 2, Message: http1.Limits{Head: 4096, Body: 4096}, Via: "front"}, discard{}, discard{})
+	pool := NewPool(Limits{DialTimeout: 0.25, IdleTimeout: 10, MaxPerWorker: 2, Message: http1.Limits{Head: 4096, Body: 4096}, Via: "front"},
+		noopHandler{}, noopHandler{})
 	list, err := upstream.ParseEndpointList([]byte(`[{"targets":["h:1"]}]`), 0)
 	if err != nil {
 		b.Fatal(err)
@@ -327,13 +333,13 @@
 	}
 }
 
-// A write may be denied at once or when the dial ends; the connection stays idle.
+// A write may be denied immediately or after the dial; in both cases the connection becomes idle.
 func TestSendAttempt_DeniedIsReportedNotSent(t *testing.T) {
 	fixture := newPoolFixture(t)
 	fixture.denied = 1
 	fixture.sendAttempt(0, 1)
 	if got := fixture.pool.WaitingFor(1); len(got) != 1 || got[0] != 1 {
-		t.Error("waiting:", got)
+		t.Error("attempts waiting for the dial:", got)
 	}
 	fixture.pool.OnDialed(0, 1, nil)
 	fixture.denied = 2
--- a/internal/upstream/openinference/receive.go
+++ b/internal/upstream/openinference/receive.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// failDial reports an exchange that waited for a dial which failed. An attempt whose dial failed for lack of local resources
-// was not sent, which is no evidence about the worker and its replicas.
+// failDial reports an exchange whose dial failed. If the dial of an attempt failed for lack of local resources, the attempt
+// is reported as not sent, since the failure says nothing about the worker and its replicas.
 func (p *Pool) failDial(e *exchange, err error) {
 	if errors.Is(err, upstream.ErrLocal) && !e.IsLoad {
 		p.Exchanges.Finish(e, dispatch.WorkerReply{Outcome: control.NotSent}, 0)
@@ -43,7 +43,7 @@
 	if c == nil || !c.Established {
 		return
 	}
-	if c.exchange == nil { // unsolicited bytes would be taken for the response to the next request
+	if c.exchange == nil { // unsolicited bytes would be read as the response to the next request
 		p.removeIdle(c)
 		p.close(c)
 		return
@@ -56,7 +56,7 @@
 	p.finish(now, c, message, err)
 }
 
-// finish ends the exchange of a connection with its response, or with the error of parsing it.
+// finish ends the exchange of a connection with its response, or with the error from parsing the response.
 func (p *Pool) finish(now units.Seconds, c *connection, message *http1.Message, err error) {
 	e := c.exchange
 	c.exchange = nil
@@ -76,7 +76,7 @@
 	}
 }
 
-// OnClosed handles a connection that the worker closed or that failed. Closing may complete a response.
+// OnClosed handles a connection that the worker closed or that failed. The close completes a response without a length.
 func (p *Pool) OnClosed(now units.Seconds, id upstream.ConnID) {
 	c := p.Connections.Get(id)
 	if c == nil {
--- a/internal/upstream/openinference/send.go
+++ b/internal/upstream/openinference/send.go
@@ -14,8 +14,8 @@
 	p.send(now, &exchange{Exchange: upstream.Exchange{ID: a.ID, Worker: a.Worker, Encode: encode}})
 }
 
-// SendLoad sends a load command. Queries fail: the protocol states no reply by which a draining worker could be told, and
-// endpoint lists from a file have no leases.
+// SendLoad sends a load command. Queries fail as unsent: the protocol defines no response that identifies a draining
+// worker, and endpoint lists from a file have no leases.
 func (p *Pool) SendLoad(now units.Seconds, command dispatch.LoadCommand) {
 	if command.Query {
 		e := &exchange{Exchange: upstream.Exchange{ID: command.ID, Worker: command.Worker, IsLoad: true}}
@@ -31,7 +31,7 @@
 	})
 }
 
-// send writes an exchange to an idle connection, or has it wait for the dial of a new one.
+// send writes an exchange to the most recently used idle connection, or dials a new connection for it.
 func (p *Pool) send(now units.Seconds, e *exchange) {
 	p.Exchanges.Add(e)
 	addr := p.addresses[e.Worker]
@@ -55,7 +55,7 @@
 	p.Connections.Dial(now, c, e.Worker, addr)
 }
 
-// write writes an exchange to a free connection, which stays idle if the write is denied.
+// write writes an exchange to a connection without one. The connection becomes idle if the write is denied.
 func (p *Pool) write(now units.Seconds, c *connection, e *exchange) {
 	if !p.Exchanges.Write(e, p.transport, c.ID) {
 		c.exchange, e.connection = nil, nil
@@ -65,7 +65,7 @@
 	c.exchange, e.connection = e, c
 }
 
-// WaitingFor returns the attempt that waits for the dial of a connection, if there is one.
+// WaitingFor returns the ID of the attempt that waits for the dial of a connection, if there is one.
 func (p *Pool) WaitingFor(id upstream.ConnID) []uint64 {
 	c := p.Connections.Get(id)
 	if c == nil || c.Established || c.exchange == nil || c.exchange.IsLoad {
@@ -74,8 +74,8 @@
 	return []uint64{c.exchange.ID}
 }
 
-// CancelUnsent cancels an attempt without reporting it, and returns true, if none of it was sent. The connection keeps
-// dialing, for the next exchange.
+// CancelUnsent cancels an attempt of which nothing was sent, without reporting an outcome, and returns true. It returns
+// false for other attempts. The dial continues, so that a later exchange can use the connection.
 func (p *Pool) CancelUnsent(id uint64) bool {
 	e := p.Exchanges.GetUnsent(id)
 	if e == nil {
@@ -88,7 +88,8 @@
 	return true
 }
 
-// Abandon ends an attempt without reporting it. If it was sent, its connection is closed, which cancels it at the worker.
+// Abandon ends an attempt without reporting an outcome. If the attempt was sent, its connection is closed, which cancels it
+// at the worker.
 func (p *Pool) Abandon(_ units.Seconds, id uint64) {
 	e := p.Exchanges.Get(id)
 	if e == nil {
@@ -98,7 +99,7 @@
 	c := e.connection
 	switch {
 	case c == nil:
-	case !c.Established: // the connection keeps dialing, for the next exchange
+	case !c.Established: // the dial continues, so that a later exchange can use the connection
 		c.exchange = nil
 	default:
 		p.close(c)
