--- a/internal/downstream/cloudevents/session.go
+++ b/internal/downstream/cloudevents/session.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// Feed processes bytes from the client. An expirytime attribute is compared with wallTime, the time of day.
+// Feed processes bytes from the client. An expirytime attribute is compared with wallTime, the wall-clock time.
 func (s *Session) Feed(now units.Seconds, wallTime time.Time, data []byte) {
 	if s.readClosed || s.disconnected {
 		return
--- a/internal/upstream/openinference/pool_test.go
+++ b/internal/upstream/openinference/pool_test.go
@@ -159,7 +159,7 @@
 
 // An attempt that was written may have been executed and is reported as lost; one that waited for a dial was not executed
 // and is reported as unreachable.
-func TestCloseAll_ReportsUnsentAsUnreachable(t *testing.T) {
+func TestCloseAll_ReportsLostOrUnreachable(t *testing.T) {
 	for name, dialed := range map[string]bool{"waits for a dial": false, "written": true} {
 		fixture := newPoolFixture(t)
 		fixture.sendAttempt(0, 1)
