--- a/internal/appliance/api_commands.go
+++ b/internal/appliance/api_commands.go
@@ -19,10 +19,10 @@
 	commandHold   = "hold"
 )
 
-// consoleTimeout is the time after its last command during which a console excludes all others from giving commands.
+// consoleTimeout is the time for which a console excludes all others from giving commands, counted from its last command.
 const consoleTimeout = 15 * time.Second
 
-// unnamedConsole stands for a console that sends no name.
+// unnamedConsole is the name used for a console that sends none.
 const unnamedConsole = "unnamed"
 
 // Command is a command that a console sends to the appliance.
@@ -34,7 +34,7 @@
 	Console   string `json:"console"`           // name of the console
 }
 
-// consoleSession identifies the console that may give commands. Its name is reported to the others.
+// consoleSession identifies the console that may give commands. Other consoles are told its name.
 type consoleSession struct {
 	name        string
 	lastCommand time.Time
@@ -76,7 +76,7 @@
 	now := time.Now()
 	active := &a.activeConsole
 	if active.name != "" && active.name != command.Console && now.Sub(active.lastCommand) < consoleTimeout {
-		return fmt.Errorf("console %s gives orders now; it gives way %v after its last", active.name, consoleTimeout)
+		return fmt.Errorf("console %s gives orders now; another console may do so %v after its last order", active.name, consoleTimeout)
 	}
 	if err := a.lifecycle.CheckCommand(command.Name); err != nil {
 		return err
@@ -89,10 +89,10 @@
 func (a *Appliance) requestStop(command Command) string {
 	if command.Immediate {
 		a.post(ImmediateStopRequested, "console "+command.Console)
-		return "the box answers what is open and stops"
+		return "the appliance responds to open requests at once and stops"
 	}
 	a.post(StopRequested, "console "+command.Console)
-	return fmt.Sprintf("the box drains for up to %v s and stops", a.config.DrainTime)
+	return fmt.Sprintf("the appliance drains for up to %v s and stops", a.config.DrainTime)
 }
 
 // drainWorker drains a worker on every server: it gets no further attempts.
@@ -102,13 +102,13 @@
 	}
 	for _, w := range a.workerStatuses() {
 		if w.State != workerDraining {
-			return fmt.Sprintf("worker %s: drains", worker), nil
+			return fmt.Sprintf("worker %s is draining", worker), nil
 		}
 	}
-	return fmt.Sprintf("worker %s drains; it was the last one, and every event is deferred now", worker), nil
+	return fmt.Sprintf("worker %s is draining; it was the last one, all requests are rejected now", worker), nil
 }
 
-// returnWorker undoes drainWorker. The worker has the state that the endpoint list gives it again.
+// returnWorker undoes drainWorker. The worker has the state from the endpoint list again.
 func (a *Appliance) returnWorker(worker string) (string, error) {
 	if err := a.onEveryServer(worker, (*eventloop.Server).UndrainWorker); err != nil {
 		return "", err
@@ -127,7 +127,7 @@
 		known = known || knownToServer
 	}
 	if !known {
-		return statusError{http.StatusNotFound, fmt.Sprintf("worker %q is not in the list", worker)}
+		return statusError{http.StatusNotFound, fmt.Sprintf("worker %q is not in the endpoint list", worker)}
 	}
 	return nil
 }
@@ -143,7 +143,7 @@
 		requested += n
 	}
 	if requested == 0 {
-		return "", statusError{http.StatusNotFound, fmt.Sprintf("no copy of %q is known of", function)}
+		return "", statusError{http.StatusNotFound, fmt.Sprintf("no replica of %q is known", function)}
 	}
-	return fmt.Sprintf("%d workers were asked to let idle copies of %s go", requested, function), nil
+	return fmt.Sprintf("%d workers were asked to unload idle replicas of %s", requested, function), nil
 }
--- a/internal/appliance/api_merge.go
+++ b/internal/appliance/api_merge.go
@@ -5,27 +5,27 @@
 	"streamcleat/internal/eventloop"
 )
 
-// statusIndex merges the statuses that several servers report under the same name. It keeps the order in which the
-// names were first reported.
+// statusIndex merges the statuses that several servers report under the same name. Statuses are in the order in which
+// their names were first reported.
 type statusIndex[S any] struct {
-	statuses []S // never nil: the API encodes an empty list as []
-	position map[string]int
+	statuses []S            // never nil: the API encodes an empty list as []
+	position map[string]int // index in statuses, by name
 }
 
 func newStatusIndex[S any]() *statusIndex[S] {
 	return &statusIndex[S]{statuses: []S{}, position: map[string]int{}}
 }
 
-// entry returns the status with a name, and true if it was added by this call. The pointer is valid until the next
+// entry returns the status with the given name, and true if this call added it. The pointer is valid until the next
 // call.
-func (x *statusIndex[S]) entry(name string) (*S, bool) {
-	if i, known := x.position[name]; known {
-		return &x.statuses[i], false
+func (s *statusIndex[S]) entry(name string) (*S, bool) {
+	if i, known := s.position[name]; known {
+		return &s.statuses[i], false
 	}
 	var zero S
-	x.position[name] = len(x.statuses)
-	x.statuses = append(x.statuses, zero)
-	return &x.statuses[len(x.statuses)-1], true
+	s.position[name] = len(s.statuses)
+	s.statuses = append(s.statuses, zero)
+	return &s.statuses[len(s.statuses)-1], true
 }
 
 // inspectDispatcher calls inspect on the server's event loop. It does nothing if the server has stopped: a stopped
--- a/internal/appliance/api_requests.go
+++ b/internal/appliance/api_requests.go
@@ -33,13 +33,13 @@
 	FrontEnd string               `json:"front_end"`
 }
 
-// getRequests lists requests. The query parameter "most" limits their number.
+// getRequests lists open and recently ended requests. The query parameter "most" limits their number.
 func (a *Appliance) getRequests(r *http.Request) (any, error) {
 	limit := defaultRequestLimit
 	if text := r.URL.Query().Get("most"); text != "" {
 		n, err := strconv.Atoi(text)
 		if err != nil || n < 1 {
-			return nil, statusError{http.StatusBadRequest, fmt.Sprintf("most=%s is not a number above 0", text)}
+			return nil, statusError{http.StatusBadRequest, fmt.Sprintf("most=%s is not a positive integer", text)}
 		}
 		limit = n
 	}
@@ -86,7 +86,7 @@
 			return status, nil
 		}
 	}
-	return nil, statusError{http.StatusNotFound, fmt.Sprintf("no event %q is open or ended lately", id)}
+	return nil, statusError{http.StatusNotFound, fmt.Sprintf("no request %q is open or ended recently", id)}
 }
 
 func newRequestStatus(trace *dispatch.Trace, frontEnd string) RequestStatus {
--- a/internal/appliance/api_schedules.go
+++ b/internal/appliance/api_schedules.go
@@ -86,7 +86,7 @@
 	return "fired " + firing.ID, nil
 }
 
-// findEntry returns the entry whose key equals the target, or else the only one whose key contains it. The caller must
+// findEntry returns the entry whose key equals the target, or else the only entry whose key contains it. The caller must
 // hold a.mu.
 func (a *Appliance) findEntry(target string) (*schedule.Entry, error) {
 	var matches []*schedule.Entry
--- a/internal/appliance/api_status.go
+++ b/internal/appliance/api_status.go
@@ -23,7 +23,7 @@
 	Totals            map[string]uint64  `json:"totals"`
 	Latency           map[string]float64 `json:"latency_ms"`
 	Seconds           []secondCounts     `json:"seconds"` // the last minute, oldest first
-	Workers           map[string]int     `json:"workers"` // by state
+	Workers           map[string]int     `json:"workers"` // number of workers, by state
 	FunctionCount     int                `json:"handlers"`
 	Clients           int                `json:"clients"`
 	Store             *StoreStatus       `json:"store,omitempty"`
--- a/internal/appliance/api_workers.go
+++ b/internal/appliance/api_workers.go
@@ -30,7 +30,8 @@
 	PendingLoads     int     `json:"loading"`
 }
 
-// workerStatuses returns the status of every known worker. Each server sees only its own traffic.
+// workerStatuses returns the status of every known worker. It merges the views of all servers, because each server sees
+// only its own traffic.
 func (a *Appliance) workerStatuses() []WorkerStatus {
 	merged := newStatusIndex[WorkerStatus]()
 	for _, server := range a.runningServers() {
--- a/internal/appliance/appliance.go
+++ b/internal/appliance/appliance.go
@@ -19,12 +19,12 @@
 )
 
 // Appliance is the runtime of one process. It does the I/O for the decisions of Lifecycle, TaskScheduler and
-// schedule.Plan.
+// schedule.Plan, which do none.
 type Appliance struct {
 	config    *config.Config
 	log       *slog.Logger
 	startedAt time.Time
-	events    chan postedEvent
+	events    chan postedEvent         // read by handleEvents
 	onReady   func(addresses []string) // called once the appliance serves; may be nil
 
 	// Set during startup and not changed afterwards.
@@ -37,7 +37,7 @@
 	functions functionRegistry
 
 	mu              sync.Mutex // guards the fields below
-	err             error      // the first failure, returned by Run
+	err             error      // the first failure; Run returns it
 	lifecycle       Lifecycle
 	drainDeadline   time.Time
 	servers         []*eventloop.Server
@@ -50,7 +50,7 @@
 	crontab         []byte // text of the crontab in effect
 	entries         []schedule.Entry
 	suspended       map[string]bool      // entries suspended by a console, by key
-	lastFirings     map[string]time.Time // last minute for which each entry fired, by key
+	lastFirings     map[string]time.Time // scheduled time of each entry's last firing, by key
 	stopSchedules   context.CancelFunc   // ends the schedules; nil until they were started
 }
 
@@ -61,7 +61,7 @@
 }
 
 // Run runs an appliance until it has stopped. Canceling ctx starts a graceful shutdown; closing immediateStop after
-// that ends the wait for open requests. Once the appliance serves, onReady, if not nil, is called with the addresses of
+// that ends the wait for open requests. Once the appliance serves, Run calls onReady, if not nil, with the addresses of
 // its front ends.
 func Run(ctx context.Context, cfg *config.Config, log *slog.Logger, immediateStop <-chan struct{}, onReady func([]string)) error {
 	a := newAppliance(cfg, log, onReady)
@@ -129,7 +129,8 @@
 	return nil
 }
 
-// post queues an event for the lifecycle. It drops the event if the queue is full, which happens after Exit.
+// post queues an event for the lifecycle. It drops the event if the queue is full, as it can be after Exit, when nothing
+// reads it.
 func (a *Appliance) post(event LifecycleEvent, reason string) {
 	select {
 	case a.events <- postedEvent{event, reason}:
@@ -213,5 +214,5 @@
 	return append([]*eventloop.Server(nil), a.servers...)
 }
 
-// seconds converts seconds, as the configuration has them, to a Duration.
+// seconds converts a number of seconds, the unit of the configuration, to a Duration.
 func seconds(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
--- a/internal/appliance/appliance_test.go
+++ b/internal/appliance/appliance_test.go
@@ -15,7 +15,7 @@
 )
 
 // Scheduled requests that are open at a stop are submitted again after the restart. An at-most-once request that may have
-// run is logged instead.
+// been executed is logged as failed instead.
 func TestRestart_ResubmitsOpenScheduledRequests(t *testing.T) {
 	r := newTestAppliance(t, 1, "MISFIRE=all\n0 0 1 1 * again tally\n0 0 1 1 * once tally\n")
 	r.start()
@@ -72,7 +72,7 @@
 	if o := r.sendIdempotent("3"); o.Status != 200 {
 		t.Errorf("worker returned: status %d", o.Status)
 	}
-	if status, body := r.command(`{"order":"dance","console":"a"}`); status != 409 || !strings.Contains(body, "not an order") {
+	if status, body := r.command(`{"order":"dance","console":"a"}`); status != 409 || !strings.Contains(body, "unknown command") {
 		t.Error(status, body)
 	}
 }
@@ -158,7 +158,7 @@
 	t.Error("the new crontab was not loaded")
 }
 
-// The replicas known before a restart are known after it: the first request needs no load command.
+// Replicas that were known before a restart are known after it: the first request needs no load command.
 func TestRestart_KnowsLoadedReplicas(t *testing.T) {
 	r := newTestAppliance(t, 3, "")
 	r.start()
--- a/internal/appliance/background_tasks.go
+++ b/internal/appliance/background_tasks.go
@@ -20,8 +20,8 @@
 // expiryBatch is the maximum number of records examined by one call of storage.Store.Expire.
 const expiryBatch = 500
 
-// backgroundTasks returns the tasks that the configuration needs. Expiry and compaction bound the size of the state
-// folder. The tick stores the service time and the loaded replicas for recovery after a restart.
+// backgroundTasks returns the tasks that the configuration requires. Expiry and compaction bound the size of the state
+// folder. The tick stores the loaded replicas and the service time, from which a restarted process continues.
 func (a *Appliance) backgroundTasks() []BackgroundTask {
 	tasks := []BackgroundTask{
 		{Name: taskRollouts, Interval: 0.2, Priority: 4, SliceDuration: 0.05, Urgent: true},
@@ -87,7 +87,7 @@
 	a.mu.Unlock()
 }
 
-// runTask runs one slice of a task within a budget in seconds. It reports whether the round needs another slice.
+// runTask runs one slice of a task within a budget in seconds. more is true if the round needs another slice.
 func (a *Appliance) runTask(name string, start time.Time, budget float64) (more bool, err error) {
 	deadline := start.Add(seconds(budget))
 	switch name {
@@ -120,7 +120,7 @@
 	return a.preloadRolloutTargets(deadline)
 }
 
-// saveReplicas stores the loaded replicas known to the servers, and with them the service time.
+// saveReplicas stores the loaded replicas known to the servers. The store adds the service time.
 func (a *Appliance) saveReplicas() error {
 	var replicas []dispatch.ReplicaSnapshot
 	for _, server := range a.runningServers() {
--- a/internal/appliance/console_socket.go
+++ b/internal/appliance/console_socket.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	consoleDialTimeout = time.Second // for the probe of a socket that exists
+	consoleDialTimeout = time.Second // for probing an existing socket
 	defaultSocketMode  = os.FileMode(0o600)
 )
 
@@ -50,7 +50,7 @@
 		_ = conn.Close() // opened only to probe for a listener
 		return fmt.Errorf("console socket %s: already in use by another process", path)
 	}
-	// Any Lstat error leaves the path to net.Listen: either there is no file, or Listen reports why the path is unusable.
+	// Lstat errors are ignored: either there is no file, or net.Listen reports why the path is unusable.
 	if info, err := os.Lstat(path); err == nil {
 		if info.Mode()&os.ModeSocket == 0 {
 			return fmt.Errorf("console socket %s: not a socket", path)
--- a/internal/appliance/descriptors.go
+++ b/internal/appliance/descriptors.go
@@ -16,11 +16,12 @@
 	clientFraction = 2.0 / 3
 	// overflowClients is the number of further client connections of each front end, on which requests are rejected.
 	overflowClients = 4
-	// minClients is the minimum number of client connections of a front end under any limit.
+	// minClients is the minimum number of client connections of a front end, however low the descriptor limit is.
 	minClients = 8
 )
 
-// descriptorLimit returns the limit of open file descriptors. The Go runtime has raised the soft limit to the hard one.
+// descriptorLimit returns the limit on open file descriptors. The Go runtime raises the soft limit to the hard limit at
+// startup.
 func descriptorLimit() int {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil || limit.Cur > math.MaxInt32 {
@@ -29,10 +30,10 @@
 	return int(limit.Cur)
 }
 
-// maxClients returns the maximum number of client connections of each front end: the configured one, lowered to what
+// maxClients returns the maximum number of client connections of each front end: the configured number, reduced to what
 // the descriptor limit allows.
 func maxClients(configured, descriptors, frontEnds int) int {
 	reserved := reservedDescriptors + descriptors/reservedDescriptorsDivisor
-	possible := int(float64(descriptors-reserved)*clientFraction/float64(frontEnds)) - overflowClients
-	return min(configured, max(possible, minClients))
+	available := int(float64(descriptors-reserved)*clientFraction/float64(frontEnds)) - overflowClients
+	return min(configured, max(available, minClients))
 }
--- a/internal/appliance/function_registry.go
+++ b/internal/appliance/function_registry.go
@@ -16,7 +16,7 @@
 	"streamcleat/internal/storage"
 )
 
-// maxBindings is the capacity of the cache of bindings. The cache is shared by all servers, so that a retry that arrives
+// maxBindings is the capacity of the cache of version bindings. The cache is shared by all servers, so that a retry that arrives
 // at another server runs on the version of the first attempt.
 const maxBindings = 1 << 14
 
@@ -41,7 +41,7 @@
 	bindings      *lru.Cache[dispatch.Identity, dispatch.Binding]
 }
 
-// Change is a change of the registry requested by a console: an entry, a release or a rollback.
+// Change is a change of the registry requested by a console: an audit trail entry, a release or a rollback.
 type Change struct {
 	registry.Entry
 	Release    *Release `json:"release,omitempty"`
@@ -80,23 +80,23 @@
 	if g.store == nil {
 		return nil
 	}
-	last := len(g.registry.AuditTrail) - 1
+	index := len(g.registry.AuditTrail) - 1
 	data, err := json.Marshal(entry)
 	if err == nil {
-		err = g.store.AppendAudit(last, data)
+		err = g.store.AppendAudit(index, data)
 	}
 	if err == nil {
 		return nil
 	}
 	// Undo the change by replaying the trail without it.
 	previous := registry.New()
-	for _, earlier := range g.registry.AuditTrail[:last] {
+	for _, earlier := range g.registry.AuditTrail[:index] {
 		if replayErr := previous.Apply(earlier); replayErr != nil {
 			return errors.Join(err, replayErr)
 		}
 	}
 	g.registry = previous
-	return fmt.Errorf("the change can't be kept and is not made: %w", err)
+	return fmt.Errorf("failed to store the change, it is not applied: %w", err)
 }
 
 // applyChange makes a change requested by a console and returns a description of it.
@@ -105,7 +105,7 @@
 	defer g.mu.Unlock()
 	entry := change.Entry
 	if entry.Actor == "" {
-		return "", statusError{http.StatusBadRequest, "who makes the change?"}
+		return "", statusError{http.StatusBadRequest, "the change has no actor, field who is empty"}
 	}
 	entry.At = unixSeconds(time.Now())
 	if change.Release != nil {
@@ -135,7 +135,7 @@
 	case entry.Publish != nil:
 		return fmt.Sprintf("published %s:%s as %s", entry.Publish.Function, entry.Publish.Name, entry.Publish.Digest)
 	case entry.AliasUpdate != nil && entry.AliasUpdate.Digest == "":
-		return fmt.Sprintf("alias %s:%s is gone", entry.AliasUpdate.Function, entry.AliasUpdate.Alias)
+		return fmt.Sprintf("alias %s:%s was removed", entry.AliasUpdate.Function, entry.AliasUpdate.Alias)
 	case entry.AliasUpdate != nil:
 		return fmt.Sprintf("alias %s:%s names %s", entry.AliasUpdate.Function, entry.AliasUpdate.Alias, entry.AliasUpdate.Digest)
 	case entry.Rollout != nil:
--- a/internal/appliance/keyring.go
+++ b/internal/appliance/keyring.go
@@ -12,7 +12,7 @@
 	"streamcleat/internal/registry/signing"
 )
 
-// verifySignatures sets SignedBy to the keys whose signatures are valid. The value sent by the console is discarded.
+// verifySignatures sets SignedBy to the keys whose signatures are valid. It discards the value sent by the console.
 func (g *functionRegistry) verifySignatures(version *registry.Version, signatures [][]byte) error {
 	version.SignedBy = nil
 	if g.keyring == nil {
@@ -23,7 +23,7 @@
 	return err
 }
 
-// reloadKeys reads the keyring. If it has changed, the versions signed by revoked keys only are withdrawn. An invalid file
+// reloadKeys reads the keyring. If it has changed, the versions signed only by revoked keys are withdrawn. An invalid file
 // leaves the last keyring in effect.
 func (g *functionRegistry) reloadKeys(path string, log *slog.Logger) error {
 	data, err := os.ReadFile(path)
--- a/internal/appliance/lifecycle.go
+++ b/internal/appliance/lifecycle.go
@@ -20,14 +20,14 @@
 	Stopped
 )
 
-// apiStateNames are the names of the states in the admin API, the console and coverage reports. Scripts read them, so
-// that the names of Terminating and Persisting stay.
+// apiStateNames are the names of the states in the admin API, the console and coverage reports. Terminating and
+// Persisting are called "finishing" and "writing" there, because scripts depend on these names.
 var apiStateNames = [...]string{"starting", "recovering", "serving", "draining", "finishing", "writing", "stopped"}
 
 // String returns the name of the state in the admin API.
 func (s State) String() string { return apiStateNames[s] }
 
-// LogValue implements slog.LogValuer. Logs have the names of the constants.
+// LogValue implements slog.LogValuer. Logs contain the names of the constants, not those of the admin API.
 func (s State) LogValue() slog.Value {
 	switch s {
 	case Terminating:
@@ -82,7 +82,7 @@
 // Lifecycle is the state machine of the process. Only Handle changes it. The zero value is in state Starting.
 type Lifecycle struct {
 	State       State
-	Reason      string // the reason of the shutdown
+	Reason      string // reason for the shutdown
 	stopPending bool   // a stop was requested during recovery
 }
 
@@ -121,7 +121,7 @@
 	if l.Reason == "" && (stopRequested || event == Failed) {
 		l.Reason = reason
 	}
-	// A stop during recovery is deferred: the open requests are known only when recovery has ended.
+	// A stop during recovery is deferred, because the open requests are not known before recovery has ended.
 	if l.State == Recovering && stopRequested {
 		l.stopPending = true
 		return nil
@@ -144,7 +144,7 @@
 type UnknownCommandError struct{ Command string }
 
 // Error implements the error interface.
-func (e *UnknownCommandError) Error() string { return fmt.Sprintf("%q is not an order", e.Command) }
+func (e *UnknownCommandError) Error() string { return fmt.Sprintf("unknown command %q", e.Command) }
 
 // CommandNotAllowedError is returned for a console command that is not allowed in the current state.
 type CommandNotAllowedError struct {
@@ -154,7 +154,7 @@
 
 // Error implements the error interface.
 func (e *CommandNotAllowedError) Error() string {
-	return fmt.Sprintf("%s is not possible while the box is %s", e.Command, e.State)
+	return fmt.Sprintf("command %s is not allowed while the appliance is %s", e.Command, e.State)
 }
 
 // CheckCommand returns an error if a console command is unknown or not allowed in the current state.
--- a/internal/appliance/preload.go
+++ b/internal/appliance/preload.go
@@ -22,7 +22,7 @@
 	return b.commands >= maxPreloads || time.Now().After(b.deadline)
 }
 
-// preloadVersion requests a replica of a version on every server. The routing of a server may deny it.
+// preloadVersion requests a replica of a version on every server. The router of a server may decline the request.
 func (a *Appliance) preloadVersion(reference string) error {
 	for _, server := range a.runningServers() {
 		if _, err := server.Preload("", reference); err != nil {
@@ -34,7 +34,7 @@
 
 // isVersionLoaded reports whether every server knows a loaded replica of a version.
 func (a *Appliance) isVersionLoaded(id string) bool {
-	everywhere := true
+	loadedOnAll := true
 	for _, server := range a.runningServers() {
 		loaded := false
 		err := server.DoDispatcher(func(d *dispatch.Dispatcher) {
@@ -43,9 +43,9 @@
 				loaded = loaded || string(f.ID) == id && len(f.Replicas) > 0
 			}
 		})
-		everywhere = everywhere && loaded && err == nil
+		loadedOnAll = loadedOnAll && loaded && err == nil
 	}
-	return everywhere
+	return loadedOnAll
 }
 
 // preloadRolloutTargets requests replicas of the target versions of rollouts, so that their first requests need not wait
@@ -54,11 +54,11 @@
 	budget := preloadBudget{deadline: deadline}
 	for _, reference := range a.functions.rolloutTargets() {
 		for _, server := range a.runningServers() {
-			commanded, err := server.Preload("", reference)
+			commandSent, err := server.Preload("", reference)
 			if err != nil {
 				return err
 			}
-			if commanded {
+			if commandSent {
 				budget.commands++
 			}
 			if budget.isExhausted() {
@@ -69,23 +69,23 @@
 	return nil
 }
 
-// preloadScheduled requests replicas of functions that are scheduled soon. It looks ahead half of the time after which an
-// idle replica is unloaded.
+// preloadScheduled requests replicas of functions that are scheduled soon. It looks ahead by half of the time after which
+// an idle replica is unloaded.
 func (a *Appliance) preloadScheduled(deadline time.Time) error {
 	a.mu.Lock()
 	entries, suspended := a.entries, maps.Clone(a.suspended)
 	a.mu.Unlock()
 	budget := preloadBudget{deadline: deadline}
-	within := seconds(a.config.Workers.IdleReplicaLifetime / 2)
-	for _, firing := range schedule.DueWithin(entries, time.Now(), within) {
+	lookahead := seconds(a.config.Workers.IdleReplicaLifetime / 2)
+	for _, firing := range schedule.DueWithin(entries, time.Now(), lookahead) {
 		if suspended[firing.Entry.Key()] {
 			continue
 		}
-		commanded, err := a.serverOf(firing.ID).Preload(firing.Entry.Class, firing.Entry.Function)
+		commandSent, err := a.serverOf(firing.ID).Preload(firing.Entry.Class, firing.Entry.Function)
 		if err != nil {
 			return err
 		}
-		if commanded {
+		if commandSent {
 			budget.commands++
 		}
 		if budget.isExhausted() {
--- a/internal/appliance/releases.go
+++ b/internal/appliance/releases.go
@@ -15,23 +15,23 @@
 	Alias              string   `json:"alias"`
 	Tag                string   `json:"tag"`       // tag of the target version
 	Functions          []string `json:"functions"` // empty: all functions that have the version
-	MaxConcurrentLoads int      `json:"loads"`     // loads in progress at the same time
+	MaxConcurrentLoads int      `json:"loads"`     // maximum number of loads in progress
 }
 
-// startRelease plans a release. Only one release may be in progress. The caller must hold g.mu.
+// startRelease plans a release and makes it the one in progress. Only one release may be in progress. The caller must hold g.mu.
 func (g *functionRegistry) startRelease(release Release, actor string) (string, error) {
 	if g.pacer != nil {
-		return "", fmt.Errorf("a release by %s is under way", g.releasedBy)
+		return "", fmt.Errorf("a release by %s is in progress", g.releasedBy)
 	}
 	migrations, err := g.planMigrations(release)
 	if err != nil {
 		return "", err
 	}
 	if len(migrations) == 0 {
-		return "", fmt.Errorf("no function goes to %s by that: none has the version, or all have it already", release.Tag)
+		return "", fmt.Errorf("no function to move to %s: none has this version, or all of them use it already", release.Tag)
 	}
 	g.pacer, g.releasedBy = registry.NewRolloutPacer(release.Alias, release.MaxConcurrentLoads, migrations), actor
-	return fmt.Sprintf("%d functions go to %s, the most asked for first, %d loads at a time",
+	return fmt.Sprintf("%d functions move to %s, the most requested first, %d loads at a time",
 		len(migrations), release.Tag, max(release.MaxConcurrentLoads, 1)), nil
 }
 
@@ -100,8 +100,8 @@
 	return nil
 }
 
-// updateAlias moves an alias as part of the release. A failure, as for a version that has been withdrawn meanwhile, is
-// logged and does not stop the release.
+// updateAlias moves an alias as part of the release. A failure, for example because the version has been withdrawn
+// meanwhile, is logged and does not stop the release.
 func (g *functionRegistry) updateAlias(update *registry.AliasUpdate, log *slog.Logger) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -111,7 +111,7 @@
 	}
 }
 
-// advanceRollouts advances rollouts by one step or rolls them back.
+// advanceRollouts advances each rollout that is due by one step, or rolls it back if its target version fails.
 func (g *functionRegistry) advanceRollouts(log *slog.Logger) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// rolloutTargets returns references to the target versions of all rollouts.
+// rolloutTargets returns references to the target versions of all rollouts in progress.
 func (g *functionRegistry) rolloutTargets() []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/appliance/schedules.go
+++ b/internal/appliance/schedules.go
@@ -15,10 +15,10 @@
 	"streamcleat/internal/units"
 )
 
-// maxScheduleSleep limits the sleep until the next firing, as the clock may be set or the appliance stopped meanwhile.
+// maxScheduleSleep limits the sleep until the next firing, because the clock may be set or the appliance stopped meanwhile.
 const maxScheduleSleep = time.Second
 
-// planSchedules plans the crontab, continuing from the last firings of the previous process.
+// planSchedules plans the entries of the crontab, continuing from the last firings of the previous process.
 func (a *Appliance) planSchedules() error {
 	maps.Copy(a.lastFirings, a.recovered.LastFirings)
 	return a.reloadCrontab()
@@ -65,8 +65,8 @@
 	return min(max(time.Until(d.next), time.Millisecond), maxScheduleSleep)
 }
 
-// runSchedules fires due entries until ctx ends. A firing is on disk before its request is submitted, so
-// that a restart neither loses it nor fires it twice.
+// runSchedules fires due entries until ctx ends. A firing is on disk before its request is submitted, so that a restart
+// neither loses it nor fires it twice.
 func (a *Appliance) runSchedules(ctx context.Context) {
 	if a.config.Schedules == nil {
 		return
@@ -89,8 +89,8 @@
 	}
 }
 
-// takeDue removes the due firings from the plan and returns those whose entries are not suspended. running is false once ctx
-// has ended.
+// takeDue removes the due firings from the plan and returns those whose entries are not suspended. running is false once
+// ctx has ended.
 func (a *Appliance) takeDue(ctx context.Context) (due dueFirings, running bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -108,7 +108,7 @@
 	return due, true
 }
 
-// fireSchedules stores firings durably and then submits their requests.
+// fireSchedules writes firings to the store and then submits their requests.
 func (a *Appliance) fireSchedules(firings []schedule.Firing) error {
 	var stored []storage.Firing
 	for _, f := range firings {
@@ -163,7 +163,8 @@
 	}
 }
 
-// serverOf returns the server for a firing. It is the one that external schedule clients with the same crontab select.
+// serverOf returns the server that a firing is submitted to. External schedule clients with the same crontab select the
+// same one.
 func (a *Appliance) serverOf(firingID string) *eventloop.Server {
 	return a.serverByAddress[schedule.RendezvousOrder(a.addresses, firingID)[0]]
 }
--- a/internal/appliance/shutdown.go
+++ b/internal/appliance/shutdown.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// terminateRequests stops the servers. Each responds to its open requests at once.
+// terminateRequests stops the servers, which respond to their open requests at once, and posts RequestsTerminated.
 func (a *Appliance) terminateRequests() {
 	var stopping sync.WaitGroup
 	for _, server := range a.servers {
@@ -48,7 +48,7 @@
 	a.post(RequestsTerminated, "")
 }
 
-// closeStore closes the telemetry exporters and the store.
+// closeStore closes the telemetry exporters and the store, and posts StoreClosed.
 func (a *Appliance) closeStore() {
 	for _, closeExporter := range a.closers {
 		if err := closeExporter(); err != nil {
--- a/internal/appliance/startup.go
+++ b/internal/appliance/startup.go
@@ -22,7 +22,8 @@
 	a.post(StoreOpened, "")
 }
 
-// loadState opens the state folder, if one is configured, and rebuilds the function registry from its audit trail.
+// loadState opens the state folder, if one is configured, rebuilds the function registry from its audit trail and reads
+// the keyring.
 func (a *Appliance) loadState() error {
 	if a.config.State != nil {
 		var err error
@@ -95,27 +96,27 @@
 		a.mu.Unlock()
 		go a.watchServer(server)
 	}
-	for _, lost := range a.servers[0].FailedAtRecovery() {
-		a.log.Error("request failed at restart: may have executed, not safe to retry", "request_id", lost.Identity.String(),
-			"class", lost.Class, "function", lost.Function)
+	for _, failed := range a.servers[0].FailedAtRecovery() {
+		a.log.Error("request failed at restart: may have executed, not safe to retry", "request_id", failed.Identity.String(),
+			"class", failed.Class, "function", failed.Function)
 	}
 	return nil
 }
 
-// watchServer fails the process if the event loop of a server ends with an error. The process must not stay up without
-// serving.
+// watchServer shuts the process down if the event loop of a server ends with an error. The process must not keep running
+// without serving.
 func (a *Appliance) watchServer(server *eventloop.Server) {
 	if err := server.Wait(); err != nil {
 		a.fail(fmt.Errorf("front end on %s: %w", server.Addr(), err))
 	}
 }
 
-// serverSettings returns the settings of the server with the given number, which listens on address.
-func (a *Appliance) serverSettings(number int, address string) eventloop.Settings {
+// serverSettings returns the settings of the server with the given index in config.Listen, which listens on address.
+func (a *Appliance) serverSettings(index int, address string) eventloop.Settings {
 	cfg := a.config
 	name := cfg.Name
 	if len(cfg.Listen) > 1 {
-		name = fmt.Sprintf("%s-%d", cfg.Name, number)
+		name = fmt.Sprintf("%s-%d", cfg.Name, index)
 	}
 	dispatchSettings := cfg.Dispatch(rand.Uint64())
 	dispatchSettings.ResolveVersion = a.resolveVersion
@@ -142,11 +143,11 @@
 		settings.RecordStore = a.store
 	}
 	if peers := cfg.Peers; peers != nil {
-		settings.PeerListen = peers.Listen[number]
+		settings.PeerListen = peers.Listen[index]
 		settings.Cluster = peers.Cluster
 		settings.Peers = append(settings.Peers, peers.Others...)
 		for i, other := range peers.Listen {
-			if i != number {
+			if i != index {
 				settings.Peers = append(settings.Peers, other)
 			}
 		}
--- a/internal/appliance/statistics.go
+++ b/internal/appliance/statistics.go
@@ -15,7 +15,8 @@
 	microsPerSecond   = 1e6
 )
 
-// requestStatistics counts ended requests for the console: by second for the last minute, and latencies since the start.
+// requestStatistics has the numbers of ended requests for each second of the last minute and the distribution of latencies
+// since the start. The console shows them.
 type requestStatistics struct {
 	current secondCounts // the current second
 	ring    [statisticsSeconds]secondCounts
@@ -23,7 +24,8 @@
 	latency *hdrhistogram.Histogram // of succeeded requests since the start, in microseconds
 }
 
-// secondCounts counts the requests that ended within one second. Late is always 0; it is part of the documented JSON.
+// secondCounts counts the requests that ended within one second. Late is always 0. It remains, as it is part of the
+// documented JSON.
 type secondCounts struct {
 	Succeeded int `json:"Handled"`
 	Rejected  int `json:"Deferred"`
--- a/internal/appliance/task_scheduler.go
+++ b/internal/appliance/task_scheduler.go
@@ -7,24 +7,24 @@
 type BackgroundTask struct {
 	Name            string
 	Interval        float64 // seconds from the end of a round to the next; 0: rounds run on request only
-	Priority        int     // tasks with a higher priority run first
+	Priority        int     // the due task with the highest priority runs first
 	SliceDuration   float64 // budget of one slice in seconds
-	MaxTimeFraction float64 // maximum fraction of time used, over timeFractionWindow; 0: no limit
+	MaxTimeFraction float64 // maximum fraction of the time spent on the task, over timeFractionWindow; 0: no limit
 	MaxDelay        float64 // seconds after which a due slice runs even under load; 0: never
-	Urgent          bool    // the task runs under load
+	Urgent          bool    // the task runs even under load
 }
 
 const (
 	busyThreshold      = 0.7  // utilization above which only urgent and overdue tasks run
-	timeFractionWindow = 60.0 // time constant, in seconds, of the decay of a task's used time
+	timeFractionWindow = 60.0 // time constant, in seconds, of the exponential decay of recentTime
 )
 
 // Backoff of failed tasks.
 const (
 	failureBackoffFactor = 2.0  // factor for each consecutive failure
 	maxBackoffFactor     = 16.0 // maximum factor of the interval
-	maxBackoffSteps      = 10   // maximum exponent; it keeps the power finite
-	minBackoffInterval   = 1.0  // minimum interval, in seconds, that the factor is applied to
+	maxBackoffSteps      = 10   // maximum exponent, so that the power stays finite
+	minBackoffInterval   = 1.0  // minimum interval in seconds to which the factor is applied
 )
 
 // scheduledTask is a task with its scheduling state.
@@ -108,18 +108,18 @@
 
 // mostOverdue returns the due task that exceeds its MaxDelay by most, or nil.
 func (s *TaskScheduler) mostOverdue(now float64) *scheduledTask {
-	var most *scheduledTask
-	mostOver := 0.0
+	var overdue *scheduledTask
+	maxExcess := 0.0
 	for _, task := range s.tasks {
 		if task.due > now {
 			continue
 		}
-		over := now - task.dueSince - task.MaxDelay
-		if task.MaxDelay > 0 && over > mostOver {
-			most, mostOver = task, over
+		excess := now - task.dueSince - task.MaxDelay
+		if task.MaxDelay > 0 && excess > maxExcess {
+			overdue, maxExcess = task, excess
 		}
 	}
-	return most
+	return overdue
 }
 
 // highestPriority returns the due task with the highest priority, or nil. Ties go to the task that has waited longest.
@@ -140,7 +140,7 @@
 	return t.MaxTimeFraction > 0 && t.recentTime > t.MaxTimeFraction*timeFractionWindow
 }
 
-// decay updates recentTime to now.
+// decay applies the exponential decay of recentTime up to now.
 func (t *scheduledTask) decay(now float64) {
 	t.recentTime *= math.Exp(-max(now-t.recentTimeAt, 0) / timeFractionWindow)
 	t.recentTimeAt = max(now, t.recentTimeAt)
--- a/internal/appliance/telemetry.go
+++ b/internal/appliance/telemetry.go
@@ -61,10 +61,10 @@
 		for _, count := range counts.SendsDenied {
 			values["sends_refused"] += float64(count)
 		}
-		loopFaults := server.RecoveredErrors()
-		values["accept_failures"] += float64(loopFaults.AcceptFailures)
-		values["dial_retries"] += float64(loopFaults.DialRetries)
-		values["slow_turns"] += float64(loopFaults.SlowIterations)
+		recoveredErrors := server.RecoveredErrors()
+		values["accept_failures"] += float64(recoveredErrors.AcceptFailures)
+		values["dial_retries"] += float64(recoveredErrors.DialRetries)
+		values["slow_turns"] += float64(recoveredErrors.SlowIterations)
 	}
 	if a.store != nil {
 		values["state_bytes"] = float64(a.store.Size())
@@ -72,7 +72,7 @@
 	return values
 }
 
-// startMetricsServer serves the metrics on an address of their own.
+// startMetricsServer serves the metrics on a separate address.
 func (a *Appliance) startMetricsServer(address string) error {
 	server := &http.Server{Addr: address, Handler: a.recorder.Handler(), ReadHeaderTimeout: readHeaderTimeout}
 	listener, err := net.Listen("tcp", address)
--- a/internal/appliance/versions.go
+++ b/internal/appliance/versions.go
@@ -10,7 +10,7 @@
 	"streamcleat/internal/units"
 )
 
-// isVersionAllowed reports whether the version of a binding may still run. A withdrawn version may not.
+// isVersionAllowed reports whether the version of a binding may still execute requests. A withdrawn version may not.
 func (g *functionRegistry) isVersionAllowed(binding dispatch.Binding) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -18,7 +18,7 @@
 	return err == nil && g.registry.IsAllowed(reference.Function, reference.Digest)
 }
 
-// bind resolves the version on which a request runs and caches the binding for retries. The binding is zero for an
+// bind resolves the version that executes a request and caches the binding for retries. The binding is zero for an
 // unversioned function.
 func (g *functionRegistry) bind(request *dispatch.Request) (registry.ResolvedVersion, dispatch.Binding, error) {
 	g.mu.Lock()
@@ -61,8 +61,8 @@
 		reference.Tag == registry.DefaultAlias && reference.Digest == ""
 }
 
-// resolveVersion returns the version of a request and the profile of its function. The version's own values take
-// precedence over the configuration.
+// resolveVersion returns the version that a request is bound to and the profile of its function. The version's own
+// values take precedence over the configuration.
 func (a *Appliance) resolveVersion(request *dispatch.Request) (dispatch.Binding, dispatch.FunctionProfile, error) {
 	version, binding, err := a.functions.bind(request)
 	if err != nil || binding.ID == "" {
