--- a/internal/appliance/appliance_test.go
+++ b/internal/appliance/appliance_test.go
@@ -19,8 +19,8 @@
 func TestRestart_ResubmitsOpenScheduledRequests(t *testing.T) {
 	r := newTestAppliance(t, 1, "MISFIRE=all\n0 0 1 1 * again tally\n0 0 1 1 * once tally\n")
 	r.start()
-	if o := r.sendIdempotent("warm"); o.Status != 200 {
-		t.Fatal(o)
+	if response := r.sendIdempotent("warm"); response.Status != 200 {
+		t.Fatal(response)
 	}
 	r.inject(0, fakes.Fault{Kind: "hang"})
 	for _, entry := range []string{"again/tally", "once/tally"} {
@@ -44,33 +44,33 @@
 	if r.log.contains("scheduled request resubmitted") {
 		t.Error("a completed request was submitted again")
 	}
-	if o := r.sendIdempotent("warm"); o.Status != 200 || !o.Replayed {
-		t.Errorf("retry after two restarts: %+v", o)
+	if response := r.sendIdempotent("warm"); response.Status != 200 || !response.Replayed {
+		t.Errorf("retry after two restarts: %+v", response)
 	}
 }
 
 func TestDrainCommand_LastWorkerRejectsUntilReturned(t *testing.T) {
 	r := newTestAppliance(t, 2, "")
 	r.start()
-	if o := r.sendIdempotent("1"); o.Status != 200 {
-		t.Fatal(o)
+	if response := r.sendIdempotent("1"); response.Status != 200 {
+		t.Fatal(response)
 	}
 	r.mustCommand(`{"order":"drain","target":"wk-0","console":"a"}`)
 	if status, body := r.command(`{"order":"drain","target":"wk-1","console":"a"}`); status != 200 || !strings.Contains(body, "the last one") {
 		t.Error(status, body)
 	}
-	if o := r.sendIdempotent("2"); o.Status != 503 || o.Latency > 500*time.Millisecond {
-		t.Errorf("all workers drained: status %d after %v", o.Status, o.Latency)
+	if response := r.sendIdempotent("2"); response.Status != 503 || response.Latency > 500*time.Millisecond {
+		t.Errorf("all workers drained: status %d after %v, want 503 within 500 ms", response.Status, response.Latency)
 	}
 	if status, body := r.command(`{"order":"drain","target":"wk-9","console":"a"}`); status != 404 || !strings.Contains(body, "wk-9") {
 		t.Error(status, body)
 	}
 	if status, body := r.command(`{"order":"return","target":"wk-1","console":"b"}`); status != 409 || !strings.Contains(body, "console a") {
-		t.Error("a second console was allowed a command: ", status, body)
+		t.Error("a second console was allowed to execute a command: ", status, body)
 	}
 	r.mustCommand(`{"order":"return","target":"wk-1","console":"a"}`)
-	if o := r.sendIdempotent("3"); o.Status != 200 {
-		t.Errorf("worker returned: status %d", o.Status)
+	if response := r.sendIdempotent("3"); response.Status != 200 {
+		t.Errorf("worker returned: status %d, want 200", response.Status)
 	}
 	if status, body := r.command(`{"order":"dance","console":"a"}`); status != 409 || !strings.Contains(body, "unknown command") {
 		t.Error(status, body)
@@ -119,15 +119,15 @@
 				r.eventually("the appliance is draining", func() bool { return r.log.contains("state=draining") })
 				close(r.immediateStop)
 			}
-			if o := <-result; o.Status != test.want {
-				t.Errorf("status %d, want %d; %v", o.Status, test.want, o.Err)
+			if response := <-result; response.Status != test.want {
+				t.Errorf("status %d, want %d; %v", response.Status, test.want, response.Err)
 			}
 			r.awaitEnd()
 		})
 	}
 }
 
-// A changed crontab is reloaded while the appliance runs. An invalid one is reported and leaves the last one in effect.
+// A changed crontab is reloaded while the appliance runs. An invalid one is reported and leaves the previous one in effect.
 func TestReloadCrontab_InvalidFileKeepsEntries(t *testing.T) {
 	r := newTestAppliance(t, 1, "0 0 1 1 * again tally\n")
 	r.start()
@@ -149,7 +149,7 @@
 		t.Errorf("%d entries in effect, want 1", n)
 	}
 	r.writeFile("crontab", "0 0 1 1 * again tally\n0 0 1 2 * once tally\n")
-	for range 1000 { // the backoff of the failed task is longer than eventually waits
+	for range 1000 { // the backoff of the failed task is longer than the timeout of eventually
 		if entries() == 2 {
 			return
 		}
@@ -170,8 +170,8 @@
 	r.awaitEnd()
 	r.start()
 	r.eventually("the endpoint list is loaded", func() bool { return len(r.status().Workers) > 0 })
-	if o := r.sendIdempotent("first"); o.Status != 200 {
-		t.Fatal(o)
+	if response := r.sendIdempotent("first"); response.Status != 200 {
+		t.Fatal(response)
 	}
 	if n := r.status().Totals["orders"]; n != 0 {
 		t.Errorf("%d load commands for a loaded replica", n)
--- a/internal/appliance/crash_process_test.go
+++ b/internal/appliance/crash_process_test.go
@@ -16,53 +16,53 @@
 	"streamcleat/internal/units"
 )
 
-// environment is the state outside the process, which a crash does not affect: the workers' executions and the
-// clients' responses.
+// environment is the state outside the process, which a crash does not affect: executions at the workers and responses
+// received by the clients.
 type environment struct {
-	runs       map[dispatch.Identity]int
-	remembered map[dispatch.Identity]bool // requests in the workers' deduplication cache
-	classes    map[dispatch.Identity]string
-	final      map[dispatch.Identity]dispatch.ResponseKind
-	due        map[dispatch.Identity]bool // firings that were due
-	lost       map[dispatch.Identity]bool // reported as failed at a restart
-	violation  string
-	inFlight   []attemptInFlight // executed even if the process that sent them is dead
-	plannedTo  time.Time         // the latest time for which firings were planned
+	executions      map[dispatch.Identity]int
+	deduplicated    map[dispatch.Identity]bool // requests in the workers' deduplication cache
+	classes         map[dispatch.Identity]string
+	finalResponses  map[dispatch.Identity]dispatch.ResponseKind
+	due             map[dispatch.Identity]bool // firings that were due
+	failedAtRestart map[dispatch.Identity]bool // reported as failed at a restart
+	violation       string                     // describes the last violation; empty if there is none
+	inFlight        []attemptInFlight          // executed even if the process that sent them was killed
+	plannedTo       time.Time                  // the latest time for which firings were planned
 }
 
 func newEnvironment() *environment {
 	return &environment{
-		runs:       map[dispatch.Identity]int{},
-		remembered: map[dispatch.Identity]bool{},
-		classes:    map[dispatch.Identity]string{},
-		final:      map[dispatch.Identity]dispatch.ResponseKind{},
-		due:        map[dispatch.Identity]bool{},
-		lost:       map[dispatch.Identity]bool{},
+		executions:      map[dispatch.Identity]int{},
+		deduplicated:    map[dispatch.Identity]bool{},
+		classes:         map[dispatch.Identity]string{},
+		finalResponses:  map[dispatch.Identity]dispatch.ResponseKind{},
+		due:             map[dispatch.Identity]bool{},
+		failedAtRestart: map[dispatch.Identity]bool{},
 	}
 }
 
-// run executes an attempt at a worker. Workers deduplicate requests of the class "keyed".
-func (e *environment) run(id dispatch.Identity) {
+// executeAttempt executes an attempt at a worker. Workers deduplicate requests of the class "keyed".
+func (e *environment) executeAttempt(id dispatch.Identity) {
 	class := e.classes[id]
-	if class == "keyed" && e.remembered[id] {
+	if class == "keyed" && e.deduplicated[id] {
 		return
 	}
-	e.remembered[id] = true
-	e.runs[id]++
-	if e.runs[id] > 1 && class != "again" {
-		e.violation = fmt.Sprintf("%v (%s) ran twice", id, class)
+	e.deduplicated[id] = true
+	e.executions[id]++
+	if e.executions[id] > 1 && class != "again" {
+		e.violation = fmt.Sprintf("%v (%s) was executed twice", id, class)
 	}
 }
 
 // respond records the final response to a client.
 func (e *environment) respond(id dispatch.Identity, kind dispatch.ResponseKind) {
-	if earlier, ok := e.final[id]; ok && earlier == dispatch.Succeeded && kind != dispatch.Succeeded {
-		e.violation = fmt.Sprintf("%v: %s after it succeeded", id, kind)
+	if earlier, ok := e.finalResponses[id]; ok && earlier == dispatch.Succeeded && kind != dispatch.Succeeded {
+		e.violation = fmt.Sprintf("%v: response %s after it succeeded", id, kind)
 	}
-	e.final[id] = kind
+	e.finalResponses[id] = kind
 }
 
-// machineClock is the machine's monotonic clock. It is also read by the store's goroutine.
+// machineClock is the machine's monotonic clock. The store's goroutine reads it as well.
 type machineClock struct{ milliseconds atomic.Int64 }
 
 func (c *machineClock) now() float64        { return float64(c.milliseconds.Load()) / 1000 }
@@ -79,11 +79,11 @@
 	attempt dispatch.Attempt
 }
 
-// crashProcess models one process of the appliance with the real dispatcher, plan and store, in the same order of
-// writes, on a disk that can fail at any write. It implements dispatch.Effects.
+// crashProcess models one process of the appliance that can be killed at any write to the disk. It uses the production
+// dispatcher, plan and store, with the same order of writes. It implements dispatch.Effects.
 type crashProcess struct {
 	env          *environment
-	killed       *atomic.Bool
+	killed       *atomic.Bool // shared with the crashRun, which sets it
 	clock        *machineClock
 	store        *storage.Store
 	dispatcher   *dispatch.Dispatcher
@@ -98,7 +98,8 @@
 	loadCommands []dispatch.LoadCommand
 }
 
-// startProcess opens the store and recovers. It returns nil if the process is killed meanwhile.
+// startProcess starts a process, which opens the store and recovers its state. It returns nil if the process is killed
+// meanwhile.
 func startProcess(t *testing.T, env *environment, fs vfs.FS, clock *machineClock, killed *atomic.Bool, entries []schedule.Entry, from time.Time) *crashProcess {
 	t.Helper()
 	p := &crashProcess{
@@ -122,7 +123,7 @@
 	p.store = store
 	p.dispatcher = dispatch.New(crashSettings(), p, units.Seconds(p.now()))
 	for _, response := range p.dispatcher.Recover(units.Seconds(p.now()), recovered.Records) {
-		env.lost[response.Identity] = true
+		env.failedAtRestart[response.Identity] = true
 	}
 	p.dispatcher.OnEndpointUpdate(units.Seconds(p.now()), control.Snapshot, []control.Worker{{ID: "wk-a", Weight: 1}, {ID: "wk-b", Weight: 1}})
 	p.plan = schedule.Resume(entries, recovered.LastFirings, from)
@@ -208,8 +209,9 @@
 // OnRequestEnd implements dispatch.Effects.
 func (p *crashProcess) OnRequestEnd(dispatch.Response, *dispatch.Trace) {}
 
-// settle commits the records and then performs the effects that awaited them, as the event loop does.
-func (p *crashProcess) settle() {
+// flush commits the records, performs the effects that awaited them and replies to load commands, until there is nothing
+// left to do. The event loop uses the same order.
+func (p *crashProcess) flush() {
 	for (len(p.records) > 0 || len(p.loadCommands) > 0) && !p.killed.Load() {
 		records, effects := p.records, p.afterCommit
 		p.records, p.afterCommit = nil, nil
@@ -243,7 +245,7 @@
 	p.waiters[p.lastWaiter] = request.Identity
 	p.requests[request.Identity] = request
 	p.dispatcher.Submit(units.Seconds(p.now()), p.lastWaiter, request)
-	p.settle()
+	p.flush()
 }
 
 // runWorkers submits the retries and has the workers execute two thirds of the attempts. The others stay in flight.
@@ -260,24 +262,24 @@
 			p.env.inFlight = append(p.env.inFlight, f)
 			continue
 		}
-		p.env.run(f.attempt.Identity)
+		p.env.executeAttempt(f.attempt.Identity)
 		switch {
-		case f.from != p || p.killed.Load(): // the process that awaited the reply is dead
+		case f.from != p || p.killed.Load(): // the process that awaited the reply was killed
 		case rng.IntN(6) == 0:
 			p.dispatcher.OnAttemptReply(units.Seconds(p.now()), f.attempt.ID, dispatch.WorkerReply{Outcome: control.ConnectionLost})
 		default:
 			p.dispatcher.OnAttemptReply(units.Seconds(p.now()), f.attempt.ID, dispatch.WorkerReply{Outcome: control.Succeeded, Body: []byte("ok")})
 		}
-		p.settle()
+		p.flush()
 	}
 }
 
-// runMinute advances the clock, fires due entries, submits the clients' open requests and runs the workers.
+// runMinute advances the clock by a minute, fires due entries, submits the clients' open requests and runs the workers.
 func (p *crashProcess) runMinute(rng *rand.Rand, clients []dispatch.Request) {
 	p.clock.add(60)
 	p.fire()
 	for _, request := range clients {
-		if _, done := p.env.final[request.Identity]; !done {
+		if _, done := p.env.finalResponses[request.Identity]; !done {
 			p.env.classes[request.Identity] = request.Class
 			p.submit(request)
 		}
@@ -286,7 +288,7 @@
 	if !p.killed.Load() {
 		p.clock.add(0.5)
 		p.dispatcher.Tick(units.Seconds(p.now()))
-		p.settle()
+		p.flush()
 	}
 }
 
@@ -312,10 +314,10 @@
 	}
 }
 
-// close closes the store. This works for a killed process as well: its disk takes writes, which are never read.
+// close closes the store. It can close that of a killed process as well: writes to its disk succeed, but are never read.
 func (p *crashProcess) close(t *testing.T) {
 	t.Helper()
 	if err := p.store.Close(); err != nil {
-		t.Errorf("closing the store: %v", err)
+		t.Errorf("failed to close the store: %v", err)
 	}
 }
--- a/internal/appliance/crash_test.go
+++ b/internal/appliance/crash_test.go
@@ -20,22 +20,22 @@
 
 var campaignSeeds = flag.Int("campaign", 2, "number of seeds of the crash campaign")
 
-// crashRun is one run of a process that is killed at one write and restarted, until all requests have ended.
+// crashRun runs a process that is killed at one write, and its successor, until all requests have ended.
 type crashRun struct {
 	killAt int64 // number of the write; 0: never
 	seed   uint64
 
-	env     *environment
-	rng     *rand.Rand
-	clock   *machineClock
-	disk    *vfs.MemFS // the disk of the first process
-	crashed *vfs.MemFS // the disk after the crash
-	writes  atomic.Int64
-	killed  atomic.Bool
-	entries []schedule.Entry
-	from    time.Time
-	clients []dispatch.Request
-	process *crashProcess
+	env         *environment
+	rng         *rand.Rand
+	clock       *machineClock
+	disk        *vfs.MemFS // the disk of the first process
+	crashedDisk *vfs.MemFS // the content of disk after the crash
+	writes      atomic.Int64
+	killed      atomic.Bool
+	entries     []schedule.Entry
+	from        time.Time
+	clients     []dispatch.Request
+	process     *crashProcess
 }
 
 func newCrashRun(t *testing.T, killAt int64, seed uint64) *crashRun {
@@ -60,7 +60,7 @@
 // onOperation clones the disk and kills the process at the write number killAt.
 func (r *crashRun) onOperation(op errorfs.Op) error {
 	if op.Kind.ReadOrWrite() == errorfs.OpIsWrite && r.writes.Add(1) == r.killAt {
-		r.crashed = r.disk.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: int(r.seed%3) * 50, RNG: rand.New(rand.NewPCG(r.seed, 12))})
+		r.crashedDisk = r.disk.CrashClone(vfs.CrashCloneCfg{UnsyncedDataPercent: int(r.seed%3) * 50, RNG: rand.New(rand.NewPCG(r.seed, 12))})
 		r.killed.Store(true)
 	}
 	return nil
@@ -71,7 +71,7 @@
 	r.process = startProcess(t, r.env, fs, r.clock, &r.killed, r.entries, r.from)
 }
 
-// restart starts a new process on the crashed disk if the process was killed.
+// restart starts a new process on crashedDisk if the process was killed.
 func (r *crashRun) restart(t *testing.T) {
 	t.Helper()
 	if !r.killed.Load() {
@@ -81,10 +81,10 @@
 		r.process.close(t)
 	}
 	r.killed.Store(false)
-	r.start(t, r.crashed)
+	r.start(t, r.crashedDisk)
 }
 
-// finish runs long enough for all requests in flight to end.
+// finish runs the process long enough for all requests in flight to end.
 func (r *crashRun) finish(t *testing.T) {
 	t.Helper()
 	for range 30 {
@@ -94,13 +94,13 @@
 		r.clock.add(0.2)
 		if !r.killed.Load() {
 			r.process.dispatcher.Tick(units.Seconds(r.process.now()))
-			r.process.settle()
+			r.process.flush()
 		}
 	}
 }
 
-// play runs nine minutes. Then it retries the clients' requests that have no final response.
-func (r *crashRun) play(t *testing.T) {
+// run simulates nine minutes. Then it retries the clients' requests that have no final response.
+func (r *crashRun) run(t *testing.T) {
 	t.Helper()
 	r.start(t, errorfs.Wrap(r.disk, errorfs.InjectorFunc(r.onOperation)))
 	for minute := range 9 {
@@ -109,7 +109,7 @@
 	}
 	r.finish(t)
 	for _, request := range r.clients {
-		if _, done := r.env.final[request.Identity]; !done {
+		if _, done := r.env.finalResponses[request.Identity]; !done {
 			r.restart(t)
 			r.process.submit(request)
 			r.finish(t)
@@ -126,11 +126,11 @@
 		t.Fatalf("%s: %s", where, r.env.violation)
 	}
 	for _, request := range r.clients {
-		if _, done := r.env.final[request.Identity]; !done {
+		if _, done := r.env.finalResponses[request.Identity]; !done {
 			t.Fatalf("%s: %v has no final response", where, request.Identity)
 		}
 	}
-	// Every minute must have fired, including those that were due while the process was down.
+	// Every entry must have fired for every minute, including those in which no process ran.
 	for minute := r.from.Truncate(time.Minute).Add(time.Minute); !minute.After(r.env.plannedTo); minute = minute.Add(time.Minute) {
 		for i := range r.entries {
 			r.checkFiring(t, where, dispatch.Identity{Source: "/own", ID: schedule.FiringID(&r.entries[i], minute)})
@@ -138,30 +138,30 @@
 	}
 }
 
-// checkFiring fails the test if a firing was lost: never stored, or neither executed nor reported as failed.
+// checkFiring fails the test if a firing was lost: it never became due, or was neither executed nor reported as failed.
 func (r *crashRun) checkFiring(t *testing.T, where string, id dispatch.Identity) {
 	t.Helper()
 	env := r.env
-	if _, done := env.final[id]; !env.due[id] && env.runs[id] == 0 && !done {
-		t.Fatalf("%s: minute %v never fired", where, id)
+	if _, done := env.finalResponses[id]; !env.due[id] && env.executions[id] == 0 && !done {
+		t.Fatalf("%s: firing %v never became due", where, id)
 	}
-	if env.runs[id] == 0 && env.final[id] != dispatch.Failed {
-		t.Fatalf("%s: minute %v never ran and was not reported as failed: final %v", where, id, env.final)
+	if env.executions[id] == 0 && env.finalResponses[id] != dispatch.Failed {
+		t.Fatalf("%s: firing %v was neither executed nor reported as failed: final responses %v", where, id, env.finalResponses)
 	}
 }
 
-// runCrash plays and checks one run and returns the number of its writes.
+// runCrash executes and checks one run and returns the number of its writes.
 func runCrash(t *testing.T, killAt int64, seed uint64) int64 {
 	t.Helper()
 	r := newCrashRun(t, killAt, seed)
-	r.play(t)
+	r.run(t)
 	r.check(t)
 	r.process.close(t)
 	return r.writes.Load()
 }
 
 // TestCrashCampaign kills the process at each write of its run. No request may be executed twice against its semantics,
-// every client must get a final response, and no minute of a schedule may be lost. -campaign sets the number of seeds.
+// every client must get a final response, and no firing of a schedule may be lost. -campaign sets the number of seeds.
 func TestCrashCampaign(t *testing.T) {
 	total, runs := int64(0), 0
 	for seed := range uint64(*campaignSeeds) {
--- a/internal/appliance/function_registry_test.go
+++ b/internal/appliance/function_registry_test.go
@@ -79,8 +79,8 @@
 	return invariants.Check(rules, r.recorder.Records())
 }
 
-// An alias moves fifty times under steady load. Every response names the version that executed the request, and a retry
-// gets the version of the first attempt.
+// An alias is moved fifty times under steady load. Every response has the digest of the version that executed the request,
+// and a retry gets a response of the version of the first attempt.
 func TestAliasUpdate_UnderLoadKeepsVersionOfRetries(t *testing.T) {
 	r := newTestAppliance(t, 3, "")
 	r.start()
@@ -96,13 +96,13 @@
 		clients.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
 				class, id := []string{"again", "once"}[n%2], fmt.Sprintf("%d-%d", client, n)
-				o := r.sendRecorded(class, "tally", id)
+				response := r.sendRecorded(class, "tally", id)
 				mu.Lock()
-				versions[o.Digest]++
-				statuses[o.Status]++
+				versions[response.Digest]++
+				statuses[response.Status]++
 				mu.Unlock()
-				if retry := r.sendRecorded(class, "tally", id); o.Status == 200 && (retry.Status != 200 || retry.Digest != o.Digest) {
-					t.Errorf("%s: first %d of %s, its retry %d of %s", id, o.Status, o.Digest, retry.Status, retry.Digest)
+				if retry := r.sendRecorded(class, "tally", id); response.Status == 200 && (retry.Status != 200 || retry.Digest != response.Digest) {
+					t.Errorf("%s: first %d of %s, its retry %d of %s", id, response.Status, response.Digest, retry.Status, retry.Digest)
 				}
 			}
 		})
@@ -113,11 +113,11 @@
 	}
 	stop()
 	clients.Wait()
-	v := r.checkInvariants()
-	if v.RulesBroken > 0 || v.Succeeded < 200 || len(versions) < 4 {
-		t.Errorf("%d versions responded, %v; %+v", len(versions), statuses, v)
+	verdict := r.checkInvariants()
+	if verdict.RulesBroken > 0 || verdict.Succeeded < 200 || len(versions) < 4 {
+		t.Errorf("responses from %d versions, statuses %v; %+v", len(versions), statuses, verdict)
 	}
-	t.Logf("%d requests succeeded on %d versions over 50 moves, %v", v.Succeeded, len(versions), statuses)
+	t.Logf("%d requests succeeded on %d versions over 50 moves, statuses %v", verdict.Succeeded, len(versions), statuses)
 }
 
 func TestWrongDigest_NeverRunsOrResponds(t *testing.T) {
@@ -125,29 +125,29 @@
 	r.start()
 	r.publishTwo()
 	_, d0 := version(0)
-	if o := r.sendRecorded("once", "tally", "first"); o.Status != 200 || o.Digest != string(d0) {
-		t.Fatalf("%+v", o)
+	if response := r.sendRecorded("once", "tally", "first"); response.Status != 200 || response.Digest != string(d0) {
+		t.Fatalf("%+v", response)
 	}
 	// The artifact store returns other content: the worker discards it, and the request is not executed.
 	r.inject(0, fakes.Fault{Kind: "wrong-digest"})
 	r.alias(1)
-	if o := r.sendRecorded("once", "tally", "discarded"); o.Status != 503 {
-		t.Errorf("replica can't be loaded: status %d", o.Status)
+	if response := r.sendRecorded("once", "tally", "discarded"); response.Status != 503 {
+		t.Errorf("replica with the wrong digest: status %d, want 503", response.Status)
 	}
 	r.alias(0) // the replica of version 0 is still loaded
-	if o := r.sendRecorded("once", "tally", "moved-back"); o.Status != 200 || o.Digest != string(d0) {
-		t.Errorf("%+v", o)
+	if response := r.sendRecorded("once", "tally", "moved-back"); response.Status != 200 || response.Digest != string(d0) {
+		t.Errorf("%+v", response)
 	}
 	// The worker executes another version than requested: its response is not forwarded.
 	r.inject(0, fakes.Fault{Kind: "wrong-digest", Duration: 1e-9})
 	r.inject(0, fakes.Fault{Kind: "liar"})
-	if o := r.sendRecorded("once", "tally", "digest-mismatch"); o.Status != 502 {
-		t.Errorf("worker reports a wrong digest: status %d", o.Status)
+	if response := r.sendRecorded("once", "tally", "digest-mismatch"); response.Status != 502 {
+		t.Errorf("worker reports a wrong digest: status %d, want 502", response.Status)
 	}
-	if o := r.sendRecorded("again", "tally:nothing", "unknown"); o.Status != 422 {
-		t.Errorf("unknown alias: status %d", o.Status)
+	if response := r.sendRecorded("again", "tally:nothing", "unknown"); response.Status != 422 {
+		t.Errorf("unknown alias: status %d, want 422", response.Status)
 	}
-	if o := r.sendRecorded("again", "tally@"+string(d0), "pinned"); o.Status == 422 {
+	if response := r.sendRecorded("again", "tally@"+string(d0), "pinned"); response.Status == 422 {
 		t.Error("a pinned digest is rejected as unknown")
 	}
 	for _, rec := range r.recorder.Records() {
@@ -155,8 +155,8 @@
 			t.Error("a replica with the wrong digest executed a request")
 		}
 	}
-	if v := r.checkInvariants(); v.VersionMismatches > 0 || v.DuplicateExecutions > 0 {
-		t.Errorf("%v", v.Violations)
+	if verdict := r.checkInvariants(); verdict.VersionMismatches > 0 || verdict.DuplicateExecutions > 0 {
+		t.Errorf("%v", verdict.Violations)
 	}
 }
 
@@ -205,13 +205,13 @@
 	}
 }
 
-// A release moves each alias only when a replica of the new version is loaded, and loads no version twice.
+// A release moves an alias only after a replica of the new version is loaded, and loads no version twice.
 func TestRelease_MovesAliasOnceLoaded(t *testing.T) {
 	r := newTestAppliance(t, 2, "")
 	r.start()
 	r.publishTwo()
-	if o := r.sendRecorded("again", "tally", "before"); o.Status != 200 {
-		t.Fatal(o)
+	if response := r.sendRecorded("again", "tally", "before"); response.Status != 200 {
+		t.Fatal(response)
 	}
 	r.change(`{"who":"test","release":{"alias":"current","tag":"1.1","loads":2}}`)
 	_, d1 := version(1)
@@ -222,8 +222,8 @@
 		return list[0].Aliases["current"] == d1
 	})
 	start := time.Now()
-	if o := r.sendRecorded("again", "tally", "after"); o.Status != 200 || o.Digest != string(d1) {
-		t.Errorf("%+v after %v", o, time.Since(start))
+	if response := r.sendRecorded("again", "tally", "after"); response.Status != 200 || response.Digest != string(d1) {
+		t.Errorf("%+v after %v", response, time.Since(start))
 	}
 	loads := 0
 	for _, rec := range r.recorder.Records() {
@@ -291,8 +291,8 @@
 	return status
 }
 
-// With a keyring only signed versions are published. Versions signed by a revoked key are withdrawn, those signed by a
-// retired key stay.
+// With a keyring, only signed versions can be published. Versions signed by a revoked key are withdrawn; versions signed by
+// a retired key stay.
 func TestKeyring_RejectsUnsignedAndWithdrawsRevoked(t *testing.T) {
 	r := newSignedRegistry(t, "first", "second")
 	r.start()
@@ -304,8 +304,8 @@
 	}
 	r.alias(1)
 	r.alias(0)
-	if o := r.sendRecorded("again", "tally", "signed"); o.Status != 200 {
-		t.Errorf("%+v", o)
+	if response := r.sendRecorded("again", "tally", "signed"); response.Status != 200 {
+		t.Errorf("%+v", response)
 	}
 	r.keyring.Keys[1].ValidUntil = time.Now().Add(-time.Second) // retired: no longer valid for new versions
 	r.keyring.Keys[0].Revoked = true
@@ -316,8 +316,8 @@
 		r.get("registry", &list)
 		return list[0].Aliases["current"] == d1 && list[0].Versions[0].Withdrawn && !list[0].Versions[1].Withdrawn
 	})
-	if o := r.sendRecorded("again", "tally", "after"); o.Status != 200 || o.Digest != string(d1) {
-		t.Errorf("%+v", o)
+	if response := r.sendRecorded("again", "tally", "after"); response.Status != 200 || response.Digest != string(d1) {
+		t.Errorf("%+v", response)
 	}
 	if r.publishSigned(2, "second") == 200 {
 		t.Error("a version signed by a retired key was published")
@@ -346,14 +346,14 @@
 // A revocation that can't be stored is retried by the next reload.
 func TestReloadKeys_RetriesRevocationNotStored(t *testing.T) {
 	dir := t.TempDir()
-	private, k, err := signing.NewKey("only", make([]byte, 32))
+	private, key, err := signing.NewKey("only", make([]byte, 32))
 	if err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(dir, "keys.json")
 	write := func() {
 		t.Helper()
-		data, _ := json.Marshal(signing.Ring{Threshold: 1, Keys: []signing.Key{k}})
+		data, _ := json.Marshal(signing.Ring{Threshold: 1, Keys: []signing.Key{key}})
 		if err := os.WriteFile(path, data, 0o644); err != nil {
 			t.Fatal(err)
 		}
@@ -369,24 +369,24 @@
 		t.Fatal(err)
 	}
 	name, d := version(0)
-	e, err := signing.Sign("only", private, "tally", name, d)
+	envelope, err := signing.Sign("only", private, "tally", name, d)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := g.applyChange(Change{
 		Entry:      registry.Entry{Actor: "test", Publish: &registry.Version{Function: "tally", Name: name, Digest: d}},
-		Signatures: [][]byte{e},
+		Signatures: [][]byte{envelope},
 	}); err != nil {
 		t.Fatal(err)
 	}
 	if err := store.Close(); err != nil {
 		t.Fatal(err)
 	}
-	k.Revoked = true
+	key.Revoked = true
 	write()
 	for range 2 {
 		if err := g.reloadKeys(path, log); err == nil {
-			t.Error("no error, though the withdrawal was not stored")
+			t.Error("no error although the withdrawal was not stored")
 		}
 	}
 }
--- a/internal/appliance/harness_test.go
+++ b/internal/appliance/harness_test.go
@@ -27,12 +27,12 @@
 // clientTimeout is the deadline of the test clients' requests.
 const clientTimeout = 1500 * time.Millisecond
 
-// testAppliance runs an appliance in the test process, with fake workers.
+// testAppliance runs an appliance and fake workers in the test process.
 type testAppliance struct {
 	t             *testing.T
 	dir           string
 	workers       []*fakes.Worker
-	recorder      *invariants.Recorder // of the workers and of sendRecorded
+	recorder      *invariants.Recorder // records the workers' executions and the requests of sendRecorded
 	address       string               // of the front end that send uses; the first one after start
 	addresses     []string
 	listen        string // JSON list of addresses; empty for one front end
@@ -65,7 +65,7 @@
 
 func (b *logBuffer) contains(text string) bool { return strings.Contains(b.String(), text) }
 
-// newTestAppliance prepares the folder of an appliance and starts its workers.
+// newTestAppliance writes the endpoint list and the crontab of an appliance and starts its workers.
 func newTestAppliance(t *testing.T, workers int, crontab string) *testAppliance {
 	t.Helper()
 	r := &testAppliance{t: t, dir: t.TempDir(), recorder: invariants.NewRecorder()}
@@ -112,7 +112,7 @@
 	return c
 }
 
-// start starts the appliance and waits until it serves.
+// start starts the appliance and waits until its state is "serving".
 func (r *testAppliance) start() {
 	r.t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
@@ -148,7 +148,7 @@
 		}
 	case <-time.After(15 * time.Second):
 		var stacks bytes.Buffer
-		_ = pprof.Lookup("goroutine").WriteTo(&stacks, 1) // a buffer takes all
+		_ = pprof.Lookup("goroutine").WriteTo(&stacks, 1) // writes to a bytes.Buffer never fail
 		r.t.Fatalf("the appliance has not ended after 15 s\n%s", stacks.String())
 	}
 }
@@ -227,5 +227,5 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	r.t.Fatalf("not so after 5 s: %s\n%s", condition, r.log)
+	r.t.Fatalf("condition not met after 5 s: %s\n%s", condition, r.log)
 }
--- a/internal/appliance/lifecycle_test.go
+++ b/internal/appliance/lifecycle_test.go
@@ -30,14 +30,14 @@
 	}
 }
 
-// lifecycleRun applies events and checks that the process does not exit with requests unanswered.
+// lifecycleRun applies events and checks that the process does not exit before every request has a response.
 type lifecycleRun struct {
 	seed      uint64
 	lifecycle Lifecycle
 	executed  map[Action]int
 }
 
-// handle applies an event, unless it reports the end of an action that has not been requested.
+// handle applies an event, unless it reports the end of an action that has not been executed.
 func (r *lifecycleRun) handle(t *testing.T, event LifecycleEvent) {
 	t.Helper()
 	if event == RequestsTerminated && r.executed[TerminateRequests] == 0 || event == StoreClosed && r.executed[CloseStore] == 0 {
@@ -59,7 +59,7 @@
 	}
 }
 
-// For random events in random order, no response is skipped and no action is executed twice.
+// For random events in random order, no response is skipped, no action is executed twice and no transition goes back.
 func TestLifecycle_RandomEventsSkipNoResponse(t *testing.T) {
 	for seed := range uint64(2000) {
 		rng := rand.New(rand.NewPCG(seed, 3))
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestLifecycle_Allows(t *testing.T) {
+func TestLifecycle_CheckCommand(t *testing.T) {
 	l := Lifecycle{State: Draining}
 	if err := l.CheckCommand("stop"); err != nil {
 		t.Error(err)
--- a/internal/appliance/task_scheduler_test.go
+++ b/internal/appliance/task_scheduler_test.go
@@ -21,7 +21,7 @@
 			t.Fatalf("%s, want %s", name, want)
 		}
 		if other, _ := s.Next(2, 0); other != "" {
-			t.Fatalf("%s runs beside %s", other, name)
+			t.Fatalf("%s runs while a slice of %s is running", other, name)
 		}
 		s.Done(2, name, 0.5, false, nil)
 	}
@@ -51,14 +51,14 @@
 func TestTaskScheduler_NoTaskStarves(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 4))
-		var list []BackgroundTask
+		var tasks []BackgroundTask
 		for i := range 4 {
-			list = append(list, BackgroundTask{
+			tasks = append(tasks, BackgroundTask{
 				Name: strconv.Itoa(i), Interval: 1 + 5*rng.Float64(), Priority: rng.IntN(3), SliceDuration: 0.1,
 				MaxTimeFraction: 0.05 * rng.Float64(), MaxDelay: 5 + 20*rng.Float64(),
 			})
 		}
-		s := NewTaskScheduler(0, list...)
+		s := NewTaskScheduler(0, tasks...)
 		for now := 0.0; now < 600; now += 0.25 {
 			name, _ := s.Next(now, rng.Float64()*2)
 			if name != "" {
@@ -66,8 +66,8 @@
 			}
 		}
 		for i, v := range s.Statuses(600) {
-			if v.Slices == 0 || v.LongestWait > list[i].MaxDelay+3 {
-				t.Fatalf("seed %d: task %d waited %.1f s, its maximum delay is %.1f; %d slices", seed, i, v.LongestWait, list[i].MaxDelay, v.Slices)
+			if v.Slices == 0 || v.LongestWait > tasks[i].MaxDelay+3 {
+				t.Fatalf("seed %d: task %d waited %.1f s, its maximum delay is %.1f s; %d slices", seed, i, v.LongestWait, tasks[i].MaxDelay, v.Slices)
 			}
 		}
 	}
