--- a/internal/appliance/schedules.go
+++ b/internal/appliance/schedules.go
@@ -108,7 +108,7 @@
 	return due, true
 }
 
-// fireSchedules writes firings to the store and then submits their requests.
+// fireSchedules writes firings durably to the store and then submits their requests.
 func (a *Appliance) fireSchedules(firings []schedule.Firing) error {
 	var stored []storage.Firing
 	for _, f := range firings {
