--- a/internal/appliance/api_commands.go
+++ b/internal/appliance/api_commands.go
@@ -89,10 +89,10 @@
 func (a *Appliance) requestStop(command Command) string {
 	if command.Immediate {
 		a.post(ImmediateStopRequested, "console "+command.Console)
-		return "the appliance responds to open requests at once and stops"
+		return "the box answers what is open and stops"
 	}
 	a.post(StopRequested, "console "+command.Console)
-	return fmt.Sprintf("the appliance drains for up to %v s and stops", a.config.DrainTime)
+	return fmt.Sprintf("the box drains for up to %v s and stops", a.config.DrainTime)
 }
 
 // drainWorker drains a worker on every server: it gets no further attempts.
@@ -102,10 +102,10 @@
 	}
 	for _, w := range a.workerStatuses() {
 		if w.State != workerDraining {
-			return fmt.Sprintf("worker %s is draining", worker), nil
+			return fmt.Sprintf("worker %s: drains", worker), nil
 		}
 	}
-	return fmt.Sprintf("worker %s is draining; it was the last one, all requests are rejected now", worker), nil
+	return fmt.Sprintf("worker %s drains; it was the last one, and every event is deferred now", worker), nil
 }
 
 // returnWorker undoes drainWorker. The worker has the state from the endpoint list again.
@@ -145,5 +145,5 @@
 	if requested == 0 {
 		return "", statusError{http.StatusNotFound, fmt.Sprintf("no replica of %q is known", function)}
 	}
-	return fmt.Sprintf("%d workers were asked to unload idle replicas of %s", requested, function), nil
+	return fmt.Sprintf("%d workers were asked to let idle copies of %s go", requested, function), nil
 }
--- a/internal/appliance/function_registry.go
+++ b/internal/appliance/function_registry.go
@@ -135,7 +135,7 @@
 	case entry.Publish != nil:
 		return fmt.Sprintf("published %s:%s as %s", entry.Publish.Function, entry.Publish.Name, entry.Publish.Digest)
 	case entry.AliasUpdate != nil && entry.AliasUpdate.Digest == "":
-		return fmt.Sprintf("alias %s:%s was removed", entry.AliasUpdate.Function, entry.AliasUpdate.Alias)
+		return fmt.Sprintf("alias %s:%s is gone", entry.AliasUpdate.Function, entry.AliasUpdate.Alias)
 	case entry.AliasUpdate != nil:
 		return fmt.Sprintf("alias %s:%s names %s", entry.AliasUpdate.Function, entry.AliasUpdate.Alias, entry.AliasUpdate.Digest)
 	case entry.Rollout != nil:
--- a/internal/appliance/releases.go
+++ b/internal/appliance/releases.go
@@ -31,7 +31,7 @@
 		return "", fmt.Errorf("no function to move to %s: none has this version, or all of them use it already", release.Tag)
 	}
 	g.pacer, g.releasedBy = registry.NewRolloutPacer(release.Alias, release.MaxConcurrentLoads, migrations), actor
-	return fmt.Sprintf("%d functions move to %s, the most requested first, %d loads at a time",
+	return fmt.Sprintf("%d functions go to %s, the most asked for first, %d loads at a time",
 		len(migrations), release.Tag, max(release.MaxConcurrentLoads, 1)), nil
 }
 
