--- a/internal/registry/oci/cache.go
+++ b/internal/registry/oci/cache.go
@@ -7,7 +7,7 @@
 	"github.com/opencontainers/go-digest"
 )
 
-// cacheEntry describes one piece of cached content. Times are in seconds.
+// cacheEntry is the index entry of one cached blob or manifest. Times are in seconds.
 type cacheEntry struct {
 	digest     digest.Digest
 	size       int64
@@ -16,8 +16,8 @@
 	pinned     bool    // must not be evicted
 }
 
-// contentCache is the LRU index of a folder that holds at most maxBytes. It does no I/O, and its caller passes the time in
-// seconds.
+// contentCache is the LRU index of a folder that holds at most maxBytes. It does no I/O and reads no clock: callers pass the
+// current time in seconds.
 type contentCache struct {
 	maxBytes int64
 	size     int64 // total size of the entries in bytes
@@ -28,7 +28,7 @@
 	return &contentCache{maxBytes: maxBytes, entries: map[digest.Digest]*cacheEntry{}}
 }
 
-// touch marks content as used now. It reports whether the content is cached.
+// touch updates the time of last use of content, and reports whether the content is cached.
 func (c *contentCache) touch(d digest.Digest, now float64) bool {
 	entry := c.entries[d]
 	if entry != nil {
@@ -37,15 +37,15 @@
 	return entry != nil
 }
 
-// add adds content and returns what it evicted, least recently used first. Pinned content is never evicted. If the capacity
-// does not suffice, add changes nothing and ok is false.
+// add adds content and returns the digests that it evicted, least recently used first. It never evicts pinned content. If
+// evicting everything else would not free enough space, add changes nothing and ok is false.
 func (c *contentCache) add(d digest.Digest, size int64, now float64) (evicted []digest.Digest, ok bool) {
 	if entry := c.entries[d]; entry != nil {
 		entry.lastUsed = now
 		return nil, true
 	}
 	free := c.maxBytes - c.size
-	for _, entry := range c.leastRecentlyUsed() {
+	for _, entry := range c.entriesByLastUse() {
 		if free >= size {
 			break
 		}
@@ -72,7 +72,7 @@
 	}
 }
 
-// pin pins the given content and unpins all other.
+// pin pins the given content and unpins all other content.
 func (c *contentCache) pin(digests []digest.Digest) {
 	for _, entry := range c.entries {
 		entry.pinned = false
@@ -84,10 +84,11 @@
 	}
 }
 
-// oldestVerified returns the content with the oldest verification, or "" if none is at least minAge seconds old.
-func (c *contentCache) oldestVerified(now, minAge float64) digest.Digest {
+// leastRecentlyVerified returns the content that has gone longest without verification, or "" if all content was verified
+// less than minAge seconds ago.
+func (c *contentCache) leastRecentlyVerified(now, minAge float64) digest.Digest {
 	var oldest *cacheEntry
-	for _, entry := range c.leastRecentlyUsed() {
+	for _, entry := range c.entriesByLastUse() {
 		if now-entry.verifiedAt >= minAge && (oldest == nil || entry.verifiedAt < oldest.verifiedAt) {
 			oldest = entry
 		}
@@ -98,16 +99,16 @@
 	return oldest.digest
 }
 
-// markVerified records a successful verification of content.
+// markVerified records that content was verified at now.
 func (c *contentCache) markVerified(d digest.Digest, now float64) {
 	if entry := c.entries[d]; entry != nil {
 		entry.verifiedAt = now
 	}
 }
 
-// leastRecentlyUsed returns the entries ordered by last use. Ties are ordered by digest, which makes evictions
+// entriesByLastUse returns the entries, least recently used first. Ties are broken by digest, which makes evictions
 // deterministic.
-func (c *contentCache) leastRecentlyUsed() []*cacheEntry {
+func (c *contentCache) entriesByLastUse() []*cacheEntry {
 	list := make([]*cacheEntry, 0, len(c.entries))
 	for _, entry := range c.entries {
 		list = append(list, entry)
--- a/internal/registry/oci/cache_test.go
+++ b/internal/registry/oci/cache_test.go
@@ -9,7 +9,7 @@
 
 const modelCapacity = 100 // capacity of the cache in the model test, in bytes
 
-// modelEntry is one piece of content in the model.
+// modelEntry is one cached item in the model.
 type modelEntry struct {
 	size     int64
 	lastUsed float64
@@ -25,16 +25,16 @@
 		size = m[d].size
 	}
 	evicted, ok := c.add(d, size, now)
-	newest := 0.0
+	lastEvictedUse := 0.0
 	for _, e := range evicted {
 		if m[e] == nil || m[e].pinned {
 			t.Fatal("evicted pinned or unknown content")
 		}
-		newest = max(newest, m[e].lastUsed)
+		lastEvictedUse = max(lastEvictedUse, m[e].lastUsed)
 		delete(m, e)
 	}
 	for _, retained := range m {
-		if len(evicted) > 0 && !retained.pinned && retained.lastUsed < newest {
+		if len(evicted) > 0 && !retained.pinned && retained.lastUsed < lastEvictedUse {
 			t.Fatal("evicted content that was used more recently than retained content")
 		}
 	}
@@ -71,8 +71,8 @@
 	return sum
 }
 
-// Under random calls the cache never exceeds its capacity, never evicts pinned content, and evicts the least recently used
-// content first.
+// Under random sequences of calls, the cache never exceeds its capacity, never evicts pinned content, and evicts the least
+// recently used content first.
 func TestContentCache_MatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cache := newContentCache(modelCapacity)
@@ -88,7 +88,7 @@
 				model.pin(cache, d)
 			}
 			if sum := model.size(); sum != cache.size || sum > modelCapacity {
-				t.Fatalf("cache has %d bytes, model %d", cache.size, sum)
+				t.Fatalf("cache has %d bytes, model has %d", cache.size, sum)
 			}
 		}
 	})
--- a/internal/registry/oci/client.go
+++ b/internal/registry/oci/client.go
@@ -20,7 +20,7 @@
 	"streamcleat/internal/registry/signing"
 )
 
-// Retries and timeout of HTTP requests.
+// Retries and timeout of a single HTTP request.
 const (
 	minRetryWait   = 50 * time.Millisecond
 	maxRetryWait   = 2 * time.Second
@@ -28,34 +28,34 @@
 	requestTimeout = 30 * time.Second
 )
 
-// Limits on reading content.
+// Limits on reading manifests, layers and signatures.
 const (
-	maxReadAttempts    = 4 // for truncated or corrupt content
+	maxReadAttempts    = 4 // when content is truncated or corrupt
 	readBackoffInitial = 20 * time.Millisecond
 	maxManifestBytes   = 4 << 20
 	maxSignatures      = 32 // read per version
 	maxSignatureBytes  = 64 << 10
 )
 
-// Client reads versions from a registry. It is not safe for concurrent use.
+// Client reads versions of functions from a registry and caches their content in a folder. It is not safe for concurrent use.
 type Client struct {
-	FetchedBytes int64 // bytes of layers fetched over the network
+	FetchedBytes int64 // total size of the layers fetched from the registry
 
 	host      string
 	plainHTTP bool
-	prefix    string // of repository names
+	prefix    string // prepended to repository names
 	folder    *Folder
 	http      *http.Client
 	user      string
 	secret    string
 }
 
-// NewClient returns a client of the registry at base, an http or https URL. The path of the URL is a prefix of the
-// repository names. user and secret may be empty.
+// NewClient returns a client of the registry at base, an http or https URL. The path of the URL is prepended to repository
+// names. user and secret are the credentials, empty for anonymous access.
 func NewClient(base, user, secret string, folder *Folder) (*Client, error) {
 	u, err := url.Parse(base)
 	if err != nil || u.Host == "" || u.Scheme != "http" && u.Scheme != "https" {
-		return nil, fmt.Errorf("registry URL %q: want http://host or https://host", base)
+		return nil, fmt.Errorf("invalid registry URL %q: must be http://host or https://host", base)
 	}
 	c := &Client{
 		host:      u.Host,
@@ -69,7 +69,7 @@
 	return c, nil
 }
 
-// setTransport sets the transport that requests and their retries use.
+// setTransport sets the transport for requests. Failed requests are retried with exponential backoff.
 func (c *Client) setTransport(base http.RoundTripper) {
 	transport := retry.NewTransport(base)
 	transport.Policy = func() retry.Policy {
@@ -103,16 +103,17 @@
 	return repository, nil
 }
 
-// fetcher opens manifests or layers of a repository.
+// fetcher opens the manifests or the blobs of a repository.
 type fetcher interface {
 	Fetch(ctx context.Context, target ocispec.Descriptor) (io.ReadCloser, error)
 }
 
-// fetch reads content and verifies its size and digest. It retries if the content is truncated or corrupt.
-func (c *Client) fetch(ctx context.Context, from fetcher, target ocispec.Descriptor) ([]byte, error) {
+// fetch reads content and verifies its size and digest. It makes up to maxReadAttempts attempts, with exponential backoff,
+// because the retries of the transport do not cover truncated or corrupt content.
+func (c *Client) fetch(ctx context.Context, source fetcher, target ocispec.Descriptor) ([]byte, error) {
 	var lastErr error
 	for attempt := range maxReadAttempts {
-		data, err := fetchOnce(ctx, from, target)
+		data, err := fetchOnce(ctx, source, target)
 		if err == nil {
 			return data, nil
 		}
@@ -126,17 +127,17 @@
 	return nil, lastErr
 }
 
-func fetchOnce(ctx context.Context, from fetcher, target ocispec.Descriptor) ([]byte, error) {
-	r, err := from.Fetch(ctx, target)
+func fetchOnce(ctx context.Context, source fetcher, target ocispec.Descriptor) ([]byte, error) {
+	r, err := source.Fetch(ctx, target)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = r.Close() }() // ReadAll verifies the content by its digest
+	defer func() { _ = r.Close() }() // ReadAll has verified the digest
 	return content.ReadAll(r, target)
 }
 
-// Pull fetches the manifest and layers of a version into the folder, except those already cached. It returns their
-// digests, the manifest's first.
+// Pull fetches the manifest, config and layers of a version into the folder, except those that are already cached. It
+// returns their digests, starting with the manifest.
 func (c *Client) Pull(ctx context.Context, function string, d digest.Digest) ([]digest.Digest, error) {
 	repository, err := c.repository(function)
 	if err != nil {
@@ -168,8 +169,8 @@
 	return c.folder.Put(layer.Digest, data)
 }
 
-// Signatures returns the signature envelopes attached to a version, by the registry's referrers list. It skips the
-// remaining referrers once it has maxSignatures envelopes, and returns none if the registry has no referrers.
+// Signatures returns the signature envelopes attached to a version, which it finds with the referrers API of the registry.
+// It skips the remaining referrers once it has maxSignatures envelopes. The result is empty if there are no referrers.
 func (c *Client) Signatures(ctx context.Context, function string, d digest.Digest) ([][]byte, error) {
 	repository, err := c.repository(function)
 	if err != nil {
@@ -199,7 +200,7 @@
 	return envelopes, nil
 }
 
-// envelopes returns the signature envelopes among the layers of a referrer.
+// envelopes returns the signature envelopes among the layers of a referrer. It skips layers above maxSignatureBytes.
 func (c *Client) envelopes(ctx context.Context, repository *remote.Repository, referrer digest.Digest) ([][]byte, error) {
 	manifest, err := c.manifest(ctx, repository, referrer)
 	if err != nil {
--- a/internal/registry/oci/client_test.go
+++ b/internal/registry/oci/client_test.go
@@ -19,7 +19,7 @@
 	"streamcleat/internal/verification/fakes"
 )
 
-// newClient returns a client of a registry and its empty folder.
+// newClient returns a client of a registry, and its folder, which is empty.
 func newClient(t *testing.T, r *fakes.Registry) (*Client, *Folder) {
 	t.Helper()
 	folder, err := OpenFolder(t.TempDir(), 1<<20)
@@ -42,7 +42,7 @@
 
 var testLayer = bytes.Repeat([]byte("layer"), 2000)
 
-// roundTripFunc is a function that implements http.RoundTripper.
+// roundTripFunc adapts a function to http.RoundTripper.
 type roundTripFunc func(*http.Request) (*http.Response, error)
 
 // RoundTrip calls f.
@@ -62,7 +62,7 @@
 	r.Push("shops/tally", map[string]string{concurrencyAnnotation: "none"}, nil, "odd")
 	for tag, want := range map[string]string{"odd": concurrencyAnnotation, "gone": "tally:gone"} {
 		if _, err := c.Resolve(context.Background(), "tally", tag); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", tag, err)
+			t.Errorf("resolving tag %s: error %v", tag, err)
 		}
 	}
 	var annotation *AnnotationError
@@ -71,7 +71,7 @@
 	}
 	r.Untag("shops/tally", "current")
 	if _, err := c.Resolve(context.Background(), "tally", "current"); err == nil {
-		t.Error("a deleted tag still resolves")
+		t.Error("deleted tag still resolves")
 	}
 	if pulled, err := c.Pull(context.Background(), "tally", d); err != nil || len(pulled) != 3 {
 		t.Error("version not pulled by digest: ", pulled, err)
@@ -110,7 +110,7 @@
 	}
 }
 
-// Tokens that expire during a pull are renewed.
+// A pull renews a bearer token that expires while it runs.
 func TestClient_PullRenewsExpiredTokens(t *testing.T) {
 	r := startRegistry(t)
 	r.RequireTokens(2)
@@ -120,7 +120,7 @@
 		t.Error(pulled, err)
 	}
 	if r.TokensIssued() < 3 {
-		t.Errorf("%d tokens for seven requests, each token valid for two", r.TokensIssued())
+		t.Errorf("%d tokens issued for seven requests, want at least 3 as each is valid for two requests", r.TokensIssued())
 	}
 }
 
@@ -137,13 +137,13 @@
 		}
 	}
 	if want := int64(len(testLayer) + len("one") + len("two") + len("{}")); c.FetchedBytes != want {
-		t.Errorf("%d bytes fetched, want %d: each layer once", c.FetchedBytes, want)
+		t.Errorf("%d bytes fetched, want %d, which is each layer once", c.FetchedBytes, want)
 	}
 	r.Close() // cached content is served without the registry
 	if _, err := c.Pull(context.Background(), "tally", a); err != nil {
 		t.Error(err)
 	}
-	// Content that is corrupted on disk is found by verification and never returned.
+	// Content that was corrupted on disk is detected by verification, and is never returned.
 	d := digest.FromBytes(testLayer)
 	if err := os.WriteFile(f.path(d), []byte("corrupt"), 0o640); err != nil {
 		t.Fatal(err)
@@ -179,8 +179,8 @@
 	}
 }
 
-// During an outage of ten minutes, on a virtual clock, each pull fails in bounded time and cached versions can be pulled.
-// The first pull after the outage succeeds.
+// During a registry outage of ten minutes on a virtual clock, each pull of a new version fails in bounded time, and pulls of
+// cached versions succeed. The first pull after the outage succeeds.
 func TestClient_PullDuringRegistryOutage(t *testing.T) {
 	r := startRegistry(t)
 	d, next := r.Push("shops/tally", map[string]string{"v": "1"}, [][]byte{testLayer}), r.Push("shops/tally", map[string]string{"v": "2"}, [][]byte{[]byte("two")})
@@ -219,6 +219,6 @@
 		if pulled, err := c.Pull(t.Context(), "tally", next); err != nil || len(pulled) != 3 {
 			t.Error(pulled, err)
 		}
-		t.Logf("%d requests refused in %v", attempts, time.Since(start))
+		t.Logf("%d connections refused in %v", attempts, time.Since(start))
 	})
 }
--- a/internal/registry/oci/folder.go
+++ b/internal/registry/oci/folder.go
@@ -12,19 +12,19 @@
 	"github.com/opencontainers/go-digest"
 )
 
-// ErrDigestMismatch is returned for content that does not have the expected digest.
+// ErrDigestMismatch is returned by Put for content that does not have the expected digest.
 var ErrDigestMismatch = errors.New("content digest mismatch")
 
-// Folder is a content-addressed cache on disk. It never returns content that does not match its digest. It is safe for
-// concurrent use.
+// Folder is a content-addressed cache on disk. It verifies content on each read, and never returns content that does not
+// match its digest. It is safe for concurrent use.
 type Folder struct {
 	mu    sync.Mutex
 	dir   string
 	cache *contentCache
 }
 
-// OpenFolder opens or creates a folder of at most maxBytes. Existing content is indexed by the modification times of its
-// files; files whose names are not digests are ignored.
+// OpenFolder opens or creates a folder of at most maxBytes. For existing content, the modification time of the file serves
+// as the time of last use. Files whose names are not digests are ignored.
 func OpenFolder(dir string, maxBytes int64) (*Folder, error) {
 	contentDir := filepath.Join(dir, digest.SHA256.String())
 	if err := os.MkdirAll(contentDir, 0o750); err != nil {
@@ -42,7 +42,7 @@
 			continue
 		}
 		if _, ok := f.cache.add(d, info.Size(), unixSeconds(info.ModTime())); !ok {
-			f.removeFile(d) // maxBytes is lower than before
+			f.removeFile(d) // does not fit, as maxBytes is lower than before
 		}
 	}
 	return f, nil
@@ -54,12 +54,12 @@
 	return filepath.Join(f.dir, d.Algorithm().String(), d.Encoded())
 }
 
-// removeFile deletes the file of content that is no longer cached.
+// removeFile deletes the file of content that is no longer in the index.
 func (f *Folder) removeFile(d digest.Digest) {
-	_ = os.Remove(f.path(d)) // a file left behind is indexed when the folder is opened again, and verified when it is read
+	_ = os.Remove(f.path(d)) // a remaining file is harmless: OpenFolder indexes it again, and reads verify it
 }
 
-// Get returns cached content and reports whether it is present. Content that no longer matches its digest is removed.
+// Get returns cached content and reports whether it is present. It removes content that no longer matches its digest.
 func (f *Folder) Get(d digest.Digest) ([]byte, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -74,7 +74,7 @@
 	return data, true
 }
 
-// discard removes content that can't be read or does not match its digest.
+// discard removes content from the index and from disk.
 func (f *Folder) discard(d digest.Digest) {
 	f.cache.remove(d)
 	f.removeFile(d)
@@ -86,8 +86,8 @@
 	return data, err == nil && digest.FromBytes(data) == d
 }
 
-// Put stores content, evicting other content if necessary. It returns an error if the content does not match its digest
-// or does not fit.
+// Put stores content, and evicts other content if necessary. It returns an error if the content does not match its digest,
+// or if evicting all content that is not pinned would not free enough space.
 func (f *Folder) Put(d digest.Digest, data []byte) error {
 	if err := d.Validate(); err != nil {
 		return err
@@ -99,7 +99,7 @@
 	defer f.mu.Unlock()
 	evicted, ok := f.cache.add(d, int64(len(data)), unixSeconds(time.Now()))
 	if !ok {
-		return fmt.Errorf("content folder: insufficient capacity for %d bytes of %s", len(data), d)
+		return fmt.Errorf("content folder: cannot free enough space for the %d bytes of %s", len(data), d)
 	}
 	for _, e := range evicted {
 		f.removeFile(e)
@@ -111,7 +111,7 @@
 	return nil
 }
 
-// Pin protects the given content from eviction and unpins all other.
+// Pin protects the given content from eviction, and unpins all other content.
 func (f *Folder) Pin(digests []digest.Digest) {
 	f.mu.Lock()
 	f.cache.pin(digests)
@@ -125,14 +125,14 @@
 	return f.cache.size
 }
 
-// VerifyOldest verifies the content with the oldest verification, if that is at least minAge seconds old. It returns the
-// digest and whether the content matches it; content that does not is removed. If there is nothing to verify, it returns
-// "" and true.
+// VerifyOldest verifies the content that has gone longest without verification, unless that is less than minAge seconds. It
+// returns the digest and whether the content matches it, and removes content that does not. If there is nothing to verify,
+// it returns "" and true.
 func (f *Folder) VerifyOldest(minAge float64) (d digest.Digest, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := unixSeconds(time.Now())
-	if d = f.cache.oldestVerified(now, minAge); d == "" {
+	if d = f.cache.leastRecentlyVerified(now, minAge); d == "" {
 		return "", true
 	}
 	if _, ok = f.read(d); ok {
--- a/internal/registry/oci/folder_test.go
+++ b/internal/registry/oci/folder_test.go
@@ -27,7 +27,7 @@
 		t.Error("unpinned content not evicted, size ", f.Size())
 	}
 	if err := f.Put(digest.FromBytes(make([]byte, 70)), make([]byte, 70)); err == nil {
-		t.Error("Put succeeded although only pinned content could be evicted")
+		t.Error("Put succeeded although the content fits only if pinned content is evicted")
 	}
 	if f, err = OpenFolder(dir, 100); err != nil || f.Size() != 90 {
 		t.Error(err, f.Size())
--- a/internal/registry/oci/manifest.go
+++ b/internal/registry/oci/manifest.go
@@ -14,7 +14,7 @@
 	"streamcleat/internal/registry"
 )
 
-// Manifest annotations with the properties of a version.
+// Manifest annotations that describe a version.
 const (
 	concurrencyAnnotation = "org.streamcleat.lanes"
 	memoryAnnotation      = "org.streamcleat.memory-mb"
@@ -22,20 +22,20 @@
 	classesAnnotation     = "org.streamcleat.event-types"
 )
 
-// AnnotationError is an invalid annotation value.
+// AnnotationError reports an invalid value of a manifest annotation.
 type AnnotationError struct {
 	Annotation string
 	Value      string
 	Expected   string
 }
 
-// Error returns the annotation, its value and what is expected.
+// Error returns the annotation, its value and the expected kind of value.
 func (e *AnnotationError) Error() string {
 	return fmt.Sprintf("annotation %s: %q is not %s", e.Annotation, e.Value, e.Expected)
 }
 
-// Resolve returns the version that a tag currently names. The manifest is fetched by the digest that the tag resolved to,
-// so that a concurrent move of the tag can't mix two versions.
+// Resolve returns the version that a tag currently refers to. It fetches the manifest by the digest that the tag resolved
+// to, so that the result can't mix two versions if the tag is moved concurrently.
 func (c *Client) Resolve(ctx context.Context, function, tag string) (registry.Version, error) {
 	version, err := c.resolve(ctx, function, tag)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return version, err
 }
 
-// readAnnotations sets the fields of a version that are given by manifest annotations.
+// readAnnotations sets the fields of a version from the annotations of its manifest.
 func readAnnotations(version *registry.Version, annotations map[string]string) (err error) {
 	if name := annotations[ocispec.AnnotationVersion]; name != "" {
 		version.Name = name
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// readNumber returns the value of a numeric annotation, or 0 if it is missing.
+// readNumber returns the value of a numeric annotation, or 0 if the annotation is missing.
 func readNumber(annotations map[string]string, name string) (float64, error) {
 	text := annotations[name]
 	if text == "" {
@@ -97,7 +97,7 @@
 	return value, nil
 }
 
-// manifest returns the manifest with a digest, from the folder if it is cached there.
+// manifest returns the manifest with the given digest, from the folder if it is cached.
 func (c *Client) manifest(ctx context.Context, repository *remote.Repository, d digest.Digest) (m ocispec.Manifest, err error) {
 	data, cached := c.folder.Get(d)
 	if !cached {
--- a/internal/registry/signing/envelope.go
+++ b/internal/registry/signing/envelope.go
@@ -17,7 +17,7 @@
 	predicateType = "https://streamcleat.org/release/v1"
 )
 
-// maxEnvelopeBytes is the maximum size of an envelope that is decoded. Typical envelopes are below 1 KiB.
+// maxEnvelopeBytes is the maximum size of an envelope. Typical envelopes are smaller than 1 KiB.
 const maxEnvelopeBytes = 64 << 10
 
 // statement is the signed payload, an in-toto Statement v1.
@@ -46,7 +46,7 @@
 	return s
 }
 
-// matches reports whether the statement asserts the digest of a version of a function.
+// matches reports whether the statement is about the given version of a function and its digest.
 func (s *statement) matches(function, version string, d digest.Digest) bool {
 	return s.Type == statementType && s.PredicateType == predicateType && s.Predicate.Version == version &&
 		slices.ContainsFunc(s.Subject, func(subject subject) bool {
@@ -64,7 +64,7 @@
 		return nil, err
 	}
 	if envelope.PayloadType != PayloadType {
-		return nil, fmt.Errorf("payload type %q, want %s", envelope.PayloadType, PayloadType)
+		return nil, fmt.Errorf("unexpected payload type %q, want %s", envelope.PayloadType, PayloadType)
 	}
 	return &envelope, nil
 }
--- a/internal/registry/signing/pem.go
+++ b/internal/registry/signing/pem.go
@@ -12,7 +12,7 @@
 	privateKeyBlock = "PRIVATE KEY" // PKCS 8
 )
 
-// parseKey parses an Ed25519 key of type K from a PEM block. parse decodes the DER content of the block.
+// parseKey decodes an Ed25519 key of type K from a PEM block. parse decodes the DER content of the block.
 func parseKey[K any](text []byte, blockType string, parse func([]byte) (any, error)) (key K, err error) {
 	block, _ := pem.Decode(text)
 	if block == nil || block.Type != blockType {
--- a/internal/registry/signing/ring.go
+++ b/internal/registry/signing/ring.go
@@ -12,33 +12,33 @@
 	"time"
 )
 
-// Key is a signing key. Its signatures are accepted for versions that are published from ValidFrom until ValidUntil; a zero
-// time means no limit. If a key is revoked, none of its signatures count, including earlier ones.
+// Key is a public key that signs versions. Its signatures are accepted for versions published from ValidFrom until
+// ValidUntil; a zero time means no limit. Revoking a key invalidates all of its signatures, including earlier ones.
 type Key struct {
 	ID               string    `json:"id"`
 	PublicKey        string    `json:"public_key"` // PEM, PKIX, Ed25519
 	ValidFrom        time.Time `json:"from,omitzero"`
 	ValidUntil       time.Time `json:"until,omitzero"`
 	Revoked          bool      `json:"revoked,omitempty"`
-	FunctionPatterns []string  `json:"functions,omitempty"` // functions that it may sign for, as path.Match patterns; empty means all
+	FunctionPatterns []string  `json:"functions,omitempty"` // path.Match patterns of the functions that the key may sign for; empty means all
 
 	publicKey ed25519.PublicKey
 }
 
-// Ring is the set of keys, and the number of them that must sign a version. It has no mutable state and is safe for
-// concurrent use.
+// Ring is a set of trusted keys, and the number of them that must sign a version. It is not modified after ReadRing, and
+// is safe for concurrent use.
 type Ring struct {
 	Threshold int   `json:"need"`
 	Keys      []Key `json:"keys"`
 }
 
-// FieldError is an invalid field of a key ring document.
+// FieldError reports an invalid field of a key ring document.
 type FieldError struct {
 	Pointer string // JSON pointer
 	Err     error
 }
 
-// Error returns the field and what is wrong with it.
+// Error returns the JSON pointer and the underlying error.
 func (e *FieldError) Error() string { return fmt.Sprintf("%s: %v", e.Pointer, e.Err) }
 
 // Unwrap returns the underlying error.
@@ -48,7 +48,7 @@
 func ReadRing(data []byte) (*Ring, error) {
 	r := &Ring{Threshold: 1}
 	decoder := json.NewDecoder(bytes.NewReader(data))
-	decoder.DisallowUnknownFields() // a misspelled "revoked" must not be ignored
+	decoder.DisallowUnknownFields() // ignoring a misspelled "revoked" would leave the key trusted
 	if err := decoder.Decode(r); err != nil {
 		return nil, fmt.Errorf("key ring: %w", err)
 	}
@@ -73,7 +73,8 @@
 	return r, nil
 }
 
-// parse decodes the public key and checks the other fields except the ID. The pointers of its errors are relative to the key.
+// parse decodes the public key and validates the other fields except the ID, which ReadRing validates. The pointers of its
+// errors are relative to the key.
 func (k *Key) parse() (fieldErrors []FieldError) {
 	fail := func(pointer string, err error) {
 		fieldErrors = append(fieldErrors, FieldError{Pointer: pointer, Err: err})
@@ -102,7 +103,7 @@
 	return nil
 }
 
-// isValidAt reports whether the key is within its validity period at now.
+// isValidAt reports whether now is within the validity period of the key.
 func (k *Key) isValidAt(now time.Time) bool {
 	if !k.ValidFrom.IsZero() && now.Before(k.ValidFrom) {
 		return false
@@ -118,9 +119,9 @@
 	})
 }
 
-// IsTrusted reports whether a version that was signed by the given keys at publication may still run. Signatures of expired
-// keys remain valid; those of revoked or removed keys do not. A version without signatures was published before signatures
-// were required, and is trusted.
+// IsTrusted reports whether a published version may still run. ids are the keys whose signatures were accepted when it was
+// published. Signatures of expired keys remain valid; those of revoked or removed keys do not. A version without any was
+// published before signatures were required, and is trusted.
 func (r *Ring) IsTrusted(ids []string) bool {
 	if len(ids) == 0 {
 		return true
--- a/internal/registry/signing/ring_test.go
+++ b/internal/registry/signing/ring_test.go
@@ -88,15 +88,15 @@
 			ids, err := c.ring.Verify(c.now, "tally", "1.0", manifestDigest, c.envelopes)
 			switch {
 			case c.ok && (err != nil || strings.Join(ids, " ") != c.want):
-				t.Errorf("%v %v", ids, err)
+				t.Errorf("signed by %v, error %v", ids, err)
 			case !c.ok && (!errors.Is(err, ErrUntrusted) || !strings.Contains(err.Error(), c.want)):
-				t.Errorf("%v, want %s", err, c.want)
+				t.Errorf("error %v, want ErrUntrusted with %s", err, c.want)
 			}
 		})
 	}
 }
 
-// Without any reason to append, the error must still be formatted correctly.
+// Without signatures there are no reasons to append to the error, which must still be formatted correctly.
 func TestRing_VerifyWithoutSignatures(t *testing.T) {
 	_, key := newKey(t, "a")
 	_, err := newRing(t, 1, key).Verify(rotationTime, "tally", "1.0", manifestDigest, nil)
@@ -105,7 +105,7 @@
 	}
 }
 
-// A published version is trusted while enough of its keys are in the ring and not revoked. Expired keys count.
+// A published version is trusted while enough of its keys are in the ring and not revoked, even if they have expired.
 func TestRing_IsTrusted(t *testing.T) {
 	_, expired := newKey(t, "old")
 	_, revoked := newKey(t, "fresh")
@@ -124,7 +124,7 @@
 	} {
 		t.Run("signed by "+c.ids, func(t *testing.T) {
 			if ring.IsTrusted(strings.Fields(c.ids)) != c.want {
-				t.Errorf("signed by %q: trusted is not %v", c.ids, c.want)
+				t.Errorf("signed by %q: want trusted %v", c.ids, c.want)
 			}
 		})
 	}
@@ -154,11 +154,11 @@
 	} `json:"signatures"`
 }
 
-// decodeEqual reports whether two envelopes decode to the same content. They may differ in unused bits of base64 digits and
-// in the case of JSON field names.
+// decodeEqual reports whether two envelopes decode to the same content. Such envelopes can still differ in the padding bits
+// of base64 text and in the letter case of JSON field names.
 func decodeEqual(a, b []byte) bool {
 	decode := func(data []byte) (envelope decodedEnvelope) {
-		_ = json.Unmarshal(data, &envelope) // malformed JSON leaves the fields decoded so far
+		_ = json.Unmarshal(data, &envelope) // for malformed JSON, compares the fields decoded before the error
 		return envelope
 	}
 	return reflect.DeepEqual(decode(a), decode(b))
--- a/internal/registry/signing/sign.go
+++ b/internal/registry/signing/sign.go
@@ -26,7 +26,7 @@
 // KeyID returns the ID of the key.
 func (s signer) KeyID() (string, error) { return s.id, nil }
 
-// Sign returns a DSSE envelope that signs a version with a private key in PEM (PKCS 8, Ed25519).
+// Sign returns a DSSE envelope with a statement about a version, signed with an Ed25519 private key in PEM (PKCS 8).
 func Sign(id string, private []byte, function, version string, d digest.Digest) ([]byte, error) {
 	key, err := parseKey[ed25519.PrivateKey](private, privateKeyBlock, x509.ParsePKCS8PrivateKey)
 	if err != nil {
@@ -50,11 +50,11 @@
 	return json.Marshal(envelope)
 }
 
-// NewKey returns the key pair that is derived from a random seed of ed25519.SeedSize bytes: the private key in PEM, and the
-// public key as an entry of a ring.
+// NewKey derives a key pair from a random seed of ed25519.SeedSize bytes. It returns the private key in PEM, and the public
+// key as an entry for a Ring.
 func NewKey(id string, seed []byte) (private []byte, k Key, err error) {
 	if id == "" || len(seed) != ed25519.SeedSize {
-		return nil, k, fmt.Errorf("a key requires a name and a seed of %d bytes", ed25519.SeedSize)
+		return nil, k, fmt.Errorf("a key requires an ID and a seed of %d bytes", ed25519.SeedSize)
 	}
 	key := ed25519.NewKeyFromSeed(seed)
 	privateDER, err := x509.MarshalPKCS8PrivateKey(key)
--- a/internal/registry/signing/verify.go
+++ b/internal/registry/signing/verify.go
@@ -14,12 +14,13 @@
 	"github.com/secure-systems-lab/go-securesystemslib/dsse"
 )
 
-// ErrUntrusted means that fewer keys than required have signed a version.
+// ErrUntrusted means that a version has valid signatures of fewer keys than required.
 var ErrUntrusted = errors.New("insufficient valid signatures")
 
-// Verify returns the IDs of the keys that have validly signed a version that is published at now. It ignores envelopes
-// whose statement does not match the version, or whose keys are unknown, revoked or outside their validity period. If
-// fewer keys than the threshold remain, it returns an error that wraps ErrUntrusted and the reasons.
+// Verify returns the IDs of the keys with a valid signature of a version that is published at now. It ignores envelopes
+// whose statement does not match the version, and signatures of keys that are unknown, revoked, outside their validity
+// period or not allowed to sign for the function. If fewer keys than the threshold remain, it returns an error that wraps
+// ErrUntrusted and the reasons.
 func (r *Ring) Verify(now time.Time, function, version string, d digest.Digest, envelopes [][]byte) (ids []string, err error) {
 	var reasons []error
 	for i, data := range envelopes {
@@ -32,7 +33,7 @@
 	slices.Sort(ids)
 	ids = slices.Compact(ids)
 	if len(ids) < r.Threshold {
-		err := fmt.Errorf("%s:%s: %w: %d of %d required keys", function, version, ErrUntrusted, len(ids), r.Threshold)
+		err := fmt.Errorf("%s:%s: %w: signed by %d of %d required keys", function, version, ErrUntrusted, len(ids), r.Threshold)
 		if len(reasons) > 0 {
 			err = fmt.Errorf("%w %w", err, errors.Join(reasons...))
 		}
@@ -73,7 +74,7 @@
 	return ids, nil
 }
 
-// usableKeys returns the keys of the signatures that may sign for a function at now, and the reasons why others may not.
+// usableKeys returns the keys of the signatures that may sign for a function at now, and an error for each of the others.
 func (r *Ring) usableKeys(signatures []dsse.Signature, now time.Time, function string) (usable []dsse.Verifier, rejections []error) {
 	for _, signature := range signatures {
 		k := r.findKey(signature.KeyID)
@@ -86,8 +87,8 @@
 	return usable, rejections
 }
 
-// checkUsable returns an error if the key may not sign for a function at now. The key is nil if the ring does not contain
-// the ID.
+// checkUsable returns an error if the key may not sign for a function at now. The receiver is nil if the ID is not in the
+// ring.
 func (k *Key) checkUsable(id string, now time.Time, function string) error {
 	switch {
 	case k == nil:
@@ -103,7 +104,7 @@
 	}
 }
 
-// verifier implements dsse.Verifier with a key of the ring.
+// verifier implements dsse.Verifier with a public key of the ring.
 type verifier struct{ key *Key }
 
 // Verify returns an error if the signature of data is invalid.
