--- a/internal/verification/invariants/check.go
+++ b/internal/verification/invariants/check.go
@@ -5,12 +5,13 @@
 	"sort"
 )
 
-// maxViolationsPerKind is the maximum number of violations of one kind that are described. All of them are counted.
+// maxViolationsPerKind is the maximum number of violations of one kind that Verdict.Violations describes. The counters include
+// all violations.
 const maxViolationsPerKind = 3
 
-// Check checks a complete recording. It sorts records by time in place.
+// Check checks a complete recording against the rules. It sorts records by time in place.
 func Check(rules Rules, records []Record) Verdict {
-	c := &checker{rules: rules, described: map[string]int{}}
+	c := &checker{rules: rules, countByKind: map[string]int{}}
 	sort.SliceStable(records, func(a, b int) bool { return records[a].At < records[b].At })
 	c.checkResponses(records)
 	c.checkExecutions(records)
@@ -22,18 +23,18 @@
 	return c.verdict
 }
 
-// checker holds the rules and the findings of one Check.
+// checker holds the rules and the results of one call of Check.
 type checker struct {
-	rules     Rules
-	verdict   Verdict
-	described map[string]int // number of violations by kind
+	rules       Rules
+	verdict     Verdict
+	countByKind map[string]int // violations found, by kind
 }
 
-// violation increments a counter of the verdict, and describes the violation if it is among the first of its kind.
+// violation increments a counter of the verdict, and adds a description unless there are already enough of that kind.
 func (c *checker) violation(count *int, kind, format string, args ...any) {
 	*count++
-	c.described[kind]++
-	if c.described[kind] <= maxViolationsPerKind {
+	c.countByKind[kind]++
+	if c.countByKind[kind] <= maxViolationsPerKind {
 		c.verdict.Violations = append(c.verdict.Violations, kind+": "+fmt.Sprintf(format, args...))
 	}
 }
@@ -41,7 +42,8 @@
 // frontEndWorker identifies a worker as seen by one front end, or by all of them if frontEnd is empty.
 type frontEndWorker struct{ frontEnd, worker string }
 
-// lookupTime returns the time recorded for a front end and a worker, or else the one that holds for all front ends.
+// lookupTime returns the time recorded for a worker and a front end. If there is none, it returns the time of the worker that
+// applies to all front ends.
 func lookupTime(times map[frontEndWorker]float64, frontEnd, worker string) (float64, bool) {
 	if at, ok := times[frontEndWorker{frontEnd, worker}]; ok {
 		return at, true
--- a/internal/verification/invariants/check_test.go
+++ b/internal/verification/invariants/check_test.go
@@ -21,7 +21,7 @@
 	return Record{At: at, Kind: ResponseReceived, CallID: call, RequestID: id, Class: class, FrontEnd: "f", Outcome: outcome}
 }
 
-// executedAttempt returns the records of an attempt that executes its request half-way.
+// executedAttempt returns the records of an attempt that executes its request halfway between its start and its end.
 func executedAttempt(at, to float64, call uint64, worker, id, class string) []Record {
 	return append(failedAttempt(at, to, call, worker, id, class),
 		Record{At: (at + to) / 2, Kind: Executed, CallID: call, Worker: worker, RequestID: id, Class: class})
@@ -58,10 +58,10 @@
 
 func TestCheck_FindsEachViolation(t *testing.T) {
 	if v := Check(rules, validRecording()); v.RulesBroken != 0 || v.Succeeded != 1 || v.Rejected != 1 || v.Failed != 1 || v.Cancelled != 1 {
-		t.Fatalf("a valid recording: %+v", v)
+		t.Fatalf("unexpected verdict on a valid recording: %+v", v)
 	}
 	var overload []Record
-	for i := range 14 { // 2 x 0.25 x 2 cores x 1 s of work are allowed, and two requests more
+	for i := range 14 { // the limit is 2 x 0.25 x 2 cores x 1 s of work, plus two requests
 		at := 6.1 + float64(i)*0.01
 		overload = append(overload, request(at-0.05, uint64(100+i), "p"+string(rune('a'+i)), "again"),
 			response(at+0.1, uint64(100+i), "p"+string(rune('a'+i)), "again", Succeeded))
@@ -69,7 +69,7 @@
 	}
 	for _, c := range []struct {
 		name  string
-		more  []Record
+		added []Record
 		count func(Verdict) int
 	}{
 		{"no response", []Record{request(7, 50, "x", "again")}, func(v Verdict) int { return v.Unanswered }},
@@ -104,15 +104,15 @@
 		{"too many load commands", []Record{loadCommand(3.2), loadCommand(3.3)}, func(v Verdict) int { return v.ExcessLoadCommands }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if v := Check(rules, append(validRecording(), c.more...)); c.count(v) == 0 || v.RulesBroken != 1 || len(v.Violations) == 0 {
-				t.Errorf("not found, or more than that one: %+v", v)
+			if v := Check(rules, append(validRecording(), c.added...)); c.count(v) == 0 || v.RulesBroken != 1 || len(v.Violations) == 0 {
+				t.Errorf("want this violation and no other: %+v", v)
 			}
 		})
 	}
 	withinGrace := append(executedAttempt(5.4, 5.7, 51, "a", "x", "again"), request(5.3, 52, "x", "again"),
 		response(5.8, 52, "x", "again", Succeeded))
 	if v := Check(rules, append(validRecording(), withinGrace...)); v.RulesBroken != 0 {
-		t.Errorf("within the grace: %+v", v)
+		t.Errorf("attempt within the drain grace: %+v", v)
 	}
 }
 
--- a/internal/verification/invariants/deprecated.go
+++ b/internal/verification/invariants/deprecated.go
@@ -1,6 +1,7 @@
 package invariants
 
-// deprecatedKinds maps the kinds of records that earlier builds wrote to the present ones. They are only read.
+// deprecatedKinds maps the record kinds that earlier builds wrote to the current ones. Deprecated kinds are read but never
+// written.
 var deprecatedKinds = map[Kind]Kind{
 	"asked":    RequestSent,
 	"answered": ResponseReceived,
--- a/internal/verification/invariants/deprecated_test.go
+++ b/internal/verification/invariants/deprecated_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// A recording of an earlier build is read like one of this build, and is written with the present kinds.
+// A recording of an earlier build is read like a current one, and is written with the current kinds.
 func TestRead_DeprecatedKinds(t *testing.T) {
 	const old = `{"at":1,"kind":"asked"}
 {"at":2,"kind":"answered"}
@@ -35,7 +35,7 @@
 		{At: 11, Kind: WorkerStarted, StartedAt: 2},
 	}
 	if len(deprecatedKinds) != len(want) {
-		t.Fatalf("%d deprecated kinds, %d are tested", len(deprecatedKinds), len(want))
+		t.Fatalf("there are %d deprecated kinds, but %d are tested", len(deprecatedKinds), len(want))
 	}
 	records, err := Read(strings.NewReader(old))
 	if err != nil || !reflect.DeepEqual(records, want) {
--- a/internal/verification/invariants/format_test.go
+++ b/internal/verification/invariants/format_test.go
@@ -10,7 +10,7 @@
 const rulesText = `{"Effect":{"a":"keyed"},"Remembered":{"a":30},"Work":0.5,"WorkOf":{"f":0.25},"Capacity":{"w":2},"DrainGrace":0.5,` +
 	`"ColdShare":0.29,"WarmWithin":4,"FallFactor":2.5,"FallWindow":1.5,"LoadWindow":8,"LoadFree":3,"LoadShare":0.75,"Lag":0.125,"Apart":true,"Grace":0.1}`
 
-// Rules files of users have these keys, in any case.
+// Rules files of users have these keys, in any letter case.
 func TestRules_JSONKeys(t *testing.T) {
 	want := Rules{
 		Semantics: map[string]string{"a": "keyed"}, DeduplicationWindow: map[string]float64{"a": 30}, MeanWork: 0.5,
--- a/internal/verification/invariants/record.go
+++ b/internal/verification/invariants/record.go
@@ -11,22 +11,22 @@
 // Kind is the kind of a record.
 type Kind string
 
-// Kinds of records, as written to files. Older names of them are read as well, see deprecatedKinds.
+// Kinds of records, as written to files. Older names are also read, see deprecatedKinds.
 const (
-	RequestSent      Kind = "request-sent"      // a client sent a request, and waits for Timeout
-	ResponseReceived Kind = "response-received" // the client received a response with an Outcome
+	RequestSent      Kind = "request-sent"      // a client sent a request, and waits up to Timeout for the response
+	ResponseReceived Kind = "response-received" // the client received a response; has Outcome
 	ClientCancelled  Kind = "client-cancelled"  // the client cancelled, or the script stopped its front end
 	ConnectionLost   Kind = "connection-lost"   // the client's connection closed without a response
 	AttemptStarted   Kind = "attempt-started"   // an attempt reached a worker
 	Executed         Kind = "executed"          // the worker executed the request
 	AttemptEnded     Kind = "attempt-ended"     // the worker sent its response, or either side closed the connection
 	LoadCommanded    Kind = "load-commanded"    // a load command reached a worker
-	EndpointUpdated  Kind = "endpoint-updated"  // the endpoint list changed: EndpointState, StartedAt
+	EndpointUpdated  Kind = "endpoint-updated"  // the endpoint list changed; has EndpointState, StartedAt
 	WorkerOverloaded Kind = "worker-overloaded" // a cold worker failed under too much load
 	WorkerStarted    Kind = "worker-started"    // a worker process started cold
 )
 
-// Outcomes as the client saw them, as written to files.
+// Outcomes of requests from the client's view, as written to files.
 const (
 	Succeeded = "handled"
 	Rejected  = "deferred"
@@ -43,15 +43,15 @@
 	RequestID     string  `json:"event,omitempty"`
 	Class         string  `json:"type,omitempty"` // request class
 	Function      string  `json:"function,omitempty"`
-	CallID        uint64  `json:"call,omitempty"` // joins a request with its response, or an attempt with its end
+	CallID        uint64  `json:"call,omitempty"` // links a request to its response, or an attempt to its end
 	Timeout       float64 `json:"wait,omitempty"` // seconds
 	Outcome       string  `json:"outcome,omitempty"`
 	Status        int     `json:"status,omitempty"`  // 0 if the connection closed without a response
 	EndpointState string  `json:"phase,omitempty"`   // of the worker in the endpoint list
 	NoticedAt     float64 `json:"noticed,omitempty"` // time from which an endpoint update counts as received, if before At
 	StartedAt     float64 `json:"born,omitempty"`    // start of the worker
-	Replicas      int     `json:"copies,omitempty"`  // replicas that a load command asks for
-	Digest        string  `json:"digest,omitempty"`  // of the version that an attempt asks for, that was executed, or that a response names
+	Replicas      int     `json:"copies,omitempty"`  // replicas that a load command requests
+	Digest        string  `json:"digest,omitempty"`  // of the version that an attempt requests, that was executed, or that a response names
 }
 
 // noticeTime returns the time from which an endpoint update counts as received.
@@ -74,7 +74,7 @@
 	return buffer.Flush()
 }
 
-// Read reads records from JSON lines. Its errors give the number of the record, from 1.
+// Read reads records from JSON lines. Its errors contain the number of the record, starting at 1.
 func Read(r io.Reader) ([]Record, error) {
 	var records []Record
 	dec := json.NewDecoder(r)
--- a/internal/verification/invariants/recorder.go
+++ b/internal/verification/invariants/recorder.go
@@ -13,19 +13,19 @@
 	calls   uint64
 }
 
-// NewRecorder returns a Recorder whose recording begins now, on the machine's clock.
+// NewRecorder returns a Recorder that uses the system clock. Its recording begins now.
 func NewRecorder() *Recorder {
 	startedAt := time.Now()
 	return NewRecorderWithClock(func() float64 { return time.Since(startedAt).Seconds() })
 }
 
-// NewRecorderWithClock returns a Recorder on a clock that returns seconds since the recording began.
+// NewRecorderWithClock returns a Recorder that uses the given clock, which returns seconds since the recording began.
 func NewRecorderWithClock(clock func() float64) *Recorder { return &Recorder{clock: clock} }
 
 // Now returns the seconds since the recording began.
 func (r *Recorder) Now() float64 { return r.clock() }
 
-// Add sets the time of a record and adds it to the recording.
+// Add sets the time of a record to now and adds it to the recording.
 func (r *Recorder) Add(record Record) {
 	if r == nil {
 		return
@@ -36,7 +36,7 @@
 	r.mu.Unlock()
 }
 
-// NextCallID returns a new identifier for one request or one attempt.
+// NextCallID returns a new identifier for a request or an attempt, or 0 if the Recorder is nil.
 func (r *Recorder) NextCallID() uint64 {
 	if r == nil {
 		return 0
--- a/internal/verification/invariants/versions.go
+++ b/internal/verification/invariants/versions.go
@@ -1,7 +1,7 @@
 package invariants
 
-// checkVersions checks the rule of function versions: a request is executed on the version that its attempt asked for,
-// and its response names the version that executed it.
+// checkVersions checks the rule of function versions: a request is executed by the version that its attempt requested, and
+// its response names the version that executed it.
 func (c *checker) checkVersions(records []Record) {
 	wanted, executed := map[uint64]string{}, map[string]map[string]bool{}
 	for _, r := range records {
@@ -10,7 +10,7 @@
 			wanted[r.CallID] = r.Digest
 		case Executed:
 			if r.Digest != wanted[r.CallID] {
-				c.violation(&c.verdict.VersionMismatches, "version", "%s asked %s for version %s, executed on %s", r.RequestID, r.Worker,
+				c.violation(&c.verdict.VersionMismatches, "version", "%s was sent to %s for version %s and executed by version %s", r.RequestID, r.Worker,
 					wanted[r.CallID], r.Digest)
 			}
 			if executed[r.RequestID] == nil {
@@ -24,8 +24,9 @@
 	}
 }
 
-// checkNamedVersion checks that a response names a version that executed the request. Workers drop a keyed request that
-// was executed for another front end, maybe on another version, so those are exempt where front ends are independent.
+// checkNamedVersion checks that a response names a version that executed the request. Keyed requests are exempt where front
+// ends are independent: a worker drops a duplicate that was already executed for another front end, possibly by another
+// version.
 func (c *checker) checkNamedVersion(response Record, executed map[string]bool) {
 	if c.rules.IndependentFrontEnds && c.rules.Semantics[response.Class] == semanticsIdempotentByKey {
 		return
--- a/internal/verification/invariants/workers.go
+++ b/internal/verification/invariants/workers.go
@@ -3,8 +3,9 @@
 // stateServing is the endpoint state of a worker that is not draining.
 const stateServing = "serving"
 
-// checkDraining checks rule 3: nothing is sent to a draining worker. A record without a front end is the time at which
-// the notice was written, a record with one is the time at which that front end received it.
+// checkDraining checks rule 3: nothing is sent to a draining worker later than DrainGrace after the drain notice. A record
+// without a front end has the time at which the notice was written; a record with one has the time at which that front end
+// received it.
 func (c *checker) checkDraining(records []Record) {
 	notices := map[frontEndWorker]float64{}
 	for _, r := range records {
@@ -27,14 +28,14 @@
 	}
 }
 
-// warmUpState holds the workers that are warming up.
+// warmUpState holds the start times of workers, and the attempts that reached them while they warmed up.
 type warmUpState struct {
 	started map[frontEndWorker]float64
 	sent    map[string][]Record // attempts within the window, by worker
 }
 
-// checkWarmUp checks rule 4: the work that reaches a worker within any window after its start stays under
-// OverloadFactor times the capacity that the worker has at that age.
+// checkWarmUp checks rule 4: while a worker warms up, the work that reaches it within any OverloadWindow is limited to
+// OverloadFactor times the capacity that the worker has at that age, plus twice MeanWork.
 func (c *checker) checkWarmUp(records []Record) {
 	if c.rules.OverloadFactor == 0 || c.rules.WarmUpTime == 0 {
 		return
@@ -53,8 +54,8 @@
 	}
 }
 
-// start records the start of a worker. If the record names a front end, only that one has learned of the start;
-// otherwise it is the start itself, and the attempts before it no longer count.
+// start records the start of a worker. A record that names a front end means that this front end has learned of the start. A
+// record without one is the start itself, and earlier attempts no longer count.
 func (s *warmUpState) start(r Record) {
 	if r.FrontEnd != "" {
 		s.started[frontEndWorker{r.FrontEnd, r.Worker}] = r.StartedAt
