--- a/internal/eventloop/dialer.go
+++ b/internal/eventloop/dialer.go
@@ -115,7 +115,7 @@
 		return
 	}
 	if time.Now().Add(retryDelay).After(d.deadline) {
-		d.fail(errors.Join(upstream.ErrLocal, err))
+		d.fail(errors.Join(upstream.ErrLocalResources, err))
 		return
 	}
 	d.server.counters.dialRetries.Add(1)
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -21,7 +21,7 @@
 
 // startTimes holds the start times of workers on the caller's clock, converted when they were first listed.
 type startTimes struct {
-	clock upstream.StartClock
+	clock upstream.StartTimeConverter
 	known map[startKey]float64
 }
 
--- a/internal/proxy/endpoints.go
+++ b/internal/proxy/endpoints.go
@@ -32,7 +32,7 @@
 	configured   *upstream.EndpointList // as last read; nil before the first read
 	active       *upstream.EndpointList // in force, including drains
 	clockOffset  units.Seconds          // host's clock minus Unix time, at the last read
-	startClock   upstream.StartClock
+	startClock   upstream.StartTimeConverter
 	listedStarts map[control.WorkerID]units.Seconds // start times of workers in Unix seconds, as in the list
 	lastReadAt   units.Seconds                      // time of the last read, on the host's clock
 	drained      map[control.WorkerID]bool          // by operators
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -7,8 +7,8 @@
 	"streamcleat/internal/dispatch"
 )
 
-// ErrLocal is wrapped by dial errors caused by a lack of local resources. Such an error is no evidence about the worker.
-var ErrLocal = errors.New("local resource exhausted")
+// ErrLocalResources is wrapped by dial errors caused by a lack of local resources. Such an error is no evidence about the worker.
+var ErrLocalResources = errors.New("local resource exhausted")
 
 // ExchangeHandler authorizes what a pool sends and receives the results. OnAttemptReply and OnLoadReply may call the
 // pool's SendAttempt, SendLoad and Abandon; the other methods must not call the pool.
--- a/internal/upstream/frames/pool_test.go
+++ b/internal/upstream/frames/pool_test.go
@@ -394,7 +394,7 @@
 func TestOnDialed_LocalErrorIsReportedNotSent(t *testing.T) {
 	fixture := newPoolFixture(t, 1, 32)
 	fixture.sendAttempt(1, "a")
-	fixture.pool.OnDialed(0, 1, errors.Join(upstream.ErrLocal, errors.New("no port")))
+	fixture.pool.OnDialed(0, 1, errors.Join(upstream.ErrLocalResources, errors.New("no port")))
 	fixture.expectReports("1:7/0")
 	fixture.sendAttempt(2, "a")
 	fixture.pool.OnDialed(0, 2, errors.New("refused"))
--- a/internal/upstream/frames/receive.go
+++ b/internal/upstream/frames/receive.go
@@ -27,7 +27,7 @@
 	c := p.Connections.FinishDial(now, id, err)
 	switch {
 	case c == nil:
-	case errors.Is(err, upstream.ErrLocal):
+	case errors.Is(err, upstream.ErrLocalResources):
 		p.Connections.Remove(c)
 		p.failLocally(c)
 	case err != nil:
--- a/internal/upstream/openinference/pool_test.go
+++ b/internal/upstream/openinference/pool_test.go
@@ -146,7 +146,7 @@
 		want control.Outcome
 	}{
 		"refused":                 {errors.New("connection refused"), control.Unreachable},
-		"descriptors are used up": {fmt.Errorf("socket: %w", upstream.ErrLocal), control.NotSent},
+		"descriptors are used up": {fmt.Errorf("socket: %w", upstream.ErrLocalResources), control.NotSent},
 	} {
 		fixture := newPoolFixture(t)
 		fixture.sendAttempt(0, 1)
--- a/internal/upstream/openinference/receive.go
+++ b/internal/upstream/openinference/receive.go
@@ -30,7 +30,7 @@
 // failDial reports an exchange whose dial failed. If the dial of an attempt failed for lack of local resources, the attempt
 // is reported as not sent, since the failure says nothing about the worker and its replicas.
 func (p *Pool) failDial(e *exchange, err error) {
-	if errors.Is(err, upstream.ErrLocal) && !e.IsLoad {
+	if errors.Is(err, upstream.ErrLocalResources) && !e.IsLoad {
 		p.Exchanges.Finish(e, dispatch.WorkerReply{Outcome: control.NotSent}, 0)
 		return
 	}
--- a/internal/upstream/start_clock.go
+++ b/internal/upstream/start_time.go
@@ -2,9 +2,9 @@
 
 import "streamcleat/internal/units"
 
-// StartClock converts worker start times from wall-clock time to the monotonic clock. The wall clock may be wrong and
+// StartTimeConverter converts worker start times from wall-clock time to the monotonic clock. The wall clock may be wrong and
 // may be stepped at any moment; worker ages must not change with it.
-type StartClock struct {
+type StartTimeConverter struct {
 	firstOffset units.Seconds // monotonic time minus Unix seconds at the first call
 	known       bool
 }
@@ -13,13 +13,13 @@
 // once per start, when that start is first reported. If the wall clock was stepped since the first call, either offset
 // may be the right one, and the later start time is returned: a worker believed too young only warms up for longer,
 // while one believed too old is overloaded. The result is never after now.
-func (c *StartClock) StartedAt(stated, now, wall units.Seconds) units.Seconds {
+func (c *StartTimeConverter) StartedAt(stated, now, wall units.Seconds) units.Seconds {
 	offset := c.latestOffset(now, wall)
 	return min(stated+offset, now)
 }
 
 // latestOffset returns the greater of the present offset between the clocks and that of the first call.
-func (c *StartClock) latestOffset(now, wall units.Seconds) units.Seconds {
+func (c *StartTimeConverter) latestOffset(now, wall units.Seconds) units.Seconds {
 	if !c.known {
 		c.firstOffset, c.known = now-wall, true
 	}
