--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -13,15 +13,16 @@
 // ConnID identifies a connection. IDs are not reused.
 type ConnID uint64
 
-// Transport dials connections and carries a pool's bytes. Its methods must not call back into the pool before they
-// return.
+// Transport dials a pool's connections and writes its data to them. Its methods must not call back into the pool before
+// they return.
 type Transport interface {
 	Dial(id ConnID, addr string)
 	Write(id ConnID, data []byte)
 	Close(id ConnID) // the pool's OnClosed is not called
 }
 
-// Connection is the part of a connection to a worker that both protocols share. Each protocol embeds it in its own type.
+// Connection is the state of a connection to a worker that both protocols share. Each protocol embeds it in its own
+// connection type.
 type Connection struct {
 	ID          ConnID
 	Worker      control.WorkerID
@@ -42,13 +43,13 @@
 	return !c.Established && now-c.Since >= timeout
 }
 
-// IdleTimedOut reports whether the connection, which must be idle, has been established and idle for at least timeout
-// seconds.
+// IdleTimedOut reports whether the connection is established and has been idle for at least timeout seconds. It must only
+// be called on a connection without open exchanges.
 func (c *Connection) IdleTimedOut(now, timeout units.Seconds) bool {
 	return c.Established && now-c.Since >= timeout
 }
 
-// Connections is the registry of a pool's connections, including those being dialed. Use NewConnections to create one.
+// Connections is the registry of a pool's connections, including those being dialed. Create it with NewConnections.
 type Connections[C anyConnection] struct {
 	transport Transport
 	lastID    ConnID
@@ -90,7 +91,7 @@
 }
 
 // FinishDial records the result of a dial and returns its connection, which is established if err is nil. It returns nil
-// if the dial was given up meanwhile or its result was recorded before.
+// if the connection was closed during the dial or the result has been recorded already.
 func (r *Connections[C]) FinishDial(now units.Seconds, id ConnID, err error) C {
 	var none C
 	c, known := r.byID[id]
@@ -116,7 +117,7 @@
 	r.transport.Close(c.base().ID)
 }
 
-// Remove removes a connection that is already closed. It does nothing if c is not registered.
+// Remove removes a connection that is already closed or whose dial failed. It does nothing if c is not registered.
 func (r *Connections[C]) Remove(c C) {
 	if !r.Contains(c) {
 		return
@@ -139,12 +140,12 @@
 		count += len(list)
 		for _, c := range list {
 			if c.base().Worker != worker || !r.Contains(c) {
-				errs = append(errs, fmt.Errorf("worker %s: connection %d is registered for another worker or not at all", worker, c.base().ID))
+				errs = append(errs, fmt.Errorf("worker %s: connection %d is listed for the wrong worker or not registered", worker, c.base().ID))
 			}
 		}
 	}
 	if count != len(r.byID) {
-		errs = append(errs, fmt.Errorf("%d connections by worker, %d by ID", count, len(r.byID)))
+		errs = append(errs, fmt.Errorf("%d connections are listed by worker, but %d by ID", count, len(r.byID)))
 	}
 	return errors.Join(errs...)
 }
--- a/internal/upstream/endpoint_list.go
+++ b/internal/upstream/endpoint_list.go
@@ -12,9 +12,9 @@
 	"streamcleat/internal/units"
 )
 
-// EndpointList is a list of workers with the address of each.
+// EndpointList is a list of workers and their addresses.
 type EndpointList struct {
-	Workers   []control.Worker // in the order they are listed
+	Workers   []control.Worker // in the order of the list
 	Addresses map[control.WorkerID]string
 }
 
@@ -25,7 +25,7 @@
 	Labels  map[string]string `json:"labels"`
 }
 
-// Labels that are read.
+// Labels that the parser reads; others are ignored.
 const (
 	labelInstance = "instance"
 	labelZone     = "zone"
@@ -45,9 +45,9 @@
 // ParseEndpointList parses Prometheus file service discovery JSON: a list of groups with "targets" (host:port) and
 // "labels". These labels are read: "instance" (worker ID; defaults to the target), "zone", "kind" (machine type), "cell"
 // (failure domain, a number), "size" (weight, above 0; defaults to 1), "phase" (serving or draining) and "started" (start
-// time in Unix seconds). Offset is added to start times to convert them to the caller's clock. The error joins an
-// EndpointError for each invalid entry. A list with any invalid entry is rejected as a whole, because applying the rest
-// would remove the workers that could not be read.
+// time in Unix seconds). The offset is added to start times to convert them to the caller's clock. The error joins one
+// EndpointError for each invalid entry. A list with any invalid entry is rejected as a whole, because applying only the
+// valid entries would remove the workers whose entries are invalid.
 func ParseEndpointList(data []byte, offset units.Seconds) (*EndpointList, error) {
 	var groups []endpointGroup
 	if err := json.Unmarshal(data, &groups); err != nil {
@@ -64,7 +64,7 @@
 	return parser.list, nil
 }
 
-// EndpointError describes an invalid entry of an endpoint list.
+// EndpointError describes an invalid value in an endpoint list.
 type EndpointError struct {
 	Path    string // JSON pointer, as in /0/labels/size
 	Problem string
@@ -108,7 +108,7 @@
 	}
 }
 
-// worker returns a worker with the properties that a group's labels state.
+// worker returns a worker, without an ID, with the properties that a group's labels specify.
 func (p *endpointParser) worker(labels map[string]string) control.Worker {
 	worker := control.Worker{Zone: control.ZoneID(labels[labelZone]), MachineType: control.MachineType(labels[labelKind]), Weight: 1}
 	if cell, ok := p.number(labels, labelCell); ok {
@@ -133,7 +133,7 @@
 	return worker
 }
 
-// number parses a numeric label. It returns false if the label is absent or invalid.
+// number parses a numeric label. It returns false if the label is absent, and also adds an error if it is invalid.
 func (p *endpointParser) number(labels map[string]string, label string) (float64, bool) {
 	text, ok := labels[label]
 	if !ok {
@@ -156,8 +156,8 @@
 	return err == nil
 }
 
-// DiffEndpointLists returns the workers that were added or changed between two lists, and those that were removed, in state
-// control.Removed. A worker with a new address counts as changed. A nil previous list counts as empty.
+// DiffEndpointLists returns the workers that were added or changed between two lists, followed by those that were removed,
+// with state control.Removed. A worker with a new address counts as changed. A nil previous list counts as empty.
 func DiffEndpointLists(previous, next *EndpointList) []control.Worker {
 	if previous == nil {
 		return next.Workers
--- a/internal/upstream/endpoint_list_test.go
+++ b/internal/upstream/endpoint_list_test.go
@@ -21,14 +21,14 @@
 	}
 	var entryErr *EndpointError
 	if !errors.As(err, &entryErr) || entryErr.Path != "/0/labels/size" {
-		t.Errorf("first invalid entry: %+v", entryErr)
+		t.Errorf("first EndpointError of the joined error: %+v", entryErr)
 	}
 	if _, err := ParseEndpointList([]byte(`[{"targets":["a:1"]`), 0); err == nil {
 		t.Error("truncated file was accepted")
 	}
 }
 
-func TestDiff_ReturnsOnlyChangedWorkers(t *testing.T) {
+func TestDiffEndpointLists_ReturnsOnlyChangedWorkers(t *testing.T) {
 	parse := func(text string) *EndpointList {
 		t.Helper()
 		list, err := ParseEndpointList([]byte(text), 100)
@@ -49,6 +49,6 @@
 		t.Errorf("%+v", got)
 	}
 	if changed := DiffEndpointLists(next, next); len(changed) != 0 {
-		t.Errorf("equal lists differ in %+v", changed)
+		t.Errorf("diff of equal lists: %+v", changed)
 	}
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -7,10 +7,11 @@
 	"streamcleat/internal/dispatch"
 )
 
-// ErrLocalResources is wrapped by dial errors caused by a lack of local resources. Such an error is no evidence about the worker.
+// ErrLocalResources is wrapped by dial errors caused by a lack of local resources. Such an error says nothing about the
+// worker.
 var ErrLocalResources = errors.New("local resource exhausted")
 
-// ExchangeHandler authorizes what a pool sends and receives the results. OnAttemptReply and OnLoadReply may call the
+// ExchangeHandler authorizes the requests that a pool sends and receives their results. OnAttemptReply and OnLoadReply may call the
 // pool's SendAttempt, SendLoad and Abandon; the other methods must not call the pool.
 type ExchangeHandler interface {
 	// AuthorizeAttempt returns the permit to write an attempt now, or its denial.
@@ -19,19 +20,19 @@
 	AuthorizeLoad(id uint64) dispatch.SendPermit
 	OnAttemptReply(id uint64, reply dispatch.WorkerReply)
 	OnLoadReply(id uint64, outcome control.Outcome, replicas int)
-	// OnDisconnected reports that the last established connection to a worker has ended. Another process may answer at its
-	// address from then on.
+	// OnDisconnected reports that the last established connection to a worker has ended. From then on, another process may
+	// listen at its address.
 	OnDisconnected(worker control.WorkerID)
 }
 
-// Exchange is the part of an attempt or load command that both protocols share, from the call that hands it to a pool
-// until its result is reported. Each protocol embeds it in its own type.
+// Exchange is the state of an attempt or load command that both protocols share. It exists from the call that passes it to
+// a pool until its result is reported. Each protocol embeds it in its own exchange type.
 type Exchange struct {
 	ID     uint64 // assigned by the dispatcher
 	Worker control.WorkerID
-	IsLoad bool // load command or query rather than attempt
-	Sent   bool // the worker may have received some of it
-	// Encode returns the encoded request. It is nil once the request was written.
+	IsLoad bool // a load command or query, not an attempt
+	Sent   bool // the worker may have received part of the request
+	// Encode returns the encoded request. It is nil once the request has been written.
 	Encode func(permit dispatch.SendPermit) []byte
 }
 
@@ -43,12 +44,12 @@
 	base() *Exchange
 }
 
-// Exchanges is the registry of a pool's open exchanges. Each is reported to the handler exactly once unless it is removed
-// first. Use NewExchanges to create one.
+// Exchanges is the registry of a pool's open exchanges. The result of each is reported to the handler exactly once,
+// unless the exchange is removed first. Create it with NewExchanges.
 type Exchanges[E anyExchange] struct {
 	handler ExchangeHandler
 	open    map[uint64]E
-	unsent  []unsentExchange[E] // reported by the next Flush
+	unsent  []unsentExchange[E] // to be reported by the next Flush
 }
 
 // unsentExchange is an exchange that ended before any of it was written.
@@ -68,7 +69,7 @@
 // Get returns the open exchange with the given ID, or nil.
 func (x *Exchanges[E]) Get(id uint64) E { return x.open[id] }
 
-// GetUnsent returns the open exchange with the given ID if none of it was sent, and nil otherwise.
+// GetUnsent returns the open exchange with the given ID if no part of it was sent, and nil otherwise.
 func (x *Exchanges[E]) GetUnsent(id uint64) E {
 	var none E
 	e, open := x.open[id]
@@ -84,11 +85,11 @@
 // Len returns the number of open exchanges.
 func (x *Exchanges[E]) Len() int { return len(x.open) }
 
-// Remove removes an exchange without reporting it.
+// Remove removes an exchange without reporting a result.
 func (x *Exchanges[E]) Remove(e E) { delete(x.open, e.base().ID) }
 
-// Write writes an exchange's request to a connection if the handler permits it, and reports whether it did. Once written,
-// the worker may execute it. A request that was denied is reported as not sent by the next Flush.
+// Write writes an exchange's request to a connection if the handler permits it, and reports whether it did. Once the
+// request is written, the worker may execute it. If the write is denied, the next Flush reports the exchange as not sent.
 func (x *Exchanges[E]) Write(e E, transport Transport, connection ConnID) bool {
 	base := e.base()
 	permit := x.authorize(base)
@@ -109,8 +110,8 @@
 	return x.handler.AuthorizeAttempt(e.ID)
 }
 
-// FailUnsent marks an exchange that can't be sent. The next Flush reports it as unreachable; reporting it right away would
-// call the handler back from within its own call.
+// FailUnsent marks an exchange that can't be sent. The next Flush reports it as unreachable. It is not reported at once,
+// because that would call the handler from within the handler's own call to the pool.
 func (x *Exchanges[E]) FailUnsent(e E) {
 	x.unsent = append(x.unsent, unsentExchange[E]{e, control.Unreachable})
 }
@@ -118,7 +119,7 @@
 // Pending reports whether Flush has something to report.
 func (x *Exchanges[E]) Pending() bool { return len(x.unsent) > 0 }
 
-// Flush reports the exchanges that could not be sent, including those that fail while it runs.
+// Flush reports the exchanges that could not be sent, including those that fail during the call.
 func (x *Exchanges[E]) Flush() {
 	for len(x.unsent) > 0 {
 		batch := x.unsent
@@ -143,8 +144,8 @@
 	}
 }
 
-// FinishLost reports an exchange whose connection was lost: as lost if any of its request was handed to the kernel, since
-// the worker may have executed it, and as unreachable otherwise.
+// FinishLost reports an exchange whose connection was lost: as control.ConnectionLost if any part of its request was passed
+// to the kernel, because the worker may have executed it, and as control.Unreachable otherwise.
 func (x *Exchanges[E]) FinishLost(e E) {
 	if e.base().Sent {
 		x.Finish(e, dispatch.WorkerReply{Outcome: control.ConnectionLost}, 0)
--- a/internal/upstream/frames/codec.go
+++ b/internal/upstream/frames/codec.go
@@ -19,15 +19,15 @@
 	bodyLengthOffset = 4
 	idOffset         = 8
 
-	// maxBody leaves room for the header and fields of the frame that forwards the body to a client, which holds at most
-	// 262,144 bytes.
+	// maxBody is the maximum length of a body. It leaves room for the header and fields of the frame that forwards the body
+	// to a client, which holds at most 262,144 bytes.
 	maxBody = 262_144 - 1024
 )
 
 // Marks: the first byte of a frame identifies its sender.
 const (
-	markGateway = 192
-	markWorker  = 193
+	markFrontEnd = 192
+	markWorker   = 193
 )
 
 // command is the code of a frame sent to a worker.
@@ -64,7 +64,7 @@
 // encodeFrame encodes a frame to a worker.
 func encodeFrame(code command, id uint64, fields string, body []byte) []byte {
 	b := make([]byte, 0, headerSize+len(fields)+len(body)+checksumSize)
-	b = append(b, markGateway, byte(code))
+	b = append(b, markFrontEnd, byte(code))
 	b = binary.BigEndian.AppendUint16(b, uint16(len(fields)))
 	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
 	b = binary.BigEndian.AppendUint64(b, id)
@@ -73,7 +73,7 @@
 	return binary.BigEndian.AppendUint32(b, crc32.ChecksumIEEE(b[headerSize:]))
 }
 
-// reply is a frame from a worker. Its body is valid until the next call of the framer.
+// reply is a frame from a worker. Its body is only valid until the next call to the framer.
 type reply struct {
 	code   replyCode
 	id     uint64
@@ -81,7 +81,8 @@
 	body   []byte
 }
 
-// framer splits the bytes from a worker into frames. After an error the stream is out of sync and must not be read on.
+// framer splits the byte stream from a worker into frames. After an error, frame boundaries can no longer be determined,
+// and the rest of the stream must not be read.
 type framer struct{ buf []byte }
 
 // errMalformed is wrapped by all errors of the framer.
@@ -89,12 +90,12 @@
 
 func (f *framer) feed(data []byte) { f.buf = append(f.buf, data...) }
 
-// next returns the next complete frame, or false if none is complete yet. Excessive lengths are rejected as soon as the
-// header is read, before the payload is buffered.
+// next returns the next complete frame, or false if none is complete yet. An excessive length is rejected as soon as
+// the header has been received, before the payload is buffered.
 func (f *framer) next() (r reply, ok bool, err error) {
 	b := f.buf
 	if len(b) > 0 && b[0] != markWorker {
-		return r, false, fmt.Errorf("%w: mark %d is not %d", errMalformed, b[0], markWorker)
+		return r, false, fmt.Errorf("%w: first byte is %d, want %d", errMalformed, b[0], markWorker)
 	}
 	if len(b) < headerSize {
 		return r, false, nil
@@ -102,7 +103,7 @@
 	fieldsLength := int(binary.BigEndian.Uint16(b[2:]))
 	bodyLength := binary.BigEndian.Uint32(b[bodyLengthOffset:])
 	if bodyLength > maxBody {
-		return r, false, fmt.Errorf("%w: body of %d bytes exceeds %d", errMalformed, bodyLength, maxBody)
+		return r, false, fmt.Errorf("%w: body of %d bytes exceeds the maximum of %d", errMalformed, bodyLength, maxBody)
 	}
 	size := headerSize + fieldsLength + int(bodyLength) + checksumSize
 	if len(b) < size {
@@ -120,7 +121,7 @@
 	return r, true, nil
 }
 
-// compact releases the memory of frames already read, so that a connection retains only an incomplete frame.
+// compact releases the memory of frames already returned, so that a connection retains only an incomplete frame.
 func (f *framer) compact() { f.buf = append([]byte(nil), f.buf...) }
 
 // fieldValue returns the value of a field, or "" if it is absent.
--- a/internal/upstream/frames/codec_test.go
+++ b/internal/upstream/frames/codec_test.go
@@ -12,11 +12,11 @@
 	return b
 }
 
-// FuzzFramer checks that the framer's results don't depend on how the input is split.
+// FuzzFramer checks that the framer yields the same frames and errors however its input is split.
 func FuzzFramer(f *testing.F) {
 	f.Add(encodeReply(replySucceeded, 7, "detail=hit", "body"), uint8(3))
 	f.Add([]byte{markWorker, 64, 255, 255, 255, 255, 255, 255}, uint8(1))
-	f.Fuzz(func(t *testing.T, in []byte, cut uint8) {
+	f.Fuzz(func(t *testing.T, in []byte, splitSize uint8) {
 		read := func(step int) string {
 			var got string
 			var fr framer
@@ -40,8 +40,8 @@
 			}
 			return got
 		}
-		if unsplit, pieces := read(len(in)+1), read(int(cut)+1); unsplit != pieces {
-			t.Errorf("in one piece %q, in several %q", unsplit, pieces)
+		if unsplit, split := read(len(in)+1), read(int(splitSize)+1); unsplit != split {
+			t.Errorf("unsplit input: %q; split input: %q", unsplit, split)
 		}
 	})
 }
--- a/internal/upstream/frames/connection.go
+++ b/internal/upstream/frames/connection.go
@@ -10,21 +10,21 @@
 // exchange is an attempt or load command.
 type exchange struct {
 	upstream.Exchange
-	wireID     uint64      // identifies it in the protocol's frames
-	connection *connection // nil if there was none for it
+	wireID     uint64      // identifies the exchange in the protocol's frames
+	connection *connection // nil if none was available
 }
 
-// connection is a connection to a worker. It carries several exchanges at a time.
+// connection is a connection to a worker. It carries several concurrent exchanges.
 type connection struct {
 	upstream.Connection
 	open     map[uint64]*exchange // by wire ID, including waiting ones
-	waiting  []*exchange          // for the dial, in order of arrival
+	waiting  []*exchange          // for the dial to complete, in order of arrival
 	framer   framer
 	recent   recentIDs
-	draining bool // the worker is draining, removed, moved or restarted: no new exchanges
+	draining bool // the worker is draining, was removed, changed its address or restarted: no new exchanges
 }
 
-// canCarry reports whether an exchange with the given wire ID may be added. A wire ID used recently is refused, because a
+// canCarry reports whether an exchange with the given wire ID may be added. A recently used wire ID is refused, because a
 // late or duplicate reply to the earlier exchange would be taken for a reply to the new one.
 func (c *connection) canCarry(wireID uint64, maxStreams int) bool {
 	return len(c.open) < maxStreams && c.open[wireID] == nil && !c.recent.contains(wireID)
@@ -40,14 +40,14 @@
 	c.recent.add(e.wireID)
 }
 
-// takeWaiting returns the exchanges that wait for the dial and clears the list.
+// takeWaiting returns the exchanges that wait for the dial to complete, and clears the list. They remain open.
 func (c *connection) takeWaiting() []*exchange {
 	waiting := c.waiting
 	c.waiting = nil
 	return waiting
 }
 
-// takeOpen returns the open exchanges in the order of their IDs and removes them from the connection.
+// takeOpen removes all open exchanges from the connection and returns them in order of their IDs.
 func (c *connection) takeOpen() []*exchange {
 	list := make([]*exchange, 0, len(c.open))
 	for _, e := range c.open {
@@ -58,13 +58,13 @@
 	return list
 }
 
-// maxRecentIDs is the number of wire IDs that a connection remembers after their exchanges ended.
+// maxRecentIDs is the number of wire IDs of ended exchanges that a connection remembers.
 const maxRecentIDs = 32
 
 // recentIDs holds the wire IDs of the most recently ended exchanges.
 type recentIDs struct {
 	ring  [maxRecentIDs]uint64
-	count int // IDs ever added
+	count int // total number of IDs added
 }
 
 func (r *recentIDs) add(id uint64) {
--- a/internal/upstream/frames/golden_test.go
+++ b/internal/upstream/frames/golden_test.go
@@ -35,8 +35,9 @@
 	})
 }
 
-// encode encodes what a worker sends, independently of the code under test: "answer CODE ID [fields]
-// [body=text]", "spoilt check|body|length" (a valid answer to 1 with that part corrupted) and "bytes HEX".
+// encode encodes a script command for what a worker sends, independently of the code under test: "answer CODE ID [fields]
+// [body=text]" is a reply, "spoilt check|body|length" a valid reply to exchange 1 with that part corrupted, and "bytes HEX"
+// raw data.
 func encode(verb string, args []string) []byte {
 	switch verb {
 	case "answer":
--- a/internal/upstream/frames/pool.go
+++ b/internal/upstream/frames/pool.go
@@ -10,32 +10,33 @@
 	"streamcleat/internal/upstream"
 )
 
-// Limits configures the connections to workers. Times are in seconds.
+// Limits configures a pool. Times are in seconds.
 type Limits struct {
-	DialTimeout         units.Seconds // a worker whose dial takes longer is unreachable
-	IdleTimeout         units.Seconds // an idle connection is closed after this
+	DialTimeout         units.Seconds // a dial that takes longer fails, and its exchanges are unreachable
+	IdleTimeout         units.Seconds // a connection that is idle for this long is closed
 	MaxTotal            int           // connections to all workers, including those being dialed
-	MaxPerWorker        int           // connections to one worker, exceeded only to open an idle one
+	MaxPerWorker        int           // connections to one worker, exceeded only if none of them can carry another exchange
 	MaxStreams          int           // concurrent exchanges per connection
 	IdempotencyKeyField string        // name of the attempt's field that holds the idempotency key
 }
 
-// Transport dials connections and carries a pool's bytes. Its methods must not call back into the pool before they
-// return.
+// Transport dials a pool's connections and writes its data to them. Its methods must not call back into the pool before
+// they return.
 type Transport interface {
 	upstream.Transport
-	Unsent(id upstream.ConnID) int // bytes written that are still buffered
+	Unsent(id upstream.ConnID) int // number of bytes written that are still buffered
 }
 
-// endpoint holds what the endpoint list states about a worker.
+// endpoint holds the properties of a worker in the endpoint list.
 type endpoint struct {
 	address   string
 	serving   bool
 	startedAt units.Seconds
 }
 
-// Pool is a front end's connections to workers, with several exchanges at a time on each. Its reports distinguish what
-// was never sent, what is proven not to have been executed and what may have been. It is not safe for concurrent use.
+// Pool manages a front end's connections to workers, each of which carries several concurrent exchanges. Its results
+// distinguish exchanges that were never sent, those that were certainly not executed and those that may have been. It is
+// not safe for concurrent use.
 type Pool struct {
 	upstream.Pool[*connection, *exchange]
 	limits         Limits
@@ -53,9 +54,9 @@
 	}
 }
 
-// SetEndpoints applies a new endpoint list. Workers that are draining, removed, moved or restarted are drained:
-// exchanges that wait for a dial fail as unsent, and connections are closed once the exchanges on them have ended.
-// Connections belong to a worker and not to its address, which another worker may take over.
+// SetEndpoints applies a new endpoint list. The connections to workers that are draining, were removed, changed their
+// address or restarted are drained: exchanges that wait for a dial fail as unsent, and connections are closed once the
+// exchanges on them have ended. Connections belong to a worker and not to its address, which another worker may take over.
 func (p *Pool) SetEndpoints(list *upstream.EndpointList) {
 	endpoints := make(map[control.WorkerID]endpoint, len(list.Workers))
 	for _, worker := range list.Workers {
@@ -72,7 +73,7 @@
 	p.endpoints = endpoints
 }
 
-// drainWorker ends the use of a worker's present connections.
+// drainWorker drains a worker's existing connections.
 func (p *Pool) drainWorker(worker control.WorkerID) {
 	for _, c := range slices.Clone(p.Connections.ForWorker(worker)) {
 		c.draining = true
@@ -83,28 +84,28 @@
 		switch {
 		case len(c.open) == 0:
 			p.Connections.Close(c)
-		case c.Established && p.transport.Unsent(c.ID) > 0: // the buffered bytes must not be sent anymore
+		case c.Established && p.transport.Unsent(c.ID) > 0: // the buffered bytes must not be sent
 			p.closeLost(c)
 		}
 	}
 }
 
-// closeLost closes a connection and reports the exchanges open on it as lost, or as unreachable if unsent.
+// closeLost closes a connection and reports the exchanges open on it as lost, or as unreachable if they were not sent.
 func (p *Pool) closeLost(c *connection) {
 	p.Connections.Close(c)
 	p.reportDisconnection(c)
 	p.failOpen(c)
 }
 
-// failOpen reports the exchanges open on a connection that is closed.
+// failOpen reports the exchanges open on a connection that has ended as lost, or as unreachable if they were not sent.
 func (p *Pool) failOpen(c *connection) {
 	for _, e := range c.takeOpen() {
 		p.Exchanges.FinishLost(e)
 	}
 }
 
-// settle starts the idle time of a connection without open exchanges, or closes it if it is draining.
-func (p *Pool) settle(now units.Seconds, c *connection) {
+// checkIdle starts the idle time of a connection without open exchanges, or closes it if it is draining.
+func (p *Pool) checkIdle(now units.Seconds, c *connection) {
 	if len(c.open) > 0 {
 		return
 	}
@@ -114,7 +115,7 @@
 	}
 }
 
-// Tick closes connections whose dial or idle time is over.
+// Tick closes connections whose dial or idle timeout has expired.
 func (p *Pool) Tick(now units.Seconds) {
 	for _, id := range p.Connections.IDs() {
 		c := p.Connections.Get(id)
@@ -129,7 +130,7 @@
 	}
 }
 
-// CloseAll closes every connection and reports open exchanges as lost, or as unreachable if unsent.
+// CloseAll closes every connection and reports open exchanges as lost, or as unreachable if they were not sent.
 func (p *Pool) CloseAll(_ units.Seconds) {
 	for _, id := range p.Connections.IDs() {
 		if c := p.Connections.Get(id); c != nil {
@@ -145,7 +146,7 @@
 		for _, c := range p.Connections.ForWorker(worker) {
 			for id, e := range c.open {
 				if e.wireID != id || e.connection != c || !p.Exchanges.Contains(e) {
-					errs = append(errs, fmt.Errorf("worker %s: exchange %d is on the wrong connection or not open", worker, e.ID))
+					errs = append(errs, fmt.Errorf("worker %s: exchange %d is listed under the wrong connection or wire ID, or is not open", worker, e.ID))
 				}
 			}
 		}
--- a/internal/upstream/frames/pool_test.go
+++ b/internal/upstream/frames/pool_test.go
@@ -13,10 +13,10 @@
 	"streamcleat/internal/upstream"
 )
 
-// defaultTimeLeft is the time in seconds that the client of an attempt still waits when the attempt is written.
+// defaultTimeLeft is the time in seconds until an attempt's deadline when the attempt is written.
 const defaultTimeLeft = 1.5
 
-// poolFixture is a pool with its transport and handler, which record what the pool sends and reports.
+// poolFixture is a pool and its transport and handler, which record what the pool sends and reports.
 type poolFixture struct {
 	t            *testing.T
 	pool         *Pool
@@ -27,7 +27,7 @@
 	disconnected []control.WorkerID
 	reported     []string
 	bodies       []string
-	denied       uint64 // attempt whose write is denied
+	deniedID     uint64 // attempt whose write is denied
 }
 
 func (fixture *poolFixture) Dial(_ upstream.ConnID, addr string) {
@@ -47,7 +47,7 @@
 
 // AuthorizeAttempt permits every attempt but the denied one, with defaultTimeLeft.
 func (fixture *poolFixture) AuthorizeAttempt(id uint64) dispatch.SendPermit {
-	if id == fixture.denied {
+	if id == fixture.deniedID {
 		return dispatch.DenySend(dispatch.DeniedNoWaiter)
 	}
 	return dispatch.PermitSend(defaultTimeLeft)
@@ -75,7 +75,7 @@
 	return list
 }
 
-// lastDialed returns the connection that was dialed last.
+// lastDialed returns the ID of the connection that was dialed last.
 func (fixture *poolFixture) lastDialed() upstream.ConnID { return upstream.ConnID(len(fixture.dialed)) }
 
 // expectReports flushes the pool and checks all reports since the last call, and the pool's consistency.
@@ -149,7 +149,7 @@
 	}
 }
 
-// After a reset or a malformed frame, every exchange on the connection may have been executed.
+// After a reset or a malformed frame, the worker may have executed every exchange that is open on the connection.
 func TestOnData_MalformedReplyLosesOpenExchanges(t *testing.T) {
 	wrongChecksum := encodeReply(replySucceeded, 1, "", "x")
 	wrongChecksum[len(wrongChecksum)-1]++
@@ -186,7 +186,7 @@
 	// A duplicate reply to the first attempt must not be taken for a reply to the retry.
 	fixture.sendAttempt(1, "a")
 	if len(fixture.dialed) != 2 {
-		t.Fatalf("dialed %v: the id was in use on the first connection", fixture.dialed)
+		t.Fatalf("dialed %v, want a second connection: the wire ID was used on the first", fixture.dialed)
 	}
 	fixture.pool.OnData(0, 1, encodeReply(replySucceeded, 1, "", "late"))
 	fixture.pool.OnDialed(0, 2, nil)
@@ -217,7 +217,7 @@
 func TestSetEndpoints_DrainingFailsWaitingExchanges(t *testing.T) {
 	fixture := newPoolFixture(t, 1, 32)
 	fixture.sendAttempt(1, "a")
-	fixture.pool.SetEndpoints(endpointList(map[string]string{"a": "x:1"}, control.Draining, 0)) // while the attempt waits for the dial
+	fixture.pool.SetEndpoints(endpointList(map[string]string{"a": "x:1"}, control.Draining, 0)) // while the attempt waits for the dial to complete
 	fixture.pool.OnDialed(0, 1, nil)
 	fixture.sendAttempt(2, "a")
 	fixture.pool.SendLoad(0, dispatch.LoadCommand{ID: 3, Worker: "a", Function: "7f3a9c21e0b4d655", Replicas: 1})
@@ -255,11 +255,12 @@
 	fixture.pool.Abandon(0, 2)
 	fixture.expectReports("3:3/0")
 	if !slices.Equal(fixture.closed, []upstream.ConnID{1}) || slices.Contains(fixture.commands(1), commandCancel) {
-		t.Error("the rest of the abandoned attempt may still be sent")
+		t.Error("connection with buffered bytes of an abandoned attempt was not closed, or a cancellation was sent on it")
 	}
 }
 
-// A new worker may take over the address of a removed one, and a worker may restart under its ID.
+// A new worker may take over the address of a removed one, and a restarted worker keeps its ID. In both cases, requests must
+// not be sent on the previous connection.
 func TestSetEndpoints_ConnectionsBelongToWorker(t *testing.T) {
 	for name, next := range map[string]*upstream.EndpointList{
 		"address taken over": endpointList(map[string]string{"b": "x:1"}, control.Serving, 0),
@@ -315,7 +316,7 @@
 		case 1:
 			fixture.pool.OnClosed(0, fixture.lastDialed())
 		case 2:
-			fixture.pool.SetEndpoints(endpointList(nil, 0, 0)) // removed while the attempt is in flight, which then times out
+			fixture.pool.SetEndpoints(endpointList(nil, 0, 0)) // the worker is removed while the attempt is in flight, and the attempt then times out
 			fixture.pool.Abandon(0, i)
 		default:
 			fixture.pool.SetEndpoints(endpointList(nil, 0, 0))
@@ -325,7 +326,7 @@
 	}
 	fixture.pool.SetEndpoints(endpointList(nil, 0, 0))
 	if entries := fixture.pool.Connections.Len() + len(fixture.pool.Connections.Workers()) + fixture.pool.Exchanges.Len() + len(fixture.pool.endpoints); entries > 0 {
-		t.Errorf("%d entries left over", entries)
+		t.Errorf("pool still holds %d entries", entries)
 	}
 }
 
@@ -371,23 +372,23 @@
 	}
 }
 
-// A write may be denied at once or when the dial ends.
+// A write may be denied when the attempt is passed to the pool or when the dial completes.
 func TestSendAttempt_DeniedIsReportedNotSent(t *testing.T) {
 	fixture := newPoolFixture(t, 1, 32)
-	fixture.denied = 2
+	fixture.deniedID = 2
 	for id := uint64(1); id <= 3; id++ {
 		fixture.sendAttempt(id, "a")
 	}
 	if got := fixture.pool.WaitingFor(1); !slices.Equal(got, []uint64{1, 2, 3}) {
-		t.Error("waiting:", got)
+		t.Error("attempts waiting for the dial:", got)
 	}
 	fixture.pool.OnDialed(0, 1, nil)
 	fixture.expectReports("2:7/0")
-	fixture.denied = 4
+	fixture.deniedID = 4
 	fixture.sendAttempt(4, "a")
 	fixture.expectReports("4:7/0")
 	if got := fixture.commands(1); len(got) != 2 {
-		t.Errorf("%d frames were written", len(got))
+		t.Errorf("%d frames were written, want 2", len(got))
 	}
 }
 
@@ -410,12 +411,12 @@
 		fixture.pool.SetEndpoints(endpointList(map[string]string{"a": "x:1"}, control.Draining, 0))
 		fixture.expectReports(want...)
 		if closed := len(fixture.closed) > 0; closed != (unsent > 0) {
-			t.Errorf("%d unsent bytes, closed %v", unsent, fixture.closed)
+			t.Errorf("%d unsent bytes: closed connections %v", unsent, fixture.closed)
 		}
 	}
 }
 
-// The end of a worker's last connection is reported, unless the worker is draining or this side closed it.
+// The end of a worker's last connection is reported, unless the worker is draining.
 func TestOnClosed_ReportsLastConnection(t *testing.T) {
 	fixture := newPoolFixture(t, 2, 1)
 	fixture.sendAttempt(1, "a")
@@ -424,11 +425,11 @@
 	fixture.pool.OnDialed(0, 2, nil)
 	fixture.pool.OnClosed(0, 1)
 	if len(fixture.disconnected) > 0 {
-		t.Error("reported while a connection is left")
+		t.Error("disconnection reported while another connection is established")
 	}
 	fixture.pool.OnClosed(0, 2)
 	if !slices.Equal(fixture.disconnected, []control.WorkerID{"a"}) {
-		t.Errorf("reported %v", fixture.disconnected)
+		t.Errorf("disconnections reported: %v, want one of worker a", fixture.disconnected)
 	}
 	fixture.expectReports("1:3/0", "2:3/0")
 	fixture.sendAttempt(3, "a")
@@ -436,12 +437,13 @@
 	fixture.pool.SetEndpoints(endpointList(map[string]string{"a": "x:1"}, control.Draining, 0))
 	fixture.pool.OnClosed(0, 3)
 	if len(fixture.disconnected) > 1 {
-		t.Error("reported for a draining worker")
+		t.Error("disconnection reported for a draining worker")
 	}
 }
 
-// Another process may have the worker's address by the next connection, whichever side ended the last one.
-func TestDisconnection_ByThisSideIsReported(t *testing.T) {
+// Whichever side closes a worker's last connection, its end is reported: another process may have the worker's address when
+// the next connection is dialed.
+func TestDisconnection_ReportedIfClosedByPool(t *testing.T) {
 	for name, end := range map[string]func(*poolFixture){
 		"idle": func(fixture *poolFixture) {
 			fixture.pool.OnData(0, 1, encodeReply(replySucceeded, 1, "detail=hit", ""))
@@ -454,7 +456,7 @@
 		fixture.pool.OnDialed(0, 1, nil)
 		end(fixture)
 		if !slices.Equal(fixture.disconnected, []control.WorkerID{"a"}) || fixture.pool.Len() > 0 {
-			t.Errorf("%s: reported %v, %d connections left", name, fixture.disconnected, fixture.pool.Len())
+			t.Errorf("%s: disconnections reported: %v; %d connections left", name, fixture.disconnected, fixture.pool.Len())
 		}
 	}
 }
--- a/internal/upstream/frames/receive.go
+++ b/internal/upstream/frames/receive.go
@@ -10,13 +10,13 @@
 	"streamcleat/internal/upstream"
 )
 
-// outcomes maps the codes of replies; replies with other codes are ignored.
+// outcomes maps reply codes to outcomes. Replies with other codes are ignored.
 var outcomes = map[replyCode]control.Outcome{
 	replySucceeded: control.Succeeded, replyReplicaMissing: control.ReplicaMissing,
 	replyRejected: control.Rejected, replyFailed: control.Failed, replyNotSent: control.NotSent,
 }
 
-// startTypes maps the values of the start field.
+// startTypes maps the values of fieldStart to start types.
 var startTypes = map[string]control.StartType{
 	"hit": control.WarmStart, "spawn": control.ColdStart,
 	"pending": control.JoinedColdStart, "spawn_failed": control.StartFailed,
@@ -29,7 +29,7 @@
 	case c == nil:
 	case errors.Is(err, upstream.ErrLocalResources):
 		p.Connections.Remove(c)
-		p.failLocally(c)
+		p.failForLocalResources(c)
 	case err != nil:
 		p.Connections.Remove(c)
 		p.failOpen(c)
@@ -37,14 +37,14 @@
 		for _, e := range c.takeWaiting() {
 			p.write(c, e)
 		}
-		p.settle(now, c)
+		p.checkIdle(now, c)
 	}
 }
 
-// failLocally reports the exchanges that waited for a dial which failed for lack of local resources. Attempts were not
-// sent, which is no evidence about the worker and its replicas. Load commands are reported as unreachable, so that
-// another worker is tried.
-func (p *Pool) failLocally(c *connection) {
+// failForLocalResources reports the exchanges that waited for a dial which failed for lack of local resources. Attempts are
+// reported as not sent, because the failure says nothing about the worker and its replicas. Load commands are reported as
+// unreachable, so that another worker is tried.
+func (p *Pool) failForLocalResources(c *connection) {
 	for _, e := range c.takeOpen() {
 		if e.IsLoad {
 			p.Exchanges.FinishLost(e)
@@ -54,7 +54,7 @@
 	}
 }
 
-// OnData handles bytes from a worker.
+// OnData handles data received from a worker.
 func (p *Pool) OnData(now units.Seconds, id upstream.ConnID, data []byte) {
 	c := p.Connections.Get(id)
 	if c == nil || !c.Established {
@@ -63,7 +63,7 @@
 	c.framer.feed(data)
 	for p.Connections.Contains(c) {
 		r, ok, err := c.framer.next()
-		if err != nil { // the stream is out of sync
+		if err != nil { // frame boundaries can no longer be determined
 			p.closeLost(c)
 			return
 		}
@@ -75,7 +75,7 @@
 	c.framer.compact()
 }
 
-// onReply handles one reply. A reply whose ID is not open is late, a duplicate or unsolicited, and is ignored.
+// onReply handles one reply. A reply to no open exchange is late, a duplicate or unsolicited, and is ignored.
 func (p *Pool) onReply(now units.Seconds, c *connection, r reply) {
 	e := c.open[r.id]
 	outcome, known := outcomes[r.code]
@@ -94,11 +94,11 @@
 		p.Exchanges.Finish(e, result, 0)
 	}
 	if p.Connections.Contains(c) {
-		p.settle(now, c)
+		p.checkIdle(now, c)
 	}
 }
 
-// OnClosed handles a connection that the worker closed or that failed. An incomplete reply is discarded.
+// OnClosed handles a connection that the worker closed or that failed. An incomplete reply on it is discarded.
 func (p *Pool) OnClosed(_ units.Seconds, id upstream.ConnID) {
 	c := p.Connections.Get(id)
 	if c == nil {
@@ -109,15 +109,15 @@
 	p.failOpen(c)
 }
 
-// reportDisconnection reports that the last established connection to a worker has ended, if c was it. Whichever side ended
-// it: another process may have the worker's address by the time of the next one.
+// reportDisconnection reports that the last established connection to a worker has ended, if c was that connection. It does
+// so whichever side closed it, because another process may have the worker's address when the next connection is dialed.
 func (p *Pool) reportDisconnection(c *connection) {
 	if c.Established && !c.draining && !p.isConnected(c.Worker) {
 		p.handler.OnDisconnected(c.Worker)
 	}
 }
 
-// isConnected reports whether a connection to a worker is established.
+// isConnected reports whether a connection to a worker is established and not draining.
 func (p *Pool) isConnected(worker control.WorkerID) bool {
 	return slices.ContainsFunc(p.Connections.ForWorker(worker), func(c *connection) bool { return c.Established && !c.draining })
 }
--- a/internal/upstream/frames/send.go
+++ b/internal/upstream/frames/send.go
@@ -11,18 +11,18 @@
 	"streamcleat/internal/upstream"
 )
 
-// loadWireIDBit distinguishes the wire IDs of load commands from those of attempts, which are request IDs.
+// loadWireIDBit is set in the wire IDs of load commands, to distinguish them from those of attempts, which are request IDs.
 const loadWireIDBit = 1 << 63
 
 const (
 	millisecondsPerSecond = 1000
-	// minTimeoutMilliseconds is the shortest timeout that is sent to a worker.
+	// minTimeoutMilliseconds is the shortest timeout that is sent to a worker in an attempt.
 	minTimeoutMilliseconds = 1
 	// attemptFieldsSizeHint is the capacity reserved for the fields of an attempt.
 	attemptFieldsSizeHint = 64
 )
 
-// SendAttempt sends an attempt. Its wire ID is the request's ID.
+// SendAttempt sends an attempt. Its wire ID is the request ID.
 func (p *Pool) SendAttempt(now units.Seconds, a dispatch.Attempt) {
 	id, err := strconv.ParseUint(a.Identity.ID, 16, 64)
 	e := &exchange{Exchange: upstream.Exchange{ID: a.ID, Worker: a.Worker}, wireID: id}
@@ -62,9 +62,8 @@
 	return fields.String()
 }
 
-// SendLoad sends a load command or a query, which is a load command for no replicas on the wire. Any other command for no
-// replicas unloads idle ones: it gets no reply, and is dropped unless a
-// connection to the worker is established.
+// SendLoad sends a load command or a query. On the wire, a query is a load command for zero replicas. Any other command for
+// zero replicas unloads idle replicas: it gets no reply, and is dropped if no connection to the worker is established.
 func (p *Pool) SendLoad(now units.Seconds, command dispatch.LoadCommand) {
 	if command.Replicas <= 0 && !command.Query {
 		p.sendUnload(now, command)
@@ -85,7 +84,7 @@
 	}
 }
 
-// send writes an exchange to a connection, or has it wait for the connection's dial.
+// send writes an exchange to a connection, or queues it until the connection's dial completes.
 func (p *Pool) send(now units.Seconds, e *exchange) {
 	p.Exchanges.Add(e)
 	c := p.connectionFor(now, e.Worker, e.wireID)
@@ -102,16 +101,16 @@
 	p.write(c, e)
 }
 
-// write writes an exchange to its connection, or removes it from the connection if the write is denied.
+// write writes an exchange to its connection. If the write is denied, it removes the exchange from the connection.
 func (p *Pool) write(c *connection, e *exchange) {
 	if !p.Exchanges.Write(e, p.transport, c.ID) {
 		delete(c.open, e.wireID)
 	}
 }
 
-// connectionFor returns the connection for one more exchange: an idle one if there is one; otherwise a new one, within
-// the limits, so that a reset affects few exchanges; otherwise the one with the fewest exchanges. It returns nil if
-// there is none.
+// connectionFor returns the connection for another exchange: an idle one if there is one; otherwise a new one, within
+// the limits, so that a reset affects few exchanges; otherwise the one with the fewest exchanges. It returns nil if no
+// connection is available.
 func (p *Pool) connectionFor(now units.Seconds, worker control.WorkerID, wireID uint64) *connection {
 	if !p.endpoints[worker].serving {
 		return nil
@@ -130,8 +129,8 @@
 			best = c
 		}
 	}
-	suffices := best != nil && (len(best.open) == 0 || count >= p.limits.MaxPerWorker)
-	if suffices || p.Connections.Len() >= p.limits.MaxTotal {
+	useBest := best != nil && (len(best.open) == 0 || count >= p.limits.MaxPerWorker)
+	if useBest || p.Connections.Len() >= p.limits.MaxTotal {
 		return best
 	}
 	c := &connection{open: map[uint64]*exchange{}}
@@ -139,7 +138,7 @@
 	return c
 }
 
-// WaitingFor returns the attempts that wait for the dial of a connection.
+// WaitingFor returns the IDs of the attempts that wait for a connection's dial to complete.
 func (p *Pool) WaitingFor(id upstream.ConnID) []uint64 {
 	c := p.Connections.Get(id)
 	if c == nil {
@@ -154,8 +153,8 @@
 	return attempts
 }
 
-// CancelUnsent cancels an attempt without reporting it, and returns true, if none of it was sent. The connection keeps
-// dialing, for the next exchange.
+// CancelUnsent cancels an attempt if no part of it was sent, and reports whether it did. No result is reported for a
+// canceled attempt. Its connection keeps dialing, for the next exchange.
 func (p *Pool) CancelUnsent(id uint64) bool {
 	e := p.Exchanges.GetUnsent(id)
 	if e == nil {
@@ -165,8 +164,8 @@
 	return true
 }
 
-// Abandon ends an attempt without reporting it and cancels it at the worker. If part of it is still buffered, its
-// connection is closed instead, so that this part is not sent.
+// Abandon ends an exchange without reporting a result, and cancels an attempt at the worker if it was sent. If sent bytes
+// are still buffered, the connection is closed instead, so that they do not reach the worker.
 func (p *Pool) Abandon(now units.Seconds, id uint64) {
 	e := p.Exchanges.Get(id)
 	if e == nil {
@@ -183,10 +182,10 @@
 	case e.Sent && !e.IsLoad:
 		p.transport.Write(c.ID, encodeFrame(commandCancel, e.wireID, "", nil))
 	}
-	p.settle(now, c)
+	p.checkIdle(now, c)
 }
 
-// remove removes an exchange from the pool and its connection without reporting it.
+// remove removes an exchange from the pool and its connection without reporting a result.
 func (p *Pool) remove(e *exchange) {
 	p.Exchanges.Remove(e)
 	if e.connection != nil {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,12 +1,12 @@
 package upstream
 
-// Pool is the part that the connection pools of both protocols share. Each protocol's pool embeds it.
+// Pool contains what the connection pools of both protocols share. Each protocol's pool embeds it.
 type Pool[C anyConnection, E anyExchange] struct {
 	Connections Connections[C]
 	Exchanges   Exchanges[E]
 }
 
-// NewPool returns an empty pool that sends over transport and reports to handler.
+// NewPool returns a pool without connections that sends over transport and reports results to handler.
 func NewPool[C anyConnection, E anyExchange](transport Transport, handler ExchangeHandler) Pool[C, E] {
 	return Pool[C, E]{Connections: NewConnections[C](transport), Exchanges: NewExchanges[E](handler)}
 }
