--- a/internal/node/cancellation_test.go
+++ b/internal/node/cancellation_test.go
@@ -8,13 +8,14 @@
 	"streamcleat/internal/verification/nodetest"
 )
 
-// settleTime is the time after which an attempt for a client that left would have been sent.
+// settleTime is the time within which an attempt for a client that canceled or disconnected would have been sent.
 const settleTime = 200 * time.Millisecond
 
-// No attempt starts for a client that left, even if the worker's reply that calls for one is read first.
-func TestAttempt_NotStartedAfterClientLeaves(t *testing.T) {
+// No attempt starts for a client that canceled its request or disconnected, even if the event loop first reads the worker's
+// reply after which an attempt is due.
+func TestAttempt_NotStartedAfterCancelOrDisconnect(t *testing.T) {
 	t.Parallel()
-	leaves := map[string]func(t *testing.T, client *nodetest.Client){
+	endings := map[string]func(t *testing.T, client *nodetest.Client){
 		"cancel": func(t *testing.T, client *nodetest.Client) {
 			t.Helper()
 			client.SendBytes(client.Cancellation())
@@ -27,7 +28,7 @@
 			t.Helper()
 			nodetest.Reset(t, client.Conn)
 		},
-		"cancel behind much else": func(t *testing.T, client *nodetest.Client) {
+		"cancel after other requests": func(t *testing.T, client *nodetest.Client) {
 			t.Helper()
 			cancellation := client.Cancellation()
 			var requests []byte
@@ -37,21 +38,22 @@
 			client.SendBytes(append(requests, cancellation...))
 		},
 	}
-	for name, leave := range leaves {
+	for name, end := range endings {
 		for state, command := range map[string]byte{
 			"between attempts": nodetest.CommandAttempt,
 			"during a load":    nodetest.CommandLoad,
 		} {
 			t.Run(name+" "+state, func(t *testing.T) {
 				t.Parallel()
-				testClientLeaves(t, command, leave)
+				testCancelOrDisconnect(t, command, end)
 			})
 		}
 	}
 }
 
-// testClientLeaves has a client leave while the reply to a command, after which an attempt would start, lies unread.
-func testClientLeaves(t *testing.T, command byte, leave func(t *testing.T, client *nodetest.Client)) {
+// testCancelOrDisconnect has a client cancel or disconnect while the worker's reply to a command, after which an attempt would
+// start, has not been read yet.
+func testCancelOrDisconnect(t *testing.T, command byte, end func(t *testing.T, client *nodetest.Client)) {
 	t.Helper()
 	f := newFixture(t, 256)
 	client := f.dialWarm()
@@ -63,9 +65,9 @@
 		received <- struct{}{}
 		<-proceed
 		if c == nodetest.CommandAttempt {
-			return nodetest.ReplyFailed // to be retried
+			return nodetest.ReplyFailed // causes a retry
 		}
-		return nodetest.ReplySucceeded // a loaded replica
+		return nodetest.ReplySucceeded // the replica is loaded
 	})
 	before := f.worker.Attempts.Load()
 	if command == nodetest.CommandAttempt {
@@ -78,21 +80,21 @@
 	release := f.stallLoop()
 	close(proceed)
 	if c := <-f.worker.Replied; c != command {
-		t.Fatal("replied to", c)
+		t.Fatal("worker replied to another command:", c)
 	}
-	leave(t, client)
+	end(t, client)
 	release()
 	time.Sleep(100 * time.Millisecond)
 	if n := f.worker.Attempts.Load() - before; n != 0 {
-		t.Errorf("%d attempts for a client that left", n)
+		t.Errorf("%d attempts for a client that canceled or disconnected", n)
 	}
 }
 
-// A client that sends its request and leaves while the event loop is stalled causes no attempt, also where the request
-// and its cancellation are read together.
-func TestAttempt_NotSentIfClientLeftDuringLoopStall(t *testing.T) {
+// A client that sends a request and cancels it or disconnects while the event loop is stalled causes no attempt, even if
+// the request and its cancellation are read together.
+func TestAttempt_NotSentAfterCancelOrDisconnectDuringLoopStall(t *testing.T) {
 	t.Parallel()
-	for name, leave := range map[string]func(t *testing.T, client *nodetest.Client, request []byte){
+	for name, end := range map[string]func(t *testing.T, client *nodetest.Client, request []byte){
 		"cancel in the same write": func(t *testing.T, client *nodetest.Client, request []byte) {
 			t.Helper()
 			client.SendBytes(append(request, client.Cancellation()...))
@@ -105,7 +107,7 @@
 		"reset": func(t *testing.T, client *nodetest.Client, request []byte) {
 			t.Helper()
 			client.SendBytes(request)
-			time.Sleep(20 * time.Millisecond) // or the reset drops the request
+			time.Sleep(20 * time.Millisecond) // otherwise the reset may discard the request
 			nodetest.Reset(t, client.Conn)
 		},
 	} {
@@ -115,12 +117,12 @@
 			client := f.dialWarm()
 			before := f.worker.Attempts.Load()
 			release := f.stallLoop()
-			leave(t, client, client.Request(nodetest.WarmFunction, "left"))
+			end(t, client, client.Request(nodetest.WarmFunction, "left"))
 			time.Sleep(settleTime)
 			release()
 			time.Sleep(settleTime)
 			if n := f.worker.Attempts.Load() - before; n != 0 {
-				t.Errorf("%d attempts for a client that had left", n)
+				t.Errorf("%d attempts for a client that canceled or disconnected before its request was read", n)
 			}
 		})
 	}
--- a/internal/node/deadline_test.go
+++ b/internal/node/deadline_test.go
@@ -12,7 +12,7 @@
 	"streamcleat/internal/verification/nodetest"
 )
 
-// listenWithoutBacklog listens on loopback with the shortest queue of connections that are not accepted yet.
+// listenWithoutBacklog listens on the loopback interface with the shortest backlog.
 func listenWithoutBacklog(t *testing.T) net.Listener {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	file := os.NewFile(uintptr(fd), "listener")
-	defer func() { _ = file.Close() }() // net.FileListener has a descriptor of its own
+	defer func() { _ = file.Close() }() // net.FileListener duplicates the descriptor
 	if err := unix.Bind(fd, &unix.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
 	}
@@ -35,7 +35,7 @@
 	return listener
 }
 
-// fillBacklog connects to a listener until its queue is full.
+// fillBacklog connects to a listener until its backlog is full.
 func fillBacklog(t *testing.T, addr string) {
 	t.Helper()
 	for range 8 {
@@ -45,7 +45,7 @@
 		}
 		nodetest.CloseAtEnd(t, conn)
 	}
-	t.Fatal("backlog is not limited")
+	t.Fatal("backlog is not full after 8 connections")
 }
 
 // The deadline sent to a worker is computed when the attempt is sent, not when it starts to wait for a connection.
@@ -65,7 +65,7 @@
 	client.Send("over a slow dial")
 	time.Sleep(300 * time.Millisecond)
 	for {
-		conn, err := worker.Accept() // first the test's own connections, then the front end's when it repeats its SYN
+		conn, err := worker.Accept() // first the test's own connections, then the front end's, whose SYN is retransmitted
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -76,7 +76,7 @@
 		go worker.ObserveAttempts(conn, func(frame nodetest.Frame) {
 			left := timeout - time.Since(sentAt)
 			if budget := frame.Budget(t); budget > left+slack {
-				t.Errorf("worker gets %v, client has %v left", budget, left)
+				t.Errorf("worker received a timeout of %v, but the client's deadline is in %v", budget, left)
 			}
 		})
 		if time.Since(sentAt) > 700*time.Millisecond {
@@ -88,7 +88,8 @@
 	}
 }
 
-// acceptWhileWarming accepts and serves one connection of the front end until a replica was loaded and used.
+// acceptWhileWarming accepts and serves one connection of the front end, and returns it once a replica is loaded and has
+// served a request.
 func (f *fixture) acceptWhileWarming() net.Conn {
 	f.t.Helper()
 	accepted := make(chan net.Conn, 1)
@@ -106,7 +107,7 @@
 	return <-accepted
 }
 
-// The time that a request lay unread while the event loop was stalled is part of its deadline.
+// The time for which a request was not read because the event loop was stalled counts toward its deadline.
 func TestDeadline_IncludesTimeUnread(t *testing.T) {
 	t.Parallel()
 	const timeout, slack, stall = 1500 * time.Millisecond, 150 * time.Millisecond, 400 * time.Millisecond
@@ -118,14 +119,14 @@
 	f := newFixtureWith(t, worker, 256, func(text string) string { return text })
 	client := f.dialWarm()
 	if budget := <-budgets; budget > timeout || budget < timeout-slack {
-		t.Errorf("idle front end gives %v of %v", budget, timeout)
+		t.Errorf("worker received a timeout of %v from an idle front end, client timeout is %v", budget, timeout)
 	}
 	release := f.stallLoop()
 	client.Send("unread")
 	time.Sleep(stall)
 	release()
 	if budget := <-budgets; budget > timeout-stall+slack {
-		t.Errorf("worker gets %v, client has %v left", budget, timeout-stall)
+		t.Errorf("worker received a timeout of %v, but the client's deadline is in %v", budget, timeout-stall)
 	}
 	if got := client.Receive(); !strings.Contains(got, "unread") {
 		t.Error(got)
--- a/internal/node/fixture_test.go
+++ b/internal/node/fixture_test.go
@@ -21,13 +21,13 @@
 	discovery *nodetest.Discovery
 }
 
-// newFixture starts a front end with a limit of descriptors.
+// newFixture starts a front end with a limit on file descriptors.
 func newFixture(t *testing.T, descriptors int) *fixture {
 	t.Helper()
 	return newFixtureWith(t, nodetest.NewWorker(t), descriptors, func(text string) string { return text })
 }
 
-// newFixtureWith starts a front end with a worker and a document changed by edit.
+// newFixtureWith starts a front end with the given worker and a document modified by edit.
 func newFixtureWith(t *testing.T, worker *nodetest.Worker, descriptors int, edit func(text string) string) *fixture {
 	t.Helper()
 	f := &fixture{t: t, worker: worker, discovery: nodetest.NewDiscovery(t)}
@@ -49,11 +49,11 @@
 	return f
 }
 
-// awaitDiscovery waits until the front end has heard its discovery service: it queries its worker before.
+// awaitDiscovery waits until discovery is available to the front end, which queries its worker before that.
 func (f *fixture) awaitDiscovery() {
 	f.t.Helper()
-	for heard := false; !heard; time.Sleep(time.Millisecond) {
-		if err := f.node.server.Do(func(p *proxy.Proxy) { heard = p.DiscoveryAvailable() }); err != nil {
+	for available := false; !available; time.Sleep(time.Millisecond) {
+		if err := f.node.server.Do(func(p *proxy.Proxy) { available = p.DiscoveryAvailable() }); err != nil {
 			f.t.Fatal(err)
 		}
 	}
@@ -64,7 +64,7 @@
 	return nodetest.Dial(f.t, f.node.server.Addr())
 }
 
-// dialWarm returns a client whose first request was answered, so that a replica is loaded.
+// dialWarm returns a client that has received its first response, so that a replica is loaded.
 func (f *fixture) dialWarm() *nodetest.Client {
 	f.t.Helper()
 	client := f.dial()
@@ -73,7 +73,7 @@
 	return client
 }
 
-// stallLoop holds the event loop until release is called: whatever arrives in between is read in one iteration.
+// stallLoop blocks the event loop until release is called. All data that arrives in between is read in one iteration.
 func (f *fixture) stallLoop() (release func()) {
 	f.t.Helper()
 	stalled, released := make(chan struct{}), make(chan struct{})
@@ -90,7 +90,7 @@
 	return release
 }
 
-// serveStopped serves with a stop signal that is already set.
+// serveStopped calls Serve with a closed stop channel.
 func (f *fixture) serveStopped(reload chan os.Signal, read func() (*platform.Document, error)) (done chan error) {
 	stop := make(chan struct{})
 	done = make(chan error, 1)
--- a/internal/node/kernel.go
+++ b/internal/node/kernel.go
@@ -4,5 +4,5 @@
 
 import "streamcleat/internal/syscalls"
 
-// newKernel returns the kernel that a front end calls.
+// newKernel returns the system calls that a front end uses.
 func newKernel() syscalls.Kernel { return syscalls.Linux{} }
--- a/internal/node/kernel_faults.go
+++ b/internal/node/kernel_faults.go
@@ -10,11 +10,11 @@
 	"streamcleat/internal/syscalls/faults"
 )
 
-// faultsVariable holds the seed and the rate of injected system call failures, as in 17:0.001. It is read only by a
-// program built with the tag faults.
+// faultsVariable is the environment variable with the seed and the rate of injected system call failures, as in 17:0.001.
+// It is only read by a program built with the tag faults.
 const faultsVariable = "STREAMCLEAT_FAULTS"
 
-// newKernel returns a kernel that fails some calls, or none where faultsVariable does not hold a rate.
+// newKernel returns the system calls that a front end uses. Some of them fail at random if faultsVariable sets a rate.
 func newKernel() syscalls.Kernel {
 	var seed uint64
 	var rate float64
--- a/internal/node/limits.go
+++ b/internal/node/limits.go
@@ -9,46 +9,45 @@
 )
 
 const (
-	// Threads is the value of GOMAXPROCS for a front end, which has one core: the second thread runs while the event loop
-	// waits in the kernel.
+	// Threads is the value of GOMAXPROCS for a front end. A front end has one core; the second thread runs while the event
+	// loop waits in the kernel.
 	Threads = 2
 
 	mebibyte = 1 << 20
 
-	// heapFraction is the fraction of the memory used as the soft limit of the heap. Stacks, kernel buffers and uncollected
-	// garbage take the rest.
+	// heapFraction is the soft limit of the heap as a fraction of the memory limit. The rest is left for stacks, kernel
+	// buffers and uncollected garbage.
 	heapFraction = 0.6
 	// bodyMemoryDivisor reserves a quarter of the memory for bodies of open requests.
 	bodyMemoryDivisor = 4
-	// requestOverheadBytes is the memory of an open request without its body.
+	// requestOverheadBytes is the memory that an open request takes in addition to its body.
 	requestOverheadBytes = 4096
-	// unreadMemoryDivisor reserves an eighth of the memory for responses that clients have not read, on all connections
-	// together.
+	// unreadMemoryDivisor reserves an eighth of the memory for unread responses, on all client connections together.
 	unreadMemoryDivisor = 8
-	// minUnreadBytes is the least that each connection may leave unread. Less than a few frames would disconnect clients
-	// that read slowly.
+	// minUnreadBytes is the minimum limit of unread response bytes per connection. A limit of less than a few frames would
+	// disconnect clients that read slowly.
 	minUnreadBytes = 64 << 10
 
-	// reservedDescriptors covers the listener, the event loop, the discovery watch, peer datagrams, abandoned dials that
-	// have not ended, and connections that are closed as soon as they are accepted.
+	// reservedDescriptors is the number of file descriptors reserved for the listener, the event loop, the discovery watch,
+	// peer datagrams, abandoned dials that have not ended yet, and connections that are closed as soon as they are accepted.
 	reservedDescriptors = 24
-	// reservedDescriptorsDivisor reserves a sixteenth of the descriptors in addition.
+	// reservedDescriptorsDivisor reserves another sixteenth of all descriptors.
 	reservedDescriptorsDivisor = 16
-	// upstreamDescriptorDivisor gives connections to workers a third of the remaining descriptors.
+	// upstreamDescriptorDivisor allots a third of the remaining descriptors to connections to workers.
 	upstreamDescriptorDivisor = 3
 	// perWorkerDivisor limits one worker to a twentieth of the connections to workers.
 	perWorkerDivisor = 20
-	// minConnectionsPerWorker allows a second connection while the first is busy.
+	// minConnectionsPerWorker permits a second connection to a worker while the first is busy.
 	minConnectionsPerWorker = 2
 
-	// upstreamIdleFraction is the fraction of the platform's idle timeout after which the front end closes a connection, so
-	// that the worker does not close it under a request.
+	// upstreamIdleFraction is the fraction of the platform's idle timeout after which the front end closes a connection. It
+	// is below 1 so that the worker does not close the connection while a request is being sent on it.
 	upstreamIdleFraction = 0.6
 
 	millisecondsPerSecond = 1000
 )
 
-// Limits of a client connection; times are in seconds.
+// Limits of a client connection. Times are in seconds.
 const (
 	maxRequestsPerConnection = 32
 	firstFrameTimeout        = 2.5
@@ -56,7 +55,7 @@
 	clientIdleTimeout        = 5
 )
 
-// Bounds of the values that a request may state. They reject nonsense; the deployment sets none.
+// Upper bounds of values in a request, to reject implausible ones. The configuration document has no settings for them.
 const (
 	maxReplicaMemoryMB    = 1 << 16
 	maxReplicaConcurrency = 256
@@ -64,45 +63,45 @@
 	maxWorkSeconds        = 600
 )
 
-// MemoryLimit returns the soft limit of the heap in bytes.
+// MemoryLimit returns the soft limit of the heap in bytes that follows from the document.
 func MemoryLimit(document *platform.Document) int64 {
 	return int64(document.MemoryMB * heapFraction * mebibyte)
 }
 
-// maxOpenRequests returns the maximum number of open requests: the platform's limit, or fewer where their bodies would
-// not fit into memory.
+// maxOpenRequests returns the maximum number of open requests: the platform's limit, or fewer if the memory reserved for
+// their bodies does not suffice.
 func maxOpenRequests(document *platform.Document) int {
-	fit := int(document.MemoryMB * mebibyte / bodyMemoryDivisor / (downstreamframes.MaxBody + requestOverheadBytes))
-	return min(document.Terms.Limits.MaxOpen, fit)
+	fittingRequests := int(document.MemoryMB * mebibyte / bodyMemoryDivisor / (downstreamframes.MaxBody + requestOverheadBytes))
+	return min(document.Terms.Limits.MaxOpen, fittingRequests)
 }
 
-// connectionLimits divides the descriptors between clients and workers.
+// connectionLimits returns the maximum numbers of connections to clients and to workers.
 func connectionLimits(document *platform.Document) (clients, workers int) {
 	reserved := reservedDescriptors + document.MaxDescriptors/reservedDescriptorsDivisor
 	workers = (document.MaxDescriptors - reserved) / upstreamDescriptorDivisor
 	return document.MaxDescriptors - reserved - workers, workers
 }
 
-// maxUnreadBytes returns the number of response bytes that each of a number of clients may leave unread.
+// maxUnreadBytes returns the number of response bytes that each client may leave unread, given the maximum number of clients.
 func maxUnreadBytes(document *platform.Document, clients int) int {
 	return max(int(document.MemoryMB*mebibyte/unreadMemoryDivisor)/clients, minUnreadBytes)
 }
 
-// upstreamLimits returns the limits of a pool with a maximum number of connections to workers.
+// upstreamLimits returns the limits of the connection pool, given the maximum number of connections to workers.
 func upstreamLimits(document *platform.Document, connections int) upstreamframes.Limits {
-	caps := &document.Terms.Limits
+	platformLimits := &document.Terms.Limits
 	return upstreamframes.Limits{
-		DialTimeout:         units.Seconds(caps.DialTimeoutMs / millisecondsPerSecond),
-		IdleTimeout:         units.Seconds(caps.IdleTimeoutMs / millisecondsPerSecond * upstreamIdleFraction),
+		DialTimeout:         units.Seconds(platformLimits.DialTimeoutMs / millisecondsPerSecond),
+		IdleTimeout:         units.Seconds(platformLimits.IdleTimeoutMs / millisecondsPerSecond * upstreamIdleFraction),
 		MaxTotal:            connections,
 		MaxPerWorker:        max(connections/perWorkerDivisor, minConnectionsPerWorker),
-		MaxStreams:          max(caps.MaxStreams, 1),
+		MaxStreams:          max(platformLimits.MaxStreams, 1),
 		IdempotencyKeyField: downstreamframes.IdempotencyKeyField,
 	}
 }
 
 // clientLimits returns the limits of client connections and the classes and tenants that requests may name. A deployment
-// that lists no tenants accepts all.
+// without tenants accepts any tenant.
 func clientLimits(deployment *control.Deployment, ready func() bool) *downstreamframes.Limits {
 	timeouts := map[string]units.Seconds{}
 	for _, class := range deployment.RequestClasses {
--- a/internal/node/limits_test.go
+++ b/internal/node/limits_test.go
@@ -12,7 +12,7 @@
 	"streamcleat/internal/verification/nodetest"
 )
 
-// siteSettings holds the settings that front ends of the two variants in deploy/sites receive.
+// siteSettings contains the settings that front ends of the two sites in deploy/sites receive.
 var siteSettings = map[string]string{
 	"harbour-berths": `{"Balancers":300,"RoundMs":4,"Caps":{"RetryAfter":true,"MaxRetryAfterMs":900,"MostTries":3,"MaxStreams":16,"MaxOpen":20000,
 		"DialTimeoutMs":250,"IdleCloseMs":20000,"Peers":true},"Classes":[
@@ -30,7 +30,7 @@
 func (c *requestCounter) Submit(uint64, dispatch.Request) { c.accepted++ }
 func (c *requestCounter) Cancel(uint64)                   {}
 
-// siteRequest is a request that one site accepts; site is "" where none does.
+// siteRequest is a request that only the given site accepts, or none if site is "".
 type siteRequest struct {
 	site, class, tenant string
 	timeoutMs           int
@@ -40,7 +40,7 @@
 func (r siteRequest) frame() []byte {
 	client := &nodetest.Client{}
 	frame := client.Request(nodetest.WarmFunction, "")
-	// A length of two bytes stands before each value.
+	// Each value is preceded by its length in two bytes.
 	frame = []byte(strings.NewReplacer("\x00\x04call", "\x00"+string(rune(len(r.class)))+r.class,
 		"\x00\x041500", fmt.Sprintf("\x00\x04%d", r.timeoutMs),
 		"\x00\x04acme", "\x00"+string(rune(len(r.tenant)))+r.tenant).Replace(string(frame)))
@@ -48,8 +48,8 @@
 	return frame
 }
 
-// Classes, tenants and timeouts come from the document alone: each variant accepts its own requests and rejects those of
-// the other variant and of the site on which the program is tested.
+// Classes, tenants and timeouts come only from the document: each site accepts its own requests and rejects those of the
+// other site and of the site on which the program is tested.
 func TestClientLimits_ComeFromDocument(t *testing.T) {
 	requests := []siteRequest{
 		{"harbour-berths", "berth-change", "dredgers", 3000},
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -16,10 +16,10 @@
 )
 
 const (
-	// discoverySilenceTimeout is the silence after which the discovery watch reconnects. A healthy discovery service sends
-	// its position every second.
+	// discoverySilenceTimeout is the time without a useful line after which the discovery watch reconnects. A healthy
+	// discovery service sends its position every second.
 	discoverySilenceTimeout = 1800 * time.Millisecond
-	// responseMargin is the time in seconds between a response and the moment at which its client stops waiting.
+	// responseMargin is how long before the client's deadline, in seconds, the response is sent at the latest.
 	responseMargin = 0.015
 )
 
@@ -32,11 +32,11 @@
 	log       *slog.Logger
 }
 
-// Start starts a front end: its sockets, its dispatcher and its discovery watch.
+// Start starts a front end with its sockets, dispatcher and discovery watch.
 func Start(document *platform.Document, log *slog.Logger) (*Node, error) {
 	n := &Node{document: document, readiness: readiness{log: log}, log: log}
 	settings := n.serverSettings()
-	// The document's endpoint list applies before the first byte of a client is read: requests do not wait for the watch.
+	// The document's endpoint list is applied before any client data is read, so that requests need not wait for the watch.
 	settings.OnStart = func(p *proxy.Proxy) {
 		p.SetEndpointList(n.endpointList())
 		n.readiness.onStart(p, eventloop.Now())
@@ -50,15 +50,15 @@
 	return n, nil
 }
 
-// watchHandler implements eventloop.WatchHandler for a node: it passes the news of the discovery service to the event loop.
-// A loop that has ended needs no news; Serve reports its end.
+// watchHandler implements eventloop.WatchHandler for a node. It forwards updates from the discovery service to the event
+// loop. Errors of Post are ignored: they mean that the loop has ended, which Serve reports.
 type watchHandler struct{ node *Node }
 
 // ResumeRequest implements eventloop.WatchHandler.
 func (h watchHandler) ResumeRequest() []byte { return h.node.document.Discovery.ResumeRequest() }
 
-// OnLine implements eventloop.WatchHandler. Only a line that states the position of the last event applied proves that the
-// list is complete: more events may follow another event, and the service may be slow to send them.
+// OnLine implements eventloop.WatchHandler. Only a line with the position of the last applied event confirms that the list
+// is complete: after an event, more events may follow, and the service may be slow to send them.
 func (h watchHandler) OnLine(line []byte, asOf units.Seconds) (useful bool, err error) {
 	effect, err := h.node.document.Discovery.ReadLine(line)
 	switch effect {
@@ -77,15 +77,15 @@
 	_ = h.node.server.Post(func(p *proxy.Proxy) { p.OnDiscoveryUnavailable(reason) })
 }
 
-// endpointList returns the endpoint list at the present time.
+// endpointList returns the current endpoint list.
 func (n *Node) endpointList() *upstream.EndpointList {
 	return n.document.Discovery.EndpointList(eventloop.Now(), units.Seconds(unixSeconds(time.Now())))
 }
 
-// Close ends the discovery watch. The server is stopped by Serve.
+// Close stops the discovery watch. Serve stops the server.
 func (n *Node) Close() { n.discovery.Close() }
 
-// unixSeconds returns a time as seconds since the epoch, the unit in which workers state their start.
+// unixSeconds returns a time in seconds since the Unix epoch, the unit of worker start times in the endpoint list.
 func unixSeconds(at time.Time) float64 { return float64(at.UnixNano()) / float64(time.Second) }
 
 // serverSettings returns the settings of the event loop and of the proxy on it.
@@ -106,7 +106,7 @@
 	return settings
 }
 
-// proxySettings returns the settings of a proxy with a maximum number of connections to clients and to workers.
+// proxySettings returns the settings of the proxy, given the maximum numbers of connections to clients and to workers.
 func (n *Node) proxySettings(clients, workers int) proxy.Settings {
 	document := n.document
 	deployment := document.Terms.Deployment()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -18,7 +18,7 @@
 	}
 	f.worker.Corrupt.Store(true)
 	client.Send("corrupt")
-	if got := client.Receive(); !strings.HasPrefix(got, `2/2 "\b`) { // idempotent: rejected once its attempts are used up
+	if got := client.Receive(); !strings.HasPrefix(got, `2/2 "\b`) { // the request is idempotent: rejected once its attempts are used up
 		t.Error(got)
 	}
 	f.worker.Corrupt.Store(false)
@@ -42,16 +42,16 @@
 		client.Send("x")
 		if got := client.Receive(); !strings.Contains(got, `"\x00`) {
 			if f.worker.Attempts.Load() != before {
-				t.Error("rejected after an attempt at a draining worker")
+				t.Error("request was rejected, but an attempt was sent to the draining worker")
 			}
 			return
 		}
 	}
-	t.Error("requests still go to a draining worker")
+	t.Error("requests are still sent to a draining worker")
 }
 
-// Silent connections up to the descriptor limit must neither keep active clients out nor close a connection that has an
-// open request.
+// Connections without requests, up to the descriptor limit, must neither keep active clients from connecting nor cause a
+// connection with an open request to be closed.
 func TestNode_ServesActiveClientsBesideSilentConnections(t *testing.T) {
 	f := newFixture(t, 64)
 	client := f.dial()
@@ -76,24 +76,24 @@
 		t.Error(got)
 	}
 	if got := client.Receive(); !strings.HasPrefix(got, `2/2 `) {
-		t.Error("connection with an open request closed:", got)
+		t.Error("connection with an open request was closed:", got)
 	}
 	_, clients, _, err := f.node.server.Counts()
 	if err != nil {
 		t.Error(err)
 	}
-	if clients > 24 { // 64 less 28 reserved, less a third of the rest for workers
-		t.Errorf("%d client connections, want 24 at most", clients)
+	if clients > 24 { // 64 minus 28 reserved, minus a third of the rest for workers
+		t.Errorf("%d client connections, want at most 24", clients)
 	}
 }
 
-// A request that lies unread when another connection is evicted is served; a connection that is really idle is evicted.
+// A connection with a request that has not been read yet is not evicted; a connection that is idle is.
 func TestEviction_SparesConnectionWithUnreadRequest(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, 64)
 	client := f.dialWarm()
 	var others []*nodetest.Client
-	for range 23 { // with client, 24: 64 less 28 reserved, less a third of the rest for workers
+	for range 23 { // 24 with client: 64 minus 28 reserved, minus a third of the rest for workers
 		others = append(others, f.dial())
 	}
 	for clients := 0; clients < 24; {
@@ -114,6 +114,6 @@
 		t.Error(got)
 	}
 	if got := others[0].Receive(); got != "EOF" {
-		t.Error("longest idle connection ended by", got)
+		t.Error("longest idle connection was not evicted, received", got)
 	}
 }
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -13,20 +13,20 @@
 // shutdownPollInterval is the interval at which a shutdown checks its phase.
 const shutdownPollInterval = 20 * time.Millisecond
 
-// Serve runs the front end until stop is closed, shuts it down gracefully and returns. A signal on reload has read return
-// the new document, also during the shutdown: drains announced by a new discovery service must not be missed. Serve
-// returns an error if the event loop ends by itself.
-func (n *Node) Serve(stop <-chan struct{}, reload <-chan os.Signal, read func() (*platform.Document, error)) error {
+// Serve runs the front end until stop is closed, then shuts it down gracefully and returns. On a signal on reload it calls
+// readDocument for the new document. It does so during the shutdown too, because drains announced by a new discovery
+// service must not be missed. It returns an error if the event loop ends by itself.
+func (n *Node) Serve(stop <-chan struct{}, reload <-chan os.Signal, readDocument func() (*platform.Document, error)) error {
 	loopEnded := make(chan error, 1)
-	go func() { loopEnded <- n.server.Wait() }() // returns with the loop, which has ended or is stopped at every return below
+	go func() { loopEnded <- n.server.Wait() }() // ends with the loop, which has ended or is stopped at every return below
 	shutdown := platform.Shutdown{MaxRequestTimeout: n.maxRequestTimeout()}
 	var stoppedAt time.Time
 	var poll <-chan time.Time
 	for {
 		select {
 		case <-reload:
-			n.reload(read)
-		case err := <-loopEnded: // without a loop the process would run on and serve nobody
+			n.reload(readDocument)
+		case err := <-loopEnded: // without the loop, the process would keep running but serve no requests
 			return fmt.Errorf("event loop on %s ended: %w", n.document.Listen, err)
 		case <-stop:
 			stop, stoppedAt = nil, time.Now()
@@ -47,11 +47,11 @@
 	}
 }
 
-// logTotals logs the counters of the process and the errors that it recovered from.
+// logTotals logs the counters of the process and the numbers of errors that it recovered from.
 func (n *Node) logTotals() {
 	counts, _, _, err := n.server.Counts()
 	if err != nil {
-		return // the loop has ended, which Serve reports
+		return // the event loop has ended, which Serve reports
 	}
 	recovered := n.server.RecoveredErrors()
 	closes, unanswered := map[proxy.CloseReason]uint64{}, uint64(0)
@@ -72,10 +72,10 @@
 	return units.Seconds(longest)
 }
 
-// reload reads the document again and switches to its discovery service. An invalid document, or one of another front
-// end, changes nothing.
-func (n *Node) reload(read func() (*platform.Document, error)) {
-	next, err := read()
+// reload reads the document again and switches to its discovery service. A document that is invalid or belongs to another
+// front end is rejected and changes nothing.
+func (n *Node) reload(readDocument func() (*platform.Document, error)) {
+	next, err := readDocument()
 	if err == nil && (next.Name != n.document.Name || next.Listen != n.document.Listen) {
 		err = fmt.Errorf("document is for front end %s on %s, this is %s on %s", next.Name, next.Listen, n.document.Name, n.document.Listen)
 	}
@@ -86,7 +86,7 @@
 	n.discovery.SetAddress(next.DiscoveryAddress)
 }
 
-// advanceShutdown performs the actions of the shutdown's present phase and reports whether the shutdown is complete.
+// advanceShutdown performs the actions of the shutdown's current phase and reports whether the shutdown is complete.
 func (n *Node) advanceShutdown(shutdown *platform.Shutdown, stoppedAt time.Time) (terminated bool, err error) {
 	err = n.server.Do(func(p *proxy.Proxy) {
 		outstanding := platform.Outstanding{Requests: !p.Idle(), UnreadResponses: p.HasClients()}
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -12,8 +12,8 @@
 	"streamcleat/internal/verification/nodetest"
 )
 
-// Requests that arrive after the stop signal, and those that are open, are answered before Serve returns.
-func TestShutdown_AnswersLateAndOpenRequests(t *testing.T) {
+// Requests that are open at the stop signal or arrive after it receive responses before Serve returns.
+func TestShutdown_RespondsToLateAndOpenRequests(t *testing.T) {
 	f := newFixture(t, 256)
 	client := f.dial()
 	client.Send("")
@@ -42,7 +42,7 @@
 			t.Error(err)
 		}
 	case <-time.After(3 * time.Second):
-		t.Error("front end has not exited")
+		t.Error("front end did not exit within 3 s")
 	}
 }
 
@@ -55,7 +55,7 @@
 		return client.Receive()
 	}
 	if got := readiness(); got != `5/0 "\x00\x00"` {
-		t.Error("before the stop:", got)
+		t.Error("readiness before the stop:", got)
 	}
 	partial := f.dial()
 	frame := partial.Request(nodetest.WarmFunction, "in two parts")
@@ -63,23 +63,23 @@
 	done := f.serveStopped(nil, nil)
 	time.Sleep(100 * time.Millisecond)
 	if got := readiness(); got != `5/0 "\b\x00"` {
-		t.Error("after the stop:", got)
+		t.Error("readiness after the stop:", got)
 	}
-	time.Sleep(1000 * time.Millisecond) // past the window in which complete requests may arrive
+	time.Sleep(1000 * time.Millisecond) // past the window in which new requests may arrive
 	partial.SendBytes(frame[20:])
 	if got := partial.Receive(); got != `6/0 ""` {
 		t.Error(got)
 	}
 	if got := partial.Receive(); !strings.Contains(got, "in two parts") {
-		t.Error("request partly sent at the stop:", got)
+		t.Error("request partially sent at the stop:", got)
 	}
 	nodetest.WaitForExit(t, done)
 	if got := partial.Receive(); got != "EOF" {
-		t.Error("closed by", got)
+		t.Error("connection was not closed orderly, received", got)
 	}
 }
 
-// An attempt that is in flight at the stop and fails is retried, and its response is sent.
+// If an attempt that is in flight at the stop fails, the request is retried and its response sent.
 func TestShutdown_CompletesPendingRetry(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, 256)
@@ -110,13 +110,13 @@
 	nodetest.WaitForExit(t, done)
 }
 
-// A reload is carried out during the shutdown. A document that is invalid or another front end's changes nothing.
+// A reload is performed during the shutdown. A document that is invalid or belongs to another front end changes nothing.
 func TestReload_DuringShutdown(t *testing.T) {
 	t.Parallel()
 	for name, c := range map[string]struct {
-		change func(*platform.Document)
-		err    error
-		moves  bool
+		change   func(*platform.Document)
+		err      error
+		switches bool
 	}{
 		"other discovery service":        {func(*platform.Document) {}, nil, true},
 		"document of another front end":  {func(document *platform.Document) { document.Name = "n1" }, nil, false},
@@ -134,7 +134,7 @@
 					return
 				}
 				watched <- struct{}{}
-				_, _ = fmt.Fprintln(conn, nodetest.DrainLine(f.worker.Addr())) // the next request shows its effect
+				_, _ = fmt.Fprintln(conn, nodetest.DrainLine(f.worker.Addr())) // its effect is visible in the next request
 			}()
 			reload := make(chan os.Signal, 1)
 			done := f.serveStopped(reload, func() (*platform.Document, error) {
@@ -147,11 +147,11 @@
 			reload <- os.Interrupt
 			select {
 			case <-watched:
-				if !c.moves {
+				if !c.switches {
 					t.Error("discovery service of a rejected document was watched")
 				}
 			case <-time.After(300 * time.Millisecond):
-				if c.moves {
+				if c.switches {
 					t.Error("new discovery service was not watched")
 				}
 			}
@@ -159,8 +159,8 @@
 			before := f.worker.Attempts.Load()
 			client.Send("after the move")
 			got := client.Receive()
-			if strings.HasPrefix(got, `2/2 "\x00`) == c.moves || (f.worker.Attempts.Load() > before) == c.moves {
-				t.Errorf("moves %v: received %s after %d attempts", c.moves, got, f.worker.Attempts.Load()-before)
+			if strings.HasPrefix(got, `2/2 "\x00`) == c.switches || (f.worker.Attempts.Load() > before) == c.switches {
+				t.Errorf("switches %v: received %s after %d attempts", c.switches, got, f.worker.Attempts.Load()-before)
 			}
 			nodetest.WaitForExit(t, done)
 		})
@@ -181,7 +181,7 @@
 	}
 	done := f.serveStopped(nil, nil)
 	time.Sleep(1200 * time.Millisecond)
-	client.SendBytes(nodetest.ReadinessQuery()) // unread or dropped at the front end: it must not cost a response
+	client.SendBytes(nodetest.ReadinessQuery()) // must not cause the loss of a response, even if it is not read
 	time.Sleep(100 * time.Millisecond)
 	complete := 0
 	for {
@@ -190,13 +190,13 @@
 			complete++
 		} else if !strings.HasPrefix(got, "6/") {
 			if got != "EOF" {
-				t.Error("closed by", got)
+				t.Error("connection was not closed orderly, received", got)
 			}
 			break
 		}
 	}
 	if complete != 8 {
-		t.Errorf("%d of 8 responses complete", complete)
+		t.Errorf("%d of 8 responses received completely", complete)
 	}
 	nodetest.WaitForExit(t, done)
 }
--- a/internal/node/worker_connection_test.go
+++ b/internal/node/worker_connection_test.go
@@ -12,12 +12,13 @@
 	"streamcleat/internal/verification/nodetest"
 )
 
-// readSome reads what has arrived on a connection, or its end.
+// readSome waits for data on a connection or its end, and discards the data.
 func readSome(conn net.Conn) {
-	_, _ = conn.Read(make([]byte, 64<<10)) // the data does not matter
+	_, _ = conn.Read(make([]byte, 64<<10)) // the content and errors are irrelevant
 }
 
-// A worker's connection ends during an attempt. An idempotent request is retried and succeeds, another is sent once.
+// If a worker's connection ends during an attempt, an idempotent request is retried and succeeds; any other request is sent
+// at most once.
 func TestAttempt_WorkerConnectionEnds(t *testing.T) {
 	t.Parallel()
 	for name, end := range map[string]func(t *testing.T, conn net.Conn){
@@ -45,14 +46,14 @@
 		for class, maxAttempts := range map[string]int32{"call": 2, "once": 1} {
 			t.Run(name+" "+class, func(t *testing.T) {
 				t.Parallel()
-				mayBeUnsent := strings.HasSuffix(name, "after accept") // the connection may end before the loop has it
+				mayBeUnsent := strings.HasSuffix(name, "after accept") // the connection may end before the event loop registers it
 				testConnectionEnds(t, class, maxAttempts, mayBeUnsent, end)
 			})
 		}
 	}
 }
 
-// testConnectionEnds ends the worker's connection during an attempt of a class with a number of attempts.
+// testConnectionEnds ends the worker's connection during an attempt of a class with the given maximum number of attempts.
 func testConnectionEnds(t *testing.T, class string, maxAttempts int32, mayBeUnsent bool, end func(t *testing.T, conn net.Conn)) {
 	t.Helper()
 	f := newFixture(t, 256)
@@ -75,18 +76,18 @@
 	client.SendBytes(bytes.Replace(request, []byte("\x00\x04call"), []byte("\x00\x04"+class), 1))
 	got := client.Receive()
 	if mayBeUnsent && strings.HasPrefix(got, `2/3 "\b`) && f.worker.Attempts.Load() == 2 {
-		return // the connection ended before the loop had it: not sent, and rejected as such
+		return // the connection ended before the event loop registered it: the attempt was not sent, and the request rejected
 	}
 	succeeded := strings.Contains(got, "again")
 	if succeeded != (maxAttempts == 2) || f.worker.Attempts.Load() > 1+maxAttempts {
-		t.Errorf("%s; %d complete attempts, %d connections", got, f.worker.Attempts.Load()-2, connections.Load())
+		t.Errorf("received %s after %d complete attempts on %d connections", got, f.worker.Attempts.Load()-2, connections.Load())
 	}
 	if class == "once" && !strings.HasPrefix(got, `2/3 "\r`) {
-		t.Error("not failed:", got)
+		t.Error("request that is sent at most once did not fail:", got)
 	}
 }
 
-// The key by which a worker deduplicates a request reaches it unchanged; without a key none is sent.
+// A request's idempotency key is forwarded to the worker unchanged. For a request without a key, none is sent.
 func TestAttempt_ForwardsIdempotencyKey(t *testing.T) {
 	t.Parallel()
 	for key, want := range map[string]string{"k-81f3:7": ",uniq=k-81f3:7", "": ""} {
@@ -115,12 +116,12 @@
 		}
 		client.SendBytes(frame)
 		if fields := <-attemptFields; !strings.HasSuffix(fields, want) || strings.Contains(fields, "uniq") != (want != "") {
-			t.Errorf("%q, want %q at the end", fields, want)
+			t.Errorf("attempt fields %q, want suffix %q", fields, want)
 		}
 	}
 }
 
-// A duplicate of a reply that arrives during the next attempt is not taken for that attempt's reply.
+// A duplicate of a reply that arrives during the next attempt is not taken for the reply to that attempt.
 func TestAttempt_IgnoresDuplicateReply(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t, 256)
