--- a/internal/console/format.go
+++ b/internal/console/format.go
@@ -21,8 +21,8 @@
 	megabyteShift = 20
 )
 
-// Spark returns a sparkline of the last values, at most width of them.
-func Spark(values []float64, width int) string {
+// Sparkline returns a sparkline of the last values, at most width of them.
+func Sparkline(values []float64, width int) string {
 	if len(values) > width {
 		values = values[len(values)-width:]
 	}
--- a/internal/console/status_text.go
+++ b/internal/console/status_text.go
@@ -65,7 +65,7 @@
 	if len(values) > 0 {
 		last = fmt.Sprintf("%.0f", values[len(values)-1])
 	}
-	return fmt.Sprintf("%4s %s", last, Spark(values, max(width-sparkMargin, minSparkWidth)))
+	return fmt.Sprintf("%4s %s", last, Sparkline(values, max(width-sparkMargin, minSparkWidth)))
 }
 
 // workerCounts lists the number of workers in each state.
