--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -15,7 +15,8 @@
 //go:embed default.json
 var defaultDocument []byte
 
-// Config is the configuration document. Times are in seconds.
+// Config is the configuration document. Times are in seconds. The JSON names of some members differ from the field names;
+// they stay as they are, so that existing documents remain valid.
 type Config struct {
 	Name           string            `json:"name"`
 	Listen         []string          `json:"listen"`
@@ -29,14 +30,14 @@
 	Schedules      *Schedules        `json:"timers"`   // nil: no schedules
 	Registry       *Registry         `json:"handlers"` // nil: function versions need no signature
 	Log            Log               `json:"log"`
-	State          *State            `json:"state"`   // nil: no durable state
-	Console        *Console          `json:"console"` // nil: no console
-	Metrics        *Metrics          `json:"metrics"` // nil: metrics are served on the console's socket only
-	Traces         *Traces           `json:"traces"`  // nil: no traces
-	DrainTime      float64           `json:"stop_within_s"`
+	State          *State            `json:"state"`         // nil: no durable state
+	Console        *Console          `json:"console"`       // nil: no console
+	Metrics        *Metrics          `json:"metrics"`       // nil: metrics are served on the console's socket only
+	Traces         *Traces           `json:"traces"`        // nil: no traces
+	DrainTime      float64           `json:"stop_within_s"` // time that open requests may take during a drain
 
-	dir      string // base of relative paths
-	document []byte // text of the document
+	dir      string // folder that relative paths are resolved against
+	document []byte // text that the configuration was parsed from
 }
 
 // Peers configures gossip between front ends.
@@ -44,19 +45,19 @@
 	Listen    []string `json:"listen"`     // UDP addresses, one for each entry of Config.Listen
 	Others    []string `json:"others"`     // UDP addresses of front ends in other processes
 	FrontEnds int      `json:"front_ends"` // number of front ends, including those of this process
-	Cluster   string   `json:"cluster"`
+	Cluster   string   `json:"cluster"`    // front ends accept gossip of the same cluster only
 }
 
 // Workers configures the endpoint list, the connections to workers and replica loading.
 type Workers struct {
-	File                string  `json:"file"`
+	File                string  `json:"file"` // path of the endpoint list, in Prometheus file service discovery format
 	DialTimeout         float64 `json:"dial_s"`
 	IdleTimeout         float64 `json:"idle_s"`
-	MaxConnections      int     `json:"connections"`
-	LoadsOnRequest      bool    `json:"load_on_event"`
-	LoadCommands        bool    `json:"load_orders"`
-	LoadTimeout         float64 `json:"order_limit_s"`
-	IdleReplicaLifetime float64 `json:"keep_warm_s"`
+	MaxConnections      int     `json:"connections"`   // to one worker
+	LoadsOnRequest      bool    `json:"load_on_event"` // a request to a worker without a replica loads one
+	LoadCommands        bool    `json:"load_orders"`   // workers accept load commands
+	LoadTimeout         float64 `json:"order_limit_s"` // timeout of a load command
+	IdleReplicaLifetime float64 `json:"keep_warm_s"`   // minimum time that workers keep an idle replica
 }
 
 // RequestClass configures a class of requests, identified by a CloudEvents type.
@@ -64,51 +65,51 @@
 	Name                string  `json:"name"`
 	LatencyObjective    float64 `json:"target_time_s"`
 	Timeout             float64 `json:"max_age_s"`
-	Semantics           string  `json:"repeat"`
-	DeduplicationScope  string  `json:"reach"`
-	DeduplicationWindow float64 `json:"remembered_s"`
+	Semantics           string  `json:"repeat"`       // key of deliverySemantics
+	DeduplicationScope  string  `json:"reach"`        // key of deduplicationScopes
+	DeduplicationWindow float64 `json:"remembered_s"` // how long workers recognize an idempotency key
 }
 
 // FunctionPattern is the profile of all functions whose names match a pattern.
 type FunctionPattern struct {
-	Pattern     string  `json:"match"`
-	Concurrency int     `json:"lanes"`
-	MemoryMB    float64 `json:"memory_mb"`
-	LoadTime    float64 `json:"load_s"`
+	Pattern     string  `json:"match"`     // as of path.Match
+	Concurrency int     `json:"lanes"`     // requests that one replica serves concurrently
+	MemoryMB    float64 `json:"memory_mb"` // memory of one replica
+	LoadTime    float64 `json:"load_s"`    // expected duration of a replica load
 }
 
 // Tenant is a tenant with its quota.
 type Tenant struct {
 	Name  string  `json:"name"`
-	Quota float64 `json:"quota"`
+	Quota float64 `json:"quota"` // requests per second across all front ends
 }
 
 // Rules configures the routing decisions.
 type Rules struct {
-	MaxAttempts             int     `json:"launches"`
-	MaxRetryAfter           float64 `json:"max_pause_s"`
-	InitialCapacityFraction float64 `json:"cold_share"`
-	WarmUpTime              float64 `json:"warm_within_s"`
-	OverloadFactor          float64 `json:"fall_multiple"`
-	OverloadWindow          float64 `json:"fall_window_s"`
-	LoadCommandWindow       float64 `json:"load_window_s"`
-	LoadCommandAllowance    float64 `json:"load_free"`
-	LoadCommandsPerRequest  float64 `json:"load_share"`
+	MaxAttempts             int     `json:"launches"`      // per request
+	MaxRetryAfter           float64 `json:"max_pause_s"`   // maximum Retry-After of a rejection
+	InitialCapacityFraction float64 `json:"cold_share"`    // fraction of its capacity that a worker has when it starts
+	WarmUpTime              float64 `json:"warm_within_s"` // time from a worker's start until it has full capacity
+	OverloadFactor          float64 `json:"fall_multiple"` // multiple of its capacity that a warming worker tolerates
+	OverloadWindow          float64 `json:"fall_window_s"` // window over which OverloadFactor applies
+	LoadCommandWindow       float64 `json:"load_window_s"` // window of the load command quota; 0 for no quota
+	LoadCommandAllowance    float64 `json:"load_free"`     // load commands allowed in each window
+	LoadCommandsPerRequest  float64 `json:"load_share"`    // load commands allowed in addition for each request in the window
 }
 
 // Limits configures the limits for clients, requests and deduplication.
 type Limits struct {
 	MaxHeadBytes        int     `json:"head_bytes"`
 	MaxBodyBytes        int     `json:"body_bytes"`
-	MaxPipelined        int     `json:"pipeline"`
-	ReadTimeout         float64 `json:"arrival_s"`
+	MaxPipelined        int     `json:"pipeline"`  // pending requests per connection
+	ReadTimeout         float64 `json:"arrival_s"` // from the first byte of a request until it is complete
 	IdleTimeout         float64 `json:"idle_s"`
 	MaxConnections      int     `json:"connections"`
 	MaxOpenRequests     int     `json:"open_events"`
-	MaxUnreadBytes      int     `json:"unread_bytes"`
-	ResponseMargin      float64 `json:"answer_margin_s"`
-	DeduplicationWindow float64 `json:"remember_s"`
-	MaxCachedBytes      int     `json:"remember_bytes"`
+	MaxUnreadBytes      int     `json:"unread_bytes"`    // bytes of responses that a client may leave unread
+	ResponseMargin      float64 `json:"answer_margin_s"` // how long before the client's deadline the response is sent at the latest
+	DeduplicationWindow float64 `json:"remember_s"`      // how long final responses are cached for retries
+	MaxCachedBytes      int     `json:"remember_bytes"`  // maximum total size of cached response bodies
 }
 
 // Schedules configures the appliance's own schedules.
@@ -200,7 +201,7 @@
 	return c, nil
 }
 
-// syntaxError returns the error of a document that is not valid JSON, with the line if the decoder reports its offset.
+// syntaxError returns the error for a document that is not valid JSON. It states the line if the decoder reports an offset.
 func syntaxError(data []byte, err error) error {
 	var syntax *json.SyntaxError
 	if !errors.As(err, &syntax) {
@@ -210,7 +211,7 @@
 	return fmt.Errorf("configuration: line %d: %w", line, err)
 }
 
-// defaults returns the values of members that are missing in a document.
+// defaults returns a Config with the default values of optional members. Decoding a document into it overrides them.
 func defaults() *Config {
 	return &Config{
 		Name:      "streamcleat",
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -17,12 +17,12 @@
 	// minRoundInterval is the minimum interval, in seconds, between two rounds of the routing decisions. It is about one
 	// iteration of the event loop.
 	minRoundInterval = 0.004
-	// minResponseBody is the lower bound, in bytes, of the size limit of response bodies. Limits.MaxBodyBytes applies to
-	// responses only if it is larger.
+	// minResponseBody is the minimum size limit of response bodies in bytes. Limits.MaxBodyBytes applies to responses only
+	// if it is larger.
 	minResponseBody = 1 << 20
 )
 
-// deliverySemantics maps the values of RequestClass.Semantics.
+// deliverySemantics maps the values of RequestClass.Semantics in the document.
 var deliverySemantics = map[string]control.DeliverySemantics{
 	"":              control.Idempotent,
 	"redeliverable": control.Idempotent,
@@ -30,7 +30,7 @@
 	"at-most-once":  control.AtMostOnce,
 }
 
-// deduplicationScopes maps the values of RequestClass.DeduplicationScope.
+// deduplicationScopes maps the values of RequestClass.DeduplicationScope in the document.
 var deduplicationScopes = map[string]control.DeduplicationScope{
 	"":     control.ScopeFleet,
 	"all":  control.ScopeFleet,
@@ -38,7 +38,7 @@
 	"cell": control.ScopeFailureDomain,
 }
 
-// Logger returns the program's logger, which writes to w.
+// Logger returns a logger with the configured level and format that writes to w.
 func (c *Config) Logger(w io.Writer) *slog.Logger {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(c.Log.Level)); err != nil {
@@ -51,7 +51,7 @@
 	return slog.New(slog.NewTextHandler(w, options))
 }
 
-// Deployment returns the settings of the routing decisions.
+// Deployment returns the settings of the router.
 func (c *Config) Deployment() *control.Deployment {
 	d := &control.Deployment{
 		FrontEnds:               len(c.Listen),
@@ -88,7 +88,8 @@
 	return d
 }
 
-// Function returns the profile of a function. It is that of the first pattern that matches the name.
+// Function returns the profile of a function: that of the first pattern that matches its name, or one request at a time and
+// an unknown load time if there is none.
 func (c *Config) Function(name string) dispatch.FunctionProfile {
 	for _, function := range c.Functions {
 		if matches, _ := path.Match(function.Pattern, name); matches { // Parse has validated the pattern
@@ -98,7 +99,7 @@
 	return dispatch.FunctionProfile{Concurrency: 1}
 }
 
-// Dispatch returns the settings of the dispatcher.
+// Dispatch returns the settings of the dispatcher. seed seeds its random decisions.
 func (c *Config) Dispatch(seed uint64) dispatch.Settings {
 	return dispatch.Settings{
 		Deployment:          c.Deployment(),
--- a/internal/config/validation.go
+++ b/internal/config/validation.go
@@ -23,13 +23,13 @@
 
 const (
 	schemaURL       = "urn:streamcleat:config"
-	maxExcerptBytes = 60 // maximum length of a value in an error message
+	maxExcerptBytes = 60 // maximum length of a value quoted in an error message
 )
 
-// ValidationError is an invalid value of a document.
+// ValidationError describes an invalid value of a document.
 type ValidationError struct {
 	Pointer string // JSON pointer to the value (RFC 6901)
-	Value   string // the value as JSON, shortened; empty for objects and arrays
+	Value   string // the value as JSON, truncated; empty for objects and arrays
 	Want    string // what is allowed
 }
 
@@ -53,7 +53,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// validate checks a document against the schema.
+// validate checks a document against the schema. If values are invalid, the error is of type ValidationErrors.
 func validate(document any) error {
 	schema, err := compileSchema()
 	if err != nil {
@@ -80,7 +80,7 @@
 	return compiler.Compile(schemaURL)
 }
 
-// schemaErrors returns the leaf causes of a schema validation error, sorted by pointer.
+// schemaErrors converts a schema validation error: it returns one error for each leaf cause, sorted by pointer.
 func schemaErrors(root *jsonschema.ValidationError, document any) ValidationErrors {
 	var invalid ValidationErrors
 	printer := message.NewPrinter(language.English)
@@ -101,7 +101,7 @@
 	return invalid
 }
 
-// jsonPointer returns the JSON pointer of a location.
+// jsonPointer returns the JSON pointer (RFC 6901) of a location, or "/" for the whole document.
 func jsonPointer(location []string) string {
 	if len(location) == 0 {
 		return "/"
@@ -114,7 +114,7 @@
 	return pointer.String()
 }
 
-// excerpt returns the value at a location as JSON, shortened. It returns an empty string for an object or array.
+// excerpt returns the value at a location as JSON, truncated to maxExcerptBytes, or an empty string for an object or array.
 func excerpt(value any, location []string) string {
 	for _, member := range location {
 		switch container := value.(type) {
@@ -140,7 +140,7 @@
 	return string(text)
 }
 
-// check returns the invalid values that the schema can't detect.
+// check returns the errors for constraints that JSON Schema can't express, such as those between several values.
 func (c *Config) check() ValidationErrors {
 	var invalid ValidationErrors
 	invalid = append(invalid, c.checkRequestClasses()...)
@@ -198,10 +198,10 @@
 			fmt.Sprintf("must have one entry for each of the %d of /listen", len(c.Listen)),
 		})
 	}
-	if named := len(c.Listen) + len(c.Peers.Others); c.Peers.FrontEnds < named {
+	if listed := len(c.Listen) + len(c.Peers.Others); c.Peers.FrontEnds < listed {
 		invalid = append(invalid, ValidationError{
 			"/peers/front_ends", strconv.Itoa(c.Peers.FrontEnds),
-			fmt.Sprintf("must be at least the number of front ends named here, %d", named),
+			fmt.Sprintf("must be at least the number of front ends listed here, %d", listed),
 		})
 	}
 	return invalid
--- a/internal/telemetry/async_writer.go
+++ b/internal/telemetry/async_writer.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// AsyncWriter writes to another writer on its own goroutine, so that logging never blocks on a slow reader of the log.
+// AsyncWriter writes to another writer on its own goroutine, so that a slow reader of the log never blocks the process.
 // Writes that do not fit into its queue are dropped and counted. It is safe for concurrent use.
 type AsyncWriter struct {
 	writer  io.Writer
 	queue   chan []byte
-	dropped atomic.Uint64 // since the last notice
+	dropped atomic.Uint64 // writes dropped since the last message about them
 	done    chan struct{}
 
 	mu     sync.RWMutex // read-locked by Write, so that queue is not closed during a send
 	closed bool
 }
 
-// NewAsyncWriter returns a writer with a queue of capacity writes. The caller must close it.
+// NewAsyncWriter returns a writer whose queue holds up to capacity writes. The caller must close it.
 func NewAsyncWriter(writer io.Writer, capacity int) *AsyncWriter {
 	w := &AsyncWriter{writer: writer, queue: make(chan []byte, capacity), done: make(chan struct{})}
 	go w.run()
@@ -54,8 +54,8 @@
 	}
 }
 
-// Close stops accepting data and waits until the queue is written, at most for timeout. It may be called again to wait
-// longer.
+// Close stops accepting data and waits until the queued data is written or the timeout expires. It may be called again to
+// continue waiting.
 func (w *AsyncWriter) Close(timeout time.Duration) {
 	w.mu.Lock()
 	if !w.closed {
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -9,12 +9,12 @@
 const (
 	// metricPrefix is the prefix of every metric name.
 	metricPrefix = "streamcleat_"
-	// unknownClass is the label of request classes that are not configured. Without it, clients could create any number of
-	// time series.
+	// unknownClass is the label value for request classes that are not configured. Without it, clients could create an
+	// unlimited number of time series.
 	unknownClass = "unknown"
 )
 
-// durationBuckets are the histogram buckets in seconds. They range from responses of warm replicas to the longest timeout.
+// durationBuckets are the histogram buckets in seconds. They range from the latency of warm replicas to the longest timeout.
 var durationBuckets = []float64{.005, .01, .025, .05, .1, .25, .5, .75, 1, 1.5, 2, 3, 4, 6}
 
 // registerMetrics creates and registers the metrics. Dashboards and alerts depend on their names and labels.
@@ -43,7 +43,7 @@
 	r.registry.MustRegister(r.requests, r.causes, r.duration, r.attempts, r.attemptStarts, gaugeCollector{r.settings.Gauges})
 }
 
-// countAttempts counts the ended attempts by result, and by the state of the replica that they found.
+// countAttempts counts the ended attempts of a request by result and by the state of the replica when they reached it.
 func (r *Recorder) countAttempts(steps []dispatch.TraceStep) {
 	for _, step := range steps {
 		if step.Worker == "" || step.Event == dispatch.StepAttemptStarted {
@@ -56,10 +56,11 @@
 	}
 }
 
-// gaugeCollector implements prometheus.Collector. It reads its gauges at each scrape.
+// gaugeCollector is a prometheus.Collector that reads its gauges at each scrape.
 type gaugeCollector struct{ read func() map[string]float64 }
 
-// Describe sends no descriptors, because the names are known only at a scrape. This makes the collector an unchecked one.
+// Describe sends no descriptors, because the names are not known before a scrape. Prometheus therefore treats the collector
+// as unchecked.
 func (c gaugeCollector) Describe(chan<- *prometheus.Desc) {}
 
 // Collect sends the current values of the gauges.
--- a/internal/telemetry/ratelimit.go
+++ b/internal/telemetry/ratelimit.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// droppedRecordsKey is the log key for the number of records dropped before a record.
+// droppedRecordsKey is the key of the log attribute with the number of records dropped before this one.
 const droppedRecordsKey = "left_out_before"
 
 // RateLimited returns a handler that passes at most perSecond records per second to handler, to bound the disk space and CPU
-// time of logging. The first record after dropped ones has an attribute with their number.
+// time that logging takes. The first record after dropped ones states their number in an attribute.
 func RateLimited(handler slog.Handler, perSecond int) slog.Handler {
 	return &rateLimitedHandler{Handler: handler, limiter: &recordLimiter{perSecond: perSecond}}
 }
 
-// rateLimitedHandler implements slog.Handler. Handlers derived from it share its limiter.
+// rateLimitedHandler is a slog.Handler. Handlers derived from it share its limiter.
 type rateLimitedHandler struct {
 	slog.Handler
 	limiter *recordLimiter
 }
 
-// recordLimiter limits records in windows of one second. It is safe for concurrent use.
+// recordLimiter is a fixed-window rate limiter with windows of one second. It is safe for concurrent use.
 type recordLimiter struct {
 	mu          sync.Mutex
 	perSecond   int
--- a/internal/telemetry/recorder.go
+++ b/internal/telemetry/recorder.go
@@ -18,7 +18,7 @@
 	"streamcleat/internal/units"
 )
 
-// shutdownTimeout bounds the export of the last spans, so that it can't delay the end of the process.
+// shutdownTimeout limits how long the export of the last spans can delay the exit of the process.
 const shutdownTimeout = 2 * time.Second
 
 // Settings configures a [Recorder].
@@ -27,10 +27,10 @@
 	LatencyObjective func(class string) float64
 	// Spans is the writer to which spans are exported. If nil, no spans are exported.
 	Spans io.Writer
-	// SamplingRatio is the fraction of the requests that succeeded within their objective whose spans are exported. The
-	// spans of all other requests are always exported.
+	// SamplingRatio is the fraction of the requests that succeeded within their latency objective whose spans are exported.
+	// The spans of all other requests are always exported.
 	SamplingRatio float64
-	// Gauges returns gauges by name. It is called at each scrape and may be nil.
+	// Gauges returns the values of gauges by name. It is called at each scrape and may be nil.
 	Gauges func() map[string]float64
 }
 
@@ -68,7 +68,7 @@
 	return promhttp.HandlerFor(r.registry, promhttp.HandlerOpts{})
 }
 
-// Close exports the buffered spans.
+// Close exports the buffered spans and stops the exporter.
 func (r *Recorder) Close() error {
 	if r.provider == nil {
 		return nil
@@ -79,7 +79,7 @@
 }
 
 // OnRequestEnd records an ended request. history is its trace, or nil if none was retained.
-func (r *Recorder) OnRequestEnd(response dispatch.Response, history *dispatch.Trace) {
+func (r *Recorder) OnRequestEnd(response dispatch.Response, requestTrace *dispatch.Trace) {
 	overObjective := response.Elapsed > units.Seconds(r.settings.LatencyObjective(response.Class))
 	class := response.Class
 	if response.Cause == dispatch.CauseUnknownClass {
@@ -90,11 +90,11 @@
 	if response.Kind != dispatch.Succeeded {
 		r.causes.WithLabelValues(response.Cause.String(), response.Worker).Inc()
 	}
-	if history == nil {
+	if requestTrace == nil {
 		return
 	}
-	r.countAttempts(history.Steps)
+	r.countAttempts(requestTrace.Steps)
 	if r.tracer != nil && (overObjective || response.Kind != dispatch.Succeeded || r.isSampled(response.Identity)) {
-		r.writeSpans(response, history.Steps, overObjective)
+		r.writeSpans(response, requestTrace.Steps, overObjective)
 	}
 }
--- a/internal/telemetry/spans.go
+++ b/internal/telemetry/spans.go
@@ -15,7 +15,7 @@
 	"streamcleat/internal/dispatch"
 )
 
-// spanFileMode allows the group to read spans. They contain identities of requests, but no bodies.
+// spanFileMode permits the group to read the file, because spans contain identities of requests but no bodies.
 const spanFileMode = 0o640
 
 // ErrSpans is wrapped by all errors of the span export.
@@ -30,15 +30,16 @@
 	return file, nil
 }
 
-// isSampled reports whether a request is in the sample. The decision depends only on the identity, so that all front ends
-// sample the same requests.
+// isSampled reports whether the sample includes a request. The decision depends only on the identity of the request, so that
+// all front ends sample the same ones.
 func (r *Recorder) isSampled(identity dispatch.Identity) bool {
 	hash := fnv.New32a()
 	_, _ = io.WriteString(hash, identity.String()) // hash.Hash never returns an error
 	return float64(hash.Sum32())/(1<<32) < r.settings.SamplingRatio
 }
 
-// writeSpans exports a request as a span with a child span per attempt. The other steps are events of the request's span.
+// writeSpans exports a request as a span with a child span for each attempt. The other steps become events of the request's
+// span.
 func (r *Recorder) writeSpans(response dispatch.Response, steps []dispatch.TraceStep, overObjective bool) {
 	end := time.Now()
 	start := end.Add(-toDuration(float64(response.Elapsed)))
