--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter hosts the routers of simulated front ends for the bench's simulator, which drives them over standard
-// input and output. It owns no state; package simadapter has the protocol.
+// Command simadapter runs the routers of simulated front ends for the bench's simulator, which drives them over standard
+// input and output. Package simadapter implements the protocol and owns the state.
 package main
 
 import (
--- a/internal/simadapter/decode.go
+++ b/internal/simadapter/decode.go
@@ -2,7 +2,7 @@
 
 import "streamcleat/control"
 
-// decodeWorker decodes a worker of a list.
+// decodeWorker decodes an entry of a worker list.
 func decodeWorker(l *line) control.Worker {
 	return control.Worker{
 		ID:            control.WorkerID(l.required(fieldWorker)),
--- a/internal/simadapter/deliver.go
+++ b/internal/simadapter/deliver.go
@@ -7,11 +7,11 @@
 	"streamcleat/internal/units"
 )
 
-// delivery decodes a message and, unless it is invalid, calls the router of its instance with it.
-type delivery func(s *server, i *instance, l *line)
+// deliverFunc decodes a message and, unless it is invalid, passes it to the router of an instance.
+type deliverFunc func(s *server, i *instance, l *line)
 
-// deliveries maps the messages to an instance.
-var deliveries = map[string]delivery{
+// deliverFuncs has the function for each message that is addressed to an instance, by message name.
+var deliverFuncs = map[string]deliverFunc{
 	messageUpdate:        deliverUpdate,
 	messageRequest:       deliverRequest,
 	messageAttemptResult: deliverAttemptResult,
@@ -30,7 +30,7 @@
 		i.router.OnEndpointPollFailed(s.now)
 		return
 	}
-	workers, known := s.lists[l.integer(fieldSlot)]
+	workers, known := s.workerLists[l.integer(fieldSlot)]
 	if !known {
 		l.fail(fieldSlot, errors.New("unknown worker list"))
 	}
@@ -39,8 +39,8 @@
 	}
 }
 
-// deliverEndpoints calls the router with a worker list. A persisted list is the first update of an instance and starts its
-// i.router.
+// deliverEndpoints passes a worker list to the router. A persisted list is the first update of an instance; it starts the
+// router.
 func deliverEndpoints(now units.Seconds, router *control.Router, kind updateKind, workers []control.Worker) {
 	if kind == updatePersisted {
 		router.Start()
@@ -67,18 +67,18 @@
 }
 
 func deliverLoadResult(s *server, i *instance, l *line) {
-	load := decodeLoadResult(l)
+	result := decodeLoadResult(l)
 	if l.err != nil {
 		return
 	}
-	commanded, isQuery := i.takeQuery(load.Worker, load.Function)
+	commanded, isQuery := i.takeQuery(result.Worker, result.Function)
 	if !isQuery {
-		i.router.OnLoadResult(s.now, load)
+		i.router.OnLoadResult(s.now, result)
 		return
 	}
 	i.router.OnQueryResult(s.now, control.QueryResult{
-		Worker: load.Worker, Function: load.Function, Commanded: commanded, Outcome: load.Outcome,
-		Replicas: load.Replicas, Latency: load.Duration,
+		Worker: result.Worker, Function: result.Function, Commanded: commanded, Outcome: result.Outcome,
+		Replicas: result.Replicas, Latency: result.Duration,
 	})
 }
 
@@ -95,7 +95,7 @@
 }
 
 func deliverTimer(s *server, i *instance, l *line) {
-	if mark := l.requiredUint64(fieldTimerMark); l.err == nil {
-		i.router.OnTimer(s.now, mark)
+	if timer := l.requiredUint64(fieldTimerID); l.err == nil {
+		i.router.OnTimer(s.now, timer)
 	}
 }
--- a/internal/simadapter/errors.go
+++ b/internal/simadapter/errors.go
@@ -7,20 +7,20 @@
 
 // Errors that [Serve] returns wrapped in a [LineError].
 var (
-	// ErrTruncated reports that the input ended within a line or a batch.
+	// ErrTruncated means that the input ended within a line or a batch.
 	ErrTruncated = errors.New("input truncated")
-	// ErrMissing reports a missing or empty field.
+	// ErrMissing means that a required field is missing or empty.
 	ErrMissing = errors.New("missing")
 )
 
 // LineError describes an invalid line of input.
 type LineError struct {
-	Line  int    // counted from 1
+	Line  int    // starting at 1
 	Field string // empty if the error is not about a field
 	Err   error
 }
 
-// Error returns the error with the line and the field.
+// Error implements the error interface.
 func (e *LineError) Error() string {
 	if e.Field == "" {
 		return fmt.Sprintf("line %d: %s", e.Line, e.Err)
--- a/internal/simadapter/instance.go
+++ b/internal/simadapter/instance.go
@@ -13,32 +13,33 @@
 
 const millisecondsPerSecond = 1000
 
-// instance holds the router of a front end and writes its decisions to the output. It implements [control.Host].
+// instance is a simulated front end: it has a router and, as its [control.Host], writes its decisions to the output.
 type instance struct {
 	name    string
 	router  *control.Router
 	out     *bufio.Writer
-	scratch []byte          // buffer for encoding a message
-	queries map[query][]int // replicas commanded by each query that awaits its result
+	scratch []byte          // reused buffer for encoding messages
+	queries map[query][]int // number of replicas commanded by each pending query, oldest first
 }
 
-// query identifies the queries of one function at one worker.
+// query identifies the queries of a worker for a function.
 type query struct {
 	worker   control.WorkerID
 	function control.FunctionID
 }
 
-// takeQuery reports whether the next result of a load command is that of a query, which it removes and returns.
+// takeQuery removes the oldest pending query of a worker for a function and returns the number of replicas that it commanded.
+// The protocol sends queries and reports their results as load commands, so a result counts as that of a query if one is pending.
 func (i *instance) takeQuery(worker control.WorkerID, function control.FunctionID) (replicas int, isQuery bool) {
 	key := query{worker, function}
-	waiting := i.queries[key]
-	if len(waiting) == 0 {
+	pending := i.queries[key]
+	if len(pending) == 0 {
 		return 0, false
 	}
-	if i.queries[key] = waiting[1:]; len(waiting) == 1 {
+	if i.queries[key] = pending[1:]; len(pending) == 1 {
 		delete(i.queries, key)
 	}
-	return waiting[0], true
+	return pending[0], true
 }
 
 var _ control.Host = (*instance)(nil)
@@ -63,7 +64,7 @@
 	return append(line, f.value...)
 }
 
-// recoverPanic reports a panic of the router as a message. Callers of the router defer it.
+// recoverPanic recovers from a panic of the router and reports it to the simulator. Callers of the router must defer it.
 func (i *instance) recoverPanic() {
 	if reason := recover(); reason != nil {
 		i.write(messagePanic, field{"ReasonText", strings.Join(strings.Fields(fmt.Sprint(reason)), " ")})
@@ -92,8 +93,8 @@
 		field{fieldReplicas, strconv.Itoa(replicas)})
 }
 
-// QueryReplicas implements [control.Host]: a load command for no replicas only asks. The protocol has no timeout of its own
-// for it.
+// QueryReplicas implements [control.Host]. It sends a load command, which is a plain query if replicas is 0. The protocol has
+// no timeout for queries.
 func (i *instance) QueryReplicas(worker control.WorkerID, function control.FunctionID, replicas int, _ units.Seconds) {
 	key := query{worker, function}
 	i.queries[key] = append(i.queries[key], replicas)
@@ -106,13 +107,13 @@
 }
 
 // SetTimer implements [control.Host].
-func (i *instance) SetTimer(after units.Seconds, mark uint64) {
+func (i *instance) SetTimer(after units.Seconds, timer uint64) {
 	i.write(messageSetTimer, field{"SleepForMs", formatMilliseconds(after)},
-		field{fieldTimerMark, strconv.FormatUint(mark, 10)})
+		field{fieldTimerID, strconv.FormatUint(timer, 10)})
 }
 
 // RequestEndpoints implements [control.Host].
-func (i *instance) RequestEndpoints() { i.write(messageSubscribe, field{"Want", "1"}) }
+func (i *instance) RequestEndpoints() { i.write(messageRequestEndpoints, field{"Want", "1"}) }
 
 // formatMilliseconds formats a time in seconds as milliseconds.
 func formatMilliseconds(seconds units.Seconds) string {
--- a/internal/simadapter/line.go
+++ b/internal/simadapter/line.go
@@ -15,21 +15,21 @@
 	"streamcleat/internal/units"
 )
 
-// bufferSize is the size of the input and output buffers. Most batches fit into it.
+// bufferSize is the size of the input and output buffers in bytes. Most batches fit into it.
 const bufferSize = 1 << 16
 
 // lineReader reads and numbers lines.
 type lineReader struct {
 	in   *bufio.Reader
-	line line // last line read
+	line line // the last line that was read
 }
 
 func newLineReader(in io.Reader) *lineReader {
 	return &lineReader{in: bufio.NewReaderSize(in, bufferSize)}
 }
 
-// next returns the next line, or io.EOF. It is an error if the input ends within a line or a batch. Empty lines between
-// batches are skipped. The returned line is valid until the next call.
+// next returns the next line, or io.EOF at the end of the input. If the input ends within a line or a batch, the error
+// wraps ErrTruncated. Empty lines between batches are skipped. The returned line is valid until the next call.
 func (r *lineReader) next(inBatch bool) (*line, error) {
 	for {
 		r.line.number++
@@ -55,8 +55,8 @@
 // field is a name=value pair of a message.
 type field struct{ name, value string }
 
-// line is an input message, split into its name and fields. Its methods decode fields. The first error is kept in err;
-// values decoded after it are meaningless.
+// line is an input message, split into its name and fields. Its methods decode fields and record the first error in err.
+// Values decoded after an error must not be used.
 type line struct {
 	number int // starting at 1
 	name   string
@@ -64,14 +64,14 @@
 	err    error
 }
 
-// fail records an error of a field, unless there is an earlier one.
+// fail records an error of a field, unless an earlier one is recorded.
 func (l *line) fail(fieldName string, err error) {
 	if l.err == nil {
 		l.err = &LineError{Line: l.number, Field: fieldName, Err: err}
 	}
 }
 
-// parse splits the text of a line into its name and fields.
+// parse splits the text of a line into the message name and the fields.
 func (l *line) parse(text string) {
 	l.fields, l.err = l.fields[:0], nil
 	name, remaining, _ := strings.Cut(text, " ")
@@ -80,14 +80,14 @@
 		l.fail("", errors.New("no message name"))
 		return
 	}
-	restOfLine := restOfLineFields[name]
+	restOfLineField := restOfLineFields[name]
 	for remaining != "" {
 		key, value, ok := strings.Cut(remaining, "=")
 		if !ok || key == "" || strings.Contains(key, " ") {
 			l.fail(key, errors.New("not a name=value pair"))
 			return
 		}
-		if restOfLine != "" && key == restOfLine {
+		if restOfLineField != "" && key == restOfLineField {
 			remaining = ""
 		} else {
 			value, remaining, _ = strings.Cut(value, " ")
@@ -96,7 +96,7 @@
 	}
 }
 
-// get returns the value of a field and reports whether the line has it.
+// get returns the value of a field and whether the field is present.
 func (l *line) get(fieldName string) (string, bool) {
 	for i := range l.fields {
 		if l.fields[i].name == fieldName {
@@ -134,7 +134,7 @@
 	return number
 }
 
-// seconds decodes a time stated in milliseconds.
+// seconds decodes a time given in milliseconds, or 0 if the field is missing.
 func (l *line) seconds(fieldName string) units.Seconds {
 	return units.Seconds(l.float(fieldName) / millisecondsPerSecond)
 }
@@ -185,7 +185,7 @@
 	return value
 }
 
-// loadReport decodes name:number pairs separated by commas. A single hyphen means none.
+// loadReport decodes comma-separated name:number pairs. A single hyphen means that there are none.
 func (l *line) loadReport(fieldName string) control.LoadReport {
 	var report control.LoadReport
 	remaining := l.text(fieldName)
@@ -217,18 +217,18 @@
 	return data
 }
 
-// deployment decodes a deployment's terms.
+// deployment decodes the settings document of a deployment.
 func (l *line) deployment(fieldName string) *control.Deployment {
 	text := l.required(fieldName)
 	if l.err != nil {
 		return nil
 	}
-	terms, err := deployment.Read([]byte(text))
+	settings, err := deployment.Read([]byte(text))
 	if err != nil {
 		l.fail(fieldName, err)
 		return nil
 	}
-	return terms.Deployment()
+	return settings.Deployment()
 }
 
 // parseFinite parses a number that must be neither infinite nor NaN.
--- a/internal/simadapter/protocol.go
+++ b/internal/simadapter/protocol.go
@@ -7,10 +7,10 @@
 	messageFrame         = "FRAME"       // start of a batch
 	messageCommit        = "COMMIT"      // end of a batch
 	messageDirectory     = "DIRECTORY"   // start of a worker list
-	messageWorker        = "M"           // a worker of the list
+	messageWorker        = "M"           // entry of a worker list
 	messageCreate        = "CREATE"      // create an instance
 	messageDetach        = "DETACH"      // remove an instance
-	messageUpdate        = "UPDATE"      // worker list for an instance
+	messageUpdate        = "UPDATE"      // pass a worker list to an instance
 	messageRequest       = "DEMAND"      // request arrived
 	messageAttemptResult = "REPORT_BACK" // attempt ended
 	messageLoadResult    = "BROUGHT_UP"  // load command ended
@@ -21,44 +21,44 @@
 
 // Names of messages to the simulator.
 const (
-	messageDone      = "OK"        // batch processed
-	messagePanic     = "PANIC"     // router of an instance panicked
-	messageRoute     = "ROUTE"     // start an attempt
-	messageReject    = "SAY_NO"    // reject a request
-	messageFail      = "SURRENDER" // fail a request
-	messageLoad      = "PRELOAD"   // send a load command
-	messageBroadcast = "POST"      // send gossip to every other front end
-	messageSetTimer  = "NOTIFY_ME" // set a timer
-	messageSubscribe = "OBSERVE"   // poll the worker list
+	messageDone             = "OK"        // batch processed
+	messagePanic            = "PANIC"     // router of an instance panicked
+	messageRoute            = "ROUTE"     // start an attempt
+	messageReject           = "SAY_NO"    // reject a request
+	messageFail             = "SURRENDER" // fail a request
+	messageLoad             = "PRELOAD"   // send a load command
+	messageBroadcast        = "POST"      // send gossip to every other front end
+	messageSetTimer         = "NOTIFY_ME" // set a timer
+	messageRequestEndpoints = "OBSERVE"   // request the worker list
 )
 
-// Names of fields that several messages have.
+// Names of fields that are used more than once.
 const (
-	fieldInstance  = "EndId"
-	fieldRequest   = "Id"
-	fieldWorker    = "Worker"
-	fieldFunction  = "Function"
-	fieldOutcome   = "Rc"
-	fieldLatency   = "DelaySeenMs"
-	fieldReplicas  = "UnitsHeld"
-	fieldSlot      = "Slot"
-	fieldGossip    = "Octets"
-	fieldTimerMark = "Mark"
+	fieldInstance = "EndId"
+	fieldRequest  = "Id"
+	fieldWorker   = "Worker"
+	fieldFunction = "Function"
+	fieldOutcome  = "Rc"
+	fieldLatency  = "DelaySeenMs"
+	fieldReplicas = "UnitsHeld"
+	fieldSlot     = "Slot"
+	fieldGossip   = "Octets"
+	fieldTimerID  = "Mark"
 )
 
-// restOfLineFields maps messages to their field whose value extends to the end of the line.
+// restOfLineFields maps message names to the field whose value may contain spaces and extends to the end of the line.
 var restOfLineFields = map[string]string{messageCreate: "Conf"}
 
-// Bits of a request's Options field.
+// Bits of the Options field of a request.
 const (
 	optionWorkHint = 1 << iota // WorkHintMs is valid
 	optionRetried              // the client states that the request is a retry
 )
 
-// startTypeMask selects the bits of the Info field that hold a control.StartType.
+// startTypeMask selects the bits of the Info field that contain a control.StartType.
 const startTypeMask = 7
 
-// outcomes maps the names of outcomes of attempts and load commands.
+// outcomes maps the protocol's names for the outcomes of attempts and load commands.
 var outcomes = map[string]control.Outcome{
 	"delivered":   control.Succeeded,
 	"app_error":   control.Failed,
@@ -71,24 +71,24 @@
 	"empty":       control.ReplicaMissing,
 }
 
-// endpointStates maps the names of worker states.
+// endpointStates maps the protocol's names for the states of a worker.
 var endpointStates = map[string]control.EndpointState{
 	"SERVING":  control.Serving,
 	"DRAINING": control.Draining,
 	"DELETED":  control.Removed,
 }
 
-// updateKind is the content of an update of the worker list.
+// updateKind specifies what an update of the worker list contains.
 type updateKind uint8
 
 const (
-	updateFailed    updateKind = iota // none: the poll failed
-	updatePartial                     // changed workers
-	updateComplete                    // complete list
-	updatePersisted                   // complete list stored by an earlier process
+	updateFailed    updateKind = iota // nothing, because the poll failed
+	updatePartial                     // the changed workers only
+	updateComplete                    // all workers
+	updatePersisted                   // all workers, as stored by an earlier process
 )
 
-// updateKinds maps the names of update kinds.
+// updateKinds maps the protocol's names for the kinds of update.
 var updateKinds = map[string]updateKind{
 	"Error":     updateFailed,
 	"Partial":   updatePartial,
@@ -96,7 +96,7 @@
 	"Persisted": updatePersisted,
 }
 
-// Metrics of a load report that are read.
+// Names of the metrics in a load report that are used. Others are ignored.
 const (
 	metricRunning = "rif"
 	metricWaiting = "q"
--- a/internal/simadapter/serve.go
+++ b/internal/simadapter/serve.go
@@ -12,22 +12,22 @@
 
 // server holds the instances of a process and the worker lists that they share.
 type server struct {
-	out            *bufio.Writer
-	now            units.Seconds // time of the current batch in seconds
-	inBatch        bool
-	instances      map[string]*instance
-	lists          map[int][]control.Worker // by slot
-	slot           int                      // of the worker list being read
-	missingWorkers int                      // workers of that list still to be read
+	out              *bufio.Writer
+	now              units.Seconds // simulated time of the current batch
+	inBatch          bool
+	instances        map[string]*instance
+	workerLists      map[int][]control.Worker // by slot
+	slot             int                      // slot of the worker list being read
+	remainingWorkers int                      // entries of that list that are still to be read
 }
 
 // Serve processes batches of messages from in and writes the routers' decisions to out, until the input ends. It stops at
 // the first invalid line with a [*LineError].
 func Serve(in io.Reader, out io.Writer) error {
 	s := &server{
-		out:       bufio.NewWriterSize(out, bufferSize),
-		instances: map[string]*instance{},
-		lists:     map[int][]control.Worker{},
+		out:         bufio.NewWriterSize(out, bufferSize),
+		instances:   map[string]*instance{},
+		workerLists: map[int][]control.Worker{},
 	}
 	lines := newLineReader(in)
 	for {
@@ -44,10 +44,10 @@
 	}
 }
 
-// handle processes a line.
+// handle processes one line of input.
 func (s *server) handle(l *line) error {
 	switch {
-	case s.missingWorkers > 0 && l.name != messageWorker:
+	case s.remainingWorkers > 0 && l.name != messageWorker:
 		l.fail("", errors.New("worker list truncated"))
 	case !s.inBatch && l.name != messageFrame:
 		l.fail("", fmt.Errorf("expected %s, got %s", messageFrame, l.name))
@@ -72,14 +72,14 @@
 	return s.out.Flush()
 }
 
-// handleInBatch processes a line within a batch. Unknown messages are ignored.
+// handleInBatch processes a line within a batch. It ignores unknown messages.
 func (s *server) handleInBatch(l *line) {
 	switch l.name {
 	case messageDirectory:
 		l.required(fieldSlot)
 		s.slot = l.integer(fieldSlot)
-		s.missingWorkers = l.integer("NodesList")
-		s.lists[s.slot] = nil
+		s.remainingWorkers = l.integer("NodesList")
+		s.workerLists[s.slot] = nil
 	case messageWorker:
 		s.addWorker(l)
 	case messageCreate:
@@ -87,36 +87,36 @@
 	case messageDetach:
 		delete(s.instances, l.required(fieldInstance))
 	default:
-		if deliver := deliveries[l.name]; deliver != nil {
+		if deliver := deliverFuncs[l.name]; deliver != nil {
 			s.deliver(l, deliver)
 		}
 	}
 }
 
-// addWorker adds a worker to the list being read.
+// addWorker adds an entry to the worker list being read.
 func (s *server) addWorker(l *line) {
-	if s.missingWorkers == 0 {
+	if s.remainingWorkers == 0 {
 		l.fail("", errors.New("worker line outside a list"))
 		return
 	}
-	s.missingWorkers--
-	s.lists[s.slot] = append(s.lists[s.slot], decodeWorker(l))
+	s.remainingWorkers--
+	s.workerLists[s.slot] = append(s.workerLists[s.slot], decodeWorker(l))
 }
 
-// create creates an instance. It replaces one of the same name.
+// create creates an instance, which replaces any existing one of the same name.
 func (s *server) create(l *line) {
 	i := &instance{name: l.required(fieldInstance), out: s.out, queries: map[query][]int{}}
-	terms := l.deployment("Conf")
+	settings := l.deployment("Conf")
 	seed := l.requiredUint64("Nonce64")
 	if l.err != nil {
 		return
 	}
-	i.router = control.New(terms, seed, i, s.now)
+	i.router = control.New(settings, seed, i, s.now)
 	s.instances[i.name] = i
 }
 
-// deliver delivers a message to its instance.
-func (s *server) deliver(l *line, deliver delivery) {
+// deliver delivers a message to the instance that it names.
+func (s *server) deliver(l *line, deliver deliverFunc) {
 	name := l.required(fieldInstance)
 	if l.err != nil {
 		return
