--- a/internal/console/client.go
+++ b/internal/console/client.go
@@ -24,11 +24,11 @@
 // Client is a client of an appliance's admin API.
 type Client struct {
 	Socket string
-	Name   string // identifies this console to the appliance and to other consoles
+	Name   string // identifies this console to the appliance and its other consoles
 	http   http.Client
 }
 
-// NewClient returns a client of the appliance that listens on a Unix socket.
+// NewClient returns a client of the appliance that listens on the given Unix socket. name identifies the console.
 func NewClient(socket, name string) *Client {
 	dial := func(ctx context.Context, _, _ string) (net.Conn, error) {
 		return (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "unix", socket)
@@ -40,7 +40,7 @@
 	}
 }
 
-// UnreachableError is returned if the request to the appliance fails without a complete response.
+// UnreachableError means that a request to the appliance failed without a complete response.
 type UnreachableError struct {
 	Socket string
 	Err    error
@@ -63,8 +63,8 @@
 // Error implements the error interface.
 func (e *RejectedError) Error() string { return e.Message }
 
-// call sends a request and decodes the response into the value into.
-func (c *Client) call(method, path string, body []byte, into any) error {
+// call sends a request and decodes the JSON response into result.
+func (c *Client) call(method, path string, body []byte, result any) error {
 	request, err := http.NewRequest(method, "http://box"+path, bytes.NewReader(body))
 	if err != nil {
 		return err
@@ -81,10 +81,10 @@
 	if response.StatusCode != http.StatusOK {
 		return rejectedError(response, data)
 	}
-	return json.Unmarshal(data, into)
+	return json.Unmarshal(data, result)
 }
 
-// rejectedError returns the error of a response. Its message is the status if the body has none.
+// rejectedError returns the error for an error response. Its message is that of the body or, if there is none, the HTTP status.
 func rejectedError(response *http.Response, body []byte) error {
 	var document struct {
 		Error string `json:"error"`
@@ -95,25 +95,25 @@
 	return &RejectedError{response.StatusCode, document.Error}
 }
 
-// Get reads a resource, such as status, workers, handlers, events, timers, registry or trail.
-func (c *Client) Get(resource string, into any) error {
-	return c.call(http.MethodGet, "/v1/"+resource, nil, into)
+// Get reads a resource, such as status, workers, handlers, events, timers, registry or trail, into result.
+func (c *Client) Get(resource string, result any) error {
+	return c.call(http.MethodGet, "/v1/"+resource, nil, result)
 }
 
-// Explain reads the status of a request with the steps of its trace.
+// Explain reads the status of a request, including the steps of its trace.
 func (c *Client) Explain(id string) (appliance.RequestStatus, error) {
 	var request appliance.RequestStatus
 	err := c.Get("explain?id="+url.QueryEscape(id), &request)
 	return request, err
 }
 
-// Execute sends a command and returns the description of the result.
+// Execute sends a command and returns a description of its result.
 func (c *Client) Execute(command appliance.Command) (string, error) {
 	command.Console = c.Name
 	return c.post("/v1/orders", command)
 }
 
-// Change makes a change of the function registry and returns its description.
+// Change applies a change to the function registry and returns a description of it. The actor defaults to the client's name.
 func (c *Client) Change(change appliance.Change) (string, error) {
 	if change.Actor == "" {
 		change.Actor = c.Name
@@ -121,7 +121,7 @@
 	return c.post("/v1/registry", change)
 }
 
-// post sends a document as JSON and returns the description of the result.
+// post sends a document as JSON and returns the description of the result in the response.
 func (c *Client) post(path string, document any) (string, error) {
 	body, err := json.Marshal(document)
 	if err != nil {
--- a/internal/console/format.go
+++ b/internal/console/format.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// sparkBars are the bars of a sparkline in ascending height.
+// sparkBars are the characters of a sparkline, from the lowest bar to the highest.
 var sparkBars = []rune("▁▂▃▄▅▆▇█")
 
 const (
 	columnGap     = 2      // spaces between the columns of a table
-	minSeconds    = 0.9995 // durations below it are shown in milliseconds; it would round to 1000 ms
-	minMinutes    = 60     // durations in seconds from which on minutes are shown
+	minSeconds    = 0.9995 // durations below it are shown in milliseconds; from it on they would round to 1000 ms
+	minMinutes    = 60     // durations in seconds below it are shown in seconds, others with minutes
 	minKilobytes  = 10 << 10
 	minMegabytes  = 10 << 20
 	kilobyteShift = 10
@@ -46,9 +46,9 @@
 	var text strings.Builder
 	w := tabwriter.NewWriter(&text, 0, 0, columnGap, ' ', 0)
 	for _, row := range rows {
-		_, _ = fmt.Fprintln(w, strings.Join(row, "\t")) // a strings.Builder returns no write errors
+		_, _ = fmt.Fprintln(w, strings.Join(row, "\t")) // a strings.Builder never returns an error
 	}
-	_ = w.Flush() // likewise
+	_ = w.Flush() // as above
 	return strings.TrimRight(text.String(), "\n")
 }
 
@@ -74,7 +74,7 @@
 	return fmt.Sprintf("%d MB", n>>megabyteShift)
 }
 
-// formatMinute formats a time of a schedule. It returns "-" for nil.
+// formatMinute formats a date and time with a resolution of one minute, or nil as "-".
 func formatMinute(t *time.Time) string {
 	if t == nil {
 		return "-"
--- a/internal/console/keys.go
+++ b/internal/console/keys.go
@@ -6,7 +6,7 @@
 	"streamcleat/internal/appliance"
 )
 
-// keyHints are the hints for the keys of each screen.
+// keyHints are the key hints that are specific to each screen.
 var keyHints = [...]string{
 	overviewScreen:  "",
 	workersScreen:   "up/down choose  d drain  r return",
@@ -15,12 +15,12 @@
 	schedulesScreen: "up/down choose  f fire now  h hold or release",
 }
 
-// commonKeyHints are the hints for the keys that work on all screens.
+// commonKeyHints are the key hints that all screens have.
 const commonKeyHints = "  tab 1-5 screens  s stop  S stop now  q leave"
 
 // handleKey handles a key press.
 func (m *model) handleKey(key string) (tea.Model, tea.Cmd) {
-	if m.unconfirmed != nil {
+	if m.pendingCommand != nil {
 		return m, m.handleConfirmation(key)
 	}
 	if m.detail != "" && key != "q" && key != "ctrl+c" {
@@ -42,10 +42,10 @@
 	return m, nil
 }
 
-// handleConfirmation executes the unconfirmed command if key is y, and drops it otherwise.
+// handleConfirmation executes the pending command if key is y, and discards it otherwise.
 func (m *model) handleConfirmation(key string) tea.Cmd {
-	command := *m.unconfirmed
-	m.unconfirmed, m.notice = nil, "left as it is"
+	command := *m.pendingCommand
+	m.pendingCommand, m.notice = nil, "left as it is"
 	if key != "y" {
 		return nil
 	}
@@ -85,7 +85,7 @@
 	return true
 }
 
-// handleCommandKey handles the keys that show a request or send a command. Some commands need a confirmation first.
+// handleCommandKey handles the keys that show a request or send a command. Some commands have to be confirmed first.
 func (m *model) handleCommandKey(key string) tea.Cmd {
 	m.clampSelection()
 	if key == "enter" {
@@ -99,13 +99,14 @@
 		return nil
 	}
 	if m.needsConfirmation(command) {
-		m.unconfirmed = command
+		m.pendingCommand = command
 		return nil
 	}
 	return m.execute(*command)
 }
 
-// commandForKey returns the command of a key, for the selected row if it has a target, or nil if there is none.
+// commandForKey returns the command that is bound to a key on the current screen, or nil. Its target, if any, is the selected
+// row.
 func (m *model) commandForKey(key string) *appliance.Command {
 	switch key {
 	case "s":
--- a/internal/console/status_text.go
+++ b/internal/console/status_text.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	sparkMargin   = 20 // columns left of a sparkline
+	sparkMargin   = 20 // columns reserved for the text left of a sparkline
 	minSparkWidth = 10
 )
 
-// StatusText formats the status of an appliance for a terminal with the given width.
+// StatusText formats the status of an appliance for a terminal of the given width.
 func StatusText(s appliance.Status, width int) string {
 	var ended, notSucceeded []float64
 	for _, second := range s.Seconds {
@@ -47,7 +47,7 @@
 	return Table(rows)
 }
 
-// stateText describes the lifecycle state.
+// stateText describes the lifecycle state and its reason.
 func stateText(s *appliance.Status) string {
 	text := s.State
 	if s.State == appliance.Draining.String() {
@@ -59,7 +59,7 @@
 	return text
 }
 
-// rateText returns the last value and a sparkline of all values.
+// rateText returns the last value and a sparkline of the values.
 func rateText(values []float64, width int) string {
 	last := "0"
 	if len(values) > 0 {
@@ -68,7 +68,7 @@
 	return fmt.Sprintf("%4s %s", last, Sparkline(values, max(width-sparkMargin, minSparkWidth)))
 }
 
-// workerCounts lists the number of workers in each state.
+// workerCounts returns the number of workers in each state as text.
 func workerCounts(byState map[string]int) string {
 	var counts []string
 	for _, state := range slices.Sorted(maps.Keys(byState)) {
--- a/internal/console/tables.go
+++ b/internal/console/tables.go
@@ -108,7 +108,7 @@
 	return Table(rows) + "\n\n" + Table(steps)
 }
 
-// RegistryRows returns the table of function versions with the aliases and rollouts that name them. The first row is the
+// RegistryRows returns the table of function versions with the aliases and rollouts that refer to them. The first row is the
 // heading.
 func RegistryRows(functions []registry.View) [][]string {
 	rows := [][]string{{"FUNCTION", "VERSION", "ALIASES", "LANES", "LOAD", "DIGEST"}}
@@ -129,7 +129,7 @@
 	return rows
 }
 
-// versionNames returns the aliases and rollouts that name a version, and a mark if it is withdrawn.
+// versionNames returns the aliases and rollouts that refer to a version, followed by WITHDRAWN if it is withdrawn.
 func versionNames(function *registry.View, version *registry.Version) []string {
 	var names []string
 	for alias, digest := range function.Aliases {
@@ -149,7 +149,7 @@
 	return names
 }
 
-// AuditRows returns the table of the registry's audit trail. The first row is the heading.
+// AuditRows returns the table of the audit trail of the registry. The first row is the heading.
 func AuditRows(entries []registry.Entry) [][]string {
 	rows := [][]string{{"WHEN", "WHO", "WHAT", "WHY"}}
 	for i := range entries {
--- a/internal/console/tui.go
+++ b/internal/console/tui.go
@@ -12,7 +12,7 @@
 
 const (
 	refreshInterval = 500 * time.Millisecond
-	// Terminal size until the first tea.WindowSizeMsg.
+	// Terminal size that is assumed until the first tea.WindowSizeMsg.
 	defaultWidth  = 80
 	defaultHeight = 24
 )
@@ -29,7 +29,7 @@
 	screenCount // number of screens
 )
 
-// snapshot is the result of the last poll of the appliance. Besides the status it has the data of one screen.
+// snapshot is the result of a poll of the appliance: the status and the data of the screen that was current.
 type snapshot struct {
 	status    appliance.Status
 	workers   []appliance.WorkerStatus
@@ -39,7 +39,7 @@
 	err       error
 }
 
-// Messages of the bubbletea program.
+// Messages that Update handles, besides those of bubbletea.
 type (
 	snapshotMsg snapshot
 	noticeMsg   struct{ text string }
@@ -49,18 +49,18 @@
 
 // model is the state of the terminal UI. It implements tea.Model.
 type model struct {
-	client        *Client
-	screen        screen
-	selected      int // index of the selected row
-	firstVisible  int // index of the first visible row
-	width, height int
-	snapshot      snapshot
-	notice        string
-	unconfirmed   *appliance.Command // awaits confirmation
-	detail        string             // text of a request, shown in place of the table
+	client         *Client
+	screen         screen
+	selected       int // index of the selected row
+	firstVisible   int // index of the first visible row
+	width, height  int
+	snapshot       snapshot
+	notice         string
+	pendingCommand *appliance.Command // command that the user has yet to confirm; nil if none
+	detail         string             // description of a request, shown instead of the table
 }
 
-// Run runs the terminal UI until the user quits or ctx ends. The appliance keeps running.
+// Run runs the terminal UI until the user quits or ctx ends. Neither stops the appliance.
 func Run(ctx context.Context, c *Client, in io.Reader, out io.Writer) error {
 	m := &model{client: c, width: defaultWidth, height: defaultHeight}
 	p := tea.NewProgram(m, tea.WithContext(ctx), tea.WithInput(in), tea.WithOutput(out))
@@ -93,7 +93,7 @@
 			s.err = client.Get("events?most=200", &s.requests)
 		case schedulesScreen:
 			s.err = client.Get("timers", &s.schedules)
-		case overviewScreen, screenCount: // the status is all that the overview shows
+		case overviewScreen, screenCount: // the overview shows the status only
 		}
 		return snapshotMsg(s)
 	}
@@ -123,7 +123,7 @@
 	return m, nil
 }
 
-// execute sends a command to the appliance and shows the result as the notice.
+// execute sends a command to the appliance and shows the result on the notice line.
 func (m *model) execute(command appliance.Command) tea.Cmd {
 	client := m.client
 	return func() tea.Msg {
@@ -135,7 +135,7 @@
 	}
 }
 
-// explain shows the steps of a request as the detail.
+// explain shows a request with the steps of its trace instead of the table.
 func (m *model) explain(id string) tea.Cmd {
 	client := m.client
 	return func() tea.Msg {
@@ -147,7 +147,7 @@
 	}
 }
 
-// showScreen switches to a screen.
+// showScreen switches to a screen and selects its first row.
 func (m *model) showScreen(s screen) tea.Cmd {
 	m.screen, m.selected, m.firstVisible = s, 0, 0
 	return m.refresh()
@@ -169,8 +169,8 @@
 	return nil
 }
 
-// target returns the command target of the selected row, or an empty string if there is no row. The selection must have
-// been clamped.
+// target returns the command target of the selected row, or an empty string if there is no row. clampSelection must have
+// been called before.
 func (m *model) target() string {
 	switch {
 	case m.screen == workersScreen && m.selected < len(m.snapshot.workers):
@@ -190,6 +190,6 @@
 func (m *model) clampSelection() {
 	count := max(len(m.rows())-1, 0)
 	m.selected = max(min(m.selected, count-1), 0)
-	visible := m.height - fixedLines - 1 // the heading of the table takes one
+	visible := m.height - fixedLines - 1 // one line is the heading of the table
 	m.firstVisible = max(min(m.firstVisible, m.selected), m.selected-visible+2, 0)
 }
--- a/internal/console/view.go
+++ b/internal/console/view.go
@@ -8,7 +8,7 @@
 	"charm.land/lipgloss/v2"
 )
 
-// fixedLines is the number of lines besides the body: heading, tabs, notice and key hints.
+// fixedLines is the number of lines outside the body: heading, tabs, notice and key hints.
 const fixedLines = 4
 
 var (
@@ -39,7 +39,7 @@
 // bodyHeight returns the number of lines of the body.
 func (m *model) bodyHeight() int { return max(m.height-fixedLines, 1) }
 
-// heading returns the name and state of the appliance, and the name of the active console if it is another one.
+// heading returns the name and state of the appliance, and the name of the active console unless it is this one.
 func (m *model) heading() string {
 	if m.snapshot.err != nil {
 		return "streamcleat  " + m.snapshot.err.Error() + "; trying again"
@@ -52,7 +52,7 @@
 	return heading
 }
 
-// tabs returns the line with the titles of the screens.
+// tabs returns the line of screen titles, with the current one in brackets.
 func (m *model) tabs() string {
 	tabs := make([]string, len(screenTitles))
 	for i, title := range screenTitles {
@@ -65,7 +65,7 @@
 	return strings.Join(tabs, " ")
 }
 
-// body returns the lines of the detail, if there is one, or else of the overview or the table.
+// body returns the lines of the detail if there is one, otherwise those of the overview or the table.
 func (m *model) body() []string {
 	switch {
 	case m.detail != "":
@@ -95,18 +95,18 @@
 	return body
 }
 
-// noticeLine returns the prompt for a confirmation, if one is awaited, or else the last notice.
+// noticeLine returns the confirmation prompt if a command is pending, otherwise the last notice.
 func (m *model) noticeLine() string {
 	switch {
-	case m.unconfirmed == nil:
+	case m.pendingCommand == nil:
 		return m.notice
-	case m.unconfirmed.Immediate:
+	case m.pendingCommand.Immediate:
 		return "stop now, answering what is open at once? y does it, any other key leaves it"
 	}
-	return fmt.Sprintf("%s %s? y does it, any other key leaves it", m.unconfirmed.Name, m.unconfirmed.Target)
+	return fmt.Sprintf("%s %s? y does it, any other key leaves it", m.pendingCommand.Name, m.pendingCommand.Target)
 }
 
-// keyLine returns the key hints.
+// keyLine returns the line of key hints.
 func (m *model) keyLine() string {
 	keys := keyHints[m.screen]
 	if m.detail != "" {
@@ -123,7 +123,7 @@
 	return lines
 }
 
-// truncate shortens a line to a width in terminal cells. A shortened line ends with ~.
+// truncate truncates a line to a width in terminal cells. A truncated line ends with ~.
 func truncate(line string, width int) string {
 	if lipgloss.Width(line) <= width {
 		return line
--- a/internal/console/view_test.go
+++ b/internal/console/view_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// drawScreen draws a screen: initially, after some keys, with a detail, and without a connection.
+// drawScreen draws a screen in several states: initially, after each of some keys, with a detail, and after a failed poll.
 func drawScreen(text *strings.Builder, s screen, width, height int) {
 	m := &model{client: &Client{Name: "me"}, width: width, height: height, screen: s, snapshot: testSnapshot()}
 	draw := func() { text.WriteString(m.View().Content + "\n=====\n") }
@@ -85,7 +85,7 @@
 	}
 }
 
-// Keys that stop the appliance or drain its last worker need a confirmation. Any key but y drops the command.
+// Keys that stop the appliance or drain its last worker require confirmation. Any key other than y discards the command.
 func TestHandleKey_ConfirmationOfCommands(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -100,15 +100,15 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			m := &model{client: &Client{}, width: 80, height: 24, screen: test.screen, snapshot: testSnapshot()}
-			if _, cmd := m.handleKey(test.key); cmd != nil || m.unconfirmed == nil || *m.unconfirmed != test.want {
-				t.Fatalf("unconfirmed %+v, want %+v", m.unconfirmed, test.want)
+			if _, cmd := m.handleKey(test.key); cmd != nil || m.pendingCommand == nil || *m.pendingCommand != test.want {
+				t.Fatalf("pending command %+v, want %+v", m.pendingCommand, test.want)
 			}
-			if _, cmd := m.handleKey("n"); cmd != nil || m.unconfirmed != nil || m.notice != "left as it is" {
-				t.Errorf("after n: unconfirmed %+v, notice %q", m.unconfirmed, m.notice)
+			if _, cmd := m.handleKey("n"); cmd != nil || m.pendingCommand != nil || m.notice != "left as it is" {
+				t.Errorf("after n: pending command %+v, notice %q", m.pendingCommand, m.notice)
 			}
 			m.handleKey(test.key)
-			if _, cmd := m.handleKey("y"); cmd == nil || m.unconfirmed != nil {
-				t.Errorf("after y: command not executed, unconfirmed %+v", m.unconfirmed)
+			if _, cmd := m.handleKey("y"); cmd == nil || m.pendingCommand != nil {
+				t.Errorf("after y: command not executed, pending command %+v", m.pendingCommand)
 			}
 		})
 	}
