--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -55,7 +55,7 @@
 	IdleTimeout         float64 `json:"idle_s"`
 	MaxConnections      int     `json:"connections"`   // to one worker
 	LoadsOnRequest      bool    `json:"load_on_event"` // a request to a worker without a replica loads one
-	LoadCommands        bool    `json:"load_orders"`   // workers accept load commands
+	LoadCommands        bool    `json:"load_orders"`   // load commands may be sent
 	LoadTimeout         float64 `json:"order_limit_s"` // timeout of a load command
 	IdleReplicaLifetime float64 `json:"keep_warm_s"`   // minimum time that workers keep an idle replica
 }
