--- a/cmd/streamcleat/admin.go
+++ b/cmd/streamcleat/admin.go
@@ -12,7 +12,7 @@
 	"streamcleat/internal/console"
 )
 
-// Names of appliance.Command on the console socket.
+// Values of appliance.Command.Name on the console socket.
 const (
 	actionDrain   = "drain"
 	actionReturn  = "return"
@@ -24,7 +24,8 @@
 
 const stopPollInterval = 100 * time.Millisecond
 
-// applianceCommands returns the commands that show a running appliance and change it. Each screen of the console has one.
+// applianceCommands returns the commands that start an appliance, show its state and control it. Each screen of the console
+// has a command that prints its data.
 func applianceCommands() []*cobra.Command {
 	return []*cobra.Command{
 		startCommand(),
@@ -46,17 +47,17 @@
 	}
 }
 
-// query reads a value from an appliance and returns it with a function that formats it as text.
-type query func(c *console.Client, args []string) (value any, text func() string, err error)
+// queryFunc reads a value from an appliance and returns it with a function that formats it as text.
+type queryFunc func(c *console.Client, args []string) (value any, text func() string, err error)
 
 // queryCommand returns a command that reads a value from the appliance and prints it.
-func queryCommand(use, short string, args cobra.PositionalArgs, read query) *cobra.Command {
+func queryCommand(use, short string, args cobra.PositionalArgs, read queryFunc) *cobra.Command {
 	var asJSON bool
 	cmd := &cobra.Command{Use: use, Short: short, Args: args}
-	client := clientFlags(cmd)
+	newClient := clientFlags(cmd)
 	cmd.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	cmd.RunE = func(_ *cobra.Command, args []string) error {
-		c, err := client()
+		c, err := newClient()
 		if err != nil {
 			return err
 		}
@@ -78,12 +79,12 @@
 	})
 }
 
-// listCommand returns a command that prints the appliance's list of the command's name.
-func listCommand[T any](name, short string, rows func([]T) [][]string) *cobra.Command {
+// listCommand returns a command that prints the list that the appliance serves under the command's name.
+func listCommand[T any](name, short string, formatRows func([]T) [][]string) *cobra.Command {
 	return queryCommand(name, short, cobra.NoArgs, func(c *console.Client, _ []string) (any, func() string, error) {
 		list := []T{}
 		err := c.Get(name, &list)
-		return list, func() string { return console.Table(rows(list)) }, err
+		return list, func() string { return console.Table(formatRows(list)) }, err
 	})
 }
 
@@ -97,12 +98,12 @@
 	return cmd
 }
 
-// actionCommand returns a command that has the appliance execute an action on the argument.
+// actionCommand returns a command that sends the appliance an action with the argument as its target.
 func actionCommand(use, short, action string) *cobra.Command {
 	cmd := &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(1)}
-	client := clientFlags(cmd)
+	newClient := clientFlags(cmd)
 	cmd.RunE = func(_ *cobra.Command, args []string) error {
-		return execute(client, appliance.Command{Name: action, Target: args[0]})
+		return execute(newClient, appliance.Command{Name: action, Target: args[0]})
 	}
 	return cmd
 }
@@ -111,17 +112,17 @@
 func suspendCommand(name string) *cobra.Command {
 	var release bool
 	cmd := &cobra.Command{Use: name + " ENTRY", Short: "Suspend a timer entry; --release resumes it", Args: cobra.ExactArgs(1)}
-	client := clientFlags(cmd)
+	newClient := clientFlags(cmd)
 	cmd.Flags().BoolVar(&release, "release", false, "resume the entry")
 	cmd.RunE = func(_ *cobra.Command, args []string) error {
-		return execute(client, appliance.Command{Name: actionSuspend, Target: args[0], Resume: release})
+		return execute(newClient, appliance.Command{Name: actionSuspend, Target: args[0], Resume: release})
 	}
 	return cmd
 }
 
-// execute has the appliance execute a command and prints its reply.
-func execute(client func() (*console.Client, error), command appliance.Command) error {
-	c, err := client()
+// execute sends a command to the appliance and prints the reply.
+func execute(newClient func() (*console.Client, error), command appliance.Command) error {
+	c, err := newClient()
 	if err != nil {
 		return err
 	}
@@ -136,14 +137,14 @@
 func stopCommand() *cobra.Command {
 	var immediate, wait bool
 	cmd := &cobra.Command{Use: "stop", Short: "Shut the appliance down gracefully; every client gets its response", Args: cobra.NoArgs}
-	client := clientFlags(cmd)
+	newClient := clientFlags(cmd)
 	cmd.Flags().BoolVar(&immediate, "now", false, "answer open requests at once")
 	cmd.Flags().BoolVar(&wait, "wait", false, "wait until the appliance has stopped")
 	cmd.RunE = func(*cobra.Command, []string) error {
-		if err := execute(client, appliance.Command{Name: actionStop, Immediate: immediate}); err != nil || !wait {
+		if err := execute(newClient, appliance.Command{Name: actionStop, Immediate: immediate}); err != nil || !wait {
 			return err
 		}
-		c, err := client()
+		c, err := newClient()
 		if err != nil {
 			return err
 		}
@@ -152,7 +153,7 @@
 	return cmd
 }
 
-// waitUntilStopped polls the appliance until its socket cannot be reached.
+// waitUntilStopped polls the appliance until its console socket is unreachable.
 func waitUntilStopped(c *console.Client) error {
 	for {
 		var status appliance.Status
@@ -171,9 +172,9 @@
 
 func consoleCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "console", Short: "Open the terminal console of a running appliance; closing it does not stop the appliance", Args: cobra.NoArgs}
-	client := clientFlags(cmd)
+	newClient := clientFlags(cmd)
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
-		c, err := client()
+		c, err := newClient()
 		if err != nil {
 			return err
 		}
--- a/cmd/streamcleat/bench.go
+++ b/cmd/streamcleat/bench.go
@@ -13,14 +13,14 @@
 	cmd := &cobra.Command{Use: "bench", Short: "Measure performance, each time beside a baseline in the same run"}
 	cmd.AddCommand(
 		loadBenchCommand("front", "Compare requests through a front end with the same client directly at fake workers", 5000,
-			scenario.BenchFrontEnd, formatFrontRow),
+			scenario.BenchFrontEnd, formatFrontEndRow),
 		loadBenchCommand("keeping", "Measure the cost of storing records of at-most-once requests, with and without group commit", 2000,
 			scenario.BenchStore, formatStoreRow),
 		recoveryBenchCommand())
 	return cmd
 }
 
-// loadBenchCommand returns a command that measures a number of requests over each of several numbers of connections.
+// loadBenchCommand returns a command that runs a benchmark with a fixed number of requests at several connection counts.
 func loadBenchCommand[Row any](name, short string, defaultRequests int, measure func(context.Context, []int, int) ([]Row, error),
 	format func(Row) string,
 ) *cobra.Command {
@@ -45,7 +45,7 @@
 	return cmd
 }
 
-func formatFrontRow(r scenario.FrontEndRow) string {
+func formatFrontEndRow(r scenario.FrontEndRow) string {
 	return fmt.Sprintf("%3d connections: %.2f of the direct request rate, %.2f times the direct p50, %.2f times the direct p99 "+
 		"(%.0f and %.0f requests/s, p50 %.2f and %.2f ms, p99 %.2f and %.2f ms)", r.Connections, r.RateRatio,
 		r.P50Ratio, r.P99Ratio, r.FrontEnd.Rate, r.Direct.Rate, r.FrontEnd.P50, r.Direct.P50, r.FrontEnd.P99, r.Direct.P99)
--- a/cmd/streamcleat/exit.go
+++ b/cmd/streamcleat/exit.go
@@ -9,13 +9,13 @@
 	statusUsage   = 2 // a flag's value, a configuration or another input file is invalid
 )
 
-// exitError is an error with the exit status of the process. Other errors have statusFailure.
+// exitError is an error that determines the exit status of the process. Any other error means statusFailure.
 type exitError struct {
 	status int
 	err    error
 }
 
-// usageError returns err with the exit status for an invalid flag value or input file.
+// usageError wraps err so that the process exits with statusUsage.
 func usageError(err error) error { return exitError{status: statusUsage, err: err} }
 
 // Error returns the text of the wrapped error.
@@ -24,14 +24,14 @@
 // Unwrap returns the wrapped error.
 func (e exitError) Unwrap() error { return e.err }
 
-// exitStatus returns the exit status of the process after err.
+// exitStatus returns the exit status of the process for the error of its command.
 func exitStatus(err error) int {
-	var withStatus exitError
+	var exitErr exitError
 	switch {
 	case err == nil:
 		return statusOK
-	case errors.As(err, &withStatus):
-		return withStatus.status
+	case errors.As(err, &exitErr):
+		return exitErr.status
 	default:
 		return statusFailure
 	}
--- a/cmd/streamcleat/fake.go
+++ b/cmd/streamcleat/fake.go
@@ -14,7 +14,7 @@
 	"streamcleat/internal/verification/fakes"
 )
 
-// fakeCommand returns the command that runs test fakes as processes of their own.
+// fakeCommand returns the command that runs test fakes as separate processes.
 func fakeCommand(name string) *cobra.Command {
 	cmd := &cobra.Command{Use: name, Short: "Run fake workers or a fake timer client as a process"}
 	cmd.AddCommand(fakeWorkerCommand(), fakeTimersCommand())
@@ -24,7 +24,7 @@
 // maxFakeWorkers is the maximum number of fake workers in one process.
 const maxFakeWorkers = 200
 
-// fakeWorkerOptions are the flags of the fake workers.
+// fakeWorkerOptions are the flags of fake worker.
 type fakeWorkerOptions struct {
 	count, functions, cores int
 	listFile, address       string
@@ -55,7 +55,7 @@
 	return cmd
 }
 
-// runFakeWorkers runs the workers until ctx ends.
+// runFakeWorkers runs the workers until ctx is cancelled.
 func runFakeWorkers(ctx context.Context, o fakeWorkerOptions) error {
 	if o.count < 1 || o.count > maxFakeWorkers || o.functions < 1 {
 		return usageError(fmt.Errorf("--count must be 1 to %d and --functions at least 1", maxFakeWorkers))
@@ -64,10 +64,10 @@
 	catalogue := fakes.Catalogue(o.functions, 0.04, o.seed)
 	var workers []*fakes.Worker
 	for i := range o.count {
-		spec := o.spec(i)
-		spec.Functions = catalogue
-		spec.Store = store
-		worker, err := fakes.NewWorker(spec)
+		workerConfig := o.workerConfig(i)
+		workerConfig.Functions = catalogue
+		workerConfig.Store = store
+		worker, err := fakes.NewWorker(workerConfig)
 		if err != nil {
 			return err
 		}
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// spec returns the configuration of a worker, except for what the workers share.
-func (o fakeWorkerOptions) spec(index int) fakes.WorkerConfig {
+// workerConfig returns the configuration of one worker without the functions and the store, which all workers share.
+func (o fakeWorkerOptions) workerConfig(index int) fakes.WorkerConfig {
 	address := "127.0.0.1:0"
 	if o.address != "" && o.count == 1 {
 		address = o.address
@@ -112,7 +112,7 @@
 	}
 }
 
-// fakeTimersOptions are the flags of the timer client.
+// fakeTimersOptions are the flags of fake timers.
 type fakeTimersOptions struct {
 	crontab, source string
 	frontEnds       []string
@@ -159,7 +159,7 @@
 	return nil
 }
 
-// fireOnce fires every entry once for the present minute, one after the other.
+// fireOnce fires the entries one after another, each for the current minute, and fails if any response is not 200.
 func fireOnce(ctx context.Context, client *schedule.Client, entries []schedule.Entry) error {
 	failed := 0
 	for i := range entries {
--- a/cmd/streamcleat/files.go
+++ b/cmd/streamcleat/files.go
@@ -8,7 +8,7 @@
 	"streamcleat/internal/verification/invariants"
 )
 
-// closeReader closes a file that was only read.
+// closeReader closes a file or listener to which this process has written nothing.
 func closeReader(file io.Closer) {
 	_ = file.Close() // nothing was written, so no data can be lost
 }
@@ -20,7 +20,7 @@
 		return err
 	}
 	if err := invariants.Write(file, records); err != nil {
-		_ = file.Close() // the failed write is reported
+		_ = file.Close() // the write error is returned instead
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	return file.Close()
--- a/cmd/streamcleat/flags.go
+++ b/cmd/streamcleat/flags.go
@@ -10,7 +10,7 @@
 	"streamcleat/internal/console"
 )
 
-// clientFlags adds the flags that select an appliance and returns a function that creates a client from them.
+// clientFlags adds the flags that select an appliance and returns a function that creates a console client from them.
 func clientFlags(cmd *cobra.Command) func() (*console.Client, error) {
 	var socket, file, name string
 	flags := cmd.Flags()
@@ -26,7 +26,7 @@
 	}
 }
 
-// socketPath returns the console socket from the flag, the configuration or the environment, in this order.
+// socketPath returns the path of the console socket: from the flag, else from the configuration, else from the environment.
 func socketPath(socket, configFile string) (string, error) {
 	if socket == "" && configFile != "" {
 		c, err := loadConfig(configFile)
@@ -47,11 +47,11 @@
 	return socket, nil
 }
 
-// require marks flags that have no default as required.
-func require(cmd *cobra.Command, flags ...string) {
+// requireFlags marks flags as required.
+func requireFlags(cmd *cobra.Command, flags ...string) {
 	for _, flag := range flags {
 		if err := cmd.MarkFlagRequired(flag); err != nil {
-			panic(err) // the flag is not defined, which is a bug
+			panic(err) // the flag is not defined: a programming error
 		}
 	}
 }
--- a/cmd/streamcleat/main.go
+++ b/cmd/streamcleat/main.go
@@ -1,9 +1,10 @@
 // Command streamcleat is a gateway that routes calls to workers which load functions on demand.
 //
-// The package parses flags, calls the packages that do the work, and sets the exit status. It owns no state. Each file has
-// the commands of one concern: serve.go and check.go run and check a configuration, admin.go and start.go operate a running
-// appliance, registry.go and the files named registry_ manage versions of functions, scenario.go, simulate.go, soak.go,
-// verify.go, fake.go and bench.go test and measure, and node.go runs a front end of the utilities' platform.
+// The package parses flags, calls the packages that implement the commands, and sets the exit status. It holds no state. Each
+// file has the commands of one concern: serve.go runs an appliance and check.go checks its configuration, start.go and
+// admin.go start and operate an appliance, registry.go and the files named registry_ manage versions of functions,
+// scenario.go, simulate.go, soak.go, verify.go, fake.go and bench.go test and measure, and node.go runs a front end of the
+// utilities' platform, which is configured by the platform's document.
 package main
 
 import (
@@ -27,7 +28,7 @@
 	err := rootCommand().ExecuteContext(ctx)
 	if err != nil {
 		stderr, closeLog := openLog()
-		_, _ = fmt.Fprintln(stderr, "streamcleat:", err) // the writer reports no error
+		_, _ = fmt.Fprintln(stderr, "streamcleat:", err) // the asynchronous writer never returns an error
 		closeLog()
 	}
 	return exitStatus(err)
--- a/cmd/streamcleat/node.go
+++ b/cmd/streamcleat/node.go
@@ -19,14 +19,14 @@
 )
 
 const (
-	// documentVariable is the environment variable with the path of the platform's configuration document.
+	// documentVariable is the environment variable that holds the path of the platform's configuration document.
 	documentVariable = "RELAY_CONFIG"
-	// nodeLogRate is the default of the maximum number of log records per second.
-	nodeLogRate = 20
+	// defaultNodeLogRate is the default maximum number of log records per second.
+	defaultNodeLogRate = 20
 )
 
 func nodeCommand() *cobra.Command {
-	level, rate := slog.LevelInfo, nodeLogRate
+	level, rate := slog.LevelInfo, defaultNodeLogRate
 	cmd := &cobra.Command{
 		Use:   "node",
 		Short: "Run one front end of the platform with the configuration document at RELAY_CONFIG",
@@ -45,7 +45,7 @@
 	return cmd
 }
 
-// readDocument reads the document whose path is in the environment.
+// readDocument reads and parses the configuration document at the path in documentVariable.
 func readDocument() (*platform.Document, error) {
 	path := os.Getenv(documentVariable)
 	if path == "" {
@@ -62,10 +62,10 @@
 	return document, nil
 }
 
-// runNode runs one front end until ctx ends.
+// runNode runs one front end until ctx is cancelled and its graceful shutdown is complete. SIGHUP reloads the document.
 func runNode(ctx context.Context, log *slog.Logger) error {
 	reload := make(chan os.Signal, 1)
-	signal.Notify(reload, syscall.SIGHUP) // before the document is read, as the signal would end the process
+	signal.Notify(reload, syscall.SIGHUP) // before the document is read: SIGHUP terminates a process that does not handle it
 	document, err := readDocument()
 	if err != nil {
 		return err
--- a/cmd/streamcleat/output.go
+++ b/cmd/streamcleat/output.go
@@ -22,7 +22,7 @@
 	return err
 }
 
-// printRows prints measurements as one JSON list, or as one line each.
+// printRows writes measurements to standard output, as one JSON list or as one line of text each.
 func printRows[Row any](asJSON bool, rows []Row, format func(Row) string) error {
 	if asJSON {
 		return json.NewEncoder(os.Stdout).Encode(rows)
--- a/cmd/streamcleat/registry.go
+++ b/cmd/streamcleat/registry.go
@@ -11,32 +11,33 @@
 	"streamcleat/internal/registry"
 )
 
-// handlerCommand returns the commands of the function registry.
+// handlerCommand returns the command whose subcommands manage the function registry.
 func handlerCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "handler", Short: "Manage versions of functions, their aliases and rollouts"}
-	cmd.AddCommand(handlerPublish(), handlerAlias(), handlerRollout("rollout"), handlerRelease(), handlerRollback("rollback"),
-		handlerWithdraw(), handlerVerify(), handlerPull(), handlerSign(), handlerKey(), handlerVerifyContent("verify-content"),
-		handlerList(), handlerShow(), handlerAudit("audit"))
-	cmd.AddCommand(deprecated(handlerRollout("roll"), "rollout"), deprecated(handlerRollback("back"), "rollback"),
-		deprecated(handlerAudit("trail"), "audit"), deprecated(handlerVerifyContent("scrub"), "verify-content"))
+	cmd.AddCommand(handlerPublishCommand(), handlerAliasCommand(), handlerRolloutCommand("rollout"), handlerReleaseCommand(),
+		handlerRollbackCommand("rollback"), handlerWithdrawCommand(), handlerVerifyCommand(), handlerPullCommand(), handlerSignCommand(),
+		handlerKeyCommand(), handlerVerifyContentCommand("verify-content"), handlerListCommand(), handlerShowCommand(),
+		handlerAuditCommand("audit"))
+	cmd.AddCommand(deprecated(handlerRolloutCommand("roll"), "rollout"), deprecated(handlerRollbackCommand("back"), "rollback"),
+		deprecated(handlerAuditCommand("trail"), "audit"), deprecated(handlerVerifyContentCommand("scrub"), "verify-content"))
 	return cmd
 }
 
-// Resources on the console socket.
+// Resources that the console socket serves.
 const (
 	registryResource   = "registry"
 	auditTrailResource = "trail"
 )
 
-func handlerList() *cobra.Command {
+func handlerListCommand() *cobra.Command {
 	return queryCommand("list", "List functions with their versions and aliases", cobra.NoArgs,
 		func(c *console.Client, _ []string) (any, func() string, error) {
-			list, err := functions(c)
+			list, err := listFunctions(c)
 			return list, func() string { return console.Table(console.RegistryRows(list)) }, err
 		})
 }
 
-func handlerAudit(name string) *cobra.Command {
+func handlerAuditCommand(name string) *cobra.Command {
 	return queryCommand(name, "Show the audit trail: who changed what, and when", cobra.NoArgs,
 		func(c *console.Client, _ []string) (any, func() string, error) {
 			var entries []registry.Entry
@@ -45,10 +46,10 @@
 		})
 }
 
-func handlerShow() *cobra.Command {
+func handlerShowCommand() *cobra.Command {
 	return queryCommand("show FUNCTION", "Show a function with its versions, aliases and rollouts", cobra.ExactArgs(1),
 		func(c *console.Client, args []string) (any, func() string, error) {
-			list, err := functions(c)
+			list, err := listFunctions(c)
 			if err != nil {
 				return nil, nil, err
 			}
@@ -61,20 +62,20 @@
 		})
 }
 
-// functions returns the functions in the appliance's registry.
-func functions(c *console.Client) ([]registry.View, error) {
+// listFunctions returns the functions in the appliance's registry.
+func listFunctions(c *console.Client) ([]registry.View, error) {
 	var list []registry.View
 	err := c.Get(registryResource, &list)
 	return list, err
 }
 
-// findVersion returns the version to which a reference resolves at the appliance.
-func findVersion(c *console.Client, text string) (registry.Version, error) {
-	list, err := functions(c)
+// findVersion returns the version to which a reference resolves in the appliance's registry.
+func findVersion(c *console.Client, reference string) (registry.Version, error) {
+	list, err := listFunctions(c)
 	if err != nil {
 		return registry.Version{}, err
 	}
-	ref, err := registry.ParseRef(text)
+	ref, err := registry.ParseRef(reference)
 	if err != nil {
 		return registry.Version{}, err
 	}
@@ -88,10 +89,11 @@
 			}
 		}
 	}
-	return registry.Version{}, fmt.Errorf("%s: %w", text, registry.ErrUnknown)
+	return registry.Version{}, fmt.Errorf("%s: %w", reference, registry.ErrUnknown)
 }
 
-// resolves reports whether a reference resolves to a version, by digest, by the version's name or by alias.
+// resolves reports whether a reference, which has a digest or a tag, resolves to a version. A tag is the version's name or an
+// alias.
 func resolves(ref registry.Reference, aliases map[string]digest.Digest, version registry.Version) bool {
 	if version.Digest == ref.Digest {
 		return true
@@ -99,11 +101,11 @@
 	return ref.Digest == "" && (version.Name == ref.Tag || aliases[ref.Tag] == version.Digest)
 }
 
-func handlerVerify() *cobra.Command {
+func handlerVerifyCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "verify FUNCTION:VERSION FILE", Short: "Check the digest of a manifest against the registry", Args: cobra.ExactArgs(2)}
-	client := clientFlags(cmd)
+	newClient := clientFlags(cmd)
 	cmd.RunE = func(_ *cobra.Command, args []string) error {
-		c, err := client()
+		c, err := newClient()
 		if err != nil {
 			return err
 		}
--- a/cmd/streamcleat/registry_change.go
+++ b/cmd/streamcleat/registry_change.go
@@ -13,18 +13,19 @@
 	"streamcleat/internal/registry"
 )
 
-// changeBuilder returns the registry change for a command's arguments.
+// changeBuilder builds the registry change that a command with these arguments requests.
 type changeBuilder func(c *console.Client, args []string) (appliance.Change, error)
 
-// changeCommand adds the flags common to all changes, and the run function that sends the change.
+// changeCommand adds the flags that all registry changes have in common, and a run function that sends the change that build
+// returns.
 func changeCommand(cmd *cobra.Command, build changeBuilder) *cobra.Command {
 	var reason string
 	var asJSON bool
-	client := clientFlags(cmd)
+	newClient := clientFlags(cmd)
 	cmd.Flags().StringVar(&reason, "why", "", "reason for the audit trail")
 	cmd.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	cmd.RunE = func(_ *cobra.Command, args []string) error {
-		c, err := client()
+		c, err := newClient()
 		if err != nil {
 			return err
 		}
@@ -44,19 +45,19 @@
 	return cmd
 }
 
-// changeReply is the JSON output of a change.
+// changeReply is the JSON output of a registry change.
 type changeReply struct {
 	Text string `json:"said"`
 }
 
 // publishOptions are the flags of handler publish.
 type publishOptions struct {
-	version    registry.Version // values of the flags
+	version    registry.Version // the properties set by flags
 	from, user string
 	signatures []string
 }
 
-func handlerPublish() *cobra.Command {
+func handlerPublishCommand() *cobra.Command {
 	var o publishOptions
 	cmd := &cobra.Command{Use: "publish FUNCTION:VERSION", Short: "Add a version; a published version cannot change", Args: cobra.ExactArgs(1)}
 	manifestDigest := manifestFlags(cmd)
@@ -73,7 +74,7 @@
 	})
 }
 
-// change returns the change that publishes a version, described by flags or by the OCI registry.
+// change returns the change that publishes a version whose properties come from the flags or, with --from, from an OCI registry.
 func (o publishOptions) change(arg string, manifestDigest func() (digest.Digest, error)) (appliance.Change, error) {
 	function, name, err := splitVersion(arg)
 	if err != nil {
@@ -105,7 +106,7 @@
 	return appliance.Change{Entry: registry.Entry{Publish: &version}, Signatures: envelopes}, nil
 }
 
-// splitVersion splits FUNCTION:VERSION.
+// splitVersion splits an argument of the form FUNCTION:VERSION.
 func splitVersion(arg string) (function, version string, err error) {
 	function, version, ok := strings.Cut(arg, ":")
 	if !ok {
@@ -114,20 +115,21 @@
 	return function, version, nil
 }
 
-// manifestFlags adds the flags for a manifest's digest and file, and returns a function that returns the digest.
+// manifestFlags adds flags for the digest and the file of a manifest, and returns a function that returns the digest that
+// they specify.
 func manifestFlags(cmd *cobra.Command) func() (digest.Digest, error) {
-	stated := cmd.Flags().String("digest", "", "digest of the manifest, sha256:...")
-	file := cmd.Flags().String("file", "", "file of the manifest, instead of --digest")
+	digestFlag := cmd.Flags().String("digest", "", "digest of the manifest, sha256:...")
+	fileFlag := cmd.Flags().String("file", "", "file of the manifest, instead of --digest")
 	return func() (digest.Digest, error) {
-		if *file == "" {
-			return digest.Digest(*stated), nil
+		if *fileFlag == "" {
+			return digest.Digest(*digestFlag), nil
 		}
-		data, err := os.ReadFile(*file)
+		data, err := os.ReadFile(*fileFlag)
 		return digest.FromBytes(data), err
 	}
 }
 
-func handlerAlias() *cobra.Command {
+func handlerAliasCommand() *cobra.Command {
 	var remove bool
 	cmd := &cobra.Command{Use: "alias FUNCTION:ALIAS [VERSION]", Short: "Point an alias at a version at once", Args: cobra.RangeArgs(1, 2)}
 	cmd.Flags().BoolVar(&remove, "remove", false, "remove the alias instead")
@@ -151,7 +153,7 @@
 	})
 }
 
-// parseAlias parses FUNCTION:ALIAS.
+// parseAlias parses an argument of the form FUNCTION:ALIAS.
 func parseAlias(arg string) (registry.Reference, error) {
 	ref, err := registry.ParseRef(arg)
 	if err != nil {
@@ -160,7 +162,7 @@
 	return ref, nil
 }
 
-func handlerRollout(name string) *cobra.Command {
+func handlerRolloutCommand(name string) *cobra.Command {
 	var rollout registry.Rollout
 	cmd := &cobra.Command{
 		Use:   name + " FUNCTION:ALIAS VERSION",
@@ -189,7 +191,7 @@
 	})
 }
 
-func handlerRelease() *cobra.Command {
+func handlerReleaseCommand() *cobra.Command {
 	var release appliance.Release
 	cmd := &cobra.Command{
 		Use:   "release VERSION",
@@ -206,7 +208,7 @@
 	})
 }
 
-func handlerRollback(name string) *cobra.Command {
+func handlerRollbackCommand(name string) *cobra.Command {
 	cmd := &cobra.Command{Use: name + " FUNCTION:ALIAS", Short: "Roll an alias back to its previous version", Args: cobra.ExactArgs(1)}
 	return changeCommand(cmd, func(_ *console.Client, args []string) (appliance.Change, error) {
 		ref, err := parseAlias(args[0])
@@ -221,7 +223,7 @@
 	})
 }
 
-func handlerWithdraw() *cobra.Command {
+func handlerWithdrawCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "withdraw FUNCTION:VERSION", Short: "Withdraw a version permanently", Args: cobra.ExactArgs(1)}
 	return changeCommand(cmd, func(c *console.Client, args []string) (appliance.Change, error) {
 		version, err := findVersion(c, args[0])
--- a/cmd/streamcleat/registry_content.go
+++ b/cmd/streamcleat/registry_content.go
@@ -17,17 +17,18 @@
 	registrySecretVariable = "STREAMCLEAT_REGISTRY_SECRET"
 	contentFolder          = "handlers"
 	resolveTimeout         = time.Minute
-	resolveFolderBytes     = 64 << 20 // for the manifests and signatures of one version
+	maxResolveFolderBytes  = 64 << 20 // holds the manifests and signatures of one version
 )
 
-// resolveRemote returns a version from an OCI registry with the signatures attached to it. No content is kept.
+// resolveRemote reads a version and the signatures attached to it from an OCI registry. What it downloads goes into a temporary
+// folder, which it removes.
 func resolveRemote(from, user, function, tag string) (version registry.Version, signatures [][]byte, err error) {
 	dir, err := os.MkdirTemp("", "handler")
 	if err != nil {
 		return version, nil, err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // the system cleans its temporary folder
-	folder, err := oci.OpenFolder(dir, resolveFolderBytes)
+	defer func() { _ = os.RemoveAll(dir) }() // files left behind are in the system's temporary folder
+	folder, err := oci.OpenFolder(dir, maxResolveFolderBytes)
 	if err != nil {
 		return version, nil, err
 	}
@@ -52,8 +53,8 @@
 	return client, nil
 }
 
-// handlerPull returns the command that fetches a version's content into a folder from which workers load it.
-func handlerPull() *cobra.Command {
+// handlerPullCommand returns the command that fetches a version's content into a folder from which workers load it.
+func handlerPullCommand() *cobra.Command {
 	var from, user, dir string
 	var maxMegabytes int64
 	cmd := &cobra.Command{
@@ -69,14 +70,14 @@
 	flags.StringVar(&user, "user", "", "user name at the registry; the secret is in "+registrySecretVariable)
 	flags.StringVar(&dir, "folder", contentFolder, "content folder")
 	flags.Int64Var(&maxMegabytes, "most", 4096, "maximum size of the folder in MB; the least recently used content is evicted")
-	require(cmd, "from")
+	requireFlags(cmd, "from")
 	return cmd
 }
 
-func pull(ctx context.Context, text, from, user, dir string, maxBytes int64) error {
-	ref, err := registry.ParseRef(text)
+func pull(ctx context.Context, reference, from, user, dir string, maxBytes int64) error {
+	ref, err := registry.ParseRef(reference)
 	if err != nil || ref.Digest == "" {
-		return usageError(fmt.Errorf("%q is not FUNCTION@DIGEST", text))
+		return usageError(fmt.Errorf("%q is not FUNCTION@DIGEST", reference))
 	}
 	folder, err := oci.OpenFolder(dir, maxBytes)
 	if err != nil {
@@ -90,13 +91,13 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s: %d blobs stored, %d bytes of layers fetched\n", text, len(blobs), client.FetchedBytes)
+	fmt.Printf("%s: %d blobs stored, %d bytes of layers fetched\n", reference, len(blobs), client.FetchedBytes)
 	return nil
 }
 
-// handlerVerifyContent returns the command that verifies a content folder. The command verify checks a manifest against
-// the registry.
-func handlerVerifyContent(name string) *cobra.Command {
+// handlerVerifyContentCommand returns the command that verifies the blobs in a content folder, unlike handler verify, which
+// checks a manifest against the registry.
+func handlerVerifyContentCommand(name string) *cobra.Command {
 	var dir string
 	var minAge time.Duration
 	cmd := &cobra.Command{
@@ -113,7 +114,7 @@
 }
 
 func verifyContent(dir string, minAge time.Duration) error {
-	// verifiedMargin, in seconds, separates blobs verified in this run from older ones.
+	// verifiedMargin, in seconds, is added to the minimum age so that no blob is verified twice in this run.
 	const verifiedMargin = 1e-3
 	if _, err := os.Stat(dir); err != nil {
 		return err
--- a/cmd/streamcleat/registry_signing.go
+++ b/cmd/streamcleat/registry_signing.go
@@ -18,8 +18,8 @@
 
 const keyFileSuffix = ".pem"
 
-// handlerSign returns the command that writes a signed envelope for a version.
-func handlerSign() *cobra.Command {
+// handlerSignCommand returns the command that writes a DSSE envelope with a signature of a version.
+func handlerSignCommand() *cobra.Command {
 	var keyFile, id, output string
 	cmd := &cobra.Command{Use: "sign FUNCTION:VERSION", Short: "Sign a version with a key", Args: cobra.ExactArgs(1)}
 	manifestDigest := manifestFlags(cmd)
@@ -27,7 +27,7 @@
 	flags.StringVar(&keyFile, "key", "", "file with the private key, PEM")
 	flags.StringVar(&id, "id", "", "id of the key in the ring; by default the name of its file without .pem")
 	flags.StringVarP(&output, "output", "o", "", "file for the envelope, DSSE JSON; standard output by default")
-	require(cmd, "key")
+	requireFlags(cmd, "key")
 	cmd.RunE = func(_ *cobra.Command, args []string) error {
 		function, version, err := splitVersion(args[0])
 		if err != nil {
@@ -37,7 +37,7 @@
 		if err != nil {
 			return err
 		}
-		envelope, err := sign(keyFile, id, function, version, manifest)
+		envelope, err := signVersion(keyFile, id, function, version, manifest)
 		if err != nil {
 			return err
 		}
@@ -50,7 +50,7 @@
 	return cmd
 }
 
-func sign(keyFile, id, function, version string, manifest digest.Digest) ([]byte, error) {
+func signVersion(keyFile, id, function, version string, manifest digest.Digest) ([]byte, error) {
 	private, err := os.ReadFile(keyFile)
 	if err != nil {
 		return nil, err
@@ -65,19 +65,19 @@
 	return envelope, nil
 }
 
-// handlerKey returns the command that creates a key pair: the private key in a file, the public key on standard output.
-func handlerKey() *cobra.Command {
+// handlerKeyCommand returns the command that creates a key pair: the private key in a file, the public key on standard output.
+func handlerKeyCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "key ID",
 		Short: "Create a key pair: the private key in ID.pem, the public key as a ring on standard output",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			return makeKey(args[0])
+			return createKeyPair(args[0])
 		},
 	}
 }
 
-func makeKey(id string) error {
+func createKeyPair(id string) error {
 	seed := make([]byte, ed25519.SeedSize)
 	if _, err := rand.Read(seed); err != nil {
 		return err
@@ -92,7 +92,7 @@
 	return indentedJSON().Encode(signing.Ring{Threshold: 1, Keys: []signing.Key{key}})
 }
 
-// writeNewFile writes a file that only its owner may read. It fails if the file exists.
+// writeNewFile creates a file that only its owner can read or write. It fails if the file exists.
 func writeNewFile(path string, data []byte) error {
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
--- a/cmd/streamcleat/scenario.go
+++ b/cmd/streamcleat/scenario.go
@@ -23,7 +23,7 @@
 	asJSON, list, verbose  bool
 }
 
-// scenarioCommand returns the command that runs fault-injection scenarios.
+// scenarioCommand returns the command that runs fault-injection scenarios on loopback.
 func scenarioCommand(name string) *cobra.Command {
 	var o scenarioOptions
 	cmd := &cobra.Command{
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// script returns the script selected by the flags.
+// script returns the script that the flags select: a file or a built-in script.
 func (o scenarioOptions) script() (*scenario.Script, error) {
 	if o.file == "" {
 		return scenario.Builtin(o.name)
--- a/cmd/streamcleat/serve.go
+++ b/cmd/streamcleat/serve.go
@@ -47,11 +47,11 @@
 	return c, nil
 }
 
-// serveLogRate is the maximum number of log records per second: a fault that is logged with each request must not fill a
-// disk.
-const serveLogRate = 100
+// maxServeLogRate is the maximum number of log records per second. It keeps an error that is logged for every request from
+// filling the disk.
+const maxServeLogRate = 100
 
-// serve runs the appliance until ctx ends and its graceful shutdown is complete. A second signal shortens the shutdown.
+// serve runs the appliance until ctx is cancelled and its graceful shutdown is complete. A second signal shortens the shutdown.
 func serve(ctx context.Context, c *config.Config) error {
 	abort := make(chan struct{})
 	go func() {
@@ -63,7 +63,7 @@
 	}()
 	stderr, closeLog := openLog()
 	defer closeLog()
-	log := slog.New(telemetry.RateLimited(c.Logger(stderr).Handler(), serveLogRate))
+	log := slog.New(telemetry.RateLimited(c.Logger(stderr).Handler(), maxServeLogRate))
 	return appliance.Run(ctx, c, log, abort, func(addresses []string) {
 		for _, address := range addresses {
 			fmt.Printf("front end listens on %s\n", address)
--- a/cmd/streamcleat/simulate.go
+++ b/cmd/streamcleat/simulate.go
@@ -19,7 +19,7 @@
 
 const defaultProfile = "day"
 
-// sweepOptions are the flags of the sim command.
+// sweepOptions are the flags of sim.
 type sweepOptions struct {
 	seeds, firstSeed uint64
 	profile          string
@@ -27,7 +27,7 @@
 	parallel         int
 }
 
-// simulateCommand returns the command that runs the program in a simulated environment.
+// simulateCommand returns the command that runs the program in a simulated environment with a virtual clock.
 func simulateCommand() *cobra.Command {
 	var o sweepOptions
 	cmd := &cobra.Command{
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// readScript returns the script of a seed or in a file.
+// readScript returns the script that the argument denotes: generated from a seed if it is a number, otherwise read from a file.
 func readScript(profile, arg string) (*simulation.Script, error) {
 	if seed, err := strconv.ParseUint(arg, 10, 64); err == nil {
 		script, err := simulation.Generate(profile, seed)
@@ -128,21 +128,22 @@
 	return cmd
 }
 
-// replay runs a script, reports the first run and compares the digests of the further ones with it.
+// replay runs a script several times, prints the report of the first run, and fails if the trace of another run has a
+// different digest.
 func replay(script *simulation.Script, o replayOptions) (err error) {
 	var onStep func(string)
 	if o.trace {
 		trace := bufio.NewWriter(os.Stdout)
 		defer func() { err = errors.Join(err, trace.Flush()) }()
 		onStep = func(line string) {
-			_, _ = trace.WriteString(line + "\n") // Flush reports a failed write
+			_, _ = trace.WriteString(line + "\n") // Flush returns the error of a failed write
 		}
 	}
-	first, records, err := simulation.Play(script, onStep)
+	firstReport, records, err := simulation.Play(script, onStep)
 	if err != nil {
 		return err
 	}
-	if err := indentedJSON().Encode(first); err != nil {
+	if err := indentedJSON().Encode(firstReport); err != nil {
 		return err
 	}
 	if o.recordFile != "" {
@@ -155,12 +156,12 @@
 		if err != nil {
 			return err
 		}
-		if report.Digest != first.Digest {
-			return fmt.Errorf("run %d diverged: digest %s, first run %s", run, report.Digest, first.Digest)
+		if report.Digest != firstReport.Digest {
+			return fmt.Errorf("run %d diverged: its trace has digest %s, that of the first run %s", run, report.Digest, firstReport.Digest)
 		}
 	}
-	if !first.OK() {
-		return errors.New("the script has findings")
+	if !firstReport.OK() {
+		return errors.New("the script has findings: see the report")
 	}
 	return nil
 }
@@ -185,15 +186,15 @@
 }
 
 func shrink(script *simulation.Script, output string) error {
-	small, report, runs, err := simulation.Shrink(script)
+	shrunk, report, runs, err := simulation.Shrink(script)
 	if err != nil {
 		return err
 	}
-	data, err := json.MarshalIndent(small, "", "  ")
+	data, err := json.MarshalIndent(shrunk, "", "  ")
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(os.Stderr, "%d of %d faults left after %d runs; findings: %s\n", len(small.Faults), len(script.Faults), runs,
+	fmt.Fprintf(os.Stderr, "%d of %d faults left after %d runs; findings: %s\n", len(shrunk.Faults), len(script.Faults), runs,
 		strings.Join(report.Findings, "; "))
 	if output == "" {
 		fmt.Println(string(data))
--- a/cmd/streamcleat/soak.go
+++ b/cmd/streamcleat/soak.go
@@ -14,10 +14,10 @@
 	"streamcleat/internal/verification/soak"
 )
 
-// errSoakBroken reports that a soak violated a rule or failed.
-var errSoakBroken = errors.New("a rule was violated")
+// errSoakViolations reports that the checks of at least one run found a violation.
+var errSoakViolations = errors.New("a rule was violated; the report of the run lists the violations")
 
-// soakOptions are the flags of the soak command.
+// soakOptions are the flags of soak.
 type soakOptions struct {
 	settings   soak.Settings
 	runs       int
@@ -26,7 +26,7 @@
 	verbose    bool
 }
 
-// soakCommand returns the command that runs front ends as processes under random faults.
+// soakCommand returns the command that runs front ends as separate processes and injects random faults.
 func soakCommand() *cobra.Command {
 	var o soakOptions
 	cmd := &cobra.Command{
@@ -64,10 +64,10 @@
 	if o.verbose {
 		o.settings.Log = func(format string, args ...any) { fmt.Printf(format+"\n", args...) }
 	}
-	broken := false
-	first := o.settings.Seed
+	violated := false
+	firstSeed := o.settings.Seed
 	for run := range o.runs {
-		o.settings.Seed = first + uint64(run)
+		o.settings.Seed = firstSeed + uint64(run)
 		result, records, err := soak.Run(ctx, o.settings)
 		if err != nil {
 			return err
@@ -75,15 +75,15 @@
 		if err := o.report(result, records); err != nil {
 			return err
 		}
-		broken = broken || result.Broken()
+		violated = violated || result.Broken()
 	}
-	if broken {
-		return errSoakBroken
+	if violated {
+		return errSoakViolations
 	}
 	return nil
 }
 
-// report prints a result and writes its records where --record is set.
+// report prints a result and, if --record is set, writes the recorded traffic.
 func (o *soakOptions) report(result *soak.Result, records []invariants.Record) error {
 	if o.recordFile != "" {
 		if err := writeRecords(o.recordFile, records); err != nil {
--- a/cmd/streamcleat/start.go
+++ b/cmd/streamcleat/start.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	startTimeout      = 30 * time.Second // includes restoring the state
+	startTimeout      = 30 * time.Second // includes the time to restore the stored state
 	startPollInterval = 50 * time.Millisecond
 )
 
-// startCommand returns the command that starts an appliance in the background.
+// startCommand returns the command that starts an appliance in the background and waits until it serves.
 func startCommand() *cobra.Command {
 	var logFile string
 	cmd := &cobra.Command{
@@ -58,13 +58,13 @@
 	return waitUntilServing(client, process, logFile)
 }
 
-// startDetached starts the command serve in a session of its own.
+// startDetached starts the command serve in a new session, so that it continues when the terminal closes.
 func startDetached(configFile, logFile string) (*exec.Cmd, error) {
 	log, err := os.OpenFile(logFile, os.O_CREATE|os.O_WRONLY|os.O_APPEND, 0o640)
 	if err != nil {
 		return nil, err
 	}
-	defer closeReader(log) // the appliance has a descriptor of its own
+	defer closeReader(log) // the appliance has its own descriptor of the file
 	executable, err := os.Executable()
 	if err != nil {
 		return nil, err
@@ -80,7 +80,8 @@
 	return process, process.Start()
 }
 
-// waitUntilServing returns when the appliance serves or has exited, or after startTimeout.
+// waitUntilServing waits until the appliance serves. It fails if the appliance exits first or does not serve within
+// startTimeout.
 func waitUntilServing(client *console.Client, process *exec.Cmd, logFile string) error {
 	exited := make(chan error, 1)
 	go func() { exited <- process.Wait() }()
@@ -100,16 +101,16 @@
 		startTimeout.Seconds(), process.Process.Pid, logFile)
 }
 
-// earlyExitError reports that the appliance exited before it served. Its cause is nil after exit status 0.
+// earlyExitError reports that the appliance exited before it served. The cause is nil if the exit status was 0.
 type earlyExitError struct {
 	cause   error
 	logFile string
 }
 
-// Error names the cause and the log file.
+// Error returns a message with the cause and the path of the log file.
 func (e earlyExitError) Error() string {
 	return fmt.Sprintf("appliance exited before serving (%v), log %s", e.cause, e.logFile)
 }
 
-// Unwrap returns the error of the process.
+// Unwrap returns the cause.
 func (e earlyExitError) Unwrap() error { return e.cause }
--- a/cmd/streamcleat/verify.go
+++ b/cmd/streamcleat/verify.go
@@ -10,7 +10,7 @@
 	"streamcleat/internal/verification/invariants"
 )
 
-// verifyCommand returns the command that checks the five rules on a recorded run.
+// verifyCommand returns the command that checks the five rules on the recorded traffic of a run.
 func verifyCommand(name string) *cobra.Command {
 	var rulesFile string
 	cmd := &cobra.Command{
@@ -22,7 +22,7 @@
 		},
 	}
 	cmd.Flags().StringVar(&rulesFile, "rules", "", "JSON file with the parameters of the rules")
-	require(cmd, "rules")
+	requireFlags(cmd, "rules")
 	return cmd
 }
 
