--- a/cmd/streamcleat/admin_test.go
+++ b/cmd/streamcleat/admin_test.go
@@ -25,20 +25,21 @@
 	"streamcleat/internal/verification/invariants"
 )
 
-// site is an appliance with fake workers that the test operates only through terminals.
-type site struct {
+// testSetup is an appliance process with fake workers in a folder of its own. Tests operate the appliance only through the
+// program's commands.
+type testSetup struct {
 	t       *testing.T
 	dir     string
 	records *invariants.Recorder
 	workers []*fakes.Worker
-	// frontEnd is the address of the appliance, which keeps it across restarts.
+	// frontEnd is the address of the appliance's front end, which stays the same across restarts.
 	frontEnd string
 
 	mu       sync.Mutex
-	statuses map[string][]int // by request ID; 0 is a broken connection
+	statuses map[string][]int // of all attempts, by request ID; 0 is a lost connection
 }
 
-// freeAddress returns a loopback address that is unused at the moment.
+// freeAddress returns a loopback address with a port that is currently unused.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -49,9 +50,9 @@
 	return listener.Addr().String()
 }
 
-func newSite(t *testing.T, workers int) *site {
+func newTestSetup(t *testing.T, workers int) *testSetup {
 	t.Helper()
-	s := &site{t: t, dir: t.TempDir(), records: invariants.NewRecorder(), frontEnd: freeAddress(t), statuses: map[string][]int{}}
+	s := &testSetup{t: t, dir: t.TempDir(), records: invariants.NewRecorder(), frontEnd: freeAddress(t), statuses: map[string][]int{}}
 	functions := fakes.Catalogue(6, 0.03, 5)
 	store := fakes.NewStore(4, 16)
 	memory := fakes.NewDeduplicator(60)
@@ -75,7 +76,7 @@
 	return s
 }
 
-// applianceConfig is the configuration of the appliance; %q is the address of its front end.
+// applianceConfig is the format of the appliance's configuration; %q is the address of its front end.
 const applianceConfig = `{"name": "box-1", "listen": [%q], "workers": {"file": "workers.json"}, "stop_within_s": 3,
 	"event_types": [{"name": "shop-event", "target_time_s": 1, "max_age_s": 3},
 		{"name": "till-entry", "target_time_s": 1, "max_age_s": 3, "repeat": "keyed", "remembered_s": 60},
@@ -84,14 +85,14 @@
 	"limits": {"answer_margin_s": 0.2}, "timers": {"crontab": "crontab"}, "state": {"dir": "state"},
 	"console": {"socket": "box.sock"}}`
 
-func (s *site) write(name, text string) {
+func (s *testSetup) write(name, text string) {
 	s.t.Helper()
 	if err := os.WriteFile(filepath.Join(s.dir, name), []byte(text), 0o644); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
-// terminal is a program on a pseudo-terminal of 80 by 24 characters with an emulated screen.
+// terminal is a process of the program on a pseudo-terminal of 80 by 24 characters with an emulated screen.
 type terminal struct {
 	t        *testing.T
 	cmd      *exec.Cmd
@@ -100,7 +101,7 @@
 	exited   chan struct{}
 }
 
-func (s *site) terminal(args ...string) *terminal {
+func (s *testSetup) terminal(args ...string) *terminal {
 	s.t.Helper()
 	cmd := exec.Command("streamcleat", args...)
 	cmd.Dir = s.dir
@@ -116,7 +117,7 @@
 	return x
 }
 
-// sendReplies passes the terminal's replies to the program.
+// sendReplies sends the emulator's replies to terminal queries to the program.
 func (x *terminal) sendReplies() {
 	buf := make([]byte, 1024)
 	for {
@@ -128,7 +129,7 @@
 	}
 }
 
-// readOutput draws the program's output until it exits.
+// readOutput renders the program's output on the emulated screen until the program exits.
 func (x *terminal) readOutput() {
 	defer close(x.exited)
 	buf := make([]byte, 1<<16)
@@ -141,10 +142,10 @@
 	}
 }
 
-// kill kills the program if it is still running.
+// kill terminates the program if it is still running.
 func (x *terminal) kill() {
 	_ = x.cmd.Process.Kill() // fails if the program has exited
-	_ = x.cmd.Wait()         // the status of a killed program is not checked
+	_ = x.cmd.Wait()         // the exit status of a killed program is not checked
 	_ = x.tty.Close()        // no more output is read
 }
 
@@ -159,7 +160,7 @@
 	}
 }
 
-// waitFor waits until the screen matches a pattern.
+// waitFor waits up to 20 s until the screen matches a pattern, and fails the test otherwise.
 func (x *terminal) waitFor(pattern string) {
 	x.t.Helper()
 	re := regexp.MustCompile(pattern)
@@ -168,29 +169,29 @@
 			return
 		}
 	}
-	x.t.Fatalf("no match of %q on the screen:\n%s", pattern, x.screen())
+	x.t.Fatalf("screen does not match %q after 20 s:\n%s", pattern, x.screen())
 }
 
-// waitForExit waits until the program has exited.
+// waitForExit waits up to 20 s until the program has exited, and fails the test otherwise.
 func (x *terminal) waitForExit() {
 	x.t.Helper()
 	select {
 	case <-x.exited:
 	case <-time.After(20 * time.Second):
-		x.t.Fatalf("program has not exited:\n%s", x.screen())
+		x.t.Fatalf("program has not exited after 20 s:\n%s", x.screen())
 	}
-	_ = x.cmd.Wait() // tests check the screen, not the status
+	_ = x.cmd.Wait() // tests check the screen, not the exit status
 }
 
-// start starts the appliance. It is killed at the end of the test if it is still running.
-func (s *site) start() {
+// start starts the appliance in the background. It is killed at the end of the test if it is still running.
+func (s *testSetup) start() {
 	s.t.Helper()
 	x := s.terminal("start", "box.json")
 	x.waitForExit()
 	match := regexp.MustCompile(`(?s)process\s(\d+)`).FindStringSubmatch(strings.ReplaceAll(x.screen(), "\n", ""))
 	if match == nil {
 		log, _ := os.ReadFile(filepath.Join(s.dir, "box.sock.log"))
-		s.t.Fatalf("not started:\n%s\n%s", x.screen(), log)
+		s.t.Fatalf("appliance not started:\n%s\nlog:\n%s", x.screen(), log)
 	}
 	pid, err := strconv.Atoi(match[1])
 	if err != nil {
@@ -207,9 +208,9 @@
 	return process.Kill()
 }
 
-// startLoad sends requests from a number of clients until ctx ends, also while the appliance is stopped, killed and
-// restarted. Each request is repeated until it succeeds or fails.
-func (s *site) startLoad(ctx context.Context, clients int) *sync.WaitGroup {
+// startLoad sends requests from a number of concurrent clients until ctx is cancelled, also while the appliance is stopped or
+// restarted. Each request is retried until its response is final.
+func (s *testSetup) startLoad(ctx context.Context, clients int) *sync.WaitGroup {
 	var running sync.WaitGroup
 	for client := range clients {
 		running.Go(func() {
@@ -223,7 +224,8 @@
 	return &running
 }
 
-func (s *site) send(class, id, function string) {
+// send sends a request, with a retry after each 503 and each lost connection, and records the status of each attempt.
+func (s *testSetup) send(class, id, function string) {
 	const timeout = 3 * time.Second
 	const maxAttempts = 60
 	for range maxAttempts {
@@ -237,11 +239,11 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	s.t.Errorf("%s: no final response", id)
+	s.t.Errorf("%s: no final response after the last attempt", id)
 }
 
-// record records a request and, by the function it returns, its response for the check of the rules.
-func (s *site) record(f schedule.Firing, _ string, remaining time.Duration) func(int, string, error) {
+// record records an attempt for verify. The function that it returns records the response.
+func (s *testSetup) record(f schedule.Firing, _ string, remaining time.Duration) func(int, string, error) {
 	record := invariants.Record{Kind: invariants.RequestSent, RequestID: "/sale#" + f.ID, Class: f.Entry.Class, FrontEnd: "box-1", CallID: s.records.NextCallID(), Timeout: remaining.Seconds()}
 	s.records.Add(record)
 	return func(status int, digest string, _ error) {
@@ -249,7 +251,7 @@
 		record.Status = status
 		record.Kind = invariants.ResponseReceived
 		switch status {
-		case 0: // the test stopped or killed the appliance
+		case 0: // connection lost, as the test stopped or killed the appliance
 			record.Kind = invariants.ConnectionLost
 		case http.StatusOK:
 			record.Outcome = invariants.Succeeded
@@ -262,15 +264,15 @@
 	}
 }
 
-// verify checks the rules on the recorded requests.
-func (s *site) verify() invariants.Verdict {
+// verify checks the five rules on the recorded traffic and fails the test if one is violated.
+func (s *testSetup) verify() invariants.Verdict {
 	s.t.Helper()
 	verdict := invariants.Check(invariants.Rules{
 		Semantics:           map[string]string{"shop-event": "redeliverable", "till-entry": "keyed", "price-reset": "at-most-once"},
 		DeduplicationWindow: map[string]float64{"till-entry": 60}, DrainGrace: 0.5, ObservationDelay: 0.15,
 	}, s.records.Records())
 	if verdict.RulesBroken > 0 {
-		s.t.Errorf("%d rules broken: %v", verdict.RulesBroken, verdict.Violations)
+		s.t.Errorf("%d rules violated: %v", verdict.RulesBroken, verdict.Violations)
 	}
 	if verdict.Succeeded < 100 {
 		s.t.Errorf("fewer than 100 requests succeeded: %+v", verdict)
@@ -278,10 +280,10 @@
 	return verdict
 }
 
-// An appliance is operated from terminals under load: a worker is drained by a console that is then killed, the appliance
-// is stopped and started, killed and started, and stopped.
+// Tests that the rules hold while an appliance is operated from consoles under load: one console drains a worker and is
+// killed, another returns the worker, and the appliance is stopped gracefully and started, killed and started, and stopped.
 func TestAppliance_OperatedFromConsole(t *testing.T) {
-	s := newSite(t, 3)
+	s := newTestSetup(t, 3)
 	s.start()
 	first := s.terminal("console")
 	first.waitFor(`streamcleat box-1  serving`)
@@ -307,13 +309,14 @@
 	}
 	verdict := s.verify()
 	if verdict.ConnectionsLost == 0 {
-		t.Error("no client was waiting when the appliance was killed")
+		t.Error("no client lost its connection when the appliance was killed")
 	}
 	t.Logf("%d requests: %d succeeded, %d rejected, %d failed, %d connections lost", verdict.Requests, verdict.Succeeded, verdict.Rejected,
 		verdict.Failed, verdict.ConnectionsLost)
 }
 
-// drainThenKill drains a worker, shows requests and functions, and kills the console during the drain.
+// drainThenKill drains a worker from the console, opens the screens of requests and functions, and kills the console during
+// the drain.
 func drainThenKill(x *terminal) {
 	x.t.Helper()
 	x.press("2")
@@ -330,15 +333,16 @@
 	x.kill()
 }
 
-// returnWorker undoes the drain of another console, while a third one executes commands.
-func (s *site) returnWorker(x *terminal) {
+// returnWorker undoes the drain that another console started. Before that it checks that commands of a third console are
+// rejected while this one may execute commands.
+func (s *testSetup) returnWorker(x *terminal) {
 	s.t.Helper()
 	x.press("2")
 	x.waitFor(`wk-0 +draining \(by order\)`)
 	other := s.terminal("drain", "wk-1")
 	other.waitForExit()
 	if got := other.screen(); !strings.Contains(got, "gives orders now") {
-		s.t.Errorf("two consoles execute commands at once: %s", got)
+		s.t.Errorf("command of a second console was not rejected: %s", got)
 	}
 	x.press("r")
 	x.waitFor(`worker wk-0: is as the list says`)
@@ -355,8 +359,8 @@
 	x.waitFor(`held +UTC`)
 }
 
-// stopAndStart stops the appliance from the console and starts it again under load.
-func (s *site) stopAndStart(x *terminal) {
+// stopAndStart stops the appliance gracefully from the console and starts it again, both under load.
+func (s *testSetup) stopAndStart(x *terminal) {
 	s.t.Helper()
 	x.press("s")
 	x.waitFor(`stop \? y does it`)
@@ -369,8 +373,8 @@
 	time.Sleep(time.Second)
 }
 
-// killAndStart kills the appliance under load and starts it again.
-func (s *site) killAndStart(x *terminal) {
+// killAndStart kills the appliance process under load and starts it again.
+func (s *testSetup) killAndStart(x *terminal) {
 	s.t.Helper()
 	if err := kill(s.process()); err != nil {
 		s.t.Fatal(err)
@@ -382,14 +386,14 @@
 }
 
 // process returns the process ID of the appliance.
-func (s *site) process() int {
+func (s *testSetup) process() int {
 	s.t.Helper()
 	data, err := exec.Command("streamcleat", "status", "--json", "--socket", filepath.Join(s.dir, "box.sock")).Output()
 	var status struct {
 		Process int `json:"process"`
 	}
 	if err != nil || json.NewDecoder(bytes.NewReader(data)).Decode(&status) != nil || status.Process == 0 {
-		s.t.Fatalf("status: %v %s", err, data)
+		s.t.Fatalf("no process ID in the status: %v %s", err, data)
 	}
 	return status.Process
 }
--- a/cmd/streamcleat/architecture_test.go
+++ b/cmd/streamcleat/architecture_test.go
@@ -12,7 +12,8 @@
 	"testing"
 )
 
-// declaredNames returns the names "package.Name" and "package.Type.Member" of every package below root, without tests.
+// declaredNames returns the names "package", "package.Name" and "package.Type.Method" of the functions, methods and types that
+// the packages below root declare outside test files.
 func declaredNames(t *testing.T, root string) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
@@ -35,6 +36,7 @@
 	return names
 }
 
+// addDeclaration adds the names that a declaration of a package declares.
 func addDeclaration(names map[string]bool, pkg string, declaration ast.Decl) {
 	names[pkg] = true
 	switch d := declaration.(type) {
@@ -81,8 +83,8 @@
 	}
 }
 
-// Every path and every function, method and type named on the architecture page exists.
-func TestArchitecturePageNamesRealCode(t *testing.T) {
+// Tests that every path, function, method and type that the architecture page names exists.
+func TestArchitecturePage_NamesExist(t *testing.T) {
 	const root = "../.."
 	page, err := os.ReadFile(filepath.Join(root, "docs", "architecture.md"))
 	if err != nil {
@@ -111,12 +113,13 @@
 		}
 	}
 	if checked < 60 {
-		t.Errorf("only %d names were checked: has the page changed its format?", checked)
+		t.Errorf("only %d names found on the page: did its format change?", checked)
 	}
 }
 
-// Only the dispatcher and its test fakes issue send permits, without which no request is encoded.
-func TestOnlyTheDispatcherIssuesSendPermits(t *testing.T) {
+// Tests that only the dispatcher and its test fakes issue send permits. A request cannot be encoded without a permit, so
+// nothing else can send one.
+func TestSendPermits_IssuedOnlyByDispatcher(t *testing.T) {
 	err := filepath.WalkDir("../..", func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || filepath.Ext(path) != ".go" || strings.HasSuffix(path, "_test.go") {
 			return err
@@ -126,7 +129,7 @@
 		}
 		data, err := os.ReadFile(path)
 		if strings.Contains(string(data), "dispatch.PermitSend(") {
-			t.Errorf("%s issues a send permit", path)
+			t.Errorf("%s issues a send permit, which only the dispatcher may do", path)
 		}
 		return err
 	})
--- a/cmd/streamcleat/deprecated_test.go
+++ b/cmd/streamcleat/deprecated_test.go
@@ -13,14 +13,15 @@
 	"github.com/opencontainers/go-digest"
 )
 
-// invocation is the result of a command.
+// invocation is the output and exit status of a command.
 type invocation struct {
 	stdout string
 	stderr string
 	status int
 }
 
-func (s *site) invoke(args ...string) invocation {
+// invoke runs a command in the folder of the setup, connected to its appliance.
+func (s *testSetup) invoke(args ...string) invocation {
 	s.t.Helper()
 	cmd := exec.Command("streamcleat", args...)
 	cmd.Dir = s.dir
@@ -37,35 +38,35 @@
 }
 
 var (
-	deprecationNote = regexp.MustCompile(`(?m)^Command ".*" is deprecated, use ".*" instead\n`)
-	milliseconds    = regexp.MustCompile(`after \d+ ms`)
-	minutes         = regexp.MustCompile(`\d{4}-\d\d-\d\dT\d\d:\d\dZ`)
-	errorMessage    = regexp.MustCompile(`(?m)^streamcleat: .*`)
+	deprecationNotice = regexp.MustCompile(`(?m)^Command ".*" is deprecated, use ".*" instead\n`)
+	milliseconds      = regexp.MustCompile(`after \d+ ms`)
+	minutes           = regexp.MustCompile(`\d{4}-\d\d-\d\dT\d\d:\d\dZ`)
+	errorMessage      = regexp.MustCompile(`(?m)^streamcleat: .*`)
 )
 
-// withoutTimes masks the times in the output of a command.
+// withoutTimes masks durations and minutes, which differ between runs, in the output of a command.
 func withoutTimes(stdout string) string {
 	return minutes.ReplaceAllString(milliseconds.ReplaceAllString(stdout, "after N ms"), "MINUTE")
 }
 
-// deprecatedCommand is a use of a deprecated command and the same use of its replacement.
+// deprecatedCommand is a test case that runs a deprecated command and its replacement with the same arguments.
 type deprecatedCommand struct {
 	name        string
 	old         string
 	replacement string
 	args        string
 	status      int
-	want        string // part of standard output, or of the error message where the status is not 0
+	want        string // part of standard output, or of the error message if the status is not 0
 	prepare     func() // called before each of the two commands; may be nil
 }
 
-// Digests of the two published versions.
+// Digests of the two versions that the test publishes.
 var (
 	oldDigest = digest.FromString("old")
 	newDigest = digest.FromString("new")
 )
 
-func deprecatedCommands(s *site) []deprecatedCommand {
+func deprecatedCommands(s *testSetup) []deprecatedCommand {
 	return []deprecatedCommand{
 		{"scenario list", "drill", "scenario", "--list", 0, "bad-day", nil},
 		{"unknown scenario", "drill", "scenario", "--name nothing", 2, "bad-day", nil},
@@ -105,10 +106,10 @@
 	}
 }
 
-// A deprecated command has the same standard output, error message and exit status as its replacement, and prints a note
-// on standard error.
+// Tests that a deprecated command has the same standard output, error message and exit status as its replacement, and that
+// the replacement prints no deprecation notice.
 func TestDeprecatedCommands_MatchReplacements(t *testing.T) {
-	s := newSite(t, 1)
+	s := newTestSetup(t, 1)
 	s.start()
 	s.write("rules.json", `{"Effect":{"shop-event":"redeliverable"}}`)
 	s.write("empty.jsonl", "")
@@ -124,8 +125,8 @@
 	}
 }
 
-// compare runs the deprecated command and then its replacement.
-func (c deprecatedCommand) compare(t *testing.T, s *site) {
+// compare runs the deprecated command and then its replacement, and compares the results.
+func (c deprecatedCommand) compare(t *testing.T, s *testSetup) {
 	t.Helper()
 	invoke := func(command string) invocation {
 		if c.prepare != nil {
@@ -136,37 +137,37 @@
 	before := invoke(c.old)
 	after := invoke(c.replacement)
 	if before.status != c.status || after.status != c.status {
-		t.Errorf("%s: status %d, %s: %d, want %d\n%s", c.old, before.status, c.replacement, after.status, c.status, after.stderr)
+		t.Errorf("%s has exit status %d, %s has %d, want %d\n%s", c.old, before.status, c.replacement, after.status, c.status, after.stderr)
 	}
 	if withoutTimes(before.stdout) != withoutTimes(after.stdout) {
 		t.Errorf("%s prints\n%s\n%s prints\n%s", c.old, before.stdout, c.replacement, after.stdout)
 	}
 	message := errorMessage.FindString(after.stderr)
 	if old := errorMessage.FindString(before.stderr); old != message {
-		t.Errorf("%s ends with %s, %s with %s", c.old, old, c.replacement, message)
+		t.Errorf("%s reports %s, %s reports %s", c.old, old, c.replacement, message)
 	}
 	output := after.stdout
 	if c.status != 0 {
 		output = message
 	}
 	if !strings.Contains(output, c.want) {
-		t.Errorf("%s: %s, want %q", c.replacement, output, c.want)
+		t.Errorf("%s: got %s, want it to contain %q", c.replacement, output, c.want)
 	}
-	if deprecationNote.MatchString(after.stderr) {
-		t.Errorf("%s is reported as deprecated:\n%s", c.replacement, after.stderr)
+	if deprecationNotice.MatchString(after.stderr) {
+		t.Errorf("%s prints a deprecation notice:\n%s", c.replacement, after.stderr)
 	}
 }
 
 // mustRun runs a command that must succeed.
-func (s *site) mustRun(line string) {
+func (s *testSetup) mustRun(line string) {
 	s.t.Helper()
 	if out, err := s.run(strings.Fields(line)...); err != nil {
 		s.t.Fatal(line, err, out)
 	}
 }
 
-// putCorruptContent writes a blob with a wrong digest. The next verification removes it.
-func (s *site) putCorruptContent() {
+// putCorruptContent writes a blob that does not match its digest. The next verification removes it.
+func (s *testSetup) putCorruptContent() {
 	s.t.Helper()
 	dir := filepath.Join(s.dir, "content", "sha256")
 	if err := os.MkdirAll(dir, 0o755); err != nil {
@@ -177,10 +178,10 @@
 	}
 }
 
-// The note with the replacement is printed on standard error only.
-func TestDeprecatedCommands_PrintNote(t *testing.T) {
-	s := &site{t: t, dir: t.TempDir()}
-	for _, c := range []struct{ args, note string }{
+// Tests that the deprecation notice names the replacement and is printed on standard error only.
+func TestDeprecatedCommands_PrintNotice(t *testing.T) {
+	s := &testSetup{t: t, dir: t.TempDir()}
+	for _, c := range []struct{ args, notice string }{
 		{"drill --list", `Command "drill" is deprecated, use "scenario" instead`},
 		{"referee --rules none.json none.jsonl", `Command "referee" is deprecated, use "verify" instead`},
 		{"standin worker --count 0", `Command "standin" is deprecated, use "fake" instead`},
@@ -193,16 +194,16 @@
 	} {
 		t.Run(c.args, func(t *testing.T) {
 			got := s.invoke(strings.Fields(c.args)...)
-			if !strings.HasPrefix(got.stderr, c.note+"\n") || strings.Contains(got.stdout, "deprecated") {
+			if !strings.HasPrefix(got.stderr, c.notice+"\n") || strings.Contains(got.stdout, "deprecated") {
 				t.Errorf("standard error:\n%s\nstandard output:\n%s", got.stderr, got.stdout)
 			}
 		})
 	}
 }
 
-// The help text lists only the replacements. A deprecated command still has its own help text.
+// Tests that help texts list only the replacements, and that a deprecated command still has its own help text.
 func TestDeprecatedCommands_HiddenFromHelp(t *testing.T) {
-	s := &site{t: t, dir: t.TempDir()}
+	s := &testSetup{t: t, dir: t.TempDir()}
 	for _, c := range []struct{ args, listed, hidden string }{
 		{"--help", "scenario verify fake suspend", "drill referee standin hold"},
 		{"handler --help", "rollout rollback audit verify-content", "roll back trail scrub"},
@@ -212,12 +213,12 @@
 			help := s.invoke(strings.Fields(c.args)...).stdout
 			for word := range strings.FieldsSeq(c.listed) {
 				if !regexp.MustCompile(`(?m)^  ` + word + ` `).MatchString(help) {
-					t.Errorf("%s is not listed:\n%s", word, help)
+					t.Errorf("help does not list %s:\n%s", word, help)
 				}
 			}
 			for word := range strings.FieldsSeq(c.hidden) {
 				if regexp.MustCompile(`(?m)^  ` + word + ` `).MatchString(help) {
-					t.Errorf("%s is listed:\n%s", word, help)
+					t.Errorf("help lists the deprecated %s:\n%s", word, help)
 				}
 			}
 		})
--- a/cmd/streamcleat/keys_test.go
+++ b/cmd/streamcleat/keys_test.go
@@ -16,7 +16,7 @@
 	"streamcleat/internal/verification/simulation"
 )
 
-// documents are the types that files, sockets and standard output hold as JSON.
+// documents are values of the types that are written to or read from files, sockets or standard output as JSON.
 var documents = []any{
 	appliance.Status{},
 	appliance.WorkerStatus{},
@@ -45,7 +45,8 @@
 	changeReply{},
 }
 
-// fieldsWithoutKey returns the fields under a type of this program that have no JSON key.
+// fieldsWithoutKey returns the paths of the fields of a type, and of the types of this program that it contains, that have no
+// JSON key in their tag.
 func fieldsWithoutKey(t reflect.Type, path string, seen map[reflect.Type]bool) (found []string) {
 	switch t.Kind() {
 	case reflect.Slice, reflect.Pointer, reflect.Map, reflect.Array:
@@ -70,12 +71,12 @@
 	return found
 }
 
-// Renaming a field must not change a document, so every field has an explicit key.
+// Tests that every field of a document has an explicit JSON key, so that renaming a field does not change the document.
 func TestDocuments_FieldsHaveJSONKeys(t *testing.T) {
 	seen := map[reflect.Type]bool{}
 	for _, document := range documents {
 		for _, field := range fieldsWithoutKey(reflect.TypeOf(document), reflect.TypeOf(document).String(), seen) {
-			t.Errorf("%s has no key", field)
+			t.Errorf("%s has no JSON key", field)
 		}
 	}
 }
--- a/cmd/streamcleat/node_process_test.go
+++ b/cmd/streamcleat/node_process_test.go
@@ -18,7 +18,7 @@
 	"streamcleat/internal/verification/nodetest"
 )
 
-// startNode runs a front end by a shell command and waits until it listens.
+// startNode runs a front end with a configuration document by a shell command, and waits until it listens on addr.
 func startNode(t *testing.T, document, addr, command string, stderr io.Writer) *serverProcess {
 	t.Helper()
 	dir := t.TempDir()
@@ -29,7 +29,7 @@
 	return startServer(t, dir, command, addr, stderr, documentVariable+"="+path)
 }
 
-// awaitReady waits until a front end answers that it is ready.
+// awaitReady waits up to 3 s until a front end reports that it is ready.
 func awaitReady(t *testing.T, addr string) {
 	t.Helper()
 	client := nodetest.Dial(t, addr)
@@ -40,10 +40,10 @@
 			return
 		}
 	}
-	t.Fatal("not ready")
+	t.Fatal("front end is not ready after 3 s")
 }
 
-// receiveWithin receives a value, or fails the test.
+// receiveWithin receives a value, or fails the test after a timeout.
 func receiveWithin[T any](t *testing.T, values <-chan T, timeout time.Duration) T {
 	t.Helper()
 	select {
@@ -55,18 +55,18 @@
 	}
 }
 
-// startNodeWithLimit runs a front end whose process may have a number of descriptors. The log is complete once the
-// process has ended.
+// startNodeWithLimit runs a front end in a process with a limit on open descriptors. The log is complete once the process has
+// exited.
 func startNodeWithLimit(t *testing.T, document, addr string, descriptors int) (node *serverProcess, log *bytes.Buffer) {
 	t.Helper()
 	log = &bytes.Buffer{}
 	return startNode(t, document, addr, fmt.Sprintf("ulimit -n %d; exec streamcleat node", descriptors), log), log
 }
 
-// The discovery service is down from the start, so that requests are rejected. Hundreds of silent connections keep neither
-// active clients nor the watch out, and do not end the process: once the service is back, requests succeed. A signal shuts
-// it down in order.
-func TestProcessUnderItsDescriptorLimit(t *testing.T) {
+// Tests that hundreds of silent connections do not exhaust the descriptors of a front end. Requests are rejected while
+// discovery is unavailable, which it is from the start. Neither active clients nor the discovery watch are locked out: once
+// the service is available, requests succeed, and SIGTERM shuts the process down gracefully.
+func TestProcess_ServesAtDescriptorLimit(t *testing.T) {
 	t.Parallel()
 	const descriptors = 96
 	worker := nodetest.NewWorker(t)
@@ -78,7 +78,7 @@
 	client := nodetest.Dial(t, nodeAddr)
 	client.Send("without discovery")
 	if got := client.Receive(); !strings.HasPrefix(got, `2/1 "\b`) {
-		t.Error("not rejected:", got)
+		t.Error("request without discovery is not rejected:", got)
 	}
 	discovery, err := net.Listen("tcp", discoveryAddr)
 	if err != nil {
@@ -89,21 +89,21 @@
 	watched := make(chan string, 1)
 	go func() {
 		if conn, err := discovery.Accept(); err == nil {
-			line, _ := bufio.NewReader(conn).ReadString('\n') // an incomplete line is compared as it is
-			_, _ = fmt.Fprintln(conn, 1)                      // the request below shows whether it arrived
+			line, _ := bufio.NewReader(conn).ReadString('\n') // an incomplete line fails the comparison below
+			_, _ = fmt.Fprintln(conn, 1)                      // the front end is not ready below unless this arrives
 			watched <- line
 		}
 	}()
 	select {
 	case line := <-watched:
 		if line != "tail 1\n" {
-			t.Errorf("%q", line)
+			t.Errorf("unexpected watch request %q", line)
 		}
 	case <-time.After(3 * time.Second):
-		t.Error("discovery service is back and is not watched")
+		t.Error("front end does not watch the discovery service within 3 s after it became available")
 	}
 	awaitReady(t, nodeAddr)
-	client = nodetest.Dial(t, nodeAddr) // the first one may have been evicted, it has no open request
+	client = nodetest.Dial(t, nodeAddr) // the first connection may have been evicted, as it has no open request
 	client.Send("among silent ones")
 	if got := client.Receive(); !strings.Contains(got, "among silent ones") {
 		t.Error(got)
@@ -115,26 +115,27 @@
 	}
 }
 
-// While accept fails for lack of descriptors, open requests proceed, and new clients are served once there are
-// descriptors again.
-func TestProcessSurvivesAcceptErrors(t *testing.T) {
+// Tests that open requests proceed while accept fails because the process has no free descriptors, and that new clients are
+// served once descriptors are free again. The document states a higher limit than the system enforces, so that accept fails
+// before the front end reaches the limit of the document.
+func TestProcess_SurvivesAcceptErrors(t *testing.T) {
 	t.Parallel()
-	const stated, enforced = 1024, 48
+	const statedLimit, enforcedLimit = 1024, 48
 	worker := nodetest.NewWorker(t)
 	nodeAddr := freeAddresses(t, 1)[0]
-	document := nodetest.DocumentText(nodeAddr, nodetest.NewDiscovery(t).Addr(), worker.Addr(), stated)
-	node, _ := startNodeWithLimit(t, document, nodeAddr, enforced)
+	document := nodetest.DocumentText(nodeAddr, nodetest.NewDiscovery(t).Addr(), worker.Addr(), statedLimit)
+	node, _ := startNodeWithLimit(t, document, nodeAddr, enforcedLimit)
 	awaitReady(t, nodeAddr)
 	early := nodetest.Dial(t, nodeAddr)
 	early.Send("early")
 	if got := early.Receive(); !strings.Contains(got, "early") {
 		t.Fatal(got)
 	}
-	worker.Silent.Store(true) // an idle connection may be evicted, one with an open request may not
+	worker.Silent.Store(true) // keeps the next request open: its connection may not be evicted, unlike an idle one
 	early.Send("open while accept fails")
-	silent := dialSilently(t, nodeAddr, 2*enforced)
+	silent := dialSilently(t, nodeAddr, 2*enforcedLimit)
 	if got := early.Receive(); !strings.HasPrefix(got, `2/2 "\b`) {
-		t.Error("open request does not proceed:", got)
+		t.Error("open request was not rejected while accept fails:", got)
 	}
 	worker.Silent.Store(false)
 	for _, conn := range silent {
@@ -143,14 +144,14 @@
 	late := nodetest.Dial(t, nodeAddr)
 	late.Send("afterwards")
 	if got := late.Receive(); !strings.Contains(got, "afterwards") {
-		t.Error("no service after accept errors:", got)
+		t.Error("new client is not served after accept errors:", got)
 	}
 	node.signal(t, syscall.SIGTERM)
 	nodetest.WaitForExit(t, node.done)
 }
 
-// startNodeWithLogPipe runs a front end that logs much, and returns the end of a small pipe from which its log can be
-// read.
+// startNodeWithLogPipe runs a front end at debug level that logs to a pipe with a small buffer, and returns the read end of
+// the pipe.
 func startNodeWithLogPipe(t *testing.T, worker *nodetest.Worker) (node *serverProcess, addr string, logs *os.File) {
 	t.Helper()
 	logs, stderr, err := os.Pipe()
@@ -171,10 +172,10 @@
 	return node, addr, logs
 }
 
-// A reader of the log that stalls or closes the pipe does not stop the service.
-func TestProcessOutlivesItsLogReader(t *testing.T) {
+// Tests that a front end continues to serve when the reader of its log stalls or closes the pipe.
+func TestProcess_SurvivesLogReader(t *testing.T) {
 	t.Parallel()
-	for name, leave := range map[string]func(t *testing.T, logs *os.File){
+	for name, stopReading := range map[string]func(t *testing.T, logs *os.File){
 		"stalls": func(*testing.T, *os.File) {},
 		"closes the pipe": func(t *testing.T, logs *os.File) {
 			t.Helper()
@@ -186,9 +187,9 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			node, addr, logs := startNodeWithLogPipe(t, nodetest.NewWorker(t))
-			leave(t, logs)
+			stopReading(t, logs)
 			client := nodetest.Dial(t, addr)
-			for n := range 60 { // logs far more than the pipe holds
+			for n := range 60 { // produces far more log output than the pipe buffers
 				body := fmt.Sprint("number ", n)
 				client.Send(body)
 				if got := client.Receive(); !strings.Contains(got, body) {
@@ -201,8 +202,8 @@
 	}
 }
 
-// The time for which the process was suspended is part of the deadline of requests that arrived meanwhile, on an open
-// connection and on one that was not accepted yet.
+// Tests that the time for which the process is suspended counts towards the deadlines of the requests that arrive meanwhile,
+// both on an open connection and on one that has not been accepted yet.
 func TestProcess_DeadlineIncludesSuspendedTime(t *testing.T) {
 	t.Parallel()
 	const timeout, slack, suspended = 1500 * time.Millisecond, 150 * time.Millisecond, 300 * time.Millisecond
@@ -225,7 +226,7 @@
 	for range 6 {
 		time.Sleep(20 * time.Millisecond)
 		node.signal(t, syscall.SIGSTOP)
-		time.Sleep(5 * time.Millisecond) // until it has taken effect
+		time.Sleep(5 * time.Millisecond) // until the signal has taken effect
 		newcomer := nodetest.Dial(t, addr)
 		sentAt := time.Now()
 		client.Send("on an open connection")
@@ -235,7 +236,7 @@
 		for range 2 {
 			a := receiveWithin(t, attempts, 5*time.Second)
 			if left := timeout - a.receivedAt.Sub(sentAt); a.budget > left+slack {
-				t.Errorf("worker gets %v, client has %v left", a.budget, left)
+				t.Errorf("attempt states a budget of %v, but the client waits only %v longer", a.budget, left)
 			}
 		}
 		client.Receive()
--- a/cmd/streamcleat/outage_test.go
+++ b/cmd/streamcleat/outage_test.go
@@ -11,20 +11,20 @@
 	"streamcleat/internal/verification/soak"
 )
 
-// minServedDuringOutage is the share of requests that must succeed while discovery is out of reach and nine of twelve
-// workers are well.
-const minServedDuringOutage = 0.93
+// minOutageShare is the minimum share of requests that succeed during a discovery outage in which nine of twelve workers are
+// healthy.
+const minOutageShare = 0.93
 
-// Incident: discovery was out of reach for every front end for longer than the platform's clock for silence. The busiest
-// workers began to drain just after it was lost and ran on, rejecting everything. Front ends went on sending them
-// attempts and load commands past the time at which the drain counts as received and the grace, and rejected most of
-// the requests whose functions were loaded there.
+// Regression test: the busiest workers start to drain just after discovery became unavailable to every front end, and reject
+// everything while they continue to run. The outage lasts longer than the time after which the platform counts watch events as
+// received even if they were not. Front ends kept sending those workers attempts and load commands after the drain counted as
+// received and the drain grace had passed, and rejected most requests for the functions loaded there.
 //
-// How it came about: the endpoint list had no age, so that the last one heard was believed for good; and a rejected
-// attempt went back to the worker that had just rejected it, up to four times within a millisecond. What proved it: with
-// discovery within reach the same drain breaks nothing; the workers' records show the repeated attempts; and the share
-// that is served falls before any clock has run out.
-func TestDiscoveryOutage_WorkersDrainUnheard(t *testing.T) {
+// There were two causes. The endpoint list had no age, so its last update remained valid without limit. A rejected attempt
+// was retried on the worker that had just rejected it, up to four times within a millisecond. Evidence: the same drain does
+// no harm while discovery is available, the workers' records show the repeated attempts, and the share of successful
+// requests falls before any of these times has passed.
+func TestDiscoveryOutage_WorkersDrain(t *testing.T) {
 	exclusive.Acquire(t)
 	program, err := exec.LookPath("streamcleat")
 	if err != nil {
@@ -63,15 +63,15 @@
 				t.Fatal(err)
 			}
 			t.Log(result)
-			if result.Broken() || result.OutageShare() < minServedDuringOutage || result.OutageRequests < 100 {
-				t.Errorf("a rule was violated, or less than %v of the requests in the outage succeeded", minServedDuringOutage)
+			if result.Broken() || result.OutageShare() < minOutageShare || result.OutageRequests < 100 {
+				t.Errorf("a rule was violated, or less than %v of the requests in the outage succeeded", minOutageShare)
 			}
 		})
 	}
 }
 
-// A front end that is restarted without discovery and without peers does not find out by a message which workers drain. It
-// is ready late, and rejects what it can't serve.
+// Tests that the rules hold when front ends are restarted during a discovery outage and have no peers. No message tells them
+// which workers are draining, so they become ready late and reject the requests that they cannot serve.
 func TestDiscoveryOutage_RestartsWithoutPeers(t *testing.T) {
 	exclusive.Acquire(t)
 	program, err := exec.LookPath("streamcleat")
--- a/cmd/streamcleat/process_test.go
+++ b/cmd/streamcleat/process_test.go
@@ -14,8 +14,8 @@
 	"streamcleat/internal/verification/nodetest"
 )
 
-// freeAddresses returns loopback addresses that are unused at the moment. Their ports lie below the range from which the
-// system assigns ports to connections: one of those could be taken before the address is listened on.
+// freeAddresses returns loopback addresses with currently unused ports below the system's ephemeral port range. A port from
+// that range could be assigned to an outgoing connection before the process under test listens on it.
 func freeAddresses(t *testing.T, n int) (addrs []string) {
 	t.Helper()
 	for len(addrs) < n {
@@ -31,13 +31,13 @@
 	return addrs
 }
 
-// serverProcess is the program as a process that serves an address.
+// serverProcess is a process of the program that listens on an address.
 type serverProcess struct {
 	process *os.Process
-	done    chan error
+	done    chan error // receives the result of Wait
 }
 
-// startServer runs a shell command in a directory and waits until it listens on addr.
+// startServer runs a shell command in a directory and waits until the process listens on addr.
 func startServer(t *testing.T, dir, command, addr string, stderr io.Writer, env ...string) *serverProcess {
 	t.Helper()
 	cmd := exec.Command("sh", "-c", command)
@@ -49,7 +49,7 @@
 	}
 	s := &serverProcess{process: cmd.Process, done: make(chan error, 1)}
 	go func() { s.done <- cmd.Wait() }()
-	t.Cleanup(func() { _ = s.process.Kill() }) // it has usually ended
+	t.Cleanup(func() { _ = s.process.Kill() }) // fails if the process has exited
 	for range 200 {
 		if conn, err := net.Dial("tcp", addr); err == nil {
 			nodetest.Close(t, conn)
@@ -57,7 +57,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Fatalf("%s does not listen on %s", command, addr)
+	t.Fatalf("%s: not listening on %s after 200 attempts to connect", command, addr)
 	return nil
 }
 
@@ -69,7 +69,7 @@
 	}
 }
 
-// dialSilently opens up to n connections on which nothing is sent, and returns those that were accepted.
+// dialSilently tries to open n connections, sends nothing on them, and returns those that were established.
 func dialSilently(t *testing.T, addr string, n int) (conns []net.Conn) {
 	t.Helper()
 	for range n {
--- a/cmd/streamcleat/registry_test.go
+++ b/cmd/streamcleat/registry_test.go
@@ -9,8 +9,8 @@
 	"streamcleat/internal/verification/fakes"
 )
 
-// run runs a command against the appliance and returns its standard output and error combined.
-func (s *site) run(args ...string) (string, error) {
+// run runs a command against the appliance and returns its combined standard output and standard error.
+func (s *testSetup) run(args ...string) (string, error) {
 	cmd := exec.Command("streamcleat", args...)
 	cmd.Dir = s.dir
 	cmd.Env = append(cmd.Environ(), "STREAMCLEAT_SOCKET="+filepath.Join(s.dir, "box.sock"))
@@ -18,8 +18,8 @@
 	return string(out), err
 }
 
-// The commands run against an appliance and a fake OCI registry, in order, each with the state that the previous ones
-// left.
+// Tests the handler commands against an appliance and a fake OCI registry. The commands run in order: each depends on the
+// state after the previous ones.
 func TestHandlerCommands(t *testing.T) {
 	ociRegistry := fakes.NewRegistry("", "")
 	t.Cleanup(ociRegistry.Close)
@@ -27,7 +27,7 @@
 	digest0 := ociRegistry.Push("shop-001", map[string]string{"org.streamcleat.lanes": "2"}, [][]byte{layer}, "1.0")
 	digest1 := ociRegistry.Push("shop-001", map[string]string{"org.streamcleat.lanes": "3"}, [][]byte{layer, []byte("more")}, "1.1")
 	digest2 := ociRegistry.Push("shop-001", nil, nil, "1.2")
-	s := newSite(t, 1)
+	s := newTestSetup(t, 1)
 	s.start()
 	for _, c := range []struct {
 		args string
@@ -61,12 +61,12 @@
 	} {
 		out, err := s.run(append([]string{"handler"}, strings.Fields(c.args)...)...)
 		if (err == nil) != c.ok || !strings.Contains(out, c.want) {
-			t.Errorf("handler %s: %v\n%s\nwant %s", c.args, err, out, c.want)
+			t.Errorf("handler %s: error %v, output:\n%s\nwant it to contain %s", c.args, err, out, c.want)
 		}
 	}
 	s.send("shop-event", "one", "shop-001")
 	if got := s.statuses["one"]; len(got) == 0 || got[len(got)-1] != 200 {
-		t.Errorf("request to a versioned function: %v", got)
+		t.Errorf("request to a versioned function: statuses %v, want the last to be 200", got)
 	}
 	stop := s.terminal("stop", "--wait")
 	stop.waitForExit()
--- a/cmd/streamcleat/serve_process_test.go
+++ b/cmd/streamcleat/serve_process_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// startServeProcess runs an appliance whose process may have a number of descriptors.
+// startServeProcess runs an appliance in a process with a limit on open descriptors.
 func startServeProcess(t *testing.T, addr string, descriptors int) (appliance *serverProcess, stderr *bytes.Buffer) {
 	t.Helper()
 	dir := t.TempDir()
@@ -30,8 +30,9 @@
 	return startServer(t, dir, command, addr, stderr), stderr
 }
 
-// Idle clients of an appliance do not take all its descriptors: they are evicted, and others are served.
-func TestServeUnderItsDescriptorLimit(t *testing.T) {
+// Tests that idle clients do not exhaust the descriptors of an appliance: their connections are evicted, and other clients
+// are served.
+func TestServe_EvictsIdleClientsAtDescriptorLimit(t *testing.T) {
 	t.Parallel()
 	addr := freeAddresses(t, 1)[0]
 	appliance, stderr := startServeProcess(t, addr, 128)
@@ -55,20 +56,20 @@
 			t.Error(err, stderr)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("appliance has not exited")
+		t.Error("appliance has not exited 10 s after SIGTERM")
 	}
 }
 
-// While clients with incomplete requests hold all connections, the requests of further ones are rejected with a retry time,
-// instead of their connections being closed without a word.
-func TestServe_TellsClientsAtDescriptorLimit(t *testing.T) {
+// Tests that while clients with incomplete requests hold all connections, the requests of further clients are rejected with
+// Retry-After, rather than their connections being closed without a response.
+func TestServe_RejectsRequestsAtDescriptorLimit(t *testing.T) {
 	t.Parallel()
 	addr := freeAddresses(t, 1)[0]
 	appliance, stderr := startServeProcess(t, addr, 128)
 	for _, conn := range dialSilently(t, addr, 128) {
-		_, _ = io.WriteString(conn, "POST /events HTTP/1.1\r\nHost: f\r\n") // one that was rejected is closed already
+		_, _ = io.WriteString(conn, "POST /events HTTP/1.1\r\nHost: f\r\n") // fails if the connection was closed at the limit
 	}
-	time.Sleep(1500 * time.Millisecond) // until those beyond the limit have been closed
+	time.Sleep(1500 * time.Millisecond) // until the connections beyond the limit have been closed
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 3 * time.Second}
 	for id := range 5 {
 		request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+addr+"/events", strings.NewReader("{}"))
@@ -82,9 +83,9 @@
 		if err != nil {
 			t.Fatalf("%v\n%s", err, stderr)
 		}
-		body, _ := io.ReadAll(response.Body) // only for the message
+		body, _ := io.ReadAll(response.Body) // used only in the failure message
 		if err := response.Body.Close(); err != nil || response.StatusCode != http.StatusServiceUnavailable || response.Header.Get("Retry-After") == "" {
-			t.Errorf("%s %v %s, %v", response.Status, response.Header, body, err)
+			t.Errorf("got status %s, headers %v, body %s, error %v; want 503 with Retry-After", response.Status, response.Header, body, err)
 		}
 	}
 	appliance.signal(t, syscall.SIGTERM)
@@ -94,6 +95,6 @@
 			t.Error(err, stderr)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("appliance has not exited")
+		t.Error("appliance has not exited 10 s after SIGTERM")
 	}
 }
--- a/cmd/streamcleat/site_names_test.go
+++ b/cmd/streamcleat/site_names_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// Neither the program nor its deployment file contains a name of a site on which it is tested.
+// Tests that neither the program nor its deployment file contains a name from a site on which it is tested, so that nothing in
+// it is specific to that site.
 func TestProgram_ContainsNoSiteNames(t *testing.T) {
 	names := regexp.MustCompile(`tomakomai|shop-event|kitaboshi|minato|bureau-mr|handler-workers|std-5c|eco-5c|berth|tram-signs`)
 	read := 0
@@ -22,7 +23,7 @@
 			}
 			data, err := os.ReadFile(path)
 			if found := names.Find(data); found != nil {
-				t.Errorf("%s has %q", path, found)
+				t.Errorf("%s contains the site name %q", path, found)
 			}
 			read++
 			return err
@@ -36,6 +37,6 @@
 		t.Error("deploy/balancer.toml", string(found), err)
 	}
 	if read < 30 {
-		t.Errorf("%d files read", read)
+		t.Errorf("only %d source files were read", read)
 	}
 }
--- a/cmd/streamcleat/soak_test.go
+++ b/cmd/streamcleat/soak_test.go
@@ -11,7 +11,8 @@
 	"streamcleat/internal/verification/soak"
 )
 
-// One short run with fewer processes than the default of the command; see docs/simulation.md.
+// Tests that the rules hold in one short run with fewer processes than the default of the soak command; see
+// docs/simulation.md.
 func TestSoak(t *testing.T) {
 	exclusive.Acquire(t)
 	program, err := exec.LookPath("streamcleat")
@@ -31,8 +32,9 @@
 	}
 }
 
-// Outages of discovery with drains, deaths and restarts inside, judged by the platform's clock; see docs/simulation.md. The
-// seeds have all kinds of timeouts, workers and crowds. Pauses of processes are left to TestSoak and to soaks by hand.
+// Tests that the rules hold when workers drain or crash and front ends restart during discovery outages. A drain counts as
+// received from the time that the platform specifies; see docs/simulation.md. Between them, the seeds draw every kind of
+// timeout, worker and number of client connections. Process suspensions are left to TestSoak and to manual soak runs.
 func TestSoak_DiscoveryOutages(t *testing.T) {
 	exclusive.Acquire(t)
 	program, err := exec.LookPath("streamcleat")
