--- a/cmd/streamcleat/scenario.go
+++ b/cmd/streamcleat/scenario.go
@@ -57,7 +57,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Printf("%-14s %s\n", name, script.About)
+		fmt.Printf("%-14s %s\n", name, script.Description)
 	}
 	return nil
 }
--- a/internal/downstream/cloudevents/golden_test.go
+++ b/internal/downstream/cloudevents/golden_test.go
@@ -14,8 +14,8 @@
 
 // TestGoldenSessions plays scripted client sessions and compares the exchanged text with the golden transcript.
 func TestGoldenSessions(t *testing.T) {
-	goldentest.Play(t, "session", func(*testing.T) goldentest.Actor {
-		client := &goldentest.FakeClient{Encode: encode, Show: goldentest.Lines}
+	goldentest.RunScript(t, "session", func(*testing.T) goldentest.Actor {
+		client := &goldentest.FakeClient{Encode: encode, Format: goldentest.FormatLines}
 		client.Session = cloudevents.NewSession(cloudevents.Limits{
 			Message: http1.Limits{Head: 2000, Body: 500}, MaxPipelined: 3, RequestTimeout: 2, IdleTimeout: 10, MaxUnread: 1 << 16,
 			ClassTimeout: func(class string) units.Seconds {
--- a/internal/downstream/frames/golden_test.go
+++ b/internal/downstream/frames/golden_test.go
@@ -14,8 +14,8 @@
 
 // TestGoldenSessions plays scripted client sessions and compares the exchanged bytes with the golden transcript.
 func TestGoldenSessions(t *testing.T) {
-	goldentest.Play(t, "session", func(*testing.T) goldentest.Actor {
-		client := &goldentest.FakeClient{Encode: encode, Show: show}
+	goldentest.RunScript(t, "session", func(*testing.T) goldentest.Actor {
+		client := &goldentest.FakeClient{Encode: encode, Format: show}
 		client.Session = frames.NewSession(&frames.Limits{
 			MaxOpen: 3, FirstFrameTimeout: 2, FrameTimeout: 1, IdleTimeout: 5, ClassTimeout: classTimeout,
 			HasTenant: func(name string) bool { return name == "acme" }, IsReady: func() bool { return !client.NotReady },
@@ -31,7 +31,7 @@
 
 // show splits bytes into frames by their length fields.
 func show(data []byte) []string {
-	return goldentest.Frames(data, func(b []byte) int {
+	return goldentest.FormatFrames(data, func(b []byte) int {
 		if len(b) < 4 {
 			return 0
 		}
@@ -49,9 +49,9 @@
 	case "ready?":
 		return encodeFrame(4, args[0], []byte{0})
 	case "frame":
-		return encodeFrame(int(goldentest.Number(args[0])), args[1], goldentest.Hex(args[2]))
+		return encodeFrame(int(goldentest.ParseNumber(args[0])), args[1], goldentest.DecodeHex(args[2]))
 	case "bytes":
-		return goldentest.Hex(args[0])
+		return goldentest.DecodeHex(args[0])
 	}
 	return nil
 }
@@ -79,7 +79,7 @@
 	for _, change := range append(strings.Fields(validFields), changes...) {
 		name, value, has := strings.Cut(change, "=")
 		if left, count, long := strings.Cut(name, "*"); long && !has {
-			name, value = left, strings.Repeat("x", int(goldentest.Number(count)))
+			name, value = left, strings.Repeat("x", int(goldentest.ParseNumber(count)))
 		}
 		switch {
 		case name == "body":
--- a/internal/upstream/frames/golden_test.go
+++ b/internal/upstream/frames/golden_test.go
@@ -14,9 +14,9 @@
 
 // TestGoldenWorkers compares the bytes exchanged with workers in scripted sessions with the golden transcript.
 func TestGoldenWorkers(t *testing.T) {
-	goldentest.Play(t, "workers", func(*testing.T) goldentest.Actor {
+	goldentest.RunScript(t, "workers", func(*testing.T) goldentest.Actor {
 		workers := goldentest.NewFakeWorkers()
-		workers.Encode, workers.Show = encode, show
+		workers.Encode, workers.Format = encode, show
 		workers.Pool = frames.NewPool(frames.Limits{DialTimeout: 0.25, IdleTimeout: 10, MaxTotal: 8, MaxPerWorker: 2, MaxStreams: 3, IdempotencyKeyField: "opkey"}, workers, workers)
 		return workers
 	})
@@ -27,7 +27,7 @@
 
 // show splits bytes into frames by the lengths in their headers.
 func show(data []byte) []string {
-	return goldentest.Frames(data, func(b []byte) int {
+	return goldentest.FormatFrames(data, func(b []byte) int {
 		if len(b) < headerSize {
 			return 0
 		}
@@ -45,7 +45,7 @@
 	case "spoilt":
 		return encodeCorruptReply(args[0])
 	case "bytes":
-		return goldentest.Hex(args[0])
+		return goldentest.DecodeHex(args[0])
 	}
 	return nil
 }
@@ -63,7 +63,7 @@
 			fields = word
 		}
 	}
-	b := []byte{193, byte(goldentest.Number(args[0]))}
+	b := []byte{193, byte(goldentest.ParseNumber(args[0]))}
 	b = binary.BigEndian.AppendUint16(b, uint16(len(fields)))
 	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
 	b = binary.BigEndian.AppendUint64(b, id)
--- a/internal/upstream/openinference/golden_test.go
+++ b/internal/upstream/openinference/golden_test.go
@@ -12,9 +12,9 @@
 
 // TestGoldenWorkers plays scripted sessions with workers and compares the exchanged text with the golden transcript.
 func TestGoldenWorkers(t *testing.T) {
-	goldentest.Play(t, "workers", func(*testing.T) goldentest.Actor {
+	goldentest.RunScript(t, "workers", func(*testing.T) goldentest.Actor {
 		workers := goldentest.NewFakeWorkers()
-		workers.Encode, workers.Show = encode, goldentest.Lines
+		workers.Encode, workers.Format = encode, goldentest.FormatLines
 		workers.Pool = openinference.NewPool(openinference.Limits{DialTimeout: 0.25, IdleTimeout: 10, MaxPerWorker: 2, Message: http1.Limits{Head: 1000, Body: 500}, Via: "front-1"}, workers, workers)
 		return workers
 	})
--- a/internal/verification/goldentest/client.go
+++ b/internal/verification/goldentest/client.go
@@ -26,7 +26,7 @@
 type FakeClient struct {
 	Session   Session
 	Encode    func(verb string, words []string) []byte // encodes a message of the client; nil for an unknown verb
-	Show      func(data []byte) []string               // formats messages for the transcript
+	Format    func(data []byte) []string               // formats messages for the transcript
 	NotReady  bool                                     // the response to readiness queries
 	heldBack  []byte                                   // sent with the next message
 	pieceSize int                                      // bytes that are fed at a time; 0: all
@@ -36,8 +36,8 @@
 	lines     []string // of the transcript, for the current line of the script
 }
 
-// Wall is the time of day at time 0 of every script.
-var Wall = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
+// WallClockStart is the time of day at time 0 of every script.
+var WallClockStart = time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
 
 // Submit records a request.
 func (c *FakeClient) Submit(slot uint64, r dispatch.Request) {
@@ -66,7 +66,7 @@
 		response := parseResponse(words)
 		c.automatic = &response
 	case "answer":
-		c.Session.Respond(now, uint64(Number(words[0])), parseResponse(words[1:]))
+		c.Session.Respond(now, uint64(ParseNumber(words[0])), parseResponse(words[1:]))
 		c.Session.Advance(now)
 	case "tick":
 		c.logf("something to do: %v", c.Session.Tick(now))
@@ -80,13 +80,13 @@
 	case "readiness":
 		c.NotReady = words[0] == "no"
 	case "pieces":
-		c.pieceSize = int(Number(words[0]))
+		c.pieceSize = int(ParseNumber(words[0]))
 	case "rest":
 		c.send(now, nil)
 	default:
 		c.sendMessage(now, verb, words)
 	}
-	for _, text := range c.Show(c.Session.Output()) {
+	for _, text := range c.Format(c.Session.Output()) {
 		c.logf("> client %s", text)
 	}
 	if done := c.Session.Done(); done != c.done {
@@ -102,7 +102,7 @@
 	name, hold := strings.CutPrefix(verb, "+")
 	if text, partial := strings.CutPrefix(verb, "first="); partial {
 		data := c.Encode(words[0], words[1:])
-		n := int(Number(text))
+		n := int(ParseNumber(text))
 		if n < 0 {
 			n += len(data)
 		}
@@ -124,9 +124,9 @@
 func (c *FakeClient) send(now units.Seconds, data []byte) {
 	data = append(c.heldBack, data...)
 	c.heldBack = nil
-	for _, text := range c.Show(data) {
+	for _, text := range c.Format(data) {
 		c.logf("< client %s", text)
 	}
-	wall := Wall.Add(now.Duration())
+	wall := WallClockStart.Add(now.Duration())
 	inPieces(data, c.pieceSize, func(piece []byte) { c.Session.Feed(now, wall, piece) })
 }
--- a/internal/verification/goldentest/script.go
+++ b/internal/verification/goldentest/script.go
@@ -17,9 +17,9 @@
 	Act(now units.Seconds, verb string, words []string) []string
 }
 
-// Play runs testdata/NAME.script and compares the transcript with testdata/NAME.golden. newActor returns the actor of a
+// RunScript runs testdata/NAME.script and compares the transcript with testdata/NAME.golden. newActor returns the actor of a
 // session.
-func Play(t *testing.T, name string, newActor func(t *testing.T) Actor) {
+func RunScript(t *testing.T, name string, newActor func(t *testing.T) Actor) {
 	t.Helper()
 	script, err := os.ReadFile("testdata/" + name + ".script")
 	if err != nil {
@@ -116,8 +116,8 @@
 	return words, nil
 }
 
-// Options returns the words name=value of a line by name. A word without "=" has an empty value.
-func Options(words []string) map[string]string {
+// ParseOptions returns the words name=value of a line by name. A word without "=" has an empty value.
+func ParseOptions(words []string) map[string]string {
 	list := map[string]string{}
 	for _, word := range words {
 		name, value, _ := strings.Cut(word, "=")
@@ -126,8 +126,8 @@
 	return list
 }
 
-// Number parses a number of a script. It panics if there is none.
-func Number(text string) float64 {
+// ParseNumber parses a number of a script. It panics if there is none.
+func ParseNumber(text string) float64 {
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil {
 		panic(err)
--- a/internal/verification/goldentest/show.go
+++ b/internal/verification/goldentest/show.go
@@ -13,9 +13,9 @@
 // maxShown is the maximum size of a frame or line that is shown completely.
 const maxShown = 400
 
-// Frames formats data as frames, each in hex and as text. size returns the length of the first frame of its argument. If
+// FormatFrames formats data as frames, each in hex and as text. size returns the length of the first frame of its argument. If
 // it is 0 or exceeds the data, the rest is one piece.
-func Frames(data []byte, size func([]byte) int) []string {
+func FormatFrames(data []byte, size func([]byte) int) []string {
 	var list []string
 	for len(data) > 0 {
 		n := size(data)
@@ -47,8 +47,8 @@
 	return string(text)
 }
 
-// Lines formats text as quoted lines with their line ends.
-func Lines(data []byte) []string {
+// FormatLines formats text as quoted lines with their line ends.
+func FormatLines(data []byte) []string {
 	var list []string
 	for line := range strings.SplitAfterSeq(string(data), "\n") {
 		if len(line) > maxShown {
@@ -61,8 +61,8 @@
 	return list
 }
 
-// Hex decodes hex digits of a script. It panics if they are malformed.
-func Hex(text string) []byte {
+// DecodeHex decodes hex digits of a script. It panics if they are malformed.
+func DecodeHex(text string) []byte {
 	b, err := hex.DecodeString(text)
 	if err != nil {
 		panic(err)
--- a/internal/verification/goldentest/words.go
+++ b/internal/verification/goldentest/words.go
@@ -50,7 +50,7 @@
 // parseResponse parses "served|deferred|failed [cause=...] [pause=...] ...". Causes have the words that are sent to
 // clients.
 func parseResponse(words []string) dispatch.Response {
-	options := Options(words[1:])
+	options := ParseOptions(words[1:])
 	kind, ok := responseKinds[words[0]]
 	if !ok {
 		panic("unknown kind of response: " + words[0])
@@ -64,13 +64,13 @@
 		r.Cause = parseCause(options["cause"])
 	}
 	if options["pause"] != "" {
-		r.RetryAfter = units.Seconds(Number(options["pause"]))
+		r.RetryAfter = units.Seconds(ParseNumber(options["pause"]))
 	}
 	if options["after"] != "" {
-		r.Elapsed = units.Seconds(Number(options["after"]))
+		r.Elapsed = units.Seconds(ParseNumber(options["after"]))
 	}
 	if options["attempts"] != "" {
-		r.Attempts = int(Number(options["attempts"]))
+		r.Attempts = int(ParseNumber(options["attempts"]))
 	}
 	if options["found"] != "" {
 		r.Start = parseStart(options["found"])
@@ -104,7 +104,7 @@
 		}
 	}
 	if options["limit"] != "" {
-		a.Timeout = units.Seconds(Number(options["limit"]))
+		a.Timeout = units.Seconds(ParseNumber(options["limit"]))
 	}
 	if name, value, ok := strings.Cut(options["field"], ": "); ok {
 		a.Fields = []dispatch.Field{{Name: name, Value: value}}
@@ -115,7 +115,7 @@
 func parseLoadCommand(id uint64, worker string, options map[string]string) dispatch.LoadCommand {
 	command := dispatch.LoadCommand{
 		ID: id, Worker: control.WorkerID(worker), Function: defaultFunction,
-		Replicas: int(Number(options["copies"])), Binding: parseBinding(options),
+		Replicas: int(ParseNumber(options["copies"])), Binding: parseBinding(options),
 	}
 	if v, ok := options["function"]; ok {
 		command.Function = v
--- a/internal/verification/goldentest/workers.go
+++ b/internal/verification/goldentest/workers.go
@@ -32,7 +32,7 @@
 type FakeWorkers struct {
 	Pool      Pool
 	Encode    func(verb string, words []string) []byte // encodes a message of a worker; nil for an unknown verb
-	Show      func(data []byte) []string               // formats messages for the transcript
+	Format    func(data []byte) []string               // formats messages for the transcript
 	unsent    map[upstream.ConnID]int                  // bytes in the buffers of connections
 	heldBack  []byte                                   // sent with the next message
 	pieceSize int                                      // bytes that are fed at a time; 0: all
@@ -52,7 +52,7 @@
 
 // Write records data that is sent to a worker.
 func (w *FakeWorkers) Write(c upstream.ConnID, data []byte) {
-	for _, text := range w.Show(data) {
+	for _, text := range w.Format(data) {
 		w.logf("> worker on %d %s", c, text)
 	}
 }
@@ -107,14 +107,14 @@
 }
 
 func (w *FakeWorkers) execute(now units.Seconds, verb string, words []string) {
-	number := func() uint64 { return uint64(Number(words[0])) }
+	number := func() uint64 { return uint64(ParseNumber(words[0])) }
 	switch verb {
 	case "workers":
 		w.setEndpoints(words[0])
 	case "attempt":
-		w.sendAttempt(now, parseAttempt(number(), words[1], Options(words[2:])))
+		w.sendAttempt(now, parseAttempt(number(), words[1], ParseOptions(words[2:])))
 	case "load":
-		w.Pool.SendLoad(now, parseLoadCommand(number(), words[1], Options(words[2:])))
+		w.Pool.SendLoad(now, parseLoadCommand(number(), words[1], ParseOptions(words[2:])))
 	case "withdraw":
 		w.logf("withdrawn: %v", w.Pool.CancelUnsent(number()))
 	case "cancel":
@@ -126,7 +126,7 @@
 	case "closed":
 		w.Pool.OnClosed(now, upstream.ConnID(number()))
 	case "unsent":
-		w.unsent[upstream.ConnID(number())] = int(Number(words[1]))
+		w.unsent[upstream.ConnID(number())] = int(ParseNumber(words[1]))
 	case "pieces":
 		w.pieceSize = int(number())
 	case "tick":
@@ -153,8 +153,8 @@
 		return
 	}
 	data, w.heldBack = w.heldBack, nil
-	c := upstream.ConnID(Number(words[0]))
-	for _, text := range w.Show(data) {
+	c := upstream.ConnID(ParseNumber(words[0]))
+	for _, text := range w.Format(data) {
 		w.logf("< worker on %d %s", c, text)
 	}
 	inPieces(data, w.pieceSize, func(piece []byte) { w.Pool.OnData(now, c, piece) })
--- a/internal/verification/scenario/inject.go
+++ b/internal/verification/scenario/inject.go
@@ -69,7 +69,7 @@
 func (i *injection) injectAtWorkers(context.Context) error {
 	f := i.fault
 	for _, w := range i.affected() {
-		fault := fakes.Fault{Kind: fakes.FaultKind(f.Kind), Duration: f.Duration, Fraction: f.HitFraction, Slowdown: f.Times, Bytes: f.Bytes}
+		fault := fakes.Fault{Kind: fakes.FaultKind(f.Kind), Duration: f.Duration, Fraction: f.HitFraction, Slowdown: f.Magnitude, Bytes: f.Bytes}
 		if err := w.Inject(fault); err != nil {
 			return err
 		}
@@ -83,7 +83,7 @@
 	list := i.affected()
 	for ctx.Err() == nil {
 		for _, w := range list {
-			if err := w.Inject(fakes.Fault{Kind: kind, Duration: f.Duration, Slowdown: f.Times}); err != nil {
+			if err := w.Inject(fakes.Fault{Kind: kind, Duration: f.Duration, Slowdown: f.Magnitude}); err != nil {
 				return err
 			}
 		}
@@ -196,7 +196,7 @@
 }
 
 func (i *injection) slowStore(ctx context.Context) error {
-	i.store.SetSlowdown(i.fault.Times)
+	i.store.SetSlowdown(i.fault.Magnitude)
 	i.awaitEnd(ctx)
 	i.store.SetSlowdown(1)
 	return nil
@@ -208,7 +208,7 @@
 }
 
 func (i *injection) burst(ctx context.Context) error {
-	i.ratePercent.Store(int64(normalRatePercent * i.fault.Times))
+	i.ratePercent.Store(int64(normalRatePercent * i.fault.Magnitude))
 	i.awaitEnd(ctx)
 	i.ratePercent.Store(normalRatePercent)
 	return nil
--- a/internal/verification/scenario/schedules.go
+++ b/internal/verification/scenario/schedules.go
@@ -53,7 +53,7 @@
 	}
 	// Clocks of clients differ by up to a second.
 	lags := []float64{0, rng.Float64(), 0, 1}
-	clock := scheduleClock{startedAt: time.Now(), lag: lags[number%len(lags)], midnight: midnight, minute: r.script.Minute}
+	clock := scheduleClock{startedAt: time.Now(), lag: lags[number%len(lags)], midnight: midnight, minute: r.script.MinuteDuration}
 	if r.script.PreloadAhead > 0 && number == 0 {
 		go r.preload(ctx, entries, clock)
 	}
@@ -70,7 +70,7 @@
 	var text strings.Builder
 	text.WriteString("CRON_TZ=UTC\n")
 	classes := fakes.RequestClasses()
-	for i := range s.Timers {
+	for i := range s.Schedules {
 		fmt.Fprintf(&text, "* * * * * %s %s kitaboshi-wear %%{\"entry\":%d}\n", classes[rng.IntN(len(classes))],
 			r.functions[i%s.Functions].Name, i)
 	}
@@ -80,7 +80,7 @@
 			continue
 		}
 		midnight = f.At
-		for i := range int(f.Times) {
+		for i := range int(f.Magnitude) {
 			fmt.Fprintf(&text, "0 0 * * * %s %s minato-shoes %%{\"reset\":%d}\n", classes[rng.IntN(len(classes))],
 				r.functions[i%s.Functions].Name, i)
 		}
@@ -90,7 +90,7 @@
 
 // preload loads functions whose schedules are due soon, like the appliance.
 func (r *run) preload(ctx context.Context, entries []schedule.Entry, clock scheduleClock) {
-	ahead := time.Duration(r.script.PreloadAhead / r.script.Minute * float64(time.Minute))
+	ahead := time.Duration(r.script.PreloadAhead / r.script.MinuteDuration * float64(time.Minute))
 	for sleep(ctx, preloadInterval) {
 		for _, f := range schedule.DueWithin(entries, clock.now(), ahead) {
 			first := schedule.RendezvousOrder(r.addrs, f.ID)[0]
--- a/internal/verification/scenario/script.go
+++ b/internal/verification/scenario/script.go
@@ -15,26 +15,26 @@
 
 // Script is one scenario. Times are seconds; fractions are between 0 and 1.
 type Script struct {
-	Name          string             `json:"name"`
-	About         string             `json:"about"`
-	Seconds       float64            `json:"seconds"`
-	Rate          float64            `json:"rate"` // requests per second, without those of schedules
-	FrontEnds     int                `json:"front_ends"`
-	Workers       int                `json:"workers"`
-	Cores         int                `json:"cores"` // of each worker
-	Functions     int                `json:"functions"`
-	Work          float64            `json:"work"` // mean work of a request on a core of speed 1
-	Mix           map[string]float64 `json:"mix"`  // fraction of each request class
-	Timers        int                `json:"timers"`
-	Minute        float64            `json:"minute"` // duration of a minute on the schedules' clock
-	Clients       int                `json:"clients"`
-	ColdStart     bool               `json:"cold"`          // all workers start with the scenario
-	LoadOnRequest bool               `json:"load_on_event"` // a request for a function that is not loaded loads it
-	LoadLimit     [3]float64         `json:"ration"`        // window, load commands without a request, load commands for each request
-	Retries       int                `json:"repeats"`
-	Versions      bool               `json:"versions"` // functions have versions
-	PreloadAhead  float64            `json:"ahead"`    // time before a schedule is due at which its function is preloaded; 0: never
-	Faults        []Fault            `json:"troubles"`
+	Name           string             `json:"name"`
+	Description    string             `json:"about"`
+	Seconds        float64            `json:"seconds"`
+	Rate           float64            `json:"rate"` // requests per second, without those of schedules
+	FrontEnds      int                `json:"front_ends"`
+	Workers        int                `json:"workers"`
+	Cores          int                `json:"cores"` // of each worker
+	Functions      int                `json:"functions"`
+	MeanWork       float64            `json:"work"` // mean work of a request on a core of speed 1
+	ClassMix       map[string]float64 `json:"mix"`  // fraction of each request class
+	Schedules      int                `json:"timers"`
+	MinuteDuration float64            `json:"minute"` // duration of a minute on the schedules' clock
+	Clients        int                `json:"clients"`
+	ColdStart      bool               `json:"cold"`          // all workers start with the scenario
+	LoadOnRequest  bool               `json:"load_on_event"` // a request for a function that is not loaded loads it
+	LoadLimit      [3]float64         `json:"ration"`        // window, load commands without a request, load commands for each request
+	Retries        int                `json:"repeats"`
+	Versions       bool               `json:"versions"` // functions have versions
+	PreloadAhead   float64            `json:"ahead"`    // time before a schedule is due at which its function is preloaded; 0: never
+	Faults         []Fault            `json:"troubles"`
 }
 
 // Fault is one fault of a script.
@@ -43,7 +43,7 @@
 	Kind        FaultKind `json:"kind"`
 	Fraction    float64   `json:"part"` // of the workers, functions or requests, depending on the kind
 	Duration    float64   `json:"for"`
-	Times       float64   `json:"times"` // factor or count, depending on the kind
+	Magnitude   float64   `json:"times"` // factor or count, depending on the kind
 	Every       float64   `json:"every"` // interval of a repeated fault
 	Bytes       int       `json:"bytes"` // sent of a truncated response
 	HitFraction float64   `json:"hit"`   // fraction of the requests that it affects; 0: all
@@ -94,9 +94,9 @@
 // defaultScript returns the sizes of a small site.
 func defaultScript() *Script {
 	return &Script{
-		Seconds: 8, Rate: 100, FrontEnds: 2, Workers: 8, Cores: 2, Functions: 40, Work: 0.04, Timers: 30,
-		Minute: 1, Clients: 2, Retries: 1,
-		Mix: map[string]float64{fakes.ClassIdempotent: 0.6, fakes.ClassIdempotentByKey: 0.25, fakes.ClassAtMostOnce: 0.15},
+		Seconds: 8, Rate: 100, FrontEnds: 2, Workers: 8, Cores: 2, Functions: 40, MeanWork: 0.04, Schedules: 30,
+		MinuteDuration: 1, Clients: 2, Retries: 1,
+		ClassMix: map[string]float64{fakes.ClassIdempotent: 0.6, fakes.ClassIdempotentByKey: 0.25, fakes.ClassAtMostOnce: 0.15},
 	}
 }
 
@@ -142,12 +142,12 @@
 		return &FieldError{"workers", s.Workers, "between 1 and 200"}
 	case s.Functions < 1 || s.Functions > maxFunctions:
 		return &FieldError{"functions", s.Functions, "between 1 and 10000"}
-	case s.Timers < 0 || s.Timers > maxTimers:
-		return &FieldError{"timers", s.Timers, "between 0 and 2000"}
-	case s.Minute <= 0 || s.Work <= 0 || s.Cores < 1 || s.Clients < 0 || s.Clients > maxClients || s.Retries < 0:
+	case s.Schedules < 0 || s.Schedules > maxTimers:
+		return &FieldError{"timers", s.Schedules, "between 0 and 2000"}
+	case s.MinuteDuration <= 0 || s.MeanWork <= 0 || s.Cores < 1 || s.Clients < 0 || s.Clients > maxClients || s.Retries < 0:
 		return errSizes
 	}
-	for class := range s.Mix {
+	for class := range s.ClassMix {
 		if !slices.Contains(fakes.RequestClasses(), class) {
 			return &FieldError{"mix", class, "one of shop-event, till-entry, price-reset"}
 		}
--- a/internal/verification/scenario/site.go
+++ b/internal/verification/scenario/site.go
@@ -33,7 +33,7 @@
 // start starts workers and front ends.
 func (r *run) start() error {
 	s := r.script
-	r.functions = fakes.Catalogue(s.Functions+hotFunctions, s.Work, r.seed)
+	r.functions = fakes.Catalogue(s.Functions+hotFunctions, s.MeanWork, r.seed)
 	r.rules = invariants.Rules{
 		Semantics:               fakes.ClassSemantics(),
 		DeduplicationWindow:     map[string]float64{fakes.ClassIdempotentByKey: deduplicationWindow},
--- a/internal/verification/scenario/traffic.go
+++ b/internal/verification/scenario/traffic.go
@@ -155,7 +155,7 @@
 func (t *traffic) drawClass() (class string) {
 	draw := t.rng.Float64()
 	for _, class = range fakes.RequestClasses() {
-		fraction := t.run.script.Mix[class]
+		fraction := t.run.script.ClassMix[class]
 		if draw < fraction {
 			break
 		}
