--- a/internal/verification/goldentest/script.go
+++ b/internal/verification/goldentest/script.go
@@ -12,13 +12,13 @@
 
 var update = flag.Bool("update", false, "rewrite the golden files")
 
-// Actor executes one line of a script and returns its effects as lines of the transcript.
+// Actor executes the lines of one session of a script. Act returns the effects of a line as lines of the transcript.
 type Actor interface {
 	Act(now units.Seconds, verb string, words []string) []string
 }
 
-// RunScript runs testdata/NAME.script and compares the transcript with testdata/NAME.golden. newActor returns the actor of a
-// session.
+// RunScript runs testdata/NAME.script and compares the transcript with testdata/NAME.golden. It calls newActor at the start
+// of each session.
 func RunScript(t *testing.T, name string, newActor func(t *testing.T) Actor) {
 	t.Helper()
 	script, err := os.ReadFile("testdata/" + name + ".script")
@@ -52,7 +52,8 @@
 	Compare(t, "testdata/"+name+".golden", out.String())
 }
 
-// Compare compares got with a golden file, or writes the file if the flag -update is set.
+// Compare compares got with a golden file, and reports the first five lines that differ. If the flag -update is set, it
+// writes the file instead.
 func Compare(t *testing.T, file, got string) {
 	t.Helper()
 	if *update {
@@ -85,15 +86,15 @@
 	return "(no line)"
 }
 
-// splitWords splits a line at spaces outside of quoted parts, and unquotes these.
+// splitWords splits a line at spaces outside quoted parts, and unquotes the quoted parts.
 func splitWords(line string) ([]string, error) {
 	var words []string
-	word, open := "", false
+	word, inWord := "", false
 	for line != "" {
 		switch c := line[0]; c {
 		case ' ':
-			if open {
-				words, word, open = append(words, word), "", false
+			if inWord {
+				words, word, inWord = append(words, word), "", false
 			}
 			line = line[1:]
 		case '"', '`':
@@ -105,28 +106,28 @@
 			if err != nil {
 				return nil, err
 			}
-			word, open, line = word+text, true, line[len(quoted):]
+			word, inWord, line = word+text, true, line[len(quoted):]
 		default:
-			word, open, line = word+string(c), true, line[1:]
+			word, inWord, line = word+string(c), true, line[1:]
 		}
 	}
-	if open {
+	if inWord {
 		words = append(words, word)
 	}
 	return words, nil
 }
 
-// ParseOptions returns the words name=value of a line by name. A word without "=" has an empty value.
+// ParseOptions returns the values of name=value words by name. A word without "=" has an empty value.
 func ParseOptions(words []string) map[string]string {
-	list := map[string]string{}
+	options := map[string]string{}
 	for _, word := range words {
 		name, value, _ := strings.Cut(word, "=")
-		list[name] = value
+		options[name] = value
 	}
-	return list
+	return options
 }
 
-// ParseNumber parses a number of a script. It panics if there is none.
+// ParseNumber parses a number of a script. It panics if text is not a number.
 func ParseNumber(text string) float64 {
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil {
@@ -135,8 +136,8 @@
 	return v
 }
 
-// inPieces calls feed with pieces of data of the given size, or with all data if size is 0.
-func inPieces(data []byte, size int, feed func(piece []byte)) {
+// forEachChunk calls feed with consecutive chunks of data of at most size bytes, or with all data if size is 0.
+func forEachChunk(data []byte, size int, feed func(chunk []byte)) {
 	if size == 0 {
 		size = len(data)
 	}
--- a/internal/verification/goldentest/show.go
+++ b/internal/verification/goldentest/show.go
@@ -10,11 +10,11 @@
 	"streamcleat/internal/dispatch"
 )
 
-// maxShown is the maximum size of a frame or line that is shown completely.
-const maxShown = 400
+// maxFullLength is the maximum length in bytes of a frame or line that is printed in full.
+const maxFullLength = 400
 
-// FormatFrames formats data as frames, each in hex and as text. size returns the length of the first frame of its argument. If
-// it is 0 or exceeds the data, the rest is one piece.
+// FormatFrames splits data into frames and formats each in hex and as text. size returns the length of the first frame of its
+// argument. If that is 0 or exceeds the data, the remaining data is formatted as one frame.
 func FormatFrames(data []byte, size func([]byte) int) []string {
 	var list []string
 	for len(data) > 0 {
@@ -22,21 +22,21 @@
 		if n <= 0 || n > len(data) {
 			n = len(data)
 		}
-		list = append(list, showFrame(data[:n]))
+		list = append(list, formatFrame(data[:n]))
 		data = data[n:]
 	}
 	return list
 }
 
-// showFrame formats a frame in hex and as text, or as its beginning, length and hash if it is long.
-func showFrame(b []byte) string {
-	if len(b) > maxShown {
+// formatFrame formats a frame in hex and as text, or as its prefix, length and SHA-256 hash if it exceeds maxFullLength.
+func formatFrame(b []byte) string {
+	if len(b) > maxFullLength {
 		return fmt.Sprintf("%x... %d bytes sha256=%x", b[:64], len(b), sha256.Sum256(b))
 	}
 	return fmt.Sprintf("%x %s", b, readableText(b))
 }
 
-// readableText returns the printable characters of a frame, with dots for other bytes.
+// readableText returns a frame as ASCII text, with a dot for each space or unprintable byte.
 func readableText(b []byte) string {
 	text := bytes.Clone(b)
 	for i, c := range text {
@@ -47,11 +47,11 @@
 	return string(text)
 }
 
-// FormatLines formats text as quoted lines with their line ends.
+// FormatLines formats text as quoted lines that include their line endings.
 func FormatLines(data []byte) []string {
 	var list []string
 	for line := range strings.SplitAfterSeq(string(data), "\n") {
-		if len(line) > maxShown {
+		if len(line) > maxFullLength {
 			line = fmt.Sprintf("%s... %d bytes sha256=%x", line[:64], len(line), sha256.Sum256([]byte(line)))
 		}
 		if line != "" {
@@ -61,7 +61,7 @@
 	return list
 }
 
-// DecodeHex decodes hex digits of a script. It panics if they are malformed.
+// DecodeHex decodes the hex digits of a script. It panics if they are malformed.
 func DecodeHex(text string) []byte {
 	b, err := hex.DecodeString(text)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return b
 }
 
-func showFields(list []dispatch.Field) string {
+func formatFields(list []dispatch.Field) string {
 	var parts []string
 	for _, f := range list {
 		parts = append(parts, fmt.Sprintf("%q", f.Name+": "+f.Value))
@@ -78,7 +78,7 @@
 	return "[" + strings.Join(parts, " ") + "]"
 }
 
-func showBody(b []byte) string {
+func formatBody(b []byte) string {
 	if len(b) > 200 {
 		return fmt.Sprintf("%q... %d bytes", b[:20], len(b))
 	}
--- a/internal/verification/goldentest/words.go
+++ b/internal/verification/goldentest/words.go
@@ -9,8 +9,8 @@
 	"streamcleat/internal/units"
 )
 
-// outcomeWords has the words of transcripts for the outcome of an attempt.
-var outcomeWords = map[control.Outcome]string{
+// outcomeNames maps outcomes of attempts to their names in transcripts.
+var outcomeNames = map[control.Outcome]string{
 	control.Succeeded:      "served",
 	control.Failed:         "error",
 	control.TimedOut:       "timed-out",
@@ -22,8 +22,8 @@
 	control.ReplicaMissing: "not-loaded",
 }
 
-// startWords has the words of transcripts for the kind of a start.
-var startWords = map[control.StartType]string{
+// startTypeNames maps start types to their names in scripts and transcripts.
+var startTypeNames = map[control.StartType]string{
 	control.StartUnknown:    "unknown",
 	control.WarmStart:       "warm",
 	control.ColdStart:       "cold",
@@ -31,29 +31,28 @@
 	control.StartFailed:     "load-failed",
 }
 
-func parseStart(word string) control.StartType {
-	for start, text := range startWords {
+func parseStartType(word string) control.StartType {
+	for start, text := range startTypeNames {
 		if text == word {
 			return start
 		}
 	}
-	panic("unknown kind of start: " + word)
+	panic("unknown start type: " + word)
 }
 
-// responseKinds has the kinds of response by their words in scripts.
-var responseKinds = map[string]dispatch.ResponseKind{
+// responseKindsByName maps the names of response kinds in scripts to the kinds.
+var responseKindsByName = map[string]dispatch.ResponseKind{
 	"served":   dispatch.Succeeded,
 	"deferred": dispatch.Rejected,
 	"failed":   dispatch.Failed,
 }
 
-// parseResponse parses "served|deferred|failed [cause=...] [pause=...] ...". Causes have the words that are sent to
-// clients.
-func parseResponse(words []string) dispatch.Response {
-	options := ParseOptions(words[1:])
-	kind, ok := responseKinds[words[0]]
+// parseResponse parses "served|deferred|failed [cause=...] [pause=...] ...". Causes have the names that clients receive.
+func parseResponse(args []string) dispatch.Response {
+	options := ParseOptions(args[1:])
+	kind, ok := responseKindsByName[args[0]]
 	if !ok {
-		panic("unknown kind of response: " + words[0])
+		panic("unknown response kind: " + args[0])
 	}
 	r := dispatch.Response{
 		Kind: kind, Worker: options["worker"], Replayed: options["repeat"] != "",
@@ -73,7 +72,7 @@
 		r.Attempts = int(ParseNumber(options["attempts"]))
 	}
 	if options["found"] != "" {
-		r.Start = parseStart(options["found"])
+		r.Start = parseStartType(options["found"])
 	}
 	if name, value, ok := strings.Cut(options["field"], ": "); ok {
 		r.Fields = []dispatch.Field{{Name: name, Value: value}}
@@ -90,7 +89,7 @@
 	panic("unknown cause: " + word)
 }
 
-// defaultFunction is the function of an attempt or load command that names none.
+// defaultFunction is the function of an attempt or load command whose script line has no function option.
 const defaultFunction = "7f3a9c21e0b4d655"
 
 func parseAttempt(id uint64, worker string, options map[string]string) dispatch.Attempt {
--- a/internal/verification/goldentest/workers.go
+++ b/internal/verification/goldentest/workers.go
@@ -11,7 +11,7 @@
 	"streamcleat/internal/upstream"
 )
 
-// Pool is the front end's side of the connections to workers, for any protocol.
+// Pool is the front end's connection pool to workers, independent of the protocol.
 type Pool interface {
 	SetEndpoints(list *upstream.EndpointList)
 	SendAttempt(now units.Seconds, a dispatch.Attempt)
@@ -28,15 +28,16 @@
 	Check() error
 }
 
-// FakeWorkers is all workers and the sockets to them. It implements the transport of its pool, and receives its results.
+// FakeWorkers drives a Pool as all of its workers, and records the effects for the transcript. It implements the pool's
+// transport and receives its results.
 type FakeWorkers struct {
 	Pool      Pool
-	Encode    func(verb string, words []string) []byte // encodes a message of a worker; nil for an unknown verb
-	Format    func(data []byte) []string               // formats messages for the transcript
-	unsent    map[upstream.ConnID]int                  // bytes in the buffers of connections
-	heldBack  []byte                                   // sent with the next message
-	pieceSize int                                      // bytes that are fed at a time; 0: all
-	lines     []string                                 // of the transcript, for the current line of the script
+	Encode    func(verb string, args []string) []byte // encodes a worker message; returns nil for an unknown verb
+	Format    func(data []byte) []string              // formats messages for the transcript
+	unsent    map[upstream.ConnID]int                 // unsent bytes in the send buffers of connections
+	pending   []byte                                  // data that was held back, sent before the next message
+	chunkSize int                                     // bytes passed to Pool.OnData at a time; 0: all
+	lines     []string                                // transcript lines of the current script line
 	now       units.Seconds
 	deadlines map[uint64]units.Seconds // of attempts
 }
@@ -45,7 +46,7 @@
 	w.lines = append(w.lines, fmt.Sprintf(format, args...))
 }
 
-// Dial records a dial.
+// Dial records that the pool dials a worker.
 func (w *FakeWorkers) Dial(c upstream.ConnID, addr string) {
 	w.logf("dial connection %d to %q", c, addr)
 }
@@ -63,7 +64,7 @@
 // Unsent returns the unsent bytes of a connection, as set by the script.
 func (w *FakeWorkers) Unsent(c upstream.ConnID) int { return w.unsent[c] }
 
-// AuthorizeAttempt permits every attempt, with the remaining time until its deadline.
+// AuthorizeAttempt permits every attempt, with the time that remains until its deadline.
 func (w *FakeWorkers) AuthorizeAttempt(id uint64) dispatch.SendPermit {
 	return dispatch.PermitSend(w.deadlines[id] - w.now)
 }
@@ -86,35 +87,35 @@
 // OnAttemptReply records the end of an attempt.
 func (w *FakeWorkers) OnAttemptReply(id uint64, r dispatch.WorkerReply) {
 	w.logf("attempt %d ended: %s found=%s running=%v waiting=%v report=%v digest=%q fields=%s body=%s",
-		id, outcomeWords[r.Outcome], startWords[r.Start], r.Report.Running, r.Report.Waiting, r.Report.Known, r.Digest,
-		showFields(r.Fields), showBody(r.Body))
+		id, outcomeNames[r.Outcome], startTypeNames[r.Start], r.Report.Running, r.Report.Waiting, r.Report.Known, r.Digest,
+		formatFields(r.Fields), formatBody(r.Body))
 }
 
 // OnLoadReply records the end of a load command.
 func (w *FakeWorkers) OnLoadReply(id uint64, outcome control.Outcome, replicas int) {
-	w.logf("load %d ended: %s copies=%d", id, outcomeWords[outcome], replicas)
+	w.logf("load %d ended: %s copies=%d", id, outcomeNames[outcome], replicas)
 }
 
-// Act executes one line of the script.
-func (w *FakeWorkers) Act(now units.Seconds, verb string, words []string) []string {
+// Act implements Actor. It also checks the invariants of the pool.
+func (w *FakeWorkers) Act(now units.Seconds, verb string, args []string) []string {
 	w.lines, w.now = nil, now
-	w.execute(now, verb, words)
+	w.execute(now, verb, args)
 	w.Pool.Flush()
 	if err := w.Pool.Check(); err != nil {
-		w.logf("state contradicts itself: %v", err)
+		w.logf("pool invariant violated: %v", err)
 	}
 	return w.lines
 }
 
-func (w *FakeWorkers) execute(now units.Seconds, verb string, words []string) {
-	number := func() uint64 { return uint64(ParseNumber(words[0])) }
+func (w *FakeWorkers) execute(now units.Seconds, verb string, args []string) {
+	number := func() uint64 { return uint64(ParseNumber(args[0])) }
 	switch verb {
 	case "workers":
-		w.setEndpoints(words[0])
+		w.setEndpoints(args[0])
 	case "attempt":
-		w.sendAttempt(now, parseAttempt(number(), words[1], ParseOptions(words[2:])))
+		w.sendAttempt(now, parseAttempt(number(), args[1], ParseOptions(args[2:])))
 	case "load":
-		w.Pool.SendLoad(now, parseLoadCommand(number(), words[1], ParseOptions(words[2:])))
+		w.Pool.SendLoad(now, parseLoadCommand(number(), args[1], ParseOptions(args[2:])))
 	case "withdraw":
 		w.logf("withdrawn: %v", w.Pool.CancelUnsent(number()))
 	case "cancel":
@@ -126,9 +127,9 @@
 	case "closed":
 		w.Pool.OnClosed(now, upstream.ConnID(number()))
 	case "unsent":
-		w.unsent[upstream.ConnID(number())] = int(ParseNumber(words[1]))
+		w.unsent[upstream.ConnID(number())] = int(ParseNumber(args[1]))
 	case "pieces":
-		w.pieceSize = int(number())
+		w.chunkSize = int(number())
 	case "tick":
 		w.Pool.Tick(now)
 	case "close-all":
@@ -136,31 +137,31 @@
 	case "connections?":
 		w.logf("connections: %d", w.Pool.Len())
 	default:
-		w.sendMessage(now, verb, words)
+		w.sendMessage(now, verb, args)
 	}
 }
 
-// sendMessage sends a message of a worker to the pool: "verb connection ...". "+verb" holds it back and sends it with the
-// next one.
-func (w *FakeWorkers) sendMessage(now units.Seconds, verb string, words []string) {
-	name, hold := strings.CutPrefix(verb, "+")
-	data := w.Encode(name, words[1:])
+// sendMessage encodes a worker message and passes it to the pool. The line is "verb connection ...". "+verb" holds the
+// message back until the next one is sent.
+func (w *FakeWorkers) sendMessage(now units.Seconds, verb string, args []string) {
+	name, holdBack := strings.CutPrefix(verb, "+")
+	data := w.Encode(name, args[1:])
 	if data == nil {
 		panic("unknown verb: " + verb)
 	}
-	w.heldBack = append(w.heldBack, data...)
-	if hold {
+	w.pending = append(w.pending, data...)
+	if holdBack {
 		return
 	}
-	data, w.heldBack = w.heldBack, nil
-	c := upstream.ConnID(ParseNumber(words[0]))
+	data, w.pending = w.pending, nil
+	c := upstream.ConnID(ParseNumber(args[0]))
 	for _, text := range w.Format(data) {
 		w.logf("< worker on %d %s", c, text)
 	}
-	inPieces(data, w.pieceSize, func(piece []byte) { w.Pool.OnData(now, c, piece) })
+	forEachChunk(data, w.chunkSize, func(chunk []byte) { w.Pool.OnData(now, c, chunk) })
 }
 
-// setEndpoints parses an endpoint list in the format of its file, and passes it to the pool.
+// setEndpoints parses an endpoint list in its file format, and passes it to the pool.
 func (w *FakeWorkers) setEndpoints(text string) {
 	list, err := upstream.ParseEndpointList([]byte(text), 100)
 	if err != nil {
@@ -176,5 +177,5 @@
 	w.Pool.SetEndpoints(list)
 }
 
-// NewFakeWorkers returns FakeWorkers without a Pool, which the caller sets.
+// NewFakeWorkers returns FakeWorkers whose Pool, Encode and Format the caller sets.
 func NewFakeWorkers() *FakeWorkers { return &FakeWorkers{unsent: map[upstream.ConnID]int{}} }
--- a/internal/verification/scenario/bench_front.go
+++ b/internal/verification/scenario/bench_front.go
@@ -12,16 +12,17 @@
 )
 
 const (
-	// benchRuns is the number of measurements of each side, in turn. The best of each counts, as the machine's speed
-	// drifts.
+	// benchRuns is the number of measurements of each target, taken alternately. The one with the highest rate counts,
+	// because the speed of the machine varies over time.
 	benchRuns = 3
 
-	benchFrontConfig = `{"event_types":[{"name":"shop-event","target_time_s":1.5,"max_age_s":4}],
+	benchFrontEndConfig = `{"event_types":[{"name":"shop-event","target_time_s":1.5,"max_age_s":4}],
 		"functions":[{"match":"*","lanes":64}]}`
-	benchFrontClass = "shop-event"
+	benchFrontEndClass = "shop-event"
 )
 
-// FrontEndRow compares requests through a front end with direct ones. Ratios are front end over direct.
+// FrontEndRow compares requests through a front end with requests sent directly to workers. Ratios are front end divided by
+// direct.
 type FrontEndRow struct {
 	Connections int         `json:"connections"`
 	Direct      Measurement `json:"direct"`
@@ -31,9 +32,10 @@
 	P99Ratio    float64     `json:"p99_ratio"`
 }
 
-// BenchFrontEnd measures workers that respond at once, directly and through a front end, for each number of connections.
+// BenchFrontEnd measures requests to workers that respond immediately, directly and through a front end, for each number of
+// connections.
 func BenchFrontEnd(ctx context.Context, connections []int, requests int) ([]FrontEndRow, error) {
-	b, err := newBench(benchFrontConfig)
+	b, err := newBench(benchFrontEndConfig)
 	if err != nil {
 		return nil, err
 	}
@@ -45,7 +47,7 @@
 	defer func() { _ = frontEnd.Stop(time.Second) }() // no request is open
 	var rows []FrontEndRow
 	for _, n := range connections {
-		row, err := b.measureBothWays(ctx, frontEnd.Addr(), n, requests)
+		row, err := b.measureDirectAndFrontEnd(ctx, frontEnd.Addr(), n, requests)
 		if err != nil {
 			return nil, err
 		}
@@ -54,22 +56,22 @@
 	return rows, nil
 }
 
-// bench is the environment of a benchmark of a front end.
+// bench is the environment of a front end benchmark.
 type bench struct {
-	folder  string // for temporary files
+	tempDir string // removed by close
 	config  *config.Config
-	workers *idleServers
+	workers *stubWorkers
 }
 
-// newBench starts the workers of a benchmark. configuration is that of its front ends.
+// newBench parses the configuration of the front ends and starts the workers of a benchmark.
 func newBench(configuration string) (*bench, error) {
-	folder, err := os.MkdirTemp("", "bench")
+	tempDir, err := os.MkdirTemp("", "bench")
 	if err != nil {
 		return nil, err
 	}
-	b := &bench{folder: folder}
-	if b.config, err = config.Parse([]byte(configuration), folder); err == nil {
-		b.workers, err = startIdleServers(folder)
+	b := &bench{tempDir: tempDir}
+	if b.config, err = config.Parse([]byte(configuration), tempDir); err == nil {
+		b.workers, err = startStubWorkers(tempDir)
 	}
 	if err != nil {
 		b.close()
@@ -82,10 +84,10 @@
 	if b.workers != nil {
 		b.workers.close()
 	}
-	_ = os.RemoveAll(b.folder) // temporary files
+	_ = os.RemoveAll(b.tempDir) // temporary files
 }
 
-// frontEndSettings returns the settings of a front end for the workers.
+// frontEndSettings returns the settings of a front end that routes to the workers of the benchmark.
 func (b *bench) frontEndSettings() eventloop.Settings {
 	return eventloop.Settings{Listen: anyPort, EndpointListFile: b.workers.listPath, Settings: proxy.Settings{
 		Name:       "front",
@@ -98,12 +100,12 @@
 
 func frontEndURL(addr string) string { return "http://" + addr + "/events" }
 
-// measureBothWays measures direct requests and those through a front end.
-func (b *bench) measureBothWays(ctx context.Context, frontEnd string, connections, requests int) (FrontEndRow, error) {
+// measureDirectAndFrontEnd measures requests sent directly to workers and requests sent through a front end.
+func (b *bench) measureDirectAndFrontEnd(ctx context.Context, frontEnd string, connections, requests int) (FrontEndRow, error) {
 	row := FrontEndRow{Connections: connections}
-	ways := []struct {
-		side *Measurement
-		url  func(number int) string
+	targets := []struct {
+		measurement *Measurement
+		url         func(number int) string
 	}{
 		{&row.Direct, func(number int) string {
 			return "http://" + b.workers.addrs[number%benchWorkers] + "/v2/models/tally/infer"
@@ -111,17 +113,17 @@
 		{&row.FrontEnd, func(int) string { return frontEndURL(frontEnd) }},
 	}
 	for repetition := range benchRuns {
-		for _, way := range ways {
-			g := &generator{
-				url: way.url, class: benchFrontClass, inFlight: connections, requests: requests,
+		for _, target := range targets {
+			g := &loadGenerator{
+				url: target.url, class: benchFrontEndClass, inFlight: connections, requests: requests,
 				runName: fmt.Sprintf("%d-%d", connections, repetition),
 			}
-			side, err := g.measure(ctx)
+			measurement, err := g.measure(ctx)
 			if err != nil {
 				return row, err
 			}
-			if side.Rate > way.side.Rate {
-				*way.side = side
+			if measurement.Rate > target.measurement.Rate {
+				*target.measurement = measurement
 			}
 		}
 	}
--- a/internal/verification/scenario/bench_recovery.go
+++ b/internal/verification/scenario/bench_recovery.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	recoveryBatch      = 1000 // records of one commit
-	microsPerSecond    = 1e6
-	unlimitedRetention = 1e6 // seconds, longer than any measurement
+	recoveryBatch         = 1000 // records of one commit
+	microsecondsPerSecond = 1e6
+	unlimitedRetention    = 1e6 // seconds; longer than any measurement
 )
 
-// RecoveryRow is the measurement of a restart with a number of stored requests.
+// RecoveryRow is the measured recovery time for a number of stored requests.
 type RecoveryRow struct {
 	Requests    int     `json:"events"`
 	Bytes       uint64  `json:"bytes"`
-	OpenTime    float64 `json:"open_s"`    // until the state is read
-	RestoreTime float64 `json:"restore_s"` // until the dispatcher has it
+	OpenTime    float64 `json:"open_s"`    // reading the store
+	RestoreTime float64 `json:"restore_s"` // restoring the state of the dispatcher
 	PerRequest  float64 `json:"us_per_event"`
 }
 
-// BenchRecovery fills stores with requests and measures the restart.
+// BenchRecovery measures, for each size, the recovery of a dispatcher from a store with that number of requests.
 func BenchRecovery(ctx context.Context, sizes []int) ([]RecoveryRow, error) {
 	dir, err := os.MkdirTemp("", "bench")
 	if err != nil {
@@ -54,7 +54,7 @@
 	return rows, nil
 }
 
-// fillStore writes the records of n requests to a new store.
+// fillStore creates a store with the records of n completed requests.
 func fillStore(ctx context.Context, path string, options storage.Options, n int) error {
 	store, _, err := storage.OpenStore(path, options)
 	if err != nil {
@@ -68,7 +68,7 @@
 			Body:     []byte(`{"model_name":"tally","outputs":[]}`),
 		}})
 		if len(records) == recoveryBatch || i == n-1 {
-			if err := commit(store, records); err != nil {
+			if err := commitAndWait(store, records); err != nil {
 				return err
 			}
 			records = nil
@@ -80,7 +80,7 @@
 	return store.Close()
 }
 
-// measureRecovery opens a store and recovers its records in a dispatcher.
+// measureRecovery opens a store and recovers a dispatcher from its records.
 func measureRecovery(path string, options storage.Options) (RecoveryRow, error) {
 	startedAt := time.Now()
 	store, recovered, err := storage.OpenStore(path, options)
@@ -92,11 +92,11 @@
 	dispatcher := dispatch.New(config.Default().Dispatch(1), noEffects{}, 0)
 	dispatcher.Recover(0, recovered.Records)
 	row.RestoreTime = time.Since(startedAt).Seconds()
-	row.PerRequest = (row.OpenTime + row.RestoreTime) / float64(max(row.Requests, 1)) * microsPerSecond
+	row.PerRequest = (row.OpenTime + row.RestoreTime) / float64(max(row.Requests, 1)) * microsecondsPerSecond
 	return row, store.Close()
 }
 
-// noEffects discards the effects of a dispatcher.
+// noEffects is a dispatch.Effects that does nothing.
 type noEffects struct{}
 
 // Respond implements dispatch.Effects.
--- a/internal/verification/scenario/fault_kinds.go
+++ b/internal/verification/scenario/fault_kinds.go
@@ -9,37 +9,37 @@
 // FaultKind is a kind of fault in a script.
 type FaultKind string
 
-// Kinds of fault. The fraction of a fault is of the workers unless its comment says otherwise. Older names of kinds are
-// accepted as well, see deprecatedFaultKinds.
+// Kinds of fault. Fault.Fraction is a fraction of the workers unless the comment says otherwise. Scripts may also use the
+// deprecated names of deprecatedFaultKinds.
 const (
 	FaultHang               FaultKind = "hang"            // workers accept requests and never respond
 	FaultLoseResponses      FaultKind = "lose"            // workers execute requests and lose the responses
-	FaultErrors             FaultKind = "errors"          // workers respond 500
-	FaultSlow               FaultKind = "slow"            // workers take Times as long
-	FaultSuspend            FaultKind = "suspend"         // workers do nothing until the fault ends
+	FaultErrors             FaultKind = "errors"          // workers respond with status 500
+	FaultSlow               FaultKind = "slow"            // workers take Magnitude times as long
+	FaultSuspend            FaultKind = "suspend"         // worker processes are suspended until the fault ends
 	FaultReset              FaultKind = "reset"           // workers reset connections
 	FaultTruncateResponses  FaultKind = "truncate"        // workers close connections after Bytes of the response
 	FaultStaleReports       FaultKind = "late-reports"    // workers repeat old load reports
 	FaultRepeatedSuspension FaultKind = "pauses"          // workers are suspended repeatedly
 	FaultNoisyNeighbour     FaultKind = "neighbour"       // workers are slow repeatedly
-	FaultCrash              FaultKind = "crash"           // worker processes end, and restart later
+	FaultCrash              FaultKind = "crash"           // worker processes crash and restart later
 	FaultReplace            FaultKind = "replace"         // worker processes are replaced under the same names and addresses
-	FaultDeploy             FaultKind = "deploy"          // all workers are drained and replaced, in waves of the fraction
-	FaultPreempt            FaultKind = "preempt"         // like deploy, but workers end before the endpoint list says so
-	FaultEvict              FaultKind = "flush"           // replicas and images of a fraction of the functions are evicted
-	FaultStoreSlow          FaultKind = "store-slow"      // fetches take Times as long
+	FaultDeploy             FaultKind = "deploy"          // all workers are drained and replaced, a fraction of them at a time
+	FaultPreempt            FaultKind = "preempt"         // like deploy, but workers terminate before the endpoint list shows it
+	FaultEvict              FaultKind = "flush"           // replicas and cached images of a fraction of the functions are evicted
+	FaultStoreSlow          FaultKind = "store-slow"      // fetches from the function store take Magnitude times as long
 	FaultStoreStop          FaultKind = "store-stop"      // the function store rejects fetches
-	FaultReleaseAtOnce      FaultKind = "release-at-once" // a fraction of the functions moves to another version
-	FaultReleasePaced       FaultKind = "release-paced"   // the same, a few at a time, preloaded
-	FaultBurst              FaultKind = "burst"           // clients send Times as many requests
-	FaultHotKey             FaultKind = "hot-key"         // a fraction of the requests is for few functions that were unused before
-	FaultCancel             FaultKind = "hang-up"         // a fraction of the requests is cancelled
-	FaultIgnoreRetryAfter   FaultKind = "retry-storm"     // clients retry at once
+	FaultReleaseAtOnce      FaultKind = "release-at-once" // a fraction of the functions moves to the new version
+	FaultReleasePaced       FaultKind = "release-paced"   // like release-at-once, but a few functions at a time, preloaded
+	FaultBurst              FaultKind = "burst"           // clients send Magnitude times as many requests
+	FaultHotKey             FaultKind = "hot-key"         // a fraction of the requests goes to a few previously unused functions
+	FaultCancel             FaultKind = "hang-up"         // clients cancel a fraction of the requests
+	FaultIgnoreRetryAfter   FaultKind = "retry-storm"     // clients ignore Retry-After and retry immediately
 	FaultEmptyList          FaultKind = "all-gone"        // the endpoint list is empty
-	FaultMidnight           FaultKind = "midnight"        // Times further schedules fire
+	FaultMidnight           FaultKind = "midnight"        // Magnitude additional schedules fire at midnight
 )
 
-// deprecatedFaultKinds maps the names of earlier scripts to the present ones.
+// deprecatedFaultKinds maps deprecated names, which existing scripts may use, to the current kinds.
 var deprecatedFaultKinds = map[FaultKind]FaultKind{
 	"stall":       FaultSuspend,
 	"cut":         FaultTruncateResponses,
@@ -55,20 +55,21 @@
 	return nil
 }
 
-// injections has the function that injects each kind of fault. It returns when the fault is over.
+// injections maps each kind of fault to the function that injects it. The function returns when the fault is over, or earlier
+// if the workers or the function store end the fault themselves.
 var injections = map[FaultKind]func(*injection, context.Context) error{
-	FaultHang:               (*injection).injectAtWorkers,
-	FaultLoseResponses:      (*injection).injectAtWorkers,
-	FaultErrors:             (*injection).injectAtWorkers,
-	FaultSlow:               (*injection).injectAtWorkers,
-	FaultSuspend:            (*injection).injectAtWorkers,
-	FaultReset:              (*injection).injectAtWorkers,
-	FaultTruncateResponses:  (*injection).injectAtWorkers,
-	FaultStaleReports:       (*injection).injectAtWorkers,
-	FaultRepeatedSuspension: func(i *injection, ctx context.Context) error { return i.repeat(ctx, fakes.FaultSuspend) },
-	FaultNoisyNeighbour:     func(i *injection, ctx context.Context) error { return i.repeat(ctx, fakes.FaultSlow) },
-	FaultCrash:              (*injection).crash,
-	FaultReplace:            (*injection).replace,
+	FaultHang:               (*injection).injectIntoWorkers,
+	FaultLoseResponses:      (*injection).injectIntoWorkers,
+	FaultErrors:             (*injection).injectIntoWorkers,
+	FaultSlow:               (*injection).injectIntoWorkers,
+	FaultSuspend:            (*injection).injectIntoWorkers,
+	FaultReset:              (*injection).injectIntoWorkers,
+	FaultTruncateResponses:  (*injection).injectIntoWorkers,
+	FaultStaleReports:       (*injection).injectIntoWorkers,
+	FaultRepeatedSuspension: func(i *injection, ctx context.Context) error { return i.injectRepeatedly(ctx, fakes.FaultSuspend) },
+	FaultNoisyNeighbour:     func(i *injection, ctx context.Context) error { return i.injectRepeatedly(ctx, fakes.FaultSlow) },
+	FaultCrash:              (*injection).crashWorkers,
+	FaultReplace:            (*injection).restartWorkers,
 	FaultDeploy:             func(i *injection, ctx context.Context) error { return i.inWaves(ctx, i.deploy) },
 	FaultPreempt:            func(i *injection, ctx context.Context) error { return i.inWaves(ctx, i.preempt) },
 	FaultEvict:              (*injection).evict,
@@ -77,9 +78,9 @@
 	FaultReleaseAtOnce:      (*injection).releaseAtOnce,
 	FaultReleasePaced:       (*injection).releasePaced,
 	FaultBurst:              (*injection).burst,
-	FaultHotKey:             (*injection).shiftTraffic,
-	FaultCancel:             (*injection).cancelMany,
+	FaultHotKey:             (*injection).useHotFunctions,
+	FaultCancel:             (*injection).cancelRequests,
 	FaultIgnoreRetryAfter:   (*injection).ignoreRetryAfter,
-	FaultEmptyList:          (*injection).emptyList,
-	FaultMidnight:           func(*injection, context.Context) error { return nil }, // part of the clients' schedules
+	FaultEmptyList:          (*injection).emptyEndpointList,
+	FaultMidnight:           func(*injection, context.Context) error { return nil }, // drawCrontab adds its schedules
 }
--- a/internal/verification/scenario/inject.go
+++ b/internal/verification/scenario/inject.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	restartNoticeDelay = 0.2 // seconds from a restart until the endpoint list has it
-	preemptNoticeDelay = 0.3 // seconds from the end of a preempted worker until the endpoint list has it
-	terminationDelay   = 1   // seconds for which a replaced worker runs on
+	restartNoticeDelay = 0.2 // seconds from the restart of a worker until the endpoint list shows it
+	preemptNoticeDelay = 0.3 // seconds from the termination of a preempted worker until the endpoint list shows it
+	terminationDelay   = 1   // seconds for which a replaced worker continues to run
 )
 
-// injection is one fault that is being injected.
+// injection is the state of one fault while it is injected.
 type injection struct {
 	*run
 	fault Fault
 	rng   *rand.Rand
 }
 
-// inject injects a fault, and returns when it is over.
+// inject injects a fault with the function that injections has for its kind.
 func (r *run) inject(ctx context.Context, f Fault, rng *rand.Rand) error {
 	r.log.Info("fault injected", "kind", f.Kind, "fraction", f.Fraction, "duration", f.Duration)
 	return injections[f.Kind](&injection{run: r, fault: f, rng: rng}, ctx)
 }
 
-// awaitEnd waits for the fault's duration, or the end of the scenario.
+// awaitEnd waits until the duration of the fault has passed or the scenario ends.
 func (i *injection) awaitEnd(ctx context.Context) { sleep(ctx, i.fault.Duration) }
 
-// drawWorkers draws a fraction of the workers in service, but at least one.
+// drawWorkers returns a random sample of the workers in service: the given fraction, but at least one.
 func (i *injection) drawWorkers(fraction float64) []*fakes.Worker {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -43,13 +43,14 @@
 	return list
 }
 
-// affected draws the workers that the fault affects.
-func (i *injection) affected() []*fakes.Worker { return i.drawWorkers(i.fault.Fraction) }
+// affectedWorkers draws the workers that the fault affects.
+func (i *injection) affectedWorkers() []*fakes.Worker { return i.drawWorkers(i.fault.Fraction) }
 
 // allWorkers returns the workers in service, in random order.
 func (i *injection) allWorkers() []*fakes.Worker { return i.drawWorkers(1) }
 
-// forEachWorker calls do for all workers of a list concurrently, and returns the first error in their order.
+// forEachWorker calls do concurrently for all workers of a list. It returns the error of the first worker in the list that
+// has one.
 func forEachWorker(list []*fakes.Worker, do func(*fakes.Worker) error) error {
 	var running sync.WaitGroup
 	errs := make([]error, len(list))
@@ -65,10 +66,10 @@
 	return nil
 }
 
-// injectAtWorkers injects the fault into workers, which end it by themselves.
-func (i *injection) injectAtWorkers(context.Context) error {
+// injectIntoWorkers injects the fault into the affected workers, which end it themselves when its duration has passed.
+func (i *injection) injectIntoWorkers(context.Context) error {
 	f := i.fault
-	for _, w := range i.affected() {
+	for _, w := range i.affectedWorkers() {
 		fault := fakes.Fault{Kind: fakes.FaultKind(f.Kind), Duration: f.Duration, Fraction: f.HitFraction, Slowdown: f.Magnitude, Bytes: f.Bytes}
 		if err := w.Inject(fault); err != nil {
 			return err
@@ -77,10 +78,10 @@
 	return nil
 }
 
-// repeat injects a fault into workers repeatedly until the scenario ends.
-func (i *injection) repeat(ctx context.Context, kind fakes.FaultKind) error {
+// injectRepeatedly injects a fault into the same workers repeatedly until the scenario ends.
+func (i *injection) injectRepeatedly(ctx context.Context, kind fakes.FaultKind) error {
 	f := i.fault
-	list := i.affected()
+	list := i.affectedWorkers()
 	for ctx.Err() == nil {
 		for _, w := range list {
 			if err := w.Inject(fakes.Fault{Kind: kind, Duration: f.Duration, Slowdown: f.Magnitude}); err != nil {
@@ -94,22 +95,22 @@
 	return nil
 }
 
-// crash ends worker processes and restarts them later. The endpoint list does not show the end, and
-// shows the restart after a delay.
-func (i *injection) crash(context.Context) error {
-	return forEachWorker(i.affected(), func(w *fakes.Worker) error {
+// crashWorkers crashes workers and restarts them after the duration of the fault. The endpoint list does not show the crash,
+// and shows the restart after a delay.
+func (i *injection) crashWorkers(context.Context) error {
+	return forEachWorker(i.affectedWorkers(), func(w *fakes.Worker) error {
 		w.Crash()
-		sleepAlways(i.fault.Duration)
+		sleepUninterrupted(i.fault.Duration)
 		if err := w.Restart(); err != nil {
 			return err
 		}
-		sleepAlways(restartNoticeDelay)
+		sleepUninterrupted(restartNoticeDelay)
 		return i.list.SetPhase(w, stateServing)
 	})
 }
 
-func (i *injection) replace(context.Context) error {
-	return forEachWorker(i.affected(), func(w *fakes.Worker) error {
+func (i *injection) restartWorkers(context.Context) error {
+	return forEachWorker(i.affectedWorkers(), func(w *fakes.Worker) error {
 		if err := w.Restart(); err != nil {
 			return err
 		}
@@ -117,7 +118,7 @@
 	})
 }
 
-// inWaves calls do for all workers, a fraction of them at a time.
+// inWaves calls do for all workers, a fraction of them at a time, with a pause after each wave.
 func (i *injection) inWaves(ctx context.Context, do func(*fakes.Worker) error) error {
 	workers := i.allWorkers()
 	wave := max(int(math.Round(i.fault.Fraction*float64(len(workers)))), 1)
@@ -132,41 +133,41 @@
 	return nil
 }
 
-// deploy drains a worker and replaces it with a cold one of another name.
+// deploy drains a worker and replaces it with a cold worker of another name. The old worker terminates after a delay.
 func (i *injection) deploy(w *fakes.Worker) error {
 	if err := i.drain(w); err != nil {
 		return err
 	}
-	if err := i.substitute(w); err != nil {
+	if err := i.replaceInEndpointList(w); err != nil {
 		return err
 	}
 	go func() {
-		sleepAlways(terminationDelay)
+		sleepUninterrupted(terminationDelay)
 		w.Crash()
 	}()
 	return nil
 }
 
-// preempt is like deploy, but the worker ends before it is removed from the endpoint list.
+// preempt is like deploy, but the worker terminates before it is removed from the endpoint list.
 func (i *injection) preempt(w *fakes.Worker) error {
 	if err := i.drain(w); err != nil {
 		return err
 	}
 	w.Crash()
-	sleepAlways(preemptNoticeDelay)
-	return i.substitute(w)
+	sleepUninterrupted(preemptNoticeDelay)
+	return i.replaceInEndpointList(w)
 }
 
 func (i *injection) drain(w *fakes.Worker) error {
 	if err := i.list.SetPhase(w, stateDraining); err != nil {
 		return err
 	}
-	sleepAlways(i.fault.Duration)
+	sleepUninterrupted(i.fault.Duration)
 	return nil
 }
 
-// substitute removes a worker from the endpoint list and adds a cold one.
-func (i *injection) substitute(w *fakes.Worker) error {
+// replaceInEndpointList removes a worker from the endpoint list, and starts and adds a cold one.
+func (i *injection) replaceInEndpointList(w *fakes.Worker) error {
 	if err := i.list.SetPhase(w, stateRemoved); err != nil {
 		return err
 	}
@@ -214,18 +215,18 @@
 	return nil
 }
 
-// shiftTraffic sends a fraction of the requests to functions that were unused before.
-func (i *injection) shiftTraffic(ctx context.Context) error {
-	i.hotThousandths.Store(int64(thousand * i.fault.Fraction))
+// useHotFunctions sends a fraction of the requests to functions that were unused before.
+func (i *injection) useHotFunctions(ctx context.Context) error {
+	i.hotFunctionPermille.Store(int64(permilleBase * i.fault.Fraction))
 	i.awaitEnd(ctx)
-	i.hotThousandths.Store(0)
+	i.hotFunctionPermille.Store(0)
 	return nil
 }
 
-func (i *injection) cancelMany(ctx context.Context) error {
-	i.cancelThousandths.Store(int64(thousand * i.fault.Fraction))
+func (i *injection) cancelRequests(ctx context.Context) error {
+	i.cancelPermille.Store(int64(permilleBase * i.fault.Fraction))
 	i.awaitEnd(ctx)
-	i.cancelThousandths.Store(0)
+	i.cancelPermille.Store(0)
 	return nil
 }
 
@@ -236,14 +237,14 @@
 	return nil
 }
 
-func (i *injection) emptyList(context.Context) error {
+func (i *injection) emptyEndpointList(context.Context) error {
 	list := i.allWorkers()
 	for _, w := range list {
 		if err := i.list.SetPhase(w, stateRemoved); err != nil {
 			return err
 		}
 	}
-	sleepAlways(i.fault.Duration)
+	sleepUninterrupted(i.fault.Duration)
 	for _, w := range list {
 		if err := i.list.SetPhase(w, stateServing); err != nil {
 			return err
--- a/internal/verification/scenario/load_generator.go
+++ b/internal/verification/scenario/load_generator.go
@@ -27,30 +27,30 @@
 	minWarmUpRequests = 50
 )
 
-// Measurement is one side of a comparison: requests per second, and latencies in milliseconds.
+// Measurement is the result of a load generator: requests per second, and latencies in milliseconds.
 type Measurement struct {
 	Rate float64 `json:"rate"`
 	P50  float64 `json:"p50_ms"`
 	P99  float64 `json:"p99_ms"`
 }
 
-// idleServers are workers that respond at once, and the endpoint list that has them.
-type idleServers struct {
+// stubWorkers are workers that respond immediately, and the file with their endpoint list.
+type stubWorkers struct {
 	addrs    []string
 	listPath string
 	servers  []*http.Server
 }
 
-func startIdleServers(dir string) (*idleServers, error) {
-	s := &idleServers{listPath: filepath.Join(dir, "workers.json")}
+func startStubWorkers(dir string) (*stubWorkers, error) {
+	s := &stubWorkers{listPath: filepath.Join(dir, "workers.json")}
 	for range benchWorkers {
 		listener, err := net.Listen("tcp", anyPort)
 		if err != nil {
 			s.close()
 			return nil, err
 		}
-		server := &http.Server{Handler: http.HandlerFunc(respondAtOnce)}
-		go func() { _ = server.Serve(listener) }() // it returns when the server is closed
+		server := &http.Server{Handler: http.HandlerFunc(respondImmediately)}
+		go func() { _ = server.Serve(listener) }() // Serve returns when the server is closed
 		s.servers = append(s.servers, server)
 		s.addrs = append(s.addrs, listener.Addr().String())
 	}
@@ -65,37 +65,37 @@
 	return s, nil
 }
 
-func (s *idleServers) close() {
+func (s *stubWorkers) close() {
 	for _, server := range s.servers {
 		_ = server.Close() // no request is open
 	}
 }
 
-func respondAtOnce(w http.ResponseWriter, r *http.Request) {
+func respondImmediately(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body) // the client may have closed
 	w.Header().Set("Server-Timing", "warm")
 	_, _ = io.WriteString(w, `{"model_name":"tally","outputs":[]}`) // the client may have closed
 }
 
-// generator keeps a number of requests in flight. It retries rejected ones until they succeed, and measures latencies
-// from the first attempt.
-type generator struct {
+// loadGenerator keeps a fixed number of requests in flight. It retries rejected requests until they succeed, and measures
+// latencies from the first attempt.
+type loadGenerator struct {
 	url      func(number int) string
 	class    string
 	inFlight int
 	requests int
-	runName  string // separates the identities of requests of different measurements
+	runName  string // makes the request identities of each measurement unique
 
 	client *http.Client
-	warmUp int // number of first requests that do not count
+	warmUp int // number of initial requests that are not measured
 
 	mu        sync.Mutex
 	latencies *hdrhistogram.Histogram // microseconds
 	firstErr  error
 }
 
-// measure sends the requests and returns the measurement.
-func (g *generator) measure(ctx context.Context) (Measurement, error) {
+// measure sends the warm-up requests and the measured requests, and returns the measurement.
+func (g *loadGenerator) measure(ctx context.Context) (Measurement, error) {
 	g.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: g.inFlight}}
 	defer g.client.CloseIdleConnections()
 	g.latencies = hdrhistogram.New(1, maxLatency, latencyDigits)
@@ -121,12 +121,12 @@
 	elapsed := time.Since(startedAt).Seconds()
 	return Measurement{
 		Rate: float64(g.requests) / elapsed,
-		P50:  float64(g.latencies.ValueAtQuantile(50)) / microsPerMilli,
-		P99:  float64(g.latencies.ValueAtQuantile(99)) / microsPerMilli,
+		P50:  float64(g.latencies.ValueAtQuantile(50)) / microsecondsPerMillisecond,
+		P99:  float64(g.latencies.ValueAtQuantile(99)) / microsecondsPerMillisecond,
 	}, g.firstErr
 }
 
-func (g *generator) sendUntilSucceeded(ctx context.Context, number int) {
+func (g *loadGenerator) sendUntilSucceeded(ctx context.Context, number int) {
 	startedAt := time.Now()
 	status, err := http.StatusServiceUnavailable, error(nil)
 	for attempt := 0; status == http.StatusServiceUnavailable && err == nil && attempt < maxBenchRetries; attempt++ {
@@ -145,7 +145,7 @@
 	}
 }
 
-func (g *generator) send(ctx context.Context, number int) (status int, err error) {
+func (g *loadGenerator) send(ctx context.Context, number int) (status int, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, g.url(number), strings.NewReader(`{"count":1}`))
 	if err != nil {
 		return 0, err
--- a/internal/verification/scenario/rollout.go
+++ b/internal/verification/scenario/rollout.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	rolloutLoads    = 4    // concurrent loads of a paced release
-	rolloutInterval = 0.02 // seconds between checks of its progress
+	rolloutLoads    = 4    // maximum concurrent loads of a paced release
+	rolloutInterval = 0.02 // seconds between checks of the progress of a paced release
 )
 
 // ErrNoVersions is returned for a release in a scenario whose functions have no versions.
 var ErrNoVersions = errors.New("script has no versions")
 
-// migrations draws a fraction of the functions, and returns their migrations to the new version.
-func (i *injection) migrations() ([]registry.Migration, error) {
+// drawMigrations draws a fraction of the functions, and returns their migrations to the new version.
+func (i *injection) drawMigrations() ([]registry.Migration, error) {
 	if i.versions == nil {
 		return nil, ErrNoVersions
 	}
 	count := i.script.Functions
 	var list []registry.Migration
 	for _, index := range i.rng.Perm(count)[:int(i.fault.Fraction*float64(count))] {
-		f := i.functions[index] // the catalogue is ordered by popularity
+		f := i.functions[index] // the catalogue is ordered by popularity, so the negative index ranks request rates
 		list = append(list, registry.Migration{
 			Function: f.Name, To: versionDigest(f.Name, newVersion), RequestRate: -float64(index),
 			LoadTime: f.FetchTime + f.StartTime,
@@ -36,9 +36,9 @@
 	return list, nil
 }
 
-// releaseAtOnce migrates a fraction of the functions.
+// releaseAtOnce migrates a fraction of the functions without preloading their new versions.
 func (i *injection) releaseAtOnce(context.Context) error {
-	list, err := i.migrations()
+	list, err := i.drawMigrations()
 	if err != nil {
 		return err
 	}
@@ -50,9 +50,9 @@
 	return nil
 }
 
-// releasePaced migrates a fraction of the functions a few at a time, each once its new version is loaded.
+// releasePaced migrates a fraction of the functions, a few at a time, each after its new version is loaded.
 func (i *injection) releasePaced(ctx context.Context) error {
-	list, err := i.migrations()
+	list, err := i.drawMigrations()
 	if err != nil {
 		return err
 	}
@@ -76,7 +76,7 @@
 
 func functionVersion(m registry.Migration) string { return m.Function + "@" + string(m.To) }
 
-// preloadNext has every front end load the next versions.
+// preloadNext requests loads of the next versions from every front end.
 func (i *injection) preloadNext(pacer *registry.RolloutPacer) error {
 	now := i.recorder.Now()
 	for _, m := range pacer.Next(now) {
@@ -93,7 +93,7 @@
 // migrateLoaded migrates the functions whose new version is loaded.
 func (i *injection) migrateLoaded(pacer *registry.RolloutPacer) error {
 	for _, m := range pacer.Loading() {
-		if !i.isLoaded(functionVersion(m)) {
+		if !i.isLoadedEverywhere(functionVersion(m)) {
 			continue
 		}
 		if update, due := pacer.OnLoaded(m.Function, i.recorder.Now()); due {
@@ -105,27 +105,27 @@
 	return nil
 }
 
-// isLoaded reports whether every front end believes that a replica of a version is ready.
-func (r *run) isLoaded(version string) bool {
-	all := true
+// isLoadedEverywhere reports whether every front end has a ready replica of a version in its routing view.
+func (r *run) isLoadedEverywhere(version string) bool {
+	loadedEverywhere := true
 	for _, f := range r.frontEnds {
-		loaded, err := knowsReplica(f, version)
+		loaded, err := hasReadyReplica(f, version)
 		if err != nil {
 			return false
 		}
-		all = all && loaded
+		loadedEverywhere = loadedEverywhere && loaded
 	}
-	return all
+	return loadedEverywhere
 }
 
-// knowsReplica reports whether a front end believes that a replica of a version is ready.
-func knowsReplica(f *eventloop.Server, version string) (bool, error) {
-	known := false
+// hasReadyReplica reports whether a front end has a ready replica of a version in its routing view.
+func hasReadyReplica(f *eventloop.Server, version string) (bool, error) {
+	ready := false
 	err := f.DoDispatcher(func(d *dispatch.Dispatcher) {
 		_, functions := d.RoutingView()
-		for _, x := range functions {
-			known = known || x.ID == control.FunctionID(version) && len(x.Replicas) > 0
+		for _, function := range functions {
+			ready = ready || function.ID == control.FunctionID(version) && len(function.Replicas) > 0
 		}
 	})
-	return known, err
+	return ready, err
 }
--- a/internal/verification/scenario/run.go
+++ b/internal/verification/scenario/run.go
@@ -22,15 +22,15 @@
 	Script string `json:"script"`
 	Seed   uint64 `json:"seed"`
 	invariants.Verdict
-	WorstInTime  float64            `json:"worst_2s"` // InTime of the worst two seconds
-	InTime       float64            `json:"in_time"`  // fraction of the firings that succeeded within the latency objective, including retries
+	WorstInTime  float64            `json:"worst_2s"` // lowest InTime of any two-second slot
+	InTime       float64            `json:"in_time"`  // fraction of the firings that succeeded within latencyObjective, retries included
 	Firings      int                `json:"firings"`
-	Deduplicated uint64             `json:"joined"` // calls that got the response of another call's request
+	Deduplicated uint64             `json:"joined"` // calls that received the response to another call's request
 	Fetches      int                `json:"store_fetches"`
 	Latency      map[string]float64 `json:"latency_ms"` // of firings that succeeded
-	Causes       map[string]int     `json:"causes"`     // of responses that are not successes
+	Causes       map[string]int     `json:"causes"`     // of unsuccessful responses
 	Seconds      float64            `json:"seconds"`
-	Failures     []string           `json:"failures,omitempty"` // of the scenario itself, not of a rule
+	Failures     []string           `json:"failures,omitempty"` // of the scenario itself, as opposed to broken rules
 }
 
 // OK reports whether all rules held and the scenario ran as scripted.
@@ -41,7 +41,7 @@
 	latencyObjective        = 0.8
 	requestTimeout          = 2.5
 	deduplicationWindow     = 30.0
-	responseMargin          = 0.2 // generous, as the clients share the machine with the front ends
+	responseMargin          = 0.2 // generous, because the clients share the machine with the front ends
 	drainGrace              = 0.5
 	observationDelay        = 0.1
 	warmUpTime              = 4.0
@@ -50,48 +50,49 @@
 	overloadWindow          = 1.5
 	idleReplicaLifetime     = 4.0
 
-	stopTimeout = time.Second // of a front end with open requests
+	stopTimeout = time.Second // maximum time for a front end with open requests to stop
 
-	// slotSeconds is the length of the slots of Report.WorstInTime. Slots with fewer than minSlotFirings don't count.
+	// slotSeconds is the length of the time slots of Report.WorstInTime. Slots with fewer than minSlotFirings firings do not
+	// count.
 	slotSeconds    = 2
 	minSlotFirings = 20
 
-	maxLatency        = 60_000_000 // microseconds
-	latencyDigits     = 3
-	microsPerMilli    = 1000
-	normalRatePercent = 100
-	thousand          = 1000
-	hotFunctions      = 3 // functions that are unused until FaultHotKey
+	maxLatency                 = 60_000_000 // microseconds
+	latencyDigits              = 3
+	microsecondsPerMillisecond = 1000
+	normalRatePercent          = 100
+	permilleBase               = 1000
+	hotFunctions               = 3 // functions that are unused until FaultHotKey
 
-	// Streams of random numbers of the same seed.
-	faultStream    = 77 // and the following ones, one for each fault
+	// Streams of the random number generators, which share the seed of the run.
+	faultStream    = 77 // the first of consecutive streams, one for each fault
 	trafficStream  = 0x57ea
 	scheduleStream = 0x71e5
 )
 
-// slot counts the firings of two seconds.
+// slot counts the firings of one time slot, which is two seconds long (slotSeconds).
 type slot struct{ firings, inTime int }
 
 // run is the state of one scenario.
 type run struct {
-	script *Script
-	seed   uint64
-	log    *slog.Logger
-	folder string
-
-	recorder  *invariants.Recorder
-	rules     invariants.Rules
-	functions []fakes.Function
-	store     *fakes.Store
-	executed  *fakes.Deduplicator
-	list      *fakes.EndpointList
-	versions  *versions // nil if functions have none
-	frontEnds []*eventloop.Server
-	addrs     []string // of the front ends
+	script  *Script
+	seed    uint64
+	log     *slog.Logger
+	tempDir string
+
+	recorder     *invariants.Recorder
+	rules        invariants.Rules
+	functions    []fakes.Function
+	store        *fakes.Store
+	deduplicator *fakes.Deduplicator
+	list         *fakes.EndpointList
+	versions     *versionRegistries // nil if the functions have no versions
+	frontEnds    []*eventloop.Server
+	addrs        []string // of the front ends
 
 	mu         sync.Mutex
 	workers    []*fakes.Worker // in service
-	started    []*fakes.Worker // including those that ended
+	started    []*fakes.Worker // including those that have terminated
 	nextWorker int
 	failures   []string
 	causes     map[string]int
@@ -100,25 +101,26 @@
 	inTime     int
 	slots      map[int]slot
 
-	ratePercent       atomic.Int64 // of the script's rate
-	hotThousandths    atomic.Int64 // fraction of the requests for hot functions
-	cancelThousandths atomic.Int64 // fraction of the requests that are cancelled
-	ignoreRetryAfter  atomic.Bool  // clients retry at once
+	ratePercent         atomic.Int64 // percentage of the script's request rate
+	hotFunctionPermille atomic.Int64 // share of the requests that go to hot functions
+	cancelPermille      atomic.Int64 // share of the requests that clients cancel
+	ignoreRetryAfter    atomic.Bool  // clients retry rejected requests immediately
 }
 
-// Run runs a script. It stops everything that it started before it returns. log may be nil.
+// Run runs a script, and returns a report and the recorded traffic. It stops everything that it started before it returns.
+// log may be nil.
 func Run(ctx context.Context, s *Script, seed uint64, log *slog.Logger) (*Report, []invariants.Record, error) {
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
 	}
-	folder, err := os.MkdirTemp("", "scenario")
+	tempDir, err := os.MkdirTemp("", "scenario")
 	if err != nil {
 		return nil, nil, err
 	}
-	defer func() { _ = os.RemoveAll(folder) }() // temporary files
+	defer func() { _ = os.RemoveAll(tempDir) }() // temporary files
 	r := &run{
-		script: s, seed: seed, log: log, folder: folder, recorder: invariants.NewRecorder(),
-		store: fakes.NewStore(s.Workers, s.Workers*4), executed: fakes.NewDeduplicator(deduplicationWindow), causes: map[string]int{},
+		script: s, seed: seed, log: log, tempDir: tempDir, recorder: invariants.NewRecorder(),
+		store: fakes.NewStore(s.Workers, s.Workers*4), deduplicator: fakes.NewDeduplicator(deduplicationWindow), causes: map[string]int{},
 		slots: map[int]slot{}, latency: hdrhistogram.New(1, maxLatency, latencyDigits),
 	}
 	r.ratePercent.Store(normalRatePercent)
@@ -127,7 +129,7 @@
 		return nil, nil, err
 	}
 	startedAt := time.Now()
-	r.runLoad(ctx)
+	r.runClientsAndFaults(ctx)
 	report := &Report{Script: s.Name, Seed: seed, Seconds: time.Since(startedAt).Seconds()}
 	report.Deduplicated = r.stopFrontEnds()
 	records := r.recorder.Records()
@@ -136,17 +138,18 @@
 	return report, records, nil
 }
 
-// stopFrontEnds stops the front ends, and returns the number of calls that were deduplicated.
+// stopFrontEnds stops the front ends, and returns the number of deduplicated calls. Requests or attempts that are still open
+// are failures of the scenario.
 func (r *run) stopFrontEnds() uint64 {
 	deduplicated := uint64(0)
 	for _, f := range r.frontEnds {
 		counts, _, _, err := f.Counts()
 		if err != nil {
-			r.fail("front end stopped unexpectedly: %v", err)
+			r.recordFailure("front end stopped unexpectedly: %v", err)
 		}
 		deduplicated += counts.Deduplicated + counts.Replayed
 		if counts.Open > 0 || counts.InFlight > 0 {
-			r.fail("front end has %d open requests and %d attempts in flight at the end", counts.Open, counts.InFlight)
+			r.recordFailure("front end has %d open requests and %d attempts in flight at the end", counts.Open, counts.InFlight)
 		}
 	}
 	for _, f := range r.frontEnds {
@@ -156,7 +159,7 @@
 	return deduplicated
 }
 
-// addMeasurements adds the measurements of the run to a report.
+// addMeasurements adds the counts and latencies of the run to a report.
 func (r *run) addMeasurements(report *Report) {
 	report.Firings = r.firings
 	if r.firings > 0 {
@@ -171,19 +174,19 @@
 	report.Fetches, report.Causes, report.Failures = r.store.Fetches, r.causes, r.failures
 	report.Latency = map[string]float64{}
 	for _, quantile := range []float64{50, 90, 99, 99.9} {
-		report.Latency[fmt.Sprintf("p%g", quantile)] = float64(r.latency.ValueAtQuantile(quantile)) / microsPerMilli
+		report.Latency[fmt.Sprintf("p%g", quantile)] = float64(r.latency.ValueAtQuantile(quantile)) / microsecondsPerMillisecond
 	}
-	report.Latency["max"] = float64(r.latency.Max()) / microsPerMilli
+	report.Latency["max"] = float64(r.latency.Max()) / microsecondsPerMillisecond
 }
 
-// fail records a failure of the scenario itself.
-func (r *run) fail(format string, args ...any) {
+// recordFailure records a failure of the scenario itself.
+func (r *run) recordFailure(format string, args ...any) {
 	r.mu.Lock()
 	r.failures = append(r.failures, fmt.Sprintf(format, args...))
 	r.mu.Unlock()
 }
 
-// close stops everything that is still running.
+// close stops the front ends and workers that are still running.
 func (r *run) close() {
 	for _, f := range r.frontEnds {
 		_ = f.Stop(0) // the scenario has already failed
@@ -193,8 +196,9 @@
 	}
 }
 
-// runLoad runs the clients and injects the faults for the script's time, and waits for the last responses.
-func (r *run) runLoad(ctx context.Context) {
+// runClientsAndFaults runs the clients and injects the faults for the duration of the script, and waits for the last
+// responses.
+func (r *run) runClientsAndFaults(ctx context.Context) {
 	s := r.script
 	ctx, cancel := context.WithTimeout(ctx, toDuration(s.Seconds))
 	defer cancel()
@@ -210,7 +214,7 @@
 				return
 			}
 			if err := r.inject(ctx, f, rng); err != nil {
-				r.fail("fault %d, %s: %v", i, f.Kind, err)
+				r.recordFailure("fault %d, %s: %v", i, f.Kind, err)
 			}
 		})
 	}
@@ -219,7 +223,7 @@
 
 func toDuration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
 
-// sleep waits, and returns false if the context ends first.
+// sleep waits for a number of seconds. It returns false if the context ends first.
 func sleep(ctx context.Context, seconds float64) bool {
 	select {
 	case <-ctx.Done():
@@ -229,5 +233,5 @@
 	}
 }
 
-// sleepAlways waits, even past the end of the scenario, to complete a fault.
-func sleepAlways(seconds float64) { time.Sleep(toDuration(seconds)) }
+// sleepUninterrupted waits even past the end of the scenario, so that a fault is completed.
+func sleepUninterrupted(seconds float64) { time.Sleep(toDuration(seconds)) }
--- a/internal/verification/scenario/scenario_test.go
+++ b/internal/verification/scenario/scenario_test.go
@@ -9,7 +9,7 @@
 	"streamcleat/internal/verification/exclusive"
 )
 
-// Built-in scripts run concurrently here, so their latencies mean little; the rules must hold even so.
+// The built-in scripts run concurrently, which distorts their latencies. The rules must hold nevertheless.
 func TestRun_BuiltinScriptsKeepRules(t *testing.T) {
 	exclusive.Acquire(t)
 	for i, name := range Scripts() {
@@ -20,9 +20,9 @@
 				t.Fatal(err)
 			}
 			log := &traceLog{}
-			stopWatching := log.watchLateness()
+			stopLogging := log.logStalls()
 			r, records, err := Run(context.Background(), s, uint64(100+i), slog.New(slog.NewTextHandler(log, nil)))
-			stopWatching()
+			stopLogging()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -31,10 +31,10 @@
 				log.print(t, r, records)
 			}
 			if r.Succeeded == 0 || r.Attempts < r.Succeeded/3 {
-				t.Errorf("too few requests: %+v", r)
+				t.Errorf("too few successful requests or attempts: %+v", r)
 			}
 			if name == "quiet" && r.InTime < 0.9 {
-				t.Errorf("only %.2f in time without faults", r.InTime)
+				t.Errorf("fraction of firings in time without faults: %.2f, want at least 0.9", r.InTime)
 			}
 		})
 	}
@@ -61,7 +61,7 @@
 	}
 }
 
-// Scripts of earlier builds are read, and run the present kinds of fault.
+// Deprecated names of fault kinds in existing scripts are mapped to the current kinds.
 func TestParseScript_DeprecatedKinds(t *testing.T) {
 	s, err := ParseScript([]byte(`{"troubles":[{"at":1,"kind":"stall"},{"at":1,"kind":"cut"},{"at":1,"kind":"retry-abuse"}]}`), "t")
 	if err != nil {
--- a/internal/verification/scenario/schedules.go
+++ b/internal/verification/scenario/schedules.go
@@ -13,58 +13,58 @@
 )
 
 const (
-	scheduleSource  = "/timers/drill"
-	preloadInterval = 0.1 // seconds between checks for schedules that are due soon
-	secondsPerMin   = 60
-	noMidnightDelay = 10 // seconds from the end of the scenario to midnight if the script has none
+	scheduleSource       = "/timers/drill"
+	preloadInterval      = 0.1 // seconds between checks for schedules that are due soon
+	secondsPerMinute     = 60
+	defaultMidnightDelay = 10 // seconds from the end of the scenario to midnight if the script has no midnight fault
 )
 
-// firstDay begins at the script's midnight on the schedules' clock.
+// firstDay is the day that begins at the script's midnight on the clock of the schedules.
 var firstDay = time.Date(2026, 12, 24, 0, 0, 0, 0, time.UTC)
 
-// scheduleClock is the clock of one client's schedules. It runs faster than real time, and reaches midnight when the
-// script says.
+// scheduleClock is the clock of one client's schedules. It may run faster than real time, and reaches midnight at the time
+// that the script sets.
 type scheduleClock struct {
-	startedAt time.Time
-	lag       float64 // seconds behind the other clients
-	midnight  float64 // seconds from startedAt
-	minute    float64 // seconds of real time
+	startedAt      time.Time
+	lag            float64 // seconds behind the clocks of the other clients
+	midnight       float64 // seconds from startedAt
+	minuteDuration float64 // seconds of real time for each minute of the clock
 }
 
 func (c scheduleClock) now() time.Time {
-	minutes := (time.Since(c.startedAt).Seconds() - c.lag - c.midnight) / c.minute
+	minutes := (time.Since(c.startedAt).Seconds() - c.lag - c.midnight) / c.minuteDuration
 	return firstDay.Add(time.Duration(minutes * float64(time.Minute)))
 }
 
-// until returns the real time until a time on the clock.
-func (c scheduleClock) until(t time.Time) time.Duration {
-	return time.Duration(float64(t.Sub(c.now())) / secondsPerMin * c.minute)
+// realTimeUntil returns the real time that passes until a time on the clock.
+func (c scheduleClock) realTimeUntil(t time.Time) time.Duration {
+	return time.Duration(float64(t.Sub(c.now())) / secondsPerMinute * c.minuteDuration)
 }
 
-// runSchedules runs one client with schedules. All clients have the same crontab, so that each minute fires at all of
-// them.
+// runSchedules runs one client with schedules. All clients have the same crontab, so that every client fires the schedules
+// of each minute.
 func (r *run) runSchedules(ctx context.Context, number int) {
 	rng := rand.New(rand.NewPCG(r.seed, scheduleStream))
 	crontab, midnight := r.drawCrontab(rng)
-	entries, err := schedule.Parse(strings.NewReader(withoutDuplicates(crontab)), "drill")
+	entries, err := schedule.Parse(strings.NewReader(removeDuplicateEntries(crontab)), "drill")
 	if err != nil {
-		r.fail("crontab: %v", err)
+		r.recordFailure("crontab: %v", err)
 		return
 	}
-	// Clocks of clients differ by up to a second.
+	// The clocks of clients differ by up to a second.
 	lags := []float64{0, rng.Float64(), 0, 1}
-	clock := scheduleClock{startedAt: time.Now(), lag: lags[number%len(lags)], midnight: midnight, minute: r.script.MinuteDuration}
+	clock := scheduleClock{startedAt: time.Now(), lag: lags[number%len(lags)], midnight: midnight, minuteDuration: r.script.MinuteDuration}
 	if r.script.PreloadAhead > 0 && number == 0 {
 		go r.preload(ctx, entries, clock)
 	}
 	client := r.newClient(scheduleSource, r.script.Retries)
 	plan := schedule.NewPlan(entries, clock.now())
 	client.OnResult = r.countResult
-	client.Run(ctx, plan, clock.now, clock.until)
+	client.Run(ctx, plan, clock.now, clock.realTimeUntil)
 }
 
-// drawCrontab draws a crontab whose entries fire each minute, and at midnight if the script has one. It also returns the
-// time of midnight, in seconds from the start.
+// drawCrontab returns a crontab with random request classes. Its entries fire each minute, and at midnight if the script has
+// a midnight fault. It also returns the time of midnight, in seconds from the start.
 func (r *run) drawCrontab(rng *rand.Rand) (crontab string, midnight float64) {
 	s := r.script
 	var text strings.Builder
@@ -74,7 +74,7 @@
 		fmt.Fprintf(&text, "* * * * * %s %s kitaboshi-wear %%{\"entry\":%d}\n", classes[rng.IntN(len(classes))],
 			r.functions[i%s.Functions].Name, i)
 	}
-	midnight = s.Seconds + noMidnightDelay
+	midnight = s.Seconds + defaultMidnightDelay
 	for _, f := range s.Faults {
 		if f.Kind != FaultMidnight {
 			continue
@@ -88,7 +88,7 @@
 	return text.String(), midnight
 }
 
-// preload loads functions whose schedules are due soon, like the appliance.
+// preload loads the functions of schedules that are due soon, as the appliance does.
 func (r *run) preload(ctx context.Context, entries []schedule.Entry, clock scheduleClock) {
 	ahead := time.Duration(r.script.PreloadAhead / r.script.MinuteDuration * float64(time.Minute))
 	for sleep(ctx, preloadInterval) {
@@ -102,8 +102,8 @@
 	}
 }
 
-// withoutDuplicates removes duplicate entries, which a crontab must not have.
-func withoutDuplicates(crontab string) string {
+// removeDuplicateEntries returns a crontab without duplicate entries, which the parser rejects.
+func removeDuplicateEntries(crontab string) string {
 	seen := map[string]bool{}
 	var out strings.Builder
 	for _, line := range strings.SplitAfter(crontab, "\n") {
--- a/internal/verification/scenario/script.go
+++ b/internal/verification/scenario/script.go
@@ -13,31 +13,31 @@
 	"streamcleat/internal/verification/fakes"
 )
 
-// Script is one scenario. Times are seconds; fractions are between 0 and 1.
+// Script describes one scenario. Times are in seconds; fractions are between 0 and 1.
 type Script struct {
 	Name           string             `json:"name"`
 	Description    string             `json:"about"`
 	Seconds        float64            `json:"seconds"`
-	Rate           float64            `json:"rate"` // requests per second, without those of schedules
+	Rate           float64            `json:"rate"` // requests per second, not counting firings of schedules
 	FrontEnds      int                `json:"front_ends"`
 	Workers        int                `json:"workers"`
 	Cores          int                `json:"cores"` // of each worker
 	Functions      int                `json:"functions"`
-	MeanWork       float64            `json:"work"` // mean work of a request on a core of speed 1
+	MeanWork       float64            `json:"work"` // mean work of a request, in seconds on a core of speed 1
 	ClassMix       map[string]float64 `json:"mix"`  // fraction of each request class
 	Schedules      int                `json:"timers"`
 	MinuteDuration float64            `json:"minute"` // duration of a minute on the schedules' clock
 	Clients        int                `json:"clients"`
-	ColdStart      bool               `json:"cold"`          // all workers start with the scenario
-	LoadOnRequest  bool               `json:"load_on_event"` // a request for a function that is not loaded loads it
+	ColdStart      bool               `json:"cold"`          // all workers are cold when the scenario starts
+	LoadOnRequest  bool               `json:"load_on_event"` // workers load a function when a request for it arrives
 	LoadLimit      [3]float64         `json:"ration"`        // window, load commands without a request, load commands for each request
 	Retries        int                `json:"repeats"`
 	Versions       bool               `json:"versions"` // functions have versions
-	PreloadAhead   float64            `json:"ahead"`    // time before a schedule is due at which its function is preloaded; 0: never
+	PreloadAhead   float64            `json:"ahead"`    // how long before a schedule is due its function is preloaded; 0: never
 	Faults         []Fault            `json:"troubles"`
 }
 
-// Fault is one fault of a script.
+// Fault describes one fault of a script.
 type Fault struct {
 	At          float64   `json:"at"`
 	Kind        FaultKind `json:"kind"`
@@ -45,11 +45,11 @@
 	Duration    float64   `json:"for"`
 	Magnitude   float64   `json:"times"` // factor or count, depending on the kind
 	Every       float64   `json:"every"` // interval of a repeated fault
-	Bytes       int       `json:"bytes"` // sent of a truncated response
-	HitFraction float64   `json:"hit"`   // fraction of the requests that it affects; 0: all
+	Bytes       int       `json:"bytes"` // bytes of a truncated response that are sent
+	HitFraction float64   `json:"hit"`   // fraction of the requests that the fault affects; 0: all
 }
 
-// Limits of scripts.
+// Maximum values of the fields of a script.
 const (
 	maxSeconds   = 3600
 	maxRate      = 5000
@@ -91,7 +91,7 @@
 	return ParseScript(data, name)
 }
 
-// defaultScript returns the sizes of a small site.
+// defaultScript returns the default values of a script, which describe a small site.
 func defaultScript() *Script {
 	return &Script{
 		Seconds: 8, Rate: 100, FrontEnds: 2, Workers: 8, Cores: 2, Functions: 40, MeanWork: 0.04, Schedules: 30,
@@ -100,8 +100,8 @@
 	}
 }
 
-// ParseScript decodes and checks a script. Fields that it lacks have the values of defaultScript. from names the script
-// in errors.
+// ParseScript decodes and validates a script. Missing fields have the values of defaultScript. from is the name of the script
+// in error messages, and its default name.
 func ParseScript(data []byte, from string) (*Script, error) {
 	s := defaultScript()
 	d := json.NewDecoder(bytes.NewReader(data))
@@ -118,10 +118,10 @@
 	return s, nil
 }
 
-// errSizes is returned for several fields that share a message.
+// errSizes is the error for an invalid value of any of the fields that it names.
 var errSizes = errors.New("minute and work must be above 0, cores at least 1, clients 0 to 16")
 
-// FieldError is the error for an invalid value of a field of a script.
+// FieldError reports an invalid value of a field of a script.
 type FieldError struct {
 	Field string
 	Value any
--- a/internal/verification/scenario/site.go
+++ b/internal/verification/scenario/site.go
@@ -13,7 +13,7 @@
 	"streamcleat/internal/verification/invariants"
 )
 
-// Limits of every worker.
+// Resource limits of every worker.
 const (
 	workerMemoryMB     = 8000
 	workerQueueLimit   = 64
@@ -27,10 +27,10 @@
 
 	anyPort     = "127.0.0.1:0"
 	clusterName = "drill"
-	seedStride  = 1000003 // separates the seeds of the front ends of two scenarios
+	seedStride  = 1000003 // keeps the front end seeds of scenarios with different seeds apart
 )
 
-// start starts workers and front ends.
+// start starts the workers and the front ends, and sets the rules that the checker applies to them.
 func (r *run) start() error {
 	s := r.script
 	r.functions = fakes.Catalogue(s.Functions+hotFunctions, s.MeanWork, r.seed)
@@ -60,7 +60,7 @@
 		}
 		r.workers = append(r.workers, w)
 	}
-	path := filepath.Join(r.folder, "workers.json")
+	path := filepath.Join(r.tempDir, "workers.json")
 	var err error
 	if r.list, err = fakes.NewEndpointList(path, r.recorder, r.workers); err != nil {
 		return err
@@ -76,7 +76,7 @@
 	return mean
 }
 
-// startColdWorker starts a worker that warms up.
+// startColdWorker starts a worker that has yet to warm up.
 func (r *run) startColdWorker() (*fakes.Worker, error) {
 	w, err := r.startWorker()
 	if err != nil {
@@ -85,7 +85,7 @@
 	return w, w.Restart()
 }
 
-// startWorker starts a warm worker.
+// startWorker starts a worker that is already warm.
 func (r *run) startWorker() (*fakes.Worker, error) {
 	r.mu.Lock()
 	number := r.nextWorker
@@ -110,7 +110,7 @@
 		MeanWork:                r.meanWork(),
 		Functions:               r.functions,
 		Store:                   r.store,
-		Deduplicator:            r.executed,
+		Deduplicator:            r.deduplicator,
 		IdempotentByKeyClasses:  map[string]bool{fakes.ClassIdempotentByKey: true},
 		Recorder:                r.recorder,
 		Seed:                    r.seed + uint64(number),
@@ -125,19 +125,19 @@
 	return w, nil
 }
 
-// startFrontEnds starts front ends that watch the endpoint list at a path, and gossip with each other.
+// startFrontEnds starts front ends that watch the endpoint list at listPath and gossip with each other.
 func (r *run) startFrontEnds(listPath string) error {
 	s := r.script
 	peers, err := freeUDPAddrs(s.FrontEnds)
 	if err != nil {
 		return err
 	}
-	c, err := r.configure()
+	c, err := r.frontEndConfig()
 	if err != nil {
 		return err
 	}
 	if s.Versions {
-		if r.versions, err = newVersions(r.functions, s.FrontEnds); err != nil {
+		if r.versions, err = newVersionRegistries(r.functions, s.FrontEnds); err != nil {
 			return err
 		}
 	}
@@ -152,8 +152,8 @@
 	return nil
 }
 
-// configure returns the configuration of the front ends.
-func (r *run) configure() (*config.Config, error) {
+// frontEndConfig returns the configuration that all front ends share.
+func (r *run) frontEndConfig() (*config.Config, error) {
 	s := r.script
 	document := fakes.SiteConfig{
 		Name:      "front",
@@ -172,7 +172,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return config.Parse(data, r.folder)
+	return config.Parse(data, r.tempDir)
 }
 
 func (r *run) frontEndSettings(c *config.Config, number int, listPath string, peers []string) eventloop.Settings {
@@ -181,7 +181,7 @@
 	decisions.Deployment.FrontEnds, decisions.Deployment.GossipAllowed = s.FrontEnds, s.FrontEnds > 1
 	if r.versions != nil {
 		decisions.ResolveVersion = r.versions.resolver(number, c.Function)
-		decisions.VersionAllowed = r.versions.isAllowed(number)
+		decisions.VersionAllowed = r.versions.allowedCheck(number)
 	}
 	settings := eventloop.Settings{Listen: c.Listen[0], EndpointListFile: listPath, Settings: proxy.Settings{
 		Name:         name,
@@ -204,7 +204,7 @@
 	return settings
 }
 
-// countCause counts the cause of a response that is not a success.
+// countCause counts the cause of an unsuccessful response.
 func (r *run) countCause(response dispatch.Response, _ *dispatch.Trace) {
 	if response.Kind == dispatch.Succeeded {
 		return
@@ -216,7 +216,7 @@
 
 func frontEndName(number int) string { return fmt.Sprintf("front-%d", number) }
 
-// freeUDPAddrs returns loopback addresses that are free at the moment.
+// freeUDPAddrs returns n loopback UDP addresses that are currently free.
 func freeUDPAddrs(n int) ([]string, error) {
 	var list []string
 	var conns []*net.UDPConn
--- a/internal/verification/scenario/trace_test.go
+++ b/internal/verification/scenario/trace_test.go
@@ -13,12 +13,13 @@
 )
 
 const (
-	latenessInterval = 5 * time.Millisecond
-	// notableLateness is the delay of the test process itself that is worth a line: clients, front ends and workers share it.
-	notableLateness = 30 * time.Millisecond
+	stallCheckInterval = 5 * time.Millisecond
+	// minLoggedStall is the shortest stall of the test process that is logged. Clients, front ends and workers share the
+	// process, so a stall delays all of them.
+	minLoggedStall = 30 * time.Millisecond
 )
 
-// traceLog keeps the log of a run, so that a failure can be traced: it may not show again.
+// traceLog keeps the log of a run, because a failure may not be reproducible.
 type traceLog struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -31,8 +32,8 @@
 	return l.text.Write(line)
 }
 
-// watchLateness logs when the test process was held up, until the function that it returns is called.
-func (l *traceLog) watchLateness() (stop func()) {
+// logStalls logs stalls of the test process until the returned function is called.
+func (l *traceLog) logStalls() (stop func()) {
 	done, stopped := make(chan struct{}), make(chan struct{})
 	startedAt := time.Now()
 	go func() {
@@ -41,10 +42,10 @@
 			select {
 			case <-done:
 				return
-			case <-time.After(latenessInterval):
+			case <-time.After(stallCheckInterval):
 			}
-			if late := time.Since(last) - latenessInterval; late > notableLateness {
-				_, _ = fmt.Fprintf(l, "test process held up for %v until %.3f s after the start\n", late, time.Since(startedAt).Seconds())
+			if stall := time.Since(last) - stallCheckInterval; stall > minLoggedStall {
+				_, _ = fmt.Fprintf(l, "test process stalled for %v until %.3f s after the start\n", stall, time.Since(startedAt).Seconds())
 			}
 		}
 	}()
@@ -54,7 +55,7 @@
 	}
 }
 
-// print prints the records of the requests that the violations name, and the log.
+// print logs the records of the requests that the violations or failures name, and the log of the run.
 func (l *traceLog) print(t *testing.T, report *Report, records []invariants.Record) {
 	t.Helper()
 	violations := strings.Join(append(report.Violations, report.Failures...), "\n")
--- a/internal/verification/scenario/traffic.go
+++ b/internal/verification/scenario/traffic.go
@@ -18,12 +18,12 @@
 const (
 	trafficSource  = "/tills"
 	maxCancelDelay = 60 * time.Millisecond
-	retrySuffix    = "+" // makes the identity of a request that ignores Retry-After another one
+	retrySuffix    = "+" // gives the retry of a request that ignores Retry-After a new identity
 )
 
 var tenants = []string{"kitaboshi-wear", "minato-shoes"}
 
-// newClient returns a CloudEvents client whose calls are recorded.
+// newClient returns a CloudEvents client whose attempts are recorded.
 func (r *run) newClient(source string, retries int) *schedule.Client {
 	transport := &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second}
 	return &schedule.Client{
@@ -40,7 +40,7 @@
 	}
 }
 
-// recordEnd records the end of a call.
+// recordEnd records the result of a call.
 func (r *run) recordEnd(record invariants.Record, status int, digest string, err error) {
 	record.Status = status
 	if status == http.StatusOK {
@@ -50,17 +50,17 @@
 	case status == 0 && errors.Is(err, context.Canceled):
 		record.Kind = invariants.ClientCancelled
 	case status == 0 && errors.Is(err, context.DeadlineExceeded):
-		return // the checker reports the missing response
+		return // no record: the checker reports the missing response
 	case status == 0:
 		record.Kind, record.Outcome = invariants.ResponseReceived, invariants.Invalid
-		r.fail("%s: %v", record.RequestID, err)
+		r.recordFailure("%s: %v", record.RequestID, err)
 	default:
-		record.Kind, record.Outcome = invariants.ResponseReceived, outcomeOf(status)
+		record.Kind, record.Outcome = invariants.ResponseReceived, outcomeFromStatus(status)
 	}
 	r.recorder.Add(record)
 }
 
-// frontEndAt returns the name of the front end at an address.
+// frontEndAt returns the name of the front end at an address, or the address if there is none.
 func (r *run) frontEndAt(addr string) string {
 	if i := slices.Index(r.addrs, addr); i >= 0 {
 		return frontEndName(i)
@@ -68,7 +68,7 @@
 	return addr
 }
 
-func outcomeOf(status int) string {
+func outcomeFromStatus(status int) string {
 	switch status {
 	case http.StatusOK:
 		return invariants.Succeeded
@@ -80,7 +80,7 @@
 	return invariants.Invalid
 }
 
-// countResult counts the result of a request or firing.
+// countResult adds the result of a request or firing to the measurements.
 func (r *run) countResult(result schedule.Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -98,24 +98,24 @@
 	if succeeded {
 		_ = r.latency.RecordValue(max(result.Latency.Microseconds(), 1)) // the timeout is below its maximum
 	}
-	if outcomeOf(result.Status) == invariants.Invalid && result.Status != 0 {
+	if outcomeFromStatus(result.Status) == invariants.Invalid && result.Status != 0 {
 		r.failures = append(r.failures, fmt.Sprintf("%s: status %d", result.ID, result.Status))
 	}
 }
 
-// traffic draws the requests of clients: classes by the script's mix, functions by a Zipf distribution.
-type traffic struct {
+// trafficGenerator generates the requests of clients: classes follow the script's mix, functions a Zipf distribution.
+type trafficGenerator struct {
 	run        *run
 	rng        *rand.Rand
 	popularity *rand.Zipf
 	client     *schedule.Client
 }
 
-// sendTraffic sends requests until the context ends, and waits for their results.
+// sendTraffic sends requests at the script's rate until the context ends, and waits for their results.
 func (r *run) sendTraffic(ctx context.Context) {
 	s := r.script
 	rng := rand.New(rand.NewPCG(r.seed, trafficStream))
-	t := &traffic{
+	t := &trafficGenerator{
 		run: r, rng: rng, popularity: rand.NewZipf(rng, 1.2, 3, uint64(s.Functions-1)),
 		client: r.newClient(trafficSource, s.Retries),
 	}
@@ -126,8 +126,8 @@
 		if !sleep(ctx, rng.ExpFloat64()/rate) {
 			return
 		}
-		firing := t.draw(number)
-		cancelled := rng.Int64N(thousand) < r.cancelThousandths.Load()
+		firing := t.drawRequest(number)
+		cancelled := rng.Int64N(permilleBase) < r.cancelPermille.Load()
 		cancelDelay := time.Duration(rng.Int64N(int64(maxCancelDelay)))
 		sending.Go(func() {
 			if cancelled {
@@ -140,41 +140,41 @@
 	<-ctx.Done()
 }
 
-// draw draws a request.
-func (t *traffic) draw(number int) schedule.Firing {
+// drawRequest returns a request with a random class, function and tenant.
+func (t *trafficGenerator) drawRequest(number int) schedule.Firing {
 	r := t.run
 	class := t.drawClass()
 	function := r.functions[t.popularity.Uint64()].Name
-	if t.rng.Int64N(thousand) < r.hotThousandths.Load() {
+	if t.rng.Int64N(permilleBase) < r.hotFunctionPermille.Load() {
 		function = r.functions[r.script.Functions+t.rng.IntN(hotFunctions)].Name
 	}
 	entry := &schedule.Entry{Class: class, Function: function, Tenant: tenants[t.rng.IntN(len(tenants))], Data: []byte(`{"count":1}`)}
 	return schedule.Firing{Entry: entry, Due: time.Now(), ID: fmt.Sprintf("e-%d", number)}
 }
 
-func (t *traffic) drawClass() (class string) {
-	draw := t.rng.Float64()
+func (t *trafficGenerator) drawClass() (class string) {
+	sample := t.rng.Float64()
 	for _, class = range fakes.RequestClasses() {
 		fraction := t.run.script.ClassMix[class]
-		if draw < fraction {
+		if sample < fraction {
 			break
 		}
-		draw -= fraction
+		sample -= fraction
 	}
 	return class
 }
 
-// sendAndCancel sends a request and cancels it after a delay. Its result does not count.
-func (t *traffic) sendAndCancel(firing schedule.Firing, delay time.Duration) {
+// sendAndCancel sends a request and cancels it after a delay. Its result is not counted.
+func (t *trafficGenerator) sendAndCancel(firing schedule.Firing, delay time.Duration) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	time.AfterFunc(delay, cancel)
 	t.send(ctx, firing)
 }
 
-// send sends a request and returns its result. While clients ignore Retry-After, it sends a rejected one again at once,
-// as a request of another identity.
-func (t *traffic) send(ctx context.Context, firing schedule.Firing) schedule.Result {
+// send sends a request and returns its result. While clients ignore Retry-After, it immediately resends a rejected request
+// with a new identity.
+func (t *trafficGenerator) send(ctx context.Context, firing schedule.Firing) schedule.Result {
 	result := t.client.Fire(ctx, firing)
 	for t.run.ignoreRetryAfter.Load() && result.Status == http.StatusServiceUnavailable && result.Latency.Seconds() < requestTimeout {
 		firing.ID += retrySuffix
--- a/internal/verification/scenario/versions.go
+++ b/internal/verification/scenario/versions.go
@@ -16,17 +16,18 @@
 	oldVersion = "1"
 	newVersion = "2"
 
-	aliasUpdateDelay = 2 * time.Millisecond // between the updates of two front ends
+	aliasUpdateDelay = 2 * time.Millisecond // between the updates of two front ends' registries
 )
 
-// versions holds a registry for each front end, as appliances have. Updates of aliases reach one after the other.
-type versions struct {
+// versionRegistries holds a registry of versions for each front end, as in appliances. Alias updates reach the registries
+// one after the other.
+type versionRegistries struct {
 	mu         sync.Mutex
 	registries []*registry.Registry
 }
 
-func newVersions(functions []fakes.Function, frontEnds int) (*versions, error) {
-	v := &versions{}
+func newVersionRegistries(functions []fakes.Function, frontEnds int) (*versionRegistries, error) {
+	v := &versionRegistries{}
 	for range frontEnds {
 		r := registry.New()
 		for _, f := range functions {
@@ -43,7 +44,7 @@
 	return digest.FromString(function + ":" + version)
 }
 
-// publish publishes both versions of a function. The alias "current" points to the old one.
+// publish publishes both versions of a function, with the default alias "current" for the old version.
 func publish(r *registry.Registry, f fakes.Function) error {
 	for _, name := range []string{oldVersion, newVersion} {
 		version := &registry.Version{
@@ -57,8 +58,8 @@
 	return r.Apply(registry.Entry{AliasUpdate: &registry.AliasUpdate{Function: f.Name, Alias: registry.DefaultAlias, Digest: versionDigest(f.Name, oldVersion)}})
 }
 
-// resolver returns the function by which a front end resolves the versions of requests.
-func (v *versions) resolver(frontEnd int, profile func(string) dispatch.FunctionProfile) func(*dispatch.Request) (dispatch.Binding, dispatch.FunctionProfile, error) {
+// resolver returns the function that a front end uses to resolve the version of a request.
+func (v *versionRegistries) resolver(frontEnd int, profile func(string) dispatch.FunctionProfile) func(*dispatch.Request) (dispatch.Binding, dispatch.FunctionProfile, error) {
 	return func(request *dispatch.Request) (dispatch.Binding, dispatch.FunctionProfile, error) {
 		v.mu.Lock()
 		defer v.mu.Unlock()
@@ -72,8 +73,8 @@
 	}
 }
 
-// isAllowed returns the function by which a front end checks that a version is not revoked.
-func (v *versions) isAllowed(frontEnd int) func(dispatch.Binding) bool {
+// allowedCheck returns the function that a front end uses to check that a version is not revoked.
+func (v *versionRegistries) allowedCheck(frontEnd int) func(dispatch.Binding) bool {
 	return func(b dispatch.Binding) bool {
 		v.mu.Lock()
 		defer v.mu.Unlock()
@@ -81,8 +82,8 @@
 	}
 }
 
-// updateAlias updates an alias at the front ends, one after the other.
-func (v *versions) updateAlias(update registry.AliasUpdate) error {
+// updateAlias updates an alias in the registries of the front ends, one after the other.
+func (v *versionRegistries) updateAlias(update registry.AliasUpdate) error {
 	for i := range v.registries {
 		v.mu.Lock()
 		err := v.registries[i].Apply(registry.Entry{AliasUpdate: &update})
