--- a/internal/eventloop/server_test.go
+++ b/internal/eventloop/server_test.go
@@ -173,7 +173,7 @@
 	wait := f.requestUntil(ctx, 6)
 	for _, worker := range f.workers[:2] {
 		time.Sleep(500 * time.Millisecond)
-		if err := f.list.SetPhase(worker, "draining"); err != nil {
+		if err := f.list.SetState(worker, "draining"); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -181,7 +181,7 @@
 	if err := f.workers[0].Restart(); err != nil { // a new process with the same name and address
 		t.Fatal(err)
 	}
-	if err := f.list.SetPhase(f.workers[0], "serving"); err != nil {
+	if err := f.list.SetState(f.workers[0], "serving"); err != nil {
 		t.Fatal(err)
 	}
 	failed := wait()
--- a/internal/node/worker_connection_test.go
+++ b/internal/node/worker_connection_test.go
@@ -37,7 +37,7 @@
 		"close during reply": func(t *testing.T, conn net.Conn) {
 			t.Helper()
 			readSome(conn)
-			if _, err := conn.Write([]byte{nodetest.ReplyMark, nodetest.ReplySucceeded, 0}); err != nil {
+			if _, err := conn.Write([]byte{nodetest.ReplyMagic, nodetest.ReplySucceeded, 0}); err != nil {
 				t.Error(err)
 			}
 			nodetest.Close(t, conn)
--- a/internal/verification/fakes/endpoint_list.go
+++ b/internal/verification/fakes/endpoint_list.go
@@ -56,9 +56,9 @@
 	return l, l.write()
 }
 
-// SetPhase changes or adds a worker's entry; the state "gone" removes it. It records the change before it writes the
+// SetState changes or adds a worker's entry; the state "gone" removes it. It records the change before it writes the
 // file, so that no front end receives it earlier than the recording says.
-func (l *EndpointList) SetPhase(w *Worker, phase string) error {
+func (l *EndpointList) SetState(w *Worker, phase string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	startedAt, cold := w.StartedAt()
--- a/internal/verification/fakes/queue.go
+++ b/internal/verification/fakes/queue.go
@@ -26,7 +26,7 @@
 	if s == nil {
 		return nil, http.StatusNotFound
 	}
-	if digest != "" && s.Ready+s.Loading == 0 && !w.config.LoadsOnRequest && w.replicas.HasOtherVersion(s) {
+	if digest != "" && s.Ready+s.Loading == 0 && !w.config.LoadsOnRequest && w.replicas.HasOtherReadyVersion(s) {
 		return nil, http.StatusPreconditionFailed // only another version is ready, which must not execute it
 	}
 	q := &queuedRequest{replicas: s, startKind: StartWarm, start: make(chan startSignal, 1)}
@@ -95,8 +95,8 @@
 	s := q.replicas
 	s.Busy--
 	w.running--
-	if s.Outdated > 0 && s.Busy <= (s.Ready-1)*s.Function.Concurrency {
-		s.Outdated--
+	if s.PendingEviction > 0 && s.Busy <= (s.Ready-1)*s.Function.Concurrency {
+		s.PendingEviction--
 		s.Ready--
 	}
 	if s.Busy == 0 {
--- a/internal/verification/fakes/replica_table.go
+++ b/internal/verification/fakes/replica_table.go
@@ -2,14 +2,14 @@
 
 // ReplicaSet holds the replicas of one version of a function on a worker.
 type ReplicaSet struct {
-	Function  *Function
-	Digest    string // of the version; empty for a function without versions
-	Ready     int
-	Loading   int
-	Busy      int     // requests in progress
-	IdleSince float64 // seconds on the worker's clock
-	HasImage  bool    // the image is on disk, so that a load needs no fetch
-	Outdated  int     // ready replicas that are evicted as soon as they are idle
+	Function        *Function
+	Digest          string // of the version; empty for a function without versions
+	Ready           int
+	Loading         int
+	Busy            int     // requests in progress
+	IdleSince       float64 // seconds on the worker's clock
+	HasImage        bool    // the image is on disk, so that a load needs no fetch
+	PendingEviction int     // ready replicas that are evicted as soon as they are idle
 }
 
 // Capacity returns the number of requests that the ready replicas execute concurrently.
@@ -55,8 +55,8 @@
 	return s
 }
 
-// HasOtherVersion reports whether another version of the set's function is ready.
-func (t *ReplicaTable) HasOtherVersion(s *ReplicaSet) bool {
+// HasOtherReadyVersion reports whether another version of the set's function is ready.
+func (t *ReplicaTable) HasOtherReadyVersion(s *ReplicaSet) bool {
 	for _, other := range t.sets {
 		if other != s && other.Function == s.Function && other.Ready > 0 {
 			return true
--- a/internal/verification/fakes/replicas.go
+++ b/internal/verification/fakes/replicas.go
@@ -23,8 +23,8 @@
 		if names[s.Function.Name] {
 			s.HasImage = false
 			busy := (s.Busy + s.Function.Concurrency - 1) / s.Function.Concurrency
-			s.Outdated = min(busy, s.Ready)
-			s.Ready = s.Outdated
+			s.PendingEviction = min(busy, s.Ready)
+			s.Ready = s.PendingEviction
 		}
 	}
 }
--- a/internal/verification/fakes/worker_test.go
+++ b/internal/verification/fakes/worker_test.go
@@ -156,11 +156,11 @@
 	if err := w.Restart(); err != nil {
 		t.Fatal(err)
 	}
-	if err := list.SetPhase(w, "draining"); err != nil {
+	if err := list.SetState(w, "draining"); err != nil {
 		t.Fatal(err)
 	}
 	check(head + "draining\",\n   \"size\": \"1\",\n   \"started\": \"S\",\n" + tail)
-	if err := list.SetPhase(w, "gone"); err != nil {
+	if err := list.SetState(w, "gone"); err != nil {
 		t.Fatal(err)
 	}
 	check("[]")
--- a/internal/verification/nodetest/frame.go
+++ b/internal/verification/nodetest/frame.go
@@ -17,8 +17,8 @@
 	CommandLoad    = 52
 	ReplySucceeded = 64
 	ReplyFailed    = 68
-	// ReplyMark is the first byte of each reply.
-	ReplyMark = 193
+	// ReplyMagic is the first byte of each reply.
+	ReplyMagic = 193
 )
 
 // Fields of replies.
@@ -66,7 +66,7 @@
 
 // Reply returns a reply to the frame.
 func (f Frame) Reply(code byte, fields string, body []byte) []byte {
-	reply := binary.BigEndian.AppendUint16([]byte{ReplyMark, code}, uint16(len(fields)))
+	reply := binary.BigEndian.AppendUint16([]byte{ReplyMagic, code}, uint16(len(fields)))
 	reply = binary.BigEndian.AppendUint32(reply, uint32(len(body)))
 	reply = append(reply, f.head[requestIDOffset:]...)
 	reply = append(append(reply, fields...), body...)
--- a/internal/verification/nodetest/nodetest_test.go
+++ b/internal/verification/nodetest/nodetest_test.go
@@ -14,7 +14,7 @@
 
 // encodeFrame encodes a frame as a front end sends it.
 func encodeFrame(command byte, fields, body string) []byte {
-	frame := binary.BigEndian.AppendUint16([]byte{ReplyMark, command}, uint16(len(fields)))
+	frame := binary.BigEndian.AppendUint16([]byte{ReplyMagic, command}, uint16(len(fields)))
 	frame = binary.BigEndian.AppendUint32(frame, uint32(len(body)))
 	frame = append(frame, 0, 0, 0, 0, 0, 0, 0, 7)
 	frame = append(append(frame, fields...), body...)
--- a/internal/verification/scenario/inject.go
+++ b/internal/verification/scenario/inject.go
@@ -104,7 +104,7 @@
 			return err
 		}
 		sleepAlways(restartNoticeDelay)
-		return i.list.SetPhase(w, stateServing)
+		return i.list.SetState(w, stateServing)
 	})
 }
 
@@ -113,7 +113,7 @@
 		if err := w.Restart(); err != nil {
 			return err
 		}
-		return i.list.SetPhase(w, stateServing)
+		return i.list.SetState(w, stateServing)
 	})
 }
 
@@ -158,7 +158,7 @@
 }
 
 func (i *injection) drain(w *fakes.Worker) error {
-	if err := i.list.SetPhase(w, stateDraining); err != nil {
+	if err := i.list.SetState(w, stateDraining); err != nil {
 		return err
 	}
 	sleepAlways(i.fault.Duration)
@@ -167,7 +167,7 @@
 
 // substitute removes a worker from the endpoint list and adds a cold one.
 func (i *injection) substitute(w *fakes.Worker) error {
-	if err := i.list.SetPhase(w, stateRemoved); err != nil {
+	if err := i.list.SetState(w, stateRemoved); err != nil {
 		return err
 	}
 	replacement, err := i.startColdWorker()
@@ -181,7 +181,7 @@
 		}
 	}
 	i.mu.Unlock()
-	return i.list.SetPhase(replacement, stateServing)
+	return i.list.SetState(replacement, stateServing)
 }
 
 func (i *injection) evict(context.Context) error {
@@ -239,13 +239,13 @@
 func (i *injection) emptyList(context.Context) error {
 	list := i.allWorkers()
 	for _, w := range list {
-		if err := i.list.SetPhase(w, stateRemoved); err != nil {
+		if err := i.list.SetState(w, stateRemoved); err != nil {
 			return err
 		}
 	}
 	sleepAlways(i.fault.Duration)
 	for _, w := range list {
-		if err := i.list.SetPhase(w, stateServing); err != nil {
+		if err := i.list.SetState(w, stateServing); err != nil {
 			return err
 		}
 	}
