--- a/internal/verification/exclusive/exclusive_test.go
+++ b/internal/verification/exclusive/exclusive_test.go
@@ -14,7 +14,7 @@
 				t.Parallel()
 				Acquire(t)
 				if holders.Add(1) > 1 {
-					t.Error("two hold the lock")
+					t.Error("the lock has more than one holder")
 				}
 				time.Sleep(20 * time.Millisecond)
 				holders.Add(-1)
--- a/internal/verification/fakes/catalogue.go
+++ b/internal/verification/fakes/catalogue.go
@@ -6,20 +6,21 @@
 	"time"
 )
 
-// catalogueStream separates the random numbers of Catalogue from others of the same seed.
+// catalogueStream selects a random number stream for Catalogue that is independent of others with the same seed.
 const catalogueStream = 0xca7a
 
-// Function describes a function to the workers. Times are seconds.
+// Function describes a function that workers can load. Times are in seconds.
 type Function struct {
 	Name        string
 	MemoryMB    float64 // of one replica
 	Concurrency int     // requests that a replica executes concurrently
-	FetchTime   float64 // of a fetch from an idle store
-	StartTime   float64 // from the fetched image to a ready replica
-	MeanWork    float64 // of a request on a core of speed 1
+	FetchTime   float64 // time to fetch the image from an idle store
+	StartTime   float64 // time to start a replica from a fetched image
+	MeanWork    float64 // mean execution time of a request on a core of speed 1
 }
 
-// Catalogue draws n functions from a seed, with the sizes of a small site. work is the mean work of a request.
+// Catalogue generates n functions from a seed, with sizes that are typical of a small site. work is the mean execution time
+// of a request on a core of speed 1.
 func Catalogue(n int, work float64, seed uint64) []Function {
 	rng := rand.New(rand.NewPCG(seed, catalogueStream))
 	list := make([]Function, n)
--- a/internal/verification/fakes/deduplicator.go
+++ b/internal/verification/fakes/deduplicator.go
@@ -13,12 +13,12 @@
 	seen   map[string]time.Time
 }
 
-// NewDeduplicator returns a Deduplicator that records each request for a window in seconds.
+// NewDeduplicator returns a Deduplicator with a deduplication window in seconds.
 func NewDeduplicator(window float64) *Deduplicator {
 	return &Deduplicator{window: seconds(window), seen: map[string]time.Time{}}
 }
 
-// IsFirst records a request, and reports whether it was new to the group.
+// IsFirst reports whether the group has not executed a request within the deduplication window, and records it if so.
 func (d *Deduplicator) IsFirst(id string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/verification/fakes/deprecated_test.go
+++ b/internal/verification/fakes/deprecated_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Requests that inject faults by the names of earlier builds go on working.
+// Scripts written for earlier builds inject faults by their former names, which must keep working.
 func TestInject_DeprecatedKinds(t *testing.T) {
 	w := startWorker(t, nil)
 	for old, kind := range map[string]FaultKind{"stall": FaultSuspend, "cut": FaultTruncateResponses, "liar": FaultMisreportDigest} {
@@ -16,10 +16,10 @@
 		_, injected := w.faults[kind]
 		w.mu.Unlock()
 		if !injected || !faultKinds[kind] || faultKinds[FaultKind(old)] {
-			t.Errorf("%s was not injected as %s", old, kind)
+			t.Errorf("deprecated fault kind %s was not injected as %s", old, kind)
 		}
 	}
 	if len(deprecatedFaultKinds) != 3 {
-		t.Errorf("%d deprecated kinds, 3 are tested", len(deprecatedFaultKinds))
+		t.Errorf("%d deprecated fault kinds exist, but 3 are tested", len(deprecatedFaultKinds))
 	}
 }
--- a/internal/verification/fakes/endpoint_list.go
+++ b/internal/verification/fakes/endpoint_list.go
@@ -31,7 +31,7 @@
 	state  string
 }
 
-// TargetGroup is one entry of the file. Its fields are sorted by their keys.
+// TargetGroup is one entry of the file. The fields are in the order of their keys in the file.
 type TargetGroup struct {
 	Labels  *TargetLabels `json:"labels,omitempty"`
 	Targets []string      `json:"targets"`
@@ -47,7 +47,7 @@
 	Zone     string `json:"zone,omitempty"`
 }
 
-// NewEndpointList writes a list with all workers serving.
+// NewEndpointList writes a list in which all workers are serving.
 func NewEndpointList(path string, recorder *invariants.Recorder, workers []*Worker) (*EndpointList, error) {
 	l := &EndpointList{path: path, recorder: recorder}
 	for _, w := range workers {
@@ -57,8 +57,8 @@
 }
 
 // SetState changes or adds a worker's entry; the state "gone" removes it. It records the change before it writes the
-// file, so that no front end receives it earlier than the recording says.
-func (l *EndpointList) SetState(w *Worker, phase string) error {
+// file, so that no front end reads a change that is not yet recorded.
+func (l *EndpointList) SetState(w *Worker, state string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	startedAt, cold := w.StartedAt()
@@ -67,10 +67,10 @@
 		started = unixSeconds(startedAt)
 	}
 	l.entries = slices.DeleteFunc(l.entries, func(entry listEntry) bool { return entry.worker == w })
-	if phase != stateRemoved {
-		l.entries = append(l.entries, listEntry{w, phase})
+	if state != stateRemoved {
+		l.entries = append(l.entries, listEntry{w, state})
 	}
-	l.recorder.Add(invariants.Record{Kind: invariants.EndpointUpdated, Worker: w.Name(), EndpointState: phase, StartedAt: started})
+	l.recorder.Add(invariants.Record{Kind: invariants.EndpointUpdated, Worker: w.Name(), EndpointState: state, StartedAt: started})
 	return l.write()
 }
 
--- a/internal/verification/fakes/faults.go
+++ b/internal/verification/fakes/faults.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// FaultKind is a kind of fault of a worker. Its values are part of the request that injects a fault.
+// FaultKind is a kind of fault of a worker. Requests that inject faults contain its values.
 type FaultKind string
 
-// Kinds of fault. Inject accepts older names of them as well, see deprecatedFaultKinds.
+// Kinds of faults. Inject also accepts the names in deprecatedFaultKinds.
 const (
-	FaultHang              FaultKind = "hang"             // accepts requests and never responds, even after the fault ended
-	FaultLoseResponses     FaultKind = "lose"             // executes requests and loses the responses
+	FaultHang              FaultKind = "hang"             // accepts requests and never responds, even after the fault has ended
+	FaultLoseResponses     FaultKind = "lose"             // executes requests and sends no responses
 	FaultErrors            FaultKind = "errors"           // responds 500
-	FaultVersionErrors     FaultKind = "errors-of"        // responds 500 for one version
-	FaultSlow              FaultKind = "slow"             // takes a multiple of the time
-	FaultSuspend           FaultKind = "suspend"          // does nothing until the fault ends
+	FaultVersionErrors     FaultKind = "errors-of"        // responds 500 to requests for one version
+	FaultSlow              FaultKind = "slow"             // multiplies the execution time
+	FaultSuspend           FaultKind = "suspend"          // delays requests until the fault ends
 	FaultReset             FaultKind = "reset"            // resets the connection
-	FaultTruncateResponses FaultKind = "truncate"         // closes the connection within the response
-	FaultStaleReports      FaultKind = "late-reports"     // repeats an old load report
+	FaultTruncateResponses FaultKind = "truncate"         // closes the connection after a part of the response
+	FaultStaleReports      FaultKind = "late-reports"     // repeats the previous load report
 	FaultWrongDigest       FaultKind = "wrong-digest"     // fetches an image of another digest, and discards it
 	FaultMisreportDigest   FaultKind = "misreport-digest" // names another version than the one that executed the request
 )
 
-// deprecatedFaultKinds maps the names of earlier builds to the present ones. Inject accepts them.
+// deprecatedFaultKinds maps the names of fault kinds in earlier builds, which Inject still accepts, to the present ones.
 var deprecatedFaultKinds = map[FaultKind]FaultKind{
 	"stall": FaultSuspend,
 	"cut":   FaultTruncateResponses,
@@ -35,20 +35,20 @@
 	FaultReset: true, FaultTruncateResponses: true, FaultStaleReports: true, FaultWrongDigest: true, FaultMisreportDigest: true,
 }
 
-// maxFaultDuration is the duration of a fault that states none. It exceeds the life of any process.
-const maxFaultDuration = 1000 * time.Hour
+// defaultFaultDuration is the duration of a fault that does not specify one. It exceeds the lifetime of any test process.
+const defaultFaultDuration = 1000 * time.Hour
 
-// Fault is a fault of a worker. It lasts for its duration, or until another fault of its kind replaces it.
+// Fault is a fault of a worker. It ends after its duration, or when another fault of its kind replaces it.
 type Fault struct {
 	Kind     FaultKind `json:"kind"`
 	Duration float64   `json:"for"`    // seconds; 0: until replaced
-	Fraction float64   `json:"part"`   // of the requests that it affects; 0: all
-	Slowdown float64   `json:"times"`  // factor
-	Bytes    int       `json:"bytes"`  // sent of a truncated response
-	Digest   string    `json:"digest"` // of the version that fails
+	Fraction float64   `json:"part"`   // of requests that it affects, chosen at random; 0: all
+	Slowdown float64   `json:"times"`  // factor of FaultSlow
+	Bytes    int       `json:"bytes"`  // sent by FaultTruncateResponses
+	Digest   string    `json:"digest"` // of the version to which FaultVersionErrors applies
 }
 
-// UnknownFaultError is the error of Inject for an unknown kind of fault.
+// UnknownFaultError is returned by Inject for an unknown kind of fault.
 type UnknownFaultError struct{ Kind FaultKind }
 
 func (e *UnknownFaultError) Error() string {
@@ -60,7 +60,7 @@
 	until time.Time
 }
 
-// Inject begins a fault. It replaces an earlier one of its kind.
+// Inject activates a fault. It replaces an active fault of the same kind.
 func (w *Worker) Inject(f Fault) error {
 	if kind, deprecated := deprecatedFaultKinds[f.Kind]; deprecated {
 		f.Kind = kind
@@ -70,7 +70,7 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	until := time.Now().Add(maxFaultDuration)
+	until := time.Now().Add(defaultFaultDuration)
 	if f.Duration > 0 {
 		until = time.Now().Add(seconds(f.Duration))
 	}
@@ -78,9 +78,9 @@
 	return nil
 }
 
-// drawFault returns a fault, and whether it affects the request at hand: of a fault with a fraction, that is drawn at
-// random. The caller holds the lock.
-func (w *Worker) drawFault(kind FaultKind) (activeFault, bool) {
+// sampleFault returns the fault of a kind, and whether it affects the present request. A fault with a fraction affects
+// requests at random. The caller must hold the lock.
+func (w *Worker) sampleFault(kind FaultKind) (activeFault, bool) {
 	f, known := w.faults[kind]
 	if !known || time.Now().After(f.until) {
 		return f, false
--- a/internal/verification/fakes/handlers.go
+++ b/internal/verification/fakes/handlers.go
@@ -15,7 +15,7 @@
 	loadPollInterval = 2 * time.Millisecond
 )
 
-// routes returns the worker's endpoints: the Open Inference Protocol, and one that injects faults.
+// routes returns the handlers of the Open Inference Protocol and of the request that injects faults.
 func (w *Worker) routes() *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v2/models/{f}/infer", w.infer)
@@ -29,7 +29,8 @@
 	return mux
 }
 
-// reply sends a response with the worker's load report. timing may be empty, or one of the Start constants.
+// reply sends a response with the worker's load report. timing is the value of Server-Timing: empty, or one of the Start
+// constants.
 func (w *Worker) reply(rw http.ResponseWriter, status int, timing string, message any) {
 	h := rw.Header()
 	h.Set("Content-Type", "application/json")
@@ -41,29 +42,29 @@
 		h.Set("Retry-After", "1")
 	}
 	rw.WriteHeader(status)
-	_ = json.NewEncoder(rw).Encode(message) // the client may have closed
+	_ = json.NewEncoder(rw).Encode(message) // the client may have closed the connection
 }
 
-// loadReport returns a report of the current load, or an old one under FaultStaleReports.
+// loadReport returns a report of the current load, or the previous report if FaultStaleReports applies.
 func (w *Worker) loadReport() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if _, stale := w.drawFault(FaultStaleReports); !stale || w.report == "" {
-		w.report = fmt.Sprintf("TEXT cpu_utilization=%.2f, named_metrics.running=%d, named_metrics.waiting=%d",
+	if _, stale := w.sampleFault(FaultStaleReports); !stale || w.lastReport == "" {
+		w.lastReport = fmt.Sprintf("TEXT cpu_utilization=%.2f, named_metrics.running=%d, named_metrics.waiting=%d",
 			float64(w.running)/float64(w.config.Cores), w.running, len(w.queue))
 	}
-	return w.report
+	return w.lastReport
 }
 
 func handleHealth(rw http.ResponseWriter, _ *http.Request) {
-	_, _ = rw.Write([]byte("{}")) // the client may have closed
+	_, _ = rw.Write([]byte("{}")) // the client may have closed the connection
 }
 
-// handleLoad serves a load command. It responds when the replicas are ready, or none is loading.
+// handleLoad serves a load command. It responds when the requested replicas are ready or no load is in progress any more.
 func (w *Worker) handleLoad(rw http.ResponseWriter, r *http.Request) {
 	var command LoadRequest
 	command.Parameters.Copies = 1
-	_ = json.NewDecoder(io.LimitReader(r.Body, maxCommandBody)).Decode(&command) // without a body it asks for one replica
+	_ = json.NewDecoder(io.LimitReader(r.Body, maxCommandBody)).Decode(&command) // a command without a body requests one replica
 	want, function := command.Parameters.Copies, r.PathValue("f")
 	w.config.Recorder.Add(invariants.Record{
 		Kind: invariants.LoadCommanded, Worker: w.config.Name, FrontEnd: frontEndOf(r), Function: function,
@@ -77,7 +78,7 @@
 		return
 	}
 	stop := w.stop
-	if _, hangs := w.drawFault(FaultHang); hangs {
+	if _, hangs := w.sampleFault(FaultHang); hangs {
 		w.mu.Unlock()
 		awaitEither(r.Context().Done(), stop)
 		abort()
@@ -96,11 +97,12 @@
 		w.reply(rw, http.StatusInternalServerError, "", ErrorMessage{"the load failed"})
 		return
 	}
-	w.nameVersion(rw, s.Digest)
+	w.setDigestHeader(rw, s.Digest)
 	w.reply(rw, http.StatusOK, "", LoadResponse{LoadParameters{ready}})
 }
 
-// awaitReplicas waits until the wanted replicas are ready or none is loading, and returns the number of ready ones.
+// awaitReplicas waits until the wanted number of replicas is ready or no load is in progress, and returns the number of
+// ready replicas. It aborts the response if the client cancels or the process ends.
 func (w *Worker) awaitReplicas(r *http.Request, s *ReplicaSet, want int, stop <-chan struct{}) int {
 	for {
 		w.mu.Lock()
--- a/internal/verification/fakes/infer.go
+++ b/internal/verification/fakes/infer.go
@@ -13,10 +13,10 @@
 const (
 	maxRequestBody = 1 << 20
 
-	// truncatedResponse is the response of which FaultTruncateResponses sends the beginning. Its body is shorter than its
+	// truncatedResponse is the response of which FaultTruncateResponses sends a prefix. Its body is shorter than its
 	// Content-Length.
 	truncatedResponse = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 400\r\n\r\n{\"a\":1}"
-	// maxTruncatedBytes is the maximum length of that beginning. It ends within the header.
+	// maxTruncatedBytes is the maximum length of that prefix. The prefix ends within the header.
 	maxTruncatedBytes = 70
 )
 
@@ -26,7 +26,7 @@
 	rw       http.ResponseWriter
 	r        *http.Request
 	function string
-	digest   string // of the version that the front end asks for
+	digest   string // of the requested version
 	body     []byte
 	record   invariants.Record
 	status   int // of the response; 0 if there was none
@@ -52,7 +52,7 @@
 	c.respond(q, stop, first)
 }
 
-// newInference reads a request and records its arrival.
+// newInference reads a request and records that the attempt has started.
 func (w *Worker) newInference(rw http.ResponseWriter, r *http.Request) (*inference, error) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxRequestBody))
 	c := &inference{
@@ -84,8 +84,8 @@
 	c.w.reply(c.rw, status, timing, ErrorMessage{text})
 }
 
-// admit puts the request in the worker's queue. If a fault affects it or it is rejected, admit responds and returns nil.
-// stop is closed when the worker's present process ends.
+// admit adds the request to the worker's queue. If the request is rejected or a fault prevents its execution, admit
+// responds and returns nil. stop is closed when the worker's present process ends.
 func (c *inference) admit() (q *queuedRequest, stop <-chan struct{}) {
 	w := c.w
 	w.mu.Lock()
@@ -94,14 +94,14 @@
 		abort()
 	}
 	c.awaitFaultEnd()
-	if _, reset := w.drawFault(FaultReset); reset {
+	if _, reset := w.sampleFault(FaultReset); reset {
 		w.mu.Unlock()
 		resetConnection(c.rw)
 		return nil, nil
 	}
-	versionFault, failsVersion := w.drawFault(FaultVersionErrors)
+	versionFault, failsVersion := w.sampleFault(FaultVersionErrors)
 	failsVersion = failsVersion && versionFault.Digest == c.digest
-	if _, failsAll := w.drawFault(FaultErrors); failsAll || failsVersion {
+	if _, failsAll := w.sampleFault(FaultErrors); failsAll || failsVersion {
 		w.mu.Unlock()
 		c.fail(http.StatusInternalServerError, "", "the function failed")
 		return nil, nil
@@ -115,12 +115,13 @@
 	return q, stop
 }
 
-// awaitFaultEnd waits until the worker neither hangs nor is suspended. After a hang it aborts, as a hanging worker never
-// responds to the requests that it accepted. The caller holds the lock; awaitFaultEnd releases it while it waits.
+// awaitFaultEnd waits until the worker is neither hanging nor suspended. After a hang it waits until the client cancels or
+// the process ends, and aborts, as a hanging worker never responds to the requests that it accepted. The caller must hold
+// the lock; awaitFaultEnd releases it while it waits.
 func (c *inference) awaitFaultEnd() {
 	w, cancelled := c.w, c.r.Context().Done()
 	for _, kind := range []FaultKind{FaultHang, FaultSuspend} {
-		fault, affected := w.drawFault(kind)
+		fault, affected := w.sampleFault(kind)
 		if !affected {
 			continue
 		}
@@ -141,7 +142,7 @@
 	}
 }
 
-// awaitStart waits for a replica and a core. If the load failed it responds and returns false.
+// awaitStart waits until the request holds a replica and a core. If the load failed, it responds and returns false.
 func (c *inference) awaitStart(q *queuedRequest, stop <-chan struct{}) bool {
 	select {
 	case signal := <-q.start:
@@ -158,18 +159,20 @@
 	return true
 }
 
-// recordFirstExecution records that the request is executed, and returns false if it is a duplicate that the workers drop.
+// recordFirstExecution records the request with the deduplicator, and returns false if it is a duplicate that must have no
+// second effect.
 func (c *inference) recordFirstExecution() bool {
 	config := &c.w.config
 	return !config.IdempotentByKeyClasses[c.record.Class] || config.Deduplicator == nil || config.Deduplicator.IsFirst(c.record.RequestID)
 }
 
-// execute takes the time of the work, and releases the replica. It aborts if the process ends meanwhile.
+// execute waits for the execution time of the request and releases the replica and the core. It aborts if the process ends
+// meanwhile.
 func (c *inference) execute(q *queuedRequest, stop <-chan struct{}) {
 	w := c.w
 	w.mu.Lock()
 	duration := q.replicas.Function.MeanWork / w.config.Speed / w.capacityFraction() * (0.7 + 0.6*w.rng.Float64())
-	if f, slow := w.drawFault(FaultSlow); slow {
+	if f, slow := w.sampleFault(FaultSlow); slow {
 		duration *= max(f.Slowdown, 1)
 	}
 	w.mu.Unlock()
@@ -183,12 +186,12 @@
 	w.mu.Unlock()
 }
 
-// respond sends the response, subject to the worker's faults.
+// respond sends the response, unless a fault loses or truncates it.
 func (c *inference) respond(q *queuedRequest, stop <-chan struct{}, first bool) {
 	w := c.w
 	w.mu.Lock()
-	_, lost := w.drawFault(FaultLoseResponses)
-	truncation, truncated := w.drawFault(FaultTruncateResponses)
+	_, lost := w.sampleFault(FaultLoseResponses)
+	truncation, truncated := w.sampleFault(FaultTruncateResponses)
 	w.mu.Unlock()
 	switch {
 	case lost:
@@ -198,7 +201,7 @@
 		truncateResponse(c.rw, []byte(truncatedResponse)[:min(truncation.Bytes, maxTruncatedBytes)])
 	default:
 		c.status = http.StatusOK
-		w.nameVersion(c.rw, q.replicas.Digest)
+		w.setDigestHeader(c.rw, q.replicas.Digest)
 		w.reply(c.rw, http.StatusOK, q.startKind, c.response(q, first))
 	}
 }
@@ -214,13 +217,14 @@
 	return m
 }
 
-// nameVersion sets the header that names the version which was executed or is ready. FaultMisreportDigest sets another.
-func (w *Worker) nameVersion(rw http.ResponseWriter, digest string) {
+// setDigestHeader sets the header with the digest of the version that was executed or loaded. FaultMisreportDigest makes it
+// set another digest.
+func (w *Worker) setDigestHeader(rw http.ResponseWriter, digest string) {
 	if digest == "" {
 		return
 	}
 	w.mu.Lock()
-	if _, wrong := w.drawFault(FaultMisreportDigest); wrong {
+	if _, wrong := w.sampleFault(FaultMisreportDigest); wrong {
 		digest = digest[:len(digest)-4] + "0000"
 	}
 	w.mu.Unlock()
@@ -233,7 +237,7 @@
 	return name
 }
 
-// unescape returns a header's value without percent-encoding, or as it is if that is malformed.
+// unescape decodes the percent-encoding of a header's value. It returns a malformed value unchanged.
 func unescape(value string) string {
 	if s, err := url.PathUnescape(value); err == nil {
 		return s
--- a/internal/verification/fakes/messages.go
+++ b/internal/verification/fakes/messages.go
@@ -1,6 +1,6 @@
 package fakes
 
-// Messages of the Open Inference Protocol. Fields are in the order of their keys on the wire.
+// Messages of the Open Inference Protocol. Their fields are in the order of the keys on the wire.
 
 // EmptyMessage is a response without content.
 type EmptyMessage struct{}
@@ -20,7 +20,7 @@
 
 // InferParameters are the parameters of an InferResponse.
 type InferParameters struct {
-	Bytes  int  `json:"bytes,omitempty"`  // of the request's body
+	Bytes  int  `json:"bytes,omitempty"`  // size of the request's body
 	Repeat bool `json:"repeat,omitempty"` // the request was a duplicate and was not executed again
 }
 
@@ -39,14 +39,14 @@
 
 // LoadParameters are the parameters of a LoadResponse.
 type LoadParameters struct {
-	Copies int `json:"copies"` // ready replicas
+	Copies int `json:"copies"` // number of ready replicas
 }
 
-// Values of the header Server-Timing: how a request found its function.
+// Values of the header Server-Timing: whether the function was loaded when the request arrived.
 const (
 	StartWarm       = "warm"
-	StartJoined     = "joined"      // waited for a load that another request started
-	StartLoad       = "load"        // started the load
+	StartJoined     = "joined"      // waited for a load that was already in progress
+	StartLoad       = "load"        // started a load
 	StartLoadFailed = "load-failed" // the load failed
 )
 
--- a/internal/verification/fakes/queue.go
+++ b/internal/verification/fakes/queue.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// startSignal ends the wait of a request in the queue.
+// startSignal tells a request in the queue why its wait has ended.
 type startSignal int
 
 const (
-	startRunning startSignal = iota // it holds a replica and a core
-	startFailed                     // the load that it waited for failed
+	startRunning startSignal = iota // the request holds a replica and a core
+	startFailed                     // the load that the request waited for failed
 )
 
 // queuedRequest is a request that waits for a replica and a core, or is in progress.
@@ -20,14 +20,15 @@
 	start     chan startSignal
 }
 
-// enqueue puts a request in the queue, or returns the status with which it is rejected. The caller holds the lock.
+// enqueue adds a request to the queue, or returns nil and the HTTP status with which the request is rejected. The caller
+// must hold the lock.
 func (w *Worker) enqueue(name, digest string) (*queuedRequest, int) {
 	s := w.replicas.Lookup(name, digest)
 	if s == nil {
 		return nil, http.StatusNotFound
 	}
 	if digest != "" && s.Ready+s.Loading == 0 && !w.config.LoadsOnRequest && w.replicas.HasOtherReadyVersion(s) {
-		return nil, http.StatusPreconditionFailed // only another version is ready, which must not execute it
+		return nil, http.StatusPreconditionFailed // only another version is ready, which must not execute the request
 	}
 	q := &queuedRequest{replicas: s, startKind: StartWarm, start: make(chan startSignal, 1)}
 	if s.Ready == 0 {
@@ -50,8 +51,8 @@
 	return q, 0
 }
 
-// dispatchQueue starts requests in the order of their arrival, if a replica and a core are free, and loads one more
-// replica if all of a set are busy. The caller holds the lock.
+// dispatchQueue starts waiting requests in the order of their arrival, as far as replicas and cores are free. If all
+// replicas of a set are busy while a core is free, it loads one more replica. The caller must hold the lock.
 func (w *Worker) dispatchQueue() {
 	waiting := w.queue[:0]
 	for _, q := range w.queue {
@@ -75,7 +76,7 @@
 	w.queue = waiting
 }
 
-// cancel removes a request from the queue. If it was started at the same moment, cancel releases its replica and core.
+// cancel removes a request from the queue. If the request was started concurrently, cancel releases its replica and core.
 func (w *Worker) cancel(q *queuedRequest) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -90,7 +91,8 @@
 	}
 }
 
-// finish releases the replica and the core of a request. The caller holds the lock.
+// finish releases the replica and the core of a request, and evicts an idle replica if an eviction is pending. The caller
+// must hold the lock.
 func (w *Worker) finish(q *queuedRequest) {
 	s := q.replicas
 	s.Busy--
--- a/internal/verification/fakes/registry.go
+++ b/internal/verification/fakes/registry.go
@@ -14,10 +14,10 @@
 )
 
 // Registry is a read-only OCI registry: it serves manifests by tag and digest, blobs and referrers, with basic
-// authentication or bearer tokens. FailNext makes it fail.
+// authentication or bearer tokens. FailNext injects faults.
 type Registry struct {
 	server *httptest.Server
-	user   string // empty for no authentication
+	user   string // empty: no authentication
 	secret string
 
 	mu        sync.Mutex
@@ -25,17 +25,17 @@
 	blobs     map[digest.Digest][]byte
 	referrers map[digest.Digest][]ocispec.Descriptor // by subject
 
-	truncated  int // number of next responses with truncated content
-	corrupted  int // number of next responses with corrupted content
-	failing    int // number of next requests that get failStatus
+	truncated  int // number of further responses with truncated content
+	corrupted  int // number of further responses with corrupted content
+	failing    int // number of further requests that fail with failStatus
 	failStatus int
 
-	tokenUses     int // requests that a bearer token is valid for; 0 for basic authentication
+	tokenUses     int // number of requests for which a bearer token is valid; 0: basic authentication
 	tokenUsesLeft int // of the latest token
 	tokensIssued  int
 }
 
-// NewRegistry starts a registry. It requires user and secret unless user is empty.
+// NewRegistry starts a registry. It requires clients to authenticate with user and secret, unless user is empty.
 func NewRegistry(user, secret string) *Registry {
 	r := &Registry{
 		tags: map[string]digest.Digest{}, blobs: map[digest.Digest][]byte{},
@@ -45,10 +45,10 @@
 	return r
 }
 
-// URL returns its base URL.
+// URL returns the registry's base URL.
 func (r *Registry) URL() string { return r.server.URL }
 
-// Close shuts it down.
+// Close shuts the registry down.
 func (r *Registry) Close() { r.server.Close() }
 
 // RequireTokens makes the registry issue bearer tokens, each of which is valid for a number of requests.
@@ -65,7 +65,7 @@
 	return r.tokensIssued
 }
 
-// Push adds a version with its layers, and points tags at it.
+// Push adds a version with its layers, and sets tags to it.
 func (r *Registry) Push(repository string, annotations map[string]string, layers [][]byte, tags ...string) digest.Digest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -109,8 +109,8 @@
 	r.mu.Unlock()
 }
 
-// FailNext makes the next responses fail. truncated and corrupted are numbers of responses with such content; failing is
-// the number of requests that get status.
+// FailNext makes the next requests fail: truncated and corrupted are the numbers of responses with truncated and corrupted
+// content, and failing is the number of requests that fail with status.
 func (r *Registry) FailNext(truncated, corrupted, failing, status int) {
 	r.mu.Lock()
 	r.truncated, r.corrupted, r.failing, r.failStatus = truncated, corrupted, failing, status
@@ -127,7 +127,7 @@
 	m.SchemaVersion = 2
 	data, err := json.Marshal(m)
 	if err != nil {
-		panic(err) // a manifest can always be encoded
+		panic(err) // encoding a manifest can't fail
 	}
 	return r.addBlob(m.MediaType, data)
 }
@@ -160,8 +160,8 @@
 	r.serveContent(w, req, d)
 }
 
-// authorize authenticates a request, by the Docker token scheme or by basic authentication. If it returns false it has
-// responded.
+// authorize authenticates a request, by the Docker token scheme or by basic authentication. If it returns false, it has
+// sent the response.
 func (r *Registry) authorize(w http.ResponseWriter, req *http.Request) bool {
 	user, secret, _ := req.BasicAuth()
 	valid := user == r.user && secret == r.secret
@@ -173,7 +173,7 @@
 	case req.URL.Path == "/token" && valid:
 		r.tokensIssued++
 		r.tokenUsesLeft = r.tokenUses
-		_, _ = fmt.Fprintf(w, `{"token":"t%d"}`, r.tokensIssued) // the client may have closed
+		_, _ = fmt.Fprintf(w, `{"token":"t%d"}`, r.tokensIssued) // the client may have closed the connection
 		return false
 	case req.Header.Get("Authorization") == fmt.Sprintf("Bearer t%d", r.tokensIssued) && r.tokenUsesLeft > 0:
 		r.tokenUsesLeft--
@@ -186,7 +186,7 @@
 	return false
 }
 
-// resolve returns the digest that a path names, and the media type of its content.
+// resolve returns the digest of the content at a path, and its media type.
 func (r *Registry) resolve(path string) (d digest.Digest, mediaType string) {
 	if repository, ref, ok := strings.Cut(path, "/manifests/"); ok {
 		if d = r.tags[repository+":"+ref]; d == "" {
@@ -204,7 +204,7 @@
 	w.Header().Set("Content-Type", ocispec.MediaTypeImageIndex)
 	index := ocispec.Index{MediaType: ocispec.MediaTypeImageIndex, Manifests: append([]ocispec.Descriptor{}, r.referrers[subject]...)}
 	index.SchemaVersion = 2
-	_ = json.NewEncoder(w).Encode(index) // the client may have closed
+	_ = json.NewEncoder(w).Encode(index) // the client may have closed the connection
 }
 
 func (r *Registry) serveContent(w http.ResponseWriter, req *http.Request, d digest.Digest) {
@@ -227,7 +227,7 @@
 		r.corrupted--
 		content = []byte(strings.Repeat("x", len(data)))
 	}
-	_, _ = w.Write(content) // the client may have closed
+	_, _ = w.Write(content) // the client may have closed the connection
 	if truncate {
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/verification/fakes/replica_table.go
+++ b/internal/verification/fakes/replica_table.go
@@ -6,20 +6,20 @@
 	Digest          string // of the version; empty for a function without versions
 	Ready           int
 	Loading         int
-	Busy            int     // requests in progress
+	Busy            int     // number of requests in progress
 	IdleSince       float64 // seconds on the worker's clock
-	HasImage        bool    // the image is on disk, so that a load needs no fetch
-	PendingEviction int     // ready replicas that are evicted as soon as they are idle
+	HasImage        bool    // the image is on the worker's disk, so that a load needs no fetch
+	PendingEviction int     // number of ready replicas to be evicted as soon as they are idle
 }
 
 // Capacity returns the number of requests that the ready replicas execute concurrently.
 func (s *ReplicaSet) Capacity() int { return s.Ready * s.Function.Concurrency }
 
-// ReplicaTable holds all replicas of a worker. The fake workers here and those of the simulation share it; the caller
-// has the clock and the lock.
+// ReplicaTable holds all replicas of a worker. It is used by the fake workers of this package and by those of the
+// simulation. The caller provides the time and the locking.
 type ReplicaTable struct {
 	sets  []*ReplicaSet
-	byKey map[string]*ReplicaSet // by function, or function@digest
+	byKey map[string]*ReplicaSet // by "function" or "function@digest"
 }
 
 // NewReplicaTable returns a table without replicas.
@@ -39,8 +39,8 @@
 // All returns the sets of all functions and versions. The caller must not change the slice.
 func (t *ReplicaTable) All() []*ReplicaSet { return t.sets }
 
-// Lookup returns the replicas of a version, or of a function without versions if digest is empty. It returns nil for an
-// unknown function.
+// Lookup returns the replicas of a version, or those of a function without versions if digest is empty. It adds a set for
+// a new version, and returns nil for an unknown function.
 func (t *ReplicaTable) Lookup(function, digest string) *ReplicaSet {
 	unversioned := t.byKey[function]
 	if unversioned == nil || digest == "" {
@@ -65,8 +65,8 @@
 	return false
 }
 
-// MakeRoom evicts idle replicas, least recently used first, until one more replica of a set fits into the memory. It
-// returns false if that is impossible.
+// MakeRoom evicts idle replicas of other sets, least recently used first, until one more replica of a set fits into the
+// memory. It returns false if that is impossible.
 func (t *ReplicaTable) MakeRoom(s *ReplicaSet, memoryMB float64) bool {
 	for t.usedMemory()+s.Function.MemoryMB > memoryMB {
 		var oldest *ReplicaSet
--- a/internal/verification/fakes/replicas.go
+++ b/internal/verification/fakes/replicas.go
@@ -7,11 +7,11 @@
 
 const (
 	evictionInterval = 100 * time.Millisecond // between checks for idle replicas
-	loadQueueFactor  = 2                      // loads that are accepted, as a multiple of MaxConcurrentLoads
+	loadQueueFactor  = 2                      // maximum number of pending loads, as a multiple of MaxConcurrentLoads
 )
 
 var (
-	errWrongDigest = errors.New("fetched image has another digest")
+	errWrongDigest = errors.New("fetched image does not have the requested digest")
 	errStopped     = errors.New("worker stopped")
 )
 
@@ -29,8 +29,8 @@
 	}
 }
 
-// startLoad loads one more replica in the background. It returns false if there is no capacity for it. The caller holds
-// the lock.
+// startLoad starts to load one more replica in the background. It returns false if too many loads are in progress or the
+// replica does not fit into the memory. The caller must hold the lock.
 func (w *Worker) startLoad(s *ReplicaSet) bool {
 	if w.loads >= loadQueueFactor*w.config.MaxConcurrentLoads || !w.replicas.MakeRoom(s, w.config.Memory) {
 		return false
@@ -46,7 +46,7 @@
 	return true
 }
 
-// finishLoad counts a replica that was loaded, or failed to load. It ignores loads of an earlier process.
+// finishLoad updates the replica counts after a load that succeeded or failed. It ignores loads of an earlier process.
 func (w *Worker) finishLoad(s *ReplicaSet, incarnation int, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -70,7 +70,7 @@
 		}
 	}
 	w.mu.Lock()
-	_, wrong := w.drawFault(FaultWrongDigest)
+	_, wrong := w.sampleFault(FaultWrongDigest)
 	w.mu.Unlock()
 	if wrong && s.Digest != "" {
 		return errWrongDigest
--- a/internal/verification/fakes/site_config.go
+++ b/internal/verification/fakes/site_config.go
@@ -9,12 +9,12 @@
 	ClassAtMostOnce      = "price-reset"
 )
 
-// RequestClasses returns all request classes, in the order in which clients draw from them.
+// RequestClasses returns all request classes. Their order is fixed, as the random choices of clients depend on it.
 func RequestClasses() []string {
 	return []string{ClassIdempotent, ClassIdempotentByKey, ClassAtMostOnce}
 }
 
-// MachineType returns the machine type and the speed of a worker by its number. Every third worker is slower.
+// MachineType returns the machine type and the speed of the worker with a number. Every third worker is slower.
 func MachineType(number int) (string, float64) {
 	if number%3 == 2 {
 		return "eco", 0.7
@@ -22,12 +22,12 @@
 	return "std", 1
 }
 
-// ClassSemantics returns the delivery semantics of the request classes, in the terms of invariants.Rules.
+// ClassSemantics returns the delivery semantics of the request classes by their names, as invariants.Rules expects them.
 func ClassSemantics() map[string]string {
 	return map[string]string{ClassIdempotent: "redeliverable", ClassIdempotentByKey: "keyed", ClassAtMostOnce: "at-most-once"}
 }
 
-// SiteConfig is the configuration document of the front ends of a fake site, with the program's keys. Times are seconds.
+// SiteConfig is the configuration document of the front ends of a fake site, with the program's keys. Times are in seconds.
 type SiteConfig struct {
 	Name      string           `json:"name,omitempty"`
 	Listen    []string         `json:"listen,omitempty"`
@@ -55,7 +55,7 @@
 	LoadTime    float64 `json:"load_s"`
 }
 
-// WorkersConfig is the configuration of connections to workers in a SiteConfig. Zero fields have the program's default.
+// WorkersConfig is the configuration of connections to workers in a SiteConfig. Zero fields mean the program's defaults.
 type WorkersConfig struct {
 	IdleReplicaLifetime float64 `json:"keep_warm_s"`
 	LoadsOnRequest      bool    `json:"load_on_event"`
@@ -76,7 +76,7 @@
 	LoadsPerRequest         float64 `json:"load_share"`
 }
 
-// LimitsConfig has the limits of clients in a SiteConfig. Zero fields have the program's default.
+// LimitsConfig has the limits of clients in a SiteConfig. Zero fields mean the program's defaults.
 type LimitsConfig struct {
 	ResponseMargin    float64 `json:"answer_margin_s"`
 	IdleTimeout       float64 `json:"idle_s,omitempty"`
@@ -105,5 +105,5 @@
 	return list
 }
 
-// JSON returns the document.
+// JSON encodes the document.
 func (c *SiteConfig) JSON() ([]byte, error) { return json.Marshal(c) }
--- a/internal/verification/fakes/store.go
+++ b/internal/verification/fakes/store.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// ErrFetchRejected is returned for a fetch that the store did not complete because it was overloaded or out of service,
-// or the worker stopped.
+// ErrFetchRejected is returned for a fetch that did not complete because the store was overloaded or out of service, or
+// because the worker stopped.
 var ErrFetchRejected = errors.New("fetch rejected by the store")
 
-// Store is the function store that all workers share. It slows down when there are more concurrent fetches than it serves
-// at full speed, and rejects fetches past a limit.
+// Store is the function store that all workers share. If there are more concurrent fetches than it serves at full speed, it
+// slows down in proportion to their number. It rejects fetches beyond a limit.
 type Store struct {
 	FullSpeedFetches int // concurrent fetches without slowdown
 	MaxFetches       int // maximum number of concurrent fetches; further ones are rejected
-	Fetches          int // number accepted so far
+	Fetches          int // number of fetches accepted so far
 
 	mu          sync.Mutex
-	slowdown    float64 // factor
+	slowdown    float64 // factor by which fetches take longer
 	rejectUntil time.Time
 	inFlight    int
 }
@@ -29,7 +29,7 @@
 	return &Store{FullSpeedFetches: fullSpeed, MaxFetches: limit, slowdown: 1}
 }
 
-// Fetch waits for a fetch that takes base seconds on an idle store, or until stop is closed.
+// Fetch simulates a fetch that takes base seconds on an idle store. It returns early when stop is closed.
 func (s *Store) Fetch(base float64, stop <-chan struct{}) error {
 	duration, err := s.admit(base)
 	if err != nil {
@@ -61,7 +61,7 @@
 	s.mu.Unlock()
 }
 
-// SetSlowdown sets the factor by which fetches take longer; 1 is the normal speed.
+// SetSlowdown sets the factor by which further fetches take longer; 1 is normal speed.
 func (s *Store) SetSlowdown(factor float64) {
 	s.mu.Lock()
 	s.slowdown = factor
--- a/internal/verification/fakes/warm_up.go
+++ b/internal/verification/fakes/warm_up.go
@@ -6,10 +6,11 @@
 	"streamcleat/internal/verification/invariants"
 )
 
-// overloadAllowance is the number of requests that a cold worker accepts in excess of its limit.
+// overloadAllowance is the number of requests in excess of its limit that a cold worker survives.
 const overloadAllowance = 2
 
-// capacityFraction returns the fraction of its capacity that the worker has now. The caller holds the lock.
+// capacityFraction returns the fraction of its full capacity that the worker has now. It rises linearly from
+// InitialCapacityFraction to 1 over WarmUpTime after a cold start. The caller must hold the lock.
 func (w *Worker) capacityFraction() float64 {
 	age := time.Since(w.startedAt).Seconds()
 	if !w.cold || age >= w.config.WarmUpTime {
@@ -18,8 +19,8 @@
 	return w.config.InitialCapacityFraction + (1-w.config.InitialCapacityFraction)*age/w.config.WarmUpTime
 }
 
-// countArrival counts a request that reaches a cold worker. It crashes the worker and returns false if that is more than
-// the worker's limit. The caller holds the lock.
+// countArrival counts a request that arrives at a cold worker. If the requests within OverloadWindow exceed the worker's
+// limit, it crashes the worker and returns false. The caller must hold the lock.
 func (w *Worker) countArrival() bool {
 	if w.capacityFraction() >= 1 || w.config.OverloadFactor == 0 {
 		return true
--- a/internal/verification/fakes/worker.go
+++ b/internal/verification/fakes/worker.go
@@ -15,30 +15,30 @@
 )
 
 const (
-	workerStream = 0x30e4 // separates the workers' random numbers from others of the same seed
+	workerStream = 0x30e4 // selects a random number stream that is independent of others with the same seed
 
-	// listenAttempts and listenRetryInterval bridge the moments for which a port may stay in use after a crash.
+	// listenAttempts and listenRetryInterval allow for the short time that a port may stay in use after a crash.
 	listenAttempts      = 50
 	listenRetryInterval = 20 * time.Millisecond
 )
 
-// WorkerConfig is the configuration of a worker. Times are seconds.
+// WorkerConfig is the configuration of a worker. Times are in seconds.
 type WorkerConfig struct {
 	Name                    string
-	Addr                    string // host:port; empty takes a free port, which a restart keeps
+	Addr                    string // host:port; if empty, a free port is chosen and kept across restarts
 	MachineType             string
 	Cores                   int
 	Speed                   float64
 	Memory                  float64 // MB for replicas
-	QueueLimit              int     // maximum number of requests that wait
+	QueueLimit              int     // maximum number of waiting requests
 	MaxConcurrentLoads      int
 	IdleReplicaLifetime     float64 // time after which an idle replica is evicted
-	InitialCapacityFraction float64 // fraction of its capacity that it has at its start
-	WarmUpTime              float64 // from its start to its full capacity
-	OverloadFactor          float64 // multiple of its capacity at which it fails while cold; 0: never
-	OverloadWindow          float64 // over which its load is measured
-	LoadsOnRequest          bool    // a request for a function that is not loaded loads it; otherwise the response is 404
-	MeanWork                float64 // of a request
+	InitialCapacityFraction float64 // fraction of the full capacity that is available after a cold start
+	WarmUpTime              float64 // from a cold start to full capacity
+	OverloadFactor          float64 // load, as a multiple of its capacity, at which it crashes while cold; 0: never
+	OverloadWindow          float64 // period over which that load is measured
+	LoadsOnRequest          bool    // whether a request for a function that is not loaded loads it; if not, the response is 404
+	MeanWork                float64 // mean execution time of a request on a core of speed 1
 	Functions               []Function
 	Store                   *Store
 	Deduplicator            *Deduplicator   // drops duplicates of requests with an idempotency key
@@ -47,10 +47,10 @@
 	Seed                    uint64
 }
 
-// Worker is one fake worker. Its process may end and restart; its name and address stay.
+// Worker is a fake worker. Its simulated process may crash and restart, and keeps its name and address.
 type Worker struct {
 	config    WorkerConfig
-	addr      string // kept over restarts
+	addr      string // kept across restarts
 	createdAt time.Time
 
 	mu          sync.Mutex
@@ -58,20 +58,20 @@
 	replicas    *ReplicaTable
 	queue       []*queuedRequest
 	running     int
-	loads       int // in progress
+	loads       int // number of loads in progress
 	faults      map[FaultKind]activeFault
 	startedAt   time.Time
-	cold        bool        // it started within the recording, and warms up
-	arrivals    []time.Time // of requests at a cold worker, within OverloadWindow
+	cold        bool        // started after the recording began, so that it has to warm up
+	arrivals    []time.Time // times of requests to a cold worker within OverloadWindow
 	down        bool
-	incarnation int
+	incarnation int           // number of processes started so far
 	stop        chan struct{} // closed when the process ends
 	server      *http.Server
 	conns       map[net.Conn]bool
-	report      string // the latest load report
+	lastReport  string // the latest load report
 }
 
-// NewWorker starts a worker that is warm, as one that has run for a long time, but has no replicas.
+// NewWorker starts a worker that is warm, like one that has run for a long time, but has no replicas.
 func NewWorker(config WorkerConfig) (*Worker, error) {
 	listener, err := listen(config.Addr)
 	if err != nil {
@@ -85,20 +85,21 @@
 	return w, nil
 }
 
-// Addr returns its address, also while it is down.
+// Addr returns the worker's address, also while it is down.
 func (w *Worker) Addr() string { return w.addr }
 
-// Name returns its name in the endpoint list.
+// Name returns the worker's name in the endpoint list.
 func (w *Worker) Name() string { return w.config.Name }
 
-// StartedAt returns when its process started, and whether it started cold, within the recording.
+// StartedAt returns when the worker's process started, and whether that was a cold start, one after the
+// recording began.
 func (w *Worker) StartedAt() (at time.Time, cold bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.startedAt, w.cold
 }
 
-// Crash kills the process: connections break, replicas and images are lost.
+// Crash terminates the process: connections are reset, replicas and images are lost.
 func (w *Worker) Crash() {
 	w.mu.Lock()
 	w.crash()
@@ -122,7 +123,7 @@
 // now returns the seconds since the worker was created.
 func (w *Worker) now() float64 { return time.Since(w.createdAt).Seconds() }
 
-// start starts a process on a listener. The first one counts as warm, later ones are cold.
+// start starts a process that serves a listener. The worker's first process is warm, later ones are cold.
 func (w *Worker) start(listener net.Listener) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -133,14 +134,14 @@
 	w.incarnation++
 	w.server = &http.Server{Handler: w.routes(), ErrorLog: log.New(io.Discard, "", 0), ConnState: w.onConnState}
 	server := w.server
-	go func() { _ = server.Serve(listener) }() // it returns when the server is closed
+	go func() { _ = server.Serve(listener) }() // returns when the server is closed
 	go w.evictIdle(w.stop)
 	if w.cold {
 		w.config.Recorder.Add(invariants.Record{Kind: invariants.WorkerStarted, Worker: w.config.Name})
 	}
 }
 
-// listen listens at an address, or at any free one if it is empty, and retries while it is in use.
+// listen listens at an address, or at any free one if addr is empty. It retries while the address is in use.
 func listen(addr string) (net.Listener, error) {
 	var err error
 	for range listenAttempts {
@@ -153,7 +154,7 @@
 	return nil, err
 }
 
-// crash ends the process. The caller holds the lock.
+// crash terminates the process. The caller must hold the lock.
 func (w *Worker) crash() {
 	if w.down {
 		return
@@ -164,7 +165,7 @@
 		resetOnClose(conn)
 	}
 	server := w.server
-	go func() { _ = server.Close() }() // the process counts as ended, whatever the result
+	go func() { _ = server.Close() }() // the process counts as terminated even if this fails
 }
 
 func (w *Worker) onConnState(conn net.Conn, state http.ConnState) {
--- a/internal/verification/fakes/worker_test.go
+++ b/internal/verification/fakes/worker_test.go
@@ -27,7 +27,8 @@
 	return w
 }
 
-// post sends a request of the class keyed and returns its status, Server-Timing and body.
+// post sends a request of the class "keyed" and returns the response's status, Server-Timing and body. The status is 0 if
+// there was no complete response.
 func post(t *testing.T, w *Worker, path, id, body string) (int, string, string) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "http://"+w.Addr()+path, strings.NewReader(body))
@@ -41,7 +42,7 @@
 	if err != nil {
 		return 0, "", ""
 	}
-	defer func() { _ = resp.Body.Close() }() // it was read completely
+	defer func() { _ = resp.Body.Close() }() // the body was read completely
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return 0, "", ""
@@ -83,7 +84,7 @@
 	}
 }
 
-// Each fault has its effect on the response, and on whether the request is executed.
+// Checks the effect of each fault on the response, and whether the request is executed.
 func TestInject_EachFault(t *testing.T) {
 	for _, c := range []struct {
 		fault    Fault
@@ -104,12 +105,12 @@
 			recorder := invariants.NewRecorder()
 			w := startWorker(t, recorder)
 			if status, _, _ := post(t, w, "/v2/repository/models/tally/load", "", ""); status != http.StatusOK {
-				t.Fatal("load: ", status)
+				t.Fatal("status of the load command: ", status)
 			}
 			if err := w.Inject(c.fault); err != nil {
 				t.Fatal(err)
 			}
-			if c.fault.Duration > 1 { // it does not respond: the process ends meanwhile
+			if c.fault.Duration > 1 { // the worker does not respond: crash it after the attempt
 				go func() {
 					for countRecords(recorder, invariants.AttemptStarted)+countRecords(recorder, invariants.Executed) < 1+c.executed {
 						time.Sleep(time.Millisecond)
@@ -119,7 +120,7 @@
 			}
 			status, _, _ := post(t, w, "/v2/models/tally/infer", "a", "")
 			if executed := countRecords(recorder, invariants.Executed); status != c.status || executed != c.executed {
-				t.Errorf("status %d, executed %d times", status, executed)
+				t.Errorf("status %d, request executed %d times", status, executed)
 			}
 		})
 	}
@@ -147,7 +148,7 @@
 		data, err := os.ReadFile(path)
 		got := started.ReplaceAllString(strings.ReplaceAll(string(data), w.Addr(), "ADDR"), `"started": "S"`)
 		if err != nil || got != want {
-			t.Errorf("%s\n%v", got, err)
+			t.Errorf("endpoint list: %s\nerror: %v", got, err)
 		}
 	}
 	const head = "[\n {\n  \"labels\": {\n   \"instance\": \"wk-0\",\n   \"kind\": \"std\",\n   \"phase\": \""
--- a/internal/verification/nodetest/client.go
+++ b/internal/verification/nodetest/client.go
@@ -10,20 +10,20 @@
 	"time"
 )
 
-// clientTimeout bounds everything that a client waits for.
+// clientTimeout limits the lifetime of a client's connection, so that no test waits without end.
 const clientTimeout = 5 * time.Second
 
-// WarmFunction is the function of the requests that Client.Send sends.
+// WarmFunction is the function for which Client.Send sends requests.
 const WarmFunction = "00000000000000f1"
 
 // requestCount makes request IDs unique across all tests of a process.
 var requestCount atomic.Uint64
 
-// Client is a client connection to a front end. A zero Client encodes frames but has no connection.
+// Client is a client's connection to a front end. A zero Client has no connection and can only encode frames.
 type Client struct {
 	Conn net.Conn
 
-	stream uint32 // of the last request
+	stream uint32 // stream number of the last request
 }
 
 // Dial connects to a front end.
@@ -40,12 +40,12 @@
 	return &Client{Conn: conn}
 }
 
-// Send sends a request.
+// Send sends a request for WarmFunction.
 func (c *Client) Send(body string) { c.SendBytes(c.Request(WarmFunction, body)) }
 
 // SendBytes sends encoded frames or parts of them.
 func (c *Client) SendBytes(data []byte) {
-	_, _ = c.Conn.Write(data) // the next Receive reports a closed connection
+	_, _ = c.Conn.Write(data) // if the connection is closed, the next Receive reports it
 }
 
 // Request encodes the next request.
@@ -64,22 +64,22 @@
 	return append(binary.BigEndian.AppendUint32(nil, uint32(len(payload))), payload...)
 }
 
-// Cancellation encodes the cancellation of the last request.
+// Cancellation encodes a frame that cancels the last request.
 func (c *Client) Cancellation() []byte {
 	return append([]byte{0, 0, 0, 5, 3}, binary.BigEndian.AppendUint32(nil, c.stream)...)
 }
 
-// ReadinessQuery encodes a query whether the front end accepts requests.
+// ReadinessQuery encodes a frame that asks whether the front end accepts requests.
 func ReadinessQuery() []byte { return []byte{0, 0, 0, 6, 4, 0, 0, 0, 0, 0} }
 
-// Receive reads the next frame and formats it as type, stream and payload. Where the connection ends it returns the
-// error's text.
+// Receive reads the next frame and formats its type, stream and payload. If the connection ends, it returns the text of
+// the error.
 func (c *Client) Receive() string {
-	head := make([]byte, 4)
-	if _, err := io.ReadFull(c.Conn, head); err != nil {
+	header := make([]byte, 4)
+	if _, err := io.ReadFull(c.Conn, header); err != nil {
 		return err.Error()
 	}
-	payload := make([]byte, binary.BigEndian.Uint32(head))
+	payload := make([]byte, binary.BigEndian.Uint32(header))
 	if _, err := io.ReadFull(c.Conn, payload); err != nil {
 		return err.Error()
 	}
--- a/internal/verification/nodetest/discovery.go
+++ b/internal/verification/nodetest/discovery.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// positionInterval is the pause after which the discovery service repeats its position.
+	// positionInterval is the time without a line after which the discovery service repeats its position.
 	positionInterval = 300 * time.Millisecond
-	// queuedLines is the number of lines that wait for a watch.
-	queuedLines = 10
+	// lineQueueSize is the maximum number of lines that wait to be sent.
+	lineQueueSize = 10
 )
 
-// Discovery is a fake discovery service. It sends each line of the test, an event, to one of its watches, and its position
-// at once and while it has no line.
+// Discovery is a fake discovery service. It sends each line that the test passes to Send, a watch event, to one of its
+// watches. It sends its position when a watch begins, and repeats it while there are no lines.
 type Discovery struct {
 	listener net.Listener
 	lines    chan string
@@ -26,7 +26,7 @@
 // NewDiscovery starts a fake discovery service on loopback.
 func NewDiscovery(t *testing.T) *Discovery {
 	t.Helper()
-	d := &Discovery{listener: Listen(t), lines: make(chan string, queuedLines)}
+	d := &Discovery{listener: Listen(t), lines: make(chan string, lineQueueSize)}
 	go d.serve()
 	return d
 }
@@ -34,7 +34,7 @@
 // Addr returns the address on which the service listens.
 func (d *Discovery) Addr() string { return d.listener.Addr().String() }
 
-// Send sends a line to a watch.
+// Send queues a line, which is sent to one of the watches.
 func (d *Discovery) Send(line string) { d.lines <- line }
 
 func (d *Discovery) serve() {
--- a/internal/verification/nodetest/document.go
+++ b/internal/verification/nodetest/document.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// DocumentText returns the configuration document of a front end with one worker and a limit of descriptors.
+// DocumentText returns the configuration document of a front end with one worker and a limit on open descriptors.
 func DocumentText(listen, discovery, worker string, descriptors int) string {
 	return fmt.Sprintf(`{"name":"n0","listen":%q,"seed":"1","limits":{"cores":1,"memory_mb":192,"sockets":%d},"journal":%q,
 		"known":{"pos":1,"entries":[{"pos":1,"hosts":{"seq":1,"whole":true,"hosts":[{"host":"a","dial":%q,"site":"z","class":"k",
@@ -15,7 +15,7 @@
 		listen, descriptors, discovery, worker)
 }
 
-// DrainLine returns the discovery service's line that has the document's worker drain.
+// DrainLine returns the line of the discovery service that sets the document's worker to draining.
 func DrainLine(worker string) string {
 	return `{"pos":2,"hosts":{"seq":2,"whole":false,"hosts":[{"host":"a","dial":"` + worker + `","health":"leaving"}]}}`
 }
--- a/internal/verification/nodetest/frame.go
+++ b/internal/verification/nodetest/frame.go
@@ -17,63 +17,64 @@
 	CommandLoad    = 52
 	ReplySucceeded = 64
 	ReplyFailed    = 68
-	// ReplyMagic is the first byte of each reply.
+	// ReplyMagic is the magic number with which each reply begins.
 	ReplyMagic = 193
 )
 
 // Fields of replies.
 const (
-	// OneReplica are the fields of a reply to a load command that left one replica loaded.
+	// OneReplica is the fields section of a reply to a load command after which one replica is loaded.
 	OneReplica = "slots_up=1"
 
 	replicaFound = "detail=hit"
 )
 
-// A frame has a head of 16 bytes (mark, code, sizes of fields and body, request ID), fields, body and checksum.
+// A frame consists of a header of 16 bytes (magic number, code, sizes of fields and body, request ID), fields, body and
+// checksum.
 const (
-	frameHeadSize    = 16
+	frameHeaderSize  = 16
 	requestIDOffset  = 8
 	checksumSize     = 4
 	fieldsSizeOffset = 2
 	bodySizeOffset   = 4
 )
 
-// Frame is a frame that a worker received.
+// Frame is a frame that was received by a worker.
 type Frame struct {
 	Fields []byte
 	Body   []byte
 
-	head []byte
+	header []byte
 }
 
-// ReadFrame reads the next frame from a connection to a worker.
+// ReadFrame reads the next frame from a worker's connection. It does not verify the checksum.
 func ReadFrame(conn net.Conn) (Frame, error) {
-	head := make([]byte, frameHeadSize)
-	if _, err := io.ReadFull(conn, head); err != nil {
+	header := make([]byte, frameHeaderSize)
+	if _, err := io.ReadFull(conn, header); err != nil {
 		return Frame{}, err
 	}
-	fieldsSize := int(binary.BigEndian.Uint16(head[fieldsSizeOffset:]))
-	bodySize := int(binary.BigEndian.Uint32(head[bodySizeOffset:]))
+	fieldsSize := int(binary.BigEndian.Uint16(header[fieldsSizeOffset:]))
+	bodySize := int(binary.BigEndian.Uint32(header[bodySizeOffset:]))
 	rest := make([]byte, fieldsSize+bodySize+checksumSize)
 	if _, err := io.ReadFull(conn, rest); err != nil {
 		return Frame{}, err
 	}
-	return Frame{head: head, Fields: rest[:fieldsSize], Body: rest[fieldsSize : fieldsSize+bodySize]}, nil
+	return Frame{header: header, Fields: rest[:fieldsSize], Body: rest[fieldsSize : fieldsSize+bodySize]}, nil
 }
 
 // Command returns the frame's command.
-func (f Frame) Command() byte { return f.head[1] }
+func (f Frame) Command() byte { return f.header[1] }
 
-// Reply returns a reply to the frame.
+// Reply encodes a reply to the frame.
 func (f Frame) Reply(code byte, fields string, body []byte) []byte {
 	reply := binary.BigEndian.AppendUint16([]byte{ReplyMagic, code}, uint16(len(fields)))
 	reply = binary.BigEndian.AppendUint32(reply, uint32(len(body)))
-	reply = append(reply, f.head[requestIDOffset:]...)
+	reply = append(reply, f.header[requestIDOffset:]...)
 	reply = append(append(reply, fields...), body...)
-	return binary.BigEndian.AppendUint32(reply, crc32.ChecksumIEEE(reply[frameHeadSize:]))
+	return binary.BigEndian.AppendUint32(reply, crc32.ChecksumIEEE(reply[frameHeaderSize:]))
 }
 
-// CorruptReply returns a reply to the frame whose checksum is wrong.
+// CorruptReply encodes a reply to the frame with a wrong checksum.
 func (f Frame) CorruptReply(code byte, fields string, body []byte) []byte {
 	reply := f.Reply(code, fields, body)
 	checksum := reply[len(reply)-checksumSize:]
@@ -81,7 +82,7 @@
 	return reply
 }
 
-// Budget returns the time that an attempt gives its worker.
+// Budget returns the time that an attempt allows its worker for execution.
 func (f Frame) Budget(t *testing.T) time.Duration {
 	t.Helper()
 	for field := range strings.SplitSeq(string(f.Fields), ",") {
@@ -93,6 +94,6 @@
 			return time.Duration(milliseconds) * time.Millisecond
 		}
 	}
-	t.Errorf("no budget in %q", f.Fields)
+	t.Errorf("no budget in the fields %q", f.Fields)
 	return 0
 }
--- a/internal/verification/nodetest/loopback.go
+++ b/internal/verification/nodetest/loopback.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// exitTimeout bounds the shutdown of a front end.
+// exitTimeout limits the time that a front end may take to shut down.
 const exitTimeout = 4 * time.Second
 
 // Listen listens on a free loopback port until the test ends.
@@ -46,7 +46,8 @@
 	Close(t, conn)
 }
 
-// WaitForExit waits until a front end that was asked to stop has ended without an error.
+// WaitForExit waits for the end of a front end that was told to stop. It fails the test if the front end ends with an error
+// or does not end within exitTimeout.
 func WaitForExit(t *testing.T, done <-chan error) {
 	t.Helper()
 	select {
@@ -55,6 +56,6 @@
 			t.Error(err)
 		}
 	case <-time.After(exitTimeout):
-		t.Error("front end has not exited")
+		t.Error("front end did not exit in time")
 	}
 }
--- a/internal/verification/nodetest/nodetest_test.go
+++ b/internal/verification/nodetest/nodetest_test.go
@@ -18,10 +18,10 @@
 	frame = binary.BigEndian.AppendUint32(frame, uint32(len(body)))
 	frame = append(frame, 0, 0, 0, 0, 0, 0, 0, 7)
 	frame = append(append(frame, fields...), body...)
-	return binary.BigEndian.AppendUint32(frame, crc32.ChecksumIEEE(frame[frameHeadSize:]))
+	return binary.BigEndian.AppendUint32(frame, crc32.ChecksumIEEE(frame[frameHeaderSize:]))
 }
 
-// exchange sends a frame to a worker and returns its reply, which is empty if there is none within timeout.
+// exchange sends a frame to a worker and returns the reply, which is empty if there was none within timeout.
 func exchange(t *testing.T, w *Worker, frame []byte, timeout time.Duration) []byte {
 	t.Helper()
 	conn, err := net.Dial("tcp", w.Addr())
@@ -36,13 +36,13 @@
 		t.Fatal(err)
 	}
 	reply := make([]byte, 1024)
-	n, _ := conn.Read(reply) // no reply is a timeout
+	n, _ := conn.Read(reply) // without a reply the read times out
 	return reply[:n]
 }
 
 func isChecksumValid(reply []byte) bool {
 	end := len(reply) - checksumSize
-	return binary.BigEndian.Uint32(reply[end:]) == crc32.ChecksumIEEE(reply[frameHeadSize:end])
+	return binary.BigEndian.Uint32(reply[end:]) == crc32.ChecksumIEEE(reply[frameHeaderSize:end])
 }
 
 func TestWorker_RepliesToAttempt(t *testing.T) {
@@ -50,15 +50,15 @@
 	attempt := encodeFrame(CommandAttempt, "budget=5", "body")
 	reply := exchange(t, w, attempt, clientTimeout)
 	if len(reply) == 0 || reply[1] != ReplySucceeded || !bytes.Contains(reply, []byte("body")) || !isChecksumValid(reply) {
-		t.Errorf("%q", reply)
+		t.Errorf("reply %q", reply)
 	}
 	w.Corrupt.Store(true)
 	if reply := exchange(t, w, attempt, clientTimeout); len(reply) == 0 || isChecksumValid(reply) {
-		t.Errorf("corrupt: %q", reply)
+		t.Errorf("reply of a corrupt worker: %q", reply)
 	}
 	w.Silent.Store(true)
 	if reply := exchange(t, w, attempt, 100*time.Millisecond); len(reply) != 0 {
-		t.Errorf("silent: %q", reply)
+		t.Errorf("reply of a silent worker: %q", reply)
 	}
 	if n := w.Attempts.Load(); n != 3 {
 		t.Errorf("%d attempts counted, want 3", n)
@@ -71,10 +71,10 @@
 	w.SetReplyCode(func(byte) byte { return ReplyFailed })
 	reply := exchange(t, w, encodeFrame(CommandLoad, "", ""), clientTimeout)
 	if len(reply) == 0 || reply[1] != ReplyFailed || !bytes.Contains(reply, []byte(OneReplica)) || !isChecksumValid(reply) {
-		t.Errorf("%q", reply)
+		t.Errorf("reply %q", reply)
 	}
 	if command := <-w.Replied; command != CommandLoad {
-		t.Errorf("replied to %d", command)
+		t.Errorf("worker replied to command %d", command)
 	}
 }
 
@@ -91,15 +91,15 @@
 		t.Fatal(err)
 	}
 	if document.Listen != "127.0.0.1:1" || document.DiscoveryAddress != "127.0.0.1:2" || document.MaxDescriptors != 64 {
-		t.Errorf("%+v", document)
+		t.Errorf("document %+v", document)
 	}
 	if workers := document.Discovery.EndpointList(0, 0).Workers; len(workers) != 1 || workers[0].State != control.Serving {
-		t.Fatalf("%+v", workers)
+		t.Fatalf("workers before the update: %+v", workers)
 	}
 	if effect, err := document.Discovery.ReadLine([]byte(DrainLine(worker))); effect != platform.Changed || err != nil {
 		t.Error(effect, err)
 	}
 	if workers := document.Discovery.EndpointList(0, 0).Workers; len(workers) != 1 || workers[0].State != control.Draining {
-		t.Errorf("%+v", workers)
+		t.Errorf("workers after the update: %+v", workers)
 	}
 }
--- a/internal/verification/nodetest/worker.go
+++ b/internal/verification/nodetest/worker.go
@@ -6,19 +6,19 @@
 	"testing"
 )
 
-// repliedBuffer holds the commands of replies that a test has not looked at.
-const repliedBuffer = 64
+// repliedBufferSize is the number of replies that Worker.Replied holds until the test reads them.
+const repliedBufferSize = 64
 
-// Worker is a fake worker of the platform. It replies to attempts with their own body and to load commands with one
-// replica, unless the test has it do otherwise.
+// Worker is a fake worker of the platform. By default it replies to an attempt with the attempt's body, and to a load
+// command with one loaded replica.
 type Worker struct {
-	// Corrupt has replies to attempts carry a wrong checksum.
+	// Corrupt makes replies to attempts carry a wrong checksum.
 	Corrupt atomic.Bool
-	// Silent has attempts remain without a reply.
+	// Silent makes the worker send no replies to attempts.
 	Silent atomic.Bool
 	// Attempts counts the attempts received.
 	Attempts atomic.Int32
-	// Replied receives the command of each reply that was sent while SetReplyCode was in force.
+	// Replied receives the command of each frame that was replied to after a call of SetReplyCode.
 	Replied chan byte
 
 	listener  net.Listener
@@ -36,7 +36,7 @@
 
 // NewUnstartedWorker returns a fake worker whose connections the test accepts itself.
 func NewUnstartedWorker(listener net.Listener) *Worker {
-	return &Worker{listener: listener, Replied: make(chan byte, repliedBuffer)}
+	return &Worker{listener: listener, Replied: make(chan byte, repliedBufferSize)}
 }
 
 // Addr returns the address on which the worker listens.
@@ -45,7 +45,7 @@
 // Accept accepts a connection to a worker that was not started.
 func (w *Worker) Accept() (net.Conn, error) { return w.listener.Accept() }
 
-// SetReplyCode has code choose the code of each further reply. It is called before the reply is sent.
+// SetReplyCode sets a function that returns the code of each further reply. The worker calls it before it sends the reply.
 func (w *Worker) SetReplyCode(code func(command byte) byte) { w.replyCode.Store(&code) }
 
 // InterceptConnections calls intercept with each further connection. The worker serves those for which it returns false.
@@ -53,7 +53,7 @@
 	w.intercept.Store(&intercept)
 }
 
-// HandleConnections has the test handle all further connections.
+// HandleConnections passes all further connections to handle, and serves none of them itself.
 func (w *Worker) HandleConnections(handle func(conn net.Conn)) {
 	w.InterceptConnections(func(conn net.Conn) bool {
 		handle(conn)
@@ -103,7 +103,7 @@
 	}
 }
 
-// reply replies to a frame, with success where replyCode is nil, and reports whether a reply was sent.
+// reply replies to a frame, with ReplySucceeded if replyCode is nil, and reports whether a reply was sent.
 func (w *Worker) reply(conn net.Conn, frame Frame, replyCode *func(command byte) (code byte)) bool {
 	fields, body, encode := OneReplica, []byte(nil), frame.Reply
 	switch frame.Command() {
--- a/internal/verification/ports/ports.go
+++ b/internal/verification/ports/ports.go
@@ -1,7 +1,7 @@
-// Package ports hands out loopback addresses for tests with servers that restart at the same address. Its ports are below
-// the range that the system gives to outgoing connections: one of these could otherwise take the port of a server while it
-// is down. Processes that run at the same time hand out different ports: each claims blocks of them, by listening on the
-// first port of a block until it ends.
+// Package ports allocates loopback addresses for tests with servers that restart at the same address. Its ports are below
+// the ephemeral range of the system: an outgoing connection could otherwise take the port of a server while it is down.
+// Concurrent processes allocate different ports: each claims blocks of ports, by listening on the first port of a block
+// until the process ends.
 package ports
 
 import (
@@ -12,7 +12,7 @@
 	"sync"
 )
 
-// The ports that are handed out.
+// Range of the allocated ports, and the number of them that Listen and Reserve try.
 const (
 	firstPort    = 12_000
 	blockSize    = 500
@@ -23,17 +23,17 @@
 // errNoBlock reports that other processes have claimed all ports.
 var errNoBlock = errors.New("all blocks of ports are claimed")
 
-// allocator hands out the ports of the blocks that this process has claimed. No port is handed out twice.
+// allocator allocates the ports of the blocks that this process has claimed. It allocates no port twice.
 type allocator struct {
 	mu     sync.Mutex
 	claims []net.Listener // held until the process ends
-	next   int            // port to be handed out
-	end    int            // first port behind the block
+	next   int            // next port to allocate
+	end    int            // first port after the block
 }
 
-var ports allocator
+var processAllocator allocator
 
-// nextAddress returns an address that was not handed out before, to this process or to another one that runs.
+// nextAddress returns an address that neither this process nor another running one has allocated before.
 func (a *allocator) nextAddress() (string, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -46,13 +46,13 @@
 	return loopback(a.next - 1), nil
 }
 
-// claimBlock claims a block that no process has claimed.
+// claimBlock claims a block that no running process has claimed.
 func (a *allocator) claimBlock() error {
 	for _, block := range rand.Perm(blockCount) {
 		first := firstPort + block*blockSize
 		claim, err := net.Listen("tcp", loopback(first))
 		if err != nil {
-			continue // claimed, or in use by another program
+			continue // claimed by another process, or the port is in use by another program
 		}
 		a.claims = append(a.claims, claim)
 		a.next, a.end = first+1, first+blockSize
@@ -63,14 +63,14 @@
 
 func loopback(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
 
-// Listen listens at an address, or at any free one if it is empty.
+// Listen listens at an address, or at any free one if address is empty.
 func Listen(address string) (net.Listener, error) {
 	if address != "" {
 		return net.Listen("tcp", address)
 	}
 	var err error
 	for range portAttempts {
-		if address, err = ports.nextAddress(); err != nil {
+		if address, err = processAllocator.nextAddress(); err != nil {
 			return nil, err
 		}
 		var listener net.Listener
@@ -86,7 +86,7 @@
 	var err error
 	for range portAttempts {
 		var address string
-		if address, err = ports.nextAddress(); err != nil {
+		if address, err = processAllocator.nextAddress(); err != nil {
 			return "", err
 		}
 		var listener net.Listener
--- a/internal/verification/ports/ports_test.go
+++ b/internal/verification/ports/ports_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Two allocators stand for two processes: soaks that ran at the same time took each other's ports while a server restarted.
+// Guards against processes that take each other's ports, which happened to concurrent soak tests while a server restarted.
+// Each allocator represents a process.
 func TestNextAddress_ProcessesShareNoPort(t *testing.T) {
 	var first, second allocator
 	defer func() {
@@ -21,7 +22,7 @@
 				t.Fatal(err)
 			}
 			if seen[address] {
-				t.Fatalf("%s handed out twice", address)
+				t.Fatalf("%s was allocated twice", address)
 			}
 			seen[address] = true
 		}
