--- a/internal/eventloop/server_calls.go
+++ b/internal/eventloop/server_calls.go
@@ -107,12 +107,12 @@
 // readEndpointList applies the content of the endpoint list file. If the list is invalid, the last valid one stays in force.
 func (s *Server) readEndpointList(data []byte, err error) {
 	if err != nil {
-		s.log.Warn("failed to read endpoint list, keeping the previous one", "file", s.settings.EndpointListFile, "error", err)
+		s.log.Warn("failed to read endpoint list, keeping the last one", "file", s.settings.EndpointListFile, "error", err)
 		return
 	}
 	s.postIfRunning(func() {
 		if err := s.proxy.ReadEndpointList(data); err != nil {
-			s.log.Error("invalid endpoint list, keeping the previous one", "file", s.settings.EndpointListFile, "error", err)
+			s.log.Error("invalid endpoint list, keeping the last one", "file", s.settings.EndpointListFile, "error", err)
 		}
 	})
 }
