--- a/internal/verification/simulation/appliance.go
+++ b/internal/verification/simulation/appliance.go
@@ -24,11 +24,11 @@
 	closeTime         = 0.02  // of the store
 	minRestartDelay   = 0.1   // from the end of a process to the next one
 	tornRestartDelay  = 0.3   // from a torn write, which stops the machine
-	powerReturn       = 0.2   // from a loss of power to its return
+	powerLossDuration = 0.2   // from a loss of power to its return
 	taskInterval      = 0.1   // between slices of background tasks
-	taskSlice         = 0.005 // reported duration of a slice
+	taskSliceDuration = 0.005 // reported duration of a slice
 	expiryBatch       = 50    // records that one slice of the expiry task deletes
-	firstUptime       = 1e6   // of the machines' monotonic clocks
+	baseUptime        = 1e6   // of the machines' monotonic clocks
 	uptimeDifference  = 1000  // between two machines
 	stateDirectory    = "state"
 	baseAppliancePort = 8080
@@ -49,16 +49,16 @@
 	number int
 	boots  int
 
-	disk       *disk
-	store      *storage.Store // nil while it is closed, and always if the script is stateless
-	syncing    bool
-	lifecycle  appliance.Lifecycle
-	recovered  *storage.RecoveredState
-	frontEnds  []*frontEnd
-	tasks      *appliance.TaskScheduler
-	registry   *registry.Registry
-	restartIn  float64 // seconds from a graceful stop to the next start
-	ignoreList bool    // it misses changes of the endpoint list
+	disk        *disk
+	store       *storage.Store // nil while it is closed, and always if the script is stateless
+	syncPending bool
+	lifecycle   appliance.Lifecycle
+	recovered   *storage.RecoveredState
+	frontEnds   []*frontEnd
+	tasks       *appliance.TaskScheduler
+	registry    *registry.Registry
+	restartIn   float64 // seconds from a graceful stop to the next start
+	ignoreList  bool    // it misses changes of the endpoint list
 
 	schedules          *schedule.Plan
 	lastFirings        map[string]time.Time
@@ -76,7 +76,7 @@
 	a := &applianceProcess{
 		process: process{
 			scheduler: s.scheduler, name: fmt.Sprintf("box-%d", number), powered: true,
-			uptimeBase: firstUptime + uptimeDifference*float64(number),
+			uptimeBase: baseUptime + uptimeDifference*float64(number),
 		},
 		site: s, number: number, disk: newDisk(),
 		acknowledged:   map[dispatch.Identity]dispatch.Record{},
@@ -97,7 +97,7 @@
 func (a *applianceProcess) start() {
 	a.lifecycle = appliance.Lifecycle{}
 	a.incarnation++
-	a.running, a.powered, a.suspended, a.syncing, a.schedulesSuspended = true, true, false, false, true
+	a.running, a.powered, a.suspended, a.syncPending, a.schedulesSuspended = true, true, false, false, true
 	a.boots++
 	a.schedules = nil
 	a.after(bootTime, "opens the state", a.openState)
@@ -257,7 +257,7 @@
 	if !a.running {
 		return
 	}
-	a.tasks.Done(float64(a.scheduler.now), name, taskSlice, more, err)
+	a.tasks.Done(float64(a.scheduler.now), name, taskSliceDuration, more, err)
 	a.after(taskInterval, "chores", a.runTask)
 }
 
@@ -302,12 +302,12 @@
 }
 
 func (a *applianceProcess) sync() {
-	if a.syncing {
+	if a.syncPending {
 		return
 	}
-	a.syncing = true
+	a.syncPending = true
 	a.after(syncTime+a.disk.syncDelay, "syncs", func() {
-		a.syncing = false
+		a.syncPending = false
 		if a.store == nil { // it was closed, which wrote the batch
 			return
 		}
@@ -343,7 +343,7 @@
 	if kind == powerLoss {
 		a.powered = false
 		a.site.reboots[a.number]++
-		a.scheduler.after(powerReturn, a.name+" has power", func() { a.powered = true })
+		a.scheduler.after(powerLossDuration, a.name+" has power", func() { a.powered = true })
 	}
 	for _, f := range a.frontEnds {
 		f.timer.cancel()
@@ -356,6 +356,6 @@
 	a.store = nil
 	a.disk.restart(kind)
 	if old != nil {
-		a.site.closing.Go(func() { _ = old.Abandon() }) // releases its memory; its disk is not used any more
+		a.site.abandonedStores.Go(func() { _ = old.Abandon() }) // releases its memory; its disk is not used any more
 	}
 }
--- a/internal/verification/simulation/client.go
+++ b/internal/verification/simulation/client.go
@@ -21,9 +21,9 @@
 	normalCancelFraction = 0.02     // of requests that are cancelled
 	minClientTimeout     = 0.4      // seconds
 	minLostRetryDelay    = 0.02     // seconds from a lost connection to a retry
-	lostRetrySpread      = 0.3      // seconds over which such retries are spread
+	lostRetryJitter      = 0.3      // seconds over which such retries are spread
 	closedRetryDelay     = 0.05     // seconds from a client's close of its connection to a retry
-	eagerRetryDelay      = 0.01     // seconds from a rejection to a retry by clients that ignore Retry-After
+	immediateRetryDelay  = 0.01     // seconds from a rejection to a retry by clients that ignore Retry-After
 	reconnectDelay       = 0.01     // seconds from FaultReconnect to a retry
 	maxStartDelay        = 0.2      // seconds over which the clients' first requests are spread
 	maxDuplicateDelay    = 0.1      // seconds from a request to its duplicate
@@ -197,8 +197,8 @@
 	}
 }
 
-// outcomes has the outcome by status.
-var outcomes = map[int]string{
+// outcomeByStatus has the outcome by status.
+var outcomeByStatus = map[int]string{
 	http.StatusOK:                 invariants.Succeeded,
 	http.StatusServiceUnavailable: invariants.Rejected,
 	http.StatusTooManyRequests:    invariants.Rejected,
@@ -213,7 +213,7 @@
 	}
 	call.ended = true
 	r := call.request
-	outcome, known := outcomes[m.Status]
+	outcome, known := outcomeByStatus[m.Status]
 	if !known {
 		outcome = invariants.Invalid
 		c.site.violation("client", "%s: status %d: %s", r.id, m.Status, m.Body)
@@ -238,7 +238,7 @@
 		c.site.violation("client", "%s: rejected without Retry-After", r.id)
 	}
 	if c.site.ignoreRetryAfter {
-		c.retry(r, eagerRetryDelay, anyFrontEnd)
+		c.retry(r, immediateRetryDelay, anyFrontEnd)
 	} else if m.Status == http.StatusServiceUnavailable {
 		c.retry(r, units.Seconds(retryAfter+c.rng.Float64()*0.2), anyFrontEnd)
 	}
--- a/internal/verification/simulation/client_conn.go
+++ b/internal/verification/simulation/client_conn.go
@@ -149,7 +149,7 @@
 		}
 		call.end()
 		client.site.endLostCall(call)
-		client.retry(call.request, units.Seconds(minLostRetryDelay+client.rng.Float64()*lostRetrySpread), anyFrontEnd)
+		client.retry(call.request, units.Seconds(minLostRetryDelay+client.rng.Float64()*lostRetryJitter), anyFrontEnd)
 	}
 	c.calls = nil
 }
--- a/internal/verification/simulation/connection.go
+++ b/internal/verification/simulation/connection.go
@@ -6,8 +6,8 @@
 	"streamcleat/internal/units"
 )
 
-// unlimited is the value of bytesUntilReset without a fault.
-const unlimited = -1
+// noReset is the value of bytesUntilReset without a fault.
+const noReset = -1
 
 // connection is a connection between two processes.
 type connection struct {
@@ -155,9 +155,9 @@
 		peer.onPeerClosed()
 	case peer.bytesUntilReset >= 0 && len(data) >= peer.bytesUntilReset:
 		data = data[:peer.bytesUntilReset]
-		peer.bytesUntilReset = unlimited
+		peer.bytesUntilReset = noReset
 		if len(data) > 0 {
-			peer.passData(data)
+			peer.deliverData(data)
 		}
 		e.conn.reset()
 		return false
@@ -165,12 +165,12 @@
 		if peer.bytesUntilReset >= 0 {
 			peer.bytesUntilReset -= len(data)
 		}
-		peer.passData(data)
+		peer.deliverData(data)
 	}
 	return true
 }
 
-func (e *endpoint) passData(data []byte) {
+func (e *endpoint) deliverData(data []byte) {
 	if e.onData != nil && !e.finished {
 		e.onData(data)
 	}
--- a/internal/verification/simulation/coverage.go
+++ b/internal/verification/simulation/coverage.go
@@ -53,7 +53,7 @@
 	if !a.isServing() {
 		states = append(states, a.lifecycle.State.String())
 	}
-	if a.syncing {
+	if a.syncPending {
 		states = append(states, stateWriting)
 	}
 	a.eachFrontEnd(func(f *frontEnd) { states = append(states, f.coverageStates()...) })
--- a/internal/verification/simulation/disk.go
+++ b/internal/verification/simulation/disk.go
@@ -22,22 +22,22 @@
 type disk struct {
 	syncDelay units.Seconds // additional seconds of a sync; only used by the simulation's goroutine
 
-	mu         sync.Mutex
-	fs         *vfs.MemFS
-	full       bool
-	tearAfter  int  // bytes of the next log record that are written before the machine stops
-	stopped    bool // all writes fail
-	ignoreSync bool // syncs succeed without effect
-	tornWrites int
+	mu             sync.Mutex
+	fs             *vfs.MemFS
+	full           bool
+	tornWriteBytes int  // bytes of the next log record that are written before the machine stops
+	stopped        bool // all writes fail
+	ignoreSync     bool // syncs succeed without effect
+	tornWrites     int
 }
 
-func newDisk() *disk { return &disk{fs: vfs.NewCrashableMem(), tearAfter: noTornWrite} }
+func newDisk() *disk { return &disk{fs: vfs.NewCrashableMem(), tornWriteBytes: noTornWrite} }
 
 // restart prepares the disk for the next process: it keeps the written data, or after a power loss the synced data.
 func (d *disk) restart(after exitKind) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.tearAfter, d.stopped = noTornWrite, false
+	d.tornWriteBytes, d.stopped = noTornWrite, false
 	crash := vfs.CrashCloneCfg{}
 	if after != powerLoss {
 		crash.UnsyncedDataPercent, crash.RNG = 100, newRand(0, "all of it")
@@ -47,7 +47,7 @@
 
 // snapshot returns a copy of the disk as the next process would find it.
 func (d *disk) snapshot() *disk {
-	copied := &disk{fs: d.fs, tearAfter: noTornWrite}
+	copied := &disk{fs: d.fs, tornWriteBytes: noTornWrite}
 	copied.restart(processExit)
 	return copied
 }
@@ -73,11 +73,11 @@
 func (d *disk) takeTornWrite() (bytes int, torn bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	bytes = d.tearAfter
+	bytes = d.tornWriteBytes
 	if bytes == noTornWrite {
 		return 0, false
 	}
-	d.tearAfter, d.stopped = noTornWrite, true
+	d.tornWriteBytes, d.stopped = noTornWrite, true
 	d.tornWrites++
 	return bytes, true
 }
--- a/internal/verification/simulation/disk_test.go
+++ b/internal/verification/simulation/disk_test.go
@@ -34,7 +34,7 @@
 			if err := commit(store, "one"); err != nil {
 				t.Fatal(err)
 			}
-			d.tearAfter = 20
+			d.tornWriteBytes = 20
 			if err := commit(store, "two"); err == nil {
 				t.Fatal("a torn write succeeded")
 			}
--- a/internal/verification/simulation/front_end.go
+++ b/internal/verification/simulation/front_end.go
@@ -32,7 +32,7 @@
 	timer        *event
 	workerStates map[string]string  // as read from the endpoint list, by worker
 	coldStarts   map[string]float64 // as read from the endpoint list, by worker
-	touched      bool               // it had activity in this event
+	active       bool               // it had activity in this event
 }
 
 // processName returns the name of the present process. Processes of a front end share only the state on disk.
@@ -126,11 +126,11 @@
 	return true
 }
 
-// touch marks the front end as active in this event, so that it is checked.
-func (f *frontEnd) touch() {
-	if !f.touched {
-		f.touched = true
-		f.appliance.site.touched = append(f.appliance.site.touched, f)
+// markActive marks the front end as active in this event, so that it is checked.
+func (f *frontEnd) markActive() {
+	if !f.active {
+		f.active = true
+		f.appliance.site.activeFrontEnds = append(f.appliance.site.activeFrontEnds, f)
 	}
 }
 
@@ -163,7 +163,7 @@
 
 // Now implements proxy.Host.
 func (h *host) Now() units.Seconds {
-	(*frontEnd)(h).touch()
+	(*frontEnd)(h).markActive()
 	return h.appliance.monotonic()
 }
 
@@ -273,7 +273,7 @@
 			Class:     m.Header.Get("Ce-Type"),
 		}
 		s.recorder.Add(r.open)
-		s.newestAttempt[f.name+" "+r.open.RequestID] = r.open.CallID
+		s.latestAttempts[f.name+" "+r.open.RequestID] = r.open.CallID
 	case strings.HasSuffix(m.Target, "/load"):
 		s.recorder.Add(invariants.Record{Kind: invariants.LoadCommanded, Worker: r.worker, FrontEnd: f.processName(), Replicas: 1})
 	}
--- a/internal/verification/simulation/inject.go
+++ b/internal/verification/simulation/inject.go
@@ -63,7 +63,7 @@
 
 func (i *injection) tearWrite() {
 	if i.appliance.store != nil {
-		i.appliance.disk.tearAfter = i.fault.Bytes
+		i.appliance.disk.tornWriteBytes = i.fault.Bytes
 	}
 }
 
@@ -86,7 +86,7 @@
 func (i *injection) suspendAppliance() {
 	a := i.appliance
 	if a.running && !a.suspended {
-		i.addOutage(a.number, everyone, float64(i.outageEnd()))
+		i.addOutage(a.number, wildcard, float64(i.outageEnd()))
 		a.suspend(i.fault.Duration)
 	}
 }
--- a/internal/verification/simulation/inject_network.go
+++ b/internal/verification/simulation/inject_network.go
@@ -76,7 +76,7 @@
 
 // breakConnections resets the appliance's connections with a process after some bytes, alternately in each direction.
 func (i *injection) breakConnections(other string) {
-	for n, e := range i.network.between(i.appliance.name, other) {
+	for n, e := range i.network.endpointsBetween(i.appliance.name, other) {
 		if n%2 == 0 {
 			e.resetAfterBytes(i.fault.Bytes)
 		} else {
@@ -90,7 +90,7 @@
 func (i *injection) halfOpenClient() { i.blackholeConnections(i.clientName) }
 
 func (i *injection) blackholeConnections(other string) {
-	for _, e := range i.network.between(i.appliance.name, other) {
+	for _, e := range i.network.endpointsBetween(i.appliance.name, other) {
 		e.conn.blackhole()
 	}
 }
@@ -108,7 +108,7 @@
 			conn.end.conn.faulty = true
 		}
 	}
-	i.addOutage(everyone, i.fault.Client, float64(i.scheduler.now+i.fault.Duration+requestTimeout))
+	i.addOutage(wildcard, i.fault.Client, float64(i.scheduler.now+i.fault.Duration+requestTimeout))
 	i.undoLater("reads again", func() { c.readRate = 0 })
 }
 
--- a/internal/verification/simulation/liveness_checks.go
+++ b/internal/verification/simulation/liveness_checks.go
@@ -5,21 +5,21 @@
 // checkTouched checks every front end with activity in this event.
 func (s *site) checkTouched() {
 	const thoroughEvery = 32 // checks
-	for _, f := range s.touched {
-		f.touched = false
+	for _, f := range s.activeFrontEnds {
+		f.active = false
 		a := f.appliance
 		if f.proxy == nil || a.suspended {
 			continue
 		}
-		s.touchChecks++
-		if err := f.proxy.Check(s.touchChecks%thoroughEvery == 0); err != nil {
+		s.frontEndChecks++
+		if err := f.proxy.Check(s.frontEndChecks%thoroughEvery == 0); err != nil {
 			s.violation("invariant", "%s: %v", f.name, err)
 		}
 		if a.isServing() && s.openOutages[a.number] != nil {
 			s.endOutage(a)
 		}
 	}
-	s.touched = s.touched[:0]
+	s.activeFrontEnds = s.activeFrontEnds[:0]
 }
 
 // checkEnd checks that all appliances serve, and nothing is left open, at the end of the run.
@@ -53,7 +53,7 @@
 	}
 	if clients > 0 || upstreams > 0 {
 		s.violation("leak", "%s has %d client connections and %d worker connections at the end: %s", f.name, clients, upstreams,
-			s.network.describe(f.appliance.name))
+			s.network.describeConnections(f.appliance.name))
 	}
 	if !f.proxy.RecordsStored() {
 		s.violation("liveness", "%s has records that are not stored at the end", f.name)
--- a/internal/verification/simulation/network.go
+++ b/internal/verification/simulation/network.go
@@ -92,15 +92,15 @@
 		d.fail(n.delay(p.name, addr), errRefused)
 		return
 	}
-	n.scheduler.after(n.delay(p.name, d.listener.process.name), p.name+" dials "+addr, d.try)
+	n.scheduler.after(n.delay(p.name, d.listener.process.name), p.name+" dials "+addr, d.tryConnect)
 }
 
 func (d *dial) fail(delay units.Seconds, err error) {
 	d.process.after(delay, "dialed "+d.addr, func() { d.done(nil, err) })
 }
 
-// try connects, or retries later during a partition.
-func (d *dial) try() {
+// tryConnect connects, or retries later during a partition.
+func (d *dial) tryConnect() {
 	n, from, to := d.network, d.process, d.listener.process
 	switch {
 	case from.incarnation != d.incarnation:
@@ -109,7 +109,7 @@
 			d.fail(0, errTimedOut)
 			return
 		}
-		n.scheduler.after(partitionRetryDelay, from.name+" dials again", d.try)
+		n.scheduler.after(partitionRetryDelay, from.name+" dials again", d.tryConnect)
 	case !to.running || n.listeners[d.addr] != d.listener:
 		d.fail(n.delay(to.name, from.name), errRefused)
 	default:
@@ -122,7 +122,7 @@
 	n.dialed++
 	c := &connection{network: n, name: fmt.Sprintf("%s>%s#%d", from.name, d.addr, n.dialed)}
 	for i, p := range []*process{from, to} {
-		c.ends[i] = &endpoint{conn: c, side: i, process: p, incarnation: p.incarnation, canSend: true, bytesUntilReset: unlimited}
+		c.ends[i] = &endpoint{conn: c, side: i, process: p, incarnation: p.incarnation, canSend: true, bytesUntilReset: noReset}
 	}
 	n.conns = append(n.conns, c)
 	// The kernel accepts the connection for a process that is suspended.
@@ -152,8 +152,8 @@
 	return list
 }
 
-// between returns the endpoints at the first process of its open connections with the second.
-func (n *network) between(a, b string) (list []*endpoint) {
+// endpointsBetween returns the endpoints at the first process of its open connections with the second.
+func (n *network) endpointsBetween(a, b string) (list []*endpoint) {
 	for _, e := range n.endpointsOf(a) {
 		if e.peer().process.name == b && !e.finished {
 			list = append(list, e)
@@ -162,8 +162,8 @@
 	return list
 }
 
-// describe describes the open connections of a process.
-func (n *network) describe(name string) (list []string) {
+// describeConnections describes the open connections of a process.
+func (n *network) describeConnections(name string) (list []string) {
 	for _, e := range n.endpointsOf(name) {
 		list = append(list, fmt.Sprintf("%s (finished %v, peer finished %v, %d bytes queued, blackholed %v)", e.conn.name, e.finished, e.peer().finished,
 			e.queuedBytes, e.conn.blackholed))
--- a/internal/verification/simulation/outages.go
+++ b/internal/verification/simulation/outages.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	everyone     = -1   // in place of a number: all appliances or clients
+	wildcard     = -1   // in place of a number: all appliances or clients
 	outageMargin = 0.05 // seconds from an appliance's return until clients are promised responses
 	cancelDelay  = 0.15 // seconds until a front end must have processed a cancellation
 )
@@ -22,7 +22,7 @@
 // beginOutage begins an outage of an appliance for all clients. endOutage ends it.
 func (s *site) beginOutage(a *applianceProcess) {
 	if s.openOutages[a.number] == nil {
-		s.openOutages[a.number] = &outage{a.number, everyone, float64(s.scheduler.now), never}
+		s.openOutages[a.number] = &outage{a.number, wildcard, float64(s.scheduler.now), never}
 	}
 }
 
@@ -75,19 +75,19 @@
 		request: c.request.id, frontEnd: c.frontEnd.name, boot: c.frontEnd.appliance.boots, call: float64(s.scheduler.now),
 		response: noResponse,
 	}
-	s.openOperation[c] = op
+	s.openOperations[c] = op
 	s.operations = append(s.operations, op)
 }
 
 // endOperation ends the operation of a call. Its outcome counts as unknown if the appliance restarted meanwhile, as
 // another process may have responded.
 func (s *site) endOperation(c *clientCall, outcome string) {
-	op := s.openOperation[c]
+	op := s.openOperations[c]
 	op.response, op.outcome = float64(s.scheduler.now), outcome
 	if op.boot != c.frontEnd.appliance.boots {
 		op.outcome = ""
 	}
-	delete(s.openOperation, c)
+	delete(s.openOperations, c)
 }
 
 // endTimedOutCall ends a call whose timeout has passed. Unless it is exempt, the checker of invariants reports the missing
@@ -97,7 +97,7 @@
 		s.endCallWithUnknownOutcome(c)
 		return
 	}
-	delete(s.openOperation, c)
+	delete(s.openOperations, c)
 }
 
 // endLostCall ends a call whose connection closed without a response.
@@ -115,14 +115,14 @@
 			s.endCallWithUnknownOutcome(c)
 			return
 		}
-		delete(s.openOperation, c)
+		delete(s.openOperations, c)
 		s.recorder.Add(c.record(invariants.ClientCancelled))
 	})
 }
 
 // endCallWithUnknownOutcome ends a call whose outcome is unknown, so that its front end may still make attempts.
 func (s *site) endCallWithUnknownOutcome(c *clientCall) {
-	delete(s.openOperation, c)
+	delete(s.openOperations, c)
 	s.addUnknownOutcome(c.record(invariants.ConnectionLost))
 }
 
--- a/internal/verification/simulation/report.go
+++ b/internal/verification/simulation/report.go
@@ -45,7 +45,7 @@
 	records := s.recorder.Records()
 	verdict := invariants.Check(s.rules, records)
 	s.checkRetries()
-	s.closing.Wait()
+	s.abandonedStores.Wait()
 	findings := slices.Concat(verdict.Violations, s.violations)
 	verdict.Violations = nil
 	return &Report{
@@ -67,7 +67,7 @@
 	for s.scheduler.runNext(until) && len(s.violations) < maxViolations {
 		s.checkTouched()
 		if s.scheduler.executed > maxEvents {
-			s.violation("liveness", "no end after %d steps, the last is %q", s.scheduler.executed, s.scheduler.lastName)
+			s.violation("liveness", "no end after %d steps, the last is %q", s.scheduler.executed, s.scheduler.lastEventName)
 			return
 		}
 	}
--- a/internal/verification/simulation/retries.go
+++ b/internal/verification/simulation/retries.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	noResponse   = -1 // response time of a call without a response
-	checkTimeout = time.Minute
-	microseconds = 1e6    // per second; the unit of the checker's times
-	stateOpen    = "open" // state of a request in the model that has no final outcome
+	noResponse            = -1 // response time of a call without a response
+	checkTimeout          = time.Minute
+	microsecondsPerSecond = 1e6    // per second; the unit of the checker's times
+	stateOpen             = "open" // state of a request in the model that has no final outcome
 )
 
 // operation is one call as observed by its client.
@@ -74,7 +74,7 @@
 func (s *site) checkRetries() {
 	groups := map[operationGroup][]porcupine.Operation{}
 	var order []operationGroup
-	end := int64(s.scheduler.now*microseconds) + 1
+	end := int64(s.scheduler.now*microsecondsPerSecond) + 1
 	for i, op := range s.operations {
 		group := operationGroup{op.request, op.frontEnd, op.boot}
 		if groups[group] == nil {
@@ -82,10 +82,10 @@
 		}
 		response := end
 		if op.response >= 0 {
-			response = int64(op.response * microseconds)
+			response = int64(op.response * microsecondsPerSecond)
 		}
 		groups[group] = append(groups[group], porcupine.Operation{
-			ClientId: i, Call: int64(op.call * microseconds),
+			ClientId: i, Call: int64(op.call * microsecondsPerSecond),
 			Output: callOutcome{op.outcome}, Return: response,
 		})
 	}
@@ -102,7 +102,7 @@
 func describeOperations(operations []porcupine.Operation) []string {
 	var list []string
 	for _, op := range operations {
-		list = append(list, fmt.Sprintf("%.3f-%.3f %s", float64(op.Call)/microseconds, float64(op.Return)/microseconds,
+		list = append(list, fmt.Sprintf("%.3f-%.3f %s", float64(op.Call)/microsecondsPerSecond, float64(op.Return)/microsecondsPerSecond,
 			outcomeOf(op.Output)))
 	}
 	return list
--- a/internal/verification/simulation/scheduler.go
+++ b/internal/verification/simulation/scheduler.go
@@ -63,14 +63,14 @@
 
 // scheduler is the virtual clock and the queue of events. It hashes the trace of all events and received data.
 type scheduler struct {
-	now      units.Seconds // seconds since the start
-	sequence uint64
-	queue    eventQueue
-	executed int    // number of events so far
-	lastName string // of the latest event
-	hash     hash.Hash
-	buffer   []byte
-	onTrace  func(string) // receives the names of the trace; may be nil
+	now           units.Seconds // seconds since the start
+	sequence      uint64
+	queue         eventQueue
+	executed      int    // number of events so far
+	lastEventName string // of the latest event
+	hash          hash.Hash
+	buffer        []byte
+	onTrace       func(string) // receives the names of the trace; may be nil
 }
 
 func newScheduler() *scheduler { return &scheduler{hash: sha256.New()} }
@@ -93,7 +93,7 @@
 			continue
 		}
 		s.executed++
-		s.lastName = e.name
+		s.lastEventName = e.name
 		s.trace(e.name, nil)
 		e.run()
 		return true
--- a/internal/verification/simulation/schedules.go
+++ b/internal/verification/simulation/schedules.go
@@ -38,7 +38,7 @@
 func (a *applianceProcess) fire(due []schedule.Firing) {
 	var firings []storage.Firing
 	for _, f := range due {
-		firings = append(firings, storage.Firing{Entry: f.Entry.Key(), Due: f.Due, Deadline: f.Deadline(), Request: a.requestFor(f)})
+		firings = append(firings, storage.Firing{Entry: f.Entry.Key(), Due: f.Due, Deadline: f.Deadline(), Request: a.scheduledRequest(f)})
 	}
 	if a.store != nil {
 		err := a.withStore(func() error { return a.store.RecordFirings(firings) })
@@ -49,17 +49,17 @@
 	for _, f := range firings {
 		a.lastFirings[f.Entry] = f.Due
 		identity := f.Request.Identity
-		minute := identity.String()
-		if a.site.firedMinutes[minute] {
-			a.site.violation("schedules", "%s fired %s twice", a.name, minute)
+		firing := identity.String()
+		if a.site.durableFirings[firing] {
+			a.site.violation("schedules", "%s fired %s twice", a.name, firing)
 		}
-		a.site.firedMinutes[minute] = a.store != nil
+		a.site.durableFirings[firing] = a.store != nil
 		a.submitScheduled(f.Request, f.Deadline, 1)
 	}
 }
 
-// requestFor returns the request of a firing.
-func (a *applianceProcess) requestFor(f schedule.Firing) dispatch.Request {
+// scheduledRequest returns the request of a firing.
+func (a *applianceProcess) scheduledRequest(f schedule.Firing) dispatch.Request {
 	entry, source := f.Entry, "/timers/"+a.name
 	return dispatch.Request{
 		Identity: dispatch.Identity{Source: source, ID: f.ID},
--- a/internal/verification/simulation/site.go
+++ b/internal/verification/simulation/site.go
@@ -30,7 +30,7 @@
 	observationDelay        = 0.001
 	recoveryPeriod          = 9.0 // without faults, at the end
 	retryPeriod             = 3.0 // of the recovery period; no request is sent after it
-	firstRequest            = 0.3 // start of the clients
+	clientStartTime         = 0.3 // start of the clients
 	clientCloseLead         = 1.0 // from the clients' close of their connections to the end
 	fullSpeedFetches        = 4   // concurrent fetches without slowdown
 
@@ -68,26 +68,26 @@
 	recorder        *invariants.Recorder
 	rules           invariants.Rules
 	reboots         map[int]int     // by appliance
-	firedMinutes    map[string]bool // minutes for which appliances fired their schedules; true if stored on disk
+	durableFirings  map[string]bool // minutes for which appliances fired their schedules; true if stored on disk
 	outages         []outage
 	openOutages     map[int]*outage // by appliance
 	operations      []*operation
-	openOperation   map[*clientCall]*operation
+	openOperations  map[*clientCall]*operation
 	unknownOutcomes []invariants.Record // ends of calls whose outcome is unknown
-	touched         []*frontEnd         // front ends with activity in this event
-	touchChecks     int
+	activeFrontEnds []*frontEnd         // front ends with activity in this event
+	frontEndChecks  int
 	violations      []string
-	described       map[string]int    // violations by kind
+	violationCounts map[string]int    // violations by kind
 	coverage        map[string]int    // by kind of fault and state
-	newestAttempt   map[string]uint64 // by front end and request
+	latestAttempts  map[string]uint64 // by front end and request
 	restarts        int
-	closing         sync.WaitGroup // stores that release their memory
+	abandonedStores sync.WaitGroup // stores that release their memory
 }
 
 // violation records a violation, and describes the first ones of each kind.
 func (s *site) violation(kind, format string, args ...any) {
-	s.described[kind]++
-	if s.described[kind] <= maxViolationsPerKind {
+	s.violationCounts[kind]++
+	if s.violationCounts[kind] <= maxViolationsPerKind {
 		s.violations = append(s.violations, fmt.Sprintf("%s at %.3f: ", kind, s.scheduler.now)+fmt.Sprintf(format, args...))
 	}
 }
@@ -95,21 +95,21 @@
 func newSite(script *Script) (*site, error) {
 	scheduler := newScheduler()
 	s := &site{
-		scheduler:     scheduler,
-		script:        script,
-		network:       newNetwork(scheduler, newRand(script.Seed, "network")),
-		store:         &functionStore{scheduler: scheduler, fullSpeed: fullSpeedFetches, slowdown: 1},
-		functions:     fakes.Catalogue(script.Functions, script.Work, script.Seed),
-		machineTypes:  map[string]string{},
-		executedKeys:  map[string]float64{},
-		recorder:      invariants.NewRecorderWithClock(func() float64 { return float64(scheduler.now) }),
-		reboots:       map[int]int{},
-		firedMinutes:  map[string]bool{},
-		openOutages:   map[int]*outage{},
-		openOperation: map[*clientCall]*operation{},
-		described:     map[string]int{},
-		coverage:      map[string]int{},
-		newestAttempt: map[string]uint64{},
+		scheduler:       scheduler,
+		script:          script,
+		network:         newNetwork(scheduler, newRand(script.Seed, "network")),
+		store:           &functionStore{scheduler: scheduler, fullSpeed: fullSpeedFetches, slowdown: 1},
+		functions:       fakes.Catalogue(script.Functions, script.Work, script.Seed),
+		machineTypes:    map[string]string{},
+		executedKeys:    map[string]float64{},
+		recorder:        invariants.NewRecorderWithClock(func() float64 { return float64(scheduler.now) }),
+		reboots:         map[int]int{},
+		durableFirings:  map[string]bool{},
+		openOutages:     map[int]*outage{},
+		openOperations:  map[*clientCall]*operation{},
+		violationCounts: map[string]int{},
+		coverage:        map[string]int{},
+		latestAttempts:  map[string]uint64{},
 	}
 	s.rules = s.newRules()
 	if err := s.configure(); err != nil {
@@ -140,7 +140,7 @@
 		a.start()
 		s.beginOutage(a)
 	}
-	s.scheduler.after(firstRequest, "clients begin", func() {
+	s.scheduler.after(clientStartTime, "clients begin", func() {
 		for i := range script.Clients {
 			s.clients = append(s.clients, s.newClient(i))
 		}
--- a/internal/verification/simulation/worker.go
+++ b/internal/verification/simulation/worker.go
@@ -17,7 +17,7 @@
 	maxConcurrentLoads = 4
 	slowFactor         = 6.0 // factor of FaultSlow
 	evictionInterval   = 0.1 // seconds between checks for idle replicas
-	firstEviction      = 0.5 // seconds from the start to the first check
+	firstEvictionDelay = 0.5 // seconds from the start to the first check
 )
 
 // Endpoint states of a worker.
@@ -89,7 +89,7 @@
 	w.queue, w.active, w.loads = nil, 0, 0
 	clear(w.faultUntil)
 	w.coldSince, w.startedUnix = 0, 0
-	w.after(firstEviction, "lapses", w.evictIdle)
+	w.after(firstEvictionDelay, "lapses", w.evictIdle)
 }
 
 // stop ends the process. Its kernel resets its connections, unless the machine loses power.
--- a/internal/verification/simulation/worker_http.go
+++ b/internal/verification/simulation/worker_http.go
@@ -88,7 +88,7 @@
 	_, frontEnd, _ := strings.Cut(m.Header.Get("Via"), " ")
 	r := &workerRequest{
 		id: id, class: m.Header.Get("Ce-Type"), respond: respond, startKind: fakes.StartWarm,
-		attempt: w.site.newestAttempt[frontEnd+" "+id],
+		attempt: w.site.latestAttempts[frontEnd+" "+id],
 	}
 	switch {
 	case w.drawFault(FaultHang):
