--- a/internal/verification/simulation/appliance.go
+++ b/internal/verification/simulation/appliance.go
@@ -14,35 +14,35 @@
 	"streamcleat/internal/verification/invariants"
 )
 
-// Times of every appliance, in seconds.
+// Parameters of every appliance. Times are in seconds.
 const (
-	syncTime          = 0.001 // of a sync of the disk
-	bootTime          = 0.05  // from the start of a process until it opens the state
-	recoveryTime      = 0.01  // from the opened state to the start of the front ends
-	drainTimeout      = 1.0   // for open requests at a graceful stop
-	pollInterval      = 0.01  // between checks whether something has ended
-	closeTime         = 0.02  // of the store
-	minRestartDelay   = 0.1   // from the end of a process to the next one
-	tornRestartDelay  = 0.3   // from a torn write, which stops the machine
-	powerLossDuration = 0.2   // from a loss of power to its return
+	syncTime          = 0.001 // duration of a disk sync
+	bootTime          = 0.05  // from the start of a process until it opens the store
+	recoveryTime      = 0.01  // from the opening of the store to the start of the front ends
+	drainTimeout      = 1.0   // for open requests during graceful shutdown
+	pollInterval      = 0.01  // between checks whether requests are drained or records are stored
+	closeTime         = 0.02  // duration of closing the store
+	minRestartDelay   = 0.1   // minimum time from the exit of a process to its restart
+	tornRestartDelay  = 0.3   // from a torn write, which stops the machine, to the restart
+	powerLossDuration = 0.2   // from a power loss to the return of power
 	taskInterval      = 0.1   // between slices of background tasks
-	taskSliceDuration = 0.005 // reported duration of a slice
-	expiryBatch       = 50    // records that one slice of the expiry task deletes
-	baseUptime        = 1e6   // of the machines' monotonic clocks
-	uptimeDifference  = 1000  // between two machines
+	taskSliceDuration = 0.005 // duration of a slice as reported to the task scheduler
+	expiryBatch       = 50    // maximum number of records deleted by one slice of the expiry task
+	baseUptime        = 1e6   // of the monotonic clock of the first machine at the start
+	uptimeDifference  = 1000  // between the monotonic clocks of consecutive machines
 	stateDirectory    = "state"
 	baseAppliancePort = 8080
 )
 
-// Background tasks, as the appliance names them.
+// Names of the background tasks, as in package appliance.
 const (
 	taskTick       = "tick"
 	taskExpiry     = "expiry"
 	taskCompaction = "compaction"
 )
 
-// applianceProcess is one process of the program on its machine: lifecycle, store, schedules and front ends of an
-// appliance, wired like appliance.Appliance, but on the virtual clock.
+// applianceProcess is an appliance with its machine: the disk, and the lifecycle, store, schedules and front ends of the
+// current process. It connects the components like appliance.Appliance, but on the virtual clock.
 type applianceProcess struct {
 	process
 	site   *site
@@ -50,26 +50,26 @@
 	boots  int
 
 	disk        *disk
-	store       *storage.Store // nil while it is closed, and always if the script is stateless
+	store       *storage.Store // nil while closed, and always nil if the script is stateless
 	syncPending bool
 	lifecycle   appliance.Lifecycle
 	recovered   *storage.RecoveredState
 	frontEnds   []*frontEnd
 	tasks       *appliance.TaskScheduler
 	registry    *registry.Registry
-	restartIn   float64 // seconds from a graceful stop to the next start
-	ignoreList  bool    // it misses changes of the endpoint list
+	restartIn   float64 // seconds from the end of a graceful shutdown to the restart
+	ignoreList  bool    // changes of the endpoint list are not noticed
 
 	schedules          *schedule.Plan
 	lastFirings        map[string]time.Time
 	schedulesSuspended bool
-	scheduled          map[dispatch.Identity]uint64 // call IDs of its open scheduled requests
+	scheduled          map[dispatch.Identity]uint64 // call IDs of open scheduled requests
 
-	// State of the checks of the stored records.
-	acknowledged   map[dispatch.Identity]dispatch.Record // reported to the program as on disk
+	// Expected contents of the store, for the checks after recovery.
+	acknowledged   map[dispatch.Identity]dispatch.Record // commit to disk was confirmed to the program
 	acknowledgedAt map[dispatch.Identity]units.Seconds
-	unacknowledged map[dispatch.Identity][]dispatch.Record // submitted, and not yet reported as on disk
-	auditEntries   int                                     // reported to the program as on disk
+	unacknowledged map[dispatch.Identity][]dispatch.Record // submitted for commit, not yet confirmed
+	auditEntries   int                                     // number of entries whose write was confirmed to the program
 }
 
 func (s *site) newAppliance(number, frontEnds int) *applianceProcess {
@@ -93,7 +93,7 @@
 	return a
 }
 
-// start starts the process.
+// start starts a new process, which opens the store after bootTime.
 func (a *applianceProcess) start() {
 	a.lifecycle = appliance.Lifecycle{}
 	a.incarnation++
@@ -111,14 +111,14 @@
 
 func (a *applianceProcess) isServing() bool { return a.lifecycle.State == appliance.Serving }
 
-// handle passes an event to the lifecycle and executes its actions.
+// handle passes an event to the lifecycle and executes the resulting actions.
 func (a *applianceProcess) handle(e appliance.LifecycleEvent, cause string) {
 	for _, action := range a.lifecycle.Handle(e, cause) {
 		a.execute(action)
 	}
 }
 
-// openState opens the state and checks what was recovered.
+// openState opens the store and checks the recovered state.
 func (a *applianceProcess) openState() {
 	if a.site.script.Stateless {
 		a.recovered = &storage.RecoveredState{Created: true, LastFirings: map[string]time.Time{}}
@@ -145,7 +145,7 @@
 	return storage.Options{FS: d.view(), Retention: responseRetention, Synchronous: true, Clock: a.timestamp}
 }
 
-// timestamp returns the machine's clock for the store. Only a power loss reboots the machine.
+// timestamp returns the machine's boot ID and uptime for the store. Only a power loss changes the boot ID.
 func (a *applianceProcess) timestamp() storage.Timestamp {
 	return storage.Timestamp{BootID: fmt.Sprintf("%s/%d", a.name, a.site.reboots[a.number]), Uptime: float64(a.scheduler.now)}
 }
@@ -172,14 +172,14 @@
 		a.eachFrontEnd(func(f *frontEnd) { f.proxy.CloseUpstream() })
 		a.closeStore()
 		a.after(closeTime, "written", func() { a.handle(appliance.StoreClosed, "") })
-	case appliance.CloseSocket: // the simulation has no console
+	case appliance.CloseSocket: // the console is not simulated
 	case appliance.Exit:
 		a.exit(processExit)
 		a.scheduler.after(units.Seconds(max(a.restartIn, minRestartDelay)), a.name+" starts", a.startIfDown)
 	}
 }
 
-// eachFrontEnd calls do for the running front ends.
+// eachFrontEnd calls do for each running front end.
 func (a *applianceProcess) eachFrontEnd(do func(*frontEnd)) {
 	for _, f := range a.frontEnds {
 		if f.proxy != nil {
@@ -198,7 +198,7 @@
 	a.store = nil
 }
 
-// awaitDrained waits until no request is open.
+// awaitDrained polls until no request is open, or draining has ended.
 func (a *applianceProcess) awaitDrained() {
 	open := 0
 	a.eachFrontEnd(func(f *frontEnd) { open += f.proxy.Dispatcher().Counts().Open })
@@ -209,7 +209,7 @@
 	}
 }
 
-// awaitRecordsStored waits until the records of the front ends are on disk.
+// awaitRecordsStored polls until the records of all front ends are stored.
 func (a *applianceProcess) awaitRecordsStored() {
 	for _, f := range a.frontEnds {
 		if f.proxy != nil && !f.proxy.RecordsStored() {
@@ -220,7 +220,8 @@
 	a.handle(appliance.RequestsTerminated, "")
 }
 
-// recover starts the front ends and the schedules with the recovered state.
+// recover starts the front ends, schedules and background tasks with the recovered state, and resubmits the scheduled
+// requests that were not completed.
 func (a *applianceProcess) recover() {
 	for _, f := range a.frontEnds {
 		f.start()
@@ -243,7 +244,7 @@
 	a.handle(appliance.StateRecovered, "")
 }
 
-// runTask runs a slice of the background task that is due.
+// runTask runs one slice of the background task that is due next.
 func (a *applianceProcess) runTask() {
 	if a.store == nil || a.lifecycle.State >= appliance.Terminating {
 		return
@@ -279,7 +280,7 @@
 	return false, nil
 }
 
-// withStore calls do, which uses the store, and crashes the machine if a write was torn.
+// withStore calls do, which writes to the store, and simulates a power loss of the machine if a write was torn.
 func (a *applianceProcess) withStore(do func() error) error {
 	before := a.disk.tornWrites
 	err := do()
@@ -289,7 +290,7 @@
 	return err
 }
 
-// Commit implements proxy.RecordStore. The store writes its batch at the next sync of the disk.
+// Commit implements proxy.RecordStore. The records are written with the batch of the next disk sync.
 func (a *applianceProcess) Commit(records []dispatch.Record, done func(error)) {
 	a.addUnacknowledged(records)
 	a.store.Commit(records, func(err error) {
@@ -308,17 +309,18 @@
 	a.syncPending = true
 	a.after(syncTime+a.disk.syncDelay, "syncs", func() {
 		a.syncPending = false
-		if a.store == nil { // it was closed, which wrote the batch
+		if a.store == nil { // closing the store has committed the batch
 			return
 		}
-		_ = a.withStore(func() error { // Step reports errors to the callers of Commit
+		_ = a.withStore(func() error { // CommitPending reports errors to the callers of Commit
 			a.store.CommitPending()
 			return nil
 		})
 	})
 }
 
-// crash ends the process at once, or its machine by a power loss.
+// crash terminates the process without a graceful shutdown, with its machine in case of a power loss, and schedules the
+// restart.
 func (a *applianceProcess) crash(kind exitKind, restartIn float64) {
 	if !a.running {
 		return
@@ -327,14 +329,14 @@
 	a.scheduler.after(units.Seconds(restartIn), a.name+" starts", a.startIfDown)
 }
 
-// exit ends the process, breaks its connections, and prepares the disk for the next one.
+// exit ends the process and its connections, and prepares the disk for the next process.
 func (a *applianceProcess) exit(kind exitKind) {
 	a.site.beginOutage(a)
 	ends := a.site.network.endpointsOf(a.name)
 	a.terminate()
 	for _, e := range ends {
 		e.conn.faulty = true
-		if kind == powerLoss { // the machine is off, or up again without the connection
+		if kind == powerLoss { // the machine is off, or has restarted without the connection
 			e.dropSilently()
 		} else {
 			e.resetByKernel()
@@ -356,6 +358,6 @@
 	a.store = nil
 	a.disk.restart(kind)
 	if old != nil {
-		a.site.abandonedStores.Go(func() { _ = old.Abandon() }) // releases its memory; its disk is not used any more
+		a.site.abandonedStores.Go(func() { _ = old.Abandon() }) // releases its memory; its view of the disk is no longer used
 	}
 }
--- a/internal/verification/simulation/client.go
+++ b/internal/verification/simulation/client.go
@@ -14,22 +14,22 @@
 )
 
 const (
-	clientSource         = "/tills" // of all requests of clients
-	maxCalls             = 6        // of one request
-	retryWindow          = 3        // time in which a request is retried, as a multiple of the timeout
-	maxPipelined         = 3        // calls on one connection
-	normalCancelFraction = 0.02     // of requests that are cancelled
+	clientSource         = "/tills" // ce-source of all client requests
+	maxCalls             = 6        // per request
+	retryWindow          = 3        // period in which a request is retried, as a multiple of the timeout
+	maxPipelined         = 3        // maximum number of calls in flight on one connection
+	normalCancelFraction = 0.02     // fraction of requests that are cancelled
 	minClientTimeout     = 0.4      // seconds
-	minLostRetryDelay    = 0.02     // seconds from a lost connection to a retry
-	lostRetryJitter      = 0.3      // seconds over which such retries are spread
-	closedRetryDelay     = 0.05     // seconds from a client's close of its connection to a retry
-	immediateRetryDelay  = 0.01     // seconds from a rejection to a retry by clients that ignore Retry-After
-	reconnectDelay       = 0.01     // seconds from FaultReconnect to a retry
-	maxStartDelay        = 0.2      // seconds over which the clients' first requests are spread
+	minLostRetryDelay    = 0.02     // seconds from the loss of a connection to the retry
+	lostRetryJitter      = 0.3      // seconds; maximum random addition to minLostRetryDelay
+	closedRetryDelay     = 0.05     // seconds from a client's closing of its connection to the retry
+	immediateRetryDelay  = 0.01     // seconds from a rejection to the retry, by clients that ignore Retry-After
+	reconnectDelay       = 0.01     // seconds from FaultReconnect to the retry
+	maxStartDelay        = 0.2      // seconds; the clients' first requests are spread over this period
 	maxDuplicateDelay    = 0.1      // seconds from a request to its duplicate
 )
 
-// retryTarget is the front end of a retry.
+// retryTarget selects the front end of a retry.
 type retryTarget int
 
 const (
@@ -37,22 +37,22 @@
 	anyFrontEnd
 )
 
-// request is one request of a client, with the state of its retries.
+// request is a request of a client with the state of its retries.
 type request struct {
 	id, class, function string
-	number              int // among the client's
+	number              int // sequence number among the client's requests
 	calls               int
 	frontEnd            int
 	firstSent           float64
-	retryUntil          units.Seconds // time of the last retry
-	timeout             units.Seconds // stated by the client; 0: none, the class's timeout applies
-	duplicated          bool          // sent by two independent programs
+	retryUntil          units.Seconds // latest time of a retry
+	timeout             units.Seconds // sent by the client; 0: none, so that the timeout of the class applies
+	duplicated          bool          // also sent by a second, independent program
 	cancelAfter         float64       // seconds from each call to its cancellation; 0: not cancelled
-	repeats             int           // calls to make after the response, which must get the same one
+	repeats             int           // number of calls after the response, which must get the same response
 }
 
-// mayChangeFrontEnd reports whether a retry may go to another front end. At-most-once requests stay with the one that
-// knows them.
+// mayChangeFrontEnd reports whether a retry may go to another front end. At-most-once requests stay with the front end
+// that has the record of their earlier calls.
 func (r *request) mayChangeFrontEnd() bool {
 	if r.class == fakes.ClassAtMostOnce {
 		return false
@@ -65,14 +65,14 @@
 	request     *request
 	number      uint64
 	frontEnd    *frontEnd
-	processName string // the front end's process at the time of sending
+	processName string // process of the front end when the call was sent
 	sentAt      units.Seconds
 	ended       bool
 	timeout     *event
 	conn        *clientConn
 }
 
-// record returns a record of the call.
+// record returns a record of the given kind for the checker of invariants.
 func (c *clientCall) record(kind invariants.Kind) invariants.Record {
 	return invariants.Record{
 		Kind: kind, CallID: c.number, RequestID: clientSource + "#" + c.request.id, Class: c.request.class,
@@ -80,13 +80,13 @@
 	}
 }
 
-// end ends the call.
+// end marks the call as ended and cancels its timeout.
 func (c *clientCall) end() {
 	c.ended = true
 	c.timeout.cancel()
 }
 
-// client sends requests at random times, retries rejected and lost ones as their class allows, and sometimes repeats a
+// client sends requests at random times, retries rejected and lost ones as their class permits, and sometimes repeats a
 // request after its response.
 type client struct {
 	process
@@ -95,9 +95,9 @@
 	functions *rand.Zipf // popularity of functions
 	rate      float64    // requests per second
 	conns     []*clientConn
-	requests  int     // number so far
-	readRate  float64 // bytes per second; 0: unlimited
-	finishing bool    // it sends no further requests
+	requests  int     // number of requests so far
+	readRate  float64 // bytes per second at which responses are read; 0: unlimited
+	finishing bool    // no new requests are sent
 }
 
 func clientName(number int) string { return fmt.Sprintf("till-%d", number) }
@@ -113,7 +113,7 @@
 	return c
 }
 
-// classFractions has the fractions of the request classes, in the order of the draw.
+// classFractions is the distribution of request classes, in the order in which drawClass accumulates it.
 var classFractions = []struct {
 	class    string
 	fraction float64
@@ -140,7 +140,7 @@
 	c.after(units.Seconds(c.rng.ExpFloat64()/rate), "next", c.sendNext)
 	r := c.drawRequest()
 	c.send(r)
-	if r.duplicated { // by another program on the same machine
+	if r.duplicated { // by another program on the client's machine
 		duplicate := *r
 		duplicate.timeout = 0
 		duplicate.cancelAfter, duplicate.repeats = 0, 0
@@ -173,7 +173,7 @@
 	return r
 }
 
-// send sends one call of a request.
+// send sends a call of a request, on an open connection if one is reusable.
 func (c *client) send(r *request) {
 	r.calls++
 	f, timeout := c.site.frontEnds[r.frontEnd], requestTimeout
@@ -197,7 +197,7 @@
 	}
 }
 
-// outcomeByStatus has the outcome by status.
+// outcomeByStatus maps the expected HTTP statuses to outcomes.
 var outcomeByStatus = map[int]string{
 	http.StatusOK:                 invariants.Succeeded,
 	http.StatusServiceUnavailable: invariants.Rejected,
@@ -231,7 +231,8 @@
 	}
 }
 
-// onRejected retries a request after the Retry-After of the response, or at once if clients ignore that.
+// onRejected retries a request with status 503 after the response's Retry-After. If clients ignore Retry-After, it retries
+// any rejected request immediately.
 func (c *client) onRejected(r *request, m *http1.Message) {
 	retryAfter, err := strconv.ParseFloat(m.Header.Get("Retry-After"), 64)
 	if err != nil {
@@ -244,8 +245,8 @@
 	}
 }
 
-// retry schedules a retry of a request, unless its retries are used up. A retry to anyFrontEnd may change the
-// front end if the request's class allows it.
+// retry schedules a retry of a request, unless its retries are exhausted. With anyFrontEnd, the retry may go to another
+// front end if mayChangeFrontEnd permits it.
 func (c *client) retry(r *request, delay units.Seconds, target retryTarget) {
 	at := c.scheduler.now + delay
 	if at > r.retryUntil || r.calls >= maxCalls || c.finishing && at > units.Seconds(c.site.script.Seconds+retryPeriod) {
@@ -253,7 +254,7 @@
 	}
 	frontEnds := len(c.site.frontEnds)
 	if target == anyFrontEnd && r.mayChangeFrontEnd() && frontEnds > 1 && c.rng.IntN(3) == 0 {
-		// Front ends share nothing: another one can't know when the deduplication window of the workers ends.
+		// Front ends share no state, so another front end doesn't know when the workers' deduplication window ends.
 		if r.class == fakes.ClassIdempotentByKey {
 			windowEnd := units.Seconds(r.firstSent) + c.site.script.DeduplicationWindow - requestTimeout
 			if at >= windowEnd {
@@ -266,7 +267,7 @@
 	c.after(delay, "asks again for "+r.id, func() { c.send(r) })
 }
 
-// onTimeout ends a call whose timeout has passed.
+// onTimeout ends a call whose timeout has expired, closes its connection and retries the request.
 func (c *client) onTimeout(call *clientCall) {
 	if call.ended {
 		return
@@ -280,7 +281,7 @@
 	c.retry(call.request, closedRetryDelay, anyFrontEnd)
 }
 
-// cancel cancels a call.
+// cancel cancels a call by closing its connection.
 func (c *client) cancel(call *clientCall) {
 	if call.ended {
 		return
@@ -292,14 +293,14 @@
 	}
 }
 
-// reconnect closes all connections. Their calls are retried.
+// reconnect closes all connections and retries their calls.
 func (c *client) reconnect() {
 	for _, conn := range slices.Clone(c.conns) {
 		conn.closeByClient(reconnectDelay, sameFrontEnd)
 	}
 }
 
-// closeIdle closes the connections without calls in flight.
+// closeIdle closes the connections that have no calls in flight.
 func (c *client) closeIdle() {
 	for _, conn := range slices.Clone(c.conns) {
 		if len(conn.calls) == 0 && conn.end != nil {
--- a/internal/verification/simulation/client_conn.go
+++ b/internal/verification/simulation/client_conn.go
@@ -9,18 +9,19 @@
 	"streamcleat/internal/verification/fakes"
 )
 
-// clientConn is one connection of a client.
+// clientConn is a client's connection to a front end.
 type clientConn struct {
 	client    *client
-	end       *endpoint // nil while it is being dialed
+	end       *endpoint // nil until the connection is established
 	frontEnd  *frontEnd
-	calls     []*clientCall // in flight, in the order of sending
+	calls     []*clientCall // in flight, in sending order
 	responses *http1.Framer
 	closed    bool
-	usedAt    units.Seconds // time of the latest call
+	usedAt    units.Seconds // time at which the latest call was sent
 }
 
-// reusableConn returns an open connection for a call of a request, or nil. Some calls are pipelined.
+// reusableConn returns a connection for a call of a request, or nil if a new one must be dialed. It is an idle connection,
+// or at random one on which the call is pipelined.
 func (c *client) reusableConn(f *frontEnd, r *request) *clientConn {
 	mayShare := r.class != fakes.ClassAtMostOnce && r.timeout == 0
 	for _, conn := range c.conns {
@@ -37,7 +38,7 @@
 	return nil
 }
 
-// dial opens a connection for a call.
+// dial opens a new connection for a call.
 func (c *client) dial(call *clientCall) {
 	conn := &clientConn{
 		client: c, frontEnd: call.frontEnd, calls: []*clientCall{call}, usedAt: c.scheduler.now,
@@ -70,7 +71,7 @@
 	}
 }
 
-// send sends a call on the connection, once that is open.
+// send sends a call on the connection, once it is established.
 func (c *clientConn) send(call *clientCall) {
 	call.conn, c.usedAt = c, c.client.scheduler.now
 	c.calls = append(c.calls, call)
@@ -82,7 +83,7 @@
 func (c *clientConn) write(call *clientCall) {
 	r := call.request
 	body, prefer := fmt.Sprintf(`{"count":%d}`, r.number), ""
-	if r.timeout > 0 { // the remaining time at the time of sending
+	if r.timeout > 0 { // the time that remains when the request is written
 		prefer = fmt.Sprintf("Prefer: wait=%.3f\r\n", max(call.sentAt+r.timeout-c.client.scheduler.now, 0))
 	}
 	c.end.write(fmt.Appendf(nil, "POST /events HTTP/1.1\r\nHost: f\r\nce-specversion: 1.0\r\nce-source: %s\r\nce-id: %s\r\nce-type: %s\r\n"+
@@ -118,7 +119,7 @@
 	}
 }
 
-// closeByClient closes the connection at the client's side. Its calls are cancelled, and retried after a delay.
+// closeByClient closes the connection at the client's side, cancels its calls and retries them after a delay.
 func (c *clientConn) closeByClient(retryDelay units.Seconds, target retryTarget) {
 	for _, call := range c.calls {
 		if !call.ended {
@@ -133,7 +134,7 @@
 	c.onClosed()
 }
 
-// onClosed removes the connection. Its calls are lost, and retried.
+// onClosed removes a closed connection. Calls in flight end without a response and are retried.
 func (c *clientConn) onClosed() {
 	if c.closed {
 		return
--- a/internal/verification/simulation/connection.go
+++ b/internal/verification/simulation/connection.go
@@ -6,49 +6,49 @@
 	"streamcleat/internal/units"
 )
 
-// noReset is the value of bytesUntilReset without a fault.
+// noReset is the value of bytesUntilReset while no fault is to reset the connection.
 const noReset = -1
 
-// connection is a connection between two processes.
+// connection is a simulated TCP connection between two processes.
 type connection struct {
 	network    *network
 	name       string
 	ends       [2]*endpoint
-	blackholed bool // all its packets are lost silently
-	faulty     bool // a fault has affected it
+	blackholed bool // all packets are dropped silently
+	faulty     bool // the connection was affected by a fault
 }
 
-// segment is a part of a stream. Nil data closes the direction.
+// segment is a part of the byte stream in one direction. Nil data closes the direction.
 type segment struct {
 	data []byte
 	due  float64
 }
 
-// endpoint is one side of a connection. It notifies its process by callbacks.
+// endpoint is one side of a connection. It notifies its process through callbacks.
 type endpoint struct {
 	conn        *connection
 	side        int
 	process     *process
-	incarnation int // of the process that opened it
+	incarnation int // of the process when the connection was opened
 
 	onData     func([]byte)
-	onClosed   func()       // the other side closed or reset it
-	onFinished func()       // this side is closed, by either process
-	onWrite    func([]byte) // observes the data that this side sends
+	onClosed   func()       // the other side closed or reset the connection
+	onFinished func()       // this side was closed by either process
+	onWrite    func([]byte) // observes the data written by this side
 
-	queue           []segment // towards the other side
+	queue           []segment // segments in flight to the other side
 	queuedBytes     int
-	delivery        *event        // of the head of the queue
-	blockedSince    units.Seconds // time since which the link has been partitioned; 0: it is not
-	readRate        float64       // bytes per second that this side reads; 0: unlimited
-	bytesUntilReset int           // bytes that this side still receives before the connection is reset
+	delivery        *event        // delivery of the head of the queue
+	blockedSince    units.Seconds // start of the partition that blocks the queue; 0: none
+	readRate        float64       // bytes per second at which this side reads; 0: unlimited
+	bytesUntilReset int           // bytes that this side receives before a fault resets the connection
 	canSend         bool
-	finished        bool // closed by this side, or by the other one with this side's knowledge
+	finished        bool // closed by this side, or this side was notified that the other one closed or reset it
 }
 
 func (e *endpoint) peer() *endpoint { return e.conn.ends[1-e.side] }
 
-// write sends data in segments of random size.
+// write sends data in segments, some of them of random size.
 func (e *endpoint) write(data []byte) {
 	if !e.canSend || e.finished || len(data) == 0 {
 		return
@@ -67,7 +67,7 @@
 	}
 }
 
-// send queues a segment; nil closes the direction.
+// send queues a segment for delivery. Nil data closes the direction.
 func (e *endpoint) send(data []byte) {
 	n := e.conn.network
 	due := n.scheduler.now + n.delay(e.process.name, e.peer().process.name)
@@ -105,7 +105,7 @@
 		e.retryWhilePartitioned()
 	case peer.process.incarnation != peer.incarnation: // the other process has ended
 		e.reset()
-	case peer.process.suspended: // its kernel buffers the data
+	case peer.process.suspended: // the kernel buffers the data for the process
 		e.retryDelivery(suspendedRetryDelay)
 	default:
 		e.blockedSince = 0
@@ -115,7 +115,7 @@
 	}
 }
 
-// retryWhilePartitioned retries later, or resets the connection after connectionTimeout.
+// retryWhilePartitioned retries the delivery later, or resets the connection if connectionTimeout has passed.
 func (e *endpoint) retryWhilePartitioned() {
 	now := e.conn.network.scheduler.now
 	if e.blockedSince == 0 {
@@ -128,7 +128,7 @@
 	e.retryDelivery(partitionRetryDelay)
 }
 
-// dequeue removes the head of the queue. A slow reader delays the next segment.
+// dequeue removes the head of the queue. If the other side's read rate is limited, the next segment is delayed.
 func (e *endpoint) dequeue() []byte {
 	data, now := e.queue[0].data, e.conn.network.scheduler.now
 	e.queue = e.queue[1:]
@@ -142,12 +142,12 @@
 	return data
 }
 
-// receive passes a segment to the other side. It returns false if that resets the connection.
+// receive delivers a segment to the other side. It returns false if a fault resets the connection at this segment.
 func (e *endpoint) receive(data []byte) bool {
 	peer := e.peer()
 	e.conn.network.scheduler.trace(e.conn.name, data)
 	switch {
-	case data == nil: // the other side closes as well
+	case data == nil: // the other side also closes its direction
 		if peer.canSend {
 			peer.send(nil)
 			peer.canSend = false
@@ -176,7 +176,7 @@
 	}
 }
 
-// onPeerClosed notifies this side that the other one closed or reset the connection.
+// onPeerClosed ends this side of the connection and notifies its process that the other side closed or reset it.
 func (e *endpoint) onPeerClosed() {
 	if e.finished {
 		return
@@ -187,13 +187,13 @@
 	}
 }
 
-// reset resets this side of the connection.
+// reset ends this side of the connection after a reset by the other side's kernel.
 func (e *endpoint) reset() {
 	e.clearQueue()
 	e.onPeerClosed()
 }
 
-// reset resets the connection. Both sides are notified after the network's delay. Data written from now on is lost.
+// reset resets the connection and discards queued and future data. Both sides are notified after the network's delay.
 func (c *connection) reset() {
 	c.blackholed = true
 	for _, e := range c.ends {
@@ -204,7 +204,7 @@
 	}
 }
 
-// close closes this side. Written data is delivered before the other side is notified.
+// close closes this side. Data that was already written is delivered before the other side is notified.
 func (e *endpoint) close() {
 	if e.finished && !e.canSend {
 		return
@@ -215,7 +215,7 @@
 	e.finish()
 }
 
-// finish ends this side's use of the connection.
+// finish marks this side as closed, and removes the connection once both sides are closed.
 func (e *endpoint) finish() {
 	e.canSend, e.finished = false, true
 	if e.onFinished != nil {
@@ -225,7 +225,7 @@
 	e.conn.removeIfFinished()
 }
 
-// closeWrite closes the direction towards the other side. This side still receives.
+// closeWrite closes the direction to the other side. This side continues to receive.
 func (e *endpoint) closeWrite() {
 	if e.canSend {
 		e.send(nil)
@@ -233,7 +233,7 @@
 	}
 }
 
-// resetByKernel resets the connection of a process that ended, as its kernel does.
+// resetByKernel resets the connection as the kernel does when this side's process ends.
 func (e *endpoint) resetByKernel() {
 	if e.finished {
 		return
@@ -247,7 +247,7 @@
 	e.finish()
 }
 
-// notifyPeer notifies the other side of a reset, once no partition prevents that.
+// notifyPeer notifies the other side of a reset. During a partition it retries until the partition has ended.
 func (e *endpoint) notifyPeer() {
 	n, peer := e.conn.network, e.peer()
 	if n.isPartitioned(e.process.name, peer.process.name) {
@@ -257,19 +257,19 @@
 	peer.onPeerClosed()
 }
 
-// dropSilently ends this side without a notification of the other, like a machine that loses power.
+// dropSilently ends this side without notifying the other one, like a machine that loses power.
 func (e *endpoint) dropSilently() {
 	e.clearQueue()
 	e.finish()
 }
 
-// resetAfterBytes resets the connection after this side has received a number of further bytes.
+// resetAfterBytes arms a fault that resets the connection after this side has received the given number of bytes.
 func (e *endpoint) resetAfterBytes(bytes int) {
 	e.conn.faulty = true
 	e.bytesUntilReset = bytes
 }
 
-// blackhole drops all further packets of the connection silently.
+// blackhole drops all further packets of the connection without a reset.
 func (c *connection) blackhole() {
 	c.faulty = true
 	c.blackholed = true
@@ -284,5 +284,5 @@
 	}
 }
 
-// unsent returns the number of bytes that do not fit into the kernel's send buffer.
+// unsent returns the number of queued bytes that exceed the kernel's send buffer.
 func (e *endpoint) unsent() int { return max(e.queuedBytes-e.conn.network.buffer, 0) }
--- a/internal/verification/simulation/deprecated.go
+++ b/internal/verification/simulation/deprecated.go
@@ -1,6 +1,6 @@
 package simulation
 
-// deprecatedFaultKinds maps the names of earlier scripts to the present ones.
+// deprecatedFaultKinds maps the deprecated names of fault kinds, which older scripts use, to the current names.
 var deprecatedFaultKinds = map[FaultKind]FaultKind{
 	"cut-worker":      FaultPartitionWorker,
 	"cut-to-worker":   FaultPartitionToWorker,
@@ -22,7 +22,7 @@
 	"forgetful":       FaultDropIdempotencyKeys,
 }
 
-// UnmarshalText implements encoding.TextUnmarshaler. It accepts deprecated names.
+// UnmarshalText implements encoding.TextUnmarshaler. Deprecated names are replaced by the current ones.
 func (k *FaultKind) UnmarshalText(text []byte) error {
 	*k = FaultKind(text)
 	if kind, deprecated := deprecatedFaultKinds[*k]; deprecated {
--- a/internal/verification/simulation/disk.go
+++ b/internal/verification/simulation/disk.go
@@ -11,29 +11,29 @@
 	"streamcleat/internal/units"
 )
 
-// noTornWrite is the value of tearAfter without a fault.
+// noTornWrite is the value of tornWriteBytes while no fault is to tear a write.
 const noTornWrite = -1
 
-// errDiskStopped is returned for writes after a torn one, which stops the machine.
+// errDiskStopped is the error of a torn write, which stops the machine, and of all later writes.
 var errDiskStopped = errors.New("machine stopped")
 
-// disk is the disk of one machine, in memory. It distinguishes synced data from written data. Goroutines of the storage
-// library use it, so a lock guards the fields that they read.
+// disk is the in-memory disk of one machine. It keeps track of which written data is synced. It is also accessed by
+// goroutines of the storage library, so a mutex guards the fields that they read.
 type disk struct {
-	syncDelay units.Seconds // additional seconds of a sync; only used by the simulation's goroutine
+	syncDelay units.Seconds // additional duration of a sync in seconds; only accessed by the simulation's goroutine
 
 	mu             sync.Mutex
 	fs             *vfs.MemFS
 	full           bool
-	tornWriteBytes int  // bytes of the next log record that are written before the machine stops
+	tornWriteBytes int  // bytes of the next log record that are written before the machine stops, or noTornWrite
 	stopped        bool // all writes fail
-	ignoreSync     bool // syncs succeed without effect
+	ignoreSync     bool // syncs report success without syncing
 	tornWrites     int
 }
 
 func newDisk() *disk { return &disk{fs: vfs.NewCrashableMem(), tornWriteBytes: noTornWrite} }
 
-// restart prepares the disk for the next process: it keeps the written data, or after a power loss the synced data.
+// restart prepares the disk for the next process. All written data is kept, or only synced data after a power loss.
 func (d *disk) restart(after exitKind) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -45,17 +45,17 @@
 	d.fs = d.fs.CrashClone(crash)
 }
 
-// snapshot returns a copy of the disk as the next process would find it.
+// snapshot returns a copy of the disk with the contents that the next process would find.
 func (d *disk) snapshot() *disk {
 	copied := &disk{fs: d.fs, tornWriteBytes: noTornWrite}
 	copied.restart(processExit)
 	return copied
 }
 
-// view returns the file system for one process. Late writes of an earlier process don't affect it.
+// view returns the file system for one process. It isn't affected by late writes of an earlier process.
 func (d *disk) view() vfs.FS { return &diskView{d.fs, d} }
 
-// writeError returns the error that a write has now, if any.
+// writeError returns the error with which a write fails at present, or nil.
 func (d *disk) writeError() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -68,8 +68,8 @@
 	return nil
 }
 
-// takeTornWrite reports whether the present write of a log record is torn, and after how many bytes. If so, it stops the
-// machine.
+// takeTornWrite reports whether the current write of a log record is torn, and after how many bytes. If it is, the machine
+// is stopped.
 func (d *disk) takeTornWrite() (bytes int, torn bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -88,7 +88,7 @@
 	return d.ignoreSync
 }
 
-// diskView is a file system with the faults of its disk.
+// diskView is a file system that injects the faults of its disk.
 type diskView struct {
 	vfs.FS
 	disk *disk
@@ -122,7 +122,7 @@
 	return &diskFile{f, v.disk, strings.HasSuffix(name, ".log")}
 }
 
-// diskFile is a file with the faults of its disk.
+// diskFile is a file that injects the faults of its disk.
 type diskFile struct {
 	vfs.File
 	disk  *disk
--- a/internal/verification/simulation/front_end.go
+++ b/internal/verification/simulation/front_end.go
@@ -19,26 +19,26 @@
 
 const (
 	clusterName        = "sim"
-	listResyncInterval = 2 // seconds between reads of the endpoint list without a change notification
+	listResyncInterval = 2 // seconds between reads of the endpoint list in the absence of change notifications
 )
 
-// frontEnd is one front end of an appliance. It outlives the process, and keeps its address.
+// frontEnd is a front end of an appliance. Its name and address persist when the process restarts.
 type frontEnd struct {
 	appliance    *applianceProcess
 	name         string
 	addr         string
-	number       int          // among all front ends
+	number       int          // index among all front ends of the site
 	proxy        *proxy.Proxy // nil while the process is down
 	timer        *event
-	workerStates map[string]string  // as read from the endpoint list, by worker
-	coldStarts   map[string]float64 // as read from the endpoint list, by worker
-	active       bool               // it had activity in this event
+	workerStates map[string]string  // as last read from the endpoint list, by worker name
+	coldStarts   map[string]float64 // times of cold starts as last read from the endpoint list, by worker name
+	active       bool               // there was activity during the current event
 }
 
-// processName returns the name of the present process. Processes of a front end share only the state on disk.
+// processName returns the name of the current process. Successive processes of a front end share only the state on disk.
 func (f *frontEnd) processName() string { return fmt.Sprintf("%s/%d", f.name, f.appliance.boots) }
 
-// start starts the front end with the state that its appliance recovered.
+// start starts the front end with the state that was recovered by its appliance.
 func (f *frontEnd) start() {
 	a := f.appliance
 	f.timer = nil
@@ -86,7 +86,7 @@
 	f.appliance.after(listResyncInterval, f.name+" looks at the list", f.resyncEndpointList)
 }
 
-// readEndpointList reads the endpoint list, and records its changes.
+// readEndpointList passes the endpoint list to the proxy and records the changes for the checker of invariants.
 func (f *frontEnd) readEndpointList() {
 	s := f.appliance.site
 	if err := f.proxy.ReadEndpointList(s.endpointList); err != nil {
@@ -108,7 +108,7 @@
 	}
 }
 
-// accept accepts a client's connection, unless the appliance is starting or stopping.
+// accept accepts a client's connection, unless the appliance is not yet recovering or the proxy rejects the connection.
 func (f *frontEnd) accept(e *endpoint) bool {
 	state := f.appliance.lifecycle.State
 	if f.proxy == nil || state < appliance.Serving && state != appliance.Recovering {
@@ -126,7 +126,7 @@
 	return true
 }
 
-// markActive marks the front end as active in this event, so that it is checked.
+// markActive marks the front end as active during the current event, so that its state is checked after the event.
 func (f *frontEnd) markActive() {
 	if !f.active {
 		f.active = true
@@ -134,13 +134,13 @@
 	}
 }
 
-// proxyConn implements proxy.Conn on an endpoint.
+// proxyConn implements proxy.Conn by an endpoint.
 type proxyConn struct{ end *endpoint }
 
 // Write implements proxy.Conn.
 func (c proxyConn) Write(data []byte) { c.end.write(data) }
 
-// Close implements proxy.Conn. Written data is sent first.
+// Close implements proxy.Conn. Data that was already written is still delivered.
 func (c proxyConn) Close() { c.end.close() }
 
 // CloseWrite implements proxy.Conn.
@@ -152,13 +152,13 @@
 // RemoteAddr implements proxy.Conn.
 func (c proxyConn) RemoteAddr() string { return c.end.conn.name }
 
-// ReadAhead implements proxy.Conn. There is none, as data is passed on when it arrives.
+// ReadAhead implements proxy.Conn. No data is read ahead, as data is passed on on arrival.
 func (c proxyConn) ReadAhead() ([]byte, bool) { return nil, true }
 
-// InputAge implements proxy.Conn. Data is passed on when it arrives.
+// InputAge implements proxy.Conn. The age is 0, as data is passed on on arrival.
 func (c proxyConn) InputAge() units.Seconds { return 0 }
 
-// host implements the clock, timers and network of a front end's proxy.
+// host implements proxy.Host, which provides a front end's proxy with clock, timers and network.
 type host frontEnd
 
 // Now implements proxy.Host.
@@ -222,16 +222,17 @@
 	}
 }
 
-// attemptRecorder records the attempts on one connection to a worker, at the front end's side.
+// attemptRecorder parses the data on one connection to a worker, at the front end's side, and records the attempts for the
+// checker of invariants.
 type attemptRecorder struct {
 	frontEnd  *frontEnd
 	worker    string
 	requests  *http1.Framer
 	responses *http1.Framer
-	open      invariants.Record // the attempt in flight; without a RequestID there is none
+	open      invariants.Record // the attempt in flight; its RequestID is empty if there is none
 }
 
-// recordAttempts records the attempts on a connection. The caller passes received data to the result.
+// recordAttempts records the attempts on a connection. The caller must pass received data to onResponseData.
 func (f *frontEnd) recordAttempts(e *endpoint, addr string) (onResponseData func([]byte)) {
 	worker, _, _ := strings.Cut(addr, ":")
 	r := &attemptRecorder{
@@ -296,7 +297,7 @@
 	r.open = invariants.Record{}
 }
 
-// sortedCalls returns the call IDs of requests in ascending order, for a deterministic trace.
+// sortedCalls returns the call IDs of requests in ascending order, so that the trace is deterministic.
 func sortedCalls(calls map[dispatch.Identity]uint64) []uint64 {
 	list := slices.Collect(maps.Values(calls))
 	slices.Sort(list)
--- a/internal/verification/simulation/network.go
+++ b/internal/verification/simulation/network.go
@@ -11,12 +11,12 @@
 const (
 	minLatency          = 0.0002   // seconds, one way
 	maxLatency          = 0.004    // seconds, one way
-	partitionRetryDelay = 0.1      // seconds between retries of packets and dials during a partition
-	connectionTimeout   = 12.0     // seconds of a partition after which the kernel resets a connection
-	suspendedRetryDelay = 0.005    // seconds between checks whether a suspended process continues
+	partitionRetryDelay = 0.1      // seconds between retries of deliveries and dials during a partition
+	connectionTimeout   = 12.0     // seconds of partition after which the kernel resets a connection
+	suspendedRetryDelay = 0.005    // seconds between checks whether a suspended process was resumed
 	segmentBytes        = 1448     // maximum size of a segment
-	defaultBuffer       = 64 << 10 // bytes of a kernel's send buffer
-	maxReorderDelay     = 0.1      // seconds of additional delay of a datagram
+	defaultBuffer       = 64 << 10 // size of the kernel's send buffer in bytes
+	maxReorderDelay     = 0.1      // maximum additional delay of a datagram in seconds
 )
 
 var (
@@ -24,28 +24,28 @@
 	errTimedOut = errors.New("connection timed out")
 )
 
-// linkDirection is one direction between two processes.
+// linkDirection is one direction of the link between two processes.
 type linkDirection struct{ from, to string }
 
-// network transports data between processes. Connections keep the order of their data; datagrams may be lost, duplicated
-// and reordered. Data of a connection is retransmitted during a partition, until the connection times out.
+// network transports data between processes. Connections deliver data in order. During a partition they retransmit it until
+// the connection times out. Datagrams may be lost, duplicated and reordered.
 type network struct {
 	scheduler   *scheduler
 	rng         *rand.Rand
 	extraDelay  map[linkDirection]units.Seconds // seconds
-	partitions  map[linkDirection]int           // number of faults that cut the link
-	loss        float64                         // fraction of datagrams
-	duplication float64                         // fraction of datagrams
-	buffer      int                             // size of the kernels' send buffers
+	partitions  map[linkDirection]int           // number of faults that partition the link
+	loss        float64                         // fraction of datagrams that are lost
+	duplication float64                         // fraction of datagrams that are duplicated
+	buffer      int                             // size of the kernels' send buffers in bytes
 	listeners   map[string]*listener
-	conns       []*connection // open ones, in the order of their opening
+	conns       []*connection // open connections, in the order in which they were opened
 	dialed      int
 }
 
-// listener listens at an address.
+// listener accepts the connections to an address for a process.
 type listener struct {
 	process *process
-	accept  func(*endpoint) bool // sets the endpoint's callbacks, or rejects the connection
+	accept  func(*endpoint) bool // sets the endpoint's callbacks; false rejects the connection
 }
 
 func newNetwork(scheduler *scheduler, rng *rand.Rand) *network {
@@ -70,7 +70,7 @@
 	return n.partitions[linkDirection{from, to}] > 0
 }
 
-// dial is the state of one dial.
+// dial is the state of an attempt to establish a connection.
 type dial struct {
 	network     *network
 	process     *process
@@ -79,10 +79,10 @@
 	listener    *listener
 	startedAt   units.Seconds
 	timeout     units.Seconds
-	done        func(*endpoint, error) // called in the process
+	done        func(*endpoint, error) // called in the process that dials
 }
 
-// dial connects a process to an address, and calls done in the process with the result.
+// dial connects a process to an address, and calls done with the result unless the process has ended by then.
 func (n *network) dial(p *process, addr string, timeout units.Seconds, done func(*endpoint, error)) {
 	d := &dial{
 		network: n, process: p, incarnation: p.incarnation, addr: addr, listener: n.listeners[addr], startedAt: n.scheduler.now,
@@ -99,7 +99,7 @@
 	d.process.after(delay, "dialed "+d.addr, func() { d.done(nil, err) })
 }
 
-// tryConnect connects, or retries later during a partition.
+// tryConnect establishes the connection. During a partition it retries until the timeout has passed.
 func (d *dial) tryConnect() {
 	n, from, to := d.network, d.process, d.listener.process
 	switch {
@@ -125,7 +125,7 @@
 		c.ends[i] = &endpoint{conn: c, side: i, process: p, incarnation: p.incarnation, canSend: true, bytesUntilReset: noReset}
 	}
 	n.conns = append(n.conns, c)
-	// The kernel accepts the connection for a process that is suspended.
+	// A suspended process doesn't delay the connection, since the kernel accepts it. The process handles it when resumed.
 	n.scheduler.after(0, c.name+" accepted", to.whileRunning(func() {
 		if !d.listener.accept(c.ends[1]) {
 			c.ends[1].close()
@@ -140,7 +140,7 @@
 	})
 }
 
-// endpointsOf returns the endpoints of a process's open connections.
+// endpointsOf returns a process's endpoints of its open connections.
 func (n *network) endpointsOf(name string) (list []*endpoint) {
 	for _, c := range n.conns {
 		for _, e := range c.ends {
@@ -152,7 +152,7 @@
 	return list
 }
 
-// endpointsBetween returns the endpoints at the first process of its open connections with the second.
+// endpointsBetween returns the first process's endpoints of its open connections with the second process.
 func (n *network) endpointsBetween(a, b string) (list []*endpoint) {
 	for _, e := range n.endpointsOf(a) {
 		if e.peer().process.name == b && !e.finished {
@@ -162,7 +162,7 @@
 	return list
 }
 
-// describeConnections describes the open connections of a process.
+// describeConnections describes the state of a process's open connections, for reports of violations.
 func (n *network) describeConnections(name string) (list []string) {
 	for _, e := range n.endpointsOf(name) {
 		list = append(list, fmt.Sprintf("%s (finished %v, peer finished %v, %d bytes queued, blackholed %v)", e.conn.name, e.finished, e.peer().finished,
@@ -171,7 +171,7 @@
 	return list
 }
 
-// sendDatagram sends a datagram, which may be lost, duplicated or delayed.
+// sendDatagram sends a datagram, which may be lost, duplicated or reordered.
 func (n *network) sendDatagram(from, to *process, data []byte, onReceived func([]byte)) {
 	copies := 1
 	if n.rng.Float64() < n.loss {
--- a/internal/verification/simulation/outages.go
+++ b/internal/verification/simulation/outages.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	wildcard     = -1   // in place of a number: all appliances or clients
-	outageMargin = 0.05 // seconds from an appliance's return until clients are promised responses
-	cancelDelay  = 0.15 // seconds until a front end must have processed a cancellation
+	wildcard     = -1   // as the number of an appliance or client: all of them
+	outageMargin = 0.05 // seconds from an appliance's recovery until clients are guaranteed responses
+	cancelDelay  = 0.15 // seconds within which a front end must process a cancellation
 )
 
-// outage is a period in which some clients are not promised responses by some appliances.
+// outage is a period in which some appliances do not guarantee responses to some clients.
 type outage struct {
-	appliance, client int // or everyone
+	appliance, client int // numbers, or wildcard
 	from, to          float64
 }
 
-// beginOutage begins an outage of an appliance for all clients. endOutage ends it.
+// beginOutage begins an outage of an appliance for all clients, which lasts until endOutage.
 func (s *site) beginOutage(a *applianceProcess) {
 	if s.openOutages[a.number] == nil {
 		s.openOutages[a.number] = &outage{a.number, wildcard, float64(s.scheduler.now), never}
@@ -34,13 +34,13 @@
 	}
 }
 
-// addOutage adds an outage that lasts from now until a time.
+// addOutage adds an outage from now until the given time.
 func (s *site) addOutage(applianceNumber, clientNumber int, until float64) {
 	s.outages = append(s.outages, outage{applianceNumber, clientNumber, float64(s.scheduler.now), until})
 }
 
-// isExempt reports whether the client of a call is not promised a response: there was an outage or a fault of its
-// connection since it was sent.
+// isExempt reports whether the client of a call is not guaranteed a response, because its connection was affected by a
+// fault or there has been an outage since the call was sent.
 func (s *site) isExempt(c *clientCall) bool {
 	if c.conn != nil && c.conn.end != nil && c.conn.end.conn.faulty {
 		return true
@@ -59,7 +59,7 @@
 	return false
 }
 
-// hadOutage reports whether an appliance had an outage for all clients since a time.
+// hadOutage reports whether an appliance has had an outage for all clients since the given time.
 func (s *site) hadOutage(a *applianceProcess, since units.Seconds) bool {
 	for _, o := range s.outages {
 		if units.Seconds(o.to) >= since && units.Seconds(o.from) <= s.scheduler.now && o.appliance == a.number && o.client < 0 {
@@ -69,7 +69,7 @@
 	return s.openOutages[a.number] != nil
 }
 
-// beginOperation begins the operation of a call.
+// beginOperation records the start of a call for the check of retries.
 func (s *site) beginOperation(c *clientCall) {
 	op := &operation{
 		request: c.request.id, frontEnd: c.frontEnd.name, boot: c.frontEnd.appliance.boots, call: float64(s.scheduler.now),
@@ -79,8 +79,8 @@
 	s.operations = append(s.operations, op)
 }
 
-// endOperation ends the operation of a call. Its outcome counts as unknown if the appliance restarted meanwhile, as
-// another process may have responded.
+// endOperation records the outcome of a call for the check of retries. If the appliance has restarted since the call was
+// sent, the outcome is recorded as unknown, since another process may have responded.
 func (s *site) endOperation(c *clientCall, outcome string) {
 	op := s.openOperations[c]
 	op.response, op.outcome = float64(s.scheduler.now), outcome
@@ -90,8 +90,8 @@
 	delete(s.openOperations, c)
 }
 
-// endTimedOutCall ends a call whose timeout has passed. Unless it is exempt, the checker of invariants reports the missing
-// response.
+// endTimedOutCall ends a call whose timeout has expired. Unless the call is exempt, the checker of invariants reports the
+// missing response.
 func (s *site) endTimedOutCall(c *clientCall) {
 	if s.isExempt(c) {
 		s.endCallWithUnknownOutcome(c)
@@ -100,7 +100,7 @@
 	delete(s.openOperations, c)
 }
 
-// endLostCall ends a call whose connection closed without a response.
+// endLostCall ends a call whose connection was closed without a response, which is a violation unless the call is exempt.
 func (s *site) endLostCall(c *clientCall) {
 	if !s.isExempt(c) {
 		s.violation("rule 1", "%s: %s closed the connection without a response", c.request.id, c.frontEnd.name)
@@ -108,7 +108,8 @@
 	s.endCallWithUnknownOutcome(c)
 }
 
-// endCancelledCall ends a call that its client cancelled. Its front end notices that a moment later.
+// endCancelledCall ends a call that was cancelled by its client. The cancellation is recorded after cancelDelay, when the
+// front end must have processed it.
 func (s *site) endCancelledCall(c *clientCall) {
 	s.scheduler.after(cancelDelay, "known to have left "+c.request.id, func() {
 		if s.isExempt(c) {
@@ -120,13 +121,13 @@
 	})
 }
 
-// endCallWithUnknownOutcome ends a call whose outcome is unknown, so that its front end may still make attempts.
+// endCallWithUnknownOutcome ends a call whose outcome is unknown to the client. The front end may still make attempts.
 func (s *site) endCallWithUnknownOutcome(c *clientCall) {
 	delete(s.openOperations, c)
 	s.addUnknownOutcome(c.record(invariants.ConnectionLost))
 }
 
-// addUnknownOutcome adds the end of a call that is recorded at the end of the run.
+// addUnknownOutcome adds the end of a call with an unknown outcome, which is recorded at the end of the run.
 func (s *site) addUnknownOutcome(r invariants.Record) {
 	s.unknownOutcomes = append(s.unknownOutcomes, r)
 }
--- a/internal/verification/simulation/process.go
+++ b/internal/verification/simulation/process.go
@@ -6,33 +6,33 @@
 	"streamcleat/internal/units"
 )
 
-// epoch is the time of day at the start, five seconds before a full minute.
+// epoch is the time of day at the start of a run, five seconds before a full minute.
 var epoch = time.Date(2026, 12, 23, 23, 59, 55, 0, time.UTC)
 
-// exitKind is the extent of the end of a process.
+// exitKind tells whether a process ends alone or with its machine.
 type exitKind int
 
 const (
 	processExit exitKind = iota // the machine keeps running
-	powerLoss                   // the machine loses power as well
+	powerLoss                   // the machine loses power
 )
 
-// process is one process on one machine. It can be suspended, terminated and restarted. Its code is called through
-// whileRunning or after, so that nothing is executed in a process that is suspended or has ended.
+// process is a process on a machine of its own. It can be suspended, terminated and restarted. All calls into its code go
+// through whileRunning or after, so that no code runs in a process that is suspended or has ended.
 type process struct {
 	scheduler   *scheduler
 	name        string
 	incarnation int
 	running     bool
-	powered     bool // its machine has power
-	suspended   bool // calls are queued in the backlog
+	powered     bool // the machine has power
+	suspended   bool // calls are queued in the backlog until the process is resumed
 	backlog     []func()
-	clockSkew   float64 // of the machine's time of day
-	uptimeBase  float64 // of the machine's monotonic clock
+	clockSkew   float64 // seconds by which the machine's time of day is ahead
+	uptimeBase  float64 // value of the machine's monotonic clock at the start of the run
 }
 
-// whileRunning returns a function that calls run in the present process: at its resumption if it is suspended, and never
-// once it has ended.
+// whileRunning returns a function that calls run in the current incarnation of the process. While the process is suspended
+// the call is deferred until it is resumed, and once this incarnation has ended the call is dropped.
 func (p *process) whileRunning(run func()) func() {
 	incarnation := p.incarnation
 	return func() {
@@ -50,7 +50,7 @@
 	}
 }
 
-// after schedules an event in the process.
+// after schedules an event in the current incarnation of the process.
 func (p *process) after(delay units.Seconds, name string, run func()) *event {
 	return p.scheduler.after(delay, p.name+" "+name, p.whileRunning(run))
 }
@@ -69,7 +69,7 @@
 	})
 }
 
-// resume continues a suspended process and runs its backlog.
+// resume resumes a suspended process and runs its backlog.
 func (p *process) resume() {
 	p.suspended = false
 	for len(p.backlog) > 0 && !p.suspended {
@@ -79,7 +79,7 @@
 	}
 }
 
-// terminate ends the process.
+// terminate ends the current incarnation of the process and drops its backlog.
 func (p *process) terminate() {
 	p.incarnation++
 	p.running, p.suspended, p.backlog = false, false, nil
--- a/internal/verification/simulation/retries.go
+++ b/internal/verification/simulation/retries.go
@@ -10,25 +10,26 @@
 )
 
 const (
-	noResponse            = -1 // response time of a call without a response
+	noResponse            = -1 // value of operation.response if there was no response
 	checkTimeout          = time.Minute
-	microsecondsPerSecond = 1e6    // per second; the unit of the checker's times
-	stateOpen             = "open" // state of a request in the model that has no final outcome
+	microsecondsPerSecond = 1e6    // the linearizability checker measures time in microseconds
+	stateOpen             = "open" // state, in the model, of a request without a final outcome
 )
 
-// operation is one call as observed by its client.
+// operation is a call as observed by its client.
 type operation struct {
 	request, frontEnd string
-	boot              int // of the appliance when the call was sent
+	boot              int // number of the appliance's boot when the call was sent
 	call, response    float64
-	outcome           string // empty if the client does not know it
+	outcome           string // empty if unknown to the client
 }
 
 // callOutcome is the output of an operation in the model.
 type callOutcome struct{ outcome string }
 
-// retryModel is the model of the calls of one request to one process of a front end: once the request has succeeded,
-// every call gets that response; once it has failed, it never succeeds. A call with an unknown outcome may have had any.
+// retryModel specifies the outcomes of the calls of one request to one process of a front end. Once the request has
+// succeeded, every call receives that response. Once it has failed, it never succeeds. A call with an unknown outcome may
+// have had any outcome.
 var retryModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{stateOpen} },
 	Step: func(state, _, output any) []any {
@@ -38,13 +39,13 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// outcomeOf returns the outcome of an operation's output.
+// outcomeOf returns the outcome in the output of an operation.
 func outcomeOf(output any) string {
 	c, _ := output.(callOutcome)
 	return c.outcome
 }
 
-// nextStates returns the possible states of a request after an outcome, or none if the outcome is not allowed.
+// nextStates returns the possible states of a request after a call with an outcome, or none if the outcome is not allowed.
 func nextStates(state, outcome string) []any {
 	open := state == stateOpen
 	switch {
@@ -52,7 +53,7 @@
 		return []any{stateOpen, invariants.Succeeded, invariants.Failed}
 	case outcome == "":
 		return []any{state}
-	case open && outcome == invariants.Failed: // for this client only, whose timeout passed, or for all
+	case open && outcome == invariants.Failed: // either for this call only, because its timeout expired, or for all calls
 		return []any{stateOpen, outcome}
 	case open && outcome == invariants.Succeeded:
 		return []any{outcome}
@@ -70,7 +71,7 @@
 	boot              int
 }
 
-// checkRetries checks that the responses to all calls of each request are linearizable in retryModel.
+// checkRetries checks that the responses to all calls of each request are linearizable with respect to retryModel.
 func (s *site) checkRetries() {
 	groups := map[operationGroup][]porcupine.Operation{}
 	var order []operationGroup
--- a/internal/verification/simulation/scheduler.go
+++ b/internal/verification/simulation/scheduler.go
@@ -12,10 +12,10 @@
 	"streamcleat/internal/units"
 )
 
-// never is later than any time.
+// never is a time later than any other.
 var never = math.Inf(1)
 
-// event is a call at a time. Events of the same time run in the order in which they were scheduled.
+// event is a call scheduled for a time. Events with the same time run in the order in which they were scheduled.
 type event struct {
 	at       units.Seconds
 	sequence uint64
@@ -23,14 +23,14 @@
 	run      func() // nil if cancelled
 }
 
-// cancel cancels a pending event. It may be called on nil.
+// cancel cancels a pending event. It is a no-op on nil.
 func (e *event) cancel() {
 	if e != nil {
 		e.run = nil
 	}
 }
 
-// eventQueue is a heap of events, ordered by time.
+// eventQueue is a heap of events, ordered by time and sequence number.
 type eventQueue struct{ events []*event }
 
 // Len implements heap.Interface.
@@ -61,21 +61,22 @@
 	return last
 }
 
-// scheduler is the virtual clock and the queue of events. It hashes the trace of all events and received data.
+// scheduler is the virtual clock with the queue of events. It computes a hash of the trace, which consists of all events and
+// received data.
 type scheduler struct {
-	now           units.Seconds // seconds since the start
+	now           units.Seconds // seconds since the start of the run
 	sequence      uint64
 	queue         eventQueue
-	executed      int    // number of events so far
-	lastEventName string // of the latest event
+	executed      int    // number of events executed so far
+	lastEventName string // name of the event that was executed last
 	hash          hash.Hash
 	buffer        []byte
-	onTrace       func(string) // receives the names of the trace; may be nil
+	onTrace       func(string) // called with the name of each entry of the trace; may be nil
 }
 
 func newScheduler() *scheduler { return &scheduler{hash: sha256.New()} }
 
-// after schedules an event after a delay in seconds. Its name is part of the trace.
+// after schedules an event after a delay in seconds. The name of the event is part of the trace.
 func (s *scheduler) after(delay units.Seconds, name string, run func()) *event {
 	s.sequence++
 	e := &event{at: s.now + max(delay, 0), sequence: s.sequence, name: name, run: run}
@@ -83,7 +84,8 @@
 	return e
 }
 
-// runNext runs the next event before a time. If there is none, it advances the clock to that time and returns false.
+// runNext runs the next event that is due by the given time. If there is none, it advances the clock to that time and
+// returns false.
 func (s *scheduler) runNext(until float64) bool {
 	for s.queue.Len() > 0 && s.queue.events[0].at <= units.Seconds(until) {
 		e := s.queue.events[0]
@@ -102,7 +104,7 @@
 	return false
 }
 
-// trace adds a name and data to the trace, with the present time.
+// trace adds an entry with the current time, a name and data to the trace.
 func (s *scheduler) trace(name string, data []byte) {
 	s.buffer = binary.LittleEndian.AppendUint64(s.buffer[:0], math.Float64bits(float64(s.now)))
 	s.buffer = append(s.buffer, name...)
@@ -114,10 +116,10 @@
 	}
 }
 
-// digest returns the hash of the trace. Runs with the same digest are identical.
+// digest returns the hash of the trace. Runs with the same digest had the same events and data.
 func (s *scheduler) digest() string { return hex.EncodeToString(s.hash.Sum(nil)) }
 
-// newRand returns the named stream of random numbers of a seed. Streams are independent of each other.
+// newRand returns a random number generator for a named stream of a seed. Streams are independent of each other.
 func newRand(seed uint64, stream string) *rand.Rand {
 	h := sha256.Sum256([]byte(stream))
 	return rand.New(rand.NewPCG(seed, binary.LittleEndian.Uint64(h[:8])))
--- a/internal/verification/simulation/schedules.go
+++ b/internal/verification/simulation/schedules.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	maxScheduleWait = 1.0   // seconds between checks of the schedules
-	minScheduleWait = 0.001 // seconds
+	maxScheduleWait = 1.0   // maximum seconds between checks for due schedules
+	minScheduleWait = 0.001 // minimum seconds between checks for due schedules
 )
 
-// fireSchedules fires the due schedules. Like the real appliance, it writes firings to disk first.
+// fireSchedules fires the due schedules and schedules the next check.
 func (a *applianceProcess) fireSchedules() {
 	s := a.site
 	if s.script.Timers == 0 || a.schedulesSuspended || a.scheduler.now > units.Seconds(s.script.Seconds+retryPeriod) {
@@ -34,7 +34,7 @@
 	a.after(units.Seconds(wait), "timers", a.fireSchedules)
 }
 
-// fire writes firings to disk and submits their requests.
+// fire writes firings to disk and then submits their requests, in the order of the real appliance.
 func (a *applianceProcess) fire(due []schedule.Firing) {
 	var firings []storage.Firing
 	for _, f := range due {
@@ -58,7 +58,7 @@
 	}
 }
 
-// scheduledRequest returns the request of a firing.
+// scheduledRequest returns the request that a firing submits.
 func (a *applianceProcess) scheduledRequest(f schedule.Firing) dispatch.Request {
 	entry, source := f.Entry, "/timers/"+a.name
 	return dispatch.Request{
@@ -76,7 +76,7 @@
 	}
 }
 
-// scheduledCall is one attempt at a scheduled request.
+// scheduledCall is one attempt to submit a scheduled request.
 type scheduledCall struct {
 	request   dispatch.Request
 	deadline  time.Time
@@ -85,7 +85,8 @@
 	startedAt units.Seconds
 }
 
-// submitScheduled submits a request of the appliance itself. A rejected one is retried until its deadline.
+// submitScheduled submits a scheduled request to the appliance's first front end. If it is rejected, it is retried until its
+// deadline.
 func (a *applianceProcess) submitScheduled(request dispatch.Request, deadline time.Time, attempts int) {
 	f := a.frontEnds[0]
 	c := scheduledCall{request: request, deadline: deadline, attempts: attempts, number: a.site.recorder.NextCallID(), startedAt: a.scheduler.now}
@@ -101,7 +102,7 @@
 func (a *applianceProcess) onScheduledResponse(c scheduledCall, response dispatch.Response) {
 	id := c.request.Identity
 	delete(a.scheduled, id)
-	if a.scheduler.now-c.startedAt > requestTimeout && a.site.hadOutage(a, c.startedAt) { // it was suspended
+	if a.scheduler.now-c.startedAt > requestTimeout && a.site.hadOutage(a, c.startedAt) { // the appliance was suspended
 		a.site.addUnknownOutcome(invariants.Record{Kind: invariants.ConnectionLost, CallID: c.number})
 	} else {
 		a.site.recorder.Add(invariants.Record{
@@ -118,7 +119,8 @@
 	}
 }
 
-// retryScheduled schedules a retry of a rejected request. It returns false if there is no time for one.
+// retryScheduled schedules a retry of a rejected request. It returns false if the deadline or the end of the run leaves no
+// time for a retry.
 func (a *applianceProcess) retryScheduled(c scheduledCall, response dispatch.Response) bool {
 	retryAfter := response.RetryAfter.Duration()
 	identity := c.request.Identity
--- a/internal/verification/simulation/site.go
+++ b/internal/verification/simulation/site.go
@@ -14,7 +14,7 @@
 	"streamcleat/internal/verification/invariants"
 )
 
-// Parameters of every site. Times are seconds.
+// Parameters of every site. Times are in seconds.
 const (
 	latencyObjective        = 0.8
 	requestTimeout          = 2.0
@@ -28,18 +28,18 @@
 	idleReplicaLifetime     = 4.0
 	drainGrace              = 0.01
 	observationDelay        = 0.001
-	recoveryPeriod          = 9.0 // without faults, at the end
-	retryPeriod             = 3.0 // of the recovery period; no request is sent after it
-	clientStartTime         = 0.3 // start of the clients
-	clientCloseLead         = 1.0 // from the clients' close of their connections to the end
-	fullSpeedFetches        = 4   // concurrent fetches without slowdown
+	recoveryPeriod          = 9.0 // at the end of a run, without faults
+	retryPeriod             = 3.0 // initial part of the recovery period; no request is sent after it
+	clientStartTime         = 0.3 // time at which the clients start
+	clientCloseLead         = 1.0 // time between the clients' closing their idle connections and the end of the run
+	fullSpeedFetches        = 4   // concurrent fetches that the function store serves without slowdown
 
-	// Limit of load commands, if the script has one.
+	// Rate limit of load commands, if the script enables it.
 	loadWindow      = 2
 	loadBurst       = 4
 	loadsPerRequest = 0.2
 
-	maxViolationsPerKind = 3 // that are described; all of them are counted
+	maxViolationsPerKind = 3 // number of violations described in the report; all are counted
 )
 
 // site is one simulated deployment: appliances, workers, clients and the network between them.
@@ -58,33 +58,33 @@
 	clients    []*client
 
 	endpointList     []byte
-	machineTypes     map[string]string  // by worker
-	executedKeys     map[string]float64 // execution time of keyed requests that workers deduplicate
-	rateFactor       float64            // of the clients' requests; 0: the script's rate
-	cancelFraction   float64            // of requests that are cancelled, if above normalCancelFraction
-	ignoreRetryAfter bool               // clients retry at once
+	machineTypes     map[string]string  // by worker name
+	executedKeys     map[string]float64 // time of execution of requests with an idempotency key, by request ID
+	rateFactor       float64            // multiplier of the clients' request rate; 0: the script's rate
+	cancelFraction   float64            // fraction of requests that are cancelled, if above normalCancelFraction
+	ignoreRetryAfter bool               // clients retry immediately
 
 	// State of the checks.
 	recorder        *invariants.Recorder
 	rules           invariants.Rules
-	reboots         map[int]int     // by appliance
-	durableFirings  map[string]bool // minutes for which appliances fired their schedules; true if stored on disk
+	reboots         map[int]int     // power losses, by appliance number
+	durableFirings  map[string]bool // firings of schedules, by request identity; true if recorded on disk
 	outages         []outage
-	openOutages     map[int]*outage // by appliance
+	openOutages     map[int]*outage // by appliance number
 	operations      []*operation
 	openOperations  map[*clientCall]*operation
-	unknownOutcomes []invariants.Record // ends of calls whose outcome is unknown
-	activeFrontEnds []*frontEnd         // front ends with activity in this event
+	unknownOutcomes []invariants.Record // ends of calls with an unknown outcome
+	activeFrontEnds []*frontEnd         // front ends with activity during the current event
 	frontEndChecks  int
 	violations      []string
-	violationCounts map[string]int    // violations by kind
-	coverage        map[string]int    // by kind of fault and state
-	latestAttempts  map[string]uint64 // by front end and request
+	violationCounts map[string]int    // by kind
+	coverage        map[string]int    // number of occurrences, by fault kind and state
+	latestAttempts  map[string]uint64 // call ID of the latest attempt, by front end and request
 	restarts        int
-	abandonedStores sync.WaitGroup // stores that release their memory
+	abandonedStores sync.WaitGroup // stores of ended processes that are still releasing their memory
 }
 
-// violation records a violation, and describes the first ones of each kind.
+// violation counts a violation of an invariant. Only the first maxViolationsPerKind of each kind are described.
 func (s *site) violation(kind, format string, args ...any) {
 	s.violationCounts[kind]++
 	if s.violationCounts[kind] <= maxViolationsPerKind {
@@ -122,7 +122,7 @@
 	return s, nil
 }
 
-// populate starts the workers, appliances and clients, and schedules the faults.
+// populate creates and starts the workers and appliances, and schedules the start of the clients and the faults.
 func (s *site) populate() {
 	script := s.script
 	newWorker := s.newWarmWorker
@@ -176,7 +176,7 @@
 	return rules
 }
 
-// configure sets the configuration of the front ends.
+// configure generates the configuration of the front ends.
 func (s *site) configure() error {
 	document := fakes.SiteConfig{
 		Classes:   fakes.ClassConfigs(latencyObjective, requestTimeout, float64(s.script.DeduplicationWindow)),
@@ -200,7 +200,7 @@
 	return err
 }
 
-// parseCrontab sets the schedules of the appliances. Each of them fires every minute.
+// parseCrontab generates the schedules of the appliances. Each schedule fires every minute.
 func (s *site) parseCrontab() error {
 	if s.script.Timers == 0 {
 		return nil
@@ -216,7 +216,7 @@
 	return err
 }
 
-// writeEndpointList writes the endpoint list. Front ends read it a moment later.
+// writeEndpointList writes the endpoint list. Each appliance's front ends read it after a random delay.
 func (s *site) writeEndpointList() {
 	groups := []fakes.TargetGroup{}
 	for _, w := range s.workers {
@@ -231,7 +231,7 @@
 	}
 	data, err := json.Marshal(groups)
 	if err != nil {
-		panic(err) // the list can always be encoded
+		panic(err) // target groups can always be encoded
 	}
 	s.endpointList = data
 	for _, a := range s.appliances {
@@ -244,8 +244,8 @@
 	}
 }
 
-// recordExecution records the execution of a request, and reports whether it is executed: workers drop duplicates of
-// keyed requests within the deduplication window.
+// recordExecution reports whether a worker executes a request, and records its execution. Workers don't execute
+// duplicates of requests with an idempotency key within the deduplication window.
 func (s *site) recordExecution(r *workerRequest) bool {
 	if r.class != fakes.ClassIdempotentByKey {
 		return true
@@ -258,7 +258,7 @@
 	return true
 }
 
-// restartWorker restarts a worker that is down, cold, and writes the endpoint list.
+// restartWorker performs a cold start of a worker that is down, and updates the endpoint list.
 func (s *site) restartWorker(w *worker) {
 	if w.running || !w.listed {
 		return
@@ -267,7 +267,7 @@
 	s.writeEndpointList()
 }
 
-// stopAppliance begins a graceful stop of an appliance. It restarts after a delay in seconds.
+// stopAppliance starts the graceful shutdown of an appliance, which is restarted after restartIn seconds.
 func (s *site) stopAppliance(a *applianceProcess, restartIn float64) {
 	a.restartIn = restartIn
 	if a.running && !a.suspended {
@@ -277,10 +277,10 @@
 	}
 }
 
-// restartAfterDiskFailure restarts an appliance that can't write its state, as its operator would.
+// restartAfterDiskFailure restarts an appliance that can't write its state, in place of its operator.
 func (s *site) restartAfterDiskFailure(a *applianceProcess) { s.stopAppliance(a, minRestartDelay) }
 
-// endFaults ends every fault. From now on the site must recover, and every request must end.
+// endFaults ends all faults and starts the recovery period, in which the site must recover and every request must end.
 func (s *site) endFaults() {
 	s.network.heal()
 	s.rateFactor, s.cancelFraction, s.ignoreRetryAfter = 0, 0, false
--- a/internal/verification/simulation/versions.go
+++ b/internal/verification/simulation/versions.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	versionsPerFunction = 3        // in a site with versions
-	registryActor       = "script" // of every change of a registry
+	versionsPerFunction = 3        // if the script has versions
+	registryActor       = "script" // actor of all changes to the registries
 )
 
 func newVersion(function string, number int) *registry.Version {
@@ -20,7 +20,7 @@
 	return &registry.Version{Function: function, Name: name, Digest: digest.FromString(function + ":" + name)}
 }
 
-// openRegistry restores the registry of functions from the audit trail, and publishes what it lacks.
+// openRegistry restores the registry of functions from the audit trail, and publishes missing versions and aliases.
 func (a *applianceProcess) openRegistry(auditTrail [][]byte) {
 	a.registry = registry.New()
 	if !a.site.script.Versions {
@@ -44,7 +44,7 @@
 	}
 }
 
-// publishVersions publishes the versions of a function that the registry lacks, and its current alias.
+// publishVersions publishes a function's versions and its default alias, as far as the registry lacks them.
 func (a *applianceProcess) publishVersions(function string) {
 	for number := range versionsPerFunction {
 		v := newVersion(function, number)
@@ -57,7 +57,7 @@
 	}
 }
 
-// changeRegistry applies a change to the registry after it is on disk.
+// changeRegistry writes a change to disk and then applies it to the registry.
 func (a *applianceProcess) changeRegistry(entry registry.Entry) {
 	entry.At, entry.Actor = float64(a.scheduler.now), registryActor
 	if !a.running {
@@ -82,7 +82,7 @@
 	a.changeRegistry(registry.Entry{AliasUpdate: &registry.AliasUpdate{Function: function, Alias: registry.DefaultAlias, Digest: to.Digest}})
 }
 
-// switchVersion moves the alias of a function to a version, both given by number, if the registry has that version.
+// switchVersion updates the default alias of a function to a version, both given by number, if the registry has that version.
 func (a *applianceProcess) switchVersion(function, version int) {
 	name := a.site.functions[function%len(a.site.functions)].Name
 	v := newVersion(name, version%versionsPerFunction)
@@ -91,7 +91,7 @@
 	}
 }
 
-// resolveVersion returns the version that executes a request.
+// resolveVersion resolves the version of a function that executes a request.
 func (a *applianceProcess) resolveVersion(request *dispatch.Request) (dispatch.Binding, dispatch.FunctionProfile, error) {
 	profile := a.site.config.Function(request.Function)
 	identity := request.Identity
--- a/internal/verification/simulation/worker.go
+++ b/internal/verification/simulation/worker.go
@@ -15,9 +15,9 @@
 	workerMemoryMB     = 3000
 	workerQueueLimit   = 64
 	maxConcurrentLoads = 4
-	slowFactor         = 6.0 // factor of FaultSlow
+	slowFactor         = 6.0 // multiplier of the execution time under FaultSlow
 	evictionInterval   = 0.1 // seconds between checks for idle replicas
-	firstEvictionDelay = 0.5 // seconds from the start to the first check
+	firstEvictionDelay = 0.5 // seconds from the start of a process to the first check
 )
 
 // Endpoint states of a worker.
@@ -27,8 +27,8 @@
 	stateRemoved  = "gone"
 )
 
-// worker is a fake worker on the virtual clock. It speaks the Open Inference Protocol over the simulated network, and
-// loads replicas from a shared store.
+// worker is a fake worker on the virtual clock. It serves the Open Inference Protocol over the simulated network, and loads
+// replicas from the function store that all workers share.
 type worker struct {
 	process
 	site        *site
@@ -36,25 +36,25 @@
 	cores       int
 	speed       float64
 	replicas    *fakes.ReplicaTable
-	onLoaded    map[*fakes.ReplicaSet][]func() // callbacks of pending load commands
+	onLoaded    map[*fakes.ReplicaSet][]func() // callbacks that check whether pending load commands are done
 	queue       []*workerRequest
-	active      int // requests in progress
-	loads       int // in progress
+	active      int // number of requests in execution
+	loads       int // number of loads in progress
 	faultUntil  map[FaultKind]units.Seconds
-	coldSince   units.Seconds // time of the start; 0 if it is warm
-	startedUnix float64       // start in the endpoint list; 0: not stated
+	coldSince   units.Seconds // time of a cold start; 0 if the worker is warm
+	startedUnix float64       // start time in the endpoint list; 0: omitted
 	listed      bool
 	state       string
 }
 
-// newWarmWorker returns a running worker that counts as started long ago, but has no replicas.
+// newWarmWorker returns a running worker that counts as started long ago, so that it has full capacity, but no replicas.
 func (s *site) newWarmWorker(number int) *worker {
 	w := s.newWorker(number)
 	w.start()
 	return w
 }
 
-// newColdWorker returns a running worker that warms up.
+// newColdWorker returns a running worker that is warming up.
 func (s *site) newColdWorker(number int) *worker {
 	w := s.newWorker(number)
 	w.startCold()
@@ -74,14 +74,14 @@
 	return w
 }
 
-// startCold starts a process that warms up.
+// startCold starts a process whose capacity grows during warmUpTime.
 func (w *worker) startCold() {
 	w.start()
 	w.coldSince = w.scheduler.now
 	w.startedUnix = float64(w.wallClock().UnixNano()) / 1e9
 }
 
-// start starts a warm process.
+// start starts a process with full capacity and without replicas.
 func (w *worker) start() {
 	w.incarnation++
 	w.running, w.powered, w.suspended = true, true, false
@@ -92,7 +92,7 @@
 	w.after(firstEvictionDelay, "lapses", w.evictIdle)
 }
 
-// stop ends the process. Its kernel resets its connections, unless the machine loses power.
+// stop ends the process. The kernel resets its connections, unless the machine loses power.
 func (w *worker) stop(kind exitKind) {
 	if !w.running {
 		return
@@ -109,13 +109,13 @@
 	w.powered = kind != powerLoss
 }
 
-// hasFault reports whether a fault is active.
+// hasFault reports whether a fault of a kind is active.
 func (w *worker) hasFault(kind FaultKind) bool { return w.faultUntil[kind] > w.scheduler.now }
 
-// drawFault draws whether a fault affects the request at hand. An active fault affects two of three.
+// drawFault decides at random whether a fault affects the current request. An active fault affects two of three requests.
 func (w *worker) drawFault(kind FaultKind) bool { return w.hasFault(kind) && w.rng.IntN(3) > 0 }
 
-// capacityFraction returns the fraction of its capacity that the worker has now.
+// capacityFraction returns the fraction of its full capacity that the worker has at present.
 func (w *worker) capacityFraction() units.Seconds {
 	age := w.scheduler.now - w.coldSince
 	if w.coldSince == 0 || age >= warmUpTime {
@@ -124,7 +124,7 @@
 	return initialCapacityFraction + (1-initialCapacityFraction)*age/warmUpTime
 }
 
-// accept accepts a connection of a front end.
+// accept accepts a connection from a front end. The close of a connection cancels its requests.
 func (w *worker) accept(e *endpoint) bool {
 	framer := http1.NewRequestFramer(messageLimits)
 	var open []*workerRequest
--- a/internal/verification/simulation/worker_http.go
+++ b/internal/verification/simulation/worker_http.go
@@ -11,16 +11,16 @@
 	"streamcleat/internal/verification/fakes"
 )
 
-// messageLimits are the limits of HTTP messages, for workers, front ends and clients.
+// messageLimits limits the size of HTTP messages at workers, clients and the recorders of attempts.
 var messageLimits = http1.Limits{Head: 1 << 16, Body: 1 << 20}
 
-// responder sends the response to one request of a front end.
+// responder sends the response to a request from a front end.
 type responder struct {
 	worker *worker
 	end    *endpoint
 }
 
-// send sends a response. header has additional header fields, each with its line end.
+// send sends a response. header consists of additional header fields, each terminated by CRLF.
 func (r responder) send(status int, header string, body any) {
 	w := r.worker
 	text, err := json.Marshal(body)
@@ -40,8 +40,8 @@
 
 func (r responder) fail(status int, text string) { r.send(status, "", fakes.ErrorMessage{Error: text}) }
 
-// serve serves one request. It returns an inference request, so that it can be removed from the queue when its connection
-// closes.
+// serve serves a request. If it is an inference request, it is returned, so that the caller can remove it from the queue when
+// the connection closes.
 func (w *worker) serve(e *endpoint, m *http1.Message) *workerRequest {
 	path := splitPath(m.Target)
 	respond := responder{w, e}
@@ -51,7 +51,7 @@
 		return w.serveInfer(respond, m, path[2])
 	case isRepository && path[4] == "load":
 		var command fakes.LoadRequest
-		_ = json.Unmarshal(m.Body, &command) // without a body it asks for one replica
+		_ = json.Unmarshal(m.Body, &command) // without a body, the command is for one replica
 		w.serveLoad(respond, w.replicas.Lookup(path[3], command.Parameters.Digest), max(command.Parameters.Copies, 1))
 	case isRepository && path[4] == "unload":
 		if r := w.replicas.Lookup(path[3], ""); r != nil && r.Busy == 0 {
@@ -74,7 +74,7 @@
 	return path
 }
 
-// digestHeader returns the header that names the version of the replicas, if it has one.
+// digestHeader returns the header field with the digest of the replicas' version, or an empty string if they have none.
 func digestHeader(r *fakes.ReplicaSet) string {
 	if r.Digest == "" {
 		return ""
@@ -82,7 +82,7 @@
 	return "Docker-Content-Digest: " + r.Digest + "\r\n"
 }
 
-// serveInfer puts a request in the queue, unless a fault affects it or it is rejected.
+// serveInfer enqueues an inference request, unless a fault affects it.
 func (w *worker) serveInfer(respond responder, m *http1.Message, function string) *workerRequest {
 	id := m.Header.Get("Ce-Source") + "#" + m.Header.Get("Ce-Id")
 	_, frontEnd, _ := strings.Cut(m.Header.Get("Via"), " ")
@@ -104,7 +104,7 @@
 	return r
 }
 
-// serveLoad serves a load command. It responds when the replicas are ready, or none is loading.
+// serveLoad serves a load command. The response is sent when the replicas are ready, or when no load is in progress.
 func (w *worker) serveLoad(respond responder, r *fakes.ReplicaSet, replicas int) {
 	switch {
 	case r == nil:
--- a/internal/verification/simulation/worker_replicas.go
+++ b/internal/verification/simulation/worker_replicas.go
@@ -8,7 +8,7 @@
 	"streamcleat/internal/verification/invariants"
 )
 
-// workerRequest is one attempt of a request at a worker.
+// workerRequest is an attempt of a request as received by a worker.
 type workerRequest struct {
 	replicas  *fakes.ReplicaSet
 	id        string
@@ -16,10 +16,10 @@
 	respond   responder
 	startKind string
 	cancelled bool   // the front end closed the connection
-	attempt   uint64 // call ID of the latest attempt of the request by its front end
+	attempt   uint64 // call ID of the front end's latest attempt of the request
 }
 
-// enqueue puts a request in the queue, or rejects it.
+// enqueue adds a request to the queue, or rejects it.
 func (w *worker) enqueue(r *workerRequest, replicas *fakes.ReplicaSet) {
 	if replicas == nil {
 		r.respond.fail(http.StatusNotFound, "no such function")
@@ -37,7 +37,8 @@
 	w.dispatchQueue()
 }
 
-// awaitLoad lets a request wait for a load in progress, or starts one. It returns false if it rejects the request.
+// awaitLoad makes a request wait for a load, which it starts unless one is in progress. It returns false if it rejects the
+// request.
 func (w *worker) awaitLoad(r *workerRequest) bool {
 	r.startKind = fakes.StartJoined
 	if r.replicas.Loading > 0 {
@@ -55,8 +56,8 @@
 	return true
 }
 
-// dispatchQueue starts requests in the order of their arrival, if a replica and a core are free, and loads one more
-// replica if all of a set are busy.
+// dispatchQueue executes queued requests in the order of their arrival, as far as a replica and a core are free. If a core is
+// free but all replicas of a set are busy, it starts the load of another replica.
 func (w *worker) dispatchQueue() {
 	var waiting []*workerRequest
 	queue := w.queue
@@ -79,7 +80,7 @@
 	w.queue = append(waiting, w.queue...)
 }
 
-// run executes a request on a replica and a core.
+// run executes a request, which occupies a replica and a core.
 func (w *worker) run(r *workerRequest) {
 	replicas := r.replicas
 	replicas.Busy++
@@ -98,7 +99,7 @@
 	w.after(units.Seconds(duration), "ends "+r.id, func() { w.finish(r, first) })
 }
 
-// finish releases the replica and the core of a request, and responds.
+// finish releases the replica and the core of a request, and sends the response.
 func (w *worker) finish(r *workerRequest, first bool) {
 	replicas := r.replicas
 	replicas.Busy--
@@ -116,7 +117,7 @@
 	w.dispatchQueue()
 }
 
-// startLoad loads one more replica. It returns false if there is no capacity for it.
+// startLoad starts the load of another replica. It returns false if the limit of concurrent loads or of memory is reached.
 func (w *worker) startLoad(r *fakes.ReplicaSet) bool {
 	if w.loads >= maxConcurrentLoads || !w.replicas.MakeRoom(r, workerMemoryMB) {
 		return false
@@ -140,7 +141,7 @@
 	return true
 }
 
-// finishLoad counts a replica that was loaded, or failed to load.
+// finishLoad ends the load of a replica, which has succeeded if ok, and serves the commands and requests that wait for it.
 func (w *worker) finishLoad(r *fakes.ReplicaSet, ok bool) {
 	r.Loading--
 	w.loads--
@@ -156,13 +157,13 @@
 	w.dispatchQueue()
 }
 
-// evictIdle evicts replicas whose idle lifetime has passed.
+// evictIdle evicts replicas whose idle lifetime has expired, and schedules the next check.
 func (w *worker) evictIdle() {
 	w.replicas.EvictIdle(float64(w.scheduler.now), idleReplicaLifetime+0.5)
 	w.after(evictionInterval, "lapses", w.evictIdle)
 }
 
-// evictAll evicts every image and every idle replica, like a release of all functions.
+// evictAll evicts all images and all idle replicas, as a release of all functions does.
 func (w *worker) evictAll() {
 	for _, r := range w.replicas.All() {
 		r.HasImage = false
@@ -172,17 +173,18 @@
 	}
 }
 
-// functionStore is the function store that all workers share.
+// functionStore is the store from which all workers fetch functions.
 type functionStore struct {
 	scheduler   *scheduler
-	fullSpeed   int // concurrent fetches without slowdown
+	fullSpeed   int // number of concurrent fetches without slowdown
 	inFlight    int
-	slowdown    float64 // factor until slowUntil
+	slowdown    float64 // multiplier of fetch times until slowUntil
 	slowUntil   units.Seconds
-	rejectUntil units.Seconds // it rejects fetches until this time
+	rejectUntil units.Seconds // fetches fail until this time
 }
 
-// fetch starts a fetch that takes base seconds on an idle store. It returns its duration, and whether it succeeds.
+// fetch starts a fetch that takes base seconds from an idle store. It returns the duration of the fetch, and whether it
+// succeeds.
 func (s *functionStore) fetch(base units.Seconds) (duration units.Seconds, ok bool) {
 	s.inFlight++
 	if s.scheduler.now < s.rejectUntil {
