--- a/internal/verification/fakes/deprecated_test.go
+++ b/internal/verification/fakes/deprecated_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Scripts written for earlier builds inject faults by their former names, which must keep working.
+// Requests that inject faults by the names of earlier builds must keep working.
 func TestInject_DeprecatedKinds(t *testing.T) {
 	w := startWorker(t, nil)
 	for old, kind := range map[string]FaultKind{"stall": FaultSuspend, "cut": FaultTruncateResponses, "liar": FaultMisreportDigest} {
--- a/internal/verification/fakes/faults.go
+++ b/internal/verification/fakes/faults.go
@@ -35,7 +35,7 @@
 	FaultReset: true, FaultTruncateResponses: true, FaultStaleReports: true, FaultWrongDigest: true, FaultMisreportDigest: true,
 }
 
-// defaultFaultDuration is the duration of a fault that does not specify one. It exceeds the lifetime of any test process.
+// defaultFaultDuration is the duration of a fault that does not specify one. It exceeds the lifetime of any process.
 const defaultFaultDuration = 1000 * time.Hour
 
 // Fault is a fault of a worker. It ends after its duration, or when another fault of its kind replaces it.
