--- a/cmd/streamcleat/keys_test.go
+++ b/cmd/streamcleat/keys_test.go
@@ -41,7 +41,7 @@
 	scenario.RecoveryRow{},
 	simulation.Script{},
 	simulation.Report{},
-	simulation.Explored{},
+	simulation.ExploreResult{},
 	changeReply{},
 }
 
--- a/cmd/streamcleat/simulate.go
+++ b/cmd/streamcleat/simulate.go
@@ -69,8 +69,8 @@
 	if !o.asJSON {
 		fmt.Print(summary)
 	}
-	if summary.Broken > 0 {
-		return fmt.Errorf("%d of %d seeds have findings", summary.Broken, summary.Seeds)
+	if summary.SeedsWithViolations > 0 {
+		return fmt.Errorf("%d of %d seeds have findings", summary.SeedsWithViolations, summary.Seeds)
 	}
 	return nil
 }
--- a/internal/verification/simulation/explore.go
+++ b/internal/verification/simulation/explore.go
@@ -14,26 +14,26 @@
 // maxExploredViolations is the maximum number of violations that an exploration describes.
 const maxExploredViolations = 10
 
-// Explored is the result of an exploration.
-type Explored struct {
+// ExploreResult is the result of an exploration.
+type ExploreResult struct {
 	Depth      int      `json:"depth"`
 	States     int      `json:"states"` // distinct states
 	Merged     int      `json:"merged"` // paths that led to a known state
-	Ways       int      `json:"ways"`   // paths of full depth, which were run to their end
+	Paths      int      `json:"ways"`   // paths of full depth, which were run to their end
 	Complete   bool     `json:"whole"`  // false if the limit of states ended the exploration
 	Violations []string `json:"broke,omitempty"`
 }
 
 // Explore follows every path of depth actions, up to maxStates states, and runs each to its end.
-func Explore(depth, maxStates int) *Explored {
-	e := &exploration{result: &Explored{Depth: depth, Complete: true}, maxStates: maxStates, seen: map[modelKey]int{}}
+func Explore(depth, maxStates int) *ExploreResult {
+	e := &exploration{result: &ExploreResult{Depth: depth, Complete: true}, maxStates: maxStates, seen: map[modelKey]int{}}
 	e.visit(depth)
 	return e.result
 }
 
 // exploration is the state of an Explore.
 type exploration struct {
-	result    *Explored
+	result    *ExploreResult
 	maxStates int
 	seen      map[modelKey]int // remaining depth at the latest visit, by state
 	path      []action         // to the present state
@@ -59,7 +59,7 @@
 		return
 	}
 	if remaining == 0 {
-		e.result.Ways++
+		e.result.Paths++
 		w.runToEnd()
 		e.recordViolation(w, "no further action")
 		return
--- a/internal/verification/simulation/mutants/main.go
+++ b/internal/verification/simulation/mutants/main.go
@@ -174,7 +174,7 @@
 	if err != nil && !errors.As(err, &exit) {
 		return "", err
 	}
-	var explored simulation.Explored
+	var explored simulation.ExploreResult
 	if err := json.Unmarshal(out, &explored); err != nil {
 		return "", err
 	}
--- a/internal/verification/simulation/sim_test.go
+++ b/internal/verification/simulation/sim_test.go
@@ -40,8 +40,8 @@
 			t.Fatal(err)
 		}
 		if name == "day" && n >= 200 {
-			if missed := sum.Missed(); len(missed) > 2 { // those of the group beyond
-				t.Errorf("faults that were not injected: %v", missed)
+			if notInjected := sum.NotInjected(); len(notInjected) > 2 { // those of the group beyond
+				t.Errorf("faults that were not injected: %v", notInjected)
 			}
 		}
 		t.Logf("%s: %d seeds, %d requests, %.0f virtual seconds", name, sum.Seeds, sum.Requests, sum.VirtualSeconds)
--- a/internal/verification/simulation/summary.go
+++ b/internal/verification/simulation/summary.go
@@ -9,18 +9,18 @@
 
 // Summary is the sum of the reports of many seeds.
 type Summary struct {
-	Profile         string
-	Seeds           int
-	Broken          int
-	First           uint64 // first seed with a violation
-	Requests        int
-	Succeeded       int
-	Attempts        int
-	SimulatedEvents int
-	Restarts        int
-	VirtualSeconds  float64
-	FaultCoverage   map[string]int // as in Report
-	startedAt       time.Time
+	Profile             string
+	Seeds               int
+	SeedsWithViolations int
+	FirstViolatingSeed  uint64 // first seed with a violation
+	Requests            int
+	Succeeded           int
+	Attempts            int
+	SimulatedEvents     int
+	Restarts            int
+	VirtualSeconds      float64
+	FaultCoverage       map[string]int // as in Report
+	startedAt           time.Time
 }
 
 // NewSummary returns an empty summary. Its rates count from now.
@@ -32,9 +32,9 @@
 func (s *Summary) Add(r *Report) {
 	s.Seeds++
 	if !r.OK() {
-		s.Broken++
-		if s.Broken == 1 {
-			s.First = r.Seed
+		s.SeedsWithViolations++
+		if s.SeedsWithViolations == 1 {
+			s.FirstViolatingSeed = r.Seed
 		}
 	}
 	s.Requests += r.Requests
@@ -48,15 +48,15 @@
 	}
 }
 
-// Missed returns the kinds of fault that were never injected.
-func (s *Summary) Missed() []string {
-	var missed []string
+// NotInjected returns the kinds of fault that were never injected.
+func (s *Summary) NotInjected() []string {
+	var notInjected []string
 	for _, k := range faultKinds {
 		if !s.wasInjected(k.name) {
-			missed = append(missed, string(k.name))
+			notInjected = append(notInjected, string(k.name))
 		}
 	}
-	return missed
+	return notInjected
 }
 
 func (s *Summary) wasInjected(kind FaultKind) bool {
@@ -67,7 +67,7 @@
 func (s *Summary) String() string {
 	var b strings.Builder
 	elapsed := time.Since(s.startedAt).Seconds()
-	fmt.Fprintf(&b, "%d seeds of %s, %d with violations; %d requests, %d succeeded, %d attempts, %d appliance restarts\n", s.Seeds, s.Profile, s.Broken,
+	fmt.Fprintf(&b, "%d seeds of %s, %d with violations; %d requests, %d succeeded, %d attempts, %d appliance restarts\n", s.Seeds, s.Profile, s.SeedsWithViolations,
 		s.Requests, s.Succeeded, s.Attempts, s.Restarts)
 	fmt.Fprintf(&b, "%.0f virtual seconds in %.1f: speed-up %.0f; %.0f steps and %.0f requests per second\n\n", s.VirtualSeconds, elapsed, s.VirtualSeconds/elapsed,
 		float64(s.SimulatedEvents)/elapsed, float64(s.Requests)/elapsed)
