--- a/internal/verification/simulation/coverage.go
+++ b/internal/verification/simulation/coverage.go
@@ -2,37 +2,38 @@
 
 import "streamcleat/internal/appliance"
 
-// States of front ends that coverage distinguishes, in addition to those of the appliance's lifecycle.
+// States that fault coverage distinguishes, in addition to the lifecycle states of an appliance. An appliance and its front
+// ends can be in several of them at the same time.
 const (
-	stateIdle         = "idle"
-	stateRequestOpen  = "request open"
-	stateAttempt      = "attempt in flight"
-	stateLoad         = "load pending"
-	stateAwaitsDisk   = "awaiting disk"
-	stateWriting      = "writing"
-	stateSuspended    = "suspended"
-	stateDown         = "down"
-	coverageSeparator = " " // between a kind of fault and a state
+	stateIdle            = "idle"
+	stateRequestOpen     = "request open"
+	stateAttemptInFlight = "attempt in flight"
+	statePendingLoad     = "load pending"
+	stateAwaitingDisk    = "awaiting disk"
+	stateWriting         = "writing"
+	stateSuspended       = "suspended"
+	stateDown            = "down"
+	coverageSeparator    = " " // between the fault kind and the state
 )
 
-// faultStates returns the states that coverage distinguishes, in the order of a table.
+// faultStates returns the states that fault coverage distinguishes, in the column order of the summary table.
 func faultStates() []string {
 	return []string{
-		stateIdle, stateRequestOpen, stateAttempt, stateLoad, stateAwaitsDisk, stateWriting,
+		stateIdle, stateRequestOpen, stateAttemptInFlight, statePendingLoad, stateAwaitingDisk, stateWriting,
 		appliance.Starting.String(), appliance.Recovering.String(), appliance.Draining.String(), appliance.Terminating.String(),
 		stateSuspended, stateDown,
 	}
 }
 
-// coverageKey returns the key under which reports count a kind of fault that met a state.
+// coverageKey returns the key under which reports count the injections of a fault kind in a state.
 func coverageKey(kind FaultKind, state string) string {
 	return string(kind) + coverageSeparator + state
 }
 
-// countCoverage counts the states of the front ends that the fault may affect.
+// countCoverage counts the present states of every appliance that the fault can affect, with its front ends.
 func (i *injection) countCoverage(kind *faultKind) {
 	for _, a := range i.appliances {
-		if kind.hitsOneAppliance && a != i.appliance {
+		if kind.affectsOneAppliance && a != i.appliance {
 			continue
 		}
 		for _, state := range a.coverageStates() {
@@ -41,7 +42,7 @@
 	}
 }
 
-// coverageStates returns the states of an appliance and its front ends.
+// coverageStates returns the present states of the appliance, followed by those of its front ends.
 func (a *applianceProcess) coverageStates() []string {
 	var states []string
 	if !a.running {
@@ -60,6 +61,7 @@
 	return states
 }
 
+// coverageStates returns the present states of the front end.
 func (f *frontEnd) coverageStates() []string {
 	var states []string
 	counts := f.proxy.Dispatcher().Counts()
@@ -69,13 +71,13 @@
 		states = append(states, stateRequestOpen)
 	}
 	if counts.InFlight > 0 {
-		states = append(states, stateAttempt)
+		states = append(states, stateAttemptInFlight)
 	}
 	if counts.PendingLoads > 0 {
-		states = append(states, stateLoad)
+		states = append(states, statePendingLoad)
 	}
 	if !f.proxy.RecordsStored() {
-		states = append(states, stateAwaitsDisk)
+		states = append(states, stateAwaitingDisk)
 	}
 	return states
 }
--- a/internal/verification/simulation/deprecated_test.go
+++ b/internal/verification/simulation/deprecated_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// A script of an earlier build is read like one with the present names, which it is written with.
+// Scripts with the fault names of earlier builds are read, and are written with the present names.
 func TestReadScript_DeprecatedKinds(t *testing.T) {
 	const script = `{"seed":1,"profile":"day","seconds":6,"boxes":1,"front_ends_per_box":1,"workers":2,"cores":1,"functions":1,
 		"clients":1,"rate":1,"work":0.02,"timers":0,"remember":4,"faults":[{"at":1,"kind":"%s","for":1}]}`
@@ -32,19 +32,19 @@
 		"forgetful":       "state-loss",
 	}
 	if len(want) != len(deprecatedFaultKinds) {
-		t.Errorf("%d deprecated kinds, %d are tested", len(deprecatedFaultKinds), len(want))
+		t.Errorf("%d fault kinds are deprecated, but %d are tested", len(deprecatedFaultKinds), len(want))
 	}
 	for old, kind := range want {
 		s, err := ReadScript(fmt.Appendf(nil, script, old))
 		if err != nil {
-			t.Errorf("%s: %v", old, err)
+			t.Errorf("fault kind %s: %v", old, err)
 			continue
 		}
 		if s.Faults[0].Kind != kind || faultKindByName(kind) == nil || faultKindByName(FaultKind(old)) != nil {
-			t.Errorf("%s was read as %s, want %s", old, s.Faults[0].Kind, kind)
+			t.Errorf("fault kind %s was read as %s, want %s", old, s.Faults[0].Kind, kind)
 		}
 		if data, err := json.Marshal(s); err != nil || !strings.Contains(string(data), fmt.Sprintf("%q", kind)) {
-			t.Errorf("%s was written as %s, %v", old, data, err)
+			t.Errorf("fault kind %s was written as %s, error %v", old, data, err)
 		}
 	}
 }
--- a/internal/verification/simulation/disk_test.go
+++ b/internal/verification/simulation/disk_test.go
@@ -17,7 +17,7 @@
 	return store, recovered
 }
 
-// commit writes the record of a request.
+// commit writes the record of a request, and returns the error of the write.
 func commit(store *storage.Store, id string) error {
 	var err error
 	record := dispatch.Record{Response: dispatch.Response{Identity: dispatch.Identity{Source: "/t", ID: id}, Class: "once"}, PossiblyExecuted: true}
@@ -26,6 +26,8 @@
 	return err
 }
 
+// A log record that was written in part, because the machine stopped, is dropped at the next start. Earlier records are kept,
+// and the store is not quarantined.
 func TestDisk_TornRecordIsLost(t *testing.T) {
 	for name, exit := range map[string]exitKind{"process ends": processExit, "power loss": powerLoss} {
 		t.Run(name, func(t *testing.T) {
@@ -36,15 +38,15 @@
 			}
 			d.tearAfter = 20
 			if err := commit(store, "two"); err == nil {
-				t.Fatal("a torn write succeeded")
+				t.Fatal("a torn write returned no error")
 			}
 			d.restart(exit)
-			_ = store.Close() // its machine has stopped
-			again, recovered := openStore(t, d)
+			_ = store.Close() // this machine has stopped
+			reopened, recovered := openStore(t, d)
 			if len(recovered.Records) != 1 || recovered.Records[0].Response.Identity.ID != "one" || recovered.QuarantinePath != "" {
-				t.Fatalf("%+v", recovered)
+				t.Fatalf("recovered state %+v, want only the record of request one", recovered)
 			}
-			if err := again.Close(); err != nil {
+			if err := reopened.Close(); err != nil {
 				t.Error(err)
 			}
 		})
--- a/internal/verification/simulation/explore_front_end.go
+++ b/internal/verification/simulation/explore_front_end.go
@@ -8,26 +8,27 @@
 	"streamcleat/internal/units"
 )
 
-// modelAttempt is an attempt in progress.
+// modelAttempt is an attempt that has not ended.
 type modelAttempt struct {
 	dispatch.Attempt
 	transmitted bool
 }
 
-// modelFrontEnd is a front end with its attempts and load commands, and the state that checks of the rules need.
+// modelFrontEnd is a front end of the model. It implements dispatch.Effects, and has the state that the checks of the rules
+// need.
 type modelFrontEnd struct {
 	model            *model
 	number           int
 	dispatcher       *dispatch.Dispatcher
 	attempts         []modelAttempt
 	loadCommands     []dispatch.LoadCommand
-	drained          [len(modelWorkers)]bool
-	possiblyExecuted map[string]float64 // time since which requests may have been executed
-	history          []byte
+	drained          [len(modelWorkers)]bool // by worker; the front end received the update that it drains
+	possiblyExecuted map[string]float64      // time since which a request may have been executed, by request ID
+	history          []byte                  // inputs and their times, see modelKey
 }
 
-func newModelFrontEnd(w *model, number int) *modelFrontEnd {
-	f := &modelFrontEnd{model: w, number: number, possiblyExecuted: map[string]float64{}}
+func newModelFrontEnd(m *model, number int) *modelFrontEnd {
+	f := &modelFrontEnd{model: m, number: number, possiblyExecuted: map[string]float64{}}
 	deployment := &control.Deployment{
 		FrontEnds: 2, NoLoadOnMiss: number == 0, LoadCommandsAllowed: true, MaxAttempts: 3, MaxRetryAfter: 0.5,
 		IdleReplicaLifetime: 8, MinRoundInterval: 0.004, InitialCapacityFraction: 0.3, WarmUpTime: 10, OverloadFactor: 2.5, OverloadWindow: 1.5,
@@ -44,12 +45,12 @@
 	f.dispatcher = dispatch.New(dispatch.Settings{
 		Deployment: deployment, Functions: profile, ResponseMargin: 0.1, LoadTimeout: 1,
 		MaxOpen: 10, DeduplicationWindow: 60, MaxCachedBytes: 1 << 16, Seed: uint64(7 + number),
-	}, f, w.now)
-	f.dispatcher.OnEndpointUpdate(w.now, control.Snapshot, modelWorkers[:])
+	}, f, m.now)
+	f.dispatcher.OnEndpointUpdate(m.now, control.Snapshot, modelWorkers[:])
 	return f
 }
 
-// actions returns the actions that are possible at the front end now.
+// actions returns the actions that are possible at the front end in the present state.
 func (f *modelFrontEnd) actions() (list []action) {
 	for i, a := range f.attempts {
 		if !a.transmitted {
@@ -75,11 +76,11 @@
 	return action{kind: kind, frontEnd: f.number, index: index, outcome: outcome}
 }
 
-// receive submits a call.
+// receive submits a call to the dispatcher.
 func (f *modelFrontEnd) receive(index int) {
-	w, c := f.model, modelCalls[index]
-	w.calls[index].sent, w.calls[index].sentAt = true, w.now
-	f.dispatcher.Submit(w.now, dispatch.WaiterID(index), dispatch.Request{
+	m, c := f.model, modelCalls[index]
+	m.calls[index].sent, m.calls[index].sentAt = true, m.now
+	f.dispatcher.Submit(m.now, dispatch.WaiterID(index), dispatch.Request{
 		Identity: dispatch.Identity{Source: "/t", ID: c.id},
 		Class:    c.class, Function: "f", Timeout: c.timeout,
 	})
@@ -110,7 +111,7 @@
 	f.dispatcher.OnEndpointUpdate(f.model.now, control.Delta, []control.Worker{worker})
 }
 
-// isOpen reports whether a client waits for a request.
+// isOpen reports whether a client of this front end waits for the response to a request.
 func (f *modelFrontEnd) isOpen(id string) bool {
 	for i, c := range modelCalls {
 		if c.frontEnd == f.number && c.id == id && f.model.calls[i].isWaiting() {
@@ -124,7 +125,7 @@
 	return slices.ContainsFunc(f.attempts, func(a modelAttempt) bool { return a.Identity.ID == id && a.transmitted })
 }
 
-// isDrained reports whether the front end received the drain notice of a worker.
+// isDrained reports whether the front end received the update that a worker drains.
 func (f *modelFrontEnd) isDrained(id control.WorkerID) bool {
 	for i, worker := range modelWorkers {
 		if worker.ID == id && f.drained[i] {
@@ -145,48 +146,49 @@
 }
 
 func (f *modelFrontEnd) markPossiblyExecuted(a modelAttempt) {
-	if _, noted := f.possiblyExecuted[a.Identity.ID]; !noted {
+	if _, marked := f.possiblyExecuted[a.Identity.ID]; !marked {
 		f.possiblyExecuted[a.Identity.ID] = float64(f.model.now)
 	}
 }
 
-// Respond implements dispatch.Effects.
+// Respond implements dispatch.Effects. It checks that a call gets at most one response (rule 1), and that an at-most-once
+// request which may have been executed is not rejected (rule 2).
 func (f *modelFrontEnd) Respond(to dispatch.WaiterID, response dispatch.Response) {
-	w, i := f.model, int(to)
-	c := &w.calls[i]
+	m, i := f.model, int(to)
+	c := &m.calls[i]
 	c.responses++
 	id := modelCalls[i].id
 	_, executed := f.possiblyExecuted[id]
 	switch {
 	case c.responses > 1:
-		w.violation("rule 1: call %d has %d responses", i, c.responses)
+		m.violation("rule 1: call %d has %d responses", i, c.responses)
 	case c.cancelled:
-		w.violation("rule 1: call %d got a response after it was cancelled", i)
+		m.violation("rule 1: call %d got a response after the client cancelled it", i)
 	case response.Kind == dispatch.Rejected && modelCalls[i].class == modelAtMostOnce && (executed || f.isTransmitted(id)):
-		w.violation("rule 2: call %d is rejected, and %s may have been executed", i, id)
+		m.violation("rule 2: call %d is rejected although %s may have been executed", i, id)
 	}
 }
 
-// SendAttempt implements dispatch.Effects.
+// SendAttempt implements dispatch.Effects. It checks that the attempt is permitted.
 func (f *modelFrontEnd) SendAttempt(a dispatch.Attempt) {
-	id, w := a.Identity.ID, f.model
+	id, m := a.Identity.ID, f.model
 	for _, other := range f.attempts {
 		if other.Identity.ID == id {
-			w.violation("rule 2: attempt of %s while another one is in flight", id)
+			m.violation("rule 2: attempt of %s while another attempt of it is in flight", id)
 		}
 	}
 	class := classOfModelRequest(id)
 	since, executed := f.possiblyExecuted[id]
 	switch {
 	case class == modelAtMostOnce && executed:
-		w.violation("rule 2: attempt of %s, which may have been executed", id)
-	case class == modelIdempotentByKey && executed && w.now >= units.Seconds(since+modelDeduplicationWindow):
-		w.violation("rule 2: attempt of %s past the deduplication window", id)
+		m.violation("rule 2: attempt of %s, which may have been executed", id)
+	case class == modelIdempotentByKey && executed && m.now >= units.Seconds(since+modelDeduplicationWindow):
+		m.violation("rule 2: attempt of %s after the end of the deduplication window", id)
 	case !f.isOpen(id):
-		w.violation("rule 1: attempt of %s without a waiting client", id)
+		m.violation("rule 1: attempt of %s while no client waits for its response", id)
 	}
 	if f.isDrained(a.Worker) {
-		w.violation("rule 3: attempt of %s at draining worker %s", id, a.Worker)
+		m.violation("rule 3: attempt of %s sent to draining worker %s", id, a.Worker)
 	}
 	f.attempts = append(f.attempts, modelAttempt{Attempt: a})
 }
@@ -196,15 +198,15 @@
 	return modelCalls[i].class
 }
 
-// SendLoad implements dispatch.Effects.
+// SendLoad implements dispatch.Effects. It checks that no load command goes to a draining worker.
 func (f *modelFrontEnd) SendLoad(command dispatch.LoadCommand) {
 	if command.Replicas > 0 && f.isDrained(command.Worker) {
-		f.model.violation("rule 3: load command to draining worker %s", command.Worker)
+		f.model.violation("rule 3: load command sent to draining worker %s", command.Worker)
 	}
 	f.loadCommands = append(f.loadCommands, command)
 }
 
-// Abandon implements dispatch.Effects.
+// Abandon implements dispatch.Effects. A worker may still execute an abandoned attempt that was transmitted.
 func (f *modelFrontEnd) Abandon(id uint64) {
 	if a, ok := f.takeAttempt(id); ok && a.transmitted {
 		f.markPossiblyExecuted(a)
@@ -223,10 +225,10 @@
 	return false
 }
 
-// Broadcast implements dispatch.Effects. Front ends of the model do not gossip.
+// Broadcast implements dispatch.Effects. There is no gossip in the model.
 func (f *modelFrontEnd) Broadcast([]byte) {}
 
-// Store implements dispatch.Effects. The model has no disk.
+// Store implements dispatch.Effects. There is no durable state in the model.
 func (f *modelFrontEnd) Store(dispatch.Record) {}
 
 // OnRequestEnd implements dispatch.Effects.
--- a/internal/verification/simulation/explore_model.go
+++ b/internal/verification/simulation/explore_model.go
@@ -17,14 +17,14 @@
 	minTimeStep              = 0.001
 )
 
-// Request classes of the model.
+// Names of the request classes of the model.
 const (
 	modelAtMostOnce      = "once"
 	modelIdempotentByKey = "keyed"
 	modelIdempotent      = "again"
 )
 
-// modelCall is one call of a request at a front end.
+// modelCall is a call that a client sends to a front end. Calls with the same ID carry the same request.
 type modelCall struct {
 	frontEnd  int
 	id, class string
@@ -41,17 +41,17 @@
 
 var modelWorkers = [...]control.Worker{{ID: "wk-0", Weight: 1}, {ID: "wk-1", Weight: 1}}
 
-// attemptOutcomes are the possible outcomes of a transmitted attempt.
+// attemptOutcomes are the outcomes with which a transmitted attempt can end.
 var attemptOutcomes = []control.Outcome{control.Succeeded, control.Failed, control.ConnectionLost, control.Rejected, control.ReplicaMissing}
 
-// action is one action.
+// action is one step of the model: an event at a front end, or the passing of time.
 type action struct {
 	kind            actionKind
-	frontEnd, index int // index of the call, attempt, load command or worker
+	frontEnd, index int // index is that of the call, attempt, load command or worker, depending on the kind
 	outcome         control.Outcome
 }
 
-// callState is the state of a call.
+// callState is the state of a modelCall.
 type callState struct {
 	sent      bool
 	sentAt    units.Seconds
@@ -61,7 +61,7 @@
 
 func (c *callState) isWaiting() bool { return c.sent && c.responses == 0 && !c.cancelled }
 
-// model is the state of the model.
+// model is the state of the front ends and calls, with the violations that were found.
 type model struct {
 	now        units.Seconds
 	frontEnds  [2]*modelFrontEnd
@@ -69,58 +69,58 @@
 	violations []string
 }
 
-func (w *model) violation(format string, args ...any) {
-	w.violations = append(w.violations, fmt.Sprintf(format, args...))
+func (m *model) violation(format string, args ...any) {
+	m.violations = append(m.violations, fmt.Sprintf(format, args...))
 }
 
 func newModel() *model {
-	w := &model{now: modelStart}
-	for i := range w.frontEnds {
-		w.frontEnds[i] = newModelFrontEnd(w, i)
+	m := &model{now: modelStart}
+	for i := range m.frontEnds {
+		m.frontEnds[i] = newModelFrontEnd(m, i)
 	}
-	return w
+	return m
 }
 
-// actions returns the actions that are possible now.
-func (w *model) actions() (list []action) {
-	for i := range w.calls {
+// actions returns the actions that are possible in the present state. Time can always pass.
+func (m *model) actions() (list []action) {
+	for i := range m.calls {
 		switch {
-		case w.calls[i].isWaiting():
+		case m.calls[i].isWaiting():
 			list = append(list, action{kind: actionCancel, index: i})
-		case !w.calls[i].sent && w.isNextOfEqualCalls(i):
+		case !m.calls[i].sent && m.isNextOfEqualCalls(i):
 			list = append(list, action{kind: actionSend, index: i})
 		}
 	}
-	for _, f := range w.frontEnds {
+	for _, f := range m.frontEnds {
 		list = append(list, f.actions()...)
 	}
 	return append(list, action{kind: actionPassTime})
 }
 
-// isNextOfEqualCalls reports whether the previous call was sent, if it is equal to call i. Equal calls are sent in one order
-// only.
-func (w *model) isNextOfEqualCalls(i int) bool {
-	return i == 0 || modelCalls[i] != modelCalls[i-1] || w.calls[i-1].sent
+// isNextOfEqualCalls returns false if call i equals the call before it, and that one is not sent yet. Equal calls are sent in
+// one order only, because the others lead to equivalent states.
+func (m *model) isNextOfEqualCalls(i int) bool {
+	return i == 0 || modelCalls[i] != modelCalls[i-1] || m.calls[i-1].sent
 }
 
-// execute executes an action, and adds it to the history of its front end.
-func (w *model) execute(a action) {
+// execute executes an action, and appends it to the history of its front end.
+func (m *model) execute(a action) {
 	if a.kind == actionPassTime {
-		w.passTime()
+		m.passTime()
 		return
 	}
-	f := w.frontEnds[a.frontEnd]
+	f := m.frontEnds[a.frontEnd]
 	if a.kind == actionSend || a.kind == actionCancel {
-		f = w.frontEnds[modelCalls[a.index].frontEnd]
+		f = m.frontEnds[modelCalls[a.index].frontEnd]
 	}
-	f.history = fmt.Appendf(f.history, "%s %d %d %.6f;", a.kind, a.index, a.outcome, w.now)
+	f.history = fmt.Appendf(f.history, "%s %d %d %.6f;", a.kind, a.index, a.outcome, m.now)
 	switch a.kind {
 	case actionPassTime: // handled above
 	case actionSend:
 		f.receive(a.index)
 	case actionCancel:
-		w.calls[a.index].cancelled = true
-		f.dispatcher.OnCancel(w.now, dispatch.WaiterID(a.index))
+		m.calls[a.index].cancelled = true
+		f.dispatcher.OnCancel(m.now, dispatch.WaiterID(a.index))
 	case actionTransmit:
 		f.attempts[a.index].transmitted = true
 	case actionEnd:
@@ -130,52 +130,54 @@
 	case actionDrain:
 		f.drain(a.index)
 	}
-	w.check()
+	m.check()
 }
 
-// passTime advances the clock to the next timer.
-func (w *model) passTime() {
-	next := min(w.frontEnds[0].dispatcher.NextTimer(), w.frontEnds[1].dispatcher.NextTimer())
-	w.now = max(next, w.now+minTimeStep)
-	for _, f := range w.frontEnds {
-		if f.dispatcher.NextTimer() <= w.now {
-			f.history = fmt.Appendf(f.history, "time %.6f;", w.now)
-			f.dispatcher.Tick(w.now)
+// passTime advances the clock to the next timer, by at least minTimeStep.
+func (m *model) passTime() {
+	next := min(m.frontEnds[0].dispatcher.NextTimer(), m.frontEnds[1].dispatcher.NextTimer())
+	m.now = max(next, m.now+minTimeStep)
+	for _, f := range m.frontEnds {
+		if f.dispatcher.NextTimer() <= m.now {
+			f.history = fmt.Appendf(f.history, "time %.6f;", m.now)
+			f.dispatcher.Tick(m.now)
 		}
 	}
-	w.check()
+	m.check()
 }
 
-// runToEnd advances the clock without further actions, and checks that every call gets its response.
-func (w *model) runToEnd() {
-	for end := w.now + 2*modelTimeout; w.now < end && len(w.violations) == 0; {
-		w.passTime()
+// runToEnd lets time pass, without other actions, for two timeouts, and checks that every call that was sent and not cancelled
+// has exactly one response.
+func (m *model) runToEnd() {
+	for end := m.now + 2*modelTimeout; m.now < end && len(m.violations) == 0; {
+		m.passTime()
 	}
-	for i, c := range w.calls {
+	for i, c := range m.calls {
 		if c.sent && !c.cancelled && c.responses != 1 {
-			w.violation("rule 1: call %d has %d responses at the end", i, c.responses)
+			m.violation("rule 1: call %d has %d responses at the end of the run", i, c.responses)
 		}
 	}
 }
 
-func (w *model) check() {
-	for i := range w.calls {
-		c := &w.calls[i]
-		if timeout := modelCalls[i].timeout; c.isWaiting() && w.now > c.sentAt+timeout {
-			w.violation("rule 1: call %d has no response %.3f s after its timeout", i, w.now-c.sentAt-timeout)
+// check checks the timeouts of the calls and the invariants of the dispatchers.
+func (m *model) check() {
+	for i := range m.calls {
+		c := &m.calls[i]
+		if timeout := modelCalls[i].timeout; c.isWaiting() && m.now > c.sentAt+timeout {
+			m.violation("rule 1: call %d has no response %.3f s after its timeout", i, m.now-c.sentAt-timeout)
 		}
 	}
-	for _, f := range w.frontEnds {
+	for _, f := range m.frontEnds {
 		if err := f.dispatcher.Check(true); err != nil {
-			w.violation("front %d: %v", f.number, err)
+			m.violation("front end %d: %v", f.number, err)
 		}
 	}
 }
 
-// modelKey identifies a state.
+// modelKey identifies a state of the model.
 type modelKey [sha256.Size]byte
 
-// key returns the hash of the inputs of each front end and their times.
-func (w *model) key() modelKey {
-	return sha256.Sum256(fmt.Appendf(nil, "%s|%s|%.6f", w.frontEnds[0].history, w.frontEnds[1].history, w.now))
+// key returns the hash of the time and of the input histories of the front ends.
+func (m *model) key() modelKey {
+	return sha256.Sum256(fmt.Appendf(nil, "%s|%s|%.6f", m.frontEnds[0].history, m.frontEnds[1].history, m.now))
 }
--- a/internal/verification/simulation/golden_test.go
+++ b/internal/verification/simulation/golden_test.go
@@ -14,7 +14,7 @@
 	"streamcleat/internal/verification/invariants"
 )
 
-// pinnedRuns are the runs in the golden files, the longest first.
+// pinnedRuns are the runs in the golden files. The longest are first, so that the parallel test ends sooner.
 var pinnedRuns = []struct {
 	profile string
 	seed    uint64
@@ -33,35 +33,34 @@
 	{"beyond", 3},
 }
 
-// Complete runs are unchanged. There are two golden files, with a line for each run:
+// Runs are identical to those of earlier builds. Two golden files have a line for each run:
 //
-//   - outcome.golden has the counts of the report, and a digest of the records: times, numbers, statuses and outcomes,
-//     with each name replaced by the order of its first occurrence. A rename does not change it; a change of behaviour
-//     does.
-//   - trace.golden has the report's digest of the trace: the names of steps in the code, and the bytes on the simulated
-//     network. It also changes when a step is renamed. Only then, and only while outcome.golden is unchanged, may it be
-//     rewritten.
+//   - outcome.golden has the counts of the report, and a digest of the recorded times, numbers, statuses and outcomes, in
+//     which each name is replaced by the order of its first occurrence. A change of behaviour changes it, a rename does not.
+//   - trace.golden has the digest of the trace, which consists of the names of the steps and the bytes on the simulated
+//     network. A rename of a step changes it as well. It may be rewritten only for that reason, and only if outcome.golden
+//     is unchanged.
 func TestPlay_MatchesGoldenFiles(t *testing.T) {
 	outcome, trace := make([]string, len(pinnedRuns)), make([]string, len(pinnedRuns))
-	next := make(chan int)
+	indexes := make(chan int)
 	var running sync.WaitGroup
 	for range 4 {
 		running.Go(func() {
-			for i := range next {
+			for i := range indexes {
 				outcome[i], trace[i] = runPinned(t, pinnedRuns[i].profile, pinnedRuns[i].seed)
 			}
 		})
 	}
 	for i := range pinnedRuns {
-		next <- i
+		indexes <- i
 	}
-	close(next)
+	close(indexes)
 	running.Wait()
 	goldentest.Compare(t, "testdata/outcome.golden", strings.Join(outcome, "\n")+"\n")
 	goldentest.Compare(t, "testdata/trace.golden", strings.Join(trace, "\n")+"\n")
 }
 
-// runPinned runs a seed and returns its lines for both files.
+// runPinned runs a seed, and returns its lines of both golden files.
 func runPinned(t *testing.T, profile string, seed uint64) (outcome, trace string) {
 	t.Helper()
 	script, err := Generate(profile, seed)
@@ -78,7 +77,7 @@
 	return name + " " + counts(r) + " records=" + digestWithoutNames(records), name + " digest=" + r.Digest
 }
 
-// counts returns the figures of a report, except for real time.
+// counts returns the figures of a report, without the real time.
 func counts(r *Report) string {
 	injected := 0
 	for _, n := range r.FaultCoverage {
@@ -91,7 +90,7 @@
 		r.WrongRejections, r.SentAfterDrain, r.WarmUpOverloads, r.ExcessLoadCommands, r.VersionMismatches, r.RulesBroken)
 }
 
-// digestWithoutNames returns a digest of records that is independent of the names in them.
+// digestWithoutNames returns a digest of records that does not depend on the names in them.
 func digestWithoutNames(records []invariants.Record) string {
 	h := sha256.New()
 	var seen [8]map[string]int
@@ -99,11 +98,11 @@
 		seen[i] = map[string]int{"": 0}
 	}
 	for _, r := range records {
-		for i, word := range []string{string(r.Kind), r.FrontEnd, r.Worker, r.RequestID, r.Class + " " + r.Function, r.Outcome, r.EndpointState, r.Digest} {
-			n, ok := seen[i][word]
+		for i, name := range []string{string(r.Kind), r.FrontEnd, r.Worker, r.RequestID, r.Class + " " + r.Function, r.Outcome, r.EndpointState, r.Digest} {
+			n, ok := seen[i][name]
 			if !ok {
 				n = len(seen[i])
-				seen[i][word] = n
+				seen[i][name] = n
 			}
 			writeUint64(h, uint64(n))
 		}
--- a/internal/verification/simulation/inject.go
+++ b/internal/verification/simulation/inject.go
@@ -4,11 +4,11 @@
 
 // Times of faults, in seconds.
 const (
-	clientOutageMargin = 0.3 // from the end of a partition or suspension until clients are promised responses again
-	leaveDelay         = 0.5 // from a worker's removal from the endpoint list to its end
+	clientOutageMargin = 0.3 // from the end of a partition or suspension until the rules guarantee responses to clients again
+	removalDelay       = 0.5 // from a worker's removal from the endpoint list to its termination
 )
 
-// injection is one fault with the appliance, worker and client that it names.
+// injection is the injection of one fault, with the appliance, worker and client that the fault names.
 type injection struct {
 	*site
 	fault      Fault
@@ -17,7 +17,7 @@
 	clientName string
 }
 
-// inject begins a fault.
+// inject counts the coverage of a fault and injects it.
 func (s *site) inject(f Fault) {
 	i := &injection{site: s, fault: f, appliance: s.appliances[f.Appliance], worker: s.workers[f.Worker], clientName: clientName(f.Client)}
 	kind := faultKindByName(f.Kind)
@@ -25,12 +25,13 @@
 	kind.inject(i)
 }
 
-// undoLater ends the fault after its duration. name is part of the trace.
+// undoLater calls undo after the duration of the fault. name is the name of this event in the trace; a change of a name
+// changes the digest of the trace.
 func (i *injection) undoLater(name string, undo func()) {
 	i.scheduler.after(i.fault.Duration, name, undo)
 }
 
-// outageEnd returns the time from which clients are promised responses again by an appliance that the fault affects.
+// outageEnd returns the time from which the rules guarantee responses to the affected clients again.
 func (i *injection) outageEnd() units.Seconds {
 	return i.scheduler.now + i.fault.Duration + clientOutageMargin
 }
@@ -99,13 +100,14 @@
 	i.undoLater("list as usual", func() { a.ignoreList = false })
 }
 
-// canRelease reports whether the appliance can change its registry now.
+// canRelease reports whether the appliance can change the versions and aliases in its registry now.
 func (i *injection) canRelease() bool {
 	a := i.appliance
 	return i.script.Versions && a.running && !a.suspended && a.isServing()
 }
 
-// functionNumber derives a function from the fault's other numbers.
+// functionNumber derives the number of a function from the worker and client of the fault, which release faults do not use
+// otherwise.
 func (i *injection) functionNumber() int { return i.fault.Worker*7 + i.fault.Client }
 
 func (i *injection) updateAlias() {
--- a/internal/verification/simulation/inject_network.go
+++ b/internal/verification/simulation/inject_network.go
@@ -2,7 +2,8 @@
 
 import "streamcleat/internal/units"
 
-// partition cuts one direction between two processes until the fault ends.
+// partition stops delivery in one direction between two processes until the fault ends. Partitions may overlap, so the
+// network counts them for each direction.
 func (i *injection) partition(from, to string) {
 	l, n := linkDirection{from, to}, i.network
 	n.partitions[l]++
@@ -13,7 +14,7 @@
 	})
 }
 
-// partitionBoth cuts both directions between two processes.
+// partitionBoth stops delivery in both directions between two processes until the fault ends.
 func (i *injection) partitionBoth(a, b string) {
 	i.partition(a, b)
 	i.partition(b, a)
@@ -23,7 +24,7 @@
 
 func (i *injection) delayClient() { i.delay(i.clientName) }
 
-// delay adds latency between the appliance and another process until the fault ends.
+// delay adds latency in both directions between the appliance and another process until the fault ends.
 func (i *injection) delay(other string) {
 	n := i.network
 	links := []linkDirection{{i.appliance.name, other}, {other, i.appliance.name}}
@@ -56,7 +57,8 @@
 	}
 }
 
-// partitionPartialView cuts each worker off from one of the appliances, in turn.
+// partitionPartialView partitions each worker from one appliance. The appliances take turns, so that each of them reaches
+// different workers.
 func (i *injection) partitionPartialView() {
 	for n, w := range i.workers {
 		a := i.appliances[(i.fault.Appliance+n)%len(i.appliances)]
@@ -74,7 +76,8 @@
 
 func (i *injection) resetClient() { i.breakConnections(i.clientName) }
 
-// breakConnections resets the appliance's connections with a process after some bytes, alternately in each direction.
+// breakConnections resets the connections between the appliance and another process after one end has received a number of
+// further bytes. That is the appliance's end of every second connection, and the other process's end of the rest.
 func (i *injection) breakConnections(other string) {
 	for n, e := range i.network.between(i.appliance.name, other) {
 		if n%2 == 0 {
@@ -89,13 +92,15 @@
 
 func (i *injection) halfOpenClient() { i.blackholeConnections(i.clientName) }
 
+// blackholeConnections makes the connections between the appliance and another process drop all packets without a reset.
 func (i *injection) blackholeConnections(other string) {
 	for _, e := range i.network.between(i.appliance.name, other) {
 		e.conn.blackhole()
 	}
 }
 
-// slowClient makes a client read slowly. Connections that it opens during the fault stay slow.
+// slowClient makes a client read slowly. Its present connections, and those that it opens during the fault, remain slow after
+// the end of the fault.
 func (i *injection) slowClient() {
 	if i.fault.Client >= len(i.clients) {
 		return
--- a/internal/verification/simulation/inject_worker.go
+++ b/internal/verification/simulation/inject_worker.go
@@ -6,7 +6,7 @@
 
 func (i *injection) powerOffWorker() { i.stopWorker(powerLoss) }
 
-// stopWorker ends a worker's process, and restarts it later.
+// stopWorker stops a worker, and restarts it after Size seconds of the fault.
 func (i *injection) stopWorker(kind exitKind) {
 	w := i.worker
 	w.stop(kind)
@@ -20,7 +20,7 @@
 
 func (i *injection) suspendWorker() { i.worker.suspend(i.fault.Duration) }
 
-// injectAtWorker begins a fault that the worker applies to requests.
+// injectAtWorker sets the end of a fault that the worker itself applies to the requests that it receives.
 func (i *injection) injectAtWorker() {
 	until := i.worker.faultUntil
 	until[i.fault.Kind] = max(until[i.fault.Kind], i.scheduler.now+i.fault.Duration)
@@ -45,12 +45,13 @@
 	i.endDrainLater()
 }
 
+// announceDrain marks the worker as draining in the endpoint list.
 func (i *injection) announceDrain() {
 	i.worker.state = stateDraining
 	i.writeEndpointList()
 }
 
-// endDrainLater returns the worker to service after the fault, under the same name and address.
+// endDrainLater returns the worker to service at the end of the fault, under the same name and address.
 func (i *injection) endDrainLater() {
 	w := i.worker
 	i.scheduler.after(max(i.fault.Duration, units.Seconds(i.fault.Size+0.01)), w.name+" serves again", func() {
@@ -62,7 +63,8 @@
 	})
 }
 
-// removeWorker removes a worker from the endpoint list, unless it is the last one, and ends it.
+// removeWorker removes a worker from the endpoint list, and terminates it after removalDelay. The last worker on the list is
+// kept.
 func (i *injection) removeWorker() {
 	w := i.worker
 	if !w.listed || i.listedWorkers() <= 1 {
@@ -70,7 +72,7 @@
 	}
 	w.listed = false
 	i.writeEndpointList()
-	i.scheduler.after(leaveDelay, w.name+" ends", func() { w.stop(processExit) })
+	i.scheduler.after(removalDelay, w.name+" ends", func() { w.stop(processExit) })
 }
 
 func (s *site) listedWorkers() int {
--- a/internal/verification/simulation/liveness_checks.go
+++ b/internal/verification/simulation/liveness_checks.go
@@ -2,9 +2,10 @@
 
 import "streamcleat/internal/appliance"
 
-// checkTouched checks every front end with activity in this event.
-func (s *site) checkTouched() {
-	const thoroughEvery = 32 // checks
+// checkActiveFrontEnds checks the invariants of every front end that the present event affected. One check in 32 is
+// thorough.
+func (s *site) checkActiveFrontEnds() {
+	const thoroughInterval = 32 // checks
 	for _, f := range s.touched {
 		f.touched = false
 		a := f.appliance
@@ -12,7 +13,7 @@
 			continue
 		}
 		s.touchChecks++
-		if err := f.proxy.Check(s.touchChecks%thoroughEvery == 0); err != nil {
+		if err := f.proxy.Check(s.touchChecks%thoroughInterval == 0); err != nil {
 			s.violation("invariant", "%s: %v", f.name, err)
 		}
 		if a.isServing() && s.openOutages[a.number] != nil {
@@ -22,7 +23,8 @@
 	s.touched = s.touched[:0]
 }
 
-// checkEnd checks that all appliances serve, and nothing is left open, at the end of the run.
+// checkEnd checks at the end of the run that all appliances serve, that no request, connection or load command is left, and that
+// the stored records match those in memory.
 func (s *site) checkEnd() {
 	for _, r := range s.unknownOutcomes {
 		s.recorder.Add(r)
@@ -39,11 +41,12 @@
 	}
 	for _, a := range s.appliances {
 		if a.store != nil {
-			_ = a.store.Abandon() // releases its memory; its disk is not used any more
+			_ = a.store.Abandon() // frees memory; the disk is not used after the run
 		}
 	}
 }
 
+// checkFrontEndIdle checks that a front end has no open work, no connection and no record that is not stored.
 func (s *site) checkFrontEndIdle(f *frontEnd) {
 	counts := f.proxy.Dispatcher().Counts()
 	clients, upstreams := f.proxy.Connections()
@@ -56,6 +59,6 @@
 			s.network.describe(f.appliance.name))
 	}
 	if !f.proxy.RecordsStored() {
-		s.violation("liveness", "%s has records that are not stored at the end", f.name)
+		s.violation("liveness", "%s has records that are not yet stored at the end", f.name)
 	}
 }
--- a/internal/verification/simulation/mutants/main.go
+++ b/internal/verification/simulation/mutants/main.go
@@ -1,5 +1,5 @@
-// Command mutants tests the simulation by mutation: it plants faults in the program, one at a time, and counts the seeds
-// until the simulation detects each. The source tree is not changed; builds use an overlay.
+// Command mutants measures by mutation testing what the simulation detects. It builds the program with one mutant of the source
+// at a time, and counts the seeds until the simulation finds a violation. The source tree is not changed: builds use an overlay.
 package main
 
 import (
@@ -32,23 +32,23 @@
 //go:embed mutants.json
 var mutantList []byte
 
-// edit replaces a text that occurs exactly once in a file.
+// edit is the replacement of a text that occurs exactly once in a file.
 type edit struct {
 	File string `json:"file"`
 	Old  string `json:"old"`
 	New  string `json:"new"`
 }
 
-// mutant is one planted fault. It removes both guards of a rule that has two.
+// mutant is a fault in the source. Where two guards enforce the same rule, it removes both.
 type mutant struct {
 	Name string `json:"name"`
 	edit
-	Also    *edit  `json:"also,omitempty"`
-	Profile string `json:"profile,omitempty"` // empty for the default one
-	About   string `json:"about"`
+	Also        *edit  `json:"also,omitempty"`
+	Profile     string `json:"profile,omitempty"` // empty for the default one
+	Description string `json:"about"`
 }
 
-// overlay is the file of go build -overlay.
+// overlay is the content of the file for go build -overlay.
 type overlay struct {
 	Replace map[string]string `json:"Replace"`
 }
@@ -68,8 +68,8 @@
 	}
 }
 
-// run tries the mutants whose names contain a text, and prints a table of their results. It returns the number of mutants
-// that survived.
+// run tries the mutants whose names contain a text, and prints a table of the results. It returns the number of mutants that
+// the simulation did not detect.
 func run(seeds uint64, only string) (survived int, err error) {
 	var mutants []mutant
 	if err := json.Unmarshal(mutantList, &mutants); err != nil {
@@ -85,37 +85,37 @@
 		if !strings.Contains(m.Name, only) {
 			continue
 		}
-		caught, by, err := m.try(dir, seeds)
+		seedCount, violation, err := m.try(dir, seeds)
 		if err != nil {
 			return survived, fmt.Errorf("%s: %w", m.Name, err)
 		}
-		if by == "" {
+		if violation == "" {
 			survived++
-			by = "survives"
+			violation = "survives"
 		}
-		rows = append(rows, []string{m.About, m.File, caught, by})
-		fmt.Fprintf(os.Stderr, "%s: %s (%s)\n", m.Name, caught, by)
+		rows = append(rows, []string{m.Description, m.File, seedCount, violation})
+		fmt.Fprintf(os.Stderr, "%s: %s (%s)\n", m.Name, seedCount, violation)
 	}
 	fmt.Print(console.Table(rows))
 	return survived, nil
 }
 
-// try builds a mutant and runs the simulation. It returns the number of seeds until the mutant was caught, and the kind of
-// the violation, which is empty if the mutant survives.
-func (m mutant) try(dir string, seeds uint64) (caught, by string, err error) {
+// try builds a mutant, and simulates it. If no seed detects the mutant, try explores the small model. It returns the number of
+// seeds until the mutant was detected as text, and the kind of the violation, which is empty if the mutant survives.
+func (m mutant) try(dir string, seeds uint64) (seedCount, violation string, err error) {
 	binary, err := m.build(dir)
 	if err != nil {
 		return "", "", err
 	}
-	n, by, err := m.simulate(binary, seeds)
+	n, violation, err := m.simulate(binary, seeds)
 	if err != nil {
 		return "", "", err
 	}
 	if n > 0 {
-		return strconv.Itoa(n), by, nil
+		return strconv.Itoa(n), violation, nil
 	}
-	by, err = explore(binary)
-	return fmt.Sprintf("none of %d", seeds), by, err
+	violation, err = explore(binary)
+	return fmt.Sprintf("none of %d", seeds), violation, err
 }
 
 // build builds the program with the mutant's edits.
@@ -146,7 +146,7 @@
 	return binary, nil
 }
 
-// apply writes the edited file to a path and adds it to the overlay.
+// apply writes the edited file to a path, and adds it to the overlay. An earlier edit of the same file is kept.
 func (e edit) apply(changed overlay, path string) error {
 	file, err := filepath.Abs(e.File)
 	if err != nil {
@@ -161,14 +161,15 @@
 		return err
 	}
 	if n := bytes.Count(text, []byte(e.Old)); n != 1 {
-		return fmt.Errorf("text occurs %[2]d times in %[1]s, want 1", e.File, n)
+		return fmt.Errorf("text to replace occurs %[2]d times in %[1]s, want 1", e.File, n)
 	}
 	changed.Replace[file] = path
 	return os.WriteFile(path, bytes.Replace(text, []byte(e.Old), []byte(e.New), 1), 0o644)
 }
 
-// explore explores the small model, in which dispatchers run without the guards around them.
-func explore(binary string) (by string, err error) {
+// explore runs the exploration of the small model, in which the guards around a dispatcher cannot hide its faults. It returns
+// the kind of the first violation, or an empty one.
+func explore(binary string) (violation string, err error) {
 	out, err := exec.Command(binary, "sim", "explore", "--depth", exploreDepth).Output()
 	var exit *exec.ExitError
 	if err != nil && !errors.As(err, &exit) {
@@ -181,12 +182,13 @@
 	if len(explored.Violations) == 0 {
 		return "", nil
 	}
-	by, _, _ = strings.Cut(explored.Violations[0], ":")
-	return "every order: " + by, nil
+	violation, _, _ = strings.Cut(explored.Violations[0], ":")
+	return "every order: " + violation, nil
 }
 
-// simulate runs seeds until one has a violation, and returns their number. A panic counts as a violation.
-func (m mutant) simulate(binary string, seeds uint64) (n int, by string, err error) {
+// simulate runs seeds until one has a violation, and returns the number of seeds with the kind of the violation. A panic counts
+// as a violation.
+func (m mutant) simulate(binary string, seeds uint64) (n int, violation string, err error) {
 	profile := m.Profile
 	if profile == "" {
 		profile = defaultProfile
@@ -201,14 +203,14 @@
 	if err := cmd.Start(); err != nil {
 		return 0, "", err
 	}
-	n, by, err = readReports(out)
+	n, violation, err = readReports(out)
 	if err != nil {
 		return 0, "", errors.Join(err, cmd.Process.Kill(), cmd.Wait())
 	}
-	if by != "" {
-		_ = cmd.Process.Kill() // it may have ended by itself
-		_ = cmd.Wait()         // it was killed
-		return n, by, nil
+	if violation != "" {
+		_ = cmd.Process.Kill() // the process may have ended already
+		_ = cmd.Wait()         // its error is that of the kill
+		return n, violation, nil
 	}
 	switch err := cmd.Wait(); {
 	case err == nil:
@@ -216,12 +218,12 @@
 	case strings.Contains(stderr.String(), "panic"):
 		return n + 1, "panic", nil
 	default:
-		return 0, "", fmt.Errorf("seeds of %s: %w: %s", profile, err, stderr.String())
+		return 0, "", fmt.Errorf("simulating profile %s: %w: %s", profile, err, stderr.String())
 	}
 }
 
-// readReports reads reports until one has a violation, and returns their number and the kind of the violation.
-func readReports(out io.Reader) (n int, by string, err error) {
+// readReports reads reports until one has a violation, and returns the number of reports and the kind of the violation.
+func readReports(out io.Reader) (n int, violation string, err error) {
 	dec := json.NewDecoder(out)
 	for {
 		var r simulation.Report
@@ -234,9 +236,9 @@
 		}
 		n++
 		if !r.OK() {
-			by, _, _ = strings.Cut(r.Findings[0], ":")
-			by, _, _ = strings.Cut(by, " at ")
-			return n, by, nil
+			violation, _, _ = strings.Cut(r.Findings[0], ":")
+			violation, _, _ = strings.Cut(violation, " at ")
+			return n, violation, nil
 		}
 	}
 }
--- a/internal/verification/simulation/mutants/mutants_test.go
+++ b/internal/verification/simulation/mutants/mutants_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// The text that each mutant replaces occurs exactly once in its file.
+// Each text that a mutant replaces occurs exactly once in its file, so no change of the source disables a mutant unnoticed.
 func TestApply_EveryMutant(t *testing.T) {
 	t.Chdir(filepath.Join("..", "..", "..", ".."))
 	var mutants []mutant
@@ -15,7 +15,7 @@
 		t.Fatal(err)
 	}
 	if len(mutants) == 0 {
-		t.Fatal("no mutants")
+		t.Fatal("mutants.json has no mutants")
 	}
 	dir, err := os.MkdirTemp(t.TempDir(), "mutants")
 	if err != nil {
--- a/internal/verification/simulation/profiles.go
+++ b/internal/verification/simulation/profiles.go
@@ -8,42 +8,43 @@
 	"streamcleat/internal/units"
 )
 
-// profile determines the size of the site, and the groups of faults that its seeds draw from.
+// profile describes how a seed draws the site and the faults of its script.
 type profile struct {
-	about     string
-	groups    []faultGroup
-	shape     func(s *Script, rng *rand.Rand)
-	maxFaults int     // maximum number that a seed draws
-	always    []Fault // additional faults of every seed
+	description string // for the command's list of profiles
+	groups      []faultGroup
+	drawSite    func(s *Script, rng *rand.Rand) // draws the sizes of the site
+	maxFaults   int                             // maximum number of faults that a seed draws
+	always      []Fault                         // faults that every seed has in addition
 }
 
-// survivable are the groups of faults under which the program must keep every rule.
-var survivable = []faultGroup{groupNetwork, groupDisk, groupProcess, groupWorker, groupStore, groupRelease, groupLoad}
+// coveredGroups are the groups of faults under which the program must keep every rule.
+var coveredGroups = []faultGroup{groupNetwork, groupDisk, groupProcess, groupWorker, groupStore, groupRelease, groupLoad}
 
+// profiles contains the profiles by name.
 var profiles = map[string]profile{
 	"day": {
-		about:  "small sites, every kind of fault that the rules cover",
-		groups: survivable, shape: shapeSmall, maxFaults: 12,
+		description: "small sites, every kind of fault that the rules cover",
+		groups:      coveredGroups, drawSite: drawSmallSite, maxFaults: 12,
 	},
 	"network": {
-		about:  "small sites, network faults only",
-		groups: []faultGroup{groupNetwork}, shape: shapeSmall, maxFaults: 14,
+		description: "small sites, network faults only",
+		groups:      []faultGroup{groupNetwork}, drawSite: drawSmallSite, maxFaults: 14,
 	},
 	"disk": {
-		about:  "small sites, faults of disks and processes",
-		groups: []faultGroup{groupDisk, groupProcess}, shape: shapeSmall, maxFaults: 10,
+		description: "small sites, faults of disks and processes",
+		groups:      []faultGroup{groupDisk, groupProcess}, drawSite: drawSmallSite, maxFaults: 10,
 	},
 	"workers": {
-		about:  "small sites, faults of workers and their store",
-		groups: []faultGroup{groupWorker, groupStore}, shape: shapeSmall, maxFaults: 14,
+		description: "small sites, faults of workers and their store",
+		groups:      []faultGroup{groupWorker, groupStore}, drawSite: drawSmallSite, maxFaults: 14,
 	},
 	"overload": {
-		about:  "small sites, more requests than they can serve",
-		groups: []faultGroup{groupLoad, groupStore}, shape: shapeOverload, maxFaults: 8,
+		description: "small sites, more requests than they can serve",
+		groups:      []faultGroup{groupLoad, groupStore}, drawSite: drawOverloadedSite, maxFaults: 8,
 	},
 	"rollout": {
-		about:  "workers restarted one after the other under load",
-		groups: []faultGroup{groupLoad}, shape: shapeRollout, maxFaults: 3,
+		description: "workers restarted one after the other under load",
+		groups:      []faultGroup{groupLoad}, drawSite: drawRolloutSite, maxFaults: 3,
 		always: []Fault{
 			{At: 1, Kind: FaultDrainThenCrash, Worker: 0, Duration: 2},
 			{At: 3.5, Kind: FaultDrainThenCrash, Worker: 1, Duration: 2},
@@ -52,8 +53,8 @@
 		},
 	},
 	"all-gone": {
-		about:  "all workers restart at once",
-		groups: []faultGroup{groupLoad}, shape: shapeThreeWorkers, maxFaults: 2,
+		description: "all workers restart at once",
+		groups:      []faultGroup{groupLoad}, drawSite: drawThreeWorkerSite, maxFaults: 2,
 		always: []Fault{
 			{At: 2, Kind: FaultCrashWorker, Worker: 0, Size: 0.5},
 			{At: 2, Kind: FaultCrashWorker, Worker: 1, Size: 0.7},
@@ -61,8 +62,8 @@
 		},
 	},
 	"release": {
-		about:  "a release of all functions while the store is slow",
-		groups: []faultGroup{groupStore, groupLoad, groupRelease, groupProcess}, shape: shapeVersions, maxFaults: 8,
+		description: "a release of all functions while the store is slow",
+		groups:      []faultGroup{groupStore, groupLoad, groupRelease, groupProcess}, drawSite: drawVersionedSite, maxFaults: 8,
 		always: []Fault{
 			{At: 2, Kind: FaultReleaseAll, Size: 1},
 			{At: 2, Kind: FaultEvictAll},
@@ -70,31 +71,31 @@
 		},
 	},
 	"grown": {
-		about:  "80 front ends and 70 workers",
-		groups: survivable, shape: shapeGrown, maxFaults: 12,
+		description: "80 front ends and 70 workers",
+		groups:      coveredGroups, drawSite: drawLargeSite, maxFaults: 12,
 	},
 	"stateless": {
-		about:  "small sites without durable state",
-		groups: []faultGroup{groupNetwork, groupWorker, groupStore, groupLoad}, shape: shapeStateless, maxFaults: 12,
+		description: "small sites without durable state",
+		groups:      []faultGroup{groupNetwork, groupWorker, groupStore, groupLoad}, drawSite: drawStatelessSite, maxFaults: 12,
 	},
 	"beyond": {
-		about:  "also faults that the rules do not cover: ignored syncs, lost worker state",
-		groups: append(slices.Clone(survivable), groupBeyond), shape: shapeSmall, maxFaults: 14,
+		description: "also faults that the rules do not cover: ignored syncs, lost worker state",
+		groups:      append(slices.Clone(coveredGroups), groupBeyond), drawSite: drawSmallSite, maxFaults: 14,
 	},
 }
 
-// Profiles returns the names and descriptions of all profiles.
+// Profiles returns the names of all profiles in alphabetical order, and their descriptions in the same order.
 func Profiles() (names, descriptions []string) {
 	names = slices.Sorted(maps.Keys(profiles))
 	for _, name := range names {
-		descriptions = append(descriptions, profiles[name].about)
+		descriptions = append(descriptions, profiles[name].description)
 	}
 	return names, descriptions
 }
 
 func choose(rng *rand.Rand, choices ...int) int { return choices[rng.IntN(len(choices))] }
 
-func shapeSmall(s *Script, rng *rand.Rand) {
+func drawSmallSite(s *Script, rng *rand.Rand) {
 	s.Seconds = 6 + 6*rng.Float64()
 	s.Appliances = choose(rng, 1, 2, 2, 3)
 	s.FrontEndsPerAppliance = choose(rng, 1, 1, 2)
@@ -113,32 +114,32 @@
 	s.ColdStart = rng.IntN(6) == 0
 }
 
-func shapeOverload(s *Script, rng *rand.Rand) {
-	shapeSmall(s, rng)
+func drawOverloadedSite(s *Script, rng *rand.Rand) {
+	drawSmallSite(s, rng)
 	s.Rate *= 2.5
 }
 
-func shapeRollout(s *Script, rng *rand.Rand) {
-	shapeSmall(s, rng)
+func drawRolloutSite(s *Script, rng *rand.Rand) {
+	drawSmallSite(s, rng)
 	s.Workers, s.Seconds = max(s.Workers, 4), 12
 }
 
-func shapeThreeWorkers(s *Script, rng *rand.Rand) {
-	shapeSmall(s, rng)
+func drawThreeWorkerSite(s *Script, rng *rand.Rand) {
+	drawSmallSite(s, rng)
 	s.Workers = 3
 }
 
-func shapeVersions(s *Script, rng *rand.Rand) {
-	shapeSmall(s, rng)
+func drawVersionedSite(s *Script, rng *rand.Rand) {
+	drawSmallSite(s, rng)
 	s.Versions = true
 }
 
-func shapeStateless(s *Script, rng *rand.Rand) {
-	shapeSmall(s, rng)
+func drawStatelessSite(s *Script, rng *rand.Rand) {
+	drawSmallSite(s, rng)
 	s.Stateless = true
 }
 
-func shapeGrown(s *Script, rng *rand.Rand) {
+func drawLargeSite(s *Script, rng *rand.Rand) {
 	s.Seconds = 6
 	s.Appliances, s.FrontEndsPerAppliance = 40, 2
 	s.Workers, s.Cores = 70, 2
--- a/internal/verification/simulation/report.go
+++ b/internal/verification/simulation/report.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	maxViolations = 50        // of one run, which ends then
-	maxEvents     = 4_000_000 // of one run, to detect a livelock
+	maxViolations = 50        // of a run; with that many the run ends
+	maxEvents     = 4_000_000 // of a run; more indicate a livelock
 )
 
-// Report is the result of one script.
+// Report is the result of a run of one script.
 type Report struct {
 	Seed    uint64 `json:"seed"`
 	Profile string `json:"profile"`
@@ -24,13 +24,14 @@
 	VirtualSeconds  float64        `json:"virtual_s"`
 	RealSeconds     float64        `json:"real_s"`
 	Restarts        int            `json:"restarts"`
-	FaultCoverage   map[string]int `json:"met,omitempty"` // number of injections by kind of fault and state of the front end
+	FaultCoverage   map[string]int `json:"met,omitempty"` // number of injections by fault kind and state
 }
 
-// OK reports whether there was no violation.
+// OK reports whether the run had no violation.
 func (r *Report) OK() bool { return len(r.Findings) == 0 }
 
-// Play runs a script. onTrace receives the names of the trace, and may be nil.
+// Play runs a script, and returns its report and the recorded traffic. onTrace receives each step of the trace as a
+// line of its virtual time and name; it may be nil.
 func Play(script *Script, onTrace func(string)) (*Report, []invariants.Record, error) {
 	startedAt := time.Now()
 	s, err := newSite(script)
@@ -62,12 +63,13 @@
 	}, records, nil
 }
 
-// run runs events until a time, or until there are too many violations.
+// run runs events until the given virtual time, and checks the affected front ends after each. It ends early after maxViolations
+// violations or maxEvents events.
 func (s *site) run(until float64) {
 	for s.scheduler.runNext(until) && len(s.violations) < maxViolations {
-		s.checkTouched()
+		s.checkActiveFrontEnds()
 		if s.scheduler.executed > maxEvents {
-			s.violation("liveness", "no end after %d steps, the last is %q", s.scheduler.executed, s.scheduler.lastName)
+			s.violation("liveness", "run did not end within %d events, the last one is %q", s.scheduler.executed, s.scheduler.lastName)
 			return
 		}
 	}
--- a/internal/verification/simulation/shrink.go
+++ b/internal/verification/simulation/shrink.go
@@ -8,15 +8,15 @@
 	"streamcleat/internal/units"
 )
 
-// ErrNoViolation is returned by Shrink for a script without violations.
+// ErrNoViolation is the error of Shrink for a script that runs without a violation.
 var ErrNoViolation = errors.New("script has no violation")
 
-// maxShrinkRuns is the maximum number of runs of one Shrink.
+// maxShrinkRuns is the maximum number of runs in one call of Shrink.
 const maxShrinkRuns = 400
 
-// Shrink reduces a script with a violation to a smaller one with a violation of the same kind. It first removes faults
-// (delta debugging, Zeller and Hildebrandt 2002), then appliances, workers, clients and requests, then time. It also
-// returns the report of the smaller script and the number of runs.
+// Shrink reduces a script with a violation to a smaller script that has a violation of the same kind. It removes faults first
+// (delta debugging, Zeller and Hildebrandt 2002), then reduces the site and its load, and the time last. It also returns the
+// report of the smaller script and the number of runs.
 func Shrink(s *Script) (small *Script, r *Report, runs int, err error) {
 	r, _, err = Play(s, nil)
 	if err != nil {
@@ -25,31 +25,31 @@
 	if r.OK() {
 		return nil, r, 1, ErrNoViolation
 	}
-	search := &shrinker{violation: violationKind(r.Findings[0]), best: *s, report: r, runs: 1}
-	search.removeFaults()
-	for search.reduceSizes() {
+	shrink := &shrinker{violation: violationKind(r.Findings[0]), best: *s, report: r, runs: 1}
+	shrink.removeFaults()
+	for shrink.reduceSizes() {
 	}
-	search.removeFaults()
-	search.shortenFaults()
-	return &search.best, search.report, search.runs, nil
+	shrink.removeFaults()
+	shrink.shortenFaults()
+	return &shrink.best, shrink.report, shrink.runs, nil
 }
 
-// shrinker is the state of one Shrink.
+// shrinker is the state of one call of Shrink.
 type shrinker struct {
-	violation string // the kind that candidates must have
-	best      Script
+	violation string  // kind of the violation that a candidate must reproduce
+	best      Script  // smallest script so far that reproduces the violation
 	report    *Report // of best
 	runs      int
 }
 
-// violationKind returns the kind of a violation, which is the beginning of its description.
+// violationKind returns the kind of a violation: the part of its description before the time or the colon.
 func violationKind(description string) string {
 	kind, _, _ := strings.Cut(description, ":")
 	kind, _, _ = strings.Cut(kind, " at ")
 	return kind
 }
 
-// try runs a candidate, and takes it as the best one if it has a violation of the same kind.
+// try runs a candidate, and reports whether it reproduces the violation. If so, it becomes the best script.
 func (s *shrinker) try(candidate Script) bool {
 	if s.runs >= maxShrinkRuns || candidate.Check() != nil {
 		return false
@@ -66,7 +66,8 @@
 	return true
 }
 
-// removeFaults removes parts of the faults. The size of a part is halved when none can be removed.
+// removeFaults divides the faults into parts, and removes those without which the violation remains. When no part can be
+// removed it doubles the number of parts, until each is a single fault.
 func (s *shrinker) removeFaults() {
 	for parts := 2; len(s.best.Faults) > 0; {
 		size := (len(s.best.Faults) + parts - 1) / parts
@@ -81,7 +82,7 @@
 	}
 }
 
-// removeOnePart removes the first part of the given size that can be removed.
+// removeOnePart removes the first part of the given size without which the violation remains, and reports whether there is one.
 func (s *shrinker) removeOnePart(size int) bool {
 	faults := s.best.Faults
 	for from := 0; from < len(faults); from += size {
@@ -94,10 +95,10 @@
 	return false
 }
 
-// reduction makes a script smaller in one way. It returns false if that is impossible.
+// reduction makes a script smaller in one respect. It returns false if the script cannot be reduced further in that respect.
 type reduction func(s *Script) bool
 
-// reductions are tried in this order.
+// reductions contains all reductions in the order in which they are tried.
 var reductions = []reduction{
 	func(s *Script) bool { return setSmaller(&s.Timers, 0) },
 	func(s *Script) bool { return setSmaller(&s.FrontEndsPerAppliance, 1) },
@@ -117,14 +118,14 @@
 	},
 }
 
-// setSmaller sets a value, and reports whether that changed it.
+// setSmaller sets a value, and reports whether that changed the value.
 func setSmaller[T comparable](value *T, smaller T) bool {
 	changed := *value != smaller
 	*value = smaller
 	return changed
 }
 
-// reduceSizes tries each reduction once, and reports whether one was taken.
+// reduceSizes tries each reduction once, and reports whether the violation remained with at least one of them.
 func (s *shrinker) reduceSizes() bool {
 	reduced := false
 	for _, reduce := range reductions {
@@ -136,7 +137,7 @@
 	return reduced
 }
 
-// shortenFaults sets the duration of faults to 0, or halves it.
+// shortenFaults sets the duration of each fault to 0 or, if the violation does not remain, to half of it.
 func (s *shrinker) shortenFaults() {
 	for i := range s.best.Faults {
 		for _, factor := range []float64{0, 0.5} {
--- a/internal/verification/simulation/sim_test.go
+++ b/internal/verification/simulation/sim_test.go
@@ -12,7 +12,7 @@
 
 var seeds = flag.Uint64("seeds", 200, "seeds of the profile day; of each other small one a tenth of that")
 
-// No seed has a violation, and a seed has the same trace alone and beside others.
+// No seed has a violation, except in the profile beyond. The trace of a seed does not depend on seeds that run concurrently.
 func TestSweep_EachProfileKeepsRules(t *testing.T) {
 	digests := map[uint64]string{}
 	names, _ := Profiles()
@@ -23,12 +23,12 @@
 			n = *seeds
 		case "grown":
 			n = 1
-		case "beyond": // has faults that the rules do not cover
+		case "beyond": // the rules need not hold under its faults
 			continue
 		}
-		sum := NewSummary(name)
+		summary := NewSummary(name)
 		err := Sweep(context.Background(), name, 0, n, 4, func(r *Report) {
-			sum.Add(r)
+			summary.Add(r)
 			if name == "day" && r.Seed < 8 {
 				digests[r.Seed] = r.Digest
 			}
@@ -40,15 +40,15 @@
 			t.Fatal(err)
 		}
 		if name == "day" && n >= 200 {
-			if notInjected := sum.NotInjected(); len(notInjected) > 2 { // those of the group beyond
-				t.Errorf("faults that were not injected: %v", notInjected)
+			if notInjected := summary.NotInjected(); len(notInjected) > 2 { // the two kinds of groupBeyond, which the profile does not draw
+				t.Errorf("fault kinds that no seed injected: %v", notInjected)
 			}
 		}
-		t.Logf("%s: %d seeds, %d requests, %.0f virtual seconds", name, sum.Seeds, sum.Requests, sum.VirtualSeconds)
+		t.Logf("%s: %d seeds, %d requests, %.0f virtual seconds", name, summary.Seeds, summary.Requests, summary.VirtualSeconds)
 	}
 	err := Sweep(context.Background(), "day", 0, min(*seeds, 8), 1, func(r *Report) {
 		if r.Digest != digests[r.Seed] {
-			t.Errorf("seed %d has another trace alone", r.Seed)
+			t.Errorf("seed %d has a different trace when it runs alone", r.Seed)
 		}
 	})
 	if err != nil {
@@ -56,7 +56,7 @@
 	}
 }
 
-// Scripts that once had a violation.
+// Scripts that had a violation in an earlier build have none.
 func TestPlay_StoredScriptsKeepRules(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.json")
 	if err != nil || len(files) == 0 {
@@ -78,7 +78,8 @@
 	}
 }
 
-// A disk that ignores syncs causes a violation, and the script shrinks to a small one that still has it.
+// A script with a violation, caused by a disk that ignores syncs before a power loss, shrinks to one with at most three faults
+// that still has the violation. A script without a violation is rejected.
 func TestShrink_KeepsViolation(t *testing.T) {
 	s, err := Generate("day", 1)
 	if err != nil {
@@ -99,24 +100,25 @@
 		kinds[f.Kind] = true
 	}
 	if len(small.Faults) > 3 || !kinds[FaultIgnoredSync] || r.OK() {
-		t.Errorf("%d of %d faults are left after %d runs: %+v", len(small.Faults), len(s.Faults), runs, small.Faults)
+		t.Errorf("%d of %d faults remain after %d runs: %+v", len(small.Faults), len(s.Faults), runs, small.Faults)
 	}
 	data, _ := json.Marshal(small)
-	if again, err := ReadScript(data); err != nil || len(again.Faults) != len(small.Faults) {
+	if decoded, err := ReadScript(data); err != nil || len(decoded.Faults) != len(small.Faults) {
 		t.Error(err)
 	}
 	if _, _, _, err := Shrink(&Script{
 		Seed: 1, Profile: "day", Seconds: 2, Appliances: 1, FrontEndsPerAppliance: 1, Workers: 2, Cores: 1, Functions: 2, Clients: 1,
 		Rate: 5, Work: 0.02, DeduplicationWindow: 30,
 	}); !errors.Is(err, ErrNoViolation) {
-		t.Error("script without a violation: ", err)
+		t.Error("a script without a violation was not rejected: ", err)
 	}
 }
 
+// No order of actions in the small model violates a rule, to a depth of 5.
 func TestExplore_KeepsRules(t *testing.T) {
-	x := Explore(5, 1<<20)
-	if len(x.Violations) > 0 || !x.Complete || x.Merged == 0 {
-		t.Errorf("%+v", x)
+	result := Explore(5, 1<<20)
+	if len(result.Violations) > 0 || !result.Complete || result.Merged == 0 {
+		t.Errorf("%+v", result)
 	}
-	t.Logf("%+v", x)
+	t.Logf("%+v", result)
 }
--- a/internal/verification/simulation/state_checks.go
+++ b/internal/verification/simulation/state_checks.go
@@ -10,13 +10,13 @@
 	"streamcleat/internal/verification/fakes"
 )
 
-// expiryMargin is the number of seconds before its expiry from which a record may be missing.
+// expiryMargin is the time, in seconds, before its expiry from which a record may be missing after a restart.
 const expiryMargin = 5
 
-// records maps requests to their records.
+// records contains the records of requests by their identity.
 type records map[dispatch.Identity]dispatch.Record
 
-// addUnacknowledged adds records that a front end submitted to the store.
+// addUnacknowledged notes records that a front end submitted to the store and that are not acknowledged yet.
 func (a *applianceProcess) addUnacknowledged(list []dispatch.Record) {
 	for _, r := range list {
 		id := r.Response.Identity
@@ -24,7 +24,7 @@
 	}
 }
 
-// acknowledge marks records as reported to the front end as stored.
+// acknowledge notes that the store reported records as stored to the front end.
 func (a *applianceProcess) acknowledge(list []dispatch.Record) {
 	for _, r := range list {
 		id := r.Response.Identity
@@ -38,8 +38,8 @@
 }
 
 // isEquivalent reports whether a restart treats the found record like the written one. A rejection that expired in memory
-// is still on disk, and expires again after a restart. A rejected retry may leave the record of an earlier attempt, which
-// has the same effect.
+// is still on disk, and expires again after a restart. After a rejected retry, the disk may still have the record of an
+// earlier attempt, which has the same effect.
 func isEquivalent(written, found dispatch.Record) bool {
 	expired := written.Response.Cause == dispatch.CauseResponseExpired
 	rejected := written.Response.Kind == dispatch.Rejected || expired
@@ -52,7 +52,7 @@
 	return written.Kind == dispatch.RecordAttemptStarted || written.Response.Kind == found.Response.Kind || expired
 }
 
-// sortedIdentities returns the keys of a map in a fixed order, for deterministic reports.
+// sortedIdentities returns the keys of a map in sorted order, which makes reports deterministic.
 func sortedIdentities[V any](m map[dispatch.Identity]V) []dispatch.Identity {
 	return slices.SortedFunc(maps.Keys(m), func(a, b dispatch.Identity) int { return cmp.Compare(a.String(), b.String()) })
 }
@@ -65,7 +65,8 @@
 	return found
 }
 
-// checkRecoveredRecords checks that a restart recovered every acknowledged record, or a later one of the same request.
+// checkRecoveredRecords checks that a restart recovered, for every acknowledged record, that one or a later one of the same
+// request. The recovered records are the acknowledged ones from then on.
 func (s *site) checkRecoveredRecords(a *applianceProcess, recovered *storage.RecoveredState) {
 	found := recoveredRecords(recovered)
 	if recovered.QuarantinePath != "" || recovered.UnreadableRecords > 0 {
@@ -76,10 +77,10 @@
 			continue
 		}
 		written := a.acknowledged[id]
-		x, ok := found[id]
-		if !ok || !a.isAcceptable(id, written, x) {
-			s.violation("state", "%s: record of %s was acknowledged as %v %v, recovered %v (%v %v)", a.name, id, written.Kind,
-				written.Response.Kind, ok, x.Kind, x.Response.Kind)
+		record, ok := found[id]
+		if !ok || !a.isAcceptable(id, written, record) {
+			s.violation("state", "%s: record of %s was acknowledged as %v %v, recovered %v as (%v %v)", a.name, id, written.Kind,
+				written.Response.Kind, ok, record.Kind, record.Response.Kind)
 		}
 	}
 	clear(a.acknowledged)
@@ -89,7 +90,8 @@
 	}
 }
 
-// isAcceptable reports whether a record on disk is the acknowledged one, or a later one that is not yet acknowledged.
+// isAcceptable reports whether a recovered record is equivalent to the acknowledged one, or to a later one that was submitted but
+// not acknowledged.
 func (a *applianceProcess) isAcceptable(id dispatch.Identity, written, found dispatch.Record) bool {
 	if isEquivalent(written, found) {
 		return true
@@ -97,12 +99,12 @@
 	return slices.ContainsFunc(a.unacknowledged[id], func(r dispatch.Record) bool { return isEquivalent(r, found) })
 }
 
-// checkRecoveredSchedules checks that a restart recovered the last firing of every schedule, and the open scheduled
-// requests.
+// checkRecoveredSchedules checks that a restart recovered the last firing of every schedule, and every open scheduled
+// request.
 func (s *site) checkRecoveredSchedules(a *applianceProcess, recovered *storage.RecoveredState) {
 	for _, key := range slices.Sorted(maps.Keys(a.lastFirings)) {
 		if at, ok := recovered.LastFirings[key]; !ok || at.Before(a.lastFirings[key]) {
-			s.violation("schedules", "%s: %s fired for %v, recovered %v", a.name, key, a.lastFirings[key], at)
+			s.violation("schedules", "%s: last firing of schedule %s was due at %v, recovered %v", a.name, key, a.lastFirings[key], at)
 		}
 	}
 	open := map[dispatch.Identity]bool{}
@@ -116,18 +118,18 @@
 	}
 }
 
-// checkStoredRecords recovers the state of a running appliance from a copy of its disk, and compares it with the records
-// that the front ends have in memory.
+// checkStoredRecords recovers the state of a running appliance from a copy of its disk, and compares it with the records that
+// its front ends have in memory. Requests that several front ends have records of are left out.
 func (s *site) checkStoredRecords(a *applianceProcess) {
 	if a.store == nil || a.store.Err() != nil {
 		return
 	}
 	store, recovered, err := storage.OpenStore(stateDirectory, a.storeOptions(a.disk.snapshot()))
 	if err != nil {
-		s.violation("state", "%s: failed to recover a copy of the state: %v", a.name, err)
+		s.violation("state", "%s: failed to recover the state from a copy of the disk: %v", a.name, err)
 		return
 	}
-	defer func() { _ = store.Close() }() // only read
+	defer func() { _ = store.Close() }() // the copy was only read
 	found := recoveredRecords(recovered)
 	frontEnds, inMemory := map[dispatch.Identity]int{}, map[*frontEnd]records{}
 	for _, f := range a.frontEnds {
@@ -145,15 +147,16 @@
 	}
 }
 
-// checkStoredRecord checks that a restart would recover the record of a request that must not be executed again.
+// checkStoredRecord checks that a restart would recover the record of a request that may have been executed and is not
+// idempotent.
 func (s *site) checkStoredRecord(f *frontEnd, id dispatch.Identity, inMemory dispatch.Record, found records) {
 	if inMemory.Response.Class == fakes.ClassIdempotent || !inMemory.PossiblyExecuted {
 		return
 	}
-	x, ok := found[id]
-	if !ok || !isEquivalent(inMemory, x) {
-		s.violation("state", "%s: record of %s is %v %v %v, may have run %v; stored %v: %v %v %v %v", f.name, id,
+	record, ok := found[id]
+	if !ok || !isEquivalent(inMemory, record) {
+		s.violation("state", "%s: record of %s in memory is %v %v %v, possibly executed %v; stored %v: %v %v %v, possibly executed %v", f.name, id,
 			inMemory.Kind, inMemory.Response.Kind, inMemory.Response.Cause, inMemory.PossiblyExecuted,
-			ok, x.Kind, x.Response.Kind, x.Response.Cause, x.PossiblyExecuted)
+			ok, record.Kind, record.Response.Kind, record.Response.Cause, record.PossiblyExecuted)
 	}
 }
--- a/internal/verification/simulation/summary.go
+++ b/internal/verification/simulation/summary.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// Summary is the sum of the reports of many seeds.
+// Summary is the sum of the reports of the seeds of a profile.
 type Summary struct {
 	Profile             string
 	Seeds               int
 	SeedsWithViolations int
-	FirstViolatingSeed  uint64 // first seed with a violation
+	FirstViolatingSeed  uint64 // valid if SeedsWithViolations > 0
 	Requests            int
 	Succeeded           int
 	Attempts            int
@@ -23,12 +23,12 @@
 	startedAt           time.Time
 }
 
-// NewSummary returns an empty summary. Its rates count from now.
+// NewSummary returns an empty summary. The rates that String prints are relative to the time since this call.
 func NewSummary(profile string) *Summary {
 	return &Summary{Profile: profile, FaultCoverage: map[string]int{}, startedAt: time.Now()}
 }
 
-// Add adds a report.
+// Add adds the report of a seed.
 func (s *Summary) Add(r *Report) {
 	s.Seeds++
 	if !r.OK() {
@@ -48,7 +48,7 @@
 	}
 }
 
-// NotInjected returns the kinds of fault that were never injected.
+// NotInjected returns the fault kinds that no seed injected.
 func (s *Summary) NotInjected() []string {
 	var notInjected []string
 	for _, k := range faultKinds {
@@ -63,7 +63,7 @@
 	return slices.ContainsFunc(faultStates(), func(state string) bool { return s.FaultCoverage[coverageKey(kind, state)] > 0 })
 }
 
-// String returns the summary, with a table of the states in which faults were injected.
+// String returns the totals and rates, with a table of the states in which faults were injected.
 func (s *Summary) String() string {
 	var b strings.Builder
 	elapsed := time.Since(s.startedAt).Seconds()
@@ -75,7 +75,7 @@
 	return b.String()
 }
 
-// writeCoverage writes a line for each kind of fault that was injected, with a column for each state.
+// writeCoverage writes a table with a row for each fault kind that was injected and a column for each state.
 func (s *Summary) writeCoverage(b *strings.Builder) {
 	states := faultStates()
 	width := 0
--- a/internal/verification/simulation/sweep.go
+++ b/internal/verification/simulation/sweep.go
@@ -6,22 +6,23 @@
 	"sync"
 )
 
-// maxRunAhead is the number of seeds per worker goroutine that may start before the report of the slowest one.
+// maxRunAhead is the number of seeds, for each goroutine, that may start while the report of an earlier seed is outstanding.
 const maxRunAhead = 4
 
-// sweepJob is one seed to run.
+// sweepJob is a seed to run, with the channel that receives its result.
 type sweepJob struct {
 	seed   uint64
 	result chan sweepResult
 }
 
+// sweepResult is the result of one seed.
 type sweepResult struct {
 	report *Report
 	err    error
 }
 
-// Sweep runs count seeds of a profile, beginning with from, and calls onReport in the order of the seeds. parallel is the
-// number of seeds that run concurrently.
+// Sweep runs count seeds of a profile, beginning with from, on the given number of parallel goroutines. It calls onReport in the
+// order of the seeds.
 func Sweep(ctx context.Context, profile string, from, count uint64, parallel int, onReport func(*Report)) error {
 	if _, err := Generate(profile, from); err != nil {
 		return err
@@ -53,7 +54,7 @@
 	return ctx.Err()
 }
 
-// feedSeeds sends a job for each seed to both channels and closes them.
+// feedSeeds sends a job for each seed to order and then to jobs, and closes both channels.
 func feedSeeds(ctx context.Context, from, count uint64, order, jobs chan<- sweepJob) {
 	defer close(jobs)
 	defer close(order)
