--- a/internal/verification/simulation/inject_network.go
+++ b/internal/verification/simulation/inject_network.go
@@ -79,7 +79,7 @@
 // breakConnections resets the connections between the appliance and another process after one end has received a number of
 // further bytes. That is the appliance's end of every second connection, and the other process's end of the rest.
 func (i *injection) breakConnections(other string) {
-	for n, e := range i.network.between(i.appliance.name, other) {
+	for n, e := range i.network.endpointsBetween(i.appliance.name, other) {
 		if n%2 == 0 {
 			e.resetAfterBytes(i.fault.Bytes)
 		} else {
@@ -94,7 +94,7 @@
 
 // blackholeConnections makes the connections between the appliance and another process drop all packets without a reset.
 func (i *injection) blackholeConnections(other string) {
-	for _, e := range i.network.between(i.appliance.name, other) {
+	for _, e := range i.network.endpointsBetween(i.appliance.name, other) {
 		e.conn.blackhole()
 	}
 }
@@ -113,7 +113,7 @@
 			conn.end.conn.faulty = true
 		}
 	}
-	i.addOutage(everyone, i.fault.Client, float64(i.scheduler.now+i.fault.Duration+requestTimeout))
+	i.addOutage(wildcard, i.fault.Client, float64(i.scheduler.now+i.fault.Duration+requestTimeout))
 	i.undoLater("reads again", func() { c.readRate = 0 })
 }
 
--- a/internal/verification/simulation/report.go
+++ b/internal/verification/simulation/report.go
@@ -46,7 +46,7 @@
 	records := s.recorder.Records()
 	verdict := invariants.Check(s.rules, records)
 	s.checkRetries()
-	s.closing.Wait()
+	s.abandonedStores.Wait()
 	findings := slices.Concat(verdict.Violations, s.violations)
 	verdict.Violations = nil
 	return &Report{
@@ -69,7 +69,7 @@
 	for s.scheduler.runNext(until) && len(s.violations) < maxViolations {
 		s.checkActiveFrontEnds()
 		if s.scheduler.executed > maxEvents {
-			s.violation("liveness", "run did not end within %d events, the last one is %q", s.scheduler.executed, s.scheduler.lastName)
+			s.violation("liveness", "run did not end within %d events, the last one is %q", s.scheduler.executed, s.scheduler.lastEventName)
 			return
 		}
 	}
