--- a/internal/verification/simulation/summary.go
+++ b/internal/verification/simulation/summary.go
@@ -7,34 +7,34 @@
 	"time"
 )
 
-// Summary is the sum of the reports of many seeds.
+// Summary is the sum of the reports of the seeds of a profile.
 type Summary struct {
-	Profile         string
-	Seeds           int
-	Broken          int
-	First           uint64 // first seed with a violation
-	Requests        int
-	Succeeded       int
-	Attempts        int
-	SimulatedEvents int
-	Restarts        int
-	VirtualSeconds  float64
-	FaultCoverage   map[string]int // as in Report
-	startedAt       time.Time
+	Profile             string
+	Seeds               int
+	SeedsWithViolations int
+	FirstViolatingSeed  uint64 // valid if SeedsWithViolations > 0
+	Requests            int
+	Succeeded           int
+	Attempts            int
+	SimulatedEvents     int
+	Restarts            int
+	VirtualSeconds      float64
+	FaultCoverage       map[string]int // as in Report
+	startedAt           time.Time
 }
 
-// NewSummary returns an empty summary. Its rates count from now.
+// NewSummary returns an empty summary. The rates that String prints are relative to the time since this call.
 func NewSummary(profile string) *Summary {
 	return &Summary{Profile: profile, FaultCoverage: map[string]int{}, startedAt: time.Now()}
 }
 
-// Add adds a report.
+// Add adds the report of a seed.
 func (s *Summary) Add(r *Report) {
 	s.Seeds++
 	if !r.OK() {
-		s.Broken++
-		if s.Broken == 1 {
-			s.First = r.Seed
+		s.SeedsWithViolations++
+		if s.SeedsWithViolations == 1 {
+			s.FirstViolatingSeed = r.Seed
 		}
 	}
 	s.Requests += r.Requests
@@ -48,26 +48,26 @@
 	}
 }
 
-// Missed returns the kinds of fault that were never injected.
-func (s *Summary) Missed() []string {
-	var missed []string
+// NotInjected returns the fault kinds that no seed injected.
+func (s *Summary) NotInjected() []string {
+	var notInjected []string
 	for _, k := range faultKinds {
 		if !s.wasInjected(k.name) {
-			missed = append(missed, string(k.name))
+			notInjected = append(notInjected, string(k.name))
 		}
 	}
-	return missed
+	return notInjected
 }
 
 func (s *Summary) wasInjected(kind FaultKind) bool {
 	return slices.ContainsFunc(faultStates(), func(state string) bool { return s.FaultCoverage[coverageKey(kind, state)] > 0 })
 }
 
-// String returns the summary, with a table of the states in which faults were injected.
+// String returns the totals and rates, with a table of the states in which faults were injected.
 func (s *Summary) String() string {
 	var b strings.Builder
 	elapsed := time.Since(s.startedAt).Seconds()
-	fmt.Fprintf(&b, "%d seeds of %s, %d with violations; %d requests, %d succeeded, %d attempts, %d appliance restarts\n", s.Seeds, s.Profile, s.Broken,
+	fmt.Fprintf(&b, "%d seeds of %s, %d with violations; %d requests, %d succeeded, %d attempts, %d appliance restarts\n", s.Seeds, s.Profile, s.SeedsWithViolations,
 		s.Requests, s.Succeeded, s.Attempts, s.Restarts)
 	fmt.Fprintf(&b, "%.0f virtual seconds in %.1f: speed-up %.0f; %.0f steps and %.0f requests per second\n\n", s.VirtualSeconds, elapsed, s.VirtualSeconds/elapsed,
 		float64(s.SimulatedEvents)/elapsed, float64(s.Requests)/elapsed)
@@ -75,7 +75,7 @@
 	return b.String()
 }
 
-// writeCoverage writes a line for each kind of fault that was injected, with a column for each state.
+// writeCoverage writes a table with a row for each fault kind that was injected and a column for each state.
 func (s *Summary) writeCoverage(b *strings.Builder) {
 	states := faultStates()
 	width := 0
