--- a/internal/verification/simulation/explore_model.go
+++ b/internal/verification/simulation/explore_model.go
@@ -169,7 +169,7 @@
 	}
 	for _, f := range m.frontEnds {
 		if err := f.dispatcher.Check(true); err != nil {
-			m.violation("front end %d: %v", f.number, err)
+			m.violation("front %d: %v", f.number, err)
 		}
 	}
 }
