--- a/internal/verification/scenario/inject.go
+++ b/internal/verification/scenario/inject.go
@@ -105,7 +105,7 @@
 			return err
 		}
 		sleepUninterrupted(restartNoticeDelay)
-		return i.list.SetPhase(w, stateServing)
+		return i.list.SetState(w, stateServing)
 	})
 }
 
@@ -114,7 +114,7 @@
 		if err := w.Restart(); err != nil {
 			return err
 		}
-		return i.list.SetPhase(w, stateServing)
+		return i.list.SetState(w, stateServing)
 	})
 }
 
@@ -159,7 +159,7 @@
 }
 
 func (i *injection) drain(w *fakes.Worker) error {
-	if err := i.list.SetPhase(w, stateDraining); err != nil {
+	if err := i.list.SetState(w, stateDraining); err != nil {
 		return err
 	}
 	sleepUninterrupted(i.fault.Duration)
@@ -168,7 +168,7 @@
 
 // replaceInEndpointList removes a worker from the endpoint list, and starts and adds a cold one.
 func (i *injection) replaceInEndpointList(w *fakes.Worker) error {
-	if err := i.list.SetPhase(w, stateRemoved); err != nil {
+	if err := i.list.SetState(w, stateRemoved); err != nil {
 		return err
 	}
 	replacement, err := i.startColdWorker()
@@ -182,7 +182,7 @@
 		}
 	}
 	i.mu.Unlock()
-	return i.list.SetPhase(replacement, stateServing)
+	return i.list.SetState(replacement, stateServing)
 }
 
 func (i *injection) evict(context.Context) error {
@@ -240,13 +240,13 @@
 func (i *injection) emptyEndpointList(context.Context) error {
 	list := i.allWorkers()
 	for _, w := range list {
-		if err := i.list.SetPhase(w, stateRemoved); err != nil {
+		if err := i.list.SetState(w, stateRemoved); err != nil {
 			return err
 		}
 	}
 	sleepUninterrupted(i.fault.Duration)
 	for _, w := range list {
-		if err := i.list.SetPhase(w, stateServing); err != nil {
+		if err := i.list.SetState(w, stateServing); err != nil {
 			return err
 		}
 	}
--- a/internal/verification/simulation/liveness_checks.go
+++ b/internal/verification/simulation/liveness_checks.go
@@ -2,27 +2,29 @@
 
 import "streamcleat/internal/appliance"
 
-// checkTouched checks every front end with activity in this event.
-func (s *site) checkTouched() {
-	const thoroughEvery = 32 // checks
-	for _, f := range s.touched {
-		f.touched = false
+// checkActiveFrontEnds checks the invariants of every front end that the present event affected. One check in 32 is
+// thorough.
+func (s *site) checkActiveFrontEnds() {
+	const thoroughInterval = 32 // checks
+	for _, f := range s.activeFrontEnds {
+		f.active = false
 		a := f.appliance
 		if f.proxy == nil || a.suspended {
 			continue
 		}
-		s.touchChecks++
-		if err := f.proxy.Check(s.touchChecks%thoroughEvery == 0); err != nil {
+		s.frontEndChecks++
+		if err := f.proxy.Check(s.frontEndChecks%thoroughInterval == 0); err != nil {
 			s.violation("invariant", "%s: %v", f.name, err)
 		}
 		if a.isServing() && s.openOutages[a.number] != nil {
 			s.endOutage(a)
 		}
 	}
-	s.touched = s.touched[:0]
+	s.activeFrontEnds = s.activeFrontEnds[:0]
 }
 
-// checkEnd checks that all appliances serve, and nothing is left open, at the end of the run.
+// checkEnd checks at the end of the run that all appliances serve, that no request, connection or load command is left, and that
+// the stored records match those in memory.
 func (s *site) checkEnd() {
 	for _, r := range s.unknownOutcomes {
 		s.recorder.Add(r)
@@ -39,11 +41,12 @@
 	}
 	for _, a := range s.appliances {
 		if a.store != nil {
-			_ = a.store.Abandon() // releases its memory; its disk is not used any more
+			_ = a.store.Abandon() // frees memory; the disk is not used after the run
 		}
 	}
 }
 
+// checkFrontEndIdle checks that a front end has no open work, no connection and no record that is not stored.
 func (s *site) checkFrontEndIdle(f *frontEnd) {
 	counts := f.proxy.Dispatcher().Counts()
 	clients, upstreams := f.proxy.Connections()
@@ -53,9 +56,9 @@
 	}
 	if clients > 0 || upstreams > 0 {
 		s.violation("leak", "%s has %d client connections and %d worker connections at the end: %s", f.name, clients, upstreams,
-			s.network.describe(f.appliance.name))
+			s.network.describeConnections(f.appliance.name))
 	}
 	if !f.proxy.RecordsStored() {
-		s.violation("liveness", "%s has records that are not stored at the end", f.name)
+		s.violation("liveness", "%s has records that are not yet stored at the end", f.name)
 	}
 }
