--- a/internal/verification/scenario/script.go
+++ b/internal/verification/scenario/script.go
@@ -23,7 +23,7 @@
 	Workers        int                `json:"workers"`
 	Cores          int                `json:"cores"` // of each worker
 	Functions      int                `json:"functions"`
-	MeanWork       float64            `json:"work"` // mean work of a request, in seconds on a core of speed 1
+	WorkPerRequest float64            `json:"work"` // mean work of a request, in seconds on a core of speed 1
 	ClassMix       map[string]float64 `json:"mix"`  // fraction of each request class
 	Schedules      int                `json:"timers"`
 	MinuteDuration float64            `json:"minute"` // duration of a minute on the schedules' clock
@@ -94,7 +94,7 @@
 // defaultScript returns the default values of a script, which describe a small site.
 func defaultScript() *Script {
 	return &Script{
-		Seconds: 8, Rate: 100, FrontEnds: 2, Workers: 8, Cores: 2, Functions: 40, MeanWork: 0.04, Schedules: 30,
+		Seconds: 8, Rate: 100, FrontEnds: 2, Workers: 8, Cores: 2, Functions: 40, WorkPerRequest: 0.04, Schedules: 30,
 		MinuteDuration: 1, Clients: 2, Retries: 1,
 		ClassMix: map[string]float64{fakes.ClassIdempotent: 0.6, fakes.ClassIdempotentByKey: 0.25, fakes.ClassAtMostOnce: 0.15},
 	}
@@ -144,7 +144,7 @@
 		return &FieldError{"functions", s.Functions, "between 1 and 10000"}
 	case s.Schedules < 0 || s.Schedules > maxTimers:
 		return &FieldError{"timers", s.Schedules, "between 0 and 2000"}
-	case s.MinuteDuration <= 0 || s.MeanWork <= 0 || s.Cores < 1 || s.Clients < 0 || s.Clients > maxClients || s.Retries < 0:
+	case s.MinuteDuration <= 0 || s.WorkPerRequest <= 0 || s.Cores < 1 || s.Clients < 0 || s.Clients > maxClients || s.Retries < 0:
 		return errSizes
 	}
 	for class := range s.ClassMix {
--- a/internal/verification/scenario/site.go
+++ b/internal/verification/scenario/site.go
@@ -33,7 +33,7 @@
 // start starts the workers and the front ends, and sets the rules that the checker applies to them.
 func (r *run) start() error {
 	s := r.script
-	r.functions = fakes.Catalogue(s.Functions+hotFunctions, s.MeanWork, r.seed)
+	r.functions = fakes.Catalogue(s.Functions+hotFunctions, s.WorkPerRequest, r.seed)
 	r.rules = invariants.Rules{
 		Semantics:               fakes.ClassSemantics(),
 		DeduplicationWindow:     map[string]float64{fakes.ClassIdempotentByKey: deduplicationWindow},
