--- a/cmd/streamcleat/outage_test.go
+++ b/cmd/streamcleat/outage_test.go
@@ -32,23 +32,23 @@
 	}
 	for _, c := range []struct {
 		name           string
-		play           soak.OutagePlay
+		play           soak.OutageScenario
 		answersQueries bool // draining workers answer queries and reject the rest
 	}{
-		{"connections reset", soak.OutagePlay{Fault: soak.ConnectionsReset}, false},
-		{"connections reset", soak.OutagePlay{Fault: soak.ConnectionsReset}, true},
-		{"service silent", soak.OutagePlay{Fault: soak.ServiceSilent}, false},
-		{"service silent", soak.OutagePlay{Fault: soak.ServiceSilent}, true},
-		{"lines truncated", soak.OutagePlay{Fault: soak.LinesTruncated}, false},
-		{"bytes trickle", soak.OutagePlay{Fault: soak.BytesTrickle}, false},
-		{"old event repeats", soak.OutagePlay{Fault: soak.OldestRepeated}, false},
-		{"late drain", soak.OutagePlay{Fault: soak.ConnectionsReset, DrainAfter: 5 * time.Second}, false},
-		{"late drain", soak.OutagePlay{Fault: soak.ConnectionsReset, DrainAfter: 5 * time.Second}, true},
-		{"restarts", soak.OutagePlay{Fault: soak.ConnectionsReset, RestartAfter: time.Second}, false},
-		{"late restarts", soak.OutagePlay{Fault: soak.ConnectionsReset, RestartAfter: 5 * time.Second}, true},
-		{"one cut off", soak.OutagePlay{Fault: soak.ConnectionsReset, CutOffOne: true}, false},
-		{"one cut off", soak.OutagePlay{Fault: soak.ConnectionsReset, CutOffOne: true}, true},
-		{"second outage", soak.OutagePlay{Fault: soak.ServiceSilent, EarlierOutage: 3 * time.Second}, true},
+		{"connections reset", soak.OutageScenario{Fault: soak.ConnectionsReset}, false},
+		{"connections reset", soak.OutageScenario{Fault: soak.ConnectionsReset}, true},
+		{"service silent", soak.OutageScenario{Fault: soak.ServiceSilent}, false},
+		{"service silent", soak.OutageScenario{Fault: soak.ServiceSilent}, true},
+		{"lines truncated", soak.OutageScenario{Fault: soak.LinesTruncated}, false},
+		{"bytes trickle", soak.OutageScenario{Fault: soak.BytesTrickle}, false},
+		{"old event repeats", soak.OutageScenario{Fault: soak.OldestRepeated}, false},
+		{"late drain", soak.OutageScenario{Fault: soak.ConnectionsReset, DrainAfter: 5 * time.Second}, false},
+		{"late drain", soak.OutageScenario{Fault: soak.ConnectionsReset, DrainAfter: 5 * time.Second}, true},
+		{"restarts", soak.OutageScenario{Fault: soak.ConnectionsReset, RestartAfter: time.Second}, false},
+		{"late restarts", soak.OutageScenario{Fault: soak.ConnectionsReset, RestartAfter: 5 * time.Second}, true},
+		{"one cut off", soak.OutageScenario{Fault: soak.ConnectionsReset, SingleFrontEnd: true}, false},
+		{"one cut off", soak.OutageScenario{Fault: soak.ConnectionsReset, SingleFrontEnd: true}, true},
+		{"second outage", soak.OutageScenario{Fault: soak.ServiceSilent, EarlierOutage: 3 * time.Second}, true},
 	} {
 		c.play.Duration, c.play.Draining = 9*time.Second, 3
 		if c.play.DrainAfter == 0 {
@@ -63,7 +63,7 @@
 				t.Fatal(err)
 			}
 			t.Log(result)
-			if result.Broken() || result.OutageShare() < minServedDuringOutage || result.OutageRequests < 100 {
+			if result.Broken() || result.OutageSuccessRatio() < minServedDuringOutage || result.OutageRequests < 100 {
 				t.Errorf("a rule was violated, or less than %v of the requests in the outage succeeded", minServedDuringOutage)
 			}
 		})
@@ -84,7 +84,7 @@
 	}{{15, true}, {17, true}, {15, false}} {
 		t.Run(fmt.Sprintf("seed %d, answers queries %v", c.seed, c.answersQueries), func(t *testing.T) {
 			t.Parallel()
-			play := soak.OutagePlay{
+			play := soak.OutageScenario{
 				Fault: soak.ConnectionsReset, Duration: 14 * time.Second, Draining: 3, DrainAfter: 200 * time.Millisecond, RestartAfter: 4500 * time.Millisecond,
 			}
 			result, _, err := soak.Run(context.Background(), soak.Settings{
--- a/internal/verification/soak/outage_play.go
+++ b/internal/verification/soak/outage_scenario.go
@@ -25,15 +25,15 @@
 	BytesTrickle: trickleBytes, OldestRepeated: repeatOldest,
 }
 
-// OutagePlay is a fixed course of events: an outage of discovery during which the busiest workers drain and go on running.
-type OutagePlay struct {
+// OutageScenario is a fixed course of events: an outage of discovery during which the busiest workers drain and go on running.
+type OutageScenario struct {
 	Fault    DiscoveryFault
 	Duration time.Duration // of the outage
 	// DrainAfter is the time from the beginning of the outage to the drain.
 	DrainAfter time.Duration
 	Draining   int // number of workers that drain
-	// CutOffOne cuts off one front end only.
-	CutOffOne bool
+	// SingleFrontEnd cuts off one front end only.
+	SingleFrontEnd bool
 	// RestartAfter, if set, is the time from the drain after which all front ends are restarted one after another.
 	RestartAfter time.Duration
 	// EarlierOutage, if set, is the length of an outage that ends two seconds before this one.
@@ -62,10 +62,10 @@
 }
 
 // playOutage plays one outage from a warm fleet to its recovery.
-func (s *site) playOutage(ctx context.Context, play *OutagePlay) {
+func (s *site) playOutage(ctx context.Context, play *OutageScenario) {
 	sleep(ctx, warmUpOfPlay)
 	fault, onlyFrontEnd := outageFaults[play.Fault], everyFrontEnd
-	if play.CutOffOne {
+	if play.SingleFrontEnd {
 		onlyFrontEnd = 0
 	}
 	if play.EarlierOutage > 0 {
--- a/internal/verification/soak/result.go
+++ b/internal/verification/soak/result.go
@@ -13,21 +13,21 @@
 	Site          string             `json:"site,omitempty"` // what the seed drew of the settings
 	Verdict       invariants.Verdict `json:"verdict"`
 	Violations    []string           `json:"violations,omitempty"` // found by the soak itself; the first ones
-	ViolationsAll int                `json:"violations_all"`       // number of all of them
+	ViolationCount int                `json:"violations_all"`       // number of all of them
 	Restarts      int                `json:"restarts"`             // of front ends
 	SlowestReady  float64            `json:"slowest_ready_s"`      // longest time from a start to readiness
 	Faults        []string           `json:"troubles"`
 	// OutageRequests are the responses to requests that were sent during an outage of discovery.
 	OutageRequests  int     `json:"outage_requests"`
 	OutageSucceeded int     `json:"outage_succeeded"` // the successful ones among them
-	Lateness        float64 `json:"harness_late_s"`   // maximum delay of the harness itself
+	MaxWakeupDelay        float64 `json:"harness_late_s"`   // maximum delay of the harness itself
 }
 
 // Broken reports whether there was any violation.
-func (r *Result) Broken() bool { return r.Verdict.RulesBroken > 0 || r.ViolationsAll > 0 }
+func (r *Result) Broken() bool { return r.Verdict.RulesBroken > 0 || r.ViolationCount > 0 }
 
-// OutageShare returns the share of the requests during outages of discovery that succeeded; 1 if there were none.
-func (r *Result) OutageShare() float64 {
+// OutageSuccessRatio returns the share of the requests during outages of discovery that succeeded; 1 if there were none.
+func (r *Result) OutageSuccessRatio() float64 {
 	if r.OutageRequests == 0 {
 		return 1
 	}
@@ -40,10 +40,10 @@
 	v := &r.Verdict
 	fmt.Fprintf(&b, "seed %d (%s): %d requests, %d succeeded, %d rejected, %d failed, %d cancelled, %d lost with killed processes, %d attempts, "+
 		"%d restarts, slowest ready %.2f s, harness late %.3f s\n", r.Seed, r.Site, v.Requests, v.Succeeded, v.Rejected, v.Failed, v.Cancelled,
-		v.ConnectionsLost, v.Attempts, r.Restarts, r.SlowestReady, r.Lateness)
+		v.ConnectionsLost, v.Attempts, r.Restarts, r.SlowestReady, r.MaxWakeupDelay)
 	if r.OutageRequests > 0 {
 		fmt.Fprintf(&b, "  during outages of discovery: %d of %d requests succeeded (%.3f), %d sent to draining workers\n", r.OutageSucceeded,
-			r.OutageRequests, r.OutageShare(), v.SentAfterDrain)
+			r.OutageRequests, r.OutageSuccessRatio(), v.SentAfterDrain)
 	}
 	for _, text := range append(append([]string(nil), v.Violations...), r.Violations...) {
 		fmt.Fprintf(&b, "  BROKEN %s\n", text)
--- a/internal/verification/soak/site.go
+++ b/internal/verification/soak/site.go
@@ -34,7 +34,7 @@
 	// WithoutPeers has front ends that may not send each other messages.
 	WithoutPeers bool
 	// Outage, if set, is played in place of random faults.
-	Outage *OutagePlay
+	Outage *OutageScenario
 	// DrainingAnswersQueries has draining workers answer queries, as some do; load commands and attempts are still rejected.
 	DrainingAnswersQueries bool
 	// WithoutPauses leaves out suspensions of processes from the faults beside outages: one that falls between the permit and
@@ -250,7 +250,7 @@
 func (s *site) violate(kind, format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.result.ViolationsAll++
+	s.result.ViolationCount++
 	if len(s.result.Violations) < maxViolations {
 		s.result.Violations = append(s.result.Violations, fmt.Sprintf("%.3f %s: ", s.recorder.Now(), kind)+fmt.Sprintf(format, args...))
 	}
@@ -271,7 +271,7 @@
 			late := (now.Sub(last) - interval).Seconds()
 			last = now
 			s.mu.Lock()
-			s.result.Lateness = max(s.result.Lateness, late)
+			s.result.MaxWakeupDelay = max(s.result.MaxWakeupDelay, late)
 			s.mu.Unlock()
 		}
 	}()
