--- a/internal/verification/soak/result.go
+++ b/internal/verification/soak/result.go
@@ -9,18 +9,18 @@
 
 // Result is the result of one run.
 type Result struct {
-	Seed          uint64             `json:"seed"`
-	Site          string             `json:"site,omitempty"` // what the seed drew of the settings
-	Verdict       invariants.Verdict `json:"verdict"`
-	Violations    []string           `json:"violations,omitempty"` // found by the soak itself; the first ones
+	Seed           uint64             `json:"seed"`
+	Settings       string             `json:"site,omitempty"` // what the seed drew of the settings
+	Verdict        invariants.Verdict `json:"verdict"`
+	Violations     []string           `json:"violations,omitempty"` // found by the soak itself; the first ones
 	ViolationCount int                `json:"violations_all"`       // number of all of them
-	Restarts      int                `json:"restarts"`             // of front ends
-	SlowestReady  float64            `json:"slowest_ready_s"`      // longest time from a start to readiness
-	Faults        []string           `json:"troubles"`
+	Restarts       int                `json:"restarts"`             // of front ends
+	SlowestReady   float64            `json:"slowest_ready_s"`      // longest time from a start to readiness
+	Faults         []string           `json:"troubles"`
 	// OutageRequests are the responses to requests that were sent during an outage of discovery.
 	OutageRequests  int     `json:"outage_requests"`
 	OutageSucceeded int     `json:"outage_succeeded"` // the successful ones among them
-	MaxWakeupDelay        float64 `json:"harness_late_s"`   // maximum delay of the harness itself
+	MaxWakeupDelay  float64 `json:"harness_late_s"`   // maximum delay of the harness itself
 }
 
 // Broken reports whether there was any violation.
@@ -39,7 +39,7 @@
 	var b strings.Builder
 	v := &r.Verdict
 	fmt.Fprintf(&b, "seed %d (%s): %d requests, %d succeeded, %d rejected, %d failed, %d cancelled, %d lost with killed processes, %d attempts, "+
-		"%d restarts, slowest ready %.2f s, harness late %.3f s\n", r.Seed, r.Site, v.Requests, v.Succeeded, v.Rejected, v.Failed, v.Cancelled,
+		"%d restarts, slowest ready %.2f s, harness late %.3f s\n", r.Seed, r.Settings, v.Requests, v.Succeeded, v.Rejected, v.Failed, v.Cancelled,
 		v.ConnectionsLost, v.Attempts, r.Restarts, r.SlowestReady, r.MaxWakeupDelay)
 	if r.OutageRequests > 0 {
 		fmt.Fprintf(&b, "  during outages of discovery: %d of %d requests succeeded (%.3f), %d sent to draining workers\n", r.OutageSucceeded,
--- a/internal/verification/soak/site.go
+++ b/internal/verification/soak/site.go
@@ -91,7 +91,7 @@
 	defer func() { _ = os.RemoveAll(folder) }() // it is the system's temporary folder
 	s := &site{
 		settings: settings, folder: folder, recorder: invariants.NewRecorder(), ended: make(chan struct{}),
-		executedKeys: map[string]bool{}, result: Result{Seed: settings.Seed, Site: settings.describe()},
+		executedKeys: map[string]bool{}, result: Result{Seed: settings.Seed, Settings: settings.describe()},
 	}
 	s.discovery = newDiscovery(s)
 	stopWatching := s.watchLateness()
