--- a/internal/verification/soak/bad_clients.go
+++ b/internal/verification/soak/bad_clients.go
@@ -11,20 +11,20 @@
 
 const (
 	badClientCount       = 4
-	badClientConnections = 12 // of each client at a time
+	badClientConnections = 12 // concurrent connections of each client
 	badClientInterval    = 10 * time.Millisecond
 	badClientTimeout     = 100 * time.Millisecond
 )
 
-// runBadClients runs clients that send malformed input to some front ends.
-func (s *site) runBadClients(random *rand.Rand) {
+// runBadClients runs clients that send malformed input to randomly chosen front ends.
+func (h *harness) runBadClients(random *rand.Rand) {
 	end := time.Now().Add(randomFaultDuration(random))
 	var running sync.WaitGroup
 	for range badClientCount {
-		f := s.frontEnds[random.IntN(len(s.frontEnds))]
+		f := h.frontEnds[random.IntN(len(h.frontEnds))]
 		input := badInputs[random.IntN(len(badInputs))]
 		running.Go(func() {
-			for time.Now().Before(end) && !s.loadEnded() {
+			for time.Now().Before(end) && !h.loadEnded() {
 				if f.acceptsConnections() {
 					sendBadInput(f.listen, input)
 				}
@@ -35,9 +35,9 @@
 	running.Wait()
 }
 
-// badInputs are the inputs of bad clients, one of them on each connection.
+// badInputs are the inputs that bad clients send. Each client sends one of them on all its connections.
 var badInputs = [][]byte{
-	nil, // silence
+	nil, // sends nothing
 	[]byte("GET / HTTP/1.1\r\n\r\n"),
 	{0, 0, 0, 0},
 	{255, 255, 255, 255, 1, 0, 0, 0, 1},
@@ -47,7 +47,7 @@
 	encodeClientFrame(frameRequest, 1, make([]byte, 100_000))[:2000], // a partial frame
 }
 
-// unknownClassRequests encodes hundreds of requests of a class that does not exist.
+// unknownClassRequests encodes hundreds of requests of an unknown request class.
 func unknownClassRequests() []byte {
 	var input []byte
 	for stream := range uint32(300) {
@@ -57,8 +57,8 @@
 	return input
 }
 
-// sendBadInput opens connections, sends the input on each, reads a few bytes and closes them, every other one by a
-// reset.
+// sendBadInput opens connections, sends the input on each, reads a few bytes and closes them. Every other connection is
+// closed with a TCP reset.
 func sendBadInput(address string, input []byte) {
 	var conns []net.Conn
 	for range badClientConnections {
@@ -67,11 +67,11 @@
 			break
 		}
 		_ = conn.SetDeadline(time.Now().Add(badClientTimeout))
-		_, _ = conn.Write(input) // the front end may have closed
+		_, _ = conn.Write(input) // the front end may have closed the connection
 		conns = append(conns, conn)
 	}
 	for i, conn := range conns {
-		_, _ = conn.Read(make([]byte, binary.MaxVarintLen64)) // the content doesn't matter
+		_, _ = conn.Read(make([]byte, binary.MaxVarintLen64)) // the content does not matter
 		if i%2 == 0 {
 			reset(conn)
 		}
--- a/internal/verification/soak/client.go
+++ b/internal/verification/soak/client.go
@@ -14,50 +14,51 @@
 
 const (
 	defaultRequestTimeout = 1500 * time.Millisecond
-	// responseGrace is the time after a request's timeout in which a response still counts.
+	// responseGrace is the time after a request's timeout during which a response is still accepted.
 	responseGrace = 500 * time.Millisecond
-	// closeCrossing is the maximum age of a request that may cross the front end's close of its connection.
-	closeCrossing       = 50 * time.Millisecond
+	// closeRaceWindow is the maximum age of a request that may be lost because the front end closed the connection while
+	// the request was on its way.
+	closeRaceWindow     = 50 * time.Millisecond
 	meanRequestInterval = 60 * time.Millisecond // on one connection
 	meanConnectionLife  = 3 * time.Second
 	maxOpenRequests     = 8    // on one connection
 	cancelFraction      = 0.06 // of requests that are cancelled, or whose connection is closed
-	// goAwayIgnoredFraction is the fraction of connections on which the client sends on after a go-away.
+	// goAwayIgnoredFraction is the fraction of connections on which the client keeps sending after a go-away frame.
 	goAwayIgnoredFraction = 0.5
 	maxCancelDelay        = 60 * time.Millisecond
 )
 
 // clientConn is one connection of a well-behaved client.
 type clientConn struct {
-	site     *site
+	harness  *harness
 	frontEnd *frontEnd
-	process  string // name of the process that it is connected to
+	process  string // name of the front end process that it is connected to
 	conn     net.Conn
 	openedAt time.Time
-	// ignoresGoAway has the client send until the connection ends.
+	// ignoresGoAway makes the client keep sending requests after a go-away frame, until the connection ends.
 	ignoresGoAway bool
 
 	mu         sync.Mutex
 	lastStream uint32
 	open       map[uint32]*clientRequest
 	goAway     bool
-	closed     bool          // by this side, or its end is recorded
+	closed     bool          // closed by the client, or its end is recorded
 	ended      chan struct{} // closed when the reader returns
 }
 
-// clientRequest is one open request.
+// clientRequest is a request that was sent on a connection.
 type clientRequest struct {
 	id     uint64
 	callID uint64
 	class  string
 	sentAt time.Time
-	// duringOutage is set if discovery was out of reach of the front end when the request was sent.
+	// duringOutage is set if discovery was unavailable to the front end when the request was sent.
 	duringOutage bool
 }
 
-// runClient sends requests to a front end until the load ends, on one connection after another.
-func (s *site) runClient(f *frontEnd, random *rand.Rand) {
-	for !s.loadEnded() {
+// runClient sends requests to a front end over successive connections until the load ends.
+func (h *harness) runClient(f *frontEnd, random *rand.Rand) {
+	for !h.loadEnded() {
 		if !f.acceptsConnections() {
 			time.Sleep(20 * time.Millisecond)
 			continue
@@ -65,11 +66,11 @@
 		process := f.processName()
 		conn, err := net.DialTimeout("tcp", f.listen, time.Second)
 		if err != nil {
-			time.Sleep(20 * time.Millisecond) // no request is lost with a refused connection
+			time.Sleep(20 * time.Millisecond) // a refused connection loses no request
 			continue
 		}
 		c := &clientConn{
-			site: s, frontEnd: f, process: process, conn: conn, openedAt: time.Now(), open: map[uint32]*clientRequest{},
+			harness: h, frontEnd: f, process: process, conn: conn, openedAt: time.Now(), open: map[uint32]*clientRequest{},
 			ended: make(chan struct{}), ignoresGoAway: random.Float64() < goAwayIgnoredFraction,
 		}
 		go c.readFrames()
@@ -78,10 +79,10 @@
 	}
 }
 
-// sendRequests sends requests until the connection's life is over, or it takes no further requests.
+// sendRequests sends requests until the connection reaches its lifetime, ends or accepts no further requests.
 func (c *clientConn) sendRequests(random *rand.Rand) {
 	life := time.Duration(random.ExpFloat64() * float64(meanConnectionLife))
-	for time.Since(c.openedAt) < life && !c.site.loadEnded() {
+	for time.Since(c.openedAt) < life && !c.harness.loadEnded() {
 		interval := time.Duration(random.ExpFloat64() * float64(meanRequestInterval))
 		select {
 		case <-c.ended:
@@ -107,7 +108,7 @@
 }
 
 func (c *clientConn) newRequest(random *rand.Rand) *clientRequest {
-	return &clientRequest{id: random.Uint64()>>1 + 1, callID: c.site.recorder.NextCallID(), class: classes[random.IntN(len(classes))]}
+	return &clientRequest{id: random.Uint64()>>1 + 1, callID: c.harness.recorder.NextCallID(), class: classes[random.IntN(len(classes))]}
 }
 
 // send sends a request and records it.
@@ -116,7 +117,7 @@
 	fields := []clientField{
 		{"kind", request.class},
 		{"req", requestName(request.id)},
-		{"timeout", strconv.FormatInt(c.site.requestTimeout().Milliseconds(), 10)},
+		{"timeout", strconv.FormatInt(c.harness.requestTimeout().Milliseconds(), 10)},
 		{"owner", "acme"},
 		{"subject", function},
 		{"ms", "20"},
@@ -134,16 +135,16 @@
 	stream := c.lastStream
 	c.open[stream] = request
 	request.sentAt = time.Now()
-	request.duringOutage = c.site.discovery.isOutFor(c.frontEnd.number)
-	c.site.recorder.Add(invariants.Record{
+	request.duringOutage = c.harness.discovery.isUnavailableFor(c.frontEnd.number)
+	c.harness.recorder.Add(invariants.Record{
 		Kind: invariants.RequestSent, CallID: request.callID, RequestID: requestName(request.id),
-		Class: request.class, Function: function, FrontEnd: c.process, Timeout: (c.site.requestTimeout() + responseGrace).Seconds(),
+		Class: request.class, Function: function, FrontEnd: c.process, Timeout: (c.harness.requestTimeout() + responseGrace).Seconds(),
 	})
-	_, _ = c.conn.Write(encodeClientFrame(frameRequest, stream, append(encodeFields(fields), "body"...))) // the reader sees the end of the connection
+	_, _ = c.conn.Write(encodeClientFrame(frameRequest, stream, append(encodeFields(fields), "body"...))) // readFrames reports a write to a closed connection
 	c.mu.Unlock()
 }
 
-// cancelLater cancels a request after a short time, or closes its connection.
+// cancelLater cancels a request after a random delay. In one of four cases it closes the connection instead.
 func (c *clientConn) cancelLater(request *clientRequest, random *rand.Rand) {
 	delay := time.Duration(random.Int64N(int64(maxCancelDelay)))
 	closeConnection := random.IntN(4) == 0
@@ -156,14 +157,14 @@
 	})
 }
 
-// cancel cancels a request that is still open.
+// cancel sends a cancel frame if the request is still open.
 func (c *clientConn) cancel(request *clientRequest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for stream, open := range c.open {
 		if open == request {
 			delete(c.open, stream)
-			_, _ = c.conn.Write(encodeClientFrame(frameCancel, stream, nil)) // the reader sees the end of the connection
+			_, _ = c.conn.Write(encodeClientFrame(frameCancel, stream, nil)) // readFrames reports a write to a closed connection
 			c.recordCancelled(request)
 		}
 	}
@@ -174,7 +175,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
-	_ = c.conn.Close() // the reader sees the end of the connection
+	_ = c.conn.Close() // ends readFrames
 	for _, request := range c.open {
 		c.recordCancelled(request)
 	}
@@ -182,15 +183,15 @@
 }
 
 func (c *clientConn) recordCancelled(request *clientRequest) {
-	c.site.recorder.Add(invariants.Record{
+	c.harness.recorder.Add(invariants.Record{
 		Kind: invariants.ClientCancelled, CallID: request.callID, RequestID: requestName(request.id),
 		Class: request.class, FrontEnd: c.process,
 	})
 }
 
-// finish waits for the responses to the open requests and closes the connection.
+// finish waits for the responses to the open requests, up to their timeout, and closes the connection.
 func (c *clientConn) finish() {
-	deadline := time.Now().Add(c.site.requestTimeout() + responseGrace)
+	deadline := time.Now().Add(c.harness.requestTimeout() + responseGrace)
 	for time.Now().Before(deadline) {
 		c.mu.Lock()
 		open := len(c.open)
@@ -203,7 +204,7 @@
 	c.mu.Lock()
 	c.closed = true
 	c.mu.Unlock()
-	_ = c.conn.Close() // no response is expected any more
+	_ = c.conn.Close() // no further response is expected
 	<-c.ended
 }
 
@@ -230,27 +231,28 @@
 
 var outcomes = map[byte]string{codeSucceeded: invariants.Succeeded, codeRejected: invariants.Rejected, codeFailed: invariants.Failed}
 
-// onResponse records a final response. The caller holds the lock.
+// onResponse checks the body of a final response and records its outcome. The caller holds c.mu.
 func (c *clientConn) onResponse(frame clientFrame) {
 	request := c.open[frame.stream]
 	if request == nil {
-		return // it crossed a cancel
+		return // the request was cancelled while the response was on its way
 	}
 	delete(c.open, frame.stream)
 	if frame.code == codeSucceeded && string(frame.body()) != string(responseBody(request.id)) {
-		c.site.violate("body", "%s of %s got %q", requestName(request.id), c.process, frame.body())
+		c.harness.violate("body", "request %s of %s: unexpected response body %q", requestName(request.id), c.process, frame.body())
 	}
-	c.site.recorder.Add(invariants.Record{
+	c.harness.recorder.Add(invariants.Record{
 		Kind: invariants.ResponseReceived, CallID: request.callID, RequestID: requestName(request.id),
 		Class: request.class, FrontEnd: c.process, Outcome: outcomes[frame.code],
 	})
 	if request.duringOutage {
-		c.site.countDuringOutage(frame.code == codeSucceeded)
+		c.harness.countDuringOutage(frame.code == codeSucceeded)
 	}
 }
 
-// onEnd records the requests that are lost with the connection. A killed process loses its open requests. Any other may
-// close a connection only while no request is open, but a request may cross the close.
+// onEnd records the requests that are lost with the connection. A killed process loses its open requests. Any other
+// process may close a connection only while no request is open on it. A request that is younger than closeRaceWindow is
+// exempt, because it may have been sent before the close arrived.
 func (c *clientConn) onEnd(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -259,16 +261,16 @@
 	}
 	killed := c.frontEnd.currentProcess().killed.Load() || c.frontEnd.processName() != c.process
 	for _, request := range c.open {
-		crossed := time.Since(request.sentAt) < closeCrossing
-		c.site.recorder.Add(invariants.Record{
+		racedClose := time.Since(request.sentAt) < closeRaceWindow
+		c.harness.recorder.Add(invariants.Record{
 			Kind: invariants.ConnectionLost, CallID: request.callID, RequestID: requestName(request.id),
 			Class: request.class, FrontEnd: c.process,
 		})
-		if !killed && !crossed {
-			c.site.violate("lost", "%s of %s: connection ended with %v, %v after the request", requestName(request.id), c.process, err,
+		if !killed && !racedClose {
+			c.harness.violate("lost", "request %s of %s lost: connection ended with %v, %v after the request was sent", requestName(request.id), c.process, err,
 				time.Since(request.sentAt))
 		}
 	}
 	clear(c.open)
-	c.closed = true // a later request would be recorded without an end
+	c.closed = true // stops further requests, whose end would never be recorded
 }
--- a/internal/verification/soak/config.go
+++ b/internal/verification/soak/config.go
@@ -9,11 +9,11 @@
 	"streamcleat/internal/verification/invariants"
 )
 
-// Limits of the site, as the front ends are configured with them and the records are checked against them.
+// Limits that the front ends are configured with and that the records are checked against.
 const (
-	functionCount           = 12  // functions that requests name
-	descriptorLimit         = 128 // of a front end
-	memoryMB                = 64  // of a front end
+	functionCount           = 12  // functions that clients request
+	descriptorLimit         = 128 // file descriptors of a front end
+	memoryMB                = 64  // memory limit of a front end
 	deduplicationWindow     = 30 * time.Second
 	warmUpTime              = 6 * time.Second
 	initialCapacityFraction = 0.3
@@ -22,18 +22,18 @@
 	defaultDrainGrace       = 500 * time.Millisecond
 )
 
-// Request classes of the site, named by their delivery semantics.
+// Request classes, named after their delivery semantics.
 const (
 	classIdempotent      = "free"
 	classIdempotentByKey = "guarded"
 	classAtMostOnce      = "single"
 )
 
-// classes are the request classes, in the order in which clients draw from them.
+// classes are the request classes that clients choose from. The order determines what a seed chooses.
 var classes = []string{classIdempotent, classIdempotentByKey, classAtMostOnce}
 
-// rules returns the rules that the records are checked against.
-func (s *site) rules() invariants.Rules {
+// rules returns the rules that the recorded traffic is checked against.
+func (h *harness) rules() invariants.Rules {
 	rules := invariants.Rules{
 		Semantics: map[string]string{
 			classIdempotent: "redeliverable", classIdempotentByKey: "keyed", classAtMostOnce: "at-most-once",
@@ -41,37 +41,38 @@
 		DeduplicationWindow:     map[string]float64{classIdempotentByKey: deduplicationWindow.Seconds()},
 		MeanWork:                meanWork.Seconds(),
 		Capacity:                map[string]float64{},
-		DrainGrace:              (s.settings.DrainGrace + 50*time.Millisecond).Seconds(),
+		DrainGrace:              (h.settings.DrainGrace + 50*time.Millisecond).Seconds(),
 		InitialCapacityFraction: initialCapacityFraction,
 		WarmUpTime:              warmUpTime.Seconds(),
 		OverloadFactor:          overloadFactor,
 		OverloadWindow:          overloadWindow.Seconds(),
 		ObservationDelay:        0.1,
-		DeadlineSlack:           0.15 - responseGrace.Seconds(), // the recorded timeouts of clients include responseGrace
+		DeadlineSlack:           0.15 - responseGrace.Seconds(), // the recorded client timeouts include responseGrace
 		IndependentFrontEnds:    true,
 	}
-	for number := range s.workerCount {
+	for number := range h.workerCount {
 		rules.Capacity[fmt.Sprintf("w%d", number+1)] = workerLanes
 	}
 	return rules
 }
 
-// document returns the platform's document for a front end. known are the events that it starts with.
-func (s *site) document(f *frontEnd, discoveryAddress string, known json.RawMessage) map[string]any {
+// document returns the configuration document that the platform gives a front end. known holds the discovery events that
+// the front end starts with.
+func (h *harness) document(f *frontEnd, discoveryAddress string, known json.RawMessage) map[string]any {
 	var peers []string
-	for _, other := range s.frontEnds {
+	for _, other := range h.frontEnds {
 		peers = append(peers, other.peer)
 	}
 	class := func(name, semantics string) map[string]any {
 		return map[string]any{
-			"Name": name, "AimMs": 300, "GiveUpMs": s.requestTimeout().Milliseconds(), "Idempotency": semantics, "Group": "all",
+			"Name": name, "AimMs": 300, "GiveUpMs": h.requestTimeout().Milliseconds(), "Idempotency": semantics, "Group": "all",
 			"MemorySpanMs": deduplicationWindow.Milliseconds(),
 		}
 	}
 	settings := map[string]any{
-		"Balancers": s.settings.FrontEnds, "Me": f.number, "RoundMs": 4, "Discovery": "automatic",
+		"Balancers": h.settings.FrontEnds, "Me": f.number, "RoundMs": 4, "Discovery": "automatic",
 		"Caps": map[string]any{
-			"Peers": !s.settings.WithoutPeers, "RetryAfter": true, "MaxRetryAfterMs": 500, "MostTries": 4, "MaxStreams": 32, "MaxOpen": 500,
+			"Peers": !h.settings.WithoutPeers, "RetryAfter": true, "MaxRetryAfterMs": 500, "MostTries": 4, "MaxStreams": 32, "MaxOpen": 500,
 			"DialTimeoutMs": 250, "IdleCloseMs": 5000,
 		},
 		"Classes": []any{
@@ -81,18 +82,19 @@
 		"Domain":   map[string]any{"MayOrder": true, "OrderTimeoutMs": 1000, "StaysLoadedMs": 8000, "WhenAbsent": "miss"},
 		"Rules": map[string]any{
 			"ColdFrom": initialCapacityFraction, "FallMs": overloadWindow.Milliseconds(), "FallMultiple": overloadFactor,
-			"WarmWithinMs": warmUpTime.Milliseconds(), "DrainGraceMs": s.settings.DrainGrace.Milliseconds(), "AskWithinMs": 10_000,
+			"WarmWithinMs": warmUpTime.Milliseconds(), "DrainGraceMs": h.settings.DrainGrace.Milliseconds(), "AskWithinMs": 10_000,
 		},
 	}
 	return map[string]any{
-		"name": f.name, "listen": f.listen, "seed": strconv.FormatUint(s.settings.Seed+uint64(f.number), 16),
+		"name": f.name, "listen": f.listen, "seed": strconv.FormatUint(h.settings.Seed+uint64(f.number), 16),
 		"limits":      map[string]any{"cores": 1, "memory_mb": memoryMB, "sockets": descriptorLimit},
 		"peer_listen": f.peer, "peers": peers, "journal": discoveryAddress, "known": known,
 		"settings": settings,
 	}
 }
 
-// faultVariable returns the environment variable that makes system calls fail in a program built with the tag faults.
-func (s *site) faultVariable(number, process int) string {
-	return fmt.Sprintf("STREAMCLEAT_FAULTS=%d:%g", s.settings.Seed*1000+uint64(number*10+process), s.settings.FaultRate)
+// faultVariable returns the environment variable that makes system calls fail at random in a program that is built with
+// the tag faults. The seed differs for each process.
+func (h *harness) faultVariable(number, process int) string {
+	return fmt.Sprintf("STREAMCLEAT_FAULTS=%d:%g", h.settings.Seed*1000+uint64(number*10+process), h.settings.FaultRate)
 }
--- a/internal/verification/soak/discovery.go
+++ b/internal/verification/soak/discovery.go
@@ -13,26 +13,26 @@
 	"time"
 )
 
-// States of a worker on the discovery service's wire.
+// Worker states in the protocol of the discovery service.
 const (
 	stateActive  = "active"
 	stateLeaving = "leaving"
 	stateLeft    = "left"
 )
 
-// movedWatchLifetime is the time for which watches at an address that was moved stay open.
+// movedWatchLifetime is how long watches stay open at an address that the service has moved away from.
 const movedWatchLifetime = 1500 * time.Millisecond
 
-// heartbeatInterval is the interval at which the service sends its last event number.
+// heartbeatInterval is the interval of heartbeats, each of which is the number of events so far.
 const heartbeatInterval = time.Second
 
-// workerEvent is a change of a worker's state.
+// workerEvent is a change of a worker's state in the endpoint list.
 type workerEvent struct {
 	worker    *worker
 	state     string
 	startedMs int64 // Unix milliseconds; 0 if the worker started long ago
 	addedAt   time.Time
-	outage    *outage // during which it was added; nil if there was none
+	outage    *outage // the outage during which the event was added; nil if there was none
 }
 
 // discoveryFault is a fault of the discovery service.
@@ -40,37 +40,38 @@
 
 const (
 	discoveryHealthy    discoveryFault = iota
-	discoverySilent                    // sends nothing
+	discoverySilent                    // keeps watches open and sends nothing
 	truncateEvents                     // closes watches in the middle of a line
 	duplicateEvents                    // sends each event twice
-	discoveryDown                      // closes watches and resets new ones
-	discoveryFaultCount                // number of the faults that end within seconds
+	discoveryDown                      // resets watches, open and new ones
+	discoveryFaultCount                // end of the values that injectDiscoveryFault chooses from
 
-	// Faults of an outage only.
-	truncateLines // closes watches in the middle of each line, a heartbeat or an event
-	trickleBytes  // sends one byte a second
-	repeatOldest  // sends the first event, an older number and empty lines, again and again
+	// Faults that occur only in outages.
+	truncateLines // closes watches in the middle of every line, heartbeats as well as events
+	trickleBytes  // sends one byte per second
+	repeatOldest  // repeatedly sends the first event, an outdated heartbeat and empty lines
 )
 
-// discovery is the fake discovery service: one log of events, sent to each front end with the addresses that it uses.
+// discovery is the fake discovery service. It has one log of events, and sends each event to each front end with the
+// worker address that is reserved for this front end.
 type discovery struct {
-	site    *site
+	harness *harness
 	fault   atomic.Int32
 	notices *noticeLog
 
 	mu      sync.Mutex
 	events  []workerEvent
-	changed chan struct{} // closed with the next event
-	outage  *outage       // nil while the service can be reached
+	changed chan struct{} // closed by the next event or the start of an outage
+	outage  *outage       // nil while the service is available to all front ends
 }
 
-func newDiscovery(s *site) *discovery {
-	d := &discovery{site: s, changed: make(chan struct{})}
+func newDiscovery(h *harness) *discovery {
+	d := &discovery{harness: h, changed: make(chan struct{})}
 	d.notices = newNoticeLog(d)
 	return d
 }
 
-// add appends an event.
+// add appends an event, wakes the watches, and schedules the record of its receipt.
 func (d *discovery) add(w *worker, state string, startedMs int64) {
 	d.mu.Lock()
 	event := workerEvent{worker: w, state: state, startedMs: startedMs, addedAt: time.Now(), outage: d.outage}
@@ -80,11 +81,11 @@
 	d.mu.Unlock()
 	d.notices.schedule(event)
 	if state == stateActive && startedMs == 0 {
-		d.notices.recordReturn(w)
+		d.notices.recordReactivation(w)
 	}
 }
 
-// encodeEvent returns the line of an event on a front end's watch. Events are numbered from 0.
+// encodeEvent encodes an event as a line of a front end's watch, without the newline. Events are numbered from 0.
 func (d *discovery) encodeEvent(number, frontEnd int) string {
 	e := d.event(number)
 	host := map[string]any{
@@ -101,8 +102,8 @@
 	return string(line)
 }
 
-// snapshot returns the part of a front end's document that has the events that the platform can have written to it: all
-// so far, or those before an outage that is under way. It also returns their number.
+// snapshot returns the events that the platform can have written to a front end's document, and their number: all events
+// so far or, during an outage that affects the front end, those before the outage.
 func (d *discovery) snapshot(frontEnd int) (known json.RawMessage, count int) {
 	count, _ = d.eventCount()
 	if o := d.currentOutage(); o != nil && o.affects(frontEnd) {
@@ -115,21 +116,21 @@
 	return fmt.Appendf(nil, `{"pos":%d,"entries":[%s]}`, count, strings.Join(lines, ",")), count
 }
 
-// eventCount returns the number of events, and a channel that is closed with the next one.
+// eventCount returns the number of events, and a channel that is closed by the next event or the start of an outage.
 func (d *discovery) eventCount() (count int, changed chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.events), d.changed
 }
 
-// event returns an event by its number.
+// event returns the event with the given number.
 func (d *discovery) event(number int) workerEvent {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.events[number]
 }
 
-// serve accepts watches of a front end until its listener is closed.
+// serve accepts watches of a front end until the listener is closed.
 func (d *discovery) serve(listener net.Listener, frontEnd int) {
 	for {
 		conn, err := listener.Accept()
@@ -144,7 +145,7 @@
 	}
 }
 
-// faultFor returns the fault that a front end meets.
+// faultFor returns the fault of the service as a front end sees it. The fault of an outage takes precedence.
 func (d *discovery) faultFor(frontEnd int) discoveryFault {
 	if o := d.currentOutage(); o != nil && o.affects(frontEnd) {
 		return o.fault
@@ -152,7 +153,7 @@
 	return discoveryFault(d.fault.Load())
 }
 
-// watch is one connection of a front end to the service.
+// watch is a connection of a front end to the service.
 type watch struct {
 	discovery *discovery
 	conn      net.Conn
@@ -161,22 +162,22 @@
 	next      int    // number of the next event to send
 }
 
-// serveWatch sends events and heartbeats until the watch or the load ends. A watch at an address that was moved tells nothing
-// more and is closed a while later.
+// serveWatch sends events and heartbeats until the watch or the load ends. A watch at an address that the service has moved
+// away from sends nothing more and is closed after movedWatchLifetime.
 func (d *discovery) serveWatch(conn net.Conn, listener net.Listener, frontEnd int) {
 	defer func() { _ = conn.Close() }() // the watch has ended
-	w := &watch{discovery: d, conn: conn, frontEnd: frontEnd, process: d.site.processName(frontEndName(frontEnd))}
+	w := &watch{discovery: d, conn: conn, frontEnd: frontEnd, process: d.harness.processName(frontEndName(frontEnd))}
 	request, err := bufio.NewReader(conn).ReadString('\n')
 	if err != nil {
 		return
 	}
 	w.next, err = strconv.Atoi(strings.TrimSpace(strings.TrimPrefix(request, "tail ")))
 	if err != nil {
-		d.site.violate("watch", "%s sent a malformed watch request %q", frontEndName(frontEnd), request)
+		d.harness.violate("watch", "%s sent a malformed watch request %q", frontEndName(frontEnd), request)
 		return
 	}
 	for {
-		if d.site.frontEnds[frontEnd].discoveryListener() != listener {
+		if d.harness.frontEnds[frontEnd].discoveryListener() != listener {
 			time.Sleep(movedWatchLifetime)
 			return
 		}
@@ -187,19 +188,19 @@
 		select {
 		case <-changed:
 		case <-time.After(heartbeatInterval):
-		case <-d.site.ended:
+		case <-d.harness.ended:
 			return
 		}
 	}
 }
 
-// Errors that end a watch by a fault of the service.
+// Errors that end a watch because of an injected fault.
 var (
 	errTruncated = errors.New("watch truncated")
-	errDown      = errors.New("service is down")
+	errDown      = errors.New("discovery service is down")
 )
 
-// send sends what is due on the watch, subject to a fault of the service. An error means that the watch has ended.
+// send sends the pending events and a heartbeat, or what the fault makes of them. An error ends the watch.
 func (w *watch) send(count int, fault discoveryFault) error {
 	switch fault {
 	case discoveryDown:
@@ -220,7 +221,7 @@
 	}
 }
 
-// nextLine returns the line that a watch in order would get next.
+// nextLine returns the line that a healthy service would send next: an event or a heartbeat.
 func (w *watch) nextLine(count int) string {
 	if w.next < count {
 		return w.discovery.encodeEvent(w.next, w.frontEnd) + "\n"
@@ -228,7 +229,7 @@
 	return fmt.Sprintln(count)
 }
 
-// trickle sends a line byte by byte until it is complete or the outage ends, which ends the watch.
+// trickle sends a line, one byte per second, until the line is complete or the outage ends. Either ends the watch.
 func (w *watch) trickle(line string) error {
 	for i := range len(line) {
 		if w.discovery.faultFor(w.frontEnd) != trickleBytes {
@@ -242,7 +243,7 @@
 	return errTruncated
 }
 
-// sendEvents sends the events up to count, and a heartbeat.
+// sendEvents sends the events up to count, followed by a heartbeat.
 func (w *watch) sendEvents(count int, fault discoveryFault) error {
 	for ; w.next < count; w.next++ {
 		line := w.discovery.encodeEvent(w.next, w.frontEnd)
@@ -255,7 +256,7 @@
 		}
 		w.discovery.notices.record(w.frontEnd, w.process, w.next+1)
 		if fault == duplicateEvents {
-			_, _ = fmt.Fprintln(w.conn, line) // the next write reports a closed watch
+			_, _ = fmt.Fprintln(w.conn, line) // if the watch is closed, the next write reports it
 		}
 	}
 	_, err := fmt.Fprintln(w.conn, count)
--- a/internal/verification/soak/doc.go
+++ b/internal/verification/soak/doc.go
@@ -1,8 +1,8 @@
-// Package soak runs front ends of the platform as real processes on loopback, with fake workers, a fake discovery
-// service and clients of its own, injects overlapping faults that are drawn from a seed, and checks the invariants on
-// the traffic that it recorded.
+// Package soak runs front ends as real processes on the loopback interface against fake workers, a fake discovery service
+// and simulated clients. It injects overlapping faults that are derived from a seed, records the traffic, and checks the
+// records against the invariants.
 //
-// One call of Run owns the processes, listeners, connections and the temporary folder of its site, and releases them
-// before it returns. The package shares no code with the program under test except the checker of invariants, which
-// shares none either. Its callers are the soak command and TestSoak.
+// Each call of Run owns its processes, listeners, connections and temporary folder, and releases them before it returns.
+// The package shares no code with the program under test. The checker of invariants, which it uses, shares none either. Its
+// callers are the soak command and TestSoak.
 package soak
--- a/internal/verification/soak/faults.go
+++ b/internal/verification/soak/faults.go
@@ -8,47 +8,48 @@
 	"time"
 )
 
-// fault is a kind of fault. inject returns when the fault is over.
+// fault is a kind of fault. inject injects it and returns when it is over.
 type fault struct {
 	name   string
-	inject func(s *site, random *rand.Rand)
+	inject func(h *harness, random *rand.Rand)
 }
 
-// faults are all kinds of fault. Their order is part of what a seed draws.
+// faults are the kinds of fault that injectFaults chooses from. Their order determines what a seed chooses.
 var faults = []fault{
-	{"restart", (*site).restartFrontEnds},
-	{"kill", (*site).killFrontEnds},
-	{"move-discovery", (*site).migrateDiscovery},
-	{"faulty-document", (*site).truncateDocuments},
-	{"pause", (*site).suspendFrontEnds},
-	{"log-reader-stalls", (*site).suspendLogReaders},
-	{"worker-crashes", (*site).crashWorkers},
-	{"worker-drains", (*site).drainWorkers},
-	{"worker-misbehaves", (*site).injectWorkerFaults},
-	{"discovery-misbehaves", (*site).injectDiscoveryFault},
-	{"bad-clients", (*site).runBadClients},
-	{"reload-while-stopping", (*site).reloadWhileStopping},
+	{"restart", (*harness).restartFrontEnds},
+	{"kill", (*harness).killFrontEnds},
+	{"move-discovery", (*harness).migrateDiscovery},
+	{"faulty-document", (*harness).truncateDocuments},
+	{"pause", (*harness).suspendFrontEnds},
+	{"log-reader-stalls", (*harness).suspendLogReaders},
+	{"worker-crashes", (*harness).crashWorkers},
+	{"worker-drains", (*harness).drainWorkers},
+	{"worker-misbehaves", (*harness).injectWorkerFaults},
+	{"discovery-misbehaves", (*harness).injectDiscoveryFault},
+	{"bad-clients", (*harness).runBadClients},
+	{"reload-while-stopping", (*harness).reloadWhileStopping},
 }
 
 const (
-	concurrentFaults = 3
-	minFaultDuration = 300 * time.Millisecond
-	maxFaultDuration = 2 * time.Second
-	faultFreeStart   = time.Second // before the first fault
+	concurrentFaults  = 3
+	minFaultDuration  = 300 * time.Millisecond
+	maxFaultDuration  = 2 * time.Second
+	initialFaultDelay = time.Second // from the start of the load to the first fault
 )
 
-// injectFaults injects faults of the seed, several at a time, until the duration of the load has passed.
-func (s *site) injectFaults(ctx context.Context) {
-	end := time.Now().Add(s.settings.Duration)
-	time.Sleep(faultFreeStart)
+// injectFaults injects randomly chosen faults, up to concurrentFaults at a time, until the load has lasted for its configured
+// duration or ctx ends.
+func (h *harness) injectFaults(ctx context.Context) {
+	end := time.Now().Add(h.settings.Duration)
+	time.Sleep(initialFaultDelay)
 	var running sync.WaitGroup
-	for lane := range concurrentFaults {
-		random := rand.New(rand.NewPCG(s.settings.Seed, 1<<32+uint64(lane)))
+	for injector := range concurrentFaults {
+		random := rand.New(rand.NewPCG(h.settings.Seed, 1<<32+uint64(injector)))
 		running.Go(func() {
 			for time.Now().Before(end) && ctx.Err() == nil {
 				next := faults[random.IntN(len(faults))]
-				s.logFault(next.name)
-				next.inject(s, random)
+				h.logFault(next.name)
+				next.inject(h, random)
 				time.Sleep(time.Duration(random.Int64N(int64(minFaultDuration))))
 			}
 		})
@@ -56,20 +57,20 @@
 	running.Wait()
 }
 
-func (s *site) logFault(name string) {
-	s.mu.Lock()
-	s.result.Faults = append(s.result.Faults, fmt.Sprintf("%.2f %s", s.recorder.Now(), name))
-	s.mu.Unlock()
-	s.settings.Log("%.2f %s", s.recorder.Now(), name)
+func (h *harness) logFault(name string) {
+	h.mu.Lock()
+	h.result.Faults = append(h.result.Faults, fmt.Sprintf("%.2f %s", h.recorder.Now(), name))
+	h.mu.Unlock()
+	h.settings.Log("%.2f %s", h.recorder.Now(), name)
 }
 
 func randomFaultDuration(random *rand.Rand) time.Duration {
 	return minFaultDuration + time.Duration(random.Int64N(int64(maxFaultDuration-minFaultDuration)))
 }
 
-// injectDiscoveryFault has the discovery service misbehave for a while.
-func (s *site) injectDiscoveryFault(random *rand.Rand) {
-	s.discovery.fault.Store(int32(1 + random.IntN(int(discoveryFaultCount)-1)))
+// injectDiscoveryFault makes the discovery service misbehave for a random time.
+func (h *harness) injectDiscoveryFault(random *rand.Rand) {
+	h.discovery.fault.Store(int32(1 + random.IntN(int(discoveryFaultCount)-1)))
 	time.Sleep(randomFaultDuration(random))
-	s.discovery.fault.Store(int32(discoveryHealthy))
+	h.discovery.fault.Store(int32(discoveryHealthy))
 }
--- a/internal/verification/soak/faults_front_end.go
+++ b/internal/verification/soak/faults_front_end.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// claim claims up to count front ends that no other fault has claimed.
-func (s *site) claim(random *rand.Rand, count int) []*frontEnd {
+// claim reserves up to count randomly chosen front ends for a fault. It skips those that another fault has claimed.
+func (h *harness) claim(random *rand.Rand, count int) []*frontEnd {
 	var claimed []*frontEnd
-	for _, number := range random.Perm(len(s.frontEnds))[:min(count, len(s.frontEnds))] {
-		if f := s.frontEnds[number]; f.claimed.CompareAndSwap(false, true) {
+	for _, number := range random.Perm(len(h.frontEnds))[:min(count, len(h.frontEnds))] {
+		if f := h.frontEnds[number]; f.claimed.CompareAndSwap(false, true) {
 			claimed = append(claimed, f)
 		}
 	}
 	return claimed
 }
 
-// forEachClaimed runs f for each front end concurrently, and releases each claim when f returns.
+// forEachClaimed calls f for all claimed front ends concurrently, and releases each claim when its call returns.
 func forEachClaimed(claimed []*frontEnd, f func(*frontEnd)) {
 	var running sync.WaitGroup
 	for _, frontEnd := range claimed {
@@ -31,49 +31,49 @@
 	running.Wait()
 }
 
-// startNextProcess starts the next process of a front end.
-func (s *site) startNextProcess(f *frontEnd) {
+// startNextProcess starts the next process of a front end, and updates the figures on restarts in the result.
+func (h *harness) startNextProcess(f *frontEnd) {
 	if err := f.start(); err != nil {
-		s.violate("start", "%v", err)
+		h.violate("start", "%v", err)
 		return
 	}
-	s.mu.Lock()
-	s.result.Restarts++
-	s.result.SlowestReady = max(s.result.SlowestReady, f.currentProcess().timeToReady.Seconds())
-	s.mu.Unlock()
+	h.mu.Lock()
+	h.result.Restarts++
+	h.result.SlowestReady = max(h.result.SlowestReady, f.currentProcess().timeToReady.Seconds())
+	h.mu.Unlock()
 }
 
-func (s *site) restartFrontEnds(random *rand.Rand) {
-	forEachClaimed(s.claim(random, 1+random.IntN(4)), func(f *frontEnd) {
+func (h *harness) restartFrontEnds(random *rand.Rand) {
+	forEachClaimed(h.claim(random, 1+random.IntN(4)), func(f *frontEnd) {
 		f.checkAlive()
 		f.terminate()
-		s.startNextProcess(f)
+		h.startNextProcess(f)
 	})
 }
 
-func (s *site) killFrontEnds(random *rand.Rand) {
-	forEachClaimed(s.claim(random, 1+random.IntN(4)), func(f *frontEnd) {
+func (h *harness) killFrontEnds(random *rand.Rand) {
+	forEachClaimed(h.claim(random, 1+random.IntN(4)), func(f *frontEnd) {
 		f.checkAlive()
 		f.kill()
-		s.startNextProcess(f)
+		h.startNextProcess(f)
 	})
 }
 
-// reloadWhileStopping sends SIGTERM, and SIGHUP up to 100 ms after it.
-func (s *site) reloadWhileStopping(random *rand.Rand) {
-	forEachClaimed(s.claim(random, 2), func(f *frontEnd) {
+// reloadWhileStopping sends SIGTERM, followed by SIGHUP within 100 ms, while the process is stopping.
+func (h *harness) reloadWhileStopping(random *rand.Rand) {
+	forEachClaimed(h.claim(random, 2), func(f *frontEnd) {
 		f.checkAlive()
 		time.AfterFunc(time.Duration(rand.Int64N(int64(100*time.Millisecond))), func() { f.reload() })
 		f.terminate()
-		s.startNextProcess(f)
+		h.startNextProcess(f)
 	})
 }
 
-// lastEventDelay is the time that a front end has to read what the old address sent last: whether an event that crosses the
-// signal was received can't be seen from outside.
+// lastEventDelay gives a front end time to read the last events of the old address before SIGHUP makes it switch to the new
+// one. The harness cannot observe whether an event that arrives together with the signal was read.
 const lastEventDelay = 20 * time.Millisecond
 
-// reload moves the front end to another discovery address.
+// reload moves discovery to another address and makes the front end reload its document.
 func (f *frontEnd) reload() {
 	if f.migrateDiscovery() != nil {
 		return
@@ -84,38 +84,38 @@
 	}
 }
 
-func (s *site) migrateDiscovery(random *rand.Rand) {
-	forEachClaimed(s.claim(random, 8), func(f *frontEnd) {
+func (h *harness) migrateDiscovery(random *rand.Rand) {
+	forEachClaimed(h.claim(random, 8), func(f *frontEnd) {
 		f.reload()
 		time.Sleep(100 * time.Millisecond)
-		f.reload() // two moves in quick succession
+		f.reload() // the second move in quick succession
 	})
 	time.Sleep(randomFaultDuration(random))
 }
 
-// truncateDocuments has front ends reload a document that is half written.
-func (s *site) truncateDocuments(random *rand.Rand) {
-	forEachClaimed(s.claim(random, 4), func(f *frontEnd) {
+// truncateDocuments makes front ends reload a document that is only half written.
+func (h *harness) truncateDocuments(random *rand.Rand) {
+	forEachClaimed(h.claim(random, 4), func(f *frontEnd) {
 		data, err := os.ReadFile(f.documentPath)
 		if err != nil {
-			s.violate("harness", "%v", err)
+			h.violate("harness", "%v", err)
 			return
 		}
 		if err := os.WriteFile(f.documentPath, data[:len(data)/2], 0o600); err != nil {
-			s.violate("harness", "%v", err)
+			h.violate("harness", "%v", err)
 		}
 		f.signal(syscall.SIGHUP)
 		time.Sleep(100 * time.Millisecond)
 		if _, err := f.writeDocument(); err != nil {
-			s.violate("harness", "%v", err)
+			h.violate("harness", "%v", err)
 		}
 	})
 }
 
-// suspendFrontEnds suspends processes for some tenths of a second, like a busy machine.
-func (s *site) suspendFrontEnds(random *rand.Rand) {
+// suspendFrontEnds suspends processes for 100 to 300 ms, as an overloaded machine would.
+func (h *harness) suspendFrontEnds(random *rand.Rand) {
 	duration := time.Duration(100+random.IntN(200)) * time.Millisecond
-	forEachClaimed(s.claim(random, 4), func(f *frontEnd) {
+	forEachClaimed(h.claim(random, 4), func(f *frontEnd) {
 		process := f.currentProcess().cmd.Process
 		_ = process.Signal(syscall.SIGSTOP) // it may have ended
 		time.Sleep(duration)
@@ -123,8 +123,8 @@
 	})
 }
 
-func (s *site) suspendLogReaders(random *rand.Rand) {
-	claimed := s.claim(random, 6)
+func (h *harness) suspendLogReaders(random *rand.Rand) {
+	claimed := h.claim(random, 6)
 	for _, f := range claimed {
 		f.currentProcess().log.suspended.Store(true)
 	}
--- a/internal/verification/soak/faults_outage.go
+++ b/internal/verification/soak/faults_outage.go
@@ -10,51 +10,53 @@
 )
 
 const (
-	// faultsDuringOutages is the number of faults that are under way at a time beside the outages.
-	faultsDuringOutages = 2
+	// concurrentFaultsDuringOutage is the number of other faults that are injected concurrently with the outages.
+	concurrentFaultsDuringOutage = 2
 	// minOutage and maxOutage bound the duration of an outage.
 	minOutage = 300 * time.Millisecond
 	maxOutage = 20 * time.Second
-	// maxTimeBetweenOutages bounds the time in which discovery is heard.
+	// maxTimeBetweenOutages bounds the time between outages, during which discovery is available.
 	maxTimeBetweenOutages = 3 * time.Second
-	// maxDrain bounds the time for which a worker drains.
+	// maxDrain bounds the time that a worker drains before it becomes active again, in addition to minFaultDuration.
 	maxDrain = 8 * time.Second
-	// cutOffFraction is the fraction of outages that only one front end meets.
-	cutOffFraction = 0.2
-	// signalsInSeries is the number of signals that follow a SIGTERM at most.
-	signalsInSeries = 5
+	// singleFrontEndFraction is the fraction of outages that affect only one front end.
+	singleFrontEndFraction = 0.2
+	// maxBurstSignals is the maximum number of further signals after a SIGTERM.
+	maxBurstSignals = 5
 )
 
-// faultsInOutage are the faults that are injected during outages, the pause last. Their order is part of what a seed draws.
-var faultsInOutage = []fault{
-	{"drain", (*site).drainAndReturn},
-	{"drain", (*site).drainAndReturn},
-	{"worker-drains", (*site).drainWorkers},
-	{"worker-crashes", (*site).crashWorkers},
-	{"restart", (*site).restartFrontEnds},
-	{"kill", (*site).killFrontEnds},
-	{"signals", (*site).signalInSeries},
-	{"move-discovery", (*site).migrateDiscovery},
-	{"pause", (*site).suspendFrontEnds},
+// faultsDuringOutage are the kinds of fault that are injected concurrently with outages. Their order determines what a seed
+// chooses. The pause is last because outageFaultCount leaves it out in runs without pauses.
+var faultsDuringOutage = []fault{
+	{"drain", (*harness).drainAndReactivate},
+	{"drain", (*harness).drainAndReactivate},
+	{"worker-drains", (*harness).drainWorkers},
+	{"worker-crashes", (*harness).crashWorkers},
+	{"restart", (*harness).restartFrontEnds},
+	{"kill", (*harness).killFrontEnds},
+	{"signals", (*harness).sendSignalBurst},
+	{"move-discovery", (*harness).migrateDiscovery},
+	{"pause", (*harness).suspendFrontEnds},
 }
 
-// outageTimeouts are the timeouts of clients that a seed draws from. With short ones the kill comes soon after SIGTERM.
+// outageTimeouts are the client timeouts that a seed chooses from. Short ones make SIGKILL follow soon after SIGTERM.
 var outageTimeouts = []time.Duration{400 * time.Millisecond, 800 * time.Millisecond, defaultRequestTimeout, 4 * time.Second}
 
-// drainGraces are the graces that a seed draws from, the bounds of the platform's deployments among them.
+// drainGraces are the drain graces that a seed chooses from. They include the bounds that the platform's deployments use.
 var drainGraces = []time.Duration{defaultDrainGrace, defaultDrainGrace, time.Second, 2 * time.Second}
 
-// withoutPeersFraction is the fraction of the seeds whose front ends may not send each other messages.
+// withoutPeersFraction is the fraction of seeds that run front ends without messages between peers.
 const withoutPeersFraction = 0.15
 
-// crowdConnections is the number of connections to each front end in a run with a crowd.
-const crowdConnections = 12
+// highConnectionCount is the number of connections to each front end in a run with many connections.
+const highConnectionCount = 12
 
-// drawOutageSite draws the settings of a run with outages that are not set.
-func (s *Settings) drawOutageSite() {
+// drawOutageSettings derives settings of a run with outages from the seed. Settings that the caller has set stay, but
+// DrainingAnswersQueries is always chosen by the seed.
+func (s *Settings) drawOutageSettings() {
 	random := rand.New(rand.NewPCG(s.Seed, 1<<34))
 	s.DrainingAnswersQueries = random.IntN(2) == 0
-	timeout, crowd := outageTimeouts[random.IntN(len(outageTimeouts))], random.IntN(3) == 0
+	timeout, manyConnections := outageTimeouts[random.IntN(len(outageTimeouts))], random.IntN(3) == 0
 	grace, withoutPeers := drainGraces[random.IntN(len(drainGraces))], random.Float64() < withoutPeersFraction
 	if s.DrainGrace == 0 {
 		s.DrainGrace = grace
@@ -63,36 +65,36 @@
 	if s.RequestTimeout == 0 {
 		s.RequestTimeout = timeout
 	}
-	if s.ConnectionsPerFrontEnd == 0 && crowd {
-		s.ConnectionsPerFrontEnd = crowdConnections
+	if s.ConnectionsPerFrontEnd == 0 && manyConnections {
+		s.ConnectionsPerFrontEnd = highConnectionCount
 	}
 }
 
-// describe returns the settings that drawOutageSite draws.
+// describe describes the settings that drawOutageSettings derives from the seed.
 func (s *Settings) describe() string {
 	return fmt.Sprintf("timeout %v, grace %v, %d connections to each front end, draining workers answer queries %v, peers %v", s.RequestTimeout,
 		s.DrainGrace, s.ConnectionsPerFrontEnd, s.DrainingAnswersQueries, !s.WithoutPeers)
 }
 
-// injectOutages injects outages of discovery, one after another, with faults of workers and front ends beside them.
-func (s *site) injectOutages(ctx context.Context) {
-	end := time.Now().Add(s.settings.Duration)
-	time.Sleep(faultFreeStart)
+// injectOutages injects successive discovery outages, and concurrently with them faults of workers and front ends.
+func (h *harness) injectOutages(ctx context.Context) {
+	end := time.Now().Add(h.settings.Duration)
+	time.Sleep(initialFaultDelay)
 	var running sync.WaitGroup
 	running.Go(func() {
-		random := rand.New(rand.NewPCG(s.settings.Seed, 1<<33))
+		random := rand.New(rand.NewPCG(h.settings.Seed, 1<<33))
 		for time.Now().Before(end) && ctx.Err() == nil {
-			s.injectOutage(ctx, random, end)
+			h.injectOutage(ctx, random, end)
 			sleep(ctx, time.Duration(random.Int64N(int64(maxTimeBetweenOutages))))
 		}
 	})
-	for lane := range faultsDuringOutages {
-		random := rand.New(rand.NewPCG(s.settings.Seed, 1<<33+1+uint64(lane)))
+	for injector := range concurrentFaultsDuringOutage {
+		random := rand.New(rand.NewPCG(h.settings.Seed, 1<<33+1+uint64(injector)))
 		running.Go(func() {
 			for time.Now().Before(end) && ctx.Err() == nil {
-				next := faultsInOutage[random.IntN(s.outageFaultCount())]
-				s.logFault(next.name)
-				next.inject(s, random)
+				next := faultsDuringOutage[random.IntN(h.outageFaultCount())]
+				h.logFault(next.name)
+				next.inject(h, random)
 				sleep(ctx, time.Duration(random.Int64N(int64(maxFaultDuration))))
 			}
 		})
@@ -100,16 +102,16 @@
 	running.Wait()
 }
 
-// outageFaultCount returns the number of faultsInOutage that are injected.
-func (s *site) outageFaultCount() int {
-	if s.settings.WithoutPauses {
-		return len(faultsInOutage) - 1
+// outageFaultCount returns how many of faultsDuringOutage are injected, counted from the first.
+func (h *harness) outageFaultCount() int {
+	if h.settings.WithoutPauses {
+		return len(faultsDuringOutage) - 1
 	}
-	return len(faultsInOutage)
+	return len(faultsDuringOutage)
 }
 
-// injectOutage plays one outage of any kind. Half of them last less than two seconds.
-func (s *site) injectOutage(ctx context.Context, random *rand.Rand, end time.Time) {
+// injectOutage injects one outage of a random kind. At least half of the outages last less than two seconds.
+func (h *harness) injectOutage(ctx context.Context, random *rand.Rand, end time.Time) {
 	names := []DiscoveryFault{ConnectionsReset, ServiceSilent, LinesTruncated, BytesTrickle, OldestRepeated}
 	fault := names[random.IntN(len(names))]
 	longest := maxFaultDuration
@@ -117,54 +119,55 @@
 		longest = maxOutage
 	}
 	duration := minOutage + time.Duration(random.Int64N(int64(longest-minOutage)))
-	onlyFrontEnd := everyFrontEnd
-	if random.Float64() < cutOffFraction {
-		onlyFrontEnd = random.IntN(len(s.frontEnds))
+	onlyFrontEnd := allFrontEnds
+	if random.Float64() < singleFrontEndFraction {
+		onlyFrontEnd = random.IntN(len(h.frontEnds))
 	}
-	s.logFault(fmt.Sprintf("outage of discovery (%s, front end %d, %v)", fault, onlyFrontEnd, duration.Round(time.Millisecond)))
-	s.discovery.beginOutage(outageFaults[fault], onlyFrontEnd)
+	h.logFault(fmt.Sprintf("outage of discovery (%s, front end %d, %v)", fault, onlyFrontEnd, duration.Round(time.Millisecond)))
+	h.discovery.beginOutage(discoveryFaultsByName[fault], onlyFrontEnd)
 	sleep(ctx, min(duration, time.Until(end)))
-	s.endOutage()
+	h.endOutage()
 }
 
-// drainAndReturn has workers drain while they run on and reject everything, and then return.
-func (s *site) drainAndReturn(random *rand.Rand) {
+// drainAndReactivate makes up to three workers drain: they keep running and reject everything. After a random time they
+// become active again.
+func (h *harness) drainAndReactivate(random *rand.Rand) {
 	var draining []*worker
 	for range 1 + random.IntN(3) {
-		if w := s.takeWorker(random); w != nil {
-			s.logFault(w.name + " drains")
-			s.discovery.add(w, stateLeaving, 0)
+		if w := h.takeWorker(random); w != nil {
+			h.logFault(w.name + " drains")
+			h.discovery.add(w, stateLeaving, 0)
 			w.draining.Store(true)
 			draining = append(draining, w)
 		}
 	}
 	time.Sleep(minFaultDuration + time.Duration(random.Int64N(int64(maxDrain))))
 	for _, w := range draining {
-		s.logFault(w.name + " returns")
+		h.logFault(w.name + " returns")
 		w.draining.Store(false)
-		s.discovery.add(w, stateActive, 0)
-		s.mu.Lock()
-		s.workers = append(s.workers, w)
-		s.mu.Unlock()
+		h.discovery.add(w, stateActive, 0)
+		h.mu.Lock()
+		h.workers = append(h.workers, w)
+		h.mu.Unlock()
 	}
 }
 
-// signalInSeries sends SIGTERM and further signals behind it in any order, and starts the next process.
-func (s *site) signalInSeries(random *rand.Rand) {
-	signals := make([]syscall.Signal, 1+random.IntN(signalsInSeries))
+// sendSignalBurst sends SIGTERM and then a random sequence of SIGTERM and SIGHUP, and starts the next process.
+func (h *harness) sendSignalBurst(random *rand.Rand) {
+	signals := make([]syscall.Signal, 1+random.IntN(maxBurstSignals))
 	for i := range signals {
 		signals[i] = []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP}[random.IntN(2)]
 	}
-	pause := time.Duration(random.Int64N(int64(100 * time.Millisecond)))
-	forEachClaimed(s.claim(random, 2), func(f *frontEnd) {
+	interval := time.Duration(random.Int64N(int64(100 * time.Millisecond)))
+	forEachClaimed(h.claim(random, 2), func(f *frontEnd) {
 		f.checkAlive()
 		go func() {
 			for _, sig := range signals {
-				time.Sleep(pause)
+				time.Sleep(interval)
 				f.signal(sig)
 			}
 		}()
 		f.terminate()
-		s.startNextProcess(f)
+		h.startNextProcess(f)
 	})
 }
--- a/internal/verification/soak/faults_worker.go
+++ b/internal/verification/soak/faults_worker.go
@@ -5,58 +5,61 @@
 	"time"
 )
 
-// takeWorker removes a random worker from the active ones, unless at most half of them are left.
-func (s *site) takeWorker(random *rand.Rand) *worker {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if len(s.workers) <= s.settings.Workers/2 {
+// takeWorker removes a random worker from the active ones and returns it. It returns nil if no more than half of the initial
+// number of workers is active.
+func (h *harness) takeWorker(random *rand.Rand) *worker {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if len(h.workers) <= h.settings.Workers/2 {
 		return nil
 	}
-	index := random.IntN(len(s.workers))
-	w := s.workers[index]
-	s.workers = append(s.workers[:index], s.workers[index+1:]...)
+	index := random.IntN(len(h.workers))
+	w := h.workers[index]
+	h.workers = append(h.workers[:index], h.workers[index+1:]...)
 	return w
 }
 
-// crashWorkers crashes workers without a drain notice. Others take over their addresses at once.
-func (s *site) crashWorkers(random *rand.Rand) {
+// crashWorkers crashes up to three workers without a drain notice. A new worker takes over the addresses of each as soon as
+// the endpoint list has dropped it.
+func (h *harness) crashWorkers(random *rand.Rand) {
 	for range 1 + random.IntN(3) {
-		w := s.takeWorker(random)
+		w := h.takeWorker(random)
 		if w == nil {
 			return
 		}
 		w.crash()
 		time.Sleep(time.Duration(random.Int64N(int64(minFaultDuration))))
-		s.discovery.add(w, stateLeft, 0)
-		if err := s.addWorker(w.addresses); err != nil {
-			s.violate("harness", "%v", err)
+		h.discovery.add(w, stateLeft, 0)
+		if err := h.addWorker(w.addresses); err != nil {
+			h.violate("harness", "%v", err)
 		}
 	}
 }
 
-// drainWorkers drains workers, replaces them by new ones, and ends them.
-func (s *site) drainWorkers(random *rand.Rand) {
+// drainWorkers drains up to three workers one after another. It adds a new worker for each before it terminates the old
+// one.
+func (h *harness) drainWorkers(random *rand.Rand) {
 	for range 1 + random.IntN(3) {
-		w := s.takeWorker(random)
+		w := h.takeWorker(random)
 		if w == nil {
 			return
 		}
 		w.draining.Store(true)
-		s.discovery.add(w, stateLeaving, 0)
-		if err := s.addWorker(nil); err != nil {
-			s.violate("harness", "%v", err)
+		h.discovery.add(w, stateLeaving, 0)
+		if err := h.addWorker(nil); err != nil {
+			h.violate("harness", "%v", err)
 		}
 		time.Sleep(randomFaultDuration(random))
-		s.discovery.add(w, stateLeft, 0)
+		h.discovery.add(w, stateLeft, 0)
 		w.crash()
 	}
 }
 
-// injectWorkerFaults has some workers misbehave for a while.
-func (s *site) injectWorkerFaults(random *rand.Rand) {
-	s.mu.Lock()
-	chosen := append([]*worker(nil), s.workers...)
-	s.mu.Unlock()
+// injectWorkerFaults makes up to three workers misbehave for a random time.
+func (h *harness) injectWorkerFaults(random *rand.Rand) {
+	h.mu.Lock()
+	chosen := append([]*worker(nil), h.workers...)
+	h.mu.Unlock()
 	random.Shuffle(len(chosen), func(i, j int) { chosen[i], chosen[j] = chosen[j], chosen[i] })
 	chosen = chosen[:min(len(chosen), 1+random.IntN(3))]
 	for _, w := range chosen {
--- a/internal/verification/soak/frames.go
+++ b/internal/verification/soak/frames.go
@@ -8,10 +8,10 @@
 	"strings"
 )
 
-// Frames between front ends and workers, as the platform specifies them.
+// Layout and codes of the frames between front ends and workers, as the platform specifies them.
 const (
-	frontEndMark     = 192 // first byte of a front end's frame
-	workerMark       = 193 // first byte of a worker's frame
+	frontEndMagic    = 192 // first byte of a front end's frame
+	workerMagic      = 193 // first byte of a worker's frame
 	workerHeaderSize = 16
 	workerBodyOffset = 4
 	workerIDOffset   = 8
@@ -43,8 +43,8 @@
 	if _, err := io.ReadFull(in, header[:]); err != nil {
 		return frame, err
 	}
-	if header[0] != frontEndMark {
-		return frame, fmt.Errorf("unknown frame mark %d", header[0])
+	if header[0] != frontEndMagic {
+		return frame, fmt.Errorf("unknown first byte %d of a frame", header[0])
 	}
 	fieldsSize := int(binary.BigEndian.Uint16(header[2:]))
 	bodySize := int(binary.BigEndian.Uint32(header[workerBodyOffset:]))
@@ -54,7 +54,7 @@
 	}
 	content := payload[:fieldsSize+bodySize]
 	if crc32.ChecksumIEEE(content) != binary.BigEndian.Uint32(payload[len(content):]) {
-		return frame, fmt.Errorf("wrong checksum of command %d", header[1])
+		return frame, fmt.Errorf("checksum mismatch in frame with command %d", header[1])
 	}
 	frame = workerFrame{
 		command: header[1], id: binary.BigEndian.Uint64(header[workerIDOffset:]), fields: map[string]string{},
@@ -67,16 +67,16 @@
 	return frame, nil
 }
 
-// encodeReply encodes a worker's reply.
+// encodeReply encodes a worker's reply frame.
 func encodeReply(code byte, id uint64, fields string, body []byte) []byte {
-	b := binary.BigEndian.AppendUint16([]byte{workerMark, code}, uint16(len(fields)))
+	b := binary.BigEndian.AppendUint16([]byte{workerMagic, code}, uint16(len(fields)))
 	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
 	b = binary.BigEndian.AppendUint64(b, id)
 	b = append(append(b, fields...), body...)
 	return binary.BigEndian.AppendUint32(b, crc32.ChecksumIEEE(b[workerHeaderSize:]))
 }
 
-// Frames between clients and front ends.
+// Types and codes of the frames between clients and front ends.
 const (
 	frameRequest        = 1
 	frameResponse       = 2
@@ -90,13 +90,13 @@
 	codeFailed    = 13
 
 	clientLengthSize = 4
-	clientHeaderSize = 5 // type and stream
+	clientHeaderSize = 5 // frame type and stream ID
 )
 
-// clientField is one field of a client's frame.
+// clientField is a named field in the payload of a client's frame.
 type clientField struct{ name, value string }
 
-// encodeClientFrame encodes a client's frame.
+// encodeClientFrame encodes a frame that a client sends to a front end.
 func encodeClientFrame(kind byte, stream uint32, payload []byte) []byte {
 	b := binary.BigEndian.AppendUint32(nil, uint32(clientHeaderSize+len(payload)))
 	b = binary.BigEndian.AppendUint32(append(b, kind), stream)
@@ -132,19 +132,19 @@
 		return frame, err
 	}
 	if len(data) < clientHeaderSize {
-		return frame, fmt.Errorf("frame of %d bytes", len(data))
+		return frame, fmt.Errorf("frame of %d bytes is shorter than its header", len(data))
 	}
 	frame = clientFrame{kind: data[0], stream: binary.BigEndian.Uint32(data[1:]), payload: data[clientHeaderSize:]}
 	if frame.kind == frameResponse || frame.kind == frameReadiness {
 		if len(frame.payload) < 2 {
-			return frame, fmt.Errorf("response of %d bytes", len(frame.payload))
+			return frame, fmt.Errorf("response payload of %d bytes is too short", len(frame.payload))
 		}
 		frame.code, frame.payload = frame.payload[0], frame.payload[1:]
 	}
 	return frame, nil
 }
 
-// body returns the part of a response after its fields.
+// body returns the part of a response payload that follows the fields.
 func (f *clientFrame) body() []byte {
 	rest := f.payload
 	count := int(rest[0])
--- a/internal/verification/soak/front_end.go
+++ b/internal/verification/soak/front_end.go
@@ -18,51 +18,51 @@
 )
 
 const (
-	// killDelay is the time from the end of the longest request timeout after SIGTERM to SIGKILL.
-	killDelay = 700 * time.Millisecond
-	// maxCountedTimeout is the longest request timeout that the platform allows for.
-	maxCountedTimeout = 3 * time.Second
-	// connectWindow is the time after SIGTERM in which clients still connect.
+	// killMargin is the time that the platform adds to the request timeout before it follows SIGTERM with SIGKILL.
+	killMargin = 700 * time.Millisecond
+	// maxTimeoutBeforeKill is the longest request timeout that the platform waits for before SIGKILL.
+	maxTimeoutBeforeKill = 3 * time.Second
+	// connectWindow is the time after SIGTERM during which clients still open connections.
 	connectWindow = 300 * time.Millisecond
-	// readyTimeout is the maximum time from a start to readiness.
+	// readyTimeout is the maximum time from the start of a process to its readiness.
 	readyTimeout = 10 * time.Second
-	// maxRetainedLog is the number of bytes that are retained of each process's log.
+	// maxRetainedLog is the size in bytes above which no more of a process's log is retained in memory.
 	maxRetainedLog = 64 << 10
 )
 
-// frontEnd is a front end. It runs as one process after another.
+// frontEnd is a front end, which runs as a succession of processes.
 type frontEnd struct {
-	site         *site
+	harness      *harness
 	number       int
 	name         string
 	listen, peer string
 	documentPath string
-	claimed      atomic.Bool // by a fault that is under way
+	claimed      atomic.Bool // reserved by a fault that is in progress
 
 	mu           sync.Mutex
 	process      *process
-	processes    int // started so far
+	processes    int // number of processes started so far
 	discovery    net.Listener
-	terminatedAt time.Time // SIGTERM of the current process; zero if there was none
-	accepting    bool      // the process is ready and has not ended
+	terminatedAt time.Time // when SIGTERM was sent to the current process; zero if it was not
+	accepting    bool      // the process became ready, and was neither killed nor seen to end
 }
 
 // process is one process of a front end.
 type process struct {
 	cmd         *exec.Cmd
 	log         *logReader
-	done        chan struct{} // closed at its end
-	err         error         // of its end; valid once done is closed
+	done        chan struct{} // closed when the process has ended
+	err         error         // result of Wait; valid once done is closed
 	killed      atomic.Bool
 	timeToReady time.Duration
 }
 
-// logReader reads the log of a process. It can be suspended.
+// logReader reads the log of a process. While it is suspended, the process's writes to the log block.
 type logReader struct {
 	suspended atomic.Bool
 	mu        sync.Mutex
 	retained  bytes.Buffer
-	file      *os.File // nil unless the settings have a folder for logs
+	file      *os.File // nil unless Settings.LogFolder is set
 }
 
 // Write implements io.Writer.
@@ -81,10 +81,10 @@
 	return len(data), nil
 }
 
-// close closes the file.
+// close closes the log file, if there is one.
 func (r *logReader) close() {
 	if r.file != nil {
-		_ = r.file.Close() // a truncated log only misses its end
+		_ = r.file.Close() // on an error, only the end of the log is lost
 	}
 }
 
@@ -94,26 +94,26 @@
 	return r.retained.String()
 }
 
-// frontEndName returns the name of a front end.
+// frontEndName returns the name of the front end with a number.
 func frontEndName(number int) string { return fmt.Sprintf("n%d", number) }
 
-// processName returns the name of the current process. Records name processes, as the next process of a front end does
-// not continue the requests of the previous one.
+// processName returns the name of the current process. Records identify processes rather than front ends, because the next
+// process of a front end does not continue the requests of the previous one.
 func (f *frontEnd) processName() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return fmt.Sprintf("%s/%d", f.name, f.processes)
 }
 
-// discoveryListener returns the listener of the address that discovery was moved to last.
+// discoveryListener returns the listener at the current discovery address.
 func (f *frontEnd) discoveryListener() net.Listener {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.discovery
 }
 
-// migrateDiscovery serves discovery watches at another address. The old address accepts no further connections, and the
-// watches on it get no more events.
+// migrateDiscovery moves discovery to a new address. The old address accepts no further connections, and watches on it
+// receive no further events.
 func (f *frontEnd) migrateDiscovery() error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -126,28 +126,28 @@
 	if old != nil {
 		_ = old.Close() // it is not used again
 	}
-	go f.site.discovery.serve(listener, f.number)
+	go f.harness.discovery.serve(listener, f.number)
 	return nil
 }
 
-// writeDocument replaces the front end's document. It returns the number of events in it.
+// writeDocument atomically replaces the front end's document, and returns the number of events in it.
 func (f *frontEnd) writeDocument() (events int, err error) {
 	f.mu.Lock()
 	address := f.discovery.Addr().String()
 	f.mu.Unlock()
-	known, events := f.site.discovery.snapshot(f.number)
-	data, err := json.Marshal(f.site.document(f, address, known))
+	known, events := f.harness.discovery.snapshot(f.number)
+	data, err := json.Marshal(f.harness.document(f, address, known))
 	if err != nil {
 		return 0, err
 	}
-	temporary := f.documentPath + ".new"
-	if err := os.WriteFile(temporary, data, 0o600); err != nil {
+	temporaryPath := f.documentPath + ".new"
+	if err := os.WriteFile(temporaryPath, data, 0o600); err != nil {
 		return 0, err
 	}
-	return events, os.Rename(temporary, f.documentPath)
+	return events, os.Rename(temporaryPath, f.documentPath)
 }
 
-// start starts a process and waits until it is ready.
+// start starts the front end's next process and waits until it is ready.
 func (f *frontEnd) start() error {
 	f.mu.Lock()
 	f.processes++
@@ -156,11 +156,11 @@
 	if err != nil {
 		return err
 	}
-	f.site.discovery.notices.onProcessStart(f, events)
+	f.harness.discovery.notices.onProcessStart(f, events)
 	p := &process{log: &logReader{}, done: make(chan struct{})}
-	limit := fmt.Sprintf("ulimit -n %d; exec \"$0\" node --log info", descriptorLimit)
-	p.cmd = exec.Command("sh", "-c", limit, f.site.settings.Program)
-	p.cmd.Env = append(os.Environ(), "RELAY_CONFIG="+f.documentPath, f.site.faultVariable(f.number, f.processes))
+	command := fmt.Sprintf("ulimit -n %d; exec \"$0\" node --log info", descriptorLimit)
+	p.cmd = exec.Command("sh", "-c", command, f.harness.settings.Program)
+	p.cmd.Env = append(os.Environ(), "RELAY_CONFIG="+f.documentPath, f.harness.faultVariable(f.number, f.processes))
 	p.cmd.Stderr = p.log
 	if p.log.file, err = f.openLogFile(); err != nil {
 		return err
@@ -179,16 +179,16 @@
 	return f.awaitReady(p)
 }
 
-// openLogFile opens the file for the log of the current process, or returns nil if logs are not kept.
+// openLogFile creates the log file of the current process. It returns nil if Settings.LogFolder is not set.
 func (f *frontEnd) openLogFile() (*os.File, error) {
-	if f.site.settings.LogFolder == "" {
+	if f.harness.settings.LogFolder == "" {
 		return nil, nil
 	}
 	name := strings.ReplaceAll(f.processName(), "/", "-") + ".log"
-	return os.Create(filepath.Join(f.site.settings.LogFolder, name))
+	return os.Create(filepath.Join(f.harness.settings.LogFolder, name))
 }
 
-// awaitReady polls the front end until it is ready. Clients connect from then on.
+// awaitReady polls the front end until it is ready, and then lets clients connect.
 func (f *frontEnd) awaitReady(p *process) error {
 	startedAt := time.Now()
 	for time.Since(startedAt) < readyTimeout {
@@ -214,7 +214,7 @@
 	if err != nil {
 		return false
 	}
-	defer func() { _ = conn.Close() }() // the response was read
+	defer func() { _ = conn.Close() }() // the response has been read
 	_ = conn.SetDeadline(time.Now().Add(time.Second))
 	if _, err := conn.Write(encodeClientFrame(frameReadinessQuery, 0, []byte{0})); err != nil {
 		return false
@@ -226,48 +226,50 @@
 // acceptsConnections reports whether clients may open connections now.
 func (f *frontEnd) acceptsConnections() bool { return f.acceptsWithin(connectWindow) }
 
-// acceptsRequests reports whether clients may send requests on open connections now: they do so until the kill.
-func (f *frontEnd) acceptsRequests() bool { return f.acceptsWithin(f.site.killDelay()) }
+// acceptsRequests reports whether clients may send requests on open connections now. After SIGTERM they go on until SIGKILL
+// is due.
+func (f *frontEnd) acceptsRequests() bool { return f.acceptsWithin(f.harness.killDelay()) }
 
-// acceptsWithin reports whether the process is ready, and at most window has passed since its SIGTERM.
+// acceptsWithin reports whether the process is accepting and less than window has passed since SIGTERM, if it was sent.
 func (f *frontEnd) acceptsWithin(window time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.accepting && (f.terminatedAt.IsZero() || time.Since(f.terminatedAt) < window)
 }
 
-// currentProcess returns the newest process, nil before the first start.
+// currentProcess returns the most recently started process, or nil before the first start.
 func (f *frontEnd) currentProcess() *process {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.process
 }
 
-// signal sends a signal to the current process.
+// signal sends a signal to the current process, if it is still running.
 func (f *frontEnd) signal(sig os.Signal) {
-	_ = f.currentProcess().cmd.Process.Signal(sig) // it may have ended
+	_ = f.currentProcess().cmd.Process.Signal(sig) // the process may have ended
 }
 
-// terminate sends SIGTERM and waits for the end of the process. Like the platform, it kills a process that is overdue.
+// terminate sends SIGTERM and waits for the process to end. Like the platform, it kills a process that has not ended in time,
+// which is a violation.
 func (f *frontEnd) terminate() {
 	p := f.currentProcess()
 	f.mu.Lock()
 	f.terminatedAt = time.Now()
 	f.mu.Unlock()
-	_ = p.cmd.Process.Signal(syscall.SIGTERM) // its end is awaited below
+	_ = p.cmd.Process.Signal(syscall.SIGTERM) // the process may have ended; the select below waits for its end
 	select {
 	case <-p.done:
 		if p.err != nil {
-			f.site.violate("exit", "%s exited with %v\n%s", f.processName(), p.err, p.log)
+			f.harness.violate("exit", "%s exited after SIGTERM with %v\n%s", f.processName(), p.err, p.log)
 		}
-	case <-time.After(f.site.killDelay()):
-		f.site.violate("exit", "%s still running %v after SIGTERM\n%s", f.processName(), f.site.killDelay(), p.log)
+	case <-time.After(f.harness.killDelay()):
+		f.harness.violate("exit", "%s is still running %v after SIGTERM\n%s", f.processName(), f.harness.killDelay(), p.log)
 		f.kill()
 	}
 	f.stopAccepting()
 }
 
-// kill sends SIGKILL and waits for the end of the process.
+// kill sends SIGKILL and waits for the process to end.
 func (f *frontEnd) kill() {
 	p := f.currentProcess()
 	f.stopAccepting()
@@ -282,7 +284,7 @@
 	f.accepting = false
 }
 
-// checkAlive records a violation if the process ended without a signal of the harness.
+// checkAlive records a violation if the process ended although the harness sent neither SIGTERM nor SIGKILL.
 func (f *frontEnd) checkAlive() {
 	p := f.currentProcess()
 	select {
@@ -291,16 +293,16 @@
 		terminated := !f.terminatedAt.IsZero()
 		f.mu.Unlock()
 		if !terminated && !p.killed.Load() {
-			f.site.violate("crash", "%s exited unexpectedly: %v\n%s", f.processName(), p.err, p.log)
+			f.harness.violate("crash", "%s exited unexpectedly: %v\n%s", f.processName(), p.err, p.log)
 		}
 	default:
 	}
 }
 
-// newFrontEnd reserves the addresses of a front end, and serves discovery to it.
-func (s *site) newFrontEnd(number int) (*frontEnd, error) {
+// newFrontEnd reserves the addresses of a front end and starts to serve discovery to it. It starts no process.
+func (h *harness) newFrontEnd(number int) (*frontEnd, error) {
 	name := frontEndName(number)
-	f := &frontEnd{site: s, number: number, name: name, documentPath: filepath.Join(s.folder, name+".json")}
+	f := &frontEnd{harness: h, number: number, name: name, documentPath: filepath.Join(h.folder, name+".json")}
 	var err error
 	if f.listen, err = ports.Reserve(); err != nil {
 		return nil, err
--- a/internal/verification/soak/notices.go
+++ b/internal/verification/soak/notices.go
@@ -10,66 +10,69 @@
 // stateServing is the state of an active worker in records.
 const stateServing = "serving"
 
-// noticeLog records from when the events of the discovery service count as received by each process of a front end: when
-// they are sent to it, when it starts with them, or, during an outage, at the times of the platform's terms.
+// noticeLog records the time from which each process of a front end counts as having received an event of the discovery
+// service: when the event is sent to it, when it starts with the event in its document or, during an outage, at the time
+// that the platform's terms set (see outage.noticeTime).
 type noticeLog struct {
 	discovery *discovery
 
 	mu    sync.Mutex
-	count map[string]int // events that count as received, by process
+	count map[string]int // number of events that count as received, by process name
 }
 
 func newNoticeLog(d *discovery) *noticeLog { return &noticeLog{discovery: d, count: map[string]int{}} }
 
-// schedule records an event at the time of the platform's terms, for the front ends that an outage cuts off.
+// schedule arranges that an event which was added during an outage is recorded at its notice time for the front ends that
+// the outage affects.
 func (n *noticeLog) schedule(e workerEvent) {
 	if e.outage == nil {
-		return // recorded when it is sent
+		return // the event is recorded when it is sent
 	}
-	for _, f := range n.discovery.site.frontEnds {
+	for _, f := range n.discovery.harness.frontEnds {
 		if e.outage.affects(f.number) {
 			time.AfterFunc(time.Until(e.outage.noticeTime(e.addedAt)), func() { n.recordDue(f) })
 		}
 	}
 }
 
-// recordDue records the events that count as received by a front end by now, though they were not sent to it.
+// recordDue records the events that count as received by a front end by now although they were not sent to it.
 func (n *noticeLog) recordDue(f *frontEnd) {
 	process := f.processName()
 	n.mu.Lock()
 	due := n.count[process]
 	n.mu.Unlock()
-	for all, _ := n.discovery.eventCount(); due < all && n.isDue(due, f.number); due++ {
+	for total, _ := n.discovery.eventCount(); due < total && n.isDue(due, f.number); due++ {
 	}
 	n.record(f.number, process, due)
 }
 
-// isDue reports whether an event counts as received by a front end by now, by the outage in which it was added.
+// isDue reports whether an event was added during an outage that affects a front end, and its notice time has passed.
 func (n *noticeLog) isDue(number, frontEnd int) bool {
 	e := n.discovery.event(number)
 	return e.outage != nil && e.outage.affects(frontEnd) && !time.Now().Before(e.outage.noticeTime(e.addedAt))
 }
 
-// recordReturn records at once that a worker serves again: the service holds the event, and what a front end does upon
-// the worker's own word is no fault.
-func (n *noticeLog) recordReturn(w *worker) {
-	for _, f := range n.discovery.site.frontEnds {
-		n.discovery.site.recorder.Add(invariants.Record{
+// recordReactivation records immediately, for all front ends, that a worker is active again. The service has the event, and
+// it is no violation if a front end learns of it earlier from the worker itself and uses the worker.
+func (n *noticeLog) recordReactivation(w *worker) {
+	for _, f := range n.discovery.harness.frontEnds {
+		n.discovery.harness.recorder.Add(invariants.Record{
 			Kind: invariants.EndpointUpdated, FrontEnd: f.processName(), Worker: w.name, EndpointState: stateServing,
 		})
 	}
 }
 
-// onProcessStart records the events with which a process of a front end started, and those that were due before. Of an
-// outage that is under way it heard none.
+// onProcessStart records the events that a process of a front end starts with in its document, and those that count as
+// received by then. The document has none of the events of an outage that is in progress and affects the front end.
 func (n *noticeLog) onProcessStart(f *frontEnd, count int) {
 	n.record(f.number, f.processName(), count)
 	n.recordDue(f)
 }
 
-// record records that the events up to count are received by a process, unless it ended or they are recorded already.
+// record records that a process has received the events up to count. It skips events that are recorded already, and does
+// nothing if the process is no longer the front end's current one.
 func (n *noticeLog) record(frontEnd int, process string, count int) {
-	if n.discovery.site.processName(frontEndName(frontEnd)) != process {
+	if n.discovery.harness.processName(frontEndName(frontEnd)) != process {
 		return
 	}
 	n.mu.Lock()
@@ -80,19 +83,19 @@
 	n.count[process] = max(n.count[process], count)
 }
 
-// noticedAt returns the time from which an event of an outage counts as received, also by a process that started later; 0 for
-// an event that is received when it is recorded.
+// noticedAt returns the time from which an event of an outage counts as received, which may be before the process started.
+// It returns 0 for an event that counts as received at the time of its record.
 func (n *noticeLog) noticedAt(number, frontEnd int) float64 {
 	if !n.isDue(number, frontEnd) {
 		return 0
 	}
 	e := n.discovery.event(number)
-	return n.discovery.site.recorder.Now() - time.Since(e.outage.noticeTime(e.addedAt)).Seconds()
+	return n.discovery.harness.recorder.Now() - time.Since(e.outage.noticeTime(e.addedAt)).Seconds()
 }
 
-// recordEvent adds the records of one event.
+// recordEvent adds the records of one event: the endpoint update and, if the event states it, the start of the worker.
 func (n *noticeLog) recordEvent(process string, e workerEvent, noticedAt float64) {
-	recorder := n.discovery.site.recorder
+	recorder := n.discovery.harness.recorder
 	state := e.state
 	if state == stateActive {
 		state = stateServing
--- a/internal/verification/soak/outage_scenario.go
+++ b/internal/verification/soak/outage_scenario.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// DiscoveryFault names a fault by which front ends lose the discovery service.
+// DiscoveryFault names a fault that makes the discovery service unavailable to front ends.
 type DiscoveryFault string
 
-// Faults of an outage.
+// Faults that an outage can consist of.
 const (
 	ConnectionsReset DiscoveryFault = "connections are reset"
 	ServiceSilent    DiscoveryFault = "accepts and stays silent"
@@ -19,114 +19,114 @@
 	OldestRepeated   DiscoveryFault = "repeats an old event"
 )
 
-// outageFaults are the faults of the service by name.
-var outageFaults = map[DiscoveryFault]discoveryFault{
+// discoveryFaultsByName maps the names of outage faults to the faults of the fake service.
+var discoveryFaultsByName = map[DiscoveryFault]discoveryFault{
 	ConnectionsReset: discoveryDown, ServiceSilent: discoverySilent, LinesTruncated: truncateLines,
 	BytesTrickle: trickleBytes, OldestRepeated: repeatOldest,
 }
 
-// OutageScenario is a fixed course of events: an outage of discovery during which the busiest workers drain and go on running.
+// OutageScenario is a fixed sequence of faults: a discovery outage during which the busiest workers drain but keep running.
 type OutageScenario struct {
 	Fault    DiscoveryFault
 	Duration time.Duration // of the outage
-	// DrainAfter is the time from the beginning of the outage to the drain.
+	// DrainAfter is the time from the start of the outage to the start of the drain.
 	DrainAfter time.Duration
 	Draining   int // number of workers that drain
-	// SingleFrontEnd cuts off one front end only.
+	// SingleFrontEnd limits the outage to one front end.
 	SingleFrontEnd bool
-	// RestartAfter, if set, is the time from the drain after which all front ends are restarted one after another.
+	// RestartAfter, if set, is the time from the start of the drain after which all front ends are restarted one after another.
 	RestartAfter time.Duration
-	// EarlierOutage, if set, is the length of an outage that ends two seconds before this one.
+	// EarlierOutage, if set, is the duration of another outage that ends two seconds before this one starts.
 	EarlierOutage time.Duration
 }
 
 const (
-	// warmUpOfPlay is the time without fault at the beginning of a play, in which functions are loaded.
-	warmUpOfPlay = 3 * time.Second
-	// pauseBetweenOutages is the time of service between two outages.
+	// scenarioWarmUp is the time without faults at the start of a scenario, during which workers load functions.
+	scenarioWarmUp = 3 * time.Second
+	// pauseBetweenOutages is the time between the two outages of a scenario, during which discovery is available.
 	pauseBetweenOutages = 2 * time.Second
-	// recoveryOfPlay is the time without fault at the end of a play.
-	recoveryOfPlay = 2 * time.Second
+	// scenarioRecovery is the time without faults at the end of a scenario.
+	scenarioRecovery = 2 * time.Second
 )
 
-// inject plays what the settings ask for.
-func (s *site) inject(ctx context.Context) {
+// inject injects the faults that the settings select, and returns when the load is to end.
+func (h *harness) inject(ctx context.Context) {
 	switch {
-	case s.settings.Outage != nil:
-		s.playOutage(ctx, s.settings.Outage)
-	case s.settings.Outages:
-		s.injectOutages(ctx)
+	case h.settings.Outage != nil:
+		h.runScenario(ctx, h.settings.Outage)
+	case h.settings.Outages:
+		h.injectOutages(ctx)
 	default:
-		s.injectFaults(ctx)
+		h.injectFaults(ctx)
 	}
 }
 
-// playOutage plays one outage from a warm fleet to its recovery.
-func (s *site) playOutage(ctx context.Context, play *OutageScenario) {
-	sleep(ctx, warmUpOfPlay)
-	fault, onlyFrontEnd := outageFaults[play.Fault], everyFrontEnd
-	if play.SingleFrontEnd {
+// runScenario runs an outage scenario from the warm-up to the recovery.
+func (h *harness) runScenario(ctx context.Context, scenario *OutageScenario) {
+	sleep(ctx, scenarioWarmUp)
+	fault, onlyFrontEnd := discoveryFaultsByName[scenario.Fault], allFrontEnds
+	if scenario.SingleFrontEnd {
 		onlyFrontEnd = 0
 	}
-	if play.EarlierOutage > 0 {
-		s.beginOutage(fault, onlyFrontEnd)
-		sleep(ctx, play.EarlierOutage)
-		s.endOutage()
+	if scenario.EarlierOutage > 0 {
+		h.beginOutage(fault, onlyFrontEnd)
+		sleep(ctx, scenario.EarlierOutage)
+		h.endOutage()
 		sleep(ctx, pauseBetweenOutages)
 	}
-	end := time.Now().Add(play.Duration)
-	s.beginOutage(fault, onlyFrontEnd)
-	sleep(ctx, play.DrainAfter)
-	draining := s.drainBusiest(play.Draining)
-	if play.RestartAfter > 0 {
-		sleep(ctx, play.RestartAfter)
-		s.restartAll()
+	end := time.Now().Add(scenario.Duration)
+	h.beginOutage(fault, onlyFrontEnd)
+	sleep(ctx, scenario.DrainAfter)
+	draining := h.drainBusiest(scenario.Draining)
+	if scenario.RestartAfter > 0 {
+		sleep(ctx, scenario.RestartAfter)
+		h.restartAll()
 	}
 	sleep(ctx, time.Until(end))
 	for _, w := range draining {
 		w.draining.Store(false)
-		s.discovery.add(w, stateActive, 0)
+		h.discovery.add(w, stateActive, 0)
 	}
-	s.endOutage()
-	sleep(ctx, recoveryOfPlay)
+	h.endOutage()
+	sleep(ctx, scenarioRecovery)
 }
 
-func (s *site) beginOutage(fault discoveryFault, onlyFrontEnd int) {
-	s.logFault("outage of discovery begins")
-	s.discovery.beginOutage(fault, onlyFrontEnd)
+func (h *harness) beginOutage(fault discoveryFault, onlyFrontEnd int) {
+	h.logFault("outage of discovery begins")
+	h.discovery.beginOutage(fault, onlyFrontEnd)
 }
 
-func (s *site) endOutage() {
-	s.logFault("outage of discovery ends")
-	s.discovery.endOutage()
+func (h *harness) endOutage() {
+	h.logFault("outage of discovery ends")
+	h.discovery.endOutage()
 }
 
-// drainBusiest has the workers that received most attempts drain: they run on and reject everything.
-func (s *site) drainBusiest(count int) []*worker {
-	s.mu.Lock()
-	workers := slices.Clone(s.workers)
-	s.mu.Unlock()
+// drainBusiest makes the workers that received the most attempts drain: they keep running and reject everything.
+func (h *harness) drainBusiest(count int) []*worker {
+	h.mu.Lock()
+	workers := slices.Clone(h.workers)
+	h.mu.Unlock()
 	slices.SortFunc(workers, func(a, b *worker) int { return cmp.Compare(b.attempts.Load(), a.attempts.Load()) })
 	workers = workers[:min(count, len(workers))]
 	for _, w := range workers {
-		s.logFault(w.name + " drains")
-		s.discovery.add(w, stateLeaving, 0)
+		h.logFault(w.name + " drains")
+		h.discovery.add(w, stateLeaving, 0)
 		w.draining.Store(true)
 	}
 	return workers
 }
 
 // restartAll restarts all front ends, one after another.
-func (s *site) restartAll() {
-	for _, f := range s.frontEnds {
-		s.logFault(f.name + " restarts")
+func (h *harness) restartAll() {
+	for _, f := range h.frontEnds {
+		h.logFault(f.name + " restarts")
 		f.checkAlive()
 		f.terminate()
-		s.startNextProcess(f)
+		h.startNextProcess(f)
 	}
 }
 
-// sleep waits for a time, or until ctx ends.
+// sleep waits for the duration, or until ctx ends.
 func sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-time.After(duration):
--- a/internal/verification/soak/result.go
+++ b/internal/verification/soak/result.go
@@ -7,26 +7,26 @@
 	"streamcleat/internal/verification/invariants"
 )
 
-// Result is the result of one run.
+// Result is the result of a run.
 type Result struct {
 	Seed           uint64             `json:"seed"`
-	Settings       string             `json:"site,omitempty"` // what the seed drew of the settings
+	Settings       string             `json:"site,omitempty"` // description of the settings, some of which the seed may have chosen
 	Verdict        invariants.Verdict `json:"verdict"`
-	Violations     []string           `json:"violations,omitempty"` // found by the soak itself; the first ones
-	ViolationCount int                `json:"violations_all"`       // number of all of them
+	Violations     []string           `json:"violations,omitempty"` // descriptions of the first maxViolations that the harness itself found
+	ViolationCount int                `json:"violations_all"`       // number of all violations that the harness itself found
 	Restarts       int                `json:"restarts"`             // of front ends
-	SlowestReady   float64            `json:"slowest_ready_s"`      // longest time from a start to readiness
+	SlowestReady   float64            `json:"slowest_ready_s"`      // longest time that a restarted front end took to become ready
 	Faults         []string           `json:"troubles"`
-	// OutageRequests are the responses to requests that were sent during an outage of discovery.
+	// OutageRequests is the number of requests that were sent during a discovery outage and got a response.
 	OutageRequests  int     `json:"outage_requests"`
-	OutageSucceeded int     `json:"outage_succeeded"` // the successful ones among them
-	MaxWakeupDelay  float64 `json:"harness_late_s"`   // maximum delay of the harness itself
+	OutageSucceeded int     `json:"outage_succeeded"` // number of OutageRequests that succeeded
+	MaxWakeupDelay  float64 `json:"harness_late_s"`   // longest delay with which the harness itself was scheduled
 }
 
-// Broken reports whether there was any violation.
+// Broken reports whether the checker or the harness found any violation.
 func (r *Result) Broken() bool { return r.Verdict.RulesBroken > 0 || r.ViolationCount > 0 }
 
-// OutageSuccessRatio returns the share of the requests during outages of discovery that succeeded; 1 if there were none.
+// OutageSuccessRatio returns the fraction of OutageRequests that succeeded, or 1 if there were none.
 func (r *Result) OutageSuccessRatio() float64 {
 	if r.OutageRequests == 0 {
 		return 1
--- a/internal/verification/soak/worker.go
+++ b/internal/verification/soak/worker.go
@@ -18,34 +18,34 @@
 	workerLanes         = 4 // requests that a worker executes concurrently
 	meanWork            = 20 * time.Millisecond
 	loadTime            = 60 * time.Millisecond
-	maxQueued           = 40 // requests that wait at a worker; further ones are rejected
+	maxQueued           = 40 // requests that may wait at a worker; it rejects further ones
 	duplicateReplyDelay = 4 * time.Millisecond
 	hangPollInterval    = 50 * time.Millisecond
 )
 
-// workerFault is a fault of a worker.
+// workerFault is an injected fault of a worker.
 type workerFault int32
 
 const (
 	workerHealthy    workerFault = iota
-	hang                         // reads requests and sends no reply
+	hang                         // reads frames and sends no replies
 	resetConnections             // resets connections, before or after executing a request
 	corruptReplies               // sends replies with a wrong checksum
-	duplicateReplies             // sends each reply twice, some milliseconds apart
-	rejectRequests               // replies that it is full
+	duplicateReplies             // sends each reply twice, duplicateReplyDelay apart
+	rejectRequests               // rejects every request as if its queue were full
 	workerFaultCount
 )
 
-// worker is a fake worker process. It has an address for each front end, which identifies the sender of a frame.
+// worker is a fake worker. It listens at a separate address for each front end, which identifies the sender of a frame.
 type worker struct {
-	site      *site
+	harness   *harness
 	name      string
-	addresses []string // by front end
+	addresses []string // by number of the front end
 	startedAt time.Time
 	fault     atomic.Int32
 	draining  atomic.Bool   // rejects attempts, load commands and queries
-	attempts  atomic.Int32  // received so far
-	lanes     chan struct{} // a semaphore
+	attempts  atomic.Int32  // number of attempts received so far
+	lanes     chan struct{} // semaphore of workerLanes
 	queued    atomic.Int32
 
 	mu        sync.Mutex
@@ -55,13 +55,13 @@
 	closed    bool
 }
 
-// startWorker starts a worker at the addresses of one that has ended, or at new ones if addresses is nil.
-func (s *site) startWorker(name string, addresses []string) (*worker, error) {
+// startWorker starts a worker at the given addresses of a worker that has ended, or at free ones if addresses is nil.
+func (h *harness) startWorker(name string, addresses []string) (*worker, error) {
 	w := &worker{
-		site: s, name: name, startedAt: time.Now(), lanes: make(chan struct{}, workerLanes), conns: map[net.Conn]bool{},
+		harness: h, name: name, startedAt: time.Now(), lanes: make(chan struct{}, workerLanes), conns: map[net.Conn]bool{},
 		loaded: map[string]bool{},
 	}
-	for number := range s.settings.FrontEnds {
+	for number := range h.settings.FrontEnds {
 		var address string
 		if addresses != nil {
 			address = addresses[number]
@@ -78,7 +78,7 @@
 	return w, nil
 }
 
-// crash ends the worker: its connections are reset, and its addresses refuse further ones.
+// crash ends the worker abruptly: it resets its connections and refuses further ones.
 func (w *worker) crash() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -94,7 +94,7 @@
 // reset closes a connection with a TCP reset.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // it may be closed already
+		_ = tcp.SetLinger(0) // the connection may be closed already
 	}
 	_ = conn.Close()
 }
@@ -114,14 +114,14 @@
 	}
 }
 
-// workerConn is one connection of a front end to a worker.
+// workerConn is a connection of a front end to a worker.
 type workerConn struct {
 	worker   *worker
 	conn     net.Conn
 	frontEnd string
 
 	mu   sync.Mutex
-	open map[uint64]uint64 // call IDs of the recorder by request
+	open map[uint64]uint64 // call ID in the records, by request ID
 }
 
 func (w *worker) serve(conn net.Conn, frontEnd string) {
@@ -134,31 +134,31 @@
 		}
 		c.onFrame(frame)
 	}
-	_ = conn.Close() // the front end closed it, or sent a malformed frame
+	_ = conn.Close() // the front end closed the connection, or sent a malformed frame
 	w.mu.Lock()
 	delete(w.conns, conn)
 	w.mu.Unlock()
 	c.endAll()
 }
 
-// endAll records the end of the attempts that were open on a closed connection.
+// endAll records the end of all attempts that are still open when the connection has ended.
 func (c *workerConn) endAll() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for id, callID := range c.open {
-		c.worker.site.recorder.Add(invariants.Record{Kind: invariants.AttemptEnded, CallID: callID, RequestID: requestName(id)})
+		c.worker.harness.recorder.Add(invariants.Record{Kind: invariants.AttemptEnded, CallID: callID, RequestID: requestName(id)})
 	}
 	clear(c.open)
 }
 
-// end records the end of an attempt, and reports whether it was open.
+// end records the end of an attempt if it is open, and reports whether it was.
 func (c *workerConn) end(id uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	callID, open := c.open[id]
 	if open {
 		delete(c.open, id)
-		c.worker.site.recorder.Add(invariants.Record{Kind: invariants.AttemptEnded, CallID: callID, RequestID: requestName(id)})
+		c.worker.harness.recorder.Add(invariants.Record{Kind: invariants.AttemptEnded, CallID: callID, RequestID: requestName(id)})
 	}
 	return open
 }
@@ -176,7 +176,7 @@
 		delete(c.worker.loaded, requestName(frame.id))
 		c.worker.mu.Unlock()
 	default:
-		c.worker.site.violate("frame", "%s sent unknown command %d to %s", c.frontEnd, frame.command, c.worker.name)
+		c.worker.harness.violate("frame", "%s sent unknown command %d to %s", c.frontEnd, frame.command, c.worker.name)
 	}
 }
 
@@ -184,28 +184,28 @@
 	w := c.worker
 	budget, err := strconv.ParseFloat(frame.fields["budget"], 64)
 	if err != nil {
-		w.site.violate("frame", "budget %q: %v", frame.fields["budget"], err)
+		w.harness.violate("frame", "malformed budget %q: %v", frame.fields["budget"], err)
 	}
 	w.attempts.Add(1)
-	callID := w.site.recorder.NextCallID()
+	callID := w.harness.recorder.NextCallID()
 	c.mu.Lock()
 	c.open[frame.id] = callID
 	c.mu.Unlock()
-	w.site.recorder.Add(invariants.Record{
+	w.harness.recorder.Add(invariants.Record{
 		Kind: invariants.AttemptStarted, CallID: callID, RequestID: requestName(frame.id), Worker: w.name,
-		FrontEnd: w.site.processName(c.frontEnd), Class: frame.fields["queue"], Function: frame.fields["path"], Timeout: budget / 1000,
+		FrontEnd: w.harness.processName(c.frontEnd), Class: frame.fields["queue"], Function: frame.fields["path"], Timeout: budget / 1000,
 	})
 	go c.execute(frame, workerFault(w.fault.Load()))
 }
 
-// execute executes a request and replies, subject to the worker's fault.
+// execute executes a request and sends its reply, as far as the worker's fault permits.
 func (c *workerConn) execute(frame workerFrame, fault workerFault) {
 	w := c.worker
 	if fault == hang {
 		for w.fault.Load() == int32(hang) {
 			time.Sleep(hangPollInterval)
 		}
-		c.end(frame.id) // requests that arrived during the hang get no reply
+		c.end(frame.id) // requests that arrived during a hang never get a reply
 		return
 	}
 	if fault == resetConnections && rand.IntN(2) == 0 {
@@ -228,8 +228,8 @@
 	w.queued.Add(-1)
 	time.Sleep(time.Duration(rand.ExpFloat64() * float64(meanWork)))
 	<-w.lanes
-	if !w.site.recordExecution(frame, w.name) {
-		c.reply(replySucceeded, frame, responseBody(frame.id), fault) // a duplicate
+	if !w.harness.recordExecution(frame, w.name) {
+		c.reply(replySucceeded, frame, responseBody(frame.id), fault) // the worker has executed the request before
 		return
 	}
 	if fault == resetConnections {
@@ -239,10 +239,10 @@
 	c.reply(replySucceeded, frame, responseBody(frame.id), fault)
 }
 
-// reply ends an attempt and sends its reply, subject to the worker's fault.
+// reply ends an attempt and sends its reply, corrupted or duplicated if that is the worker's fault.
 func (c *workerConn) reply(code byte, frame workerFrame, body []byte, fault workerFault) {
 	if !c.end(frame.id) {
-		return // cancelled
+		return // the attempt was cancelled
 	}
 	detail := "detail=hit"
 	if code == replyNotLoaded {
@@ -252,20 +252,20 @@
 	if fault == corruptReplies {
 		data[len(data)-1]++
 	}
-	_, _ = c.conn.Write(data) // the front end may have closed
+	_, _ = c.conn.Write(data) // the front end may have closed the connection
 	if fault == duplicateReplies {
 		time.Sleep(duplicateReplyDelay)
 		_, _ = c.conn.Write(data)
 	}
 }
 
-// load loads a replica and reports it.
+// load handles a load command or a query: it loads a replica if required, and reports whether one is loaded.
 func (c *workerConn) load(frame workerFrame) {
 	w := c.worker
 	function := frame.fields["path"]
-	replicas, _ := strconv.Atoi(frame.fields["slots_up"]) // 0 only queries
-	w.site.recorder.Add(invariants.Record{
-		Kind: invariants.LoadCommanded, FrontEnd: w.site.processName(c.frontEnd), Worker: w.name,
+	replicas, _ := strconv.Atoi(frame.fields["slots_up"]) // 0 makes the command a query
+	w.harness.recorder.Add(invariants.Record{
+		Kind: invariants.LoadCommanded, FrontEnd: w.harness.processName(c.frontEnd), Worker: w.name,
 		Function: function, Replicas: replicas,
 	})
 	for w.fault.Load() == int32(hang) {
@@ -283,11 +283,11 @@
 	if loaded {
 		fields = "slots_up=1"
 	}
-	answersQuery := replicas == 0 && w.site.settings.DrainingAnswersQueries
+	answersQuery := replicas == 0 && w.harness.settings.DrainingAnswersQueries
 	if w.draining.Load() && !answersQuery {
 		code = replyRejected
 	}
-	_, _ = c.conn.Write(encodeReply(code, frame.id, fields, nil)) // the front end may have closed
+	_, _ = c.conn.Write(encodeReply(code, frame.id, fields, nil)) // the front end may have closed the connection
 }
 
 func (w *worker) isLoaded(function string) bool {
@@ -296,28 +296,28 @@
 	return w.loaded[function]
 }
 
-// recordExecution records the execution of a request, and reports whether it is executed: the workers drop a duplicate
-// of a request with an idempotency key.
-func (s *site) recordExecution(frame workerFrame, worker string) bool {
+// recordExecution records the execution of a request, and reports whether the request is executed. Workers do not execute a
+// request again whose idempotency key any of them has executed.
+func (h *harness) recordExecution(frame workerFrame, worker string) bool {
 	name := requestName(frame.id)
 	if key := frame.fields["uniq"]; key != "" {
-		s.mu.Lock()
-		duplicate := s.executedKeys[key]
-		s.executedKeys[key] = true
-		s.mu.Unlock()
+		h.mu.Lock()
+		duplicate := h.executedKeys[key]
+		h.executedKeys[key] = true
+		h.mu.Unlock()
 		if duplicate {
 			return false
 		}
 	}
-	s.recorder.Add(invariants.Record{
+	h.recorder.Add(invariants.Record{
 		Kind: invariants.Executed, RequestID: name, Class: frame.fields["queue"], Worker: worker,
 		Function: frame.fields["path"],
 	})
 	return true
 }
 
-// requestName returns a request's ID in the form that records have.
+// requestName formats a request ID as the records contain it.
 func requestName(id uint64) string { return fmt.Sprintf("%016x", id) }
 
-// responseBody returns the body of the successful response to a request.
+// responseBody returns the response body that a worker sends for a successful request.
 func responseBody(id uint64) []byte { return []byte("done " + requestName(id)) }
