--- a/internal/verification/scenario/script.go
+++ b/internal/verification/scenario/script.go
@@ -13,43 +13,43 @@
 	"streamcleat/internal/verification/fakes"
 )
 
-// Script is one scenario. Times are seconds; fractions are between 0 and 1.
+// Script describes one scenario. Times are in seconds; fractions are between 0 and 1.
 type Script struct {
-	Name          string             `json:"name"`
-	About         string             `json:"about"`
-	Seconds       float64            `json:"seconds"`
-	Rate          float64            `json:"rate"` // requests per second, without those of schedules
-	FrontEnds     int                `json:"front_ends"`
-	Workers       int                `json:"workers"`
-	Cores         int                `json:"cores"` // of each worker
-	Functions     int                `json:"functions"`
-	Work          float64            `json:"work"` // mean work of a request on a core of speed 1
-	Mix           map[string]float64 `json:"mix"`  // fraction of each request class
-	Timers        int                `json:"timers"`
-	Minute        float64            `json:"minute"` // duration of a minute on the schedules' clock
-	Clients       int                `json:"clients"`
-	ColdStart     bool               `json:"cold"`          // all workers start with the scenario
-	LoadOnRequest bool               `json:"load_on_event"` // a request for a function that is not loaded loads it
-	LoadLimit     [3]float64         `json:"ration"`        // window, load commands without a request, load commands for each request
-	Retries       int                `json:"repeats"`
-	Versions      bool               `json:"versions"` // functions have versions
-	PreloadAhead  float64            `json:"ahead"`    // time before a schedule is due at which its function is preloaded; 0: never
-	Faults        []Fault            `json:"troubles"`
+	Name           string             `json:"name"`
+	Description    string             `json:"about"`
+	Seconds        float64            `json:"seconds"`
+	Rate           float64            `json:"rate"` // requests per second, not counting firings of schedules
+	FrontEnds      int                `json:"front_ends"`
+	Workers        int                `json:"workers"`
+	Cores          int                `json:"cores"` // of each worker
+	Functions      int                `json:"functions"`
+	WorkPerRequest float64            `json:"work"` // mean work of a request, in seconds on a core of speed 1
+	ClassMix       map[string]float64 `json:"mix"`  // fraction of each request class
+	Schedules      int                `json:"timers"`
+	MinuteDuration float64            `json:"minute"` // duration of a minute on the schedules' clock
+	Clients        int                `json:"clients"`
+	ColdStart      bool               `json:"cold"`          // all workers are cold when the scenario starts
+	LoadOnRequest  bool               `json:"load_on_event"` // workers load a function when a request for it arrives
+	LoadLimit      [3]float64         `json:"ration"`        // window, load commands without a request, load commands for each request
+	Retries        int                `json:"repeats"`
+	Versions       bool               `json:"versions"` // functions have versions
+	PreloadAhead   float64            `json:"ahead"`    // how long before a schedule is due its function is preloaded; 0: never
+	Faults         []Fault            `json:"troubles"`
 }
 
-// Fault is one fault of a script.
+// Fault describes one fault of a script.
 type Fault struct {
 	At          float64   `json:"at"`
 	Kind        FaultKind `json:"kind"`
 	Fraction    float64   `json:"part"` // of the workers, functions or requests, depending on the kind
 	Duration    float64   `json:"for"`
-	Times       float64   `json:"times"` // factor or count, depending on the kind
+	Magnitude   float64   `json:"times"` // factor or count, depending on the kind
 	Every       float64   `json:"every"` // interval of a repeated fault
-	Bytes       int       `json:"bytes"` // sent of a truncated response
-	HitFraction float64   `json:"hit"`   // fraction of the requests that it affects; 0: all
+	Bytes       int       `json:"bytes"` // bytes of a truncated response that are sent
+	HitFraction float64   `json:"hit"`   // fraction of the requests that the fault affects; 0: all
 }
 
-// Limits of scripts.
+// Maximum values of the fields of a script.
 const (
 	maxSeconds   = 3600
 	maxRate      = 5000
@@ -91,17 +91,17 @@
 	return ParseScript(data, name)
 }
 
-// defaultScript returns the sizes of a small site.
+// defaultScript returns the default values of a script, which describe a small site.
 func defaultScript() *Script {
 	return &Script{
-		Seconds: 8, Rate: 100, FrontEnds: 2, Workers: 8, Cores: 2, Functions: 40, Work: 0.04, Timers: 30,
-		Minute: 1, Clients: 2, Retries: 1,
-		Mix: map[string]float64{fakes.ClassIdempotent: 0.6, fakes.ClassIdempotentByKey: 0.25, fakes.ClassAtMostOnce: 0.15},
+		Seconds: 8, Rate: 100, FrontEnds: 2, Workers: 8, Cores: 2, Functions: 40, WorkPerRequest: 0.04, Schedules: 30,
+		MinuteDuration: 1, Clients: 2, Retries: 1,
+		ClassMix: map[string]float64{fakes.ClassIdempotent: 0.6, fakes.ClassIdempotentByKey: 0.25, fakes.ClassAtMostOnce: 0.15},
 	}
 }
 
-// ParseScript decodes and checks a script. Fields that it lacks have the values of defaultScript. from names the script
-// in errors.
+// ParseScript decodes and validates a script. Missing fields have the values of defaultScript. from is the name of the script
+// in error messages, and its default name.
 func ParseScript(data []byte, from string) (*Script, error) {
 	s := defaultScript()
 	d := json.NewDecoder(bytes.NewReader(data))
@@ -118,10 +118,10 @@
 	return s, nil
 }
 
-// errSizes is returned for several fields that share a message.
+// errSizes is the error for an invalid value of any of the fields that it names.
 var errSizes = errors.New("minute and work must be above 0, cores at least 1, clients 0 to 16")
 
-// FieldError is the error for an invalid value of a field of a script.
+// FieldError reports an invalid value of a field of a script.
 type FieldError struct {
 	Field string
 	Value any
@@ -142,12 +142,12 @@
 		return &FieldError{"workers", s.Workers, "between 1 and 200"}
 	case s.Functions < 1 || s.Functions > maxFunctions:
 		return &FieldError{"functions", s.Functions, "between 1 and 10000"}
-	case s.Timers < 0 || s.Timers > maxTimers:
-		return &FieldError{"timers", s.Timers, "between 0 and 2000"}
-	case s.Minute <= 0 || s.Work <= 0 || s.Cores < 1 || s.Clients < 0 || s.Clients > maxClients || s.Retries < 0:
+	case s.Schedules < 0 || s.Schedules > maxTimers:
+		return &FieldError{"timers", s.Schedules, "between 0 and 2000"}
+	case s.MinuteDuration <= 0 || s.WorkPerRequest <= 0 || s.Cores < 1 || s.Clients < 0 || s.Clients > maxClients || s.Retries < 0:
 		return errSizes
 	}
-	for class := range s.Mix {
+	for class := range s.ClassMix {
 		if !slices.Contains(fakes.RequestClasses(), class) {
 			return &FieldError{"mix", class, "one of shop-event, till-entry, price-reset"}
 		}
