--- a/internal/verification/simulation/explore.go
+++ b/internal/verification/simulation/explore.go
@@ -123,12 +123,12 @@
 func (a action) String() string {
 	switch a.kind {
 	case actionSend, actionCancel:
-		return fmt.Sprintf("%s %d (%s at front end %d)", a.kind, a.index, modelCalls[a.index].id, modelCalls[a.index].frontEnd)
+		return fmt.Sprintf("%s %d (%s at front %d)", a.kind, a.index, modelCalls[a.index].id, modelCalls[a.index].frontEnd)
 	case actionEnd, actionEndLoad:
-		return fmt.Sprintf("%s %d at front end %d: %d", a.kind, a.index, a.frontEnd, a.outcome)
+		return fmt.Sprintf("%s %d at front %d: %d", a.kind, a.index, a.frontEnd, a.outcome)
 	case actionPassTime:
 		return "time passes"
 	case actionTransmit, actionDrain:
 	}
-	return fmt.Sprintf("%s %d at front end %d", a.kind, a.index, a.frontEnd)
+	return fmt.Sprintf("%s %d at front %d", a.kind, a.index, a.frontEnd)
 }
