--- a/control/endpoint_lease.go
+++ b/control/endpoint_lease.go
@@ -166,13 +166,13 @@
 
 // recordRejection records that w rejected an attempt or load command for a function.
 func (r *Router) recordRejection(w *worker, fn *function) {
-	cannotRenew := r.renewalsAllowed() && !r.isConfirmed(w)
+	countsAsDrain := r.renewalsAllowed() && !r.isConfirmed(w)
 	w.lease.rejectedAt, w.lease.rejectedQuery, w.lease.function = r.now, false, fn
 	if !r.isDiscoveryAvailable() {
 		w.lease.retryAt, w.lease.failures = r.now, 0
 		r.endpointRulesDue = true
 	}
-	if cannotRenew { // for a confirmed worker, a renewal shows whether it drains or is full, also to peers
+	if countsAsDrain { // for a confirmed worker, a renewal shows whether it drains or is full, also to peers
 		w.lease.drainSeenAt = r.now
 		r.broadcastDrain(w)
 	}
--- a/internal/verification/simulation/report.go
+++ b/internal/verification/simulation/report.go
@@ -24,7 +24,7 @@
 	VirtualSeconds  float64        `json:"virtual_s"`
 	RealSeconds     float64        `json:"real_s"`
 	Restarts        int            `json:"restarts"`
-	FaultCoverage   map[string]int `json:"met,omitempty"` // number of injections by fault kind and state
+	FaultCoverage   map[string]int `json:"met,omitempty"` // number of injections by fault kind and state of the front end
 }
 
 // OK reports whether the run had no violation.
